--- /dev/null
+++ b/tests/decision_digests.py
@@ -0,0 +1,345 @@
+"""Seeded event streams for the decisions, and the digests of the actions that come back.
+
+The canonical form of an action names neither types nor fields: it holds the action's kind as a number, its fields in
+their order, objects as the number of their first appearance, members of enums as their value, and figures with twelve
+significant digits (the last bits of `exp` may differ between two machines).
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+import zlib
+from dataclasses import dataclass, fields, replace
+from enum import Enum
+from math import inf
+from typing import Any, Callable
+
+from ternlane import port
+from ternlane.choice import Router
+from ternlane.port import Duty, Effect, Group, Life, Product, Server, Tenant, Verdict
+from tests import fleet
+from tests.conftest import FACTS
+
+# The kinds of actions by their number in the canonical form. The order is part of the recorded digests.
+ACTION_KINDS = (
+    port.SendLeg,
+    port.CallOff,
+    port.Throttle,
+    port.Terminate,
+    port.Release,
+    port.HoldAhead,
+    port.Probe,
+    port.Follow,
+    port.Wake,
+    port.Log,
+)
+
+
+class Recorder:
+    """Stands where a Router does, passes everything on, and keeps a digest of all actions."""
+
+    def __init__(self, router: Router) -> None:
+        self.router = router
+        self.hash = hashlib.sha256()
+        self.numbers: dict[Any, int] = {}
+        self.count = 0
+
+    def take(self, now: float, events: list[Any]) -> list[Any]:
+        actions = self.router.take(now, events)
+        self.hash.update(f"@{now:.12g}\n".encode())
+        for action in actions:
+            self.hash.update((self.canonical(action) + "\n").encode())
+        self.count += len(actions)
+        return actions
+
+    def canonical(self, action: Any) -> str:
+        values = [self.value(getattr(action, field.name)) for field in fields(action)]
+        return " ".join([str(ACTION_KINDS.index(type(action))), *values])
+
+    def value(self, value: Any) -> str:
+        if isinstance(value, Enum):
+            return f"e{value.value}"
+        if isinstance(value, (bool, str)) or value is None:
+            return str(value)
+        if isinstance(value, (int, float)):
+            return f"{value:.12g}"
+        return f"#{self.numbers.setdefault(value, len(self.numbers))}"
+
+
+def digest_of(recorders: list[Recorder]) -> str:
+    """One digest for the actions of several routers, and how many there were."""
+    total = hashlib.sha256()
+    for recorder in recorders:
+        total.update(recorder.hash.digest())
+    return f"{total.hexdigest()[:32]} {sum(recorder.count for recorder in recorders)}"
+
+
+def day_digest(scene: fleet.Scene, *faults: fleet.Fault) -> str:
+    """The actions of all gateways of a simulated day."""
+    recorders: list[Recorder] = []
+
+    class RecordedDay(fleet.Day):
+        def chooser(self, gateway: Any) -> Any:
+            recorders.append(Recorder(super().chooser(gateway)))
+            return recorders[-1]
+
+    RecordedDay(scene, "router", faults).play()
+    return digest_of(recorders)
+
+
+@dataclass
+class Pending:
+    """An attempt that is out."""
+
+    begun: bool = False
+
+
+class RandomHost:
+    """Hands one router a seeded stream of everything that a host may tell it, and answers its actions at random."""
+
+    def __init__(self, seed: int, **facts: Any) -> None:
+        self.rng = random.Random(seed)
+        self.products = tuple(self.product() for _ in range(4))
+        self.facts = replace(FACTS, seed=seed, products=self.products, **facts)
+        self.recorder = Recorder(Router(self.facts))
+        self.tenants = [Tenant(), Tenant(), None]
+        self.servers = [self.server(number) for number in range(self.rng.randint(4, 14))]
+        self.now = 1000.0
+        self.due: list[tuple[float, int, Callable[[], list[Any]]]] = []
+        self.order = 0
+        self.open: dict[Any, Any] = {}  # requests without a final answer
+        self.out: dict[Any, tuple[Any, Server, Pending]] = {}  # the attempt that is out for each request
+        self.tell(port.Listed(tuple(self.servers)))
+
+    # -- what there is
+
+    def product(self) -> Product:
+        rng = self.rng
+        return Product(
+            rng.choice(list(Effect)),
+            rng.choice(list(Group)),
+            rng.uniform(200.0, 5000.0),
+            rng.uniform(500.0, 2500.0),
+            rng.choice([0.0, 40.0]),
+            rng.choice([0.0, 70.0]),
+            rng.uniform(2000.0, 12000.0),
+            rng.uniform(1.0, 4.0),
+            rng.choice([0.0, 0.2, 0.6]),
+        )
+
+    def server(self, number: int) -> Server:
+        roles = list(Duty) if self.facts.writers_read else [Duty.READ, Duty.WRITE]
+        role = roles[number % len(roles)]
+        mark = zlib.crc32(b"server %d" % number)
+        return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), mark=mark)
+
+    def request(self) -> Any:
+        rng, product = self.rng, self.rng.choice(self.products)
+        prompt = 2000.0 * rng.lognormvariate(-0.2, 0.8)
+        return port.Generation(
+            product,
+            rng.choice([None, *(f"s{n}" for n in range(12))]),
+            rng.choice([None, *(f"o{n}" for n in range(4))]),
+            prompt * rng.uniform(0.0, 0.9),
+            prompt,
+            rng.uniform(20.0, 900.0),
+            product.limit_ms * rng.uniform(0.2, 1.0),
+            rng.random() < 0.1,
+            tenant=rng.choice(self.tenants),
+        )
+
+    # -- the loop
+
+    def after(self, ms: float, call: Callable[[], list[Any]]) -> None:
+        self.at(self.now + ms, call)
+
+    def at(self, when: float, call: Callable[[], list[Any]]) -> None:
+        self.order += 1
+        self.due.append((when, self.order, call))
+
+    def tell(self, *events: Any) -> None:
+        for action in self.recorder.take(self.now, list(events)):
+            self.carry_out(action)
+
+    def play(self, seconds: float) -> str:
+        end = self.now + seconds * 1000
+        self.arrive()
+        self.disturb()
+        while self.due:
+            entry = min(self.due, key=lambda due: due[:2])
+            if entry[0] >= end:
+                break
+            self.due.remove(entry)
+            self.now = max(self.now, entry[0])
+            events = entry[2]()
+            if events:
+                self.tell(*events)
+        return digest_of([self.recorder])
+
+    # -- what the router asks for
+
+    def carry_out(self, action: Any) -> None:
+        match action:
+            case port.Wake(at, beat):
+                self.at(at, lambda: [port.Woken(beat)])
+            case port.SendLeg(request, server):
+                self.begin(request, server, action)
+            case port.CallOff(request):
+                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, Verdict.CALLED_OFF))
+            case port.Throttle(request) | port.Terminate(request):
+                self.open.pop(request, None)
+            case port.Release(request):
+                if self.rng.random() < 0.7:
+                    self.after(self.rng.uniform(1.0, 300.0), lambda: [port.ReleaseHeard(request)])
+            case port.HoldAhead(request):
+                held = self.rng.random() < 0.5
+                self.after(self.rng.uniform(1.0, 50.0), lambda: [port.PlaceHeld(request, held)])
+            case port.Probe(server):
+                self.after(self.rng.uniform(1.0, 80.0), lambda: [self.checked(server)])
+            case port.Follow():
+                if self.rng.random() < 0.3:
+                    self.after(self.rng.uniform(1.0, 500.0), lambda: [port.ListFailed()])
+
+    def checked(self, server: Server) -> Any:
+        verdict = self.rng.choice([Verdict.STREAMED, Verdict.TIMED_OUT])
+        return port.Checked(server, verdict, self.report() if verdict is Verdict.STREAMED else None)
+
+    def report(self) -> Any:
+        if self.rng.random() < 0.3:
+            return None
+        return port.Report(
+            self.rng.choice([None, float(self.rng.randint(0, 60))]), self.rng.choice([None, self.rng.random()])
+        )
+
+    def begin(self, request: Any, server: Server, times: Any) -> None:
+        rng = self.rng
+        pending = Pending()
+        self.out[request] = times, server, pending
+        took = rng.expovariate(1 / (150.0 + 30.0 * (server.mark % 5)))
+        if took >= times.timeout_ms:
+            self.after(times.timeout_ms, lambda: self.end(request, Verdict.TIMED_OUT, times))
+            return
+        verdict = self.outcome(server)
+        if verdict is Verdict.STREAMED:
+            self.after(took, lambda: self.first_token(request, server, took, times))
+            finish = took + rng.expovariate(1 / 800.0)
+            ending = Verdict.RESET if rng.random() < 0.08 else Verdict.STREAMED
+            self.after(finish, lambda: self.end(request, ending, times))
+        else:
+            self.after(took, lambda: self.end(request, verdict, times))
+
+    def outcome(self, server: Server) -> Verdict:
+        fault_share = 0.6 if server.mark % 7 == 0 else 0.12
+        if self.rng.random() < fault_share:
+            return self.rng.choice(
+                [
+                    Verdict.ERROR,
+                    Verdict.FULL,
+                    Verdict.UNCONNECTED,
+                    Verdict.RESET,
+                    Verdict.WITHHELD,
+                    Verdict.TIMED_OUT,
+                ]
+            )
+        return Verdict.READ if server.duty is Duty.READ else Verdict.STREAMED
+
+    def first_token(self, request: Any, server: Server, took: float, times: Any) -> list[Any]:
+        if self.out.get(request, (None,))[0] is not times:
+            return []
+        self.out[request][2].begun = True
+        return [port.FirstTok(request, server, took)]
+
+    def end(self, request: Any, verdict: Verdict, times: Any = None) -> list[Any]:
+        entry = self.out.get(request)
+        if entry is None or (times is not None and entry[0] is not times):
+            return []
+        if verdict is Verdict.CALLED_OFF and entry[2].begun:
+            return []
+        del self.out[request]
+        gone = request not in self.open
+        over = verdict is Verdict.STREAMED or gone
+        broken = entry[2].begun and not over
+        if over:
+            self.open.pop(request, None)
+        kept = request.prompt_toks * self.rng.random() if verdict is Verdict.READ else 0.0
+        lost = entry[1].duty is not Duty.READ and verdict is Verdict.ERROR and self.rng.random() < 0.5
+        took = self.rng.uniform(1.0, 900.0)
+        ended = port.LegEnded(request, entry[1], verdict, took, over, kept, lost, self.report(), broken)
+        if broken:
+            self.after(self.rng.uniform(5.0, 200.0), lambda: self.go_on(request))
+        return [ended]
+
+    def go_on(self, request: Any) -> list[Any]:
+        if request not in self.open:
+            return []
+        request.prompt_toks += self.rng.uniform(1.0, 100.0)
+        return [port.GoOn(request)]
+
+    # -- what happens by itself
+
+    def arrive(self) -> list[Any]:
+        self.after(self.rng.expovariate(1 / 25.0), self.arrive)
+        request = self.request()
+        self.open[request] = None
+        if self.rng.random() < 0.08:
+            self.after(self.rng.uniform(0.0, 900.0), lambda: self.leave(request))
+        return [port.Arrived(request)]
+
+    def leave(self, request: Any) -> list[Any]:
+        if request not in self.open or (request in self.out and self.out[request][2].begun):
+            return []
+        del self.open[request]
+        return [port.ClientLeft(request)]
+
+    def disturb(self) -> list[Any]:
+        """A change of the list, or of the settings."""
+        self.after(self.rng.expovariate(1 / 400.0), self.disturb)
+        draw = self.rng.random()
+        if draw < 0.08:
+            return self.reload()
+        if draw < 0.15:
+            return [port.ListFailed()]
+        if draw < 0.35:
+            return self.replace_server()
+        server = self.rng.choice(self.servers)
+        server.life = self.rng.choice([Life.UP, Life.UP, Life.UP, Life.DRAINING])
+        if self.rng.random() < 0.3:
+            server.started_ms = self.now
+        return [port.Listed((server,))]
+
+    def replace_server(self) -> list[Any]:
+        number = len(self.servers)
+        old = self.rng.choice(self.servers)
+        old.life = Life.GONE
+        new = self.server(number)
+        new.started_ms = self.now
+        self.servers.append(new)
+        return [port.Listed((old, new))]
+
+    def reload(self) -> list[Any]:
+        kept = self.rng.sample(self.products, 3)
+        self.products = (*kept, self.product())
+        self.facts = replace(
+            self.facts,
+            products=self.products,
+            leg_limit=self.rng.randint(2, 6),
+            release_ms=self.rng.choice([300.0, 500.0, 900.0]),
+            cold_ms=self.rng.choice([4e3, 10e3]),
+        )
+        return [port.Altered(self.facts)]
+
+
+def shut_down_at(host: RandomHost, ms: float, grace_ms: float) -> None:
+    """Tells the router at that time that its gateway ends; twice, as two signals may come."""
+    times = port.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
+    host.after(ms, lambda: [port.Ending(times)])
+    host.after(ms + 100.0, lambda: [port.Ending(replace(times, ends_ms=inf))])
+
+
+def stream_digest(seed: int, shutdown_ms: float | None = None, **facts: Any) -> str:
+    """The actions on a random stream of events."""
+    host = RandomHost(seed, **facts)
+    if shutdown_ms is not None:
+        shut_down_at(host, shutdown_ms, grace_ms=300.0)
+    return host.play(seconds=20.0)
--- /dev/null
+++ b/tests/test_decision_digests.py
@@ -0,0 +1,83 @@
+"""The decisions are the same as recorded, action by action, on seeded event streams.
+
+A change that is meant to leave the decisions as they are (a new name, another cut of the modules) must give the same
+digests. A change of a decision gives others, and says so in its commit: `TERNLANE_WRITE_PINS=1` records them anew.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+from pathlib import Path
+from typing import Any, Callable
+
+import pytest
+
+from tests import fleet
+from tests.decision_digests import day_digest, stream_digest
+
+RECORDED = Path(__file__).parent / "data" / "decision_digests.json"
+SMALL = fleet.Scene(gateways=16, readers=12, writers=8, seconds=8.0, tenants=3, zones=2)
+
+DAYS: dict[str, Callable[[], str]] = {
+    "quiet day": lambda: day_digest(SMALL),
+    "reports on request, clients that leave": lambda: day_digest(
+        fleet.Scene(16, 10, 8, seconds=8.0, seed=2, told_if_asked=True, leave_share=0.1)
+    ),
+    "overload with a burst": lambda: day_digest(
+        fleet.Scene(12, 8, 6, seconds=9.0, seed=3, load=1.2, burst=1.6, tenants=2)
+    ),
+    "silent and failing servers": lambda: day_digest(
+        SMALL, fleet.ail(0.25, 2000.0, 3000.0, silent=True), fleet.ail(0.2, 3000.0, 3000.0, bad=1.0)
+    ),
+    "slow servers and resets": lambda: day_digest(
+        SMALL, fleet.ail(0.25, 2000.0, 4000.0, slow=6.0), fleet.ail(1.0, 3000.0, 3000.0, resetting=0.3)
+    ),
+    "gateways killed, servers restarted": lambda: day_digest(
+        SMALL, fleet.kill_gateways(0.7, 2000.0, 2000.0), fleet.restart_servers(0.4, 2000.0, 2500.0, 800.0)
+    ),
+    "a zone cut off": lambda: day_digest(SMALL, fleet.cut_zone(2000.0, 3000.0)),
+    "discovery down while servers are replaced": lambda: day_digest(
+        SMALL, fleet.discovery_down(1500.0, 2000.0), fleet.replace_servers(0.5, 2000.0, 3000.0, 1500.0)
+    ),
+}
+
+VARIANTS: dict[str, dict[str, Any]] = {
+    "usual": {},
+    "no cancelling, no advice": {"may_call_off": False, "may_advise": False},
+    "reports on request": {"may_probe": True, "reports_mem": True, "told_if_asked": True},
+    "releases spare attempts": {"releases_spare_attempts": True},
+    "one role": {"writers_read": True, "must_ask": True},
+    "state does not expire": {"holds_run_on": False, "leg_limit": 3},
+    "shutdown": {"shutdown_ms": 12e3, "releases_spare_attempts": True},
+    "shutdown without cancelling": {"shutdown_ms": 12e3, "may_call_off": False},
+}
+STREAM_SEEDS = range(6)
+
+
+def stream_names() -> list[str]:
+    return [f"stream {seed}: {variant}" for variant in VARIANTS for seed in STREAM_SEEDS]
+
+
+def played(name: str) -> str:
+    if name in DAYS:
+        return DAYS[name]()
+    seed, variant = name.removeprefix("stream ").split(": ", 1)
+    return stream_digest(100 * list(VARIANTS).index(variant) + int(seed), **VARIANTS[variant])
+
+
+def recorded() -> dict[str, str]:
+    return json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
+
+
+@pytest.mark.parametrize("name", [*DAYS, *stream_names()])
+def test_actions_are_as_recorded(name: str) -> None:
+    digest = played(name)
+    if os.environ.get("TERNLANE_WRITE_PINS") == "1":
+        RECORDED.parent.mkdir(exist_ok=True)
+        RECORDED.write_text(json.dumps(recorded() | {name: digest}, indent=1) + "\n")
+    assert recorded()[name] == digest
+
+
+def test_every_recorded_stream_is_played() -> None:
+    assert recorded().keys() == {*DAYS, *stream_names()}
