--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,6 +21,7 @@
 from dataclasses import fields, is_dataclass
 from importlib import import_module
 from pathlib import Path
+from types import SimpleNamespace
 from typing import Any
 
 import json5
@@ -36,7 +37,10 @@
 from ternlane.emulator.describe import EngineKind as EmulatorDocument
 from ternlane.gateway.daemon import drop_pid as drop_process_id
 from ternlane.gateway.daemon import write_pid as write_process_id
-from ternlane.gateway.scribe import JOURNAL, final_of as final_answer_of
+from ternlane.gateway.scribe import JOURNAL, Scribe as JournalKeeper
+from ternlane.gateway.scribe import final_of as final_answer_of
+from ternlane.gateway.ticket import Streamed as StreamedAnswer
+from ternlane.gateway.ticket import Terminated as TerminatedAnswer
 from ternlane.ledger import Disk, Segmented, Store
 from ternlane.ledger.bills import entries_of, rows_of
 from ternlane.ledger.lending import lender_file
@@ -263,6 +267,34 @@
     assert values["cut_off"] > 0
 
 
+def ticket_of(effect: ternlane.Effect, final: Any) -> Any:
+    """A request as the journal sees it; the names of its fields are internal and are renamed here alone."""
+    product = ternlane.Product(effect, ternlane.Group.ALL, 3000.0, 500.0, 0.0, 60.0, 2500.0, 1.0, 0.0)
+    generation = SimpleNamespace(product=product)
+    return SimpleNamespace(gen=generation, ident="n1", repeat_key="key", mark=b"m", noted="", for_repeats=lambda: final)
+
+
+def test_the_gateways_journal_records_are_as_they_were(tmp_path: Path) -> None:
+    found = {}
+    for effect in ternlane.Effect:
+        for final in (StreamedAnswer("all", "stop", {"prompt_tokens": 3}, None), TerminatedAnswer("lost"), None):
+            keeper, records = JournalKeeper(tmp_path, None), list[Any]()
+            keeper.writer.add = lambda record, records=records: records.append(record) or 7  # type: ignore[method-assign]
+            ticket = ticket_of(effect, final)
+            keeper.took(ticket)
+            waits = keeper.sends(ticket, "w1", "127.0.0.1:1", "chat", False, True)
+            keeper.freed(ticket)
+            keeper.ended(ticket, "left")
+            plain_records = [msgspec.to_builtins(r) for r in records]
+            first = plain_records[0]
+            assert first[7] - first[6] == 3000.0  # how long a repeat is known
+            first[6:] = [0, 0]  # the times of the run
+            for record in plain_records:
+                record[1] = re.sub(r"^[0-9a-f]+\.", "birth.", record[1])
+            found[f"{effect.value} {len(found)}"] = [waits, plain_records]
+    must_be_pinned("journal-records", found)
+
+
 # -- single files
 
 
