--- /dev/null
+++ b/tests/test_wire_pins.py
@@ -0,0 +1,1146 @@
+"""Pins, byte for byte, what the gateways and the simulator's adapter write, and the names in their logs and metrics.
+
+Everything runs through the process entry points, before scripted peers on loopback sockets, so that no name of the
+package is needed here. What differs between runs (addresses, times, versions) is masked by `masked`. The pinned data is
+in `tests/data/wire/`; it is written anew only where TERNLANE_WRITE_PINS=1 is set.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import re
+import signal
+import socket
+import subprocess
+import sys
+import tomllib
+from contextlib import asynccontextmanager
+from dataclasses import dataclass, field
+from heapq import heappop, heappush
+from pathlib import Path
+from typing import Any, AsyncIterator, Iterator
+from zlib import crc32
+
+import pytest
+import trio
+
+ROOT = Path(__file__).parent.parent
+PINS = Path(__file__).parent / "data" / "wire"
+DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
+# The entry points, which stay what they are.
+PLATFORM_GATEWAY = ["/bin/sh", "-c", DEPLOY["run"]]
+SIMULATOR_ADAPTER = ["/bin/sh", "-c", DEPLOY["sim"]]
+CHAT_GATEWAY = [sys.executable, "-m", "ternlane", "serve", "--log", "debug"]
+
+WITHIN_S = 30.0  # for any one scene's step: only a hung gateway takes so long
+CHAT_PATH = "/v1/chat/completions"
+MASKS = (
+    (r"127\.0\.0\.1:\d+", "<address>"),
+    (r"(?im)^(request-timeout|retry-after|retry-after-ms|date): [^\r\n]*", r"\1: <masked>"),
+    (r"ternlane/\d+(\.\d+)*", "ternlane/<version>"),
+    (r'"created":\d+', '"created":<time>'),
+    (r"(?im)^(idempotency-key): [0-9a-f]{10}-", r"\1: <process>-"),
+)
+
+
+# -- pins
+
+
+def masked(message: bytes) -> str:
+    """A message as text, with what differs between runs replaced by fixed tokens."""
+    text = message.decode("latin-1")
+    for pattern, token in MASKS:
+        text = re.sub(pattern, token, text)
+    return text
+
+
+def pin(name: str, seen: Any) -> None:
+    """Compares what a scene has seen with its file, or writes that file where it is told to."""
+    path = PINS / f"{name}.json"
+    if os.environ.get("TERNLANE_WRITE_PINS") == "1":
+        path.write_text(json.dumps(seen, indent=1, sort_keys=True) + "\n")
+    assert seen == json.loads(path.read_text())
+
+
+def names_in_log(path: Path) -> dict[str, list[str]]:
+    """The events of a log, each with the names of the fields that it had in any line."""
+    fields: dict[str, set[str]] = {}
+    for line in path.read_text().splitlines():
+        entry = json.loads(line)
+        fields.setdefault(entry.pop("event"), set()).update(entry)
+    return {event: sorted(names) for event, names in sorted(fields.items())}
+
+
+# -- scripted peers
+
+CLOSE = "close"  # a part of an answer: the connection ends here
+UNTIL_CLOSED = "until closed"  # waits until the gateway closes, which is recorded
+BEATS = "beats"  # the same, with an empty line now and then
+BEAT_S = 0.4
+Part = bytes | trio.Event | str
+Answer = tuple[Part, ...]
+
+
+@dataclass
+class Peer:
+    """A server that records each message byte for byte and gives the scripted answers for its path, the last of them
+    for ever."""
+
+    nursery: trio.Nursery
+    answers: dict[str, list[Answer]]
+    messages: list[str] = field(default_factory=list)
+    address: str = ""
+
+    async def start(self) -> None:
+        listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
+        self.address = "127.0.0.1:%d" % listener.socket.getsockname()[1]
+        self.nursery.start_soon(trio.serve_listeners, self._serve, [listener])
+
+    def script(self, path: str, *answers: Answer) -> None:
+        self.answers[path] = list(answers)
+
+    def count(self, begin: str) -> int:
+        return sum(message.startswith(begin) for message in self.messages)
+
+    async def until(self, begin: str, count: int = 1) -> None:
+        """Waits until so many such messages have come."""
+        with trio.fail_after(WITHIN_S):
+            while self.count(begin) < count:
+                await trio.sleep(0.005)
+
+    def take_messages(self) -> list[str]:
+        taken, self.messages[:] = list(self.messages), []
+        return taken
+
+    async def _serve(self, stream: trio.SocketStream) -> None:
+        rest = b""
+        try:
+            while True:
+                message, rest = await read_message(stream, rest)
+                if not message:
+                    return
+                self.messages.append(masked(message))
+                if not await self._answer(stream, self._next_answer(message)):
+                    return
+        except (trio.BrokenResourceError, trio.ClosedResourceError):
+            pass
+        finally:
+            stream.socket.close()
+
+    def _next_answer(self, message: bytes) -> Answer:
+        method, target = message.split(b" ", 2)[:2]
+        called = f"{method.decode()} {target.decode()}"
+        answers = next(answers for begin, answers in self.answers.items() if called.startswith(begin))
+        return answers.pop(0) if len(answers) > 1 else answers[0]
+
+    async def _answer(self, stream: trio.SocketStream, answer: Answer) -> bool:
+        """False where the connection has ended with it."""
+        for part in answer:
+            if isinstance(part, bytes):
+                await stream.send_all(part)
+            elif isinstance(part, trio.Event):
+                await part.wait()
+            elif part == CLOSE:
+                return False
+            else:
+                await until_closed(stream, beats=part == BEATS)
+                self.messages.append("<closed by the gateway>")
+                return False
+        return True
+
+
+async def until_closed(stream: trio.SocketStream, beats: bool) -> None:
+    """Waits until the other side has closed; sends empty lines meanwhile where it is told to."""
+    try:
+        while True:
+            with trio.move_on_after(BEAT_S if beats else WITHIN_S):
+                if not await stream.receive_some():
+                    return
+            if beats:
+                await stream.send_all(BEAT)
+    except trio.BrokenResourceError:
+        pass
+
+
+async def read_message(stream: trio.SocketStream, rest: bytes) -> tuple[bytes, bytes]:
+    """One whole request, and what came after it; empty where the connection ended first."""
+    while True:
+        head, end, body = rest.partition(b"\r\n\r\n")
+        if end:
+            length = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
+            size = len(head) + 4 + (int(length[1]) if length else 0)
+            if len(rest) >= size:
+                return rest[:size], rest[size:]
+        more = await stream.receive_some()
+        if not more:
+            return b"", b""
+        rest += more
+
+
+def plain(status: str, body: bytes = b"", *headers: str) -> bytes:
+    """A whole answer of a peer."""
+    lines = [f"HTTP/1.1 {status}", *headers, f"Content-Length: {len(body)}"]
+    return "\r\n".join([*lines, "", ""]).encode() + body
+
+
+def chunk(data: bytes) -> bytes:
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+def event(**said: Any) -> bytes:
+    return chunk(b"data: " + json.dumps(said).encode() + b"\n\n")
+
+
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+LAST = chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+
+
+def word(text: str, finish: str | None = None) -> bytes:
+    return event(choices=[{"index": 0, "delta": {"content": text}, "finish_reason": finish}])
+
+
+USAGE = event(choices=[], usage={"prompt_tokens": 20, "completion_tokens": 2, "total_tokens": 22})
+STREAM = STREAM_HEAD + word("one ") + word("two", "stop") + USAGE + LAST
+READ_ON_PLATFORM = plain("202 Accepted", b'{"cached_tokens":4}', "Server-Load: inflight=1,x0=0.1")
+FULL = plain("503 Service Unavailable", b"", "Not-Started: 1")
+RELEASED = plain("204 No Content")
+
+
+# -- clients
+
+
+@asynccontextmanager
+async def connected(address: str) -> AsyncIterator[trio.SocketStream]:
+    host, _, number = address.partition(":")
+    stream = await trio.open_tcp_stream(host, int(number))
+    try:
+        yield stream
+    finally:
+        stream.socket.close()
+
+
+async def receive_all(stream: trio.SocketStream, begun: trio.Event | None = None, begins: bytes = b"data: ") -> str:
+    """All that comes until the gateway closes. `begun` is set once `begins` has come."""
+    out = b""
+    with trio.fail_after(WITHIN_S):
+        try:
+            while more := await stream.receive_some():
+                out += more
+                if begun is not None and begins in out:
+                    begun.set()
+        except trio.BrokenResourceError:
+            pass
+    return masked(out)
+
+
+async def ask(address: str, message: bytes, begun: trio.Event | None = None) -> str:
+    """Sends a message on a connection of its own; gives all that comes back."""
+    async with connected(address) as stream:
+        await stream.send_all(message)
+        return await receive_all(stream, begun)
+
+
+def request(path: str, headers: dict[str, str], body: bytes, method: str = "POST") -> bytes:
+    lines = [f"{method} {path} HTTP/1.1", "Host: gateway", "Connection: close"]
+    lines += [f"{name}: {value}" for name, value in headers.items()] + [f"Content-Length: {len(body)}", "", ""]
+    return "\r\n".join(lines).encode() + body
+
+
+def get(path: str) -> bytes:
+    return f"GET {path} HTTP/1.1\r\nHost: gateway\r\nConnection: close\r\n\r\n".encode()
+
+
+# -- gateways
+
+
+def reserved_address() -> tuple[socket.socket, str]:
+    """An address for a process to listen at: its port stays bound, so no other connection takes it meanwhile."""
+    kept = socket.socket()
+    kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    kept.bind(("127.0.0.1", 0))
+    return kept, "127.0.0.1:%d" % kept.getsockname()[1]
+
+
+def logged(log: Path, name: str) -> int:
+    """How many lines of this event are in the log."""
+    return log.read_text().count(f'"event": "{name}"')
+
+
+async def until_logged(log: Path, name: str, count: int = 1) -> None:
+    """Waits until so many lines of this event are in the log."""
+    with trio.fail_after(WITHIN_S):
+        while logged(log, name) < count:
+            await trio.sleep(0.01)
+
+
+@asynccontextmanager
+async def running(command: list[str], log: Path, environment: dict[str, str]) -> AsyncIterator[trio.Process]:
+    """A gateway process that serves, and is no more when the block ends."""
+    with log.open("w") as errors:
+        process = await trio.lowlevel.open_process(command, env=os.environ | environment, cwd=ROOT, stderr=errors)
+    try:
+        await until_logged(log, "serving")
+        yield process
+    finally:
+        process.kill()
+        await process.wait()
+
+
+async def until_quiet(peers: dict[str, Peer]) -> None:
+    """Waits until nothing more has been written to any of these for a while."""
+    before, still = -1, 0
+    while still < 30:
+        now = sum(len(peer.messages) for peer in peers.values())
+        before, still = now, still + 1 if now == before else 0
+        await trio.sleep(0.02)
+
+
+def by_duty(peers: dict[str, Peer]) -> dict[str, list[str]]:
+    """What was written to peers of each duty since the last look, sorted: calls on two connections may overtake."""
+    duties = {"r": "prefill", "w": "decode", "m": "both"}
+    told: dict[str, list[str]] = {}
+    for name, peer in peers.items():
+        told.setdefault(duties[name[0]], []).extend(peer.take_messages())
+    return {duty: sorted(messages) for duty, messages in told.items()}
+
+
+def share_answers(peers: dict[str, Peer], first: str, path: str, *answers: Answer) -> None:
+    """Whichever of these peers is called first gives the first answer."""
+    shared = list(answers)
+    for name, peer in peers.items():
+        if name[0] == first:
+            peer.answers[path] = shared
+
+
+async def ended(process: trio.Process) -> int:
+    with trio.fail_after(WITHIN_S):
+        return await process.wait()
+
+
+# -- the platform's gateway
+
+SETTINGS: dict[str, Any] = {
+    "discovery": "push",
+    "invariants": {
+        "cold": 2000.0,
+        "cold_from": 0.3,
+        "drain_grace": 300.0,
+        "overload_factor": 4.0,
+        "overload_for": 1000.0,
+    },
+    "kinds": ["reader", "writer"],
+    "limits": {
+        "cancel": True,
+        "conn_idle": 60000.0,
+        "connect_timeout": 2000.0,
+        "max_retry_after": 500.0,
+        "most_tries": 5,
+        "probes": True,
+        "retry_after": True,
+    },
+    "locality": "hall",
+    "me": 0,
+    "n_instances": 1,
+    "profiles": [
+        {"aim": 8000.0, "deadline": 20000.0, "name": "summary", "semantics": "idempotent", "worth": 3.0},
+        {"aim": 8000.0, "deadline": 20000.0, "name": "note", "semantics": "at_most_once", "worth": 2.0},
+    ],
+    "report": {"columns": ["outstanding", "x0"], "how": "inline"},
+    "specifics": {
+        "duty_by_kind": ["read", "write"],
+        "release": 4000.0,
+        "token_aim": [100.0, 100.0],
+        "tokens_by_kind": [200000, 200000],
+    },
+    "step": 1.0,
+}
+BODY = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"hello"}]}'
+BEAT = chunk(b"\n")
+DISCOVERY_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+def endpoint(name: str, address: str, status: str = "SERVING") -> dict[str, Any]:
+    kind = "reader" if name[0] == "r" else "writer"
+    return {
+        "name": name,
+        "address": address,
+        "zone": "hall",
+        "type": kind,
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0.0,
+    }
+
+
+def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
+    return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
+
+
+@dataclass
+class Platform:
+    """A gateway process before scripted model servers and discovery."""
+
+    address: str
+    config: Path
+    log: Path
+    process: trio.Process
+    discovery: Peer
+    servers: dict[str, Peer]
+    told: dict[str, Any]
+    asked: int = 0
+
+    def message(self, product: str = "summary", body: bytes = BODY, **changes: str) -> bytes:
+        """The next request; a header changed to "-" is left out."""
+        self.asked += 1
+        headers = {
+            "Request-Id": f"{self.asked:016x}",
+            "Request-Class": product,
+            "Affinity-Key": "c1",
+            "Request-Timeout": "15",
+            "Request-Info": "prefix=ab,prompt_len=20,prefix_len=8,max_out=40",
+        }
+        headers |= {name.replace("_", "-"): value for name, value in changes.items()}
+        return request(CHAT_PATH, {name: value for name, value in headers.items() if value != "-"}, body)
+
+    async def ask(self, product: str = "summary", begun: trio.Event | None = None, **changes: str) -> str:
+        return await ask(self.address, self.message(product, **changes), begun)
+
+    def reconfigure(self, **changes: Any) -> None:
+        """Writes the configuration file anew and has it read."""
+        self.config.write_text(json.dumps(self.told | changes))
+        self.process.send_signal(signal.SIGHUP)
+
+    def seen(self, **clients: Any) -> dict[str, Any]:
+        """What each peer was told since the last look, in its order, and what clients were told."""
+        return by_duty(self.servers) | {"discovery": self.discovery.take_messages(), "clients": clients}
+
+    async def settled(self) -> None:
+        """Waits until each request's end is in the log and nothing more is written to any server for a while."""
+        await until_logged(self.log, "closed", self.asked)
+        await until_quiet(self.servers)
+
+
+@asynccontextmanager
+async def platform(folder: Path, *names: str, **settings: Any) -> AsyncIterator[Platform]:
+    """A platform of these servers, whose first letter tells prefill (r) from decode (w); `settings` differ."""
+    kept, address = reserved_address()
+    async with trio.open_nursery() as nursery:
+        discovery = Peer(nursery, {"GET /registry/": [(DISCOVERY_HEAD + BEAT, BEATS)]})
+        servers = {name: Peer(nursery, {}) for name in names}
+        for peer in (discovery, *servers.values()):
+            await peer.start()
+        for name, peer in servers.items():
+            peer.script(f"POST {CHAT_PATH}", (READ_ON_PLATFORM if name[0] == "r" else STREAM,))
+            peer.script("DELETE ", (RELEASED,))
+            peer.script("GET /stats", (plain("200 OK", b"inflight=1,x0=0.1"),))
+        told = {
+            "name": "n0",
+            "listen": address,
+            "discovery": discovery.address,
+            "seed": "ff",
+            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 256},
+            "known": listing(7, *(endpoint(name, peer.address) for name, peer in servers.items())),
+            "settings": SETTINGS | settings,
+        }
+        config, log = folder / "config.json", folder / "log"
+        config.write_text(json.dumps(told))
+        environment = {"NODE_CONFIG": str(config), "TERNLANE_LOG": "debug"}
+        async with running(PLATFORM_GATEWAY, log, environment) as process:
+            yield Platform(address, config, log, process, discovery, servers, told)
+        nursery.cancel_scope.cancel()
+    kept.close()
+
+
+async def test_platform_streams(tmp_path: Path) -> None:
+    """A stream in two steps: the first event is passed on before the second is there."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        begun = trio.Event()
+        rest = word("two", "stop") + USAGE + chunk(b": Server-Load: inflight=2,x0=0.2\n\n") + LAST
+        p.servers["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), begun, rest))
+        streamed = await p.ask(begun=begun)
+        pin("platform_streams", p.seen(streamed=streamed))
+
+
+async def test_platform_answers_at_one_connection(tmp_path: Path) -> None:
+    """Two requests on one kept connection, the second with little in its head."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        first = p.message().replace(b"Connection: close\r\n", b"")
+        second = p.message(Affinity_Key="-", Request_Timeout="-", Request_Info="-")
+        begun = trio.Event()
+        async with connected(p.address) as stream:
+            await stream.send_all(first)
+            answers: list[str] = []
+
+            async def receive() -> None:
+                answers.append(await receive_all(stream, begun, b"0\r\n\r\n"))
+
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(receive)
+                await begun.wait()
+                await stream.send_all(second)
+        pin("platform_kept_connection", p.seen(both=answers))
+
+
+RETRIES: dict[str, tuple[str, Answer]] = {
+    "prefill_full": ("r", (FULL,)),
+    "prefill_failed": ("r", (plain("500 No"),)),
+    "decode_full": ("w", (FULL,)),
+    "decode_failed": ("w", (plain("500 No"),)),
+    "state_lost": ("w", (plain("410 Gone", b"", "Not-Started: 1"),)),
+}
+
+
+@pytest.mark.parametrize("scene", RETRIES)
+async def test_platform_retries(tmp_path: Path, scene: str) -> None:
+    """Prefill and decode attempts that were turned away, lost their state or failed, and the attempts after them."""
+    async with platform(tmp_path, "r0", "r1", "w0", "w1") as p:
+        duty, first = RETRIES[scene]
+        then = READ_ON_PLATFORM if duty == "r" else STREAM
+        share_answers(p.servers, duty, f"POST {CHAT_PATH}", first, (then,))
+        answer = await p.ask()
+        await p.settled()
+        pin(f"platform_retries_{scene}", p.seen(answer=answer))
+
+
+@pytest.mark.parametrize("scene", ["reset", "cut", "spoilt", "status"])
+async def test_platform_fails(tmp_path: Path, scene: str) -> None:
+    """A request that may run once only, and whose decode attempt broke."""
+    answers: dict[str, Answer] = {
+        "reset": (CLOSE,),
+        "cut": (STREAM_HEAD + word("one "), CLOSE),
+        "spoilt": (STREAM_HEAD + chunk(b"noise\n\n"), UNTIL_CLOSED),
+        "status": (plain("500 No"),),
+    }
+    async with platform(tmp_path, "r0", "w0") as p:
+        p.servers["w0"].script(f"POST {CHAT_PATH}", answers[scene])
+        failed = await p.ask("note")
+        await p.settled()
+        pin(f"platform_fails_{scene}", p.seen(failed=failed))
+
+
+async def test_platform_rejects(tmp_path: Path) -> None:
+    """No decode server: rejected, with a time to come back."""
+    async with platform(tmp_path, "r0") as p:
+        rejected = await p.ask()
+        pin("platform_rejects", p.seen(rejected=rejected))
+
+
+LEAVES: dict[str, tuple[str, Answer, int]] = {
+    # the server that works for it then, what that answers, and how many calls for a release follow
+    "in_prefill": ("r0", (UNTIL_CLOSED,), 2),  # the second half the release time later
+    "before_decode_begins": ("w0", (UNTIL_CLOSED,), 1),
+    "within_the_stream": ("w0", (STREAM_HEAD + word("one "), UNTIL_CLOSED), 0),
+}
+
+
+@pytest.mark.parametrize("scene", LEAVES)
+async def test_platform_client_leaves(tmp_path: Path, scene: str) -> None:
+    """A client that leaves while prefill runs, while decode has not begun, and within the stream."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        name, answer, releases = LEAVES[scene]
+        p.servers[name].script(f"POST {CHAT_PATH}", answer)
+        async with connected(p.address) as stream:
+            await stream.send_all(p.message())
+            await p.servers[name].until("POST")
+            if scene == "within_the_stream":
+                await stream.receive_some()
+        with trio.fail_after(WITHIN_S):
+            while sum(server.count("DELETE") for server in p.servers.values()) < releases:
+                await trio.sleep(0.01)
+        await p.settled()
+        pin(f"platform_client_leaves_{scene}", p.seen())
+
+
+BAD_HEADS = {
+    "no head": b"\x00\x01\x02\r\n\r\n",
+    "bad length": f"POST {CHAT_PATH} HTTP/1.1\r\nHost: a\r\nContent-Length: 5x\r\n\r\n".encode(),
+    "long head": f"POST {CHAT_PATH} HTTP/1.1\r\nHost: a\r\nX: ".encode()
+    + b"y" * 20000
+    + b"\r\nConnection: close\r\n\r\n",
+    "long body": f"POST {CHAT_PATH} HTTP/1.1\r\nHost: a\r\nContent-Length: 262145\r\n\r\n{{".encode(),
+    "slow head": f"POST {CHAT_PATH} HTTP/1.1\r\nHost: a\r\n".encode(),
+}
+BAD_HEADERS = {
+    "no id": {"Request_Id": "-"},
+    "bad id": {"Request_Id": "xyz"},
+    "bad class": {"Request_Class": "none"},
+    "bad timeout": {"Request_Timeout": "soon"},
+    "no timeout": {"Request_Timeout": "0"},
+    "bad info": {"Request_Info": "prompt_len=x"},
+    "odd info": {"Request_Info": "prompt_len"},
+}
+
+
+async def test_platform_refuses(tmp_path: Path) -> None:
+    """Requests that can't be read or served, and the endpoint that tells whether it is ready."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        said = {name: await ask(p.address, message) for name, message in BAD_HEADS.items()}
+        for name, changes in BAD_HEADERS.items():
+            said[name] = await p.ask(**changes)
+        for name, body in (("no body", b""), ("no object", b"[]"), ("torn body", b"{")):
+            said[name] = await ask(p.address, p.message(body=body))
+        said["no path"] = await ask(p.address, get("/v1/else"))
+        said["wrong method"] = await ask(p.address, get(CHAT_PATH))
+        said["ready"] = await ask(p.address, get("/health/ready"))
+        said["ready, wrong method"] = await ask(p.address, request("/health/ready", {}, b""))
+        hold = trio.Event()
+        p.servers["r0"].script(f"POST {CHAT_PATH}", (hold, READ_ON_PLATFORM))
+        async with connected(p.address) as stream:
+            await stream.send_all(p.message(Request_Id="00000000000000ff"))
+            await p.servers["r0"].until("POST")
+            said["id in use"] = await p.ask(Request_Id="00000000000000ff")
+            hold.set()
+            await receive_all(stream)
+        pin("platform_refuses", p.seen(**said))
+
+
+async def test_platform_discovery(tmp_path: Path) -> None:
+    """The watch: from the known index, anew from the newest one where it broke, and at a new address."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        await p.discovery.until("GET")
+        update, broken = trio.Event(), trio.Event()
+        news = json.dumps(listing(9, endpoint("w0", p.servers["w0"].address, "DRAINING"), snapshot=False)).encode()
+        p.discovery.script("GET /registry/", (DISCOVERY_HEAD + chunk(news + b"\n"), broken, CLOSE))
+        moved = Peer(p.discovery.nursery, {"GET /registry/": [(DISCOVERY_HEAD + BEAT, BEATS)]})
+        await moved.start()
+        update.set()
+        p.reconfigure(discovery=moved.address)
+        await moved.until("GET")
+        await p.discovery.until("<closed")
+        pin("platform_discovery", {"first": p.discovery.messages, "second": moved.messages})
+
+
+async def test_platform_watch_that_breaks(tmp_path: Path) -> None:
+    """A watch that breaks after a change is opened anew from that change on."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        await p.discovery.until("GET")
+        again = Peer(p.discovery.nursery, {})
+        news = json.dumps(listing(9, endpoint("w0", p.servers["w0"].address, "DRAINING"), snapshot=False)).encode()
+        again.script(
+            "GET /registry/",
+            (DISCOVERY_HEAD + chunk(news + b"\n"), CLOSE),
+            (DISCOVERY_HEAD + BEAT, BEATS),
+        )
+        await again.start()
+        p.reconfigure(discovery=again.address)
+        await again.until("GET", 2)
+        pin("platform_watch_breaks", again.messages)
+
+
+async def test_platform_probes(tmp_path: Path) -> None:
+    """Servers that tell their load only when asked: a probe, whose number depends on timing."""
+    report = {"columns": ["outstanding", "x0"], "how": "on_probe"}
+    async with platform(tmp_path, "r0", "w0", report=report) as p:
+        answer = await p.ask()
+        seen = p.seen(answer=answer)
+        seen |= {duty: sorted(set(seen[duty])) for duty in ("prefill", "decode")}
+        pin("platform_probes", seen)
+
+
+async def test_platform_shuts_down(tmp_path: Path) -> None:
+    """A stream that goes on, a request that is whole only late, and the ready endpoint, during a shutdown."""
+    async with platform(tmp_path, "r0", "w0") as p:
+        begun, late = trio.Event(), trio.Event()
+        p.servers["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), late, word("two") + USAGE + LAST))
+        said: dict[str, str] = {}
+
+        async def open_stream() -> None:
+            said["open stream"] = await p.ask(begun=begun)
+
+        async with trio.open_nursery() as nursery, connected(p.address) as half, connected(p.address) as other:
+            nursery.start_soon(open_stream)
+            await begun.wait()
+            message, ready = p.message(), get("/health/ready")
+            await half.send_all(message[:-5])
+            await other.send_all(ready[:-2])
+            await trio.sleep(0.1)  # both have been read
+            p.process.send_signal(signal.SIGTERM)
+            await until_logged(p.log, "draining")
+            await trio.sleep(0.8)
+            await other.send_all(ready[-2:])
+            said["ready"] = await receive_all(other)
+            await half.send_all(message[-5:])
+            said["late request"] = await receive_all(half)
+            late.set()
+        assert await ended(p.process) == 0
+        pin("platform_shuts_down", p.seen(**said))
+
+
+async def test_platform_log_names(tmp_path: Path) -> None:
+    """The events of the log with their fields, and what the line every ten seconds counts."""
+    specifics = SETTINGS["specifics"] | {"release": 800.0}
+    async with platform(tmp_path, "r0", "r1", "w0", "w1", specifics=specifics) as p:
+        await p.ask()
+        share_answers(p.servers, "w", f"POST {CHAT_PATH}", (FULL,), (STREAM,))
+        await p.ask()
+        await p.ask(Request_Class="none")
+        await release_unheard(p)
+        p.config.write_text("{")
+        p.process.send_signal(signal.SIGHUP)
+        await until_logged(p.log, "reload refused")
+        p.reconfigure()
+        await until_logged(p.log, "reloaded")
+        p.process.send_signal(signal.SIGUSR1)
+        await until_logged(p.log, "trail", 3)
+        await until_logged(p.log, "report", logged(p.log, "report") + 1)
+        await end_with_an_open_stream(p)
+        pin("platform_log_names", names_in_log(p.log))
+
+
+async def release_unheard(p: Platform) -> None:
+    """A request fails for good, and no server takes its release until that is in the log."""
+    for server in p.servers.values():
+        server.script("DELETE ", (plain("500 No"),))
+    share_answers(p.servers, "w", f"POST {CHAT_PATH}", (CLOSE,), (STREAM,))
+    await p.ask("note")
+    await until_logged(p.log, "release unheard")
+    await until_logged(p.log, "state held past its release time")
+    heard = logged(p.log, "release heard")
+    for server in p.servers.values():
+        server.script("DELETE ", (RELEASED,))
+    await until_logged(p.log, "release heard", heard + 1)
+
+
+async def end_with_an_open_stream(p: Platform) -> None:
+    """Ends the gateway while a stream goes on until it is named as unfinished."""
+    begun, late = trio.Event(), trio.Event()
+    share_answers(p.servers, "w", f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), late, LAST))
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(p.ask, "summary", begun)
+        await begun.wait()
+        p.process.send_signal(signal.SIGTERM)
+        await until_logged(p.log, "unfinished before the end")
+        late.set()
+    assert await ended(p.process) == 0
+
+
+# -- the chat gateway
+
+CHAT_BODY = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
+STATE = {"remote_engine_id": "e1", "remote_block_ids": [1, 2], "remote_host": "h", "remote_port": 5}
+READ_AT_ENGINE = plain(
+    "200 OK",
+    json.dumps({"kv_transfer_params": STATE, "usage": {"prompt_tokens": 20, "completion_tokens": 1}}).encode(),
+    "endpoint-load-metrics: TEXT named_metrics.num_requests_running=1, named_metrics.kv_cache_usage_perc=0.1",
+)
+
+
+@dataclass
+class Chat:
+    """A chat gateway process before scripted engines."""
+
+    address: str
+    metrics: str
+    document: Path
+    log: Path
+    process: trio.Process
+    engines: dict[str, Peer]
+    told: dict[str, Any]
+    asked: int = 0
+
+    def message(self, headers: dict[str, str] | None = None, **changes: Any) -> bytes:
+        self.asked += 1
+        named = {"Content-Type": "application/json", "X-Request-Id": f"request-{self.asked}"}
+        return request(CHAT_PATH, named | (headers or {}), json.dumps(CHAT_BODY | changes).encode())
+
+    async def ask(self, begun: trio.Event | None = None, headers: dict[str, str] | None = None, **changes: Any) -> str:
+        return await ask(self.address, self.message(headers, **changes), begun)
+
+    def seen(self, **clients: Any) -> dict[str, Any]:
+        return by_duty(self.engines) | {"clients": clients}
+
+    async def settled(self, generations: int) -> None:
+        """Waits until so many requests have ended and nothing more is written to any engine for a while."""
+        await until_logged(self.log, "generation", generations)
+        await until_quiet(self.engines)
+
+
+@asynccontextmanager
+async def chat(folder: Path, *names: str, **changes: Any) -> AsyncIterator[Chat]:
+    """A chat gateway before these engines, whose first letter tells prefill (r), decode (w) and both (m)."""
+    (kept, address), (kept_too, metrics) = reserved_address(), reserved_address()
+    async with trio.open_nursery() as nursery:
+        engines = {name: Peer(nursery, {}) for name in names}
+        for name, peer in engines.items():
+            await peer.start()
+            peer.script(f"POST {CHAT_PATH}", (READ_AT_ENGINE if name[0] == "r" else STREAM,))
+            peer.script("POST /ternlane/v1/release", (RELEASED,))
+            peer.script("GET /metrics", (plain("200 OK", b"vllm:num_requests_running 1\n"),))
+        duty = {"r": "read", "w": "write", "m": "both"}
+        told = {
+            "name": "g1",
+            "listen": address,
+            "metrics": metrics,
+            "products": [
+                {"name": name, "effect": effect, "slo_ms": 8000, "tok_slo_ms": 4000, "limit_ms": 20000, "revenue": 3}
+                for name, effect in (("summary", "idempotent"), ("note", "side-effecting"))
+            ],
+            "fleet": {"connect_ms": 2000, "release_ms": 4000, "longest_pause_ms": 500} | changes.pop("fleet", {}),
+            "nodes": {
+                "from": "inline",
+                "nodes": [
+                    {
+                        "id": name,
+                        "address": peer.address,
+                        "zone": "hall",
+                        "cell": 0,
+                        "duty": duty[name[0]],
+                        "mem_toks": 200000,
+                        "state": "up",
+                    }
+                    for name, peer in engines.items()
+                ],
+            },
+        } | changes
+        document, log = folder / "gateway.json5", folder / "log"
+        document.write_text(json.dumps(told))
+        async with running([*CHAT_GATEWAY, str(document)], log, {}) as process:
+            yield Chat(address, metrics, document, log, process, engines, told)
+        nursery.cancel_scope.cancel()
+    kept.close()
+    kept_too.close()
+
+
+async def test_chat_answers(tmp_path: Path) -> None:
+    """Streamed with and without usage, and whole."""
+    async with chat(tmp_path, "r0", "w0") as c:
+        seen = {}
+        for name, changes in (
+            ("streamed", {"stream": True}),
+            ("streamed with usage", {"stream": True, "stream_options": {"include_usage": True}}),
+            ("whole", {"max_completion_tokens": 9, "temperature": 0.5}),
+        ):
+            answer = await c.ask(**changes)
+            seen[name] = c.seen(answer=answer)
+        pin("chat_answers", seen)
+
+
+async def test_chat_of_one_engine_for_both(tmp_path: Path) -> None:
+    """Prefill and decode in one attempt."""
+    async with chat(tmp_path, "m0") as c:
+        pin("chat_both", c.seen(streamed=await c.ask(stream=True)))
+
+
+NOT_RUN = plain("503 No", b"", "x-ternlane-not-run: full")
+CHAT_RETRIES: dict[str, tuple[str, str, Answer]] = {
+    "prefill_full": ("summary", "r", (NOT_RUN,)),
+    "decode_full": ("summary", "w", (NOT_RUN,)),
+    "decode_failed": ("summary", "w", (plain("500 No"),)),
+    "state_lost": ("summary", "w", (plain("503 No", b"", "x-ternlane-not-run: no-state"),)),
+    "decode_may_have_run": ("note", "w", (plain("500 No"),)),
+    "stream_cut": ("note", "w", (STREAM_HEAD + word("one "), CLOSE)),
+}
+
+
+@pytest.mark.parametrize("scene", CHAT_RETRIES)
+async def test_chat_retries_and_fails(tmp_path: Path, scene: str) -> None:
+    """Attempts that were turned away or failed and what came after them, and failures for good."""
+    async with chat(tmp_path, "r0", "r1", "w0", "w1") as c:
+        model, duty, first = CHAT_RETRIES[scene]
+        then = READ_AT_ENGINE if duty == "r" else STREAM
+        share_answers(c.engines, duty, f"POST {CHAT_PATH}", first, (then,))
+        answer = await c.ask(stream=True, model=model)
+        await c.settled(1)
+        answer = re.sub(r"Terminated: w\d: ", "Terminated: <server>: ", answer)
+        pin(f"chat_retries_{scene}", c.seen(answer=answer))
+
+
+async def test_chat_shuts_down(tmp_path: Path) -> None:
+    """A stream that goes on, and a request that is whole only late, during a shutdown."""
+    async with chat(tmp_path, "r0", "w0") as c:
+        begun, late = trio.Event(), trio.Event()
+        c.engines["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), late, word("two") + USAGE + LAST))
+        said: dict[str, str] = {}
+
+        async def open_stream() -> None:
+            said["open stream"] = await c.ask(begun, stream=True)
+
+        async with trio.open_nursery() as nursery, connected(c.address) as half:
+            nursery.start_soon(open_stream)
+            await begun.wait()
+            message = c.message(stream=True)
+            await half.send_all(message[:-5])
+            await trio.sleep(0.1)  # it has been read
+            c.process.send_signal(signal.SIGTERM)
+            await until_logged(c.log, "draining")
+            await trio.sleep(0.5)
+            await half.send_all(message[-5:])
+            said["late request"] = await receive_all(half)
+            late.set()
+        assert await ended(c.process) == 0
+        pin("chat_shuts_down", c.seen(**said))
+
+
+async def test_chat_rejects(tmp_path: Path) -> None:
+    """No decode engine: rejected, with a time to come back."""
+    async with chat(tmp_path, "r0") as c:
+        pin("chat_rejects", c.seen(rejected=await c.ask(stream=True)))
+
+
+async def test_chat_client_leaves(tmp_path: Path) -> None:
+    """A client that leaves before decode has begun, and within the stream."""
+    async with chat(tmp_path, "r0", "w0") as c:
+        seen = {}
+        for name, answer in (
+            ("before decode begins", (UNTIL_CLOSED,)),
+            ("within the stream", (STREAM_HEAD + word("one "), UNTIL_CLOSED)),
+        ):
+            c.engines["w0"].script(f"POST {CHAT_PATH}", answer)
+            async with connected(c.address) as stream:
+                await stream.send_all(c.message(stream=True))
+                await c.engines["w0"].until("POST")
+                if name == "within the stream":
+                    await stream.receive_some()
+            await c.settled(c.asked)
+            seen[name] = c.seen()
+        pin("chat_client_leaves", seen)
+
+
+async def test_chat_refuses(tmp_path: Path) -> None:
+    """Requests that can't be read or served."""
+    async with chat(tmp_path, "r0", "w0", door={"body_bytes": 2000, "head_ms": 500, "body_ms": 500}) as c:
+        said = {name: await ask(c.address, message) for name, message in BAD_HEADS.items()}
+        for name, changes in (
+            ("no messages", {"messages": []}),
+            ("bad role", {"messages": [{"role": "robot", "content": "a"}]}),
+            ("bad stream", {"stream": "yes"}),
+            ("several answers", {"n": 3}),
+            ("no such model", {"model": "nobody"}),
+            ("too large", {"messages": [{"role": "user", "content": "x" * 3000}]}),
+        ):
+            said[name] = await c.ask(**changes)
+        for path in ("/v1/else", CHAT_PATH, "/v1/models", "/health", "/health/ready", "/healthz", "/readyz"):
+            said[f"GET {path}"] = await ask(c.address, get(path))
+        said["bad time limit"] = await c.ask(headers={"X-Ternlane-Time-Limit-Ms": "soon"})
+        pin("chat_refuses", c.seen(**said))
+
+
+def metric_names(text: str) -> list[str]:
+    """What each metric is, and each sample's name with the names of its labels."""
+    names = set()
+    for line in text.partition("\r\n\r\n")[2].splitlines():
+        if line.startswith("#"):
+            names.add(line)
+        else:
+            name, _, labels = line.partition("{")
+            names.add(name.split(" ")[0] + "{" + ",".join(re.findall(r'(\w+)="', labels)) + "}")
+    return sorted(names)
+
+
+async def test_chat_log_and_metric_names(tmp_path: Path) -> None:
+    """The events of the log with their fields, and the metrics with their labels, after each kind of outcome."""
+    async with chat(tmp_path, "r0", "w0", fleet={"ask_load": True, "release_ms": 600}) as c:
+        await c.ask(stream=True)
+        for engine in c.engines.values():
+            engine.script("POST /ternlane/v1/release", (plain("500 No"),))
+        c.engines["w0"].script(f"POST {CHAT_PATH}", (plain("500 No"),))
+        await c.ask(stream=True, model="note")
+        await until_logged(c.log, "release unheard")
+        c.engines["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), CLOSE))
+        await c.ask(stream=True, model="note")
+        await c.ask(n=3)
+        await c.settled(3)
+        metrics = await ask(c.metrics, get("/metrics"))
+        nowhere = await ask(c.metrics, get("/else"))
+        c.document.write_text("{")
+        c.process.send_signal(signal.SIGHUP)
+        await until_logged(c.log, "reload refused")
+        c.document.write_text(json.dumps(c.told))
+        c.process.send_signal(signal.SIGHUP)
+        await until_logged(c.log, "reloaded")
+        c.process.send_signal(signal.SIGTERM)
+        assert await ended(c.process) == 0
+        head = metrics.partition("\r\n\r\n")[0]
+        head = re.sub(r"(?i)(content-length): \d+", r"\1: <masked>", head)
+        pin("chat_metric_names", {"head": head, "names": metric_names(metrics), "elsewhere": nowhere})
+        pin("chat_log_names", names_in_log(c.log))
+
+
+# -- the simulator's adapter
+
+
+class Adapter:
+    """The adapter's process, and all that was written to it and by it."""
+
+    def __init__(self) -> None:
+        self.process = subprocess.Popen(
+            SIMULATOR_ADAPTER, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+        )
+        self.lines: list[str] = []
+
+    def batch(self, *lines: str) -> list[str]:
+        """Writes a batch and gives the answer to it, without its last line."""
+        assert self.process.stdin is not None and self.process.stdout is not None
+        self.process.stdin.write("\n".join([*lines, "EOB"]) + "\n")
+        self.process.stdin.flush()
+        answer: list[str] = []
+        while not answer or answer[-1] != "YIELD":
+            line = self.process.stdout.readline()
+            assert line, "the adapter has ended"
+            answer.append(re.sub(r" \(\w+: .*\)$", " (<reason>)", line.rstrip("\n")))
+        self.lines += [f"> {line}" for line in lines] + [f"< {line}" for line in answer]
+        return answer[:-1]
+
+    def end(self) -> None:
+        assert self.process.stdin is not None and self.process.stdout is not None
+        self.process.stdin.close()
+        assert self.process.wait(WITHIN_S) == 0
+        self.process.stdout.close()
+
+
+@pytest.fixture
+def adapter() -> Iterator[Adapter]:
+    made = Adapter()
+    yield made
+    if made.process.poll() is None:
+        made.end()
+
+
+SIMULATED = SETTINGS | {"limits": SETTINGS["limits"] | {"connect_timeout": 150.0, "conn_idle": 2000.0}}
+SIMULATED |= {
+    "specifics": SETTINGS["specifics"] | {"release": 400.0},
+    "profiles": [
+        {"aim": 500.0, "deadline": 2000.0, "name": "summary", "semantics": "idempotent", "worth": 3.0},
+        {"aim": 500.0, "deadline": 1500.0, "name": "note", "semantics": "at_most_once", "worth": 2.0},
+    ],
+}
+VARIANTS: dict[str, dict[str, Any]] = {
+    "simple": {},
+    "asked": {
+        "discovery": "ask",
+        "report": {"columns": ["outstanding", "x0"], "how": "on_probe"},
+        "limits": SIMULATED["limits"] | {"reserve": True},
+        "n_instances": 2,
+    },
+}
+
+
+def enlist(variant: str) -> str:
+    """The line that begins a gateway with these settings."""
+    return f"ENLIST 1 7 {json.dumps(SIMULATED | VARIANTS[variant])}"
+
+
+ROWS = [
+    f"ROW {name} hall {'reader' if name[0] == 'r' else 'writer'} {name[1]} healthy 1.0 0.0"
+    for name in ("r0", "w0", "r1", "w1")
+]
+WORK = "WORK_ITEM 1 {} 8 - ab summary 20 1500 0 c1 40 -"
+
+
+def test_adapter_script(adapter: Adapter) -> None:
+    """Each kind of line, in a fixed order, among them ones that can't be read."""
+    for lines in (
+        ["MARK 1.0"],
+        ["MARK 2.0", enlist("simple")],
+        ["MARK 3.0", "ANNOUNCE 1 Complete 1 4", *ROWS],
+        ["MARK 4.0", WORK.format(1)],
+        ["MARK 9.0", "REPORT_BACK 1 1 0 r0 prefilled 5.0 0 4 1,0.1"],
+        ["MARK 9.5", "REPORT_BACK 1 1 0 r1 prefilled 5.0 0 4 1,0.1"],
+        ["MARK 12.0", "FLOWING 1 1 1 w0 3.0", "NOTE 1 1 0 w0 1"],
+        ["MARK 15.0", "REPORT_BACK 1 1 1 w0 S 6.0 1 8 1,0.1", "REPORT_BACK 1 1 1 w1 S 6.0 1 8 1,0.1"],
+        ["MARK 20.0", WORK.format(2), WORK.format(3).replace("summary", "note")],
+        ["MARK 21.0", "EXPIRED 1 2", "DEADLINE_HIT 1 0", "DEADLINE_HIT 1 1"],
+        ["MARK 22.0", "CHECK_RESULT 1 0 w0 S 1,0.2", "CHECK_RESULT 1 0 nobody S 1,0.2", "WHISPER 1 2 text"],
+        ["MARK 23.0", "ANNOUNCE 1 Partial 2 1", "ROW w1 hall writer 1 cordoned 1.0 0.0"],
+        ["MARK 24.0", "ANNOUNCE 1 Error 3 0"],
+        ["MARK 25.0", "ANNOUNCE 1 Complete 4 1", ROWS[0]],
+        ["MARK 26.0", WORK.format(4)],
+        ["MARK 27.0", "REPORT_BACK 1 99 0 r0 S 1 1 0 -"],
+        ["MARK soon"],
+        ["MARK 28.0", "WORK_ITEM 1 5 8"],
+        ["MARK 28.0", "DEADLINE_HIT 1"],
+        ["MARK 29.0", "NONSENSE 1 2 3"],
+        ["MARK 30.0", "SHUTDOWN 1"],
+        ["MARK 31.0", WORK.format(6)],
+    ):
+        adapter.batch(*lines)
+    adapter.end()
+    pin("adapter_script", adapter.lines)
+
+
+class Simulation:
+    """A tiny simulator: each attempt ends as its number says, timers go off, and a server is lost and comes again."""
+
+    READS = ("prefilled",) * 12 + ("F", "E", "C", "R")
+    WRITES = ("S",) * 12 + ("F", "E", "C", "R", "T")
+
+    def __init__(self, adapter: Adapter) -> None:
+        self.adapter = adapter
+        self.due: list[tuple[float, int, list[str]]] = []
+        self.count = 0
+        self.attempts: dict[str, int] = {}
+        self.open: dict[tuple[str, int], str] = {}
+
+    def at(self, when: float, *lines: str) -> None:
+        self.count += 1
+        heappush(self.due, (round(when, 3), self.count, list(lines)))
+
+    def run(self, until: float) -> None:
+        while self.due and self.due[0][0] <= until:
+            now, _, lines = heappop(self.due)
+            if self.stale(lines):
+                continue
+            for line in self.adapter.batch(f"MARK {now}", *lines):
+                self.carry_out(now, line.split(" "))
+
+    def stale(self, lines: list[str]) -> bool:
+        """An outcome of an attempt that was called off meanwhile."""
+        part = lines[0].split(" ")
+        if part[0] not in ("FLOWING", "REPORT_BACK"):
+            return False
+        key = part[2], int(part[3])
+        return key not in self.open or (part[0] == "REPORT_BACK" and not self.open.pop(key))
+
+    def carry_out(self, now: float, part: list[str]) -> None:
+        match part:
+            case ["ARM", gateway, kind, when]:
+                self.at(max(now, float(when)), f"DEADLINE_HIT {gateway} {kind}")
+            case ["FORWARD", gateway, request_number, timeout, server]:
+                self.forward(now, gateway, request_number, float(timeout), server)
+            case ["CALL_OFF", gateway, request_number, attempt]:
+                server = self.open.pop((request_number, int(attempt)), "")
+                if server:
+                    self.at(now, f"REPORT_BACK {gateway} {request_number} {attempt} {server} X 1.0 0 0 -")
+            case ["SUBSCRIBE", gateway, _]:
+                self.at(now + 5, f"ANNOUNCE {gateway} Complete 5 4", *ROWS)
+            case ["RESERVE", gateway, request_number, server]:
+                self.at(now + 1, f"NOTE {gateway} {request_number} 0 {server} 1")
+            case ["ASK_LOAD", gateway, server]:
+                self.at(now + 2, f"CHECK_RESULT {gateway} 0 {server} S 1,0.2")
+
+    def forward(self, now: float, gateway: str, request_number: str, timeout: float, server: str) -> None:
+        attempt = self.attempts[request_number] = self.attempts.get(request_number, -1) + 1
+        self.open[request_number, attempt] = server
+        drawn = crc32(f"{request_number} {attempt} {server}".encode())
+        outcomes = self.READS if server[0] == "r" else self.WRITES
+        outcome = outcomes[drawn % len(outcomes)]
+        took = timeout if outcome == "T" else min(timeout, 5.0 + drawn // 64 % 200)
+        head = f"{gateway} {request_number} {attempt} {server}"
+        if outcome == "S":
+            self.at(now + took / 2, f"FLOWING {head} {took / 2}")
+        over = int(outcome == "S")
+        self.at(now + took, f"REPORT_BACK {head} {outcome} {took} {over} 4 {drawn % 7},0.2")
+
+
+@pytest.mark.parametrize("variant", VARIANTS)
+def test_adapter_simulation(adapter: Adapter, variant: str) -> None:
+    """Requests of two classes with outcomes of every kind, for three seconds, a lost server among them."""
+    play = Simulation(adapter)
+    play.at(1.0, enlist(variant))
+    play.at(2.0, "ANNOUNCE 1 Complete 1 4", *ROWS)
+    for number in range(80):
+        product = "note" if number % 3 == 0 else "summary"
+        line = (
+            f"WORK_ITEM 1 {number} {number % 4 * 100} - o{number % 4} {product} {200 + number * 7} 1500 0 c{number % 9}"
+        )
+        play.at(10.0 + 25.0 * number, f"{line} 40 -")
+        if number % 11 == 5:
+            play.at(60.0 + 25.0 * number, f"EXPIRED 1 {number}")
+    play.at(1000.0, "ANNOUNCE 1 Partial 2 1", ROWS[3].replace("healthy", "deregistered"))
+    play.at(1500.0, "ANNOUNCE 1 Error 3 0")
+    play.at(2000.0, "ANNOUNCE 1 Complete 4 4", *ROWS)
+    play.run(3000.0)
+    adapter.end()
+    pin(f"adapter_simulation_{variant}", adapter.lines)
