--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -121,11 +121,11 @@
 
     @asynccontextmanager
     async def generation(
-        self, request: dict[str, Any] | ChatAsk, time_limit_ms: float | None = None, key: str | None = None
+        self, body: dict[str, Any] | ChatAsk, time_limit_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
         """`request` as the chat API has it; `time_limit_ms` at most the product's own; `key` under which engines drop
         repeats. Raises Wrong, which names the field, before anything is sent."""
-        ask = request if isinstance(request, ChatAsk) else read_chat(msgspec.json.encode(request))
+        ask = body if isinstance(body, ChatAsk) else read_chat(msgspec.json.encode(body))
         product = self.intake.models.get(ask.model)
         limit = product.limit_ms if product is not None else 0.0
         known = self.intake.take(ask, limit if time_limit_ms is None else min(limit, time_limit_ms))
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -23,7 +23,7 @@
             await trio.sleep(0.001)
 
 
-def request(p: Platform, body: bytes = BODY, **headers: str) -> bytes:
+def client_request(p: Platform, body: bytes = BODY, **headers: str) -> bytes:
     head = "".join(f"{name}: {value}\r\n" for name, value in p.headers(**headers).items())
     line = "POST /v1/chat/completions HTTP/1.1"
     return f"{line}\r\nHost: a\r\nContent-Length: {len(body)}\r\n{head}\r\n".encode() + body
--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -7,12 +7,12 @@
 
 from tests.fleet.day import Day
 from tests.fleet.faults import Fault, ail, cut_zone, discovery_down, kill_gateways, replace_servers, restart_servers
-from tests.fleet.scene import Request, Scene
+from tests.fleet.scene import ClientRequest, Scene
 
 __all__ = [
     "Day",
     "Fault",
-    "Request",
+    "ClientRequest",
     "Scene",
     "ail",
     "cut_zone",
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -9,7 +9,7 @@
 
 from ternlane import port
 from ternlane.port import Duty, Effect, Generation, Verdict
-from tests.fleet.scene import Request, Scene
+from tests.fleet.scene import ClientRequest, Scene
 from tests.fleet.server import ModelServer
 
 if TYPE_CHECKING:
@@ -46,8 +46,8 @@
 
     def next(self, gen: Generation, duty: Duty) -> port.Action:
         gateway, day = self.gateway, self.day
-        request = gateway.requests[gen]
-        left = request.came + request.patience - day.now
+        client_request = gateway.requests[gen]
+        left = client_request.came + client_request.patience - day.now
         unsafe = gen.product.effect is not Effect.IDEMPOTENT and gen in self.ran
         if unsafe:
             return port.Terminate(gen)
@@ -56,8 +56,8 @@
         if left <= 0 or self.attempts[gen] >= 5 or not able:
             return port.Throttle(gen, 200.0)
         self.attempts[gen] += 1
-        best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, request), m.number))
-        day.view(best).add(best, request)
+        best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
+        day.view(best).add(best, client_request)
         return port.SendLeg(gen, gateway.know(best), min(left, gen.product.slo_ms), inf, inf)
 
 
@@ -69,11 +69,11 @@
     duty: Duty
     scene: Scene
 
-    def cost(self, model: ModelServer, request: Request) -> float:
+    def cost(self, model: ModelServer, client_request: ClientRequest) -> float:
         """What the request adds to the load: less work where its text is kept."""
         if self.duty is Duty.READ:
-            return model.unread(request) / self.scene.reader_tokens_per_ms / self.warmth
-        return (request.prompt + request.answer) / self.scene.writer_memory / self.warmth
+            return model.unread(client_request) / self.scene.reader_tokens_per_ms / self.warmth
+        return (client_request.prompt + client_request.answer) / self.scene.writer_memory / self.warmth
 
-    def add(self, model: ModelServer, request: Request) -> None:
-        self.load += self.cost(model, request)
+    def add(self, model: ModelServer, client_request: ClientRequest) -> None:
+        self.load += self.cost(model, client_request)
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -16,7 +16,7 @@
 from tests.conftest import FACTS
 from tests.fleet.baseline import LATE_VIEW_MS, LateSeeing, View
 from tests.fleet.gateway import Gateway, virtual_clock
-from tests.fleet.scene import LATE_SHARE, Request, Scene
+from tests.fleet.scene import LATE_SHARE, ClientRequest, Scene
 from tests.fleet.server import ModelServer, spread_cells
 
 
@@ -32,8 +32,8 @@
         spread_cells(self.models)
         self.discovery_back = -inf  # when it can be reached again
         self.cuts: set[tuple[str, str]] = set()
-        self.requests: list[Request] = []
-        self.verdicts: defaultdict[tuple[Duty, Verdict], int] = defaultdict(int)
+        self.requests: list[ClientRequest] = []
+        self.attempt_outcomes: defaultdict[tuple[Duty, Verdict], int] = defaultdict(int)
         self.sent: list[tuple[float, ModelServer]] = []
         self.probes = 0
         self.seen: dict[ModelServer, View] = {}
@@ -87,7 +87,7 @@
         scene = self.scene
         facts = replace(
             FACTS,
-            seed=zlib.crc32(b"%d %d %d" % (scene.seed, gateway.number, gateway.life)),
+            seed=zlib.crc32(b"%d %d %d" % (scene.seed, gateway.number, gateway.incarnation)),
             gateways=scene.gateways,
             zone=gateway.zone,
             products=self.products,
@@ -146,7 +146,7 @@
             answer = max(4.0, scene.answer_tokens * rng.lognormvariate(-0.1, 0.4))
             tenant = rng.choice(self.tenants) if self.tenants else None
             patience = product.limit_ms * rng.uniform(0.5, 1.0)
-            request = Request(
+            client_request = ClientRequest(
                 product,
                 tenant,
                 session,
@@ -158,36 +158,36 @@
                 product.revenue * (prompt + 4 * answer),
             )
             if scene.leave_share and rng.random() < scene.leave_share:
-                request.gives_up_ms = rng.uniform(50.0, 1000.0)
-            self.at(when, lambda request=request: self.come(request))
+                client_request.gives_up_ms = rng.uniform(50.0, 1000.0)
+            self.at(when, lambda client_request=client_request: self.come(client_request))
 
-    def come(self, request: Request) -> None:
-        if request.tries == 0:
-            self.requests.append(request)
-        request.tries += 1
+    def come(self, client_request: ClientRequest) -> None:
+        if client_request.tries == 0:
+            self.requests.append(client_request)
+        client_request.tries += 1
         gateway = self.rng.choices(self.gateways, self.weights)[0]
         for _ in range(4):
             if gateway.alive:
                 break
             gateway = self.rng.choices(self.gateways, self.weights)[0]
         if not gateway.alive:
-            return self.again(request, "unreachable")
-        gateway.arrive(request)
+            return self.again(client_request, "unreachable")
+        gateway.arrive(client_request)
 
-    def again(self, request: Request, why: str, pause: float = 0.0) -> None:
-        request.outcomes.append(why)
+    def again(self, client_request: ClientRequest, why: str, pause: float = 0.0) -> None:
+        client_request.outcomes.append(why)
         wait = max(pause, self.rng.uniform(50.0, 400.0))
-        left = request.came + request.patience - self.now
-        if request.tries < self.scene.tries and wait < left:
-            self.after(wait, lambda: self.come(request))
+        left = client_request.came + client_request.patience - self.now
+        if client_request.tries < self.scene.tries and wait < left:
+            self.after(wait, lambda: self.come(client_request))
 
     # -- the outcome
 
-    def share(self, chosen: Callable[[Request], bool] = lambda _: True) -> float:
+    def share(self, chosen: Callable[[ClientRequest], bool] = lambda _: True) -> float:
         mine = [r for r in self.counted() if chosen(r)]
         return sum(r.served() for r in mine) / max(1e-9, sum(r.value for r in mine))
 
-    def counted(self) -> list[Request]:
+    def counted(self) -> list[ClientRequest]:
         """Those whose time was over before the day's end."""
         end = 1000.0 + self.scene.seconds * 1000
         return [r for r in self.requests if r.came + r.product.slo_ms < end and not r.left]
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -10,7 +10,7 @@
 
 from ternlane import port, turns
 from ternlane.port import Duty, Effect, Generation, Life, Server, Verdict
-from tests.fleet.scene import Job, Request
+from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
 PROBE_MS = 2.0
@@ -26,15 +26,15 @@
         self.day, self.number = day, number
         self.zone = f"zone-{number % day.scene.zones}"
         self.alive = True
-        self.life = 0
+        self.incarnation = 0
         self.begin()
 
     def begin(self) -> None:
         """A process that has just started, with the list as discovery has it."""
         day = self.day
-        self.life += 1
+        self.incarnation += 1
         super().__init__(day.chooser(self))
-        self.requests: dict[Generation, Request] = {}
+        self.requests: dict[Generation, ClientRequest] = {}
         self.jobs: dict[Generation, Job] = {}
         self.truth: dict[Server, ModelServer] = {}
         self.known: dict[ModelServer, Server] = {}
@@ -50,7 +50,7 @@
             server = Server(model.zone, model.cell, model.duty, memory, mark=zlib.crc32(model.name.encode()))
             self.known[model], self.truth[server] = server, model
         server.started_ms = max(0.0, model.started)
-        server.life = Life.DRAINING if model.draining else Life.UP
+        server.incarnation = Life.DRAINING if model.draining else Life.UP
         return server
 
     def heard_of(self, model: ModelServer) -> None:
@@ -64,58 +64,58 @@
         for job in jobs:
             job.ended = True
             self.truth[job.server].leave(job)
-        for request in list(self.requests.values()):
-            if request.first_token < inf:
-                request.broken = True
+        for client_request in list(self.requests.values()):
+            if client_request.first_token < inf:
+                client_request.broken = True
             else:
-                self.day.again(request, "killed")
+                self.day.again(client_request, "killed")
         self.requests.clear()
         self.tickets.clear()
 
     # -- the loop's side
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        life = self.life
+        incarnation = self.incarnation
 
         def due() -> None:
-            if self.alive and life == self.life:
+            if self.alive and incarnation == self.incarnation:
                 call()
                 if self.heard and not self.turning:
                     self.turn()
 
         self.day.at(when_ms, due)
 
-    def arrive(self, request: Request) -> None:
-        left = request.came + request.patience - self.day.now
+    def arrive(self, client_request: ClientRequest) -> None:
+        left = client_request.came + client_request.patience - self.day.now
         gen = Generation(
-            request.product,
-            request.session,
-            request.opening,
-            request.prompt * 0.5,
-            request.prompt,
-            4 * request.answer,
+            client_request.product,
+            client_request.session,
+            client_request.opening,
+            client_request.prompt * 0.5,
+            client_request.prompt,
+            4 * client_request.answer,
             left,
-            tenant=request.tenant,
+            tenant=client_request.tenant,
         )
-        self.requests[gen] = request
+        self.requests[gen] = client_request
         self.tickets[gen] = Ticket(gen)
         self.tell(port.Arrived(gen))
-        if request.gives_up_ms < inf:
-            self.at(self.day.now + request.gives_up_ms, lambda: self.leave(gen))
+        if client_request.gives_up_ms < inf:
+            self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(gen))
 
     def leave(self, gen: Generation) -> None:
         """Its client has closed the connection, unless its answer has begun."""
-        request = self.requests.get(gen)
-        if request is None or request.first_token < inf:
+        client_request = self.requests.get(gen)
+        if client_request is None or client_request.first_token < inf:
             return
-        request.left = True
+        client_request.left = True
         del self.requests[gen]
         self.tell(port.ClientLeft(gen))
         if gen not in self.jobs:
             self.tickets.pop(gen, None)
 
     def send(self, ticket: Any, server: Server, times: port.SendLeg) -> None:
-        gen, now, life = times.gen, self.day.now, self.life
+        gen, now, incarnation = times.gen, self.day.now, self.incarnation
         job = Job(self, gen, server, self.requests[gen], now, now + times.timeout_ms)
         self.jobs[gen] = job
         ticket.leg = Attempt(self, job)
@@ -123,7 +123,7 @@
         self.truth[server].take(job)
 
         def timeout() -> None:
-            if self.alive and life == self.life and not job.begun:
+            if self.alive and incarnation == self.incarnation and not job.begun:
                 self.ended(job, Verdict.TIMED_OUT)
 
         self.day.at(job.timeout_at, timeout)
@@ -138,17 +138,17 @@
         ticket = self.tickets.get(job.gen)
         if ticket is not None:
             ticket.leg = None
-        request = self.requests.get(job.gen)
-        over = verdict is Verdict.STREAMED or job.begun or request is None
-        if over and verdict is not Verdict.STREAMED and request is not None and job.begun:
-            request.broken = True
+        client_request = self.requests.get(job.gen)
+        over = verdict is Verdict.STREAMED or job.begun or client_request is None
+        if over and verdict is not Verdict.STREAMED and client_request is not None and job.begun:
+            client_request.broken = True
         if over:
             self.requests.pop(job.gen, None)
-        self.day.verdicts[model.duty, verdict] += 1
+        self.day.attempt_outcomes[model.duty, verdict] += 1
         took = self.day.now - job.since
         kept = 0.0
         if verdict is Verdict.READ:
-            kept = job.request.prompt - job.work * self.day.scene.reader_tokens_per_ms
+            kept = job.client_request.prompt - job.work * self.day.scene.reader_tokens_per_ms
         self.tell(port.LegEnded(job.gen, job.server, verdict, took, over, kept))
         if job.gen not in self.requests:
             self.tickets.pop(job.gen, None)
@@ -157,20 +157,20 @@
         if job.ended or job.gen not in self.requests:
             return
         job.begun = True
-        job.request.first_token = self.day.now
+        job.client_request.first_token = self.day.now
         self.tickets[job.gen].flowing = True
         self.tell(port.FirstTok(job.gen, job.server, self.day.now - job.since))
 
     def settle(self, ticket: Any, final: turns.Throttled | turns.Terminated) -> None:
-        request = self.requests.pop(ticket.gen, None)
-        if request is None:
+        client_request = self.requests.pop(ticket.gen, None)
+        if client_request is None:
             return
         if isinstance(final, turns.Throttled):
-            self.day.again(request, "rejected", final.pause_ms)
-        elif request.product.effect is Effect.IDEMPOTENT:
-            self.day.again(request, "failed")
+            self.day.again(client_request, "rejected", final.pause_ms)
+        elif client_request.product.effect is Effect.IDEMPOTENT:
+            self.day.again(client_request, "failed")
         else:
-            request.outcomes.append("failed")
+            client_request.outcomes.append("failed")
 
     def carry_further(self, action: port.Action) -> None:
         if isinstance(action, port.Probe):
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(eq=False)
-class Request:
+class ClientRequest:
     """What one client wants; its tries are counted as one."""
 
     product: Product
@@ -83,7 +83,7 @@
     gateway: Gateway
     gen: Generation
     server: Server
-    request: Request
+    client_request: ClientRequest
     since: float
     timeout_at: float
     ended: bool = False
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ternlane.port import Duty, Report, Verdict
-from tests.fleet.scene import Job, Request
+from tests.fleet.scene import Job, ClientRequest
 
 if TYPE_CHECKING:
     from tests.fleet.day import Day
@@ -51,15 +51,15 @@
 
     def fullness(self) -> float:
         scene = self.day.scene
-        ahead = sum(j.request.prompt + j.request.answer for j in self.waiting)
+        ahead = sum(j.client_request.prompt + j.client_request.answer for j in self.waiting)
         return max(
             (self.memory + ahead) / scene.writer_memory, (len(self.running) + len(self.waiting)) / scene.writer_slots
         )
 
-    def unread(self, request: Request) -> float:
+    def unread(self, client_request: ClientRequest) -> float:
         """The tokens of its prompt that are not kept here."""
-        kept = {request.session, request.opening} & self.kept
-        return request.prompt * ((1 - self.day.scene.kept_share) if kept else 1.0)
+        kept = {client_request.session, client_request.opening} & self.kept
+        return client_request.prompt * ((1 - self.day.scene.kept_share) if kept else 1.0)
 
     def healthy(self) -> bool:
         return (
@@ -91,7 +91,7 @@
         limit = scene.reader_queue if self.duty is Duty.READ else scene.writer_queue
         if len(self.waiting) >= limit:
             return day.after(CONFIRM_MS, lambda: job.gateway.ended(job, Verdict.FULL))
-        job.work = self.unread(job.request) / scene.reader_tokens_per_ms if self.duty is Duty.READ else 0.0
+        job.work = self.unread(job.client_request) / scene.reader_tokens_per_ms if self.duty is Duty.READ else 0.0
         self.waiting.append(job)
         self.go_on()
 
@@ -106,7 +106,7 @@
                 self.day.after(took, lambda job=job: self.read(job))
             else:
                 job = self.waiting[0]
-                need = job.request.prompt + job.request.answer
+                need = job.client_request.prompt + job.client_request.answer
                 if len(self.running) >= self.day.scene.writer_slots * self.warmth():
                     return
                 if self.running and self.memory + need > self.day.scene.writer_memory:
@@ -114,14 +114,14 @@
                 self.waiting.popleft()
                 self.running.append(job)
                 self.memory += need
-                took = (FIRST_TOKEN_MS + job.request.prompt / TRANSFER_TOKENS_PER_MS) * self.slow / self.warmth()
+                took = (FIRST_TOKEN_MS + job.client_request.prompt / TRANSFER_TOKENS_PER_MS) * self.slow / self.warmth()
                 self.day.after(took, lambda job=job: self.first(job))
 
     def read(self, job: Job) -> None:
         if job not in self.running or self.hung:
             return
         self.running.remove(job)
-        self.kept |= {job.request.session, job.request.opening}
+        self.kept |= {job.client_request.session, job.client_request.opening}
         if not self.silent and not self.day.cut(job.gateway, self):
             job.gateway.ended(job, Verdict.READ)
         self.go_on()
@@ -132,7 +132,7 @@
         if not self.silent and not self.day.cut(job.gateway, self):
             job.gateway.first_token(job)
         crowd = 1 + len(self.running) / self.day.scene.writer_slots
-        took = job.request.answer * TOKEN_MS * crowd * self.slow / self.warmth()
+        took = job.client_request.answer * TOKEN_MS * crowd * self.slow / self.warmth()
         self.day.after(took, lambda: self.written(job))
 
     def written(self, job: Job) -> None:
@@ -147,7 +147,7 @@
         if job in self.running:
             self.running.remove(job)
             if self.duty is not Duty.READ:
-                self.memory -= job.request.prompt + job.request.answer
+                self.memory -= job.client_request.prompt + job.client_request.answer
             self.go_on()
         elif job in self.waiting:
             self.waiting.remove(job)
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -19,7 +19,7 @@
 
 from ternlane.standin.platform import DONE
 from ternlane.standin.proxy import StallingProxy
-from tests.crossing import Client, answer_end, request
+from tests.crossing import Client, answer_end, client_request
 from tests.platform_world import TOLD, Platform, platform, until_ready
 from tests.test_platform_bounds import running
 
@@ -264,7 +264,7 @@
         product = rng.choice(["summary", "summary", "note", "form"])
         limit_s = next(p["deadline"] for p in self.plan.settings["profiles"] if p["name"] == product) / 1000
         timeout_s = rng.choice([limit_s, limit_s, min(limit_s, 0.6)])
-        data = request(self.p, Request_Class=product, Request_Timeout=f"{timeout_s:.3f}")
+        data = client_request(self.p, Request_Class=product, Request_Timeout=f"{timeout_s:.3f}")
         sent = Sent(f"{self.p.count:016x}", product, 0.0, timeout_s)
         if rng.random() < 0.25:  # a slow writer
             cut = rng.randrange(1, len(data))
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -17,7 +17,7 @@
 from ternlane.platform import front as front_module
 from ternlane.platform.settings import Limits
 from ternlane.standin.platform import DONE, EVENT, Gate
-from tests.crossing import Client, LateBytes, Wrapped, arrived, pair, request, server_side, until
+from tests.crossing import Client, LateBytes, Wrapped, arrived, pair, client_request, server_side, until
 from tests.platform_world import BODY, HEAD, TOLD, platform
 
 LIMITS = ServerLimits(2**18, head_ms=3000, body_ms=3000, idle_ms=50, send_ms=3000)
@@ -55,7 +55,7 @@
     async with platform("r0", "w0", limits=Limits(sockets=100)) as p:
         client = Client(p.address)
         await until(lambda: p.gateway.front.idle)
-        whole = request(p)
+        whole = client_request(p)
         side = server_side(p, client)
         client.send(whole[:part])
         arrived(side)
@@ -90,10 +90,10 @@
 
         monkeypatch.setattr(exchange_module.Exchange, "send", slow_end)
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         first = await client.answer()
         assert first.startswith(b"HTTP/1.1 200 ") and gate.reached.is_set()
-        client.send(request(p, BODY[:-1] + b" " * 100_000 + b"}"))  # larger than what is kept ahead of its turn
+        client.send(client_request(p, BODY[:-1] + b" " * 100_000 + b"}"))  # larger than what is kept ahead of its turn
         await until(lambda: p.gateway.front.conns == 1)
         for _ in range(20):  # turns for whoever reads meanwhile
             await trio.lowlevel.checkpoint()
@@ -132,7 +132,7 @@
             settle(ticket, final)
 
         node.settle = at_the_end  # type: ignore[method-assign]
-        client.send(request(p))
+        client.send(client_request(p))
         out = await client.rest()
         assert EVENT in out and not out.endswith(b"0\r\n\r\n") and not client.reset
 
@@ -142,7 +142,7 @@
     async with platform("r0", "w0") as p:
         p.servers["w0"].script = lambda _: way
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         out = await client.rest()
         assert EVENT in out and DONE not in out and not out.endswith(b"0\r\n\r\n") and not client.reset
 
@@ -160,7 +160,7 @@
 async def test_a_body_whose_last_byte_comes_late_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that took longer than 1.2 s was refused with 408."""
     async with platform("r0", "w0") as p:
-        client, whole = Client(p.address), request(p)
+        client, whole = Client(p.address), client_request(p)
         client.send(whole[:-1])
         await trio.sleep(1.6)
         client.send(whole[-1:])
@@ -177,10 +177,10 @@
     async with platform("r0", "w0") as p:
         client = Client(p.address)
         if served:
-            client.send(request(p))
+            client.send(client_request(p))
             assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         await until(lambda: p.gateway.front.idle)
-        whole, side = request(p), server_side(p, client)
+        whole, side = client_request(p), server_side(p, client)
         part = {"nothing": 0, "unread": len(whole), "half a head": 30, "half a body": len(whole) - 9}[sent]
         if part:
             client.send(whole[:part])
@@ -211,11 +211,11 @@
         async def send(self: Exchange, data: bytes) -> None:
             await written(self, data)
             if data.endswith(b"0\r\n\r\n") and self.stream.socket.getpeername() == client.sock.getsockname():
-                client.send(request(p))  # arrives while this answer's last bytes are written
+                client.send(client_request(p))  # arrives while this answer's last bytes are written
                 arrived(self.stream)
 
         monkeypatch.setattr(Exchange, "send", send)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         p.nursery.start_soon(p.gateway.drain)
         await until(lambda: p.gateway.front.draining)
@@ -232,7 +232,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["end"] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         done = trio.Event()
 
@@ -270,7 +270,7 @@
         idle = p.gateway.front
         await trio.testing.wait_all_tasks_blocked()
         client = Client(p.address)  # left to the listener's queue
-        client.send(request(p))
+        client.send(client_request(p))
         p.gateway.listener = ShortOfDescriptors(p.gateway.listener, 3, number)  # type: ignore[assignment]
         p.nursery.start_soon(p.gateway.drain)
         assert (await client.answer()).startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 "))
@@ -309,7 +309,7 @@
         server, point = {"read": ("r0", "request"), "hand-over": ("w0", "request"), "stream": ("w0", "event")}[where]
         gate = p.servers[server].gates[point] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         client.leave(how)
         await until(lambda: p.gateway.node.counts["left"])
@@ -332,7 +332,7 @@
         desk.served = lambda course: True  # it waits, rather than being rejected at once
         clients = [Client(p.address) for _ in range(40)]
         for client in clients:
-            client.send(request(p, Request_Timeout="10"))
+            client.send(client_request(p, Request_Timeout="10"))
         await until(lambda: len(p.gateway.node.tickets) == 40)
         for nth, client in enumerate(clients):
             client.leave(("close", "reset", "half-close")[nth % 3])
@@ -341,7 +341,7 @@
         await until(lambda: p.gateway.node.roster.servers["r0"].life.name == "UP")
         gate.open()
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="10"))
+        client.send(client_request(p, Request_Timeout="10"))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert p.fleet.count("read") == 1
         client.sock.close()
@@ -362,7 +362,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["event"] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         first = await client.read_until(lambda got: got.find(EVENT) + len(EVENT) if EVENT in got else -1)
         assert first.endswith(EVENT) and not gate.opened.is_set()
@@ -376,7 +376,7 @@
         client = Client(p.address)
         await until(lambda: p.gateway.front.idle)
         streams = [server_side(p, client)]
-        client.send(request(p))
+        client.send(client_request(p))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         streams += [caller.stream for caller in p.gateway.pool.open]
         assert len(streams) == 3
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -24,7 +24,7 @@
 from ternlane.platform.settings import Limits, Post
 from ternlane.port import Life
 from ternlane.standin.platform import Discovery, Gate
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, platform, until_ready
 from tests.test_platform_bounds import reload
 
@@ -55,7 +55,7 @@
         assert not gateway.front.ready  # also not asked whether it is: it takes no connection yet
         p.address = "127.0.0.1:%d" % gateway.listener.socket.getsockname()[1]
         client = Client(p.address)
-        client.send(request(p))  # waits in the listener's queue
+        client.send(client_request(p))  # waits in the listener's queue
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert gateway.front.ready and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
@@ -298,7 +298,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["request"] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         other = [profile | {"name": profile["name"] + "-2"} for profile in TOLD["profiles"]]
         reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
@@ -378,7 +378,7 @@
                 await until_ready(p)
                 used_s = processor_s(process_.pid)
                 client = Client(p.address)
-                client.send(request(p)[:40])
+                client.send(client_request(p)[:40])
             finally:
                 process_.send_signal(signal.SIGKILL)  # with a connection accepted, and half a request on it
                 await process_.wait()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -21,7 +21,7 @@
 from ternlane.port import Effect, Group, Verdict
 from ternlane.standin.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
-from tests.crossing import Client, Wrapped, arrived, pair, request, until
+from tests.crossing import Client, Wrapped, arrived, pair, client_request, until
 from tests.platform_world import TOLD, Platform, always, once, platform
 from tests.world import TERMS, Reply, world
 
@@ -364,7 +364,7 @@
 
         monkeypatch.setattr(caller_module, "send", half)
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         client.leave("close")
         await until(lambda: p.gateway.node.counts["left"])
@@ -457,7 +457,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers[server].gates[point] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         p.gateway.begin_drain()
         gate.open()
@@ -471,7 +471,7 @@
     async with platform("r0", "w0", r0=always("silent")) as p:
         clients = [Client(p.address) for _ in range(12)]
         for client in clients:
-            client.send(request(p, Request_Timeout="1.0"))
+            client.send(client_request(p, Request_Timeout="1.0"))
         await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.node.tickets) == 12)
         with trio.fail_after(4):
             await p.gateway.drain()
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -13,7 +13,7 @@
 from ternlane.platform.node import Passing
 from ternlane.standin.platform import Gate
 from ternlane.turns import OVERDUE_MS
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform
 from tests.world import PRODUCTS, TERMS, world
 
@@ -80,7 +80,7 @@
         with monkeypatch.context() as patched:
             patched.setattr(p.gateway.node, "arrived", fail)
             client = Client(p.address)
-            client.send(request(p))
+            client.send(client_request(p))
             client.send(b"GET /behind")  # unread bytes do not take the answer with them
             said = await client.rest()
         assert said.startswith(b"HTTP/1.1 500 ") and not client.reset
@@ -93,7 +93,7 @@
     async with platform("r0", "w0") as p:
         p.servers["w0"].gates["event"] = gate
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="0.3"))
+        client.send(client_request(p, Request_Timeout="0.3"))
         await gate.reached.wait()
         await trio.sleep(0.3 + OVERDUE_MS / 1000 + 0.2)
         gate.open()
@@ -115,7 +115,7 @@
         with pytest.MonkeyPatch.context() as patched:
             patched.setattr(Passing, "first", late_first)
             client = Client(p.address)
-            client.send(request(p))
+            client.send(client_request(p))
             said = await client.answer()
         assert said.startswith(b"HTTP/1.1 502 ") and said.count(b"HTTP/1.1 ") == 1 and node.counts["overdue"] == 1
         assert (await p.ask()).status == 200
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from ternlane.port import Life
-from tests.crossing import Client, Turnstile, request, until
+from tests.crossing import Client, Turnstile, client_request, until
 from tests.platform_world import TOLD, Platform, platform
 
 PATIENT = TOLD | {
@@ -76,7 +76,7 @@
     async def do_ask(self, product: str) -> Asked | None:
         if self.ending:
             return None
-        whole = request(self.p, Request_Class=product, Request_Timeout="15")
+        whole = client_request(self.p, Request_Class=product, Request_Timeout="15")
         one = Asked(Client(self.p.address), f"{self.p.count:016x}", product)
         one.client.send(whole)
         self.asked.append(one)
@@ -84,7 +84,7 @@
 
     async def do_half(self, at: int) -> None:
         if not self.ending:
-            whole = request(self.p, Request_Timeout="15")
+            whole = client_request(self.p, Request_Timeout="15")
             one = Asked(Client(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
             one.client.send(whole[:at])
             self.asked.append(one)
@@ -109,9 +109,9 @@
     async def do_go_on(self, server: str, nth: int) -> None:
         cast(Turnstile, self.p.servers[server].gates["request"]).let_through(nth)
 
-    async def put(self, server: str, status: str, life: Life) -> None:
+    async def put(self, server: str, listed_status: str, life: Life) -> None:
         kind = "reader" if server[0] == "r" else "writer"
-        self.p.discovery.put(server, self.p.servers[server].address, kind, status)
+        self.p.discovery.put(server, self.p.servers[server].address, kind, listed_status)
         await until(lambda: self.p.gateway.node.roster.servers[server].life is life)
 
     async def do_drain(self, server: str) -> None:
@@ -153,10 +153,10 @@
             if one.left:
                 assert self.attempts_for(one.ident) == self.attempts_when_left[one.ident], one.ident
                 continue
-            status = one.answer[9:12]
-            assert status in (b"200", b"502", b"503"), one.answer
+            listed_status = one.answer[9:12]
+            assert listed_status in (b"200", b"502", b"503"), one.answer
             if one.product == "note":
-                assert one.ident not in self.p.fleet.repeated and (status != b"503" or not ran[one.ident])
+                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not ran[one.ident])
         for server, before in self.told_to_leave_alone.items():
             assert self.attempts(server) == before, server
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(eq=False)
-class Request:
+class ClientRequest:
     name: str
     gen: Generation
     session: str
@@ -47,7 +47,7 @@
     seed: int
     pairs: int = 4
     now: float = 1000.0
-    requests: list[Request] = field(default_factory=list)
+    requests: list[ClientRequest] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.rng, self.order = random.Random(self.seed), count()
@@ -58,7 +58,7 @@
             "chat": Product(Effect.IDEMPOTENT, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 8000.0, 3.0, 0.1),
             "order": Product(Effect.SIDE_EFFECTING, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 9000.0, 1.0, 0.1),
         }
-        self.of: dict[Generation, Request] = {}
+        self.of: dict[Generation, ClientRequest] = {}
         self.routers, self.servers = list[Router](), list[list[Server]]()
         for nth in range(self.gateways):
             facts = replace(
@@ -125,7 +125,7 @@
             for _ in range(3):
                 prompt = min(12e3, mean * self.rng.lognormvariate(-0.5, 1.0))
                 gen = Generation(self.products[name], session, None, 0.0, prompt, 400.0, 7000.0)
-                self.at(turn_at, nth, Request(name, gen, session, turn_at))
+                self.at(turn_at, nth, ClientRequest(name, gen, session, turn_at))
                 turn_at += 3000.0
 
     def run(self) -> None:
@@ -135,7 +135,7 @@
     def until(self, when: float) -> None:
         while self.due and self.due[0][0] <= when:
             self.now, _, nth, event = heapq.heappop(self.due)
-            if isinstance(event, Request):
+            if isinstance(event, ClientRequest):
                 self.requests.append(event)
                 self.of[event.gen] = event
                 self.tell(nth, port.Arrived(event.gen))
@@ -148,7 +148,7 @@
                 self.tell(nth, event)
 
 
-def share(requests: list[Request]) -> float:
+def share(requests: list[ClientRequest]) -> float:
     return sum(r.answered for r in requests) / max(1, len(requests))
 
 
@@ -172,7 +172,7 @@
         part = [r for r in fleet.requests if begin <= r.came < begin + DAY_MS / 3]
         assert share(part) >= 0.5 * share(fleet.requests)
     if day == "quiet":  # whose turns are all refused: no more than chance would have it
-        turns: defaultdict[str, list[Request]] = defaultdict(list)
+        turns: defaultdict[str, list[ClientRequest]] = defaultdict(list)
         for one in fleet.requests:
             turns[one.session].append(one)
         shut_out = [t for t in turns.values() if not any(r.answered for r in t)]
@@ -185,12 +185,12 @@
     fleet = Fleet(1, 0.0, seed=3)
     product = fleet.products["chat"]
     first = Generation(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
-    fleet.of[first] = Request("chat", first, "a", fleet.now)
+    fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
     fleet.tell(0, port.Arrived(first))
     home = fleet.routers[0].desk.homes["a"]  # type: ignore[attr-defined]
     fleet.held[fleet.servers[0].index(home.writer.server)] = MEMORY_TOKENS
     for _ in range(8):
         turn = Generation(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
-        fleet.at(fleet.now + 3000.0, 0, Request("chat", turn, "a", fleet.now))
+        fleet.at(fleet.now + 3000.0, 0, ClientRequest("chat", turn, "a", fleet.now))
         fleet.until(fleet.now + 3000.0)
     assert len(fleet.requests) == 8 and not any(r.rejected for r in fleet.requests)
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -13,7 +13,7 @@
 from ternlane.port import Effect, Refusal, ShutdownTimes, Verdict
 from ternlane.standin.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, always, platform
 from tests.test_final_answers import make_faulty
 
@@ -133,7 +133,7 @@
     """The decisions fail in the shutdown; the request's own time would outlast the process."""
     async with platform("r0", "w0", w0=always("silent")) as p:
         client = Client(p.address)
-        client.send(request(p, Request_Class="note", Request_Timeout="1.5"))
+        client.send(client_request(p, Request_Class="note", Request_Timeout="1.5"))
         await until(lambda: p.fleet.count("write"))
         make_faulty(p, lambda events: [])
         ticket = next(iter(p.gateway.node.tickets.values()))
@@ -152,7 +152,7 @@
         for server in p.servers.values():
             server.lease_way = "silent"
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="9"))
+        client.send(client_request(p, Request_Timeout="9"))
         await until(lambda: any(ticket.legs == 3 for ticket in p.gateway.node.tickets.values()))
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
@@ -164,7 +164,7 @@
     async with platform("r0", "w0") as p:
         client = Client(p.address)
         gate = p.servers["w0"].gates["request"] = Gate()
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         p.gateway.begin_drain()
         gate.open()
