--- a/bench/budget.py
+++ b/bench/budget.py
@@ -262,7 +262,7 @@
             "insert into bills values (?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)",
             [
                 (
-                    e.gen,
+                    e.request,
                     e.tenant,
                     e.product,
                     e.period,
--- a/bench/library.py
+++ b/bench/library.py
@@ -63,7 +63,7 @@
     async with ternlane.open_routing(paper(), transport()) as routing:
         for _ in range(rounds):
             since = time.perf_counter()
-            async with routing.generation(REQUEST) as stream:
+            async with routing.request(REQUEST) as stream:
                 assert len(await stream.text()) == 40
             took.append((time.perf_counter() - since) * 1000)
     return took
@@ -74,7 +74,7 @@
     with ternlane.Blocking(paper(), transport) as routing:
         for _ in range(rounds):
             since = time.perf_counter()
-            assert len("".join(routing.generation(REQUEST))) == 40
+            assert len("".join(routing.request(REQUEST))) == 40
             took.append((time.perf_counter() - since) * 1000)
     return took
 
@@ -109,15 +109,15 @@
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
-        gen = port.Generation(offer.products["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
-        leg = next(a for a in router.take(now, [port.Arrived(gen)]) if isinstance(a, port.SendLeg))
+        request = port.Request(offer.products["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
+        leg = next(a for a in router.take(now, [port.Arrived(request)]) if isinstance(a, port.SendLeg))
         leg = next(
             a
-            for a in router.take(now + 1, [port.LegEnded(gen, leg.server, port.Verdict.READ, 1.0, False)])
+            for a in router.take(now + 1, [port.LegEnded(request, leg.server, port.Verdict.READ, 1.0, False)])
             if isinstance(a, port.SendLeg)
         )
-        router.take(now + 1.5, [port.FirstTok(gen, leg.server, 0.5)])
-        router.take(now + 2, [port.LegEnded(gen, leg.server, port.Verdict.STREAMED, 1.0, True)])
+        router.take(now + 1.5, [port.FirstTok(request, leg.server, 0.5)])
+        router.take(now + 2, [port.LegEnded(request, leg.server, port.Verdict.STREAMED, 1.0, True)])
         took.append((time.perf_counter() - since) * 1000)
     return took
 
@@ -136,7 +136,7 @@
 
     async def one() -> None:
         async with ternlane.open_routing(paper(), transport()) as routing:
-            async with routing.generation(REQUEST) as stream:
+            async with routing.request(REQUEST) as stream:
                 await stream.text()
 
     def look() -> dict[str, float]:
@@ -194,7 +194,7 @@
         "library, from a thread": from_a_thread,
         "door, over loopback": lambda n: trio.run(over_loopback, n),
     }
-    print(f"{'a generation, ms':<26}{'median':>8}{'p99':>8}")
+    print(f"{'a request, ms':<26}{'median':>8}{'p99':>8}")
     for name, way in ways.items():
         took = way(told.rounds)[told.rounds // 10 :]
         print(f"{name:<26}{statistics.median(took):>8.3f}{statistics.quantiles(took, n=100)[98]:>8.3f}")
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -123,7 +123,7 @@
         async def one(i: int, model: str) -> None:
             request = {"model": model, "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
             try:
-                async with routing.generation(request, key=f"{model}-{i}") as stream:
+                async with routing.request(request, key=f"{model}-{i}") as stream:
                     text = await stream.text()
                 outcomes[f"{model} streamed"] += 1
                 assert text == "".join(f"w{k} " for k in range(8)), text
@@ -158,7 +158,7 @@
         async def one(i: int) -> None:
             request = {"model": "summary", "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
             try:
-                async with routing.generation(request) as stream:
+                async with routing.request(request) as stream:
                     last, longest, text = 0.0, 0.0, ""
                     async for piece in stream:
                         now = trio.current_time()
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -37,7 +37,7 @@
 }
 router = ternlane.Router(facts)
 router.take(0.0, [port.Listed(tuple(names))])
-generation = ternlane.Generation(product, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
+request = ternlane.Request(product, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
 
 def leg(actions: list) -> ternlane.Server:
@@ -46,9 +46,9 @@
     return sent.server
 
 
-reader = leg(router.take(1.0, [port.Arrived(generation)]))
-writer = leg(router.take(60.0, [port.LegEnded(generation, reader, ternlane.Verdict.READ, 59.0, False)]))
-other = leg(router.take(61.0, [port.LegEnded(generation, writer, ternlane.Verdict.UNCONNECTED, 1.0, False)]))
-router.take(90.0, [port.FirstTok(generation, other, 29.0)])
-router.take(400.0, [port.LegEnded(generation, other, ternlane.Verdict.STREAMED, 339.0, True)])
+reader = leg(router.take(1.0, [port.Arrived(request)]))
+writer = leg(router.take(60.0, [port.LegEnded(request, reader, ternlane.Verdict.READ, 59.0, False)]))
+other = leg(router.take(61.0, [port.LegEnded(request, writer, ternlane.Verdict.UNCONNECTED, 1.0, False)]))
+router.take(90.0, [port.FirstTok(request, other, 29.0)])
+router.take(400.0, [port.LegEnded(request, other, ternlane.Verdict.STREAMED, 339.0, True)])
 print(f"read by {names[reader]}, written by {names[other]}")
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -36,7 +36,7 @@
 
 
 def count(routing: ternlane.Blocking, text: str) -> None:
-    print("".join(routing.generation({"model": "count", "messages": [{"role": "user", "content": text}]})))
+    print("".join(routing.request({"model": "count", "messages": [{"role": "user", "content": text}]})))
 
 
 with ternlane.Blocking(paper, lambda: ternlane.LocalTransport({"reader": Engine(), "writer": Engine()})) as routing:
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -61,7 +61,7 @@
         async with ternlane.open_routing(paper, transport) as routing:
             for text in ("never odd", "or even"):
                 request = {"model": "mirror", "messages": [{"role": "user", "content": text}]}
-                async with routing.generation(request) as stream:
+                async with routing.request(request) as stream:
                     print(await stream.text())
         print("legs went to", ", ".join(transport.asked))
 
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -22,7 +22,7 @@
     "StartFacts": "port",
     "Product": "port",
     "Server": "port",
-    "Generation": "port",
+    "Request": "port",
     "Effect": "port",
     "Group": "port",
     "Duty": "port",
@@ -109,7 +109,7 @@
     from ternlane.paper import read_text as read_text
     from ternlane.port import Duty as Duty
     from ternlane.port import Effect as Effect
-    from ternlane.port import Generation as Generation
+    from ternlane.port import Request as Request
     from ternlane.port import Group as Group
     from ternlane.port import Life as Life
     from ternlane.port import Product as Product
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -10,7 +10,7 @@
 from ternlane.chat.openings import BLOCK, Openings, blocks
 from ternlane.chat.request import ChatAsk, Wrong, canonical
 from ternlane.chat.sessions import Sessions, chain
-from ternlane.port import Effect, Generation, Group, Product, Tenant
+from ternlane.port import Effect, Request, Group, Product, Tenant
 
 FIRST_TOKS_A_BYTE = 0.25  # until engines have said how many there were
 WEIGHT = 1 / 32  # of one more report
@@ -28,7 +28,7 @@
 class Known:
     """What the intake remembers of one generation until it ends."""
 
-    gen: Generation
+    request: Request
     session: str
     last_hash: bytes
     prompt_bytes: int
@@ -64,7 +64,7 @@
         opening = xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None
         ratio = self.toks_a_byte.get(product, FIRST_TOKS_A_BYTE)
         limit = self.max_toks[product]
-        gen = Generation(
+        request = Request(
             product,
             session,
             opening,
@@ -75,13 +75,13 @@
             not ask.stream,
             tenant=self.tenants.setdefault(owner, Tenant()) if owner else None,
         )
-        return Known(gen, session, last[-1], len(whole))
+        return Known(request, session, last[-1], len(whole))
 
     def learn_prompt(self, known: Known, prompt_toks: float) -> None:
         """An engine has said how many tokens the prompt had; absurd figures are not believed."""
         if not 0 < prompt_toks <= 4 * known.prompt_bytes + 64:
             return
-        product, ratio = known.gen.product, prompt_toks / known.prompt_bytes
+        product, ratio = known.request.product, prompt_toks / known.prompt_bytes
         old = self.toks_a_byte.get(product)
         self.toks_a_byte[product] = ratio if old is None else old + WEIGHT * (ratio - old)
 
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -42,7 +42,7 @@
     Duty,
     Effect,
     Event,
-    Generation,
+    Request,
     Group,
     Life,
     Product,
@@ -247,21 +247,21 @@
         match note:
             case Standing():
                 self.board[note.engine] = note
-            case port.Arrived(gen):
-                self.arrived(gen)
-            case port.FirstTok(gen, _, took) if gen.seat.leg is not None:
-                self.first_tok(gen.seat, gen.seat.leg, took)
+            case port.Arrived(request):
+                self.arrived(request)
+            case port.FirstTok(request, _, took) if request.seat.leg is not None:
+                self.first_tok(request.seat, request.seat.leg, took)
             case port.LegEnded():
                 self.stuck = inf
                 self.leg_ended(note)
-            case port.ClientLeft(gen) if gen.seat and not gen.seat.over:
-                self.close(gen.seat)
+            case port.ClientLeft(request) if request.seat and not request.seat.over:
+                self.close(request.seat)
             case Onward(course):
                 self.onward(course)
             case Lost(leg):
                 self.lost(leg)
-            case port.GoOn(gen) if not gen.seat.over and gen.seat.leg is None:
-                self.onward(gen.seat)
+            case port.GoOn(request) if not request.seat.over and request.seat.leg is None:
+                self.onward(request.seat)
             case port.Listed(servers):
                 for server in servers:
                     server.seat = server.seat or Engine(self.router, server)
@@ -285,28 +285,28 @@
                 self.router.out.append(port.Wake(self.shutdown.answers_by, False))
             case port.ListFailed():
                 self.asked = False
-            case port.ReleaseHeard(gen) if gen.seat:
-                gen.seat.lease.release_heard()
+            case port.ReleaseHeard(request) if request.seat:
+                request.seat.lease.release_heard()
             case port.Woken(True):
                 self.beat()
             case port.Woken(False):
                 self.release_due()
                 self.answer_before_the_end()
 
-    def arrived(self, gen: Generation) -> None:
-        now, product = self.router.now, gen.product
-        slo = (product.slo_ms or gen.patience_ms) + product.slo_per_ktok_ms * gen.prompt_toks / 1000
+    def arrived(self, request: Request) -> None:
+        now, product = self.router.now, request.product
+        slo = (product.slo_ms or request.patience_ms) + product.slo_per_ktok_ms * request.prompt_toks / 1000
         self.turn += 1
         lot = zlib.crc32(b"%d lot %d" % (self.seed, self.turn)) / 2**32
-        gen.seat = course = Course(gen, now + slo, now + gen.patience_ms, lot)
+        request.seat = course = Course(request, now + slo, now + request.patience_ms, lot)
         self.unanswered[course] = None
-        mean = self.prompt.setdefault(product, max(gen.prompt_toks, 1.0))
-        self.prompt[product] = mean + GAIN * (gen.prompt_toks - mean)
-        self.asked_for[gen.opening] += gen.opening is not None
+        mean = self.prompt.setdefault(product, max(request.prompt_toks, 1.0))
+        self.prompt[product] = mean + GAIN * (request.prompt_toks - mean)
+        self.asked_for[request.opening] += request.opening is not None
         if now >= self.shutdown.admits_until:
             return self.finish(course, Refusal.SHUTDOWN)
         if self.told_if_asked and course.limit_at > now + CROWD * self.limits.beat_ms:  # or time runs out
-            course.agreed = self.agreed(gen)
+            course.agreed = self.agreed(request)
             course.asked = {e for e in course.agreed[: round(CROWD)] if self.ask(e)}
         if course.asked:
             self.asking.append(course)
@@ -326,7 +326,7 @@
     def checked(self, engine: Seat, report: port.Report | None) -> None:
         """A report takes the place of the one in an answer; who waited for it is placed."""
         if report is not None and report.mem_share is not None:
-            engine.post(Reported(report.mem_share, report.open_gens))
+            engine.post(Reported(report.mem_share, report.open_requests))
         for course in [c for c in self.asking if engine in c.asked]:
             course.asked.discard(engine)
             if not course.asked:
@@ -349,7 +349,7 @@
     def fit(self, s: Standing, course: Course) -> bool:
         if s.trial and not s.shut:  # one leg at a time finds out, and none that can't be made good
             barred = any(b[0] >= s.engine.shut_until for c, b in s.engine.booked.items() if c is not course)
-            return not barred and (not s.engine.writes or course.gen.product.effect is Effect.IDEMPOTENT)
+            return not barred and (not s.engine.writes or course.request.product.effect is Effect.IDEMPOTENT)
         return self.sound(s)
 
     def congested(self, s: Standing, course: Course) -> bool:
@@ -370,7 +370,7 @@
         return two_stages and course.legs > 0 and course.legs + 2 > self.limits.leg_limit
 
     def toks(self, course: Course, engine: Seat) -> float:
-        return course.gen.prompt_toks + (OUT_SHARE * course.gen.max_toks if engine.writes else 0.0)
+        return course.request.prompt_toks + (OUT_SHARE * course.request.max_toks if engine.writes else 0.0)
 
     def pairs(
         self, readers: list[Standing], writers: list[Standing], lost: dict[Seat, float]
@@ -395,11 +395,11 @@
                 yield from ((r, freest[by][2]) for by in (at.cell, at.zone, None) if by in freest)
 
     def work_ms(self, engine: Seat, course: Course) -> float:  # to read what it is not thought to keep
-        gen, agreed = course.gen, course.agreed
+        request, agreed = course.request, course.agreed
         if engine not in agreed:
-            return self.tok_ms * gen.prompt_toks
-        known = gen.opening_toks + (gen.prompt_toks - gen.opening_toks) / (1 + agreed.index(engine))
-        return self.tok_ms * (gen.prompt_toks - self.told[gen.product] * known)
+            return self.tok_ms * request.prompt_toks
+        known = request.opening_toks + (request.prompt_toks - request.opening_toks) / (1 + agreed.index(engine))
+        return self.tok_ms * (request.prompt_toks - self.told[request.product] * known)
 
     def score(self, r: Standing, w: Standing, less: float) -> tuple[float, float]:
         a, b = r.engine.server, w.engine.server
@@ -418,7 +418,7 @@
         for duty in Duty:
             if not any(s.listed and e.server.duty is duty and self.sound(s) for e, s in self.board.items()):
                 calm += [s for s in able if s.engine.server.duty is duty and s not in calm]
-        course.agreed, readers = self.agreed(course.gen), [self.board[holder]] if holder else calm
+        course.agreed, readers = self.agreed(course.request), [self.board[holder]] if holder else calm
         lost = {s.engine: self.loss(s.engine, course) if self.failures else 0.0 for s in calm}
         work = {r.engine: WORTH * self.work_ms(r.engine, course) / self.limits.slo_ms for r in readers}
         less = {r: work[r] + lost.get(r, 0.0) * (not r.writes) for r in work}
@@ -428,25 +428,25 @@
             key=lambda p: self.score(p[0], p[1], less[p[0].engine] + lost[p[1].engine]),
         )
 
-    def agreed(self, gen: Generation) -> list[Seat]:
+    def agreed(self, request: Request) -> list[Seat]:
         """The reader that every gateway holds nearest, as openings and sessions come to all of them.
         An opening has readers by its part of the traffic, the same everywhere; its sessions share them."""
         readers = [e for e, s in self.board.items() if e.reads and s.listed and self.sound(s)]
-        if gen.opening is not None:
-            key = zlib.crc32(gen.opening.encode())
+        if request.opening is not None:
+            key = zlib.crc32(request.opening.encode())
             readers.sort(key=lambda e: key * (e.server.mark | 1) % 2**32)
-            part = (max(1, self.asked_for[gen.opening]) - 1) / (self.asked_for.total() + FEW)  # but this
+            part = (max(1, self.asked_for[request.opening]) - 1) / (self.asked_for.total() + FEW)  # but this
             readers = readers[: round(CROWD + CROWD * len(readers) * part)]
-        key = zlib.crc32((gen.session or "").encode())
+        key = zlib.crc32((request.session or "").encode())
         return sorted(readers, key=lambda e: key * (e.server.mark | 1) % 2**32)
 
     def place(self, course: Course) -> None:
         """Home pair if it is calm, else the best calm pair; else the generation waits before its read."""
-        now, gen = self.router.now, course.gen
+        now, request = self.router.now, course.request
         refusal = self.refusal(course)
         if refusal is not None:
             return self.finish(course, refusal)
-        home = self.homes.get(gen.session or "")
+        home = self.homes.get(request.session or "")
         if home and all(
             self.usable(e, course) and not self.congested(self.board[e], course) and not self.ill(e, course)
             for e in home[:2]
@@ -460,9 +460,9 @@
                     return self.wait(course)
                 return self.finish(course, Refusal.NO_SERVER)
             reader, writer = pair[0].engine, pair[1].engine
-        if gen.session:
-            self.homes[gen.session] = Home(reader, writer, now)
-            self.homes.move_to_end(gen.session)
+        if request.session:
+            self.homes[request.session] = Home(reader, writer, now)
+            self.homes.move_to_end(request.session)
         course.reader, course.writer = reader, writer
         for engine in {reader: None, writer: None}:
             engine.post(Booked(course, self.toks(course, engine)))
@@ -480,13 +480,13 @@
             return Refusal.OVERLOAD
         return Refusal.SHUTDOWN if self.cut_off(course) else None
 
-    def record(self, engine: Seat, gen: Generation, verdict: Verdict, waited: float) -> None:
+    def record(self, engine: Seat, request: Request, verdict: Verdict, waited: float) -> None:
         """Guards against servers that look well and fail one product, refuse one tenant or lose answers."""
         if verdict in (Verdict.READ, Verdict.TIMED_OUT, Verdict.FULL):  # two such waits, and more is late
-            late = verdict is Verdict.FULL or 2 * MARGIN * waited > gen.product.slo_ms
+            late = verdict is Verdict.FULL or 2 * MARGIN * waited > request.product.slo_ms
             self.late[engine.server.duty] += GAIN * (late - self.late[engine.server.duty])
         decodes, now = engine.writes, self.router.now
-        for bad, kind in ((Verdict.ERROR, gen.product), (Verdict.FULL, gen.tenant), (Verdict.TIMED_OUT,) * 2):
+        for bad, kind in ((Verdict.ERROR, request.product), (Verdict.FULL, request.tenant), (Verdict.TIMED_OUT,) * 2):
             if kind is not None and verdict in (bad, Verdict.READ):
                 self.failures.add(kind, engine, decodes, verdict is bad, now)
 
@@ -496,19 +496,19 @@
 
     def loss(self, engine: Seat, course: Course) -> float:
         """What that risk costs: a leg's time, or all where an error of a writer ends it."""
-        gen = course.gen
-        last = engine.writes and gen.product.effect is not Effect.IDEMPOTENT
-        fails = self.risk(engine, gen.product) + self.risk(engine, Verdict.TIMED_OUT)
-        return fails * (CROWD if last else SICK) + self.risk(engine, gen.tenant) * SICK
+        request = course.request
+        last = engine.writes and request.product.effect is not Effect.IDEMPOTENT
+        fails = self.risk(engine, request.product) + self.risk(engine, Verdict.TIMED_OUT)
+        return fails * (CROWD if last else SICK) + self.risk(engine, request.tenant) * SICK
 
     def ill(self, engine: Seat, course: Course) -> bool:
         """Has it failed this product, or refused this tenant, more often than not lately?"""
-        kinds = (course.gen.product, course.gen.tenant)
+        kinds = (course.request.product, course.request.tenant)
         return any(self.failures.fails_mostly(kind, engine, self.router.now) for kind in kinds)
 
     def latest(self, course: Course) -> float:
         """The last time at which a read may begin and the first token still come within the SLO time."""
-        product, end = course.gen.product, min(course.slo_at, course.limit_at) - self.limits.beat_ms
+        product, end = course.request.product, min(course.slo_at, course.limit_at) - self.limits.beat_ms
         return end - MARGIN * self.first_ms(product)
 
     def first_ms(self, product: Product) -> float:
@@ -517,7 +517,7 @@
     def hopeless(self, course: Course) -> bool:
         """Guards against last tries, with less than the SLO time, whose reads could only be thrown away. What
         is usual is believed while it is fresh, or nobody would find out that all is well again."""
-        product, now = course.gen.product, self.router.now
+        product, now = course.request.product, self.router.now
         return (
             course.limit_at < course.slo_at
             and now + MARGIN * self.first_ms(product) > course.limit_at
@@ -526,12 +526,12 @@
 
     def outweighed(self, course: Course) -> bool:
         """Guards against reads for what is late already, where they make others late that earn more."""
-        least = max(1.5 * GAIN, course.gen.product.late_share)  # one late read in ten is no overload
+        least = max(1.5 * GAIN, course.request.product.late_share)  # one late read in ten is no overload
         return self.router.now >= course.slo_at and self.late[Duty.READ] > least
 
     def cut_off(self, course: Course) -> bool:
         """Guards against streams that this gateway will not see to their end: another may, if asked now."""
-        product = course.gen.product
+        product = course.request.product
         usual_ms = self.first_ms(product) + self.usual_ms(product, "stream")
         return self.router.now + usual_ms > self.shutdown.ends_at
 
@@ -542,7 +542,7 @@
             return
         for course in list(self.unanswered):
             if course.leg is not None and self.may_call_off:
-                self.router.out.append(port.CallOff(course.gen))  # it is answered when that has ended
+                self.router.out.append(port.CallOff(course.request))  # it is answered when that has ended
                 continue
             if course.leg is not None and course.may_have_run is None:
                 course.may_have_run = course.leg.sent, course.leg.engine.server
@@ -562,9 +562,9 @@
             return self.finish(course, Refusal.QUEUED_TOO_LONG)
         self.turn += 1
         latest = self.latest(course)
-        heapq.heappush(self.waiting, (-course.gen.product.revenue, latest, self.turn, course))
+        heapq.heappush(self.waiting, (-course.request.product.revenue, latest, self.turn, course))
         self.next_due = min(self.next_due, latest)
-        self.least = min(self.least, course.gen.prompt_toks * course.waited)
+        self.least = min(self.least, course.request.prompt_toks * course.waited)
 
     def pump(self) -> bool:
         """Places the waiting generation that comes first and throws off, at once, what has waited too long.
@@ -576,23 +576,23 @@
             entry = _, latest, _, course = heapq.heappop(queue)
             if latest <= self.router.now and not course.over:
                 self.finish(course, Refusal.QUEUED_TOO_LONG)
-            elif course.gen.prompt_toks >= self.stuck and course.waited and not course.over:
+            elif course.request.prompt_toks >= self.stuck and course.waited and not course.over:
                 heapq.heappush(self.waiting, entry)
             elif not course.over:
                 self.place(course)
                 if course.leg is None and not course.over:
-                    self.stuck = course.gen.prompt_toks
+                    self.stuck = course.request.prompt_toks
         self.waiting += queue
         heapq.heapify(self.waiting)
         self.next_due = min((entry[1] for entry in self.waiting), default=inf)
-        self.least = min((entry[3].gen.prompt_toks for entry in self.waiting), default=inf)
+        self.least = min((entry[3].request.prompt_toks for entry in self.waiting), default=inf)
         return bool(self.router.ready)
 
     def send(self, course: Course, engine: Seat) -> None:
         assert not course.over and course.leg is None and engine.server.life is Life.UP
-        now, product, s = self.router.now, course.gen.product, self.board[engine]
+        now, product, s = self.router.now, course.request.product, self.board[engine]
         writes, patience = engine is course.writer, course.limit_at - now
-        whole = patience if course.gen.whole else inf  # lest a slow writer outlast its client
+        whole = patience if course.request.whole else inf  # lest a slow writer outlast its client
         course.legs += 1
         course.lease.attempt_begins()
         work = 0.0 if writes else self.work_ms(engine, course)
@@ -605,20 +605,24 @@
             patience = min(patience, max(slow * product.slo_ms, 4 * course.leg.usual_ms))
         engine.post(Sent(course.leg))
         quiet = max(self.limits.span_ms, DOUBT * product.tok_slo_ms)  # a mute stream has broken
-        self.router.out.append(port.SendLeg(course.gen, engine.server, patience, quiet, whole, self.window_ms(course)))
+        self.router.out.append(
+            port.SendLeg(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
+        )
 
     def finish(self, course: Course, why: Refusal) -> None:
         """The one final answer, given at once: throttled wherever that promise is true, else terminated."""
-        product, window = course.gen.product, self.window_ms(course)
+        product, window = course.request.product, self.window_ms(course)
         pause = min(self.limits.pause_ms, product.slo_ms / 2)
         harmless = window == inf or (product.group is Group.ALL and window > pause)
-        self.router.out.append(port.Throttle(course.gen, pause, why) if harmless else port.Terminate(course.gen, why))
+        self.router.out.append(
+            port.Throttle(course.request, pause, why) if harmless else port.Terminate(course.request, why)
+        )
         self.close(course)
 
     def release(self, course: Course, why: ReleaseReason = ReleaseReason.REQUEST_OVER) -> None:
         lease = course.lease
         if lease.may_hold:  # also what a read may yet leave behind whose end was not heard: said to the last
-            self.router.out.append(port.Release(course.gen, course.over and lease.unheard, why))
+            self.router.out.append(port.Release(course.request, course.over and lease.unheard, why))
             lease.released(course.over)
         for engine in filter(None, (course.reader, course.writer)):
             engine.post(Unbooked(course))
@@ -636,7 +640,7 @@
             if course.leg is not None and not course.leg.writes:
                 continue
             course.lease.released_early()
-            self.router.out.append(port.Release(course.gen, why=ReleaseReason.UNCONFIRMED))
+            self.router.out.append(port.Release(course.request, why=ReleaseReason.UNCONFIRMED))
         at = self.releases.next_at()
         if at < inf:
             self.router.out.append(port.Wake(at, False))
@@ -647,7 +651,7 @@
         if course.leg is None:
             self.release(course)
         elif self.may_call_off:  # what the leg holds is released when it ends
-            self.router.out.append(port.CallOff(course.gen))
+            self.router.out.append(port.CallOff(course.request))
 
     def effect_allows(self, course: Course, engine: Seat) -> bool:
         """No effect twice: after a leg that may have run, only what its product's effect permits."""
@@ -655,34 +659,34 @@
             return True
         first, other = course.may_have_run[1], engine.server
         same = {Group.ALL: True, Group.ZONE: first.zone == other.zone, Group.CELL: first.cell == other.cell}
-        return same[course.gen.product.group] and self.window_ms(course) > 0
+        return same[course.request.product.group] and self.window_ms(course) > 0
 
     def window_ms(self, course: Course) -> float:
         """For how long a repeat does no harm, where the servers know it as one."""
-        product, ran = course.gen.product, course.may_have_run
+        product, ran = course.request.product, course.may_have_run
         if ran is None or product.effect is Effect.IDEMPOTENT:
             return inf
         return ran[0] + product.window_ms - self.router.now if product.effect is Effect.DEDUPLICATED else -inf
 
     def first_tok(self, course: Course, leg: Leg, took: float) -> None:
-        product = course.gen.product
+        product = course.request.product
         course.lease.attempt_answered()
         self.unanswered.pop(course, None)
         self.learn(product, "open", took)
         if course.reader is not None and course.reader is not course.writer:
             course.reader.post(Unbooked(course))
-        self.record(leg.engine, course.gen, Verdict.READ, took)  # as good a sign
+        self.record(leg.engine, course.request, Verdict.READ, took)  # as good a sign
         leg.engine.post(StageEnded(leg, True, self.usual_ms(product, "stream")))
 
     def leg_ended(self, note: port.LegEnded) -> None:
-        course: Course = note.gen.seat
+        course: Course = note.request.seat
         leg, course.leg = course.leg, None
         engine: Seat = note.server.seat
         if note.report is not None and note.report.mem_share is not None:
-            engine.post(Reported(note.report.mem_share, note.report.open_gens))
+            engine.post(Reported(note.report.mem_share, note.report.open_requests))
         if leg is None:
             return
-        product, verdict = course.gen.product, note.verdict
+        product, verdict = course.request.product, note.verdict
         if verdict is Verdict.STREAMED:
             self.learn(product, "stream", self.router.now - leg.since)
         good = True if verdict in (Verdict.READ, Verdict.STREAMED) else None if verdict in NO_SIGN else False
@@ -691,7 +695,7 @@
             engine.post(Trouble(silent=False))
         if not note.state_lost:
             ended = Verdict.TIMED_OUT if leg.lost and good is None else verdict
-            self.record(engine, course.gen, ended, note.took_ms - leg.work_ms)
+            self.record(engine, course.request, ended, note.took_ms - leg.work_ms)
         if leg.writes and verdict not in NEVER_RAN and course.may_have_run is None:
             course.may_have_run = leg.sent, note.server
         if leg.fresh and good is not None:  # where these fail, the connected are nearer
@@ -727,7 +731,7 @@
             and leg.course.legs + 2 <= self.limits.leg_limit
         ):
             leg.lost = True
-            self.router.out.append(port.CallOff(leg.course.gen))
+            self.router.out.append(port.CallOff(leg.course.request))
 
     def onward(self, course: Course) -> None:
         """The next leg, if the effect allows one: with the state at hand a writer, else a pair anew."""
@@ -745,15 +749,17 @@
 
     def read_took(self, course: Course, leg: Leg, note: port.LegEnded) -> None:
         """One that ran out of time took at least as long; were it not counted, ever more would."""
-        gen, took, unread = course.gen, note.took_ms, course.gen.prompt_toks - note.kept_toks
-        usual = took / max(1.0, gen.prompt_toks / self.prompt.get(gen.product, gen.prompt_toks))
-        if note.verdict is Verdict.READ or usual > self.usual_ms(gen.product, "read"):  # or it was cut
-            self.learn(gen.product, "read", usual)
+        request, took, unread = course.request, note.took_ms, course.request.prompt_toks - note.kept_toks
+        usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.product, request.prompt_toks))
+        if note.verdict is Verdict.READ or usual > self.usual_ms(request.product, "read"):  # or it was cut
+            self.learn(request.product, "read", usual)
         self.foreseen += GAIN * (leg.foreseen - self.foreseen)
         self.took += GAIN * (took - self.took)
         self.trust = min(CROWD**2, self.took / self.foreseen)
         if note.verdict is Verdict.READ and leg.engine in course.agreed[:1]:
-            self.told[gen.product] += GAIN * (1 - unread / max(gen.prompt_toks, 1.0) - self.told[gen.product])
+            self.told[request.product] += GAIN * (
+                1 - unread / max(request.prompt_toks, 1.0) - self.told[request.product]
+            )
         self.read_ms += GAIN * (self.tok_ms * unread - self.read_ms)
         if note.verdict is Verdict.READ and unread > LONG_READ:  # short ones tell of steps and queues
             pace = took / unread
@@ -779,8 +785,8 @@
             writer.post(Unbooked(course))
             writer = course.writer = pair[1].engine
             writer.post(Booked(course, self.toks(course, writer)))
-            if course.gen.session and course.gen.session in self.homes:
-                self.homes[course.gen.session] = Home(course.reader, writer, self.router.now)
+            if course.request.session and course.request.session in self.homes:
+                self.homes[course.request.session] = Home(course.reader, writer, self.router.now)
         self.send(course, writer)
 
     def usual_ms(self, product: Product, stage: str) -> float:
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -193,7 +193,7 @@
     findings = check_folder(Path(folder))
     click.echo("judged: " + ", ".join(f"{v} {k}" for k, v in findings.counted.items()))
     for found in findings.broken:
-        click.echo(f"rule {found.rule}  {found.gen}  {found.why}")
+        click.echo(f"rule {found.rule}  {found.request}  {found.why}")
         for line in found.lines if lines else ():
             click.echo(f"    {json.dumps(line)}")
     click.echo("all five kept" if findings.kept else f"{len(findings.broken)} times broken")
@@ -428,14 +428,14 @@
     found = reconcile(entries_of([Path(p) for p in ctx.obj]), lines)
     for what, it in (("engines made", found.made), ("billed", found.billed), ("house", found.house)):
         click.echo(f"{what:<16}{it.prompt:>12} prompt{it.answer:>12} answer")
-    for gen, (made, told) in sorted(found.differing.items()):
+    for request, (made, told) in sorted(found.differing.items()):
         click.echo(
-            f"differs    {gen}  made {made.prompt} + {made.answer}, billed and house {told.prompt} + {told.answer}"
+            f"differs    {request}  made {made.prompt} + {made.answer}, billed and house {told.prompt} + {told.answer}"
         )
-    for gen, made in sorted(found.unsettled.items()):
-        click.echo(f"unsettled  {gen}  made {made.prompt} + {made.answer}")
-    for gen in found.doubled:
-        click.echo(f"doubled    {gen}")
+    for request, made in sorted(found.unsettled.items()):
+        click.echo(f"unsettled  {request}  made {made.prompt} + {made.answer}")
+    for request in found.doubled:
+        click.echo(f"doubled    {request}")
     click.echo(f"off by {found.off:.3%}")
     sys.exit(0 if found.off <= within and not found.doubled else 1)
 
--- a/ternlane/days/report.py
+++ b/ternlane/days/report.py
@@ -88,7 +88,7 @@
         "troubles": sorted({str(t.__struct_config__.tag) for t in day.troubles}),
         "judged": findings.counted,
         "rules_kept": findings.kept,
-        "broken": [{"rule": f.rule, "gen": f.gen, "why": f.why, "lines": f.lines} for f in findings.broken[:200]],
+        "broken": [{"rule": f.rule, "gen": f.request, "why": f.why, "lines": f.lines} for f in findings.broken[:200]],
     }
 
 
@@ -130,11 +130,13 @@
     pauses: dict[str, list[float]] = defaultdict(list)
     far: dict[str, Counter[str]] = defaultdict(Counter)
     gaps: dict[str, list[float]] = {"unbroken": [], "joined": []}
-    for gen, ask in asks.items():
-        final, legs = finals.get(gen), said.get(gen, [])
+    for request, ask in asks.items():
+        final, legs = finals.get(request), said.get(request, [])
         if final is None or final["outcome"] == "left":
             continue
-        broken = [v for v in legs if v["text"] and ends.get((v["id"], gen, v["n"]), {"how": ""})["how"] != "streamed"]
+        broken = [
+            v for v in legs if v["text"] and ends.get((v["id"], request, v["n"]), {"how": ""})["how"] != "streamed"
+        ]
         if broken:
             outcome = {"streamed": "whole", "broken": "gateway lost"}.get(final["outcome"], "in part")
             kinds[ask["effect"]][outcome] += 1
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -11,7 +11,7 @@
 from typing import Any, Mapping
 from zlib import crc32
 
-from ternlane.port import Duty, Effect, Generation, Group, Product, Report, Server, StartFacts, Tenant
+from ternlane.port import Duty, Effect, Request, Group, Product, Report, Server, StartFacts, Tenant
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
@@ -110,7 +110,7 @@
         """A report by the names of its figures."""
         return Report(said.get("outstanding"), said.get("x0")) if said and self.columns else None
 
-    def generation(
+    def request(
         self,
         product: Product,
         session: str | None,
@@ -120,7 +120,7 @@
         max_toks: float,
         patience_ms: float,
         tenant: str = "",
-    ) -> Generation:
-        return Generation(
+    ) -> Request:
+        return Request(
             product, session, opening, opening_toks, prompt_toks, max_toks, patience_ms, tenant=self.tenants.get(tenant)
         )
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -120,7 +120,7 @@
             self.nodes(self.paper.nodes.nodes)
 
     @asynccontextmanager
-    async def generation(
+    async def request(
         self, body: dict[str, Any] | ChatAsk, time_limit_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
         """`request` as the chat API has it; `time_limit_ms` at most the product's own; `key` under which engines drop
@@ -129,10 +129,10 @@
         product = self.intake.models.get(ask.model)
         limit = product.limit_ms if product is not None else 0.0
         known = self.intake.take(ask, limit if time_limit_ms is None else min(limit, time_limit_ms))
-        known.gen.whole = False  # the caller sees the text as it comes
+        known.request.whole = False  # the caller sees the text as it comes
         stream, ident = Stream(), f"{self.paper.name}-{next(self.count)}"
         ticket = stream.ticket = Ticket(
-            ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.gen)
+            ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.request)
         )
         ticket.when_over = stream.sends.close
         try:
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -331,7 +331,7 @@
         """Makes the generation and reserves for it. Raises Wrong, or NotTaken where the budget has no room."""
         owner = tenant.name if tenant is not None else ""
         known = self.intake.take(ask, patience, owner)
-        if after and not comes_out_the_same(ask.raw, known.gen.product.effect):
+        if after and not comes_out_the_same(ask.raw, known.request.product.effect):
             raise NotTaken(
                 409,
                 "The rest of this answer can't be had: it is not kept, and another run must not be, or "
@@ -342,7 +342,7 @@
         hold: Hold | None = None
         if self.till is not None and tenant is not None:
             got = self.till.reserve(
-                tenant, self.names[known.gen.product], known.gen.prompt_toks, int(known.gen.max_toks)
+                tenant, self.names[known.request.product], known.request.prompt_toks, int(known.request.max_toks)
             )
             if isinstance(got, Refusal):
                 raise over_budget(got)
@@ -357,7 +357,7 @@
             outlet.extra = self.till.headers(hold)
         # Engines drop repeats by this key; a key of the gateway's own can't meet another gateway's.
         engine_key = f"{self.birth}-{ident}-{next(self.count)}" if key is None else xxh3_64_hexdigest(key.encode())
-        join = self.host.join_for(ask.raw, known.gen)
+        join = self.host.join_for(ask.raw, known.request)
         join.ahead = after
         return Ticket(
             ident,
@@ -447,7 +447,7 @@
 
     def remember(self, key: str, ticket: Ticket) -> None:
         """Ends the key's first request with what a repeat will hear."""
-        product, final = ticket.gen.product, ticket.for_repeats()
+        product, final = ticket.request.product, ticket.for_repeats()
         cost = len(final.text) if isinstance(final, Streamed) else 0
         self.repeats.end(key, final, cost, now_ms() + max(product.window_ms, product.limit_ms))
         self.repeats.sweep(now_ms())
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -70,14 +70,14 @@
 
     def carry_further(self, action: port.Action) -> None:
         match action:
-            case port.Release(gen):
-                self.release_all(self.tickets.get(gen))
+            case port.Release(request):
+                self.release_all(self.tickets.get(request))
             case port.Follow():
                 self.on_follow()
             case port.Log(server, text):
                 self.log.info("server", server=self.book.places[server].ident, text=text)
-            case port.HoldAhead(gen, server):
-                self.hold(self.tickets.get(gen), server)
+            case port.HoldAhead(request, server):
+                self.hold(self.tickets.get(request), server)
             case port.Probe(server):
                 self.nursery.start_soon(self.probe, server)
 
@@ -89,8 +89,8 @@
 
     # -- generations
 
-    def join_for(self, raw: dict[str, Any], gen: port.Generation) -> Join:
-        return self.mender.join(raw, gen)
+    def join_for(self, raw: dict[str, Any], request: port.Request) -> Join:
+        return self.mender.join(raw, request)
 
     def arrived(self, ticket: Ticket) -> None:
         ticket.taken = now_ms()
@@ -106,7 +106,7 @@
             ticket.left = True
             if ticket.leg is not None and ticket.flowing:
                 ticket.leg.call_off()  # a stream that nobody reads
-            self.tell(port.ClientLeft(ticket.gen))
+            self.tell(port.ClientLeft(ticket.request))
             self.close(ticket, "left")
 
     def settle(self, ticket: Ticket, final: Throttled | Terminated | Streamed) -> None:
@@ -136,7 +136,7 @@
     def forget(self, ticket: Ticket) -> None:
         """A ticket stays until its answer is settled, its last leg has ended and what it held is released."""
         if ticket.leg is None and (ticket.final is not None or ticket.left) and not ticket.holders:
-            if self.tickets.pop(ticket.gen, None) is not None:
+            if self.tickets.pop(ticket.request, None) is not None:
                 self.mender.ended(ticket, ticket.join, isinstance(ticket.final, Streamed))
                 if self.resume_at < float("inf"):  # others wait, perhaps for its place
                     self.resume()
@@ -213,7 +213,7 @@
                 if paused is not None:
                     self.measures.resumed.observe(paused / 1000)
                     self.resume()  # its place is free
-                self.tell(port.FirstTok(ticket.gen, server, now_ms() - since))
+                self.tell(port.FirstTok(ticket.request, server, now_ms() - since))
             try:
                 new = ticket.join.take(text)
             except Differs:
@@ -311,7 +311,9 @@
         never_ran = Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD
         if end.verdict in never_ran and server.duty is Duty.READ:
             ticket.holders.pop(server, None)  # it ran nothing, so it left nothing
-        self.tell(port.LegEnded(ticket.gen, server, end.verdict, took, over, kept, end.state_lost, end.report, broken))
+        self.tell(
+            port.LegEnded(ticket.request, server, end.verdict, took, over, kept, end.state_lost, end.report, broken)
+        )
         self.forget(ticket)
         if broken:
             self.resume()
@@ -337,7 +339,7 @@
         fate = self.mender.broke(
             ticket,
             ticket.join,
-            ticket.gen,
+            ticket.request,
             None if end.usage is None else end.usage.completion_tokens,
             now_ms(),
             ticket.deadline_ms,
@@ -354,10 +356,10 @@
         """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
         go, late = self.mender.next(now_ms())
         for ticket in go:
-            self.tell(port.GoOn(ticket.gen))
+            self.tell(port.GoOn(ticket.request))
         for ticket in late:
             self.settle(ticket, Terminated(ticket.why or "the stream broke"))
-            self.tell(port.ClientLeft(ticket.gen))
+            self.tell(port.ClientLeft(ticket.request))
         at = self.mender.due(now_ms())
         if at < self.resume_at:
             self.resume_at = at
@@ -384,17 +386,17 @@
             self.nursery.start_soon(self.hold_ahead, ticket, server)
 
     async def hold_ahead(self, ticket: Ticket, server: Server) -> None:
-        place, gen = self.book.places[server], ticket.gen
+        place, request = self.book.places[server], ticket.request
         held = await self.transport.hold(
             place.ident,
             place.address,
             ticket.ident,
-            gen.prompt_toks + gen.max_toks,
+            request.prompt_toks + request.max_toks,
             self.facts.release_ms,
             place.line.protocol,
         )
-        if ticket.gen in self.tickets and not ticket.left and ticket.final is None:
-            self.tell(port.PlaceHeld(gen, held))
+        if ticket.request in self.tickets and not ticket.left and ticket.final is None:
+            self.tell(port.PlaceHeld(request, held))
 
     async def probe(self, server: Server) -> None:
         """Asks an engine for its load; one that does not say is heard all the same, and named in the log once."""
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -40,7 +40,7 @@
     # -- what happens
 
     def took(self, ticket: Ticket) -> None:
-        product, now = ticket.gen.product, time.time() * 1000
+        product, now = ticket.request.product, time.time() * 1000
         if not ticket.repeat_key:  # nobody can ask for it again: only what it holds need be known
             ticket.noted = ""
             return
@@ -63,7 +63,7 @@
             return None
         ticket.noted = ticket.noted or f"{self.birth}.{next(self.count)}"
         number = self.writer.add(Sent(ticket.noted, ticket.ident, server, address, protocol, reads, writes))
-        needed = writes and ticket.repeat_key and ticket.gen.product.effect is not Effect.IDEMPOTENT
+        needed = writes and ticket.repeat_key and ticket.request.product.effect is not Effect.IDEMPOTENT
         return number if needed else None
 
     def freed(self, ticket: Ticket) -> None:
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/ticket.py
@@ -11,7 +11,7 @@
 from ternlane.chat import ChatAsk, Keep, Known, kept_for_repeats
 from ternlane.chat.beyond import Beyond, More
 from ternlane.engine import LegPlan
-from ternlane.port import Generation, Server
+from ternlane.port import Request, Server
 from ternlane.recover import Join
 from ternlane.tenants.billing import Used
 from ternlane.turns import Terminated as Terminated
@@ -74,8 +74,8 @@
     holders: dict[Server, None] = field(default_factory=dict)  # servers that may hold a state for it
 
     @property
-    def gen(self) -> Generation:
-        return self.known.gen
+    def request(self) -> Request:
+        return self.known.request
 
     @property
     def unanswered(self) -> bool:
@@ -83,7 +83,7 @@
 
     @property
     def deadline_ms(self) -> float:
-        return self.taken + self.gen.patience_ms
+        return self.taken + self.request.patience_ms
 
     @property
     def pieces(self) -> list[str]:
@@ -92,7 +92,7 @@
     def for_repeats(self) -> Final | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else type(self.final).__name__.lower()
-        match kept_for_repeats(self.gen.product.effect, outcome, self.legs):
+        match kept_for_repeats(self.request.product.effect, outcome, self.legs):
             case Keep.NOTHING:
                 return None
             case Keep.UNSURE:
--- a/ternlane/ledger/bills.py
+++ b/ternlane/ledger/bills.py
@@ -115,17 +115,17 @@
     told: dict[str, Used] = {}
     out = Reconciled(Used(), Used(), Used())
     for entry in entries:
-        if entry.gen in told:
-            out.doubled.append(entry.gen)
-        told[entry.gen] = entry.bill.plus(entry.house)
+        if entry.request in told:
+            out.doubled.append(entry.request)
+        told[entry.request] = entry.bill.plus(entry.house)
         out.billed, out.house = out.billed.plus(entry.bill), out.house.plus(entry.house)
-    for gen, used in made.items():
+    for request, used in made.items():
         out.made = out.made.plus(used)
-        if gen not in told:
-            out.unsettled[gen] = used
-        elif (used.prompt, used.answer) != (told[gen].prompt, told[gen].answer):
-            out.differing[gen] = used, told[gen]
-    for gen, used in told.items():
-        if gen not in made and (used.prompt or used.answer):
-            out.differing[gen] = Used(), used
+        if request not in told:
+            out.unsettled[request] = used
+        elif (used.prompt, used.answer) != (told[request].prompt, told[request].answer):
+            out.differing[request] = used, told[request]
+    for request, used in told.items():
+        if request not in made and (used.prompt or used.answer):
+            out.differing[request] = Used(), used
     return out
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from ternlane.policy.lease import Lease
-from ternlane.port import Action, Generation, Server
+from ternlane.port import Action, Request, Server
 
 
 class Loop:
@@ -88,7 +88,7 @@
 class Course:
     """One generation on its way."""
 
-    gen: Generation
+    request: Request
     slo_at: float
     limit_at: float
     lot: float = 0.0  # its draw, from nought to one, for servers that take only some
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -170,7 +170,7 @@
         route = exchange.method, exchange.path
         try:
             if route == ("POST", CHAT_PATH):
-                await self.generation(exchange)
+                await self.request(exchange)
             elif route == ("GET", READY_PATH):
                 status = 200 if self.ready and not self.draining else 503
                 await exchange.answer(status, [], b"ready\n" if status == 200 else b"not ready\n", "text/plain")
@@ -181,7 +181,7 @@
         except Wrong as bad:
             raise BadRequest(bad.status, bad.why, bad.code) from None
 
-    async def generation(self, exchange: Exchange) -> None:
+    async def request(self, exchange: Exchange) -> None:
         headers: dict[bytes, str] = {}
         for name, value in exchange.request.headers:
             if name in headers and name.startswith((b"request-", b"affinity-")):
@@ -202,7 +202,7 @@
         # Counted from the request's last byte, as the users' page does: a slow client's time has only begun, and one
         # that came while this loop was busy has lost some of it already.
         patience = (wish.patience_ms or product.limit_ms) - self.unseen_ms() - node.lag_ms()
-        gen = node.deployment.generation(
+        request = node.deployment.request(
             product,
             wish.session,
             wish.opening,
@@ -212,7 +212,7 @@
             max(0.0, patience),
             wish.tenant,
         )
-        ticket = Ticket(wish.ident, gen, exchange, exchange.body, now_ms())
+        ticket = Ticket(wish.ident, request, exchange, exchange.body, now_ms())
         exchange.body = b""
         node.arrived(ticket)
         await self.answer(exchange, ticket)
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -51,16 +51,16 @@
 
     def carry_further(self, action: port.Action) -> None:
         match action:
-            case port.Release(gen, again, why):
-                ticket = self.tickets.get(gen)
+            case port.Release(request, again, why):
+                ticket = self.tickets.get(request)
                 if ticket is not None:
                     self.releasing += 1
                     self.counts[f"release {why.name}"] += 1
                     ticket.note(f"release begins: {why.name}")
                     ticket.freeing = trio.Event()
                     self.nursery.start_soon(self.release, ticket, ticket.freeing, again)
-            case port.HoldAhead(gen, server):
-                ticket = self.tickets.get(gen)
+            case port.HoldAhead(request, server):
+                ticket = self.tickets.get(request)
                 if ticket is not None and server in self.roster.spots:
                     self.nursery.start_soon(self.hold, ticket, server)
             case port.Probe(server):
@@ -105,7 +105,7 @@
     def arrived(self, ticket: Ticket) -> None:
         self.idents[ticket.ident] = ticket
         self.counts["taken"] += 1
-        ticket.note(f"received, {ticket.gen.patience_ms:.0f} ms left{self.after_sigterm(ticket)}")
+        ticket.note(f"received, {ticket.request.patience_ms:.0f} ms left{self.after_sigterm(ticket)}")
         self.taken(ticket)
 
     def after_sigterm_ms(self, ticket: Ticket) -> float | None:
@@ -144,7 +144,7 @@
             if ticket.leg is not None and (ticket.flowing or not ticket.leg.written):  # it was never a begun attempt
                 ticket.leg.call_off()
             self.closed(ticket, "left")
-            self.tell(port.ClientLeft(ticket.gen))
+            self.tell(port.ClientLeft(ticket.request))
 
     def settle(self, ticket: Ticket, final: Final) -> None:
         if ticket.over:
@@ -174,7 +174,7 @@
             attempts=ticket.trail,
             after_sigterm_ms=self.after_sigterm_ms(ticket),
             took_ms=round(now_ms() - ticket.since, 1),
-            patience_ms=round(ticket.gen.patience_ms),
+            patience_ms=round(ticket.request.patience_ms),
         )
         ticket.note(f"closed: {outcome}")
         self.records.append(RequestRecord(ticket.ident, outcome, ticket.trail, ticket.history))
@@ -183,7 +183,7 @@
     def forget(self, ticket: Ticket) -> None:
         """It stays until its answer is settled and its last leg has ended."""
         if ticket.leg is None and ticket.over:
-            self.tickets.pop(ticket.gen, None)
+            self.tickets.pop(ticket.request, None)
             if self.idents.get(ticket.ident) is ticket:
                 del self.idents[ticket.ident]
 
@@ -257,11 +257,11 @@
             took_ms=round(took, 1),
             begun=end.begun,
             kept=end.kept,
-            prompt=ticket.gen.prompt_toks,
+            prompt=ticket.request.prompt_toks,
             why=end.why,
         )
         self.tell(
-            port.LegEnded(ticket.gen, server, end.verdict, took, ticket.over, end.kept, end.state_lost, end.report)
+            port.LegEnded(ticket.request, server, end.verdict, took, ticket.over, end.kept, end.state_lost, end.report)
         )
         self.forget(ticket)
 
@@ -309,7 +309,7 @@
         self.held_states.ended(ticket.ident, now_ms())
         ticket.note(f"release heard by {heard_by}")
         if not ticket.over:
-            self.tell(port.ReleaseHeard(ticket.gen))
+            self.tell(port.ReleaseHeard(ticket.request))
         self.log.debug("release heard", gen=ticket.ident, by=heard_by, took_ms=round(took, 1))
 
     async def hold(self, ticket: Ticket, server: Server) -> None:
@@ -317,7 +317,7 @@
             self.roster.spots[server].address, ticket.ident, self.deployment.facts.release_ms
         )
         if not ticket.over:
-            self.tell(port.PlaceHeld(ticket.gen, held))
+            self.tell(port.PlaceHeld(ticket.request, held))
 
     async def probe(self, server: Server) -> None:
         verdict, report, spot = Verdict.UNCONNECTED, None, self.roster.spots.get(server)
@@ -341,7 +341,7 @@
         self.ticket.flowing, self.ticket.body = True, b""
         self.ticket.note("first event")
         self.node.held_states.ended(self.ticket.ident, now_ms())
-        self.node.tell(port.FirstTok(self.ticket.gen, self.server, now_ms() - self.since))
+        self.node.tell(port.FirstTok(self.ticket.request, self.server, now_ms() - self.since))
         await self.ticket.first(data)
 
     async def more(self, data: bytes) -> None:
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/ticket.py
@@ -11,7 +11,7 @@
 from ternlane.platform.engines import Leg
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
-from ternlane.port import Generation
+from ternlane.port import Request
 from ternlane.turns import Terminated, Throttled, now_ms
 
 STREAM_HEAD = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-cache"), ("Transfer-Encoding", "chunked")]
@@ -32,7 +32,7 @@
     """A generation at this gateway. `final` is set once; its client's connection, which watches, is then woken."""
 
     ident: str
-    gen: Generation
+    request: Request
     exchange: Exchange
     body: bytes
     since: float
@@ -70,7 +70,7 @@
 
     @property
     def deadline_ms(self) -> float:
-        return self.since + self.gen.patience_ms
+        return self.since + self.request.patience_ms
 
     @property
     def phase(self) -> Phase:
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -125,7 +125,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Generation:
+class Request:
     """A request to be routed. `session`: turns of one conversation; `opening`: a beginning of `opening_toks` tokens
     that others share; `patience_ms`: until its client gives up; `whole`: it hears nothing before all of it is there."""
 
@@ -178,7 +178,7 @@
 class Report:
     """A server's word on its load; None where the figure is not reported."""
 
-    open_gens: float | None = None
+    open_requests: float | None = None
     mem_share: float | None = None
 
 
@@ -225,14 +225,14 @@
 class Arrived:
     """A generation to be answered: by a leg that streams, a Throttle or a Terminate."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class FirstTok:
     """The leg's first token has come, `took_ms` after it was sent."""
 
-    gen: Generation
+    request: Request
     server: Server
     took_ms: float
 
@@ -243,7 +243,7 @@
     `state_lost`: a writer found nothing to go on with. `broken`: its client has a part of the answer, and another leg
     may give the rest once GoOn says so."""
 
-    gen: Generation
+    request: Request
     server: Server
     verdict: Verdict
     took_ms: float
@@ -258,21 +258,21 @@
 class GoOn:
     """It is the turn of a generation whose stream broke; its prompt has grown by what its client has."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseHeard:
     """A server has confirmed the newest release of what is held for it."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class PlaceHeld:
     """The answer to HoldAhead."""
 
-    gen: Generation
+    request: Request
     held: bool
 
 
@@ -289,7 +289,7 @@
 class ClientLeft:
     """Nobody waits for it any more; its leg is called off by the host."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
@@ -325,7 +325,7 @@
     that is not over after `whole_ms`, counted from the send, comes too late for its client. Nothing of it may be sent
     later than `begin_by_ms` from now, as no one drops the repeat of a generation any more."""
 
-    gen: Generation
+    request: Request
     server: Server
     timeout_ms: float
     quiet_ms: float
@@ -337,14 +337,14 @@
 class CallOff:
     """Stops the wait for the generation's leg that is out."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class Throttle:
     """The final answer "not now": nothing ran that a new try would double. Best after `pause_ms`."""
 
-    gen: Generation
+    request: Request
     pause_ms: float
     why: Refusal = Refusal.UNKNOWN
 
@@ -353,7 +353,7 @@
 class Terminate:
     """The final answer "given up": it may have run."""
 
-    gen: Generation
+    request: Request
     why: Refusal = Refusal.UNKNOWN
 
 
@@ -363,7 +363,7 @@
     once more within the release time, as a read that ended unheard may yet leave a state, and nothing else is to
     come."""
 
-    gen: Generation
+    request: Request
     again: bool = False
     why: ReleaseReason = ReleaseReason.UNKNOWN
 
@@ -372,7 +372,7 @@
 class HoldAhead:
     """Asks a writer to keep a place free for it."""
 
-    gen: Generation
+    request: Request
     server: Server
 
 
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -9,7 +9,7 @@
 from typing import Any, Generic, TypeVar
 
 from ternlane.paper import StreamTerms
-from ternlane.port import Generation, StartFacts
+from ternlane.port import Request, StartFacts
 from ternlane.recover.join import Join, Shelf
 from ternlane.recover.pace import Pace
 from ternlane.recover.rhythm import Rhythm
@@ -44,11 +44,11 @@
         self.pace.span_ms = max((p.limit_ms for p in facts.products), default=1000.0) * SPAN_SHARE
         self.pace.gateways = facts.gateways
 
-    def join(self, raw: dict[str, Any], gen: Generation) -> Join:
+    def join(self, raw: dict[str, Any], request: Request) -> Join:
         way, why = Way.END, "resuming is off"
         if self.terms.resume:
-            way, why = way_of(raw, gen.product.effect, self.terms.continues)
-        return Join(way, why, self.shelf, int(gen.max_toks), raw.get("stop"))
+            way, why = way_of(raw, request.product.effect, self.terms.continues)
+        return Join(way, why, self.shelf, int(request.max_toks), raw.get("stop"))
 
     # -- a leg streams
 
@@ -83,7 +83,7 @@
     # -- a leg broke
 
     def broke(
-        self, item: T, join: Join, gen: Generation, made: int | None, now: float, until: float, readers: int
+        self, item: T, join: Join, request: Request, made: int | None, now: float, until: float, readers: int
     ) -> Fate:
         """`made`: tokens of the leg by its engine's word; `until`: the client's time limit; `readers` to be asked.
         A generation that goes on grows by what is there."""
@@ -94,10 +94,10 @@
         if join.left() <= 0:  # lost between its last token and its end
             return Fate.WHOLE
         self.broke_at[item] = now
-        gen.prompt_toks += again - before
-        gen.max_toks = float(join.left())
+        request.prompt_toks += again - before
+        request.max_toks = float(join.left())
         self.pace.readers = readers
-        self.pace.wait(item, gen.prompt_toks, gen.product.revenue, float(join.toks), until)
+        self.pace.wait(item, request.prompt_toks, request.product.revenue, float(join.toks), until)
         return Fate.GOES_ON
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
--- a/ternlane/rules/check.py
+++ b/ternlane/rules/check.py
@@ -25,7 +25,7 @@
     """One broken rule, with the lines that show it."""
 
     rule: int
-    gen: str
+    request: str
     why: str
     lines: list[Line] = field(default_factory=list)
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class Leg:
-    gen: str
+    request: str
     n: int
     stage: str
     engine: str
@@ -152,24 +152,24 @@
         firsts = {line["gen"]: line for line in self.by["first"]}
         for ask in self.by["ask"]:
             counted["asked"] = counted.get("asked", 0) + 1
-            gen, said = ask["gen"], finals.get(ask["gen"], [])
+            request, said = ask["gen"], finals.get(ask["gen"], [])
             if len(said) != 1:
-                yield Finding(1, gen, f"{len(said)} endings were seen", [ask, *said])
+                yield Finding(1, request, f"{len(said)} endings were seen", [ask, *said])
                 continue
             final = said[0]
             if final["outcome"] in ("left", "unreachable"):
                 continue
             if final["unread"]:
-                yield Finding(1, gen, "something came after the final answer", [ask, final])
+                yield Finding(1, request, "something came after the final answer", [ask, final])
             if final["outcome"] not in FINALS:
                 if not self.went_down(self.gateway_of(ask), ask["t"], final["t"]):
-                    yield Finding(1, gen, f"no final answer: {final['outcome']}", [ask, final])
+                    yield Finding(1, request, f"no final answer: {final['outcome']}", [ask, final])
                 continue
             counted["answered"] = counted.get("answered", 0) + 1
-            first = firsts.get(gen, final)
+            first = firsts.get(request, final)
             late = first["t"] - ask["t"] - ask["limit_ms"]  # both by the client's own clock: nothing to tolerate
             if late > 0:
-                yield Finding(1, gen, "answered after the client's time", [ask, first, final])
+                yield Finding(1, request, "answered after the client's time", [ask, first, final])
 
     # -- rule 2
 
@@ -221,12 +221,12 @@
 
     def one_leg(self, counted: dict[str, int]) -> Iterable[Finding]:
         """Never two legs of one generation at once."""
-        for gen, legs in self.legs.items():
+        for request, legs in self.legs.items():
             counted["legs"] = counted.get("legs", 0) + len(legs)
             legs.sort(key=lambda v: v.begin)
             for a, b in zip(legs, legs[1:], strict=False):
                 if b.begin < a.end - TOLERANCE and a.how not in ("unfinished",):
-                    yield Finding(2, gen, "two legs at once", [vars(a), vars(b)])
+                    yield Finding(2, request, "two legs at once", [vars(a), vars(b)])
 
     # -- rule 3
 
@@ -269,7 +269,7 @@
                 if i and not changes[i - 1][1] and leg.begin > changes[i - 1][0] + grace:
                     yield Finding(
                         3,
-                        leg.gen,
+                        leg.request,
                         f"sent {leg.begin - changes[i - 1][0]:.0f} ms after it was told that "
                         f"{leg.engine} drains or is gone",
                         [vars(leg)],
--- a/ternlane/standin/clients.py
+++ b/ternlane/standin/clients.py
@@ -219,10 +219,10 @@
         return low + (high - low) * self.rng.random()
 
     async def attempt(self, session: Session, task: str, number: int, limit_ms: float) -> Heard:
-        talk, gen = session.talk, f"{task}.{number}"
-        name = gen  # as gateway and engines have it
+        talk, request = session.talk, f"{task}.{number}"
+        name = request  # as gateway and engines have it
         if session.tenant is not None:
-            gen = f"{session.tenant[0]}:{gen}"
+            request = f"{session.tenant[0]}:{request}"
             task = f"{session.tenant[0]}:{task}"
         stream = self.rng.random() >= talk.plain_part
         body: dict[str, Any] = {
@@ -258,7 +258,7 @@
                 caller = await self.pool.connect(self.address)
                 self.traffic.line(
                     "ask",
-                    gen=gen,
+                    gen=request,
                     task=task,
                     product=talk.product,
                     effect=talk.effect,
@@ -267,7 +267,7 @@
                     toks=toks,
                     stream=stream,
                 )
-                await self.listen(caller, gen, headers, msgspec.json.encode(body), heard, scope, leave, limit_ms)
+                await self.listen(caller, request, headers, msgspec.json.encode(body), heard, scope, leave, limit_ms)
         except Unconnected:
             heard.outcome = "unreachable"
         except GONE as why:
@@ -279,7 +279,7 @@
             caller.close_now()
             self.traffic.line(
                 "final",
-                gen=gen,
+                gen=request,
                 outcome=heard.outcome,
                 status=heard.status,
                 why=heard.why,
@@ -295,7 +295,7 @@
     async def listen(
         self,
         caller: Caller,
-        gen: str,
+        request: str,
         headers: list[tuple[str, str]],
         body: bytes,
         heard: Heard,
@@ -307,14 +307,14 @@
         heard.status = head.status_code
         said = {name: value.decode("latin-1") for name, value in head.headers}
         if said.get(b"content-type", "").startswith("text/event-stream"):
-            await self.stream(caller, gen, heard, scope, leave, limit_ms)
+            await self.stream(caller, request, heard, scope, leave, limit_ms)
         else:
             raw = await caller.body(64 * 2**20)
             answer = msgspec.json.decode(raw)
             if head.status_code == 200:
                 heard.outcome = "streamed"
                 heard.text, heard.usage = answer["choices"][0]["message"]["content"], answer["usage"]
-                self.traffic.line("first", gen=gen)
+                self.traffic.line("first", gen=request)
             else:
                 heard.outcome = (
                     "unreachable" if b"x-front" in said else "throttled" if head.status_code == 429 else "terminated"
@@ -329,7 +329,7 @@
             pass
 
     async def stream(
-        self, caller: Caller, gen: str, heard: Heard, scope: trio.CancelScope, leave: bool, limit_ms: float
+        self, caller: Caller, request: str, heard: Heard, scope: trio.CancelScope, leave: bool, limit_ms: float
     ) -> None:
         events, first, last = EventReader(), True, 0.0
         pieces: list[str] = []
@@ -354,7 +354,7 @@
                     if choice["delta"].get("content"):
                         if first:
                             first = False
-                            self.traffic.line("first", gen=gen)
+                            self.traffic.line("first", gen=request)
                         pieces.append(choice["delta"]["content"])
                 heard.usage = said.get("usage") or heard.usage
         heard.text = "".join(pieces)
--- a/ternlane/standin/engine.py
+++ b/ternlane/standin/engine.py
@@ -160,8 +160,8 @@
         finally:
             for listener in listeners:
                 listener.socket.close()
-            for gen in self.states:
-                self.traffic.line("lost", id=self.ident, gen=gen)
+            for request in self.states:
+                self.traffic.line("lost", id=self.ident, gen=request)
             self.traffic.line("down", id=self.ident)
             self.pool.close()
             self.clear()
@@ -172,9 +172,9 @@
     async def expire(self) -> None:
         while True:
             await trio.sleep(1.0)
-            for gen, (_, since) in list(self.states.items()):
+            for request, (_, since) in list(self.states.items()):
                 if clock_ms() - since > LEASE_MS:
-                    self.drop_state(gen, "lost")
+                    self.drop_state(request, "lost")
 
     async def connection(self, stream: trio.SocketStream) -> None:
         if self.trouble.cut(stream.socket.getpeername()[0]):
@@ -292,22 +292,22 @@
         if exchange.path == "/v1/chat/completions":
             await self.leg(exchange)
         elif exchange.path == "/ternlane/v1/release":
-            gen = str(msgspec.json.decode(exchange.body)["request_id"])
-            await exchange.answer(200 if self.drop_state(gen, "released") else 404, [self.load()], b"{}")
+            request = str(msgspec.json.decode(exchange.body)["request_id"])
+            await exchange.answer(200 if self.drop_state(request, "released") else 404, [self.load()], b"{}")
         elif exchange.path == "/ternlane/v1/hold":
             asked = msgspec.json.decode(exchange.body)
-            gen, toks = str(asked["request_id"]), float(asked["tokens"])
+            request, toks = str(asked["request_id"]), float(asked["tokens"])
             fits = (
                 self.duty != "read"
                 and not self.queue
                 and self.busy < self.build.slots
                 and self.used + toks <= self.build.mem_toks
-                and gen not in self.states
+                and request not in self.states
             )
             if fits:
-                self.states[gen] = toks, clock_ms()
+                self.states[request] = toks, clock_ms()
                 self.used += toks
-                self.traffic.line("state", id=self.ident, gen=gen, toks=toks)
+                self.traffic.line("state", id=self.ident, gen=request, toks=toks)
             await exchange.answer(200 if fits else 409, [self.load()], b"{}")
         elif exchange.path == "/metrics":
             self.traffic.line("asked", id=self.ident)
@@ -317,25 +317,25 @@
         else:
             await exchange.answer(404, [], b"{}")
 
-    def drop_state(self, gen: str, how: str) -> bool:
-        held = self.states.pop(gen, None)
+    def drop_state(self, request: str, how: str) -> bool:
+        held = self.states.pop(request, None)
         if held is not None:
             self.used -= held[0]
-            self.traffic.line(how, id=self.ident, gen=gen)
+            self.traffic.line(how, id=self.ident, gen=request)
         return held is not None
 
     async def give_state(self, exchange: Exchange) -> None:
-        gen = exchange.query.removeprefix("gen=")
-        toks = self.states[gen][0] if gen in self.states else None
+        request = exchange.query.removeprefix("gen=")
+        toks = self.states[request][0] if request in self.states else None
         if toks is None:
             await exchange.answer(404, [], b"{}")
             return
-        self.drop_state(gen, "taken")
+        self.drop_state(request, "taken")
         await exchange.answer(200, [], msgspec.json.encode({"toks": toks}))
 
     async def leg(self, exchange: Exchange) -> None:
         ident = exchange.header(b"x-request-id") or "?"
-        gen, _, number = ident.rpartition(".")
+        request, _, number = ident.rpartition(".")
         body = msgspec.json.decode(exchange.body)
         params = body.get("kv_transfer_params") or {}
         stage = "read" if params.get("do_remote_decode") else "write" if params.get("do_remote_prefill") else "whole"
@@ -345,7 +345,9 @@
         if self.trouble.script == "deaf" and body.get("continue_final_message"):  # it knows no such field
             text = text[: len(text) - len(body["messages"].pop()["content"].encode())]
             del body["continue_final_message"]
-        self.traffic.line("leg", id=self.ident, gen=gen, n=int(number or 0), stage=stage, gw=who, src=exchange.peer[0])
+        self.traffic.line(
+            "leg", id=self.ident, gen=request, n=int(number or 0), stage=stage, gw=who, src=exchange.peer[0]
+        )
         how = "dropped"
         try:
             async with trio.open_nursery() as nursery:
@@ -358,9 +360,9 @@
                 self.open[exchange] = nursery.cancel_scope
                 try:
                     how = await (
-                        self.read(exchange, gen, body, text)
+                        self.read(exchange, request, body, text)
                         if stage == "read"
-                        else self.write(exchange, gen, int(number or 0), stage, body, text)
+                        else self.write(exchange, request, int(number or 0), stage, body, text)
                     )
                 except Refused as why:
                     how = f"refused {why.reason}"
@@ -370,7 +372,7 @@
             pass
         finally:
             self.open.pop(exchange, None)
-            self.traffic.line("leg_end", id=self.ident, gen=gen, n=int(number or 0), how=how)
+            self.traffic.line("leg_end", id=self.ident, gen=request, n=int(number or 0), how=how)
         if how in ("dropped", "lost"):
             exchange.reset()
 
@@ -430,7 +432,7 @@
         found = kept * KEPT_BLOCK / TOK_BYTES
         return len(text) / TOK_BYTES - found, found
 
-    async def read(self, exchange: Exchange, gen: str, body: dict[str, Any], text: bytes) -> str:
+    async def read(self, exchange: Exchange, request: str, body: dict[str, Any], text: bytes) -> str:
         toks = len(text) / TOK_BYTES
         if self.duty == "write":
             raise Refused(400, "not-a-reader")
@@ -452,13 +454,13 @@
             raise
         finally:
             self.leave()
-        self.traffic.line("made", id=self.ident, gen=gen, prompt=int(toks), kept=int(kept), answer=0)
-        self.states[gen] = toks, clock_ms()
-        self.traffic.line("state", id=self.ident, gen=gen, toks=toks)
+        self.traffic.line("made", id=self.ident, gen=request, prompt=int(toks), kept=int(kept), answer=0)
+        self.states[request] = toks, clock_ms()
+        self.traffic.line("state", id=self.ident, gen=request, toks=toks)
         if self.rng.random() < self.trouble.lost:
             return await self.silence(exchange)
         answer = {
-            "id": gen,
+            "id": request,
             "object": "chat.completion",
             "choices": [{"index": 0, "message": {"role": "assistant", "content": "."}, "finish_reason": "length"}],
             "kv_transfer_params": {
@@ -468,7 +470,7 @@
                 "remote_block_ids": [],
                 "remote_host": self.host,
                 "remote_port": self.port,
-                "remote_request_id": gen,
+                "remote_request_id": request,
                 "standin_cell": self.cell,
             },
             "usage": self.usage(toks, kept, 1),
@@ -476,13 +478,13 @@
         await exchange.answer(200, [self.load()], msgspec.json.encode(answer))
         return "read"
 
-    async def fetch(self, gen: str, params: dict[str, Any]) -> None:
+    async def fetch(self, request: str, params: dict[str, Any]) -> None:
         """Takes the state over from its reader, at the speed of the link between them."""
         caller = None
         try:
             with trio.fail_after(2.0):
                 caller = await self.pool.take(f"{params['remote_host']}:{params['remote_port']}")
-                head = await caller.ask("GET", f"/standin/state?gen={gen}", [])
+                head = await caller.ask("GET", f"/standin/state?gen={request}", [])
                 said = msgspec.json.decode(await caller.body(4096))
                 self.pool.give_back(caller)
         except (
@@ -535,7 +537,7 @@
         return begun, words
 
     async def write(
-        self, exchange: Exchange, gen: str, number: int, stage: str, body: dict[str, Any], text: bytes
+        self, exchange: Exchange, request: str, number: int, stage: str, body: dict[str, Any], text: bytes
     ) -> str:
         if self.duty == ("write" if stage == "whole" else "read"):
             raise Refused(409, "no-state")
@@ -546,7 +548,7 @@
         toks, most = len(text) / TOK_BYTES, int(body.get("max_tokens") or 1024)
         if self.used + toks > self.build.mem_toks:
             raise Refused(429, "memory-full")
-        self.drop_state(gen, "taken")  # the place that was held for it, if one was
+        self.drop_state(request, "taken")  # the place that was held for it, if one was
         after, words = self.answer(body, text)
         words = words[:most]
         out, said = len(words), 0
@@ -562,11 +564,13 @@
                 await self.work(2.0 + unread / self.build.read_tok_s * 1000)
                 read = int(toks)
             else:
-                await self.fetch(gen, body["kv_transfer_params"])
-            key = exchange.header(b"idempotency-key") or gen
+                await self.fetch(request, body["kv_transfer_params"])
+            key = exchange.header(b"idempotency-key") or request
             known = self.done.get(key)
             if known is None or clock_ms() - known[0] > self.build.dedup_ms:
-                self.traffic.line("effect", id=self.ident, gen=gen, n=number, key=key, cell=self.cell, zone=self.zone)
+                self.traffic.line(
+                    "effect", id=self.ident, gen=request, n=number, key=key, cell=self.cell, zone=self.zone
+                )
                 self.done[key] = clock_ms(), ""
                 while len(self.done) > 10000:
                     self.done.popitem(last=False)
@@ -583,7 +587,7 @@
                 said += 1
                 data = event_bytes(
                     msgspec.json.encode(
-                        {"id": gen, "object": "chat.completion.chunk", "choices": [piece(body, i, word)]}
+                        {"id": request, "object": "chat.completion.chunk", "choices": [piece(body, i, word)]}
                     )
                 )
                 if i == 0:
@@ -602,16 +606,16 @@
             last = event_bytes(
                 msgspec.json.encode(
                     {
-                        "id": gen,
+                        "id": request,
                         "choices": [
                             {"index": 0, "delta": {}, "finish_reason": "tool_calls" if body.get("tools") else "stop"}
                         ],
                     }
                 )
             )
-            last += event_bytes(msgspec.json.encode({"id": gen, "choices": [], "usage": usage}))
+            last += event_bytes(msgspec.json.encode({"id": request, "choices": [], "usage": usage}))
             last += event_bytes(b"[DONE]")
-            self.traffic.line("wrote", id=self.ident, gen=gen, n=number, toks=out)
+            self.traffic.line("wrote", id=self.ident, gen=request, n=number, toks=out)
             if words:
                 await exchange.end(last)
             else:  # nothing was missing but the end
@@ -622,7 +626,7 @@
                 self.traffic.line(
                     "said",
                     id=self.ident,
-                    gen=gen,
+                    gen=request,
                     n=number,
                     after=after,
                     text="".join(words[:said]),
@@ -630,7 +634,7 @@
                 )
             if read or written:
                 self.traffic.line(
-                    "made", id=self.ident, gen=gen, prompt=read, kept=int(kept) if read else 0, answer=written
+                    "made", id=self.ident, gen=request, prompt=read, kept=int(kept) if read else 0, answer=written
                 )
             self.used -= held
             self.leave()
--- a/ternlane/tenants/cashier.py
+++ b/ternlane/tenants/cashier.py
@@ -24,7 +24,7 @@
 class Entry(msgspec.Struct, array_like=True, frozen=True):
     """One settled generation. `bill` is the tenant's, `house` what abandoned legs made; `note` tells what was odd."""
 
-    gen: str
+    request: str
     tenant: str
     product: str
     period: str
@@ -182,7 +182,7 @@
     def settle(
         self,
         hold: Hold,
-        gen: str,
+        request: str,
         outcome: str,
         billed: Billed,
         legs: int,
@@ -192,7 +192,7 @@
         pieces: int | None = None,
     ) -> Entry:
         """What was used goes on the budgets; the entry is for the ledger. A second call for a hold is a defect."""
-        assert not hold.done, f"{gen} settled twice"
+        assert not hold.done, f"{request} settled twice"
         hold.done = True
         bill, odd = self.plausible(hold, billed.bill, pieces)
         used = bill.prompt + bill.answer
@@ -204,7 +204,7 @@
         micros = (bill.prompt - bill.kept) * price.prompt + bill.kept * price.kept + bill.answer * price.answer
         period = period_at(hold.wall, hold.tenant.zone, hold.tenant.period).name  # by its arrival
         return Entry(
-            gen,
+            request,
             hold.tenant.name,
             hold.product,
             period,
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -110,7 +110,7 @@
     def leg(self) -> Waits | None: ...
 
     @property
-    def gen(self) -> port.Generation: ...
+    def request(self) -> port.Request: ...
 
     @property
     def unanswered(self) -> bool:
@@ -127,7 +127,7 @@
 class Turns(ABC, Generic[T]):
     def __init__(self, chooser: Chooser) -> None:
         self.chooser = chooser
-        self.tickets: dict[port.Generation, T] = {}
+        self.tickets: dict[port.Request, T] = {}
         self.heard: list[port.Event] = []
         self.turning = False
         self.looking = False  # for overdue requests
@@ -187,33 +187,33 @@
 
     def taken(self, ticket: T) -> None:
         """A request has come: the decisions hear of it, and it gets its answer also where they fail on it."""
-        self.tickets[ticket.gen] = ticket
+        self.tickets[ticket.request] = ticket
         if not self.looking:
             self.look_for_overdue()
-        self.tell(port.Arrived(ticket.gen))
+        self.tell(port.Arrived(ticket.request))
 
     def give_up(self, ticket: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
         if ticket.leg is not None:
             ticket.leg.call_off()
         self.settle(ticket, Terminated(why))
-        self.tell(port.ClientLeft(ticket.gen))
+        self.tell(port.ClientLeft(ticket.request))
 
     def carry_out(self, action: port.Action) -> None:
         match action:
             case port.Wake(at, beat):
                 self.at(at, partial(self.hear, port.Woken(beat)))
-            case port.SendLeg(gen, server):
-                self.send(self.tickets[gen], server, action)
-            case port.CallOff(gen):
-                ticket = self.tickets.get(gen)
+            case port.SendLeg(request, server):
+                self.send(self.tickets[request], server, action)
+            case port.CallOff(request):
+                ticket = self.tickets.get(request)
                 if ticket is not None and ticket.leg is not None and not ticket.flowing:
                     ticket.leg.call_off()
-            case port.Throttle(gen, pause, refusal):
-                if gen in self.tickets:
-                    self.settle(self.tickets[gen], Throttled(pause, refusal))
-            case port.Terminate(gen, refusal):
-                ticket = self.tickets.get(gen)
+            case port.Throttle(request, pause, refusal):
+                if request in self.tickets:
+                    self.settle(self.tickets[request], Throttled(pause, refusal))
+            case port.Terminate(request, refusal):
+                ticket = self.tickets.get(request)
                 if ticket is not None:
                     timed_out = bool(ticket.trail) and "TIMED_OUT" in ticket.trail[-1].split()
                     self.settle(ticket, Terminated(ticket.why, timed_out, refusal))
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -18,7 +18,7 @@
     Event,
     FirstTok,
     Follow,
-    Generation,
+    Request,
     Group,
     HoldAhead,
     LegEnded,
@@ -75,11 +75,11 @@
         self.products = dict(self.deployment.products)
         self.servers: dict[str, Server] = {}
         self.server_ids: dict[Server, str] = {}
-        self.gens: dict[int, Generation] = {}
-        self.gen_ids: dict[Generation, int] = {}
-        self.legs: dict[Generation, int] = {}
-        self.legs_back: dict[Generation, int] = {}
-        self.closed: set[Generation] = set()
+        self.requests: dict[int, Request] = {}
+        self.request_ids: dict[Request, int] = {}
+        self.legs: dict[Request, int] = {}
+        self.legs_back: dict[Request, int] = {}
+        self.closed: set[Request] = set()
         # Here any outcome begins the release time anew, also that of a connection that did not come up.
         self.router = Router(replace(self.deployment.facts, holds_run_on=False))
 
@@ -112,13 +112,13 @@
             return None
         return self.deployment.report(dict(zip(self.deployment.columns, (number(v) for v in text.split(",")))))
 
-    def forget(self, gen: Generation) -> None:
+    def forget(self, request: Request) -> None:
         """Drops the ids of a generation that is over and whose legs have all ended."""
-        if gen in self.closed and self.legs_back.get(gen, 0) >= self.legs.get(gen, 0):
-            self.gens.pop(self.gen_ids.pop(gen, -1), None)
-            self.closed.discard(gen)
-            self.legs.pop(gen, None)
-            self.legs_back.pop(gen, None)
+        if request in self.closed and self.legs_back.get(request, 0) >= self.legs.get(request, 0):
+            self.requests.pop(self.request_ids.pop(request, -1), None)
+            self.closed.discard(request)
+            self.legs.pop(request, None)
+            self.legs_back.pop(request, None)
 
     def event(self, part: list[str]) -> Event | None:
         what = part[0]
@@ -129,7 +129,7 @@
                 product = self.products[lane] = Product(
                     Effect.SIDE_EFFECTING, Group.CELL, 0.0, 0.0, 0.0, 0.0, number(patience), 0.0, 0.0
                 )
-            gen = self.deployment.generation(
+            request = self.deployment.request(
                 product,
                 name(session),
                 name(opening),
@@ -139,8 +139,8 @@
                 number(patience),
                 rest[0] if rest else "",
             )
-            self.gens[int(corr)], self.gen_ids[gen] = gen, int(corr)
-            return Arrived(gen)
+            self.requests[int(corr)], self.request_ids[request] = request, int(corr)
+            return Arrived(request)
         if what == "DEADLINE_HIT":
             return Woken(int(part[2]) == BEAT)
         if what == "CHECK_RESULT":
@@ -154,29 +154,29 @@
             )
         if what in ("SHUTDOWN", "WHISPER"):
             return None
-        known = self.gens.get(int(part[2]))
+        known = self.requests.get(int(part[2]))
         if known is None:
             return None
-        gen = known
+        request = known
         if what == "EXPIRED":
-            self.closed.add(gen)
-            return ClientLeft(gen)
+            self.closed.add(request)
+            return ClientLeft(request)
         server = self.server(part[4])
         if server is None:
             return None
         if what == "FLOWING":
-            return FirstTok(gen, server, number(part[5]))
+            return FirstTok(request, server, number(part[5]))
         if what == "NOTE":
-            return PlaceHeld(gen, part[5] == "1")
+            return PlaceHeld(request, part[5] == "1")
         if what == "REPORT_BACK":
             verdict, note = VERDICTS.get(part[5], Verdict.ERROR), number(part[8]) if len(part) > 8 else 0.0
             over = part[7] == "1"
-            self.legs_back[gen] = self.legs_back.get(gen, 0) + 1
+            self.legs_back[request] = self.legs_back.get(request, 0) + 1
             if over:
-                self.closed.add(gen)
+                self.closed.add(request)
             kept = note if verdict in (Verdict.READ, Verdict.STREAMED) else 0.0
             return LegEnded(
-                gen,
+                request,
                 server,
                 verdict,
                 number(part[6]),
@@ -190,21 +190,21 @@
     def lines(self, number_: str, actions: list[Action]) -> Iterator[str]:
         for a in actions:
             match a:
-                case SendLeg(gen, server, timeout):
-                    self.legs[gen] = self.legs.get(gen, 0) + 1
-                    yield f"FORWARD {number_} {self.gen_ids[gen]} {ms(timeout)} {self.server_ids[server]}"
-                case CallOff(gen):
-                    yield f"CALL_OFF {number_} {self.gen_ids[gen]} {self.legs[gen] - 1}"
-                case Throttle(gen, pause):
-                    yield f"BUSY {number_} {self.gen_ids[gen]} {ms(pause)}"
-                    self.closed.add(gen)
-                case Terminate(gen):
-                    yield f"DROP_REQUEST {number_} {self.gen_ids[gen]}"
-                    self.closed.add(gen)
-                case Release(gen):
-                    yield f"DROP_STATE {number_} {self.gen_ids[gen]}"
-                case HoldAhead(gen, server):
-                    yield f"RESERVE {number_} {self.gen_ids[gen]} {self.server_ids[server]}"
+                case SendLeg(request, server, timeout):
+                    self.legs[request] = self.legs.get(request, 0) + 1
+                    yield f"FORWARD {number_} {self.request_ids[request]} {ms(timeout)} {self.server_ids[server]}"
+                case CallOff(request):
+                    yield f"CALL_OFF {number_} {self.request_ids[request]} {self.legs[request] - 1}"
+                case Throttle(request, pause):
+                    yield f"BUSY {number_} {self.request_ids[request]} {ms(pause)}"
+                    self.closed.add(request)
+                case Terminate(request):
+                    yield f"DROP_REQUEST {number_} {self.request_ids[request]}"
+                    self.closed.add(request)
+                case Release(request):
+                    yield f"DROP_STATE {number_} {self.request_ids[request]}"
+                case HoldAhead(request, server):
+                    yield f"RESERVE {number_} {self.request_ids[request]} {self.server_ids[server]}"
                 case Probe(server):
                     yield f"ASK_LOAD {number_} {self.server_ids[server]}"
                 case Follow():
@@ -213,8 +213,8 @@
                     yield f"ARM {number_} {BEAT if beat else DUE} {ms(at)}"
                 case Log(server, text):
                     yield f"SAY_LOG {number_} {self.server_ids[server]} {text}"
-        for gen in list(self.closed):
-            self.forget(gen)
+        for request in list(self.closed):
+            self.forget(request)
 
 
 class Host:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,32 +48,32 @@
             self.servers[name].life = life
         return self.tell(port.Listed(tuple(self.servers.values())))
 
-    def gen(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Generation:
+    def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Request:
         facts = dict(opening="o", opening_toks=2000.0, prompt_toks=2400.0, max_toks=400.0, patience_ms=5000.0) | own
-        return port.Generation(self.products[effect], session, **facts)
+        return port.Request(self.products[effect], session, **facts)
 
-    def arrive(self, gen: port.Generation, after: float = 0.0) -> list[Any]:
-        return self.tell(port.Arrived(gen), after=after)
+    def arrive(self, request: port.Request, after: float = 0.0) -> list[Any]:
+        return self.tell(port.Arrived(request), after=after)
 
     def end(
         self,
-        gen: port.Generation,
+        request: port.Request,
         server: Server,
         verdict: Verdict,
         after: float = 100.0,
         over: bool = False,
         **note: Any,
     ) -> list[Any]:
-        return self.tell(port.LegEnded(gen, server, verdict, after, over, **note), after=after)
+        return self.tell(port.LegEnded(request, server, verdict, after, over, **note), after=after)
 
-    def first(self, gen: port.Generation, server: Server, after: float = 100.0) -> list[Any]:
-        return self.tell(port.FirstTok(gen, server, after), after=after)
+    def first(self, request: port.Request, server: Server, after: float = 100.0) -> list[Any]:
+        return self.tell(port.FirstTok(request, server, after), after=after)
 
-    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Generation, port.SendLeg]:
+    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Request, port.SendLeg]:
         """A generation whose state has just been sent on to a writer, and that leg."""
-        gen = self.gen(effect, **own)
-        leg = sent(self.arrive(gen))
-        return gen, sent(self.end(gen, leg.server, Verdict.READ))
+        request = self.request(effect, **own)
+        leg = sent(self.arrive(request))
+        return request, sent(self.end(request, leg.server, Verdict.READ))
 
 
 def sent(actions: list[Any]) -> port.SendLeg:
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -137,7 +137,7 @@
     def request(self) -> Any:
         rng, product = self.rng, self.rng.choice(self.products)
         prompt = 2000.0 * rng.lognormvariate(-0.2, 0.8)
-        return port.Generation(
+        return port.Request(
             product,
             rng.choice([None, *(f"s{n}" for n in range(12))]),
             rng.choice([None, *(f"o{n}" for n in range(4))]),
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ternlane import port
-from ternlane.port import Duty, Effect, Generation, Verdict
+from ternlane.port import Duty, Effect, Request, Verdict
 from tests.fleet.scene import ClientRequest, Scene
 from tests.fleet.server import ModelServer
 
@@ -23,42 +23,42 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway, self.day = gateway, gateway.day
-        self.attempts: defaultdict[Generation, int] = defaultdict(int)
-        self.tried: defaultdict[Generation, set[ModelServer]] = defaultdict(set)
-        self.ran: set[Generation] = set()
+        self.attempts: defaultdict[Request, int] = defaultdict(int)
+        self.tried: defaultdict[Request, set[ModelServer]] = defaultdict(set)
+        self.ran: set[Request] = set()
 
     def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
         out: list[port.Action] = []
         for event in events:
             match event:
-                case port.Arrived(gen):
-                    out.append(self.next(gen, Duty.READ))
-                case port.LegEnded(gen, server, verdict, _, over) if not over:
+                case port.Arrived(request):
+                    out.append(self.next(request, Duty.READ))
+                case port.LegEnded(request, server, verdict, _, over) if not over:
                     if verdict is Verdict.READ:
-                        out.append(self.next(gen, Duty.WRITE))
+                        out.append(self.next(request, Duty.WRITE))
                         continue
                     model = self.gateway.truth[server]
-                    self.tried[gen].add(model)
+                    self.tried[request].add(model)
                     if server.duty is Duty.WRITE and verdict not in (Verdict.UNCONNECTED, Verdict.FULL):
-                        self.ran.add(gen)
-                    out.append(self.next(gen, Duty.READ if server.duty is Duty.READ else Duty.WRITE))
+                        self.ran.add(request)
+                    out.append(self.next(request, Duty.READ if server.duty is Duty.READ else Duty.WRITE))
         return out
 
-    def next(self, gen: Generation, duty: Duty) -> port.Action:
+    def next(self, request: Request, duty: Duty) -> port.Action:
         gateway, day = self.gateway, self.day
-        client_request = gateway.requests[gen]
+        client_request = gateway.requests[request]
         left = client_request.came + client_request.patience - day.now
-        unsafe = gen.product.effect is not Effect.IDEMPOTENT and gen in self.ran
+        unsafe = request.product.effect is not Effect.IDEMPOTENT and request in self.ran
         if unsafe:
-            return port.Terminate(gen)
-        able = [m for m in day.models if m.duty is duty and day.view(m).healthy and m not in self.tried[gen]]
+            return port.Terminate(request)
+        able = [m for m in day.models if m.duty is duty and day.view(m).healthy and m not in self.tried[request]]
         able = [m for m in able if not day.cut(gateway, m)]
-        if left <= 0 or self.attempts[gen] >= 5 or not able:
-            return port.Throttle(gen, 200.0)
-        self.attempts[gen] += 1
+        if left <= 0 or self.attempts[request] >= 5 or not able:
+            return port.Throttle(request, 200.0)
+        self.attempts[request] += 1
         best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
         day.view(best).add(best, client_request)
-        return port.SendLeg(gen, gateway.know(best), min(left, gen.product.slo_ms), inf, inf)
+        return port.SendLeg(request, gateway.know(best), min(left, request.product.slo_ms), inf, inf)
 
 
 @dataclass
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
 from ternlane import port, turns
-from ternlane.port import Duty, Effect, Generation, Life, Server, Verdict
+from ternlane.port import Duty, Effect, Request, Life, Server, Verdict
 from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
@@ -34,8 +34,8 @@
         day = self.day
         self.incarnation += 1
         super().__init__(day.chooser(self))
-        self.requests: dict[Generation, ClientRequest] = {}
-        self.jobs: dict[Generation, Job] = {}
+        self.requests: dict[Request, ClientRequest] = {}
+        self.jobs: dict[Request, Job] = {}
         self.truth: dict[Server, ModelServer] = {}
         self.known: dict[ModelServer, Server] = {}
         for model in day.models:
@@ -87,7 +87,7 @@
 
     def arrive(self, client_request: ClientRequest) -> None:
         left = client_request.came + client_request.patience - self.day.now
-        gen = Generation(
+        request = Request(
             client_request.product,
             client_request.session,
             client_request.opening,
@@ -97,27 +97,27 @@
             left,
             tenant=client_request.tenant,
         )
-        self.requests[gen] = client_request
-        self.tickets[gen] = Ticket(gen)
-        self.tell(port.Arrived(gen))
+        self.requests[request] = client_request
+        self.tickets[request] = Ticket(request)
+        self.tell(port.Arrived(request))
         if client_request.gives_up_ms < inf:
-            self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(gen))
+            self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
 
-    def leave(self, gen: Generation) -> None:
+    def leave(self, request: Request) -> None:
         """Its client has closed the connection, unless its answer has begun."""
-        client_request = self.requests.get(gen)
+        client_request = self.requests.get(request)
         if client_request is None or client_request.first_token < inf:
             return
         client_request.left = True
-        del self.requests[gen]
-        self.tell(port.ClientLeft(gen))
-        if gen not in self.jobs:
-            self.tickets.pop(gen, None)
+        del self.requests[request]
+        self.tell(port.ClientLeft(request))
+        if request not in self.jobs:
+            self.tickets.pop(request, None)
 
     def send(self, ticket: Any, server: Server, times: port.SendLeg) -> None:
-        gen, now, incarnation = times.gen, self.day.now, self.incarnation
-        job = Job(self, gen, server, self.requests[gen], now, now + times.timeout_ms)
-        self.jobs[gen] = job
+        request, now, incarnation = times.request, self.day.now, self.incarnation
+        job = Job(self, request, server, self.requests[request], now, now + times.timeout_ms)
+        self.jobs[request] = job
         ticket.leg = Attempt(self, job)
         self.day.sent.append((now, self.truth[server]))
         self.truth[server].take(job)
@@ -134,35 +134,35 @@
         job.ended = True
         model = self.truth[job.server]
         model.leave(job)
-        self.jobs.pop(job.gen, None)
-        ticket = self.tickets.get(job.gen)
+        self.jobs.pop(job.request, None)
+        ticket = self.tickets.get(job.request)
         if ticket is not None:
             ticket.leg = None
-        client_request = self.requests.get(job.gen)
+        client_request = self.requests.get(job.request)
         over = verdict is Verdict.STREAMED or job.begun or client_request is None
         if over and verdict is not Verdict.STREAMED and client_request is not None and job.begun:
             client_request.broken = True
         if over:
-            self.requests.pop(job.gen, None)
+            self.requests.pop(job.request, None)
         self.day.attempt_outcomes[model.duty, verdict] += 1
         took = self.day.now - job.since
         kept = 0.0
         if verdict is Verdict.READ:
             kept = job.client_request.prompt - job.work * self.day.scene.reader_tokens_per_ms
-        self.tell(port.LegEnded(job.gen, job.server, verdict, took, over, kept))
-        if job.gen not in self.requests:
-            self.tickets.pop(job.gen, None)
+        self.tell(port.LegEnded(job.request, job.server, verdict, took, over, kept))
+        if job.request not in self.requests:
+            self.tickets.pop(job.request, None)
 
     def first_token(self, job: Job) -> None:
-        if job.ended or job.gen not in self.requests:
+        if job.ended or job.request not in self.requests:
             return
         job.begun = True
         job.client_request.first_token = self.day.now
-        self.tickets[job.gen].flowing = True
-        self.tell(port.FirstTok(job.gen, job.server, self.day.now - job.since))
+        self.tickets[job.request].flowing = True
+        self.tell(port.FirstTok(job.request, job.server, self.day.now - job.since))
 
     def settle(self, ticket: Any, final: turns.Throttled | turns.Terminated) -> None:
-        client_request = self.requests.pop(ticket.gen, None)
+        client_request = self.requests.pop(ticket.request, None)
         if client_request is None:
             return
         if isinstance(final, turns.Throttled):
@@ -189,7 +189,7 @@
 
 @dataclass(eq=False)
 class Ticket:
-    gen: Generation
+    request: Request
     leg: Any = None
     flowing: bool = False
     why: str = ""
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Generation, Product, Server, Tenant
+from ternlane.port import Request, Product, Server, Tenant
 
 if TYPE_CHECKING:
     from tests.fleet.gateway import Gateway
@@ -81,7 +81,7 @@
     """One attempt at one model server. `done` is told its end."""
 
     gateway: Gateway
-    gen: Generation
+    request: Request
     server: Server
     client_request: ClientRequest
     since: float
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -70,7 +70,7 @@
         """What it says of its load."""
         held = len(self.running) + len(self.waiting)
         share = self.memory / self.day.scene.writer_memory if self.duty is Duty.WRITE else 0.0
-        return Report(open_gens=float(held), mem_share=share)
+        return Report(open_requests=float(held), mem_share=share)
 
     # -- attempts
 
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -56,10 +56,10 @@
 
 def test_an_opening_is_what_another_session_began_with() -> None:
     known, shared = intake(), "the rules of the bonus " * 60
-    gens = [known.take(ask(shared + c * 600), 1000).gen for c in "abc"]  # type: ignore[arg-type]
-    assert gens[0].opening is None and gens[1].opening == gens[2].opening is not None
-    assert 0 < gens[2].opening_toks <= gens[2].prompt_toks
-    assert abs(gens[2].opening_toks * 4 - len(shared)) <= BLOCK + 8
+    requests = [known.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
+    assert requests[0].opening is None and requests[1].opening == requests[2].opening is not None
+    assert 0 < requests[2].opening_toks <= requests[2].prompt_toks
+    assert abs(requests[2].opening_toks * 4 - len(shared)) <= BLOCK + 8
 
 
 def test_token_counts_follow_what_engines_report_and_absurd_ones_do_not_count() -> None:
@@ -69,7 +69,7 @@
         known.learn_prompt(it, 500)
     for absurd in (-3, 0, 10**9):
         known.learn_prompt(it, absurd)
-    assert known.take(ask("w" * 1000), 1000).gen.prompt_toks == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
+    assert known.take(ask("w" * 1000), 1000).request.prompt_toks == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
 
 
 def test_known_ends_of_conversations_are_bounded() -> None:
@@ -164,7 +164,7 @@
 )
 def test_load_reports_are_read_in_both_forms(said: str, mem: float | None, out: float | None) -> None:
     report = load_of(said)
-    assert report is not None and (report.mem_share, report.open_gens) == (mem, out)
+    assert report is not None and (report.mem_share, report.open_requests) == (mem, out)
 
 
 @pytest.mark.parametrize("said", [None, "", "TEXT a=b", "JSON {", "XML <a/>", "JSON [1]"])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -16,24 +16,24 @@
     host.first(first, leg.server)
     host.end(first, leg.server, Verdict.STREAMED, over=True)
     for _ in range(4):
-        host.arrive(host.gen())
-    assert sent(host.arrive(host.gen(session="s"))).server is reader
+        host.arrive(host.request())
+    assert sent(host.arrive(host.request(session="s"))).server is reader
 
 
 def test_a_full_home_is_left_for_the_next_best_pair(host: FakeHost) -> None:
     first, leg = host.written(session="s")
     for _ in range(3):
         host.end(first, leg.server, Verdict.STREAMED, over=True)
-    big = host.gen(prompt_toks=150e3, opening=None, opening_toks=0.0)
+    big = host.request(prompt_toks=150e3, opening=None, opening_toks=0.0)
     taken = sent(host.arrive(big)).server
-    again = host.gen(session="s", prompt_toks=60e3, opening=None, opening_toks=0.0)
+    again = host.request(session="s", prompt_toks=60e3, opening=None, opening_toks=0.0)
     assert sent(host.arrive(again)).server is not taken
 
 
 def test_a_read_that_breaks_is_read_elsewhere(host: FakeHost) -> None:
-    gen = host.gen(Effect.SIDE_EFFECTING)
-    leg = sent(host.arrive(gen))
-    said = host.end(gen, leg.server, Verdict.RESET)
+    request = host.request(Effect.SIDE_EFFECTING)
+    leg = sent(host.arrive(request))
+    said = host.end(request, leg.server, Verdict.RESET)
     assert sent(said).server is not leg.server
     assert port.Release in kinds(said)  # the read may have gone on unheard and left its state
 
@@ -41,14 +41,14 @@
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.SIDE_EFFECTING])
 def test_a_read_overtaken_by_a_later_one_at_its_reader_is_read_elsewhere(effect: Effect) -> None:
     host = build()
-    mute = host.gen(effect, session="a")
+    mute = host.request(effect, session="a")
     first = sent(host.arrive(mute))
-    later = host.gen(session="a")
+    later = host.request(session="a")
     assert sent(host.arrive(later, after=100.0)).server is first.server  # not overdue yet: it may only be long
     said = host.end(later, first.server, Verdict.READ, after=20.0)
     assert sent(said).server.duty is port.Duty.WRITE and port.CallOff not in kinds(said)
     said = host.tell(after=300.0)  # nothing else is sent there, and still it is not waited for to its time limit
-    assert [a.gen for a in said if isinstance(a, port.CallOff)] == [mute]
+    assert [a.request for a in said if isinstance(a, port.CallOff)] == [mute]
     again = sent(host.end(mute, first.server, Verdict.CALLED_OFF))
     assert again.server.duty is port.Duty.READ and again.server is not first.server
     assert sent(host.end(mute, again.server, Verdict.READ)).server.duty is port.Duty.WRITE
@@ -56,9 +56,9 @@
 
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
     host = build(leg_limit=2)  # none is called off
-    reader = sent(host.arrive(host.gen(session="a", prompt_toks=3e3))).server
+    reader = sent(host.arrive(host.request(session="a", prompt_toks=3e3))).server
     full = host.router.desk.board[reader.seat].queue_ms
-    later = host.gen(session="a", prompt_toks=100.0)
+    later = host.request(session="a", prompt_toks=100.0)
     assert full > 0 and sent(host.arrive(later, after=10.0)).server is reader
     host.end(later, reader, Verdict.READ, after=10.0)
     assert host.router.desk.board[reader.seat].queue_ms == 0 and len(reader.seat.legs) == 1
@@ -70,11 +70,11 @@
     writer = leg.server
     host.first(kept, writer)
     host.end(kept, writer, Verdict.STREAMED, over=True)
-    other = host.gen(session="a")
+    other = host.request(session="a")
     host.end(other, sent(host.arrive(other)).server, Verdict.READ)
     host.tell(port.LegEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))  # shut, and on trial after
     host.tell(after=2000.0)
-    found = host.gen(session="a")
+    found = host.request(session="a")
     reader = sent(host.arrive(found)).server
     assert sent(host.end(found, reader, Verdict.READ)).server is writer
 
@@ -83,11 +83,11 @@
     begun, leg = host.written(session="a")
     writer = leg.server
     host.first(begun, writer)  # streams on for long
-    other = host.gen(session="a")
+    other = host.request(session="a")
     host.end(other, sent(host.arrive(other)).server, Verdict.READ)
     host.tell(port.LegEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))
     host.tell(after=600.0)
-    found, second = host.gen(session="a"), host.gen(session="a")
+    found, second = host.request(session="a"), host.request(session="a")
     reader = sent(host.arrive(found)).server
     assert sent(host.end(found, reader, Verdict.READ)).server is writer
     said = host.end(second, sent(host.arrive(second)).server, Verdict.READ)
@@ -96,41 +96,41 @@
 
 def test_a_read_is_not_called_off_where_no_legs_are_left_for_another_pair() -> None:
     host = build(leg_limit=2)
-    mute, later = host.gen(session="a"), host.gen(session="a")
+    mute, later = host.request(session="a"), host.request(session="a")
     first = sent(host.arrive(mute))
     assert sent(host.arrive(later, after=500.0)).server is first.server
     assert port.CallOff not in kinds(host.end(later, first.server, Verdict.READ, after=50.0))
 
 
 def test_a_state_goes_straight_to_another_writer_when_one_is_full(host: FakeHost) -> None:
-    gen, leg = host.written(Effect.SIDE_EFFECTING)
-    other = sent(host.end(gen, leg.server, Verdict.FULL)).server
+    request, leg = host.written(Effect.SIDE_EFFECTING)
+    other = sent(host.end(request, leg.server, Verdict.FULL)).server
     assert other.duty is leg.server.duty and other is not leg.server
 
 
 def test_a_state_is_released_before_connections_that_never_come_up_outlast_its_release_time() -> None:
     host = build(("w2", "w3"))  # 250 ms to connect, 500 to release: one failed connection leaves time for one more
-    gen, leg = host.written()
-    second = sent(host.end(gen, leg.server, Verdict.UNCONNECTED, after=250.0)).server
+    request, leg = host.written()
+    second = sent(host.end(request, leg.server, Verdict.UNCONNECTED, after=250.0)).server
     assert second.duty is port.Duty.WRITE
-    said = host.end(gen, second, Verdict.UNCONNECTED, after=250.0)
+    said = host.end(request, second, Verdict.UNCONNECTED, after=250.0)
     assert [type(a) for a in said] == [port.Release, port.SendLeg]
     assert sent(said).server.duty is port.Duty.READ
     other = build(("w2", "w3"), holds_run_on=False)  # where an outcome of any kind begins that time anew
-    gen, leg = other.written()
-    second = sent(other.end(gen, leg.server, Verdict.UNCONNECTED, after=250.0)).server
-    assert sent(other.end(gen, second, Verdict.UNCONNECTED, after=250.0)).server.duty is port.Duty.WRITE
-    gen, leg = host.written()  # a writer that refuses has answered: the time counts from then
-    second = sent(host.end(gen, leg.server, Verdict.FULL, after=400.0)).server
-    assert sent(host.end(gen, second, Verdict.FULL, after=400.0)).server.duty is port.Duty.WRITE
+    request, leg = other.written()
+    second = sent(other.end(request, leg.server, Verdict.UNCONNECTED, after=250.0)).server
+    assert sent(other.end(request, second, Verdict.UNCONNECTED, after=250.0)).server.duty is port.Duty.WRITE
+    request, leg = host.written()  # a writer that refuses has answered: the time counts from then
+    second = sent(host.end(request, leg.server, Verdict.FULL, after=400.0)).server
+    assert sent(host.end(request, second, Verdict.FULL, after=400.0)).server.duty is port.Duty.WRITE
 
 
 @pytest.mark.parametrize("verdict", [Verdict.UNCONNECTED, Verdict.FULL])
 def test_a_read_that_never_ran_left_nothing_to_release(host: FakeHost, verdict: Verdict) -> None:
-    gen = host.gen()
-    said = host.end(gen, sent(host.arrive(gen)).server, verdict)
+    request = host.request()
+    said = host.end(request, sent(host.arrive(request)).server, verdict)
     assert kinds(said) == [port.SendLeg]
-    assert port.Release in kinds(host.end(gen, sent(said).server, Verdict.TIMED_OUT))  # it may have run
+    assert port.Release in kinds(host.end(request, sent(said).server, Verdict.TIMED_OUT))  # it may have run
 
 
 @pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.CALLED_OFF, Verdict.RESET])
@@ -138,67 +138,67 @@
     host: FakeHost, verdict: Verdict
 ) -> None:
     """It ended unheard, its state came after the first release, and nobody was left for another read."""
-    gen = host.gen()
-    reader = sent(host.arrive(gen)).server
+    request = host.request()
+    reader = sent(host.arrive(request)).server
     host.list(**{name: Life.GONE for name, s in host.servers.items() if s.duty is port.Duty.READ and s is not reader})
-    said = host.end(gen, reader, verdict)
+    said = host.end(request, reader, verdict)
     assert [a.again for a in said if isinstance(a, port.Release)] == [False, True] and port.Throttle in kinds(said)
     assert host.tell(after=3000.0) == []
 
 
 def test_a_lost_state_is_read_again(host: FakeHost) -> None:
-    gen, leg = host.written()
-    said = host.end(gen, leg.server, Verdict.FULL, state_lost=True)
+    request, leg = host.written()
+    said = host.end(request, leg.server, Verdict.FULL, state_lost=True)
     assert sent(said).server.duty is port.Duty.READ
     assert port.Release in kinds(said)  # its reader may only be cut off from that writer
 
 
 @pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET, Verdict.ERROR, Verdict.CALLED_OFF])
 def test_a_side_effect_that_may_have_happened_is_not_tried_again(host: FakeHost, verdict: Verdict) -> None:
-    gen, leg = host.written(Effect.SIDE_EFFECTING)
-    assert kinds(host.end(gen, leg.server, verdict)) == [port.Terminate, port.Release]
+    request, leg = host.written(Effect.SIDE_EFFECTING)
+    assert kinds(host.end(request, leg.server, verdict)) == [port.Terminate, port.Release]
     assert host.tell(after=3000.0) == []
 
 
 def test_a_deduplicated_generation_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
-    gen, leg = host.written(Effect.DEDUPLICATED)
-    assert kinds(host.end(gen, leg.server, Verdict.RESET)) == [port.Release, port.Terminate]
-    gen, leg = host.written(Effect.IDEMPOTENT)
-    assert sent(host.end(gen, leg.server, Verdict.RESET)).server.duty is port.Duty.WRITE
+    request, leg = host.written(Effect.DEDUPLICATED)
+    assert kinds(host.end(request, leg.server, Verdict.RESET)) == [port.Release, port.Terminate]
+    request, leg = host.written(Effect.IDEMPOTENT)
+    assert sent(host.end(request, leg.server, Verdict.RESET)).server.duty is port.Duty.WRITE
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
     host.list(w0=Life.GONE, w1=Life.DRAINING)
-    assert kinds(host.arrive(host.gen())) == [port.Throttle]
+    assert kinds(host.arrive(host.request())) == [port.Throttle]
 
 
 def test_no_time_left_is_answered_at_once(host: FakeHost) -> None:
-    assert kinds(host.arrive(host.gen(patience_ms=0.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(patience_ms=0.0))) == [port.Throttle]
 
 
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
-    gen = host.gen()
-    leg = sent(host.arrive(gen))
-    home = gen.seat.writer.server
+    request = host.request()
+    leg = sent(host.arrive(request))
+    home = request.seat.writer.server
     host.list(**{name: Life.DRAINING for name, s in host.servers.items() if s is home})
-    assert sent(host.end(gen, leg.server, Verdict.READ)).server is not home
-    later = host.gen()
+    assert sent(host.end(request, leg.server, Verdict.READ)).server is not home
+    later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.life = Life.GONE
     assert kinds(host.tell(port.Arrived(later), port.Listed(tuple(host.servers.values())))) == [port.Throttle]
 
 
 def test_a_state_read_for_a_client_that_left_is_released(host: FakeHost) -> None:
-    gen = host.gen()
-    leg = sent(host.arrive(gen))
-    assert kinds(host.tell(port.ClientLeft(gen))) == [port.CallOff]
-    assert kinds(host.end(gen, leg.server, Verdict.READ, over=True)) == [port.Release]
+    request = host.request()
+    leg = sent(host.arrive(request))
+    assert kinds(host.tell(port.ClientLeft(request))) == [port.CallOff]
+    assert kinds(host.end(request, leg.server, Verdict.READ, over=True)) == [port.Release]
 
 
 def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
-    gen, leg = host.written()
-    assert kinds(host.tell(port.ClientLeft(gen))) == [port.CallOff]
-    assert kinds(host.end(gen, leg.server, Verdict.CALLED_OFF, over=True)) == [port.Release]
+    request, leg = host.written()
+    assert kinds(host.tell(port.ClientLeft(request))) == [port.CallOff]
+    assert kinds(host.end(request, leg.server, Verdict.CALLED_OFF, over=True)) == [port.Release]
 
 
 def test_a_restarted_server_gets_its_cold_share_only() -> None:
@@ -208,80 +208,80 @@
     host.list()
     legs = []
     for _ in range(40):
-        gen, leg = host.written(opening=None)
+        request, leg = host.written(opening=None)
         legs.append(leg.server)
-        host.first(gen, leg.server, after=20.0)
-        host.end(gen, leg.server, Verdict.STREAMED, over=True)
+        host.first(request, leg.server, after=20.0)
+        host.end(request, leg.server, Verdict.STREAMED, over=True)
     assert 1 <= sum(s is host.servers["w0"] for s in legs) <= 16
 
 
 def test_a_silent_writer_loses_its_sessions(host: FakeHost) -> None:
     mute = None
     for i in range(8):
-        gen, leg = host.written(session=f"s{i}", opening=f"o{i}")
+        request, leg = host.written(session=f"s{i}", opening=f"o{i}")
         mute = mute or leg.server
         if leg.server is not mute:
-            host.first(gen, leg.server, after=20.0)
+            host.first(request, leg.server, after=20.0)
     host.tell(after=900.0)
     later = [host.written(session=f"t{i}")[1].server for i in range(3)]
     assert mute not in later
 
 
 def test_bursts_wait_and_are_thrown_off_before_the_slo_time_is_lost(host: FakeHost) -> None:
-    big = [host.gen(prompt_toks=90e3, opening=None, opening_toks=0.0, max_toks=0.0) for _ in range(4)]
-    said = [a for gen in big for a in host.arrive(gen)]
+    big = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0, max_toks=0.0) for _ in range(4)]
+    said = [a for request in big for a in host.arrive(request)]
     assert port.Throttle not in kinds(said)
     waiting = [g for g in big if g.seat.leg is None]
     late = host.tell(after=6000.0)
-    assert waiting and {a.gen for a in late if isinstance(a, port.Throttle)} == set(waiting)
+    assert waiting and {a.request for a in late if isinstance(a, port.Throttle)} == set(waiting)
 
 
 def test_a_generation_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
-    crowd = [host.gen(prompt_toks=90e3, opening=None, opening_toks=0.0) for _ in range(6)]
-    for gen in crowd:
-        host.arrive(gen)
-    assert kinds(host.arrive(host.gen(patience_ms=30.0))) == [port.Throttle]
+    crowd = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0) for _ in range(6)]
+    for request in crowd:
+        host.arrive(request)
+    assert kinds(host.arrive(host.request(patience_ms=30.0))) == [port.Throttle]
 
 
 def test_a_reader_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
     ill, hits = host.servers["r0"], 0
     for _ in range(30):
-        gen = host.gen(opening=None)
-        leg = sent(host.arrive(gen, after=60.0))
+        request = host.request(opening=None)
+        leg = sent(host.arrive(request, after=60.0))
         hits += leg.server is ill
         if leg.server is ill:
-            leg = sent(host.end(gen, ill, Verdict.ERROR, after=4.0))
-        leg = sent(host.end(gen, leg.server, Verdict.READ, after=60.0))
-        host.first(gen, leg.server, after=20.0)
-        host.end(gen, leg.server, Verdict.STREAMED, over=True)
+            leg = sent(host.end(request, ill, Verdict.ERROR, after=4.0))
+        leg = sent(host.end(request, leg.server, Verdict.READ, after=60.0))
+        host.first(request, leg.server, after=20.0)
+        host.end(request, leg.server, Verdict.STREAMED, over=True)
     assert 1 <= hits <= 12
 
 
 def test_servers_that_all_came_back_cold_are_used_again(host: FakeHost) -> None:
     for _ in range(10):
-        gen, leg = host.written(opening=None)
-        host.first(gen, leg.server, after=20.0)
-        host.end(gen, leg.server, Verdict.STREAMED, over=True)
+        request, leg = host.written(opening=None)
+        host.first(request, leg.server, after=20.0)
+        host.end(request, leg.server, Verdict.STREAMED, over=True)
     for server in host.servers.values():
         server.started_ms = host.now
     host.list()
     host.tell(after=3000.0)
-    assert kinds(host.arrive(host.gen())) == [port.SendLeg]
+    assert kinds(host.arrive(host.request())) == [port.SendLeg]
 
 
 def test_one_generation_does_not_fill_a_server_for_a_hundred_gateways() -> None:
     host = build(gateways=130)
     for _ in range(3):  # one's own count times 130 would be several times each server's memory
-        assert kinds(host.arrive(host.gen())) == [port.SendLeg]
+        assert kinds(host.arrive(host.request())) == [port.SendLeg]
 
 
 def test_gateways_that_know_nothing_do_not_all_take_the_same_writer() -> None:
     chosen = set()
     for seed in range(12):
         host = build(extra=("w0a", "w0b", "w1a", "w1b"), gateways=130, seed=seed)
-        gen = host.gen(session="s")
-        host.arrive(gen)
-        chosen.add(next(name for name, s in host.servers.items() if s is gen.seat.writer.server))
+        request = host.request(session="s")
+        host.arrive(request)
+        chosen.add(next(name for name, s in host.servers.items() if s is request.seat.writer.server))
     assert len(chosen) == 3  # all in the cell of the one reader that they agree on
 
 
@@ -290,12 +290,12 @@
     taken = set()
     for seed in range(20):
         host = build(extra=tuple(readers), gateways=130, seed=seed)
-        leg = sent(host.arrive(host.gen(session=f"s{seed}", opening="shared")))
+        leg = sent(host.arrive(host.request(session=f"s{seed}", opening="shared")))
         taken.add(next(name for name, s in host.servers.items() if s is leg.server))
     assert len(taken) <= 12 and len(taken) >= 2
     first, second = (build(extra=tuple(readers), seed=seed) for seed in (1, 2))
     for opening in "abcdef":
-        legs = [sent(h.arrive(h.gen(session=opening, opening=opening), after=3000.0)) for h in (first, second)]
+        legs = [sent(h.arrive(h.request(session=opening, opening=opening), after=3000.0)) for h in (first, second)]
         assert len({leg.server.mark for leg in legs}) == 1
 
 
@@ -305,26 +305,26 @@
     for seed in range(6):  # gateways that have met one opening, or six others before it
         host = build(extra=readers, gateways=90, seed=seed)
         for i in range(seed):
-            host.arrive(host.gen(opening=f"x{i}"))
-        gen = host.gen(session="s", opening="shared")
-        host.arrive(gen)
-        seen.append({engine.server.mark for engine in gen.seat.agreed})
+            host.arrive(host.request(opening=f"x{i}"))
+        request = host.request(session="s", opening="shared")
+        host.arrive(request)
+        seen.append({engine.server.mark for engine in request.seat.agreed})
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
 
 
-def serve(host: FakeHost, gen: port.Generation, ill: Server, verdict: Verdict | None) -> bool:
+def serve(host: FakeHost, request: port.Request, ill: Server, verdict: Verdict | None) -> bool:
     """Plays it to its end, with `verdict` wherever it meets `ill`; was that so?"""
-    said, met = host.arrive(gen, after=60.0), False
+    said, met = host.arrive(request, after=60.0), False
     while any(isinstance(a, port.SendLeg) for a in said):
         leg = sent(said)
         met = met or leg.server is ill
         if leg.server is ill and verdict is not None:
-            said = host.end(gen, ill, verdict, after=20.0)
+            said = host.end(request, ill, verdict, after=20.0)
         elif leg.server.duty is port.Duty.READ:
-            said = host.end(gen, leg.server, Verdict.READ, after=20.0)
+            said = host.end(request, leg.server, Verdict.READ, after=20.0)
         else:
-            host.first(gen, leg.server, after=20.0)
-            said = host.end(gen, leg.server, Verdict.STREAMED, over=True)
+            host.first(request, leg.server, after=20.0)
+            said = host.end(request, leg.server, Verdict.STREAMED, over=True)
     return met
 
 
@@ -335,41 +335,41 @@
     for i in range(60):
         struck = bool(i % 2)
         effect = Effect.SIDE_EFFECTING if struck and verdict is Verdict.ERROR else Effect.IDEMPOTENT
-        gen = host.gen(effect, opening=None, tenant=tenants[struck])
-        met[struck] += serve(host, gen, ill, verdict if struck else None)
+        request = host.request(effect, opening=None, tenant=tenants[struck])
+        met[struck] += serve(host, request, ill, verdict if struck else None)
     assert met[True] <= 4 and met[False] >= 8
 
 
 def test_what_has_not_failed_leaves_nothing_behind(host: FakeHost) -> None:
     ill = host.servers["w0"]
     for _ in range(30):
-        serve(host, host.gen(opening=None, tenant=port.Tenant()), ill, None)
+        serve(host, host.request(opening=None, tenant=port.Tenant()), ill, None)
     assert not host.router.desk.failures  # type: ignore[attr-defined]
-    while not serve(host, host.gen(opening=None), ill, Verdict.ERROR):
+    while not serve(host, host.request(opening=None), ill, Verdict.ERROR):
         pass
     assert host.router.desk.failures  # type: ignore[attr-defined]
     for _ in range(60):
-        serve(host, host.gen(opening=None), ill, None)
+        serve(host, host.request(opening=None), ill, None)
     assert not host.router.desk.failures  # type: ignore[attr-defined]
 
 
 def test_a_last_try_without_time_for_a_first_token_is_answered_at_once(host: FakeHost) -> None:
     for _ in range(20):
-        gen = host.gen()
-        leg = sent(host.arrive(gen))
-        leg = sent(host.end(gen, leg.server, Verdict.READ, after=400.0))
-        host.first(gen, leg.server, after=100.0)
-        host.end(gen, leg.server, Verdict.STREAMED, over=True)
-    assert kinds(host.arrive(host.gen(patience_ms=600.0))) == [port.Throttle]
-    assert kinds(host.arrive(host.gen(patience_ms=3000.0))) == [port.SendLeg]
-    assert kinds(host.arrive(host.gen(patience_ms=600.0), after=9000.0)) == [port.SendLeg]  # is it still so?
+        request = host.request()
+        leg = sent(host.arrive(request))
+        leg = sent(host.end(request, leg.server, Verdict.READ, after=400.0))
+        host.first(request, leg.server, after=100.0)
+        host.end(request, leg.server, Verdict.STREAMED, over=True)
+    assert kinds(host.arrive(host.request(patience_ms=600.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(patience_ms=3000.0))) == [port.SendLeg]
+    assert kinds(host.arrive(host.request(patience_ms=600.0), after=9000.0)) == [port.SendLeg]  # is it still so?
 
 
 def test_a_batch_of_many_ends_costs_what_waits_few_tries(host: FakeHost) -> None:
-    small = [host.gen(prompt_toks=50.0, opening=None, opening_toks=0.0) for _ in range(8)]
-    out = [(gen, sent(host.arrive(gen)).server) for gen in small]
+    small = [host.request(prompt_toks=50.0, opening=None, opening_toks=0.0) for _ in range(8)]
+    out = [(request, sent(host.arrive(request)).server) for request in small]
     for i in range(40):  # none of them fits anywhere
-        host.arrive(host.gen(prompt_toks=250e3 + i, opening=None, opening_toks=0.0, patience_ms=60e3))
+        host.arrive(host.request(prompt_toks=250e3 + i, opening=None, opening_toks=0.0, patience_ms=60e3))
     desk, tries = host.router.desk, 0
     best = desk.best  # type: ignore[attr-defined]
 
@@ -379,15 +379,15 @@
         return best(course)
 
     desk.best = counted  # type: ignore[attr-defined]
-    host.tell(*(port.LegEnded(gen, server, Verdict.MOOT, 10.0, True) for gen, server in out))
+    host.tell(*(port.LegEnded(request, server, Verdict.MOOT, 10.0, True) for request, server in out))
     assert len(desk.waiting) == 40 and 1 <= tries <= 3  # type: ignore[attr-defined]
 
 
 def test_a_short_prompt_passes_a_long_one_that_finds_no_room(host: FakeHost) -> None:
-    long = host.gen(prompt_toks=250e3, opening=None, opening_toks=0.0, max_toks=0.0, patience_ms=60e3)
+    long = host.request(prompt_toks=250e3, opening=None, opening_toks=0.0, max_toks=0.0, patience_ms=60e3)
     host.arrive(long)
     assert long.seat.leg is None
-    assert kinds(host.arrive(host.gen(prompt_toks=200.0, opening=None, opening_toks=0.0))) == [port.SendLeg]
+    assert kinds(host.arrive(host.request(prompt_toks=200.0, opening=None, opening_toks=0.0))) == [port.SendLeg]
 
 
 def test_where_connections_fail_the_connected_servers_are_nearer() -> None:
@@ -395,19 +395,19 @@
     known = host.servers["r0"], host.servers["w0"]
     linked, tries = [], 0
     for _ in range(30):
-        gen = host.gen(session=f"s{tries}")
-        said = host.arrive(gen, after=2000.0)
+        request = host.request(session=f"s{tries}")
+        said = host.arrive(request, after=2000.0)
         while any(isinstance(a, port.SendLeg) for a in said):
             leg = sent(said)
             tries += 1
             if leg.server not in known:
-                said = host.end(gen, leg.server, Verdict.UNCONNECTED, after=250.0)
+                said = host.end(request, leg.server, Verdict.UNCONNECTED, after=250.0)
             elif leg.server.duty is port.Duty.READ:
-                said = host.end(gen, leg.server, Verdict.READ)
+                said = host.end(request, leg.server, Verdict.READ)
             else:
-                host.first(gen, leg.server)
-                host.end(gen, leg.server, Verdict.STREAMED, over=True)
-                linked.append(gen)
+                host.first(request, leg.server)
+                host.end(request, leg.server, Verdict.STREAMED, over=True)
+                linked.append(request)
                 break
     assert len(linked) > 20 and tries < 100  # three tries each, where chance would need five and more
 
@@ -415,11 +415,11 @@
 def test_reads_that_run_out_of_time_make_the_next_ones_more_patient(host: FakeHost) -> None:
     patience = []
     for _ in range(8):
-        gen = host.gen(patience_ms=30e3)
-        leg = sent(host.arrive(gen, after=4000.0))
+        request = host.request(patience_ms=30e3)
+        leg = sent(host.arrive(request, after=4000.0))
         patience.append(leg.timeout_ms)
-        host.end(gen, leg.server, Verdict.TIMED_OUT, after=leg.timeout_ms)
-        host.tell(port.ClientLeft(gen))
+        host.end(request, leg.server, Verdict.TIMED_OUT, after=leg.timeout_ms)
+        host.tell(port.ClientLeft(request))
     assert patience[-1] > patience[0]
 
 
@@ -430,19 +430,19 @@
     cold.started_ms = host.now
     host.list()
     for _ in range(12):
-        gen = host.gen(opening=None, opening_toks=0.0)
-        said = host.arrive(gen, after=400.0)
+        request = host.request(opening=None, opening_toks=0.0)
+        said = host.arrive(request, after=400.0)
         assert kinds(said) == [port.SendLeg]
         if sent(said).server is not cold:  # the cold one keeps what it was given
-            leg = sent(host.end(gen, host.servers["r1"], Verdict.READ, after=50.0))
-            host.first(gen, leg.server, after=20.0)
-            host.end(gen, leg.server, Verdict.STREAMED, over=True)
+            leg = sent(host.end(request, host.servers["r1"], Verdict.READ, after=50.0))
+            host.first(request, leg.server, after=20.0)
+            host.end(request, leg.server, Verdict.STREAMED, over=True)
 
 
 def test_a_burst_is_believed_soon_where_many_generations_are_open(host: FakeHost) -> None:
     for i in range(16):
-        gen, leg = host.written(session=f"s{i}", opening=f"o{i}")
-        host.first(gen, leg.server, after=5.0)
+        request, leg = host.written(session=f"s{i}", opening=f"o{i}")
+        host.first(request, leg.server, after=5.0)
     host.tell(after=600.0)
     engines = [host.servers[name].seat for name in ("w0", "w1")]
     held = sum(share for engine in engines for _, share in engine.booked.values()) / 2
@@ -451,10 +451,10 @@
 
 def test_a_gateway_that_goes_throttles_what_it_could_not_finish_and_finishes_the_rest(host: FakeHost) -> None:
     streams, leg = host.written()
-    reads = host.gen(Effect.SIDE_EFFECTING)
+    reads = host.request(Effect.SIDE_EFFECTING)
     read = sent(host.arrive(reads))
     assert not host.tell(port.Ending(port.ShutdownTimes(500.0, 800.0, 1000.0)))
-    said = host.arrive(host.gen(Effect.SIDE_EFFECTING))
+    said = host.arrive(host.request(Effect.SIDE_EFFECTING))
     assert kinds(said) == [port.Throttle]  # another gateway may do it: nothing has run
     assert sent(host.end(reads, read.server, Verdict.READ)).server.duty is port.Duty.WRITE
     host.first(streams, leg.server)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -14,7 +14,7 @@
 
 from ternlane import port
 from ternlane.choice import CARE, Router
-from ternlane.port import Duty, Effect, Generation, Group, Life, Product, Server, Verdict
+from ternlane.port import Duty, Effect, Request, Group, Life, Product, Server, Verdict
 from tests.conftest import FACTS
 
 PRODUCT = Product(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
@@ -76,25 +76,29 @@
             if isinstance(action, port.Wake):
                 self.at(action.at_ms, nth, port.Woken(action.beat))
             elif isinstance(action, port.SendLeg):
-                gen, server = action.gen, action.server
+                request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
                 told = server.started_ms == true_server.started_ms
                 self.sent.append(Attempt(self.now, true_server, nth, told))
                 if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
-                    self.at(self.now + 5.0, nth, port.LegEnded(gen, server, Verdict.FULL, 5.0, False))
+                    self.at(self.now + 5.0, nth, port.LegEnded(request, server, Verdict.FULL, 5.0, False))
                 elif server.duty is Duty.READ:
-                    self.at(self.now + READ_MS, nth, port.LegEnded(gen, server, Verdict.READ, READ_MS, False, 300.0))
+                    self.at(
+                        self.now + READ_MS, nth, port.LegEnded(request, server, Verdict.READ, READ_MS, False, 300.0)
+                    )
                 else:
-                    self.at(self.now + FIRST_MS, nth, port.FirstTok(gen, server, FIRST_MS))
-                    self.at(self.now + STREAM_MS, nth, port.LegEnded(gen, server, Verdict.STREAMED, STREAM_MS, True))
+                    self.at(self.now + FIRST_MS, nth, port.FirstTok(request, server, FIRST_MS))
+                    self.at(
+                        self.now + STREAM_MS, nth, port.LegEnded(request, server, Verdict.STREAMED, STREAM_MS, True)
+                    )
 
     def run(self, ms: float) -> None:
         until, arrivals = self.now + ms, int(ms / 1000 * self.rate)
         for n in range(arrivals):
             draw = zlib.crc32(b"arrival %d %f" % (n, self.now))
-            gen = Generation(PRODUCT, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
+            request = Request(PRODUCT, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
             nth = int(self.routers * (draw / 2**32) ** 3) if self.uneven else draw % self.routers
-            self.at(self.now + ms * n / arrivals, nth, port.Arrived(gen))
+            self.at(self.now + ms * n / arrivals, nth, port.Arrived(request))
         while self.due and self.due[0][0] <= until:
             self.now, _, nth, event = heapq.heappop(self.due)
             if isinstance(event, tuple):
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -149,7 +149,7 @@
                 raise OSError("a fault in this program")
             settle(ticket, final)
 
-        make_faulty(p, lambda events: [port.Throttle(e.gen, 0.0) for e in events if isinstance(e, port.Arrived)])
+        make_faulty(p, lambda events: [port.Throttle(e.request, 0.0) for e in events if isinstance(e, port.Arrived)])
         node.settle = settle_second  # type: ignore[method-assign]
         statuses: list[int] = []
 
@@ -198,5 +198,5 @@
             routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
             with trio.fail_after(3), pytest.raises(TerminatedError):
-                async with routing.generation(asked, time_limit_ms=400) as stream:
+                async with routing.request(asked, time_limit_ms=400) as stream:
                     await stream.text()
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -100,8 +100,8 @@
 def streaming(host: FakeHost, count: int) -> None:
     """So many streams are open, each begun at once."""
     for _ in range(count):
-        gen, attempt = host.written(opening=None, opening_toks=0.0)
-        host.first(gen, attempt.server, after=20.0)
+        request, attempt = host.written(opening=None, opening_toks=0.0)
+        host.first(request, attempt.server, after=20.0)
 
 
 def test_open_streams_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
@@ -109,16 +109,16 @@
     streaming(host, 8)
     host.tell(after=3000.0)
     assert host.router.desk.fleets[port.Duty.WRITE].level > 1.0  # the guess: all of them are full
-    assert sent(host.arrive(host.gen())).server.duty is port.Duty.READ
+    assert sent(host.arrive(host.request())).server.duty is port.Duty.READ
 
 
 def test_reads_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
     host = build(gateways=200)
     for _ in range(3):
-        sent(host.arrive(host.gen(opening=None, opening_toks=0.0), after=50.0))
+        sent(host.arrive(host.request(opening=None, opening_toks=0.0), after=50.0))
     host.tell(after=300.0)
     assert host.router.desk.fleets[port.Duty.READ].queue_ms > 1000.0  # the guess: longer than the SLO time
-    assert sent(host.arrive(host.gen())).server.duty is port.Duty.READ
+    assert sent(host.arrive(host.request())).server.duty is port.Duty.READ
 
 
 def test_the_guess_counts_once_answers_come_late() -> None:
@@ -127,13 +127,13 @@
     streaming(host, 8)
     served = 0
     while served < 32:
-        gen = host.gen(opening=None, opening_toks=0.0)
-        said = host.arrive(gen) + host.tell(after=1000.0)
+        request = host.request(opening=None, opening_toks=0.0)
+        said = host.arrive(request) + host.tell(after=1000.0)
         attempts = [action for action in said if isinstance(action, port.SendLeg)]
         if not attempts:
             break
-        write = sent(host.end(gen, attempts[0].server, Verdict.READ, after=10.0))
-        host.end(gen, write.server, Verdict.TIMED_OUT, after=500.0, over=True)
+        write = sent(host.end(request, attempts[0].server, Verdict.READ, after=10.0))
+        host.end(request, write.server, Verdict.TIMED_OUT, after=500.0, over=True)
         served += 1
     assert 0 < served < 32 and port.Throttle in kinds(said)
 
@@ -141,22 +141,22 @@
 def test_an_opening_that_one_gateway_of_many_has_met_once_does_not_pass_for_a_popular_one() -> None:
     """The request at hand tells nothing of how many others share its text, which would be read at many servers."""
     host = build(extra=tuple(f"r{n}" for n in range(2, 90)), gateways=200)
-    gen = host.gen(opening="new")
-    host.arrive(gen)
-    assert len(gen.seat.agreed) == 2
+    request = host.request(opening="new")
+    host.arrive(request)
+    assert len(request.seat.agreed) == 2
     for _ in range(20):
-        gen = host.gen(opening="new")
-        host.arrive(gen)
-    assert len(gen.seat.agreed) > 20  # it is popular by now
+        request = host.request(opening="new")
+        host.arrive(request)
+    assert len(request.seat.agreed) > 20  # it is popular by now
 
 
 def late_request(host: FakeHost) -> list[Any]:
     """What is done about a request whose read has taken all of its SLO time."""
-    gen = host.gen(opening=None, opening_toks=0.0)
-    attempt = sent(host.arrive(gen, after=100.0))
-    said = host.end(gen, attempt.server, Verdict.TIMED_OUT, after=1200.0)
+    request = host.request(opening=None, opening_toks=0.0)
+    attempt = sent(host.arrive(request, after=100.0))
+    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=1200.0)
     for further in [action for action in said if isinstance(action, port.SendLeg)]:
-        host.end(gen, further.server, Verdict.READ, after=20.0, over=True)
+        host.end(request, further.server, Verdict.READ, after=20.0, over=True)
     return said
 
 
@@ -166,12 +166,12 @@
     for _ in range(8):
         last = late_request(host)
     assert port.SendLeg not in kinds(last) and port.Throttle in kinds(last)
-    gen = host.gen(opening=None, opening_toks=0.0)
-    attempt = sent(host.arrive(gen, after=3000.0))  # what is still in time goes on
-    host.end(gen, attempt.server, Verdict.READ, after=20.0, over=True)
+    request = host.request(opening=None, opening_toks=0.0)
+    attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
+    host.end(request, attempt.server, Verdict.READ, after=20.0, over=True)
     for _ in range(32):
-        gen = host.gen(opening=None, opening_toks=0.0)
-        host.end(gen, sent(host.arrive(gen, after=100.0)).server, Verdict.READ, after=20.0, over=True)
+        request = host.request(opening=None, opening_toks=0.0)
+        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.READ, after=20.0, over=True)
     assert port.SendLeg in kinds(late_request(host))  # and once reads come in time again, so do they
 
 
@@ -181,23 +181,23 @@
         product.late_share = 0.0
     assert port.SendLeg in kinds(late_request(host))
     for _ in range(16):  # in time again
-        gen = host.gen(opening=None, opening_toks=0.0)
-        host.end(gen, sent(host.arrive(gen, after=100.0)).server, Verdict.READ, after=20.0, over=True)
+        request = host.request(opening=None, opening_toks=0.0)
+        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.READ, after=20.0, over=True)
     assert port.SendLeg in kinds(late_request(host))
 
 
 def test_what_a_server_reports_and_what_is_booked_there_count_without_a_guess() -> None:
     host = build(gateways=200)
-    gen, attempt = host.written(opening=None, opening_toks=0.0)
+    request, attempt = host.written(opening=None, opening_toks=0.0)
     for name in ("w0", "w1"):
-        full = port.Report(open_gens=40.0, mem_share=1.0)
+        full = port.Report(open_requests=40.0, mem_share=1.0)
         host.tell(port.Checked(host.servers[name], Verdict.STREAMED, full))
-    said = host.arrive(host.gen())
+    said = host.arrive(host.request())
     assert port.SendLeg not in kinds(said)
 
 
 def test_one_gateway_alone_knows_all_of_the_load() -> None:
     host = build(gateways=1)
     for _ in range(2):
-        sent(host.arrive(host.gen(prompt_toks=180e3, opening=None, opening_toks=0.0)))
-    assert port.SendLeg not in kinds(host.arrive(host.gen(prompt_toks=180e3, opening=None, opening_toks=0.0)))
+        sent(host.arrive(host.request(prompt_toks=180e3, opening=None, opening_toks=0.0)))
+    assert port.SendLeg not in kinds(host.arrive(host.request(prompt_toks=180e3, opening=None, opening_toks=0.0)))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -565,13 +565,13 @@
         with trio.fail_after(3):  # under the 3.2 s for which it would be waited
             while len(w.said("leg", stage="read", id=reader.ident)) < 2:
                 await trio.sleep(0.001)
-            gen = w.said("leg", stage="read")[-1]["gen"]
+            request = w.said("leg", stage="read")[-1]["gen"]
             reader.trouble.script = ""
             while not replies:
                 await w.ask(text="the same")
-        reads = [line["id"] for line in w.said("leg", stage="read", gen=gen)]
+        reads = [line["id"] for line in w.said("leg", stage="read", gen=request)]
         assert len(reads) == 2 and reads[0] == reader.ident != reads[1]
-        assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=gen)) == 1
+        assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=request)) == 1
         await w.settled()
 
 
@@ -580,9 +580,9 @@
         heard: list[str] = []
         for ident in ("r0", "r0b"):  # each hears the first word of it too early
 
-            def too_early(gen: str, how: str, ident: str = ident, real: Any = w.engines[ident].drop_state) -> bool:
+            def too_early(request: str, how: str, ident: str = ident, real: Any = w.engines[ident].drop_state) -> bool:
                 heard.append(ident)
-                return heard.count(ident) > 1 and bool(real(gen, how))
+                return heard.count(ident) > 1 and bool(real(request, how))
 
             monkeypatch.setattr(w.engines[ident], "drop_state", too_early)
             w.engines[ident].trouble.lost = 1.0
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -100,46 +100,46 @@
 
 def test_a_state_that_a_decode_attempt_has_taken_is_not_released() -> None:
     host = platform_like()
-    gen, leg = host.written()
-    host.first(gen, leg.server)
+    request, leg = host.written()
+    host.first(request, leg.server)
     assert not released(host.tell(after=2 * FACTS.release_ms))
 
 
 def test_an_attempt_that_timed_out_does_not_prolong_the_release_time() -> None:
     host = platform_like("w2", "w3")
-    gen, leg = host.written()
-    said = host.end(gen, leg.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
+    request, leg = host.written()
+    said = host.end(request, leg.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
     leg = sent(said)
     assert leg.server.duty is port.Duty.WRITE and not released(said)  # another may still take it
     assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
-    said = host.end(gen, leg.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
+    said = host.end(request, leg.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.duty is port.Duty.READ
 
 
 def test_a_state_that_survives_a_heard_release_is_handed_on() -> None:
     """The servers kept it for the attempt, if that had arrived and was merely slow."""
     host = platform_like("w2")
-    gen, leg = host.written()
+    request, leg = host.written()
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
-    host.tell(port.ReleaseHeard(gen))
-    said = host.end(gen, leg.server, Verdict.TIMED_OUT, after=250.0)
+    host.tell(port.ReleaseHeard(request))
+    said = host.end(request, leg.server, Verdict.TIMED_OUT, after=250.0)
     assert sent(said).server.duty is port.Duty.WRITE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
 
 
 def test_no_prefill_begins_that_would_be_the_last_attempt() -> None:
     host = platform_like(leg_limit=3)
-    gen, leg = host.written()
-    said = host.end(gen, leg.server, Verdict.FULL, state_lost=True)
+    request, leg = host.written()
+    said = host.end(request, leg.server, Verdict.FULL, state_lost=True)
     assert kinds(said) == [port.Release, port.Throttle] and said[-1].why is port.Refusal.ATTEMPTS_SPENT
 
 
 def test_nothing_is_released_while_a_prefill_is_out() -> None:
     """It would take with it what that prefill is about to leave."""
     host = platform_like()
-    gen = host.gen()
-    first = sent(host.arrive(gen))
-    said = host.end(gen, first.server, Verdict.RESET)
+    request = host.request()
+    first = sent(host.arrive(request))
+    said = host.end(request, first.server, Verdict.RESET)
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server is not first.server
     assert not released(host.tell(after=2 * FACTS.release_ms))
 
@@ -147,20 +147,20 @@
 def test_what_an_unheard_prefill_may_leave_is_released_again_while_its_request_queues() -> None:
     host = platform_like()
     host.list(r0=port.Life.DRAINING)
-    large = sent(host.arrive(host.gen(prompt_toks=190e3, opening=None)))
+    large = sent(host.arrive(host.request(prompt_toks=190e3, opening=None)))
     host.list(r0=port.Life.UP)
-    gen = host.gen(opening=None)
-    first = sent(host.arrive(gen))
+    request = host.request(opening=None)
+    first = sent(host.arrive(request))
     assert first.server is not large.server
-    said = host.end(gen, first.server, Verdict.RESET)
+    said = host.end(request, first.server, Verdict.RESET)
     assert kinds(said) == [port.Release]  # no prefill server has room
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
     host = platform_like(may_call_off=False)
-    gen, _ = host.written(Effect.SIDE_EFFECTING)
-    host.tell(port.ClientLeft(gen))
+    request, _ = host.written(Effect.SIDE_EFFECTING)
+    host.tell(port.ClientLeft(request))
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -58,22 +58,22 @@
     got: list[str] = []
     before = threading.active_count()
     with ternlane.Blocking(paper("r0", "w0"), lambda: transport) as routing:
-        threads = [threading.Thread(target=lambda: got.append("".join(routing.generation(REQUEST)))) for _ in range(8)]
+        threads = [threading.Thread(target=lambda: got.append("".join(routing.request(REQUEST)))) for _ in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(5)
-        early = routing.generation(REQUEST)
+        early = routing.request(REQUEST)
         assert next(early) == "0 "
         early.close()  # type: ignore[attr-defined]
         with pytest.raises(ternlane.Wrong):
-            list(routing.generation(REQUEST | {"model": "x"}))
+            list(routing.request(REQUEST | {"model": "x"}))
         made["w0"].trouble = "broken"
         with pytest.raises(ternlane.TerminatedError):
-            list(routing.generation(REQUEST))
+            list(routing.request(REQUEST))
     assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
     with pytest.raises(RuntimeError, match="has ended"):
-        list(routing.generation(REQUEST))
+        list(routing.request(REQUEST))
 
 
 def test_asyncio_callers_are_served_and_may_cancel() -> None:
@@ -244,14 +244,14 @@
         ternlane.open_routing(paper("r0", "w0"), first) as a,
         ternlane.open_routing(paper("r0", "w0", seed=9), second) as b,
     ):
-        async with a.generation(REQUEST) as stream:
+        async with a.request(REQUEST) as stream:
             assert await stream.text()
         assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.host.tickets
         two["r0"].trouble = "hung"
         with trio.move_on_after(0.05):
-            async with b.generation(REQUEST) as stream:
+            async with b.request(REQUEST) as stream:
                 await stream.text()
-        async with a.generation(REQUEST) as stream:
+        async with a.request(REQUEST) as stream:
             assert await stream.text()
 
 
@@ -274,7 +274,7 @@
                 counter = Count()
                 trio.lowlevel.add_instrument(counter)
                 try:
-                    async with routing.generation(REQUEST) as stream:
+                    async with routing.request(REQUEST) as stream:
                         await stream.text()
                         done = True
                 finally:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -590,7 +590,7 @@
     broke: list[str] = []
     engines = {i: Counted(broke) for i in ("r0", "w0", "w1")}
     async with open_routing(paper(*engines), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
-        async with routing.generation({**REQUEST, "model": "summary"}) as stream:
+        async with routing.request({**REQUEST, "model": "summary"}) as stream:
             got: list[str] = []
             async for text in stream:
                 got.append(text)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
     """Rule 1: believes that clients have more time than they have."""
 
     def arrived(self, ticket: Ticket) -> None:
-        ticket.gen.patience_ms += 300.0
+        ticket.request.patience_ms += 300.0
         super().arrived(ticket)
 
 
@@ -148,8 +148,8 @@
 
     how = "twice"
 
-    def join_for(self, raw: dict[str, Any], gen: port.Generation) -> Join:
-        it = super().join_for(raw, gen)
+    def join_for(self, raw: dict[str, Any], request: port.Request) -> Join:
+        it = super().join_for(raw, request)
         wrong = Wrongly(it.way, it.why, it.shelf, it.max_toks)
         wrong.how = self.how
         return wrong
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -99,10 +99,10 @@
 def test_requests_are_served_whatever_the_count_of_gateways(gateways: int) -> None:
     host = build(gateways=gateways)
     for _ in range(6):
-        gen, attempt = host.written(opening=None, opening_toks=0.0)
-        host.first(gen, attempt.server, after=20.0)
+        request, attempt = host.written(opening=None, opening_toks=0.0)
+        host.first(request, attempt.server, after=20.0)
     host.tell(after=2000.0)
-    assert sent(host.arrive(host.gen())).server.duty is port.Duty.READ
+    assert sent(host.arrive(host.request())).server.duty is port.Duty.READ
 
 
 def readers(host: FakeHost, count: int) -> set[str]:
@@ -112,11 +112,11 @@
     host.tell(after=500.0)
     used = set[str]()
     for _ in range(count):
-        gen = host.gen(opening=None, opening_toks=0.0)
-        read = sent(host.arrive(gen)).server
-        write = sent(host.end(gen, read, Verdict.READ, after=5.0)).server
-        host.first(gen, write, after=5.0)
-        host.end(gen, write, Verdict.STREAMED, after=5.0, over=True)
+        request = host.request(opening=None, opening_toks=0.0)
+        read = sent(host.arrive(request)).server
+        write = sent(host.end(request, read, Verdict.READ, after=5.0)).server
+        host.first(request, write, after=5.0)
+        host.end(request, write, Verdict.STREAMED, after=5.0, over=True)
         used |= {name for name, server in host.servers.items() if server is read}
     return used
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,7 +20,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Generation, Group, Product, Server, Verdict
+from ternlane.port import Duty, Effect, Request, Group, Product, Server, Verdict
 from tests.conftest import FACTS
 
 READ_TOKENS_PER_MS, TOKEN_MS, MEMORY_TOKENS = 8.0, 12.0, 60e3
@@ -31,7 +31,7 @@
 @dataclass(eq=False)
 class ClientRequest:
     name: str
-    gen: Generation
+    request: Request
     session: str
     came: float
     answered: bool = False
@@ -58,7 +58,7 @@
             "chat": Product(Effect.IDEMPOTENT, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 8000.0, 3.0, 0.1),
             "order": Product(Effect.SIDE_EFFECTING, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 9000.0, 1.0, 0.1),
         }
-        self.of: dict[Generation, ClientRequest] = {}
+        self.of: dict[Request, ClientRequest] = {}
         self.routers, self.servers = list[Router](), list[list[Server]]()
         for nth in range(self.gateways):
             facts = replace(
@@ -87,30 +87,30 @@
             match action:
                 case port.Wake(at, beat):
                     self.at(at, nth, port.Woken(beat))
-                case port.SendLeg(gen, server, timeout):
-                    self.attempt(nth, gen, server, timeout)
-                case port.Throttle(gen) | port.Terminate(gen):
-                    self.of[gen].rejected = True
+                case port.SendLeg(request, server, timeout):
+                    self.attempt(nth, request, server, timeout)
+                case port.Throttle(request) | port.Terminate(request):
+                    self.of[request].rejected = True
 
-    def attempt(self, nth: int, gen: Generation, server: Server, timeout: float) -> None:
+    def attempt(self, nth: int, request: Request, server: Server, timeout: float) -> None:
         place, since = self.servers[nth].index(server), self.now
         if server.duty is Duty.READ:
-            done = max(self.busy_until[place], self.now) + gen.prompt_toks / READ_TOKENS_PER_MS
+            done = max(self.busy_until[place], self.now) + request.prompt_toks / READ_TOKENS_PER_MS
             self.busy_until[place] = done
             verdict = Verdict.READ if done <= self.now + timeout else Verdict.TIMED_OUT
             took = min(done - self.now, timeout)
-            self.at(self.now + took, nth, port.LegEnded(gen, server, verdict, took, False))
+            self.at(self.now + took, nth, port.LegEnded(request, server, verdict, took, False))
             return
-        tokens = gen.prompt_toks + gen.max_toks
+        tokens = request.prompt_toks + request.max_toks
         if self.held[place] + tokens > MEMORY_TOKENS:
-            self.at(self.now + 1, nth, port.LegEnded(gen, server, Verdict.FULL, 1.0, False))
+            self.at(self.now + 1, nth, port.LegEnded(request, server, Verdict.FULL, 1.0, False))
             return
         self.held[place] += tokens
-        self.at(since + 50, nth, port.FirstTok(gen, server, 50.0))
+        self.at(since + 50, nth, port.FirstTok(request, server, 50.0))
         self.at(
-            since + 50 + TOKEN_MS * gen.max_toks / 4,
+            since + 50 + TOKEN_MS * request.max_toks / 4,
             nth,
-            (place, tokens, port.LegEnded(gen, server, Verdict.STREAMED, 50.0, True)),
+            (place, tokens, port.LegEnded(request, server, Verdict.STREAMED, 50.0, True)),
         )
 
     def arrivals(self) -> None:
@@ -124,8 +124,8 @@
             nth, turn_at = self.rng.randrange(self.gateways), when
             for _ in range(3):
                 prompt = min(12e3, mean * self.rng.lognormvariate(-0.5, 1.0))
-                gen = Generation(self.products[name], session, None, 0.0, prompt, 400.0, 7000.0)
-                self.at(turn_at, nth, ClientRequest(name, gen, session, turn_at))
+                request = Request(self.products[name], session, None, 0.0, prompt, 400.0, 7000.0)
+                self.at(turn_at, nth, ClientRequest(name, request, session, turn_at))
                 turn_at += 3000.0
 
     def run(self) -> None:
@@ -137,12 +137,12 @@
             self.now, _, nth, event = heapq.heappop(self.due)
             if isinstance(event, ClientRequest):
                 self.requests.append(event)
-                self.of[event.gen] = event
-                self.tell(nth, port.Arrived(event.gen))
+                self.of[event.request] = event
+                self.tell(nth, port.Arrived(event.request))
             elif isinstance(event, tuple):
                 place, tokens, ended = event
                 self.held[place] -= tokens
-                self.of[ended.gen].answered = True
+                self.of[ended.request].answered = True
                 self.tell(nth, ended)
             else:
                 self.tell(nth, event)
@@ -162,7 +162,7 @@
     fleet.run()
     assert len(fleet.requests) > 300
     for name in fleet.products:
-        mine = sorted((r for r in fleet.requests if r.name == name), key=lambda r: -r.gen.prompt_toks)
+        mine = sorted((r for r in fleet.requests if r.name == name), key=lambda r: -r.request.prompt_toks)
         tenth = len(mine) // 10
         assert share(mine) > (0.9 if day == "quiet" else 0.3)
         for large in (mine[:tenth], mine[tenth : 3 * tenth]):
@@ -184,13 +184,13 @@
     """Its home is full for long; other pairs are not, so none of its turns is refused."""
     fleet = Fleet(1, 0.0, seed=3)
     product = fleet.products["chat"]
-    first = Generation(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
+    first = Request(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
     fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
     fleet.tell(0, port.Arrived(first))
     home = fleet.routers[0].desk.homes["a"]  # type: ignore[attr-defined]
     fleet.held[fleet.servers[0].index(home.writer.server)] = MEMORY_TOKENS
     for _ in range(8):
-        turn = Generation(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
+        turn = Request(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
         fleet.at(fleet.now + 3000.0, 0, ClientRequest("chat", turn, "a", fleet.now))
         fleet.until(fleet.now + 3000.0)
     assert len(fleet.requests) == 8 and not any(r.rejected for r in fleet.requests)
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -51,9 +51,9 @@
 def learn_short_streams(host: FakeHost, effect: Effect) -> None:
     """Usual streams take no time, so that no estimate keeps the decisions from beginning one."""
     for _ in range(60):
-        gen, leg = host.written(effect)
-        host.first(gen, leg.server, after=1.0)
-        host.end(gen, leg.server, Verdict.STREAMED, after=1.0, over=True)
+        request, leg = host.written(effect)
+        host.first(request, leg.server, after=1.0)
+        host.end(request, leg.server, Verdict.STREAMED, after=1.0, over=True)
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -61,11 +61,11 @@
     host = build()
     learn_short_streams(host, effect)
     host.tell(port.Ending(TIMES))
-    early = host.gen(effect)
+    early = host.request(effect)
     assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.SendLeg]
-    late = host.gen(effect)
+    late = host.request(effect)
     said = host.arrive(late, after=20.0)
-    assert [type(action) for action in said if action.gen is late] == [port.Throttle]
+    assert [type(action) for action in said if action.request is late] == [port.Throttle]
     assert said[-1].why is Refusal.SHUTDOWN and said[-1].pause_ms > 0
     assert late not in host.router.desk.unanswered
 
@@ -79,10 +79,10 @@
     streamed, stream = host.written(effect, patience_ms=9000.0)
     host.first(streamed, stream.server)
     decoded, decode = host.written(effect, patience_ms=9000.0)
-    read = host.gen(effect, patience_ms=9000.0)
+    read = host.request(effect, patience_ms=9000.0)
     prefill = sent(host.arrive(read))
     said = host.tell(after=300.0)
-    called_off = {action.gen for action in said if isinstance(action, port.CallOff)}
+    called_off = {action.request for action in said if isinstance(action, port.CallOff)}
     assert called_off == {decoded, read} and not finals(said)  # the client of the third has a part of it
     after_prefill = finals(host.end(read, prefill.server, Verdict.CALLED_OFF, after=1.0))
     assert kinds(after_prefill) == [port.Throttle]  # a prefill has no effect, however it ends
@@ -98,8 +98,8 @@
     host = build(may_call_off=False)
     learn_short_streams(host, effect)
     host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    gens = [host.gen(effect, patience_ms=9000.0), host.written(effect, patience_ms=9000.0)[0]]
-    host.arrive(gens[0])
+    requests = [host.request(effect, patience_ms=9000.0), host.written(effect, patience_ms=9000.0)[0]]
+    host.arrive(requests[0])
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
     assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate] * 2
@@ -109,7 +109,7 @@
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
     for name in ("r0", "r1"):
         host.list(**{name: port.Life.DRAINING})
-    waiting = host.gen(patience_ms=9000.0)
+    waiting = host.request(patience_ms=9000.0)
     host.router.desk.served = lambda course: True  # type: ignore[method-assign]
     host.arrive(waiting)
     host.tell(port.Ending(TIMES))
@@ -137,7 +137,7 @@
         await until(lambda: p.fleet.count("write"))
         make_faulty(p, lambda events: [])
         ticket = next(iter(p.gateway.node.tickets.values()))
-        ticket.gen.patience_ms = 60e3
+        ticket.request.patience_ms = 60e3
         since = trio.current_time()
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -124,13 +124,13 @@
     async with world() as w:
         paper = w.gateway.paper
         async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
-            async with routing.generation({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
+            async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
                 with pytest.raises(PaperError, match="leg_limit"):
                     routing.alter(msgspec.structs.replace(paper, fleet=msgspec.structs.replace(TERMS, leg_limit=0)))
                 routing.alter(other_shape(paper))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(Wrong, match="does not exist"):
-                async with routing.generation({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
+                async with routing.request({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
                     pass
 
 
@@ -177,32 +177,32 @@
 
 
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
-    gen, leg = host.written()
+    request, leg = host.written()
     assert host.tell(port.Altered(replace(FACTS, leg_limit=1))) == []
-    assert kinds(host.end(gen, leg.server, port.Verdict.FULL)) == [port.Throttle, port.Release]
+    assert kinds(host.end(request, leg.server, port.Verdict.FULL)) == [port.Throttle, port.Release]
 
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
-    gen, leg = host.written(session="s")
-    home = gen.seat.reader.server
-    host.first(gen, leg.server)
-    host.end(gen, leg.server, port.Verdict.STREAMED, over=True)
+    request, leg = host.written(session="s")
+    home = request.seat.reader.server
+    host.first(request, leg.server)
+    host.end(request, leg.server, port.Verdict.STREAMED, over=True)
     host.tell(port.Altered(replace(FACTS, gateways=50, leg_limit=4, longest_pause_ms=0.0, may_advise=False)))
-    assert sent(host.arrive(host.gen(session="s"))).server is home
+    assert sent(host.arrive(host.request(session="s"))).server is home
 
 
 def test_load_is_asked_for_before_a_pair_is_chosen_and_nobody_waits_long_for_it() -> None:
     host = build(may_probe=True, told_if_asked=True)
-    gen = host.gen()
-    asked = [a.server for a in host.arrive(gen)]
+    request = host.request()
+    asked = [a.server for a in host.arrive(request)]
     assert len(asked) == 2 and all(server.duty is port.Duty.READ for server in asked)
     busy, idle = asked
     assert host.tell(port.Checked(busy, port.Verdict.STREAMED, port.Report(30.0, 0.99))) == []
     said = host.tell(port.Checked(idle, port.Verdict.STREAMED, port.Report(0.0, 0.05)))
     leg = next(a for a in said if isinstance(a, port.SendLeg))
     assert leg.server is idle and leg.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
-    assert sent(build().arrive(gen)).timeout_ms == 1000.0
-    late = host.gen(opening="other")
+    assert sent(build().arrive(request)).timeout_ms == 1000.0
+    late = host.request(opening="other")
     said = host.arrive(late, after=3000.0)
     assert port.Probe in kinds(said) and port.SendLeg not in kinds(said)
     assert port.SendLeg in kinds(host.tell(after=100.0))  # none has answered
@@ -211,13 +211,13 @@
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
 def test_nobody_waits_for_loads_beyond_its_clients_patience(patience: float) -> None:
     host = build(may_probe=True, told_if_asked=True)
-    gen = host.gen(patience_ms=patience)
-    said = host.arrive(gen, after=20.0)  # between two beats
+    request = host.request(patience_ms=patience)
+    said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
     while not any(isinstance(a, (port.SendLeg, port.Throttle)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
-    assert answered <= gen.seat.limit_at - 0.5 * patience
+    assert answered <= request.seat.limit_at - 0.5 * patience
 
 
 @pytest.mark.parametrize(
@@ -232,4 +232,4 @@
 )
 def test_metrics_that_say_nothing_are_no_report(text: str, report: tuple[float, float | None] | None) -> None:
     said = load_told(text)
-    assert (None if said is None else (said.open_gens, said.mem_share)) == report
+    assert (None if said is None else (said.open_requests, said.mem_share)) == report
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -397,17 +397,17 @@
     after = disk.after_crash(random.Random(seed))
     again, found = Store(after), list[Entry]()  # type: ignore[arg-type]
     again.recover(lambda _, e: found.append(e))
-    ids = [e.gen for e in found]
+    ids = [e.request for e in found]
     assert len(ids) == len(set(ids))
-    assert {e.gen for e in kept} <= set(ids)
+    assert {e.request for e in kept} <= set(ids)
     sums = Totals()
     for e in found:
         sums.add(e)
     assert again.totals.sums == sums.sums
     more = fill(again, [3, 3], first=1000)  # and it can be written to again
     third, all_found = Store(after), list[str]()  # type: ignore[arg-type]
-    third.recover(lambda _, e: all_found.append(e.gen))
-    assert all_found == ids + [e.gen for e in more] and third.totals.sums == again.totals.sums
+    third.recover(lambda _, e: all_found.append(e.request))
+    assert all_found == ids + [e.request for e in more] and third.totals.sums == again.totals.sums
 
 
 def test_every_cut_of_a_segment_is_recovered_from() -> None:
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -168,11 +168,11 @@
 async def test_the_router_alone_routes_by_direct_calls() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
     async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
-        async with routing.generation(REQUEST) as stream:
+        async with routing.request(REQUEST) as stream:
             assert await stream.text() == "0 1 2 3 4 5 "
         assert stream.usage["completion_tokens"] == 6 and stream.finish == "stop"
         with pytest.raises(Wrong, match="does not exist"):
-            async with routing.generation(REQUEST | {"model": "x"}):
+            async with routing.request(REQUEST | {"model": "x"}):
                 pass
         assert not routing.host.tickets and engines["w0"].effects == 1
 
@@ -183,7 +183,7 @@
         for local in ("w0", "w1"):
             engines[local].trouble = "broken"
         with pytest.raises(TerminatedError, match="out of memory") as bad:
-            async with routing.generation(REQUEST) as stream:
+            async with routing.request(REQUEST) as stream:
                 await stream.text()
         assert not bad.value.begun
         with trio.fail_after(1):  # released in the background
@@ -191,21 +191,21 @@
                 await trio.sleep(0.002)
         engines["r0"].trouble = "full"
         with pytest.raises(ThrottledError):
-            async with routing.generation(REQUEST, time_limit_ms=200) as stream:
+            async with routing.request(REQUEST, time_limit_ms=200) as stream:
                 await stream.text()
 
 
 async def test_leaving_early_calls_off_and_releases() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
     async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
-        async with routing.generation(REQUEST) as stream:
+        async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
         with trio.fail_after(1):
             while routing.host.tickets or engines["w0"].closed < 1:
                 await trio.sleep(0.005)
         with pytest.raises(KeyError):
-            async with routing.generation(REQUEST):
+            async with routing.request(REQUEST):
                 raise KeyError("the caller's own")
         with trio.fail_after(1):
             while routing.host.tickets or "lib-2" in engines["r0"].states:
@@ -216,7 +216,7 @@
     async def round_trip() -> None:
         engines = {i: Local() for i in ("r0", "w0")}
         async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore
-            async with routing.generation(REQUEST) as stream:
+            async with routing.request(REQUEST) as stream:
                 async for _ in stream:
                     break
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -168,7 +168,7 @@
         if commit:
             self.store.commit()
             for _, e in [*self.pending, (0, entry)]:
-                self.kept[e.gen] = e.period, e.bill.prompt + e.bill.answer
+                self.kept[e.request] = e.period, e.bill.prompt + e.bill.answer
             self.pending = []
         else:
             self.pending = [*self.pending, (0, entry)]
@@ -220,7 +220,7 @@
             out = super().take(now, events)
             for action in list(out):
                 if isinstance(action, port.SendLeg) and action.server.duty is port.Duty.READ:
-                    out.append(port.HoldAhead(action.gen, action.gen.seat.writer.server))
+                    out.append(port.HoldAhead(action.request, action.request.seat.writer.server))
             told.extend(e for e in events if isinstance(e, port.PlaceHeld))
             return out
 
