--- a/bench/budget.py
+++ b/bench/budget.py
@@ -275,7 +275,7 @@
                     e.house.kept,
                     e.house.answer,
                     e.micros,
-                    e.legs,
+                    e.attempts,
                     e.key,
                     e.note,
                 )
--- a/bench/library.py
+++ b/bench/library.py
@@ -23,17 +23,17 @@
 import trio
 
 import ternlane
-from ternlane.engine import Kept, LegAsk, LocalTransport
+from ternlane.engine import Kept, AttemptRequest, LocalTransport
 from ternlane.paper.gateway import InlineSource
 
 REQUEST = {"model": "summary", "messages": [{"role": "user", "content": "folder 17 " * 40}], "stream": True}
 
 
 class Quick:
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         return Kept({}, 100)
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         for _ in range(8):
             yield "word "
 
@@ -110,14 +110,14 @@
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
         request = port.Request(offer.products["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
-        leg = next(a for a in router.take(now, [port.Arrived(request)]) if isinstance(a, port.SendLeg))
-        leg = next(
+        attempt = next(a for a in router.take(now, [port.Arrived(request)]) if isinstance(a, port.StartAttempt))
+        attempt = next(
             a
-            for a in router.take(now + 1, [port.LegEnded(request, leg.server, port.Verdict.READ, 1.0, False)])
-            if isinstance(a, port.SendLeg)
+            for a in router.take(now + 1, [port.AttemptEnded(request, attempt.server, port.Verdict.READ, 1.0, False)])
+            if isinstance(a, port.StartAttempt)
         )
-        router.take(now + 1.5, [port.FirstTok(request, leg.server, 0.5)])
-        router.take(now + 2, [port.LegEnded(request, leg.server, port.Verdict.STREAMED, 1.0, True)])
+        router.take(now + 1.5, [port.FirstTok(request, attempt.server, 0.5)])
+        router.take(now + 2, [port.AttemptEnded(request, attempt.server, port.Verdict.STREAMED, 1.0, True)])
         took.append((time.perf_counter() - since) * 1000)
     return took
 
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -21,7 +21,7 @@
 from trio.testing import MockClock
 
 import ternlane
-from ternlane.engine import Kept, LegAsk, LocalTransport, Refuses, Unreached
+from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
 
 
 class Fleet:
@@ -48,7 +48,7 @@
         self.fleet, self.ident, self.faults, self.toks, self.tok_s = fleet, ident, faults, toks, tok_s
         self.read_tok_s, self.dead, self.busy = read_tok_s, trio.CancelScope(), trio.CapacityLimiter(slots)
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
         toks = 100 + done
         async with self.busy:
@@ -57,7 +57,7 @@
         self.fleet.reads.append((trio.current_time(), toks, ask.goes_on))
         return Kept({}, toks)
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         fate = self.fleet.rng.random() / max(self.faults, 1e-9)
         if self.dead.cancel_called or fate < 0.2:
             raise Unreached("refused")
@@ -103,7 +103,7 @@
         name="b",
         listen="127.0.0.1:0",
         nodes=ternlane.InlineSource(nodes=nodes),
-        fleet=ternlane.FleetTerms(leg_limit=10),
+        fleet=ternlane.FleetTerms(max_attempts=10),
         streams=ternlane.StreamTerms(**streams),
         products=[
             ternlane.ProductTerms(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -9,8 +9,8 @@
     gateways=1,
     zone="hall",
     products=(product,),
-    leg_limit=5,
-    may_call_off=True,
+    max_attempts=5,
+    may_cancel=True,
     may_hold_ahead=False,
     may_probe=False,
     may_advise=True,
@@ -40,15 +40,15 @@
 request = ternlane.Request(product, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
 
-def leg(actions: list) -> ternlane.Server:
-    sent = next(a for a in actions if isinstance(a, port.SendLeg))
+def attempt(actions: list) -> ternlane.Server:
+    sent = next(a for a in actions if isinstance(a, port.StartAttempt))
     print(f"send to {names[sent.server]}, give up after {sent.timeout_ms:.0f} ms")
     return sent.server
 
 
-reader = leg(router.take(1.0, [port.Arrived(request)]))
-writer = leg(router.take(60.0, [port.LegEnded(request, reader, ternlane.Verdict.READ, 59.0, False)]))
-other = leg(router.take(61.0, [port.LegEnded(request, writer, ternlane.Verdict.UNCONNECTED, 1.0, False)]))
+reader = attempt(router.take(1.0, [port.Arrived(request)]))
+writer = attempt(router.take(60.0, [port.AttemptEnded(request, reader, ternlane.Verdict.READ, 59.0, False)]))
+other = attempt(router.take(61.0, [port.AttemptEnded(request, writer, ternlane.Verdict.UNCONNECTED, 1.0, False)]))
 router.take(90.0, [port.FirstTok(request, other, 29.0)])
-router.take(400.0, [port.LegEnded(request, other, ternlane.Verdict.STREAMED, 339.0, True)])
+router.take(400.0, [port.AttemptEnded(request, other, ternlane.Verdict.STREAMED, 339.0, True)])
 print(f"read by {names[reader]}, written by {names[other]}")
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -10,11 +10,11 @@
 class Engine:
     """Reads and writes by calling whatever model this process holds; here it counts words."""
 
-    async def read(self, ask: ternlane.LegAsk) -> ternlane.Kept:
+    async def read(self, ask: ternlane.AttemptRequest) -> ternlane.Kept:
         text = ask.raw["messages"][-1]["content"]
         return ternlane.Kept({"words": len(text.split())}, prompt_toks=len(text) // 4)
 
-    async def write(self, ask: ternlane.LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: ternlane.AttemptRequest) -> AsyncIterator[str]:
         for piece in ("there ", "are ", str(ask.state["words"]), " words"):
             yield piece
 
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -7,7 +7,7 @@
 import trio
 
 import ternlane
-from ternlane.engine import LegEnd
+from ternlane.engine import AttemptResult
 from ternlane.paper.gateway import InlineSource
 
 
@@ -17,19 +17,19 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.asked = folder, list[str]()
 
-    async def read(self, ask: ternlane.LegAsk) -> LegEnd:
+    async def read(self, ask: ternlane.AttemptRequest) -> AttemptResult:
         self.asked.append(ask.server)
         path = self.folder / ask.ident
         path.write_text(ask.raw["messages"][-1]["content"])
-        return LegEnd(ternlane.Verdict.READ, state={"path": str(path)})
+        return AttemptResult(ternlane.Verdict.READ, state={"path": str(path)})
 
-    async def stream(self, ask: ternlane.LegAsk, pass_on) -> LegEnd:
+    async def stream(self, ask: ternlane.AttemptRequest, pass_on) -> AttemptResult:
         self.asked.append(ask.server)
         if ask.server == "broken":
-            return LegEnd(ternlane.Verdict.UNCONNECTED, why="no such folder")
+            return AttemptResult(ternlane.Verdict.UNCONNECTED, why="no such folder")
         for i, word in enumerate(Path(ask.state["path"]).read_text().split()):
             await pass_on(word[::-1] + " ", i == 0)
-        return LegEnd(ternlane.Verdict.STREAMED, begun=True)
+        return AttemptResult(ternlane.Verdict.STREAMED, begun=True)
 
     async def release(self, server, address, ident, within_ms, protocol="disaggregated") -> bool:
         (self.folder / ident).unlink(missing_ok=True)
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -42,13 +42,13 @@
     "SocketTransport": "engine",
     "LocalTransport": "engine",
     "LocalEngine": "engine",
-    "LegAsk": "engine",
+    "AttemptRequest": "engine",
     "Kept": "engine",
     "Refuses": "engine",
     "Unreached": "engine",
     "Stage": "engine",
-    "LegEnd": "engine",
-    "LegPlan": "engine",
+    "AttemptResult": "engine",
+    "AttemptPlan": "engine",
     "ClientGone": "engine",
     "Usage": "engine",
     "Wrong": "chat",
@@ -81,9 +81,9 @@
     from ternlane.embed import open_routing as open_routing
     from ternlane.engine import ClientGone as ClientGone
     from ternlane.engine import Kept as Kept
-    from ternlane.engine import LegAsk as LegAsk
-    from ternlane.engine import LegEnd as LegEnd
-    from ternlane.engine import LegPlan as LegPlan
+    from ternlane.engine import AttemptRequest as AttemptRequest
+    from ternlane.engine import AttemptResult as AttemptResult
+    from ternlane.engine import AttemptPlan as AttemptPlan
     from ternlane.engine import LocalEngine as LocalEngine
     from ternlane.engine import LocalTransport as LocalTransport
     from ternlane.engine import Refuses as Refuses
--- a/ternlane/chat/repeats.py
+++ b/ternlane/chat/repeats.py
@@ -44,12 +44,12 @@
     UNSURE = auto()  # that it may have run
 
 
-def kept_for_repeats(effect: Effect, outcome: str, legs: int) -> Keep:
+def kept_for_repeats(effect: Effect, outcome: str, attempts: int) -> Keep:
     """`outcome` is streamed, throttled, terminated or left. A throttle promises that nothing ran; where a second run
     does no harm, only a whole answer is worth keeping; a client that left before any leg was sent never came."""
     if outcome == "streamed":
         return Keep.ANSWER
-    if outcome == "throttled" or effect is Effect.IDEMPOTENT or (outcome == "left" and not legs):
+    if outcome == "throttled" or effect is Effect.IDEMPOTENT or (outcome == "left" and not attempts):
         return Keep.NOTHING
     return Keep.UNSURE if outcome == "left" else Keep.ANSWER
 
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -21,7 +21,7 @@
     Booked,
     Course,
     Home,
-    Leg,
+    Attempt,
     Limits,
     Loop,
     Lost,
@@ -69,7 +69,7 @@
 LOT = 0.618  # of the way round between two draws of a generation, as far from all before as can be
 OUT_SHARE = 0.25  # part of the longest answer that a generation is expected to fill
 NEVER_RAN = {Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD, Verdict.READ}
-NO_SIGN = {Verdict.TIMED_OUT, Verdict.ERROR, Verdict.FULL, Verdict.CALLED_OFF, Verdict.MOOT, Verdict.WITHHELD}
+NO_SIGN = {Verdict.TIMED_OUT, Verdict.ERROR, Verdict.FULL, Verdict.CANCELLED, Verdict.MOOT, Verdict.WITHHELD}
 
 
 def limits_from(facts: StartFacts) -> Limits:
@@ -83,7 +83,7 @@
         cold_ms=facts.cold_ms,
         retry_ms=2 * facts.connect_ms,
         idle_ms=facts.idle_ms,
-        leg_limit=facts.leg_limit,
+        max_attempts=facts.max_attempts,
         hand_ms=max(0.0, facts.release_ms - facts.connect_ms) if facts.holds_run_on else inf,
         guard_ms=(1 - RELEASE_RESERVE) * facts.release_ms
         if facts.holds_run_on and facts.releases_spare_attempts
@@ -98,7 +98,7 @@
         self.server = server
         self.reads, self.writes = server.duty is not Duty.WRITE, server.duty is not Duty.READ
         self.booked: dict[Course, tuple[float, float]] = {}  # when, how much of its memory
-        self.legs: dict[Leg, None] = {}
+        self.attempts: dict[Attempt, None] = {}
         self.said: tuple[float, float, float | None] | None = None  # when, memory share, generations held
         self.done = self.due = self.cold_until = self.linked_until = 0.0
         self.strikes, self.shut_until, self.trial, self.answered = 0, 0.0, False, -inf
@@ -112,21 +112,21 @@
                 self.sent += 1
             case Unbooked(course):
                 self.booked.pop(course, None)
-            case Sent(leg):
-                self.legs[leg] = None
-            case StageEnded(leg, good, next_usual):
-                self.count(leg)
+            case Sent(attempt):
+                self.attempts[attempt] = None
+            case StageEnded(attempt, good, next_usual):
+                self.count(attempt)
                 if good is not False:
                     self.linked_until = now + self.limits.idle_ms
                 self.done += good is True
                 self.due += (good is False) * DOUBT / 2  # guards against one that fails fast and looks free
                 if next_usual is None:
-                    self.legs.pop(leg, None)
-                    if good and not leg.writes:
-                        self.answered = max(self.answered, leg.sent)
+                    self.attempts.pop(attempt, None)
+                    if good and not attempt.writes:
+                        self.answered = max(self.answered, attempt.sent)
                 else:
-                    leg.since, leg.usual_ms, leg.counted = now, next_usual, 0.0
-                if good and self.trial and now - leg.since <= CROWD * leg.usual_ms:
+                    attempt.since, attempt.usual_ms, attempt.counted = now, next_usual, 0.0
+                if good and self.trial and now - attempt.since <= CROWD * attempt.usual_ms:
                     self.trial, self.strikes = False, 0
                 elif good is False and self.trial:
                     self.shut(self.limits.retry_ms, "its trial failed")
@@ -142,8 +142,8 @@
                 fade = exp((self.beat_at - now) / self.limits.span_ms)
                 self.sent *= fade ** (1 / LOOK)
                 self.fleet = note
-                for leg in self.legs:
-                    self.count(leg)
+                for attempt in self.attempts:
+                    self.count(attempt)
                 self.done, self.due = self.done * fade, self.due * fade
                 self.beat_at = now
             case News():
@@ -156,9 +156,9 @@
 
     def overtaken(self) -> None:
         """Guards against lost answers: prompts are read in turn, so what is overdue has been read too."""
-        for leg in self.legs:
-            if leg.sent < min(self.answered, self.router.now - leg.usual_ms) and not leg.writes:
-                self.router.desk.post(Lost(leg))
+        for attempt in self.attempts:
+            if attempt.sent < min(self.answered, self.router.now - attempt.usual_ms) and not attempt.writes:
+                self.router.desk.post(Lost(attempt))
 
     def shut(self, wait: float, why: str) -> None:
         """Nothing more for a while, twice as long each time; then one leg at a time."""
@@ -168,11 +168,11 @@
             self.router.out.append(port.Log(self.server, f"ejected for {wait:.0f} ms (time {self.strikes}): {why}"))
             self.trial, self.done, self.due = True, 0.0, 0.0
 
-    def count(self, leg: Leg) -> None:
+    def count(self, attempt: Attempt) -> None:
         """Adds what the leg should have got done at its peers' pace; one leg alone can't condemn a server."""
-        ought = min((self.router.now - leg.since) / max(leg.usual_ms, 1.0), 2 * DOUBT)
-        self.due += ought - leg.counted
-        leg.counted = ought
+        ought = min((self.router.now - attempt.since) / max(attempt.usual_ms, 1.0), 2 * DOUBT)
+        self.due += ought - attempt.counted
+        attempt.counted = ought
 
     def standing(self) -> Standing:
         now, own = self.router.now, sum(s for _, s in self.booked.values())
@@ -180,7 +180,9 @@
         crowding = (self.sent + CROWD) / (self.fleet.mean_sent + CROWD) * (1 - 1 / self.limits.share)
         used = own + self.fleet.level * crowding
         free, known = 1 - used, 1 - own
-        queue = sum(leg.work_ms for leg in self.legs if leg.sent >= self.answered)  # a lost one is no load
+        queue = sum(
+            attempt.work_ms for attempt in self.attempts if attempt.sent >= self.answered
+        )  # a lost one is no load
         ahead = CROWD * queue + self.fleet.trust * (self.fleet.queue_ms * crowding)
         if self.said is not None:  # an old report says less than the mean does
             at, mem_share, held = self.said
@@ -240,7 +242,7 @@
         self.trust = 1.0  # how long reads took, against what the readers' queues were believed to be
 
     def adopt(self, facts: StartFacts) -> None:
-        self.may_call_off, self.must_ask = facts.may_call_off, facts.must_ask
+        self.may_cancel, self.must_ask = facts.may_cancel, facts.must_ask
         self.told_if_asked = facts.may_probe and facts.told_if_asked
 
     def handle(self, note: Any) -> None:
@@ -249,18 +251,18 @@
                 self.board[note.engine] = note
             case port.Arrived(request):
                 self.arrived(request)
-            case port.FirstTok(request, _, took) if request.seat.leg is not None:
-                self.first_tok(request.seat, request.seat.leg, took)
-            case port.LegEnded():
+            case port.FirstTok(request, _, took) if request.seat.attempt is not None:
+                self.first_tok(request.seat, request.seat.attempt, took)
+            case port.AttemptEnded():
                 self.stuck = inf
-                self.leg_ended(note)
+                self.attempt_ended(note)
             case port.ClientLeft(request) if request.seat and not request.seat.over:
                 self.close(request.seat)
             case Onward(course):
                 self.onward(course)
-            case Lost(leg):
-                self.lost(leg)
-            case port.GoOn(request) if not request.seat.over and request.seat.leg is None:
+            case Lost(attempt):
+                self.lost(attempt)
+            case port.GoOn(request) if not request.seat.over and request.seat.attempt is None:
                 self.onward(request.seat)
             case port.Listed(servers):
                 for server in servers:
@@ -314,7 +316,7 @@
             self.enter(course)
 
     def enter(self, course: Course) -> None:
-        self.wait(course) if self.waiting and not course.legs else self.place(course)
+        self.wait(course) if self.waiting and not course.attempts else self.place(course)
 
     def ask(self, engine: Seat) -> bool:
         """Probes it unless its last report is fresh."""
@@ -340,7 +342,7 @@
         s, (low, part) = self.board.get(engine), self.lots[engine.server.duty].get(engine, (0.0, 0.0))
         if s is None or engine.server.life is not Life.UP or engine in course.tried:
             return False
-        drawn = engine in (course.reader, course.writer) or (course.lot + course.legs * LOT - low) % 1 < part
+        drawn = engine in (course.reader, course.writer) or (course.lot + course.attempts * LOT - low) % 1 < part
         return (drawn or s.cold_until <= self.router.now) and self.effect_allows(course, engine)
 
     def sound(self, s: Standing) -> bool:
@@ -362,12 +364,12 @@
         )
 
     def spent(self, course: Course) -> bool:
-        return self.router.now >= course.limit_at or course.legs >= self.limits.leg_limit
+        return self.router.now >= course.limit_at or course.attempts >= self.limits.max_attempts
 
     def too_few_attempts(self, course: Course) -> bool:
         """A prefill needs a decode after it, but where a server does both in one attempt."""
         two_stages = not any(e.reads and e.writes for e in self.board)
-        return two_stages and course.legs > 0 and course.legs + 2 > self.limits.leg_limit
+        return two_stages and course.attempts > 0 and course.attempts + 2 > self.limits.max_attempts
 
     def toks(self, course: Course, engine: Seat) -> float:
         return course.request.prompt_toks + (OUT_SHARE * course.request.max_toks if engine.writes else 0.0)
@@ -541,11 +543,11 @@
         if self.router.now < self.shutdown.answers_by:
             return
         for course in list(self.unanswered):
-            if course.leg is not None and self.may_call_off:
-                self.router.out.append(port.CallOff(course.request))  # it is answered when that has ended
+            if course.attempt is not None and self.may_cancel:
+                self.router.out.append(port.CancelAttempt(course.request))  # it is answered when that has ended
                 continue
-            if course.leg is not None and course.may_have_run is None:
-                course.may_have_run = course.leg.sent, course.leg.engine.server
+            if course.attempt is not None and course.may_have_run is None:
+                course.may_have_run = course.attempt.sent, course.attempt.engine.server
             self.finish(course, Refusal.SHUTDOWN)
 
     def served(self, course: Course) -> bool:  # is anyone left who could read it, and who could write it?
@@ -580,7 +582,7 @@
                 heapq.heappush(self.waiting, entry)
             elif not course.over:
                 self.place(course)
-                if course.leg is None and not course.over:
+                if course.attempt is None and not course.over:
                     self.stuck = course.request.prompt_toks
         self.waiting += queue
         heapq.heapify(self.waiting)
@@ -589,24 +591,24 @@
         return bool(self.router.ready)
 
     def send(self, course: Course, engine: Seat) -> None:
-        assert not course.over and course.leg is None and engine.server.life is Life.UP
+        assert not course.over and course.attempt is None and engine.server.life is Life.UP
         now, product, s = self.router.now, course.request.product, self.board[engine]
         writes, patience = engine is course.writer, course.limit_at - now
         whole = patience if course.request.whole else inf  # lest a slow writer outlast its client
-        course.legs += 1
+        course.attempts += 1
         course.lease.attempt_begins()
         work = 0.0 if writes else self.work_ms(engine, course)
         usual = max(self.usual_ms(product, "open" if writes else "read"), work + s.queue_ms)
-        course.leg = Leg(
+        course.attempt = Attempt(
             engine, course, writes, now, now, usual, work, work + s.ahead_ms / max(self.trust, GAIN), not s.linked
         )
-        if course.legs < self.limits.leg_limit and (not writes or product.effect is Effect.IDEMPOTENT):
+        if course.attempts < self.limits.max_attempts and (not writes or product.effect is Effect.IDEMPOTENT):
             slow = 1 / CROWD if writes else CROWD if self.told_if_asked else 1  # a told one is not mute
-            patience = min(patience, max(slow * product.slo_ms, 4 * course.leg.usual_ms))
-        engine.post(Sent(course.leg))
+            patience = min(patience, max(slow * product.slo_ms, 4 * course.attempt.usual_ms))
+        engine.post(Sent(course.attempt))
         quiet = max(self.limits.span_ms, DOUBT * product.tok_slo_ms)  # a mute stream has broken
         self.router.out.append(
-            port.SendLeg(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
+            port.StartAttempt(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
         )
 
     def finish(self, course: Course, why: Refusal) -> None:
@@ -637,7 +639,7 @@
         """Releases what was neither taken nor released so far, though a decode attempt may be out for it. A prefill
         that is out would lose what it is about to leave, and gets its own release when it ends."""
         for course in self.releases.take_due(self.router.now):
-            if course.leg is not None and not course.leg.writes:
+            if course.attempt is not None and not course.attempt.writes:
                 continue
             course.lease.released_early()
             self.router.out.append(port.Release(course.request, why=ReleaseReason.UNCONFIRMED))
@@ -648,10 +650,10 @@
     def close(self, course: Course) -> None:
         course.over = True
         self.unanswered.pop(course, None)
-        if course.leg is None:
+        if course.attempt is None:
             self.release(course)
-        elif self.may_call_off:  # what the leg holds is released when it ends
-            self.router.out.append(port.CallOff(course.request))
+        elif self.may_cancel:  # what the leg holds is released when it ends
+            self.router.out.append(port.CancelAttempt(course.request))
 
     def effect_allows(self, course: Course, engine: Seat) -> bool:
         """No effect twice: after a leg that may have run, only what its product's effect permits."""
@@ -668,40 +670,40 @@
             return inf
         return ran[0] + product.window_ms - self.router.now if product.effect is Effect.DEDUPLICATED else -inf
 
-    def first_tok(self, course: Course, leg: Leg, took: float) -> None:
+    def first_tok(self, course: Course, attempt: Attempt, took: float) -> None:
         product = course.request.product
         course.lease.attempt_answered()
         self.unanswered.pop(course, None)
         self.learn(product, "open", took)
         if course.reader is not None and course.reader is not course.writer:
             course.reader.post(Unbooked(course))
-        self.record(leg.engine, course.request, Verdict.READ, took)  # as good a sign
-        leg.engine.post(StageEnded(leg, True, self.usual_ms(product, "stream")))
+        self.record(attempt.engine, course.request, Verdict.READ, took)  # as good a sign
+        attempt.engine.post(StageEnded(attempt, True, self.usual_ms(product, "stream")))
 
-    def leg_ended(self, note: port.LegEnded) -> None:
+    def attempt_ended(self, note: port.AttemptEnded) -> None:
         course: Course = note.request.seat
-        leg, course.leg = course.leg, None
+        attempt, course.attempt = course.attempt, None
         engine: Seat = note.server.seat
         if note.report is not None and note.report.mem_share is not None:
             engine.post(Reported(note.report.mem_share, note.report.open_requests))
-        if leg is None:
+        if attempt is None:
             return
         product, verdict = course.request.product, note.verdict
         if verdict is Verdict.STREAMED:
-            self.learn(product, "stream", self.router.now - leg.since)
+            self.learn(product, "stream", self.router.now - attempt.since)
         good = True if verdict in (Verdict.READ, Verdict.STREAMED) else None if verdict in NO_SIGN else False
-        engine.post(StageEnded(leg, good, None))
+        engine.post(StageEnded(attempt, good, None))
         if verdict in (Verdict.UNCONNECTED, Verdict.RESET):
             engine.post(Trouble(silent=False))
         if not note.state_lost:
-            ended = Verdict.TIMED_OUT if leg.lost and good is None else verdict
-            self.record(engine, course.request, ended, note.took_ms - leg.work_ms)
-        if leg.writes and verdict not in NEVER_RAN and course.may_have_run is None:
-            course.may_have_run = leg.sent, note.server
-        if leg.fresh and good is not None:  # where these fail, the connected are nearer
+            ended = Verdict.TIMED_OUT if attempt.lost and good is None else verdict
+            self.record(engine, course.request, ended, note.took_ms - attempt.work_ms)
+        if attempt.writes and verdict not in NEVER_RAN and course.may_have_run is None:
+            course.may_have_run = attempt.sent, note.server
+        if attempt.fresh and good is not None:  # where these fail, the connected are nearer
             self.unmet += 4 * GAIN * ((verdict is Verdict.UNCONNECTED) - self.unmet)
-        if not leg.writes and verdict in (Verdict.READ, Verdict.TIMED_OUT):
-            self.read_took(course, leg, note)
+        if not attempt.writes and verdict in (Verdict.READ, Verdict.TIMED_OUT):
+            self.read_took(course, attempt, note)
         elif verdict is Verdict.TIMED_OUT:
             self.learn(product, "open", note.took_ms)
         end = AttemptEnd(verdict, engine.reads, note.state_lost)
@@ -721,17 +723,17 @@
             return self.release(course, ReleaseReason.STREAM_BROKE)
         engine.post(Onward(course))
 
-    def lost(self, leg: Leg) -> None:
+    def lost(self, attempt: Attempt) -> None:
         """A read whose answer will not come is called off, if legs for another pair are left."""
         if (
-            leg.course.leg is leg
-            and not leg.lost
-            and not leg.course.over
-            and self.may_call_off
-            and leg.course.legs + 2 <= self.limits.leg_limit
+            attempt.course.attempt is attempt
+            and not attempt.lost
+            and not attempt.course.over
+            and self.may_cancel
+            and attempt.course.attempts + 2 <= self.limits.max_attempts
         ):
-            leg.lost = True
-            self.router.out.append(port.CallOff(leg.course.request))
+            attempt.lost = True
+            self.router.out.append(port.CancelAttempt(attempt.course.request))
 
     def onward(self, course: Course) -> None:
         """The next leg, if the effect allows one: with the state at hand a writer, else a pair anew."""
@@ -747,16 +749,16 @@
         self.release(course, ReleaseReason.BEFORE_NEW_PREFILL)
         self.enter(course)
 
-    def read_took(self, course: Course, leg: Leg, note: port.LegEnded) -> None:
+    def read_took(self, course: Course, attempt: Attempt, note: port.AttemptEnded) -> None:
         """One that ran out of time took at least as long; were it not counted, ever more would."""
         request, took, unread = course.request, note.took_ms, course.request.prompt_toks - note.kept_toks
         usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.product, request.prompt_toks))
         if note.verdict is Verdict.READ or usual > self.usual_ms(request.product, "read"):  # or it was cut
             self.learn(request.product, "read", usual)
-        self.foreseen += GAIN * (leg.foreseen - self.foreseen)
+        self.foreseen += GAIN * (attempt.foreseen - self.foreseen)
         self.took += GAIN * (took - self.took)
         self.trust = min(CROWD**2, self.took / self.foreseen)
-        if note.verdict is Verdict.READ and leg.engine in course.agreed[:1]:
+        if note.verdict is Verdict.READ and attempt.engine in course.agreed[:1]:
             self.told[request.product] += GAIN * (
                 1 - unread / max(request.prompt_toks, 1.0) - self.told[request.product]
             )
@@ -813,7 +815,7 @@
             self.onward(course)
         if self.beats % LOOK == 1:
             self.failures.fade(exp(-LOOK * self.limits.beat_ms / HOME_AGE_MS))
-            for engine in [e for e in self.board if e.server.life is Life.GONE and not (e.legs or e.booked)]:
+            for engine in [e for e in self.board if e.server.life is Life.GONE and not (e.attempts or e.booked)]:
                 del self.board[engine]  # fleets change for ever; what is known of them must not grow
                 self.failures.forget(engine)
             if len(self.asked_for) > FEW**2:
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -14,7 +14,7 @@
     def __init__(self, facts: StartFacts) -> None:
         self.facts, self.turn = facts, count(facts.seed)
         self.servers: list[Server] = []
-        self.legs: dict[Request, int] = {}
+        self.attempts: dict[Request, int] = {}
         self.until: dict[Request, float] = {}
         self.ran: set[Request] = set()
 
@@ -25,27 +25,27 @@
                 case port.Listed(servers):
                     self.servers += [s for s in servers if s not in self.servers]
                 case port.Arrived(request):
-                    self.legs[request], self.until[request] = 0, now + request.patience_ms
+                    self.attempts[request], self.until[request] = 0, now + request.patience_ms
                     out += self.send(request, now, {Duty.READ, Duty.BOTH})
-                case port.LegEnded(request, server, verdict, _, over):
+                case port.AttemptEnded(request, server, verdict, _, over):
                     out += (
                         [port.Release(request), *self.forget(request)]
                         if over
                         else self.next(request, server, verdict, now)
                     )
                 case port.ClientLeft(request):
-                    out += [port.CallOff(request), port.Release(request), *self.forget(request)]
+                    out += [port.CancelAttempt(request), port.Release(request), *self.forget(request)]
         return out
 
     def send(self, request: Request, now: float, duties: set[Duty]) -> list[Action]:
         able = [s for s in self.servers if s.life is Life.UP and s.duty in duties]
-        if not able or self.legs[request] >= self.facts.leg_limit or now >= self.until[request]:
+        if not able or self.attempts[request] >= self.facts.max_attempts or now >= self.until[request]:
             final: Action = port.Terminate(request) if request in self.ran else port.Throttle(request, 0.0)
             return [final, port.Release(request), *self.forget(request)]
-        self.legs[request] += 1
+        self.attempts[request] += 1
         left = self.until[request] - now
         return [
-            port.SendLeg(
+            port.StartAttempt(
                 request,
                 able[next(self.turn) % len(able)],
                 left,
@@ -55,7 +55,7 @@
         ]
 
     def next(self, request: Request, server: Server, verdict: Verdict, now: float) -> list[Action]:
-        if request not in self.legs:
+        if request not in self.attempts:
             return [port.Release(request)]
         if verdict is Verdict.READ:
             return self.send(request, now, {Duty.WRITE})
@@ -69,7 +69,7 @@
         return [port.Release(request), *self.send(request, now, {Duty.READ, Duty.BOTH})]
 
     def forget(self, request: Request) -> list[Action]:
-        self.legs.pop(request, None)
+        self.attempts.pop(request, None)
         self.until.pop(request, None)
         self.ran.discard(request)
         return []
--- a/ternlane/days/report.py
+++ b/ternlane/days/report.py
@@ -23,7 +23,7 @@
     lines = read_lines(sorted(folder.glob("*.jsonl")))
     asks: dict[str, list[dict[str, Any]]] = defaultdict(list)
     firsts, finals, tasks = {}, {}, {}
-    legs, verdicts = 0, Counter[str]()
+    attempts, verdicts = 0, Counter[str]()
     for line in lines:
         match line["k"]:
             case "ask":
@@ -35,7 +35,7 @@
             case "task":
                 tasks[line["task"]] = line
             case "leg":
-                legs += 1
+                attempts += 1
             case "leg_end":
                 verdicts[f"{line['how'].split(' ')[0]}"] += 1
     terms = {p.name: p for p in day.products}
@@ -82,8 +82,8 @@
         **({"accounts": accounts_of(folder, day, lines, span / 1000, owners)} if day.tenants else {}),
         "streams": streams_of(lines),
         "products": products,
-        "legs": legs,
-        "legs_each": round(legs / max(1, len(finals)), 3),
+        "legs": attempts,
+        "legs_each": round(attempts / max(1, len(finals)), 3),
         "legs_ended": dict(verdicts),
         "troubles": sorted({str(t.__struct_config__.tag) for t in day.troubles}),
         "judged": findings.counted,
@@ -116,10 +116,10 @@
             case "final":
                 finals[line["gen"]] = line
 
-    def cause(leg: dict[str, Any]) -> str:
+    def cause(attempt: dict[str, Any]) -> str:
         """By the engine's own lines: its process ended, it broke off, or the gateway did."""
-        end = ends.get((leg["id"], leg["gen"], leg["n"]))
-        if end is None or any(abs(t - end["t"]) < NEAR_MS for t in downs[leg["id"]]):
+        end = ends.get((attempt["id"], attempt["gen"], attempt["n"]))
+        if end is None or any(abs(t - end["t"]) < NEAR_MS for t in downs[attempt["id"]]):
             return "process died"
         if any(since - NEAR_MS <= end["t"] <= until + NEAR_MS for since, until in cuts):
             return "zone cut"
@@ -131,11 +131,11 @@
     far: dict[str, Counter[str]] = defaultdict(Counter)
     gaps: dict[str, list[float]] = {"unbroken": [], "joined": []}
     for request, ask in asks.items():
-        final, legs = finals.get(request), said.get(request, [])
+        final, attempts = finals.get(request), said.get(request, [])
         if final is None or final["outcome"] == "left":
             continue
         broken = [
-            v for v in legs if v["text"] and ends.get((v["id"], request, v["n"]), {"how": ""})["how"] != "streamed"
+            v for v in attempts if v["text"] and ends.get((v["id"], request, v["n"]), {"how": ""})["how"] != "streamed"
         ]
         if broken:
             outcome = {"streamed": "whole", "broken": "gateway lost"}.get(final["outcome"], "in part")
--- a/ternlane/emulator/fleet.py
+++ b/ternlane/emulator/fleet.py
@@ -109,7 +109,7 @@
         if move is not None:
             self.claimed.discard(move.held)
         if move is not None and move.link is not None and move.transfer is not None:
-            move.link.call_off(now, move.transfer)
+            move.link.cancel(now, move.transfer)
             self.watch(move.link)
 
     def die(self, now: float, seat: Seat) -> list[Job]:
--- a/ternlane/emulator/links.py
+++ b/ternlane/emulator/links.py
@@ -45,7 +45,7 @@
         heapq.heappush(self.heap, (it.mark, self.turn, it))
         return it
 
-    def call_off(self, now: float, it: Transfer) -> None:
+    def cancel(self, now: float, it: Transfer) -> None:
         """Nobody waits for it any more; the others have its share from now on."""
         if not it.left:
             self.forward(now)
--- a/ternlane/engine/__init__.py
+++ b/ternlane/engine/__init__.py
@@ -1,10 +1,10 @@
 """The protocol spoken with readers and writers, and the legs that speak it."""
 
-from ternlane.engine.leg import ClientGone, LegEnd, LegPlan, read_leg, release, stream_leg
+from ternlane.engine.attempt import ClientGone, AttemptResult, AttemptPlan, prefill_attempt, release, stream_attempt
 from ternlane.engine.protocol import Stage, Usage, load_of
 from ternlane.engine.transport import (
     Kept,
-    LegAsk,
+    AttemptRequest,
     LocalEngine,
     LocalTransport,
     Refuses,
@@ -15,7 +15,7 @@
 
 __all__ = [
     "Kept",
-    "LegAsk",
+    "AttemptRequest",
     "LocalEngine",
     "LocalTransport",
     "Refuses",
@@ -23,12 +23,12 @@
     "Transport",
     "Unreached",
     "ClientGone",
-    "LegEnd",
-    "LegPlan",
+    "AttemptResult",
+    "AttemptPlan",
     "Stage",
     "Usage",
     "load_of",
-    "read_leg",
+    "prefill_attempt",
     "release",
-    "stream_leg",
+    "stream_attempt",
 ]
--- a/ternlane/engine/leg.py
+++ b/ternlane/engine/attempt.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class LegPlan:
+class AttemptPlan:
     """Where to, under which names, and for how long (ms; `quiet_ms` between the events of a begun stream, `whole_ms`
     from the send to its end)."""
 
@@ -47,16 +47,16 @@
     whole_ms: float = inf
     barred: BeginCheck = may_always_begin
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    called_off: bool = False
+    cancelled: bool = False
 
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Ends the wait at once; the leg ends as CALLED_OFF."""
-        self.called_off = True
+        self.cancelled = True
         self.scope.cancel()
 
 
 @dataclass(slots=True)
-class LegEnd:
+class AttemptResult:
     """How a leg ended. `begun`: its first token had come; `state` is a reader's, to hand on."""
 
     verdict: Verdict
@@ -83,7 +83,7 @@
         self.verdict = verdict
 
 
-async def take(pool: Pool, plan: LegPlan) -> Caller:
+async def take(pool: Pool, plan: AttemptPlan) -> Caller:
     """A connection on which the leg may begin; that is asked again after the wait for it. Raises Barred and
     Unconnected."""
     caller = await pool.take(plan.address)
@@ -98,9 +98,9 @@
     """The client's side broke while the answer was passed on; says nothing of the engine."""
 
 
-async def read_leg(pool: Pool, plan: LegPlan) -> LegEnd:
+async def prefill_attempt(pool: Pool, plan: AttemptPlan) -> AttemptResult:
     """Has a prompt read. Never raises but for an outer cancellation."""
-    end = LegEnd(Verdict.TIMED_OUT)
+    end = AttemptResult(Verdict.TIMED_OUT)
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -122,10 +122,10 @@
     return await ended(plan, end, run)
 
 
-async def stream_leg(pool: Pool, plan: LegPlan, pass_on: PassOn) -> LegEnd:
+async def stream_attempt(pool: Pool, plan: AttemptPlan, pass_on: PassOn) -> AttemptResult:
     """Has an answer written; `pass_on(text, first)` gets each piece, with a third value where it has
     more than text (chat.More). Raises ClientGone where that breaks."""
-    end, last = LegEnd(Verdict.TIMED_OUT), trio.current_time() + plan.whole_ms / 1000
+    end, last = AttemptResult(Verdict.TIMED_OUT), trio.current_time() + plan.whole_ms / 1000
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -175,7 +175,7 @@
     return await ended(plan, end, run)
 
 
-def refused(head: h11.Response, end: LegEnd) -> bool:
+def refused(head: h11.Response, end: AttemptResult) -> bool:
     said = {name: value.decode("latin-1") for name, value in head.headers if name in (LOAD, NOT_RUN)}
     end.report = load_of(said.get(LOAD))
     if head.status_code == 200:
@@ -186,7 +186,7 @@
     return True
 
 
-async def ended(plan: LegPlan, end: LegEnd, run: Callable[[], Awaitable[None]]) -> LegEnd:
+async def ended(plan: AttemptPlan, end: AttemptResult, run: Callable[[], Awaitable[None]]) -> AttemptResult:
     plan.scope.deadline = min(plan.scope.deadline, trio.current_time() + plan.timeout_ms / 1000)
     try:
         with plan.scope:
@@ -203,8 +203,8 @@
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as why:
         end.verdict, end.why = Verdict.ERROR, f"not understood: {why}"
     if plan.scope.cancelled_caught:
-        end.verdict = Verdict.CALLED_OFF if plan.called_off else Verdict.TIMED_OUT
-        if end.begun and not plan.called_off:
+        end.verdict = Verdict.CANCELLED if plan.cancelled else Verdict.TIMED_OUT
+        if end.begun and not plan.cancelled:
             end.why = end.why or "silent or too slow within the stream"
     return end
 
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -13,14 +13,24 @@
 import trio
 
 from ternlane.engine.kinds import KINDS
-from ternlane.engine.leg import ClientGone, LegEnd, LegPlan, PassOn, hold, load, read_leg, release, stream_leg
+from ternlane.engine.attempt import (
+    ClientGone,
+    AttemptResult,
+    AttemptPlan,
+    PassOn,
+    hold,
+    load,
+    prefill_attempt,
+    release,
+    stream_attempt,
+)
 from ternlane.engine.protocol import Stage, Usage, load_told
 from ternlane.http1 import Pool, keep_open
 from ternlane.port import Report, Verdict
 
 
 @dataclass(slots=True)
-class LegAsk:
+class AttemptRequest:
     """One leg: to which server, which stage, what is asked, and for how long (`plan`)."""
 
     server: str  # its id
@@ -32,7 +42,7 @@
     raw: dict[str, Any]  # the client's request
     state: dict[str, Any] | None
     max_toks: int
-    plan: LegPlan
+    plan: AttemptPlan
     protocol: str = "disaggregated"
     goes_on: bool = False  # `raw` ends with what the client has of the answer, to be continued from there
 
@@ -40,10 +50,10 @@
 class Transport(Protocol):
     """How legs reach model servers. An implementation never raises for what a server does: it says so in a LegEnd."""
 
-    async def read(self, ask: LegAsk) -> LegEnd:
+    async def read(self, ask: AttemptRequest) -> AttemptResult:
         """Has a prompt read and its state kept. Never raises but for an outer cancellation."""
 
-    async def stream(self, ask: LegAsk, pass_on: PassOn) -> LegEnd:
+    async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
         """Has an answer written; each piece goes to `pass_on`. Raises ClientGone where that does."""
 
     async def release(
@@ -79,24 +89,24 @@
     def __init__(self, pool: Pool, agent: str) -> None:
         self.pool, self.agent = pool, agent
 
-    def _fill(self, ask: LegAsk) -> LegPlan:
+    def _fill(self, ask: AttemptRequest) -> AttemptPlan:
         """Raises Unable where the server's protocol has no words for it."""
         if ask.goes_on and not KINDS[ask.protocol].goes_on:
             raise Unable("it can't go on with a text")
         ask.plan.headers, ask.plan.body = KINDS[ask.protocol].request(ask, self.agent)
         return ask.plan
 
-    async def read(self, ask: LegAsk) -> LegEnd:
+    async def read(self, ask: AttemptRequest) -> AttemptResult:
         try:
-            return await read_leg(self.pool, self._fill(ask))
+            return await prefill_attempt(self.pool, self._fill(ask))
         except Unable as why:
-            return LegEnd(Verdict.FULL, why=str(why))
+            return AttemptResult(Verdict.FULL, why=str(why))
 
-    async def stream(self, ask: LegAsk, pass_on: PassOn) -> LegEnd:
+    async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
         try:
-            return await stream_leg(self.pool, self._fill(ask), pass_on)
+            return await stream_attempt(self.pool, self._fill(ask), pass_on)
         except Unable as why:
-            return LegEnd(Verdict.FULL, why=str(why))
+            return AttemptResult(Verdict.FULL, why=str(why))
 
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
@@ -150,11 +160,11 @@
 class LocalEngine(Protocol):
     """A model server in the same process: three calls, no bytes. Errors of its own mean that it may have run."""
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         """Reads the prompt of `ask.raw` and keeps its state until written or released. Where `ask.goes_on` its last
         message is the beginning of the answer, and counts as read."""
 
-    def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         """Writes the answer from `ask.state`, or from the prompt where that is None; a piece counts as a token.
         Where `ask.goes_on`, only what comes after the last message."""
 
@@ -168,8 +178,8 @@
     def __init__(self, engines: dict[str, LocalEngine]) -> None:
         self.engines = engines
 
-    async def read(self, ask: LegAsk) -> LegEnd:
-        end = LegEnd(Verdict.TIMED_OUT)
+    async def read(self, ask: AttemptRequest) -> AttemptResult:
+        end = AttemptResult(Verdict.TIMED_OUT)
 
         async def run() -> None:
             got = await self._engine(ask).read(ask)
@@ -178,8 +188,8 @@
 
         return await self._ended(ask, end, run)
 
-    async def stream(self, ask: LegAsk, pass_on: PassOn) -> LegEnd:
-        end, plan = LegEnd(Verdict.TIMED_OUT), ask.plan
+    async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
+        end, plan = AttemptResult(Verdict.TIMED_OUT), ask.plan
         last, written = trio.current_time() + plan.whole_ms / 1000, 0
 
         async def run() -> None:
@@ -206,14 +216,14 @@
 
         return await self._ended(ask, end, run)
 
-    def _engine(self, ask: LegAsk) -> LocalEngine:
+    def _engine(self, ask: AttemptRequest) -> LocalEngine:
         try:
             return self.engines[ask.server]
         except KeyError:
             raise Unreached(f"no engine {ask.server!r}") from None
 
     @staticmethod
-    async def _ended(ask: LegAsk, end: LegEnd, run: Callable[[], Awaitable[None]]) -> LegEnd:
+    async def _ended(ask: AttemptRequest, end: AttemptResult, run: Callable[[], Awaitable[None]]) -> AttemptResult:
         plan = ask.plan
         plan.scope.deadline = min(plan.scope.deadline, trio.current_time() + plan.timeout_ms / 1000)
         try:
@@ -228,8 +238,8 @@
         except Exception as why:  # the engine is the caller's code: whatever it raises, it may have run
             end.verdict, end.why = Verdict.ERROR, repr(why)
         if plan.scope.cancelled_caught:
-            end.verdict = Verdict.CALLED_OFF if plan.called_off else Verdict.TIMED_OUT
-            if end.begun and not plan.called_off:
+            end.verdict = Verdict.CANCELLED if plan.cancelled else Verdict.TIMED_OUT
+            if end.begun and not plan.cancelled:
                 end.why = "silent or too slow within the stream"
         return end
 
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -13,7 +13,7 @@
 from ternlane import port
 from ternlane.chat import Intake
 from ternlane.chat.beyond import More
-from ternlane.engine import ClientGone, LegAsk, LegEnd, LegPlan, Stage, Transport, Usage
+from ternlane.engine import ClientGone, AttemptRequest, AttemptResult, AttemptPlan, Stage, Transport, Usage
 from ternlane.gateway.facts import Offer
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.scribe import Scribe
@@ -104,8 +104,8 @@
         """The client has gone: nothing is owed any more, and everything held for it is freed."""
         if ticket.final is None and not ticket.left:
             ticket.left = True
-            if ticket.leg is not None and ticket.flowing:
-                ticket.leg.call_off()  # a stream that nobody reads
+            if ticket.attempt is not None and ticket.flowing:
+                ticket.attempt.cancel()  # a stream that nobody reads
             self.tell(port.ClientLeft(ticket.request))
             self.close(ticket, "left")
 
@@ -135,7 +135,7 @@
 
     def forget(self, ticket: Ticket) -> None:
         """A ticket stays until its answer is settled, its last leg has ended and what it held is released."""
-        if ticket.leg is None and (ticket.final is not None or ticket.left) and not ticket.holders:
+        if ticket.attempt is None and (ticket.final is not None or ticket.left) and not ticket.holders:
             if self.tickets.pop(ticket.request, None) is not None:
                 self.mender.ended(ticket, ticket.join, isinstance(ticket.final, Streamed))
                 if self.resume_at < float("inf"):  # others wait, perhaps for its place
@@ -146,10 +146,10 @@
 
     # -- legs
 
-    def send(self, ticket: Ticket, server: Server, times: port.SendLeg) -> None:
+    def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
         place = self.book.places[server]
-        number = ticket.legs
-        ticket.legs += 1
+        number = ticket.attempts
+        ticket.attempts += 1
         stage = Stage.WHOLE
         if server.duty is Duty.READ:
             stage = Stage.READ
@@ -157,7 +157,7 @@
         elif server.duty is Duty.WRITE and ticket.state is not None:
             stage = Stage.WRITE
         barred = begin_check(server, times.begin_by_ms, lambda: ticket.left or ticket.final is not None)
-        ticket.leg = LegPlan(place.address, [], b"", times.timeout_ms, times.quiet_ms, times.whole_ms, barred)
+        ticket.attempt = AttemptPlan(place.address, [], b"", times.timeout_ms, times.quiet_ms, times.whole_ms, barred)
         join, goes_on = ticket.join, ticket.join.resumed and ticket.join.way is Way.GO_ON
         first = None
         if self.scribe is not None:
@@ -169,23 +169,23 @@
             ticket,
             server,
             first,
-            LegAsk(
+            AttemptRequest(
                 place.ident,
                 place.address,
                 stage,
                 ticket.ident,
                 number,
-                f"{ticket.key}.{join.legs}" if goes_on else ticket.key,  # another request than the first: no repeat
+                f"{ticket.key}.{join.attempts}" if goes_on else ticket.key,  # another request than the first: no repeat
                 join.request(ticket.ask.raw),
                 ticket.state,
                 join.left(),
-                ticket.leg,
+                ticket.attempt,
                 place.line.protocol,
                 goes_on,
             ),
         )
 
-    async def run(self, ticket: Ticket, server: Server, first_kept: int | None, ask: LegAsk) -> None:
+    async def run(self, ticket: Ticket, server: Server, first_kept: int | None, ask: AttemptRequest) -> None:
         since, stage, plan, last = now_ms(), ask.stage, ask.plan, 0.0
         longest, explores = plan.quiet_ms, self.mender.rhythm.explores()
 
@@ -218,12 +218,12 @@
                 new = ticket.join.take(text)
             except Differs:
                 ticket.why = ticket.join.why
-                return plan.call_off()
+                return plan.cancel()
             if ticket.join.stopped:
-                return plan.call_off()
+                return plan.cancel()
             if not self.affords(ticket):  # its tenant wants streams cut that pass the overdraft
                 ticket.why = "over budget: the overdraft is used up"
-                plan.call_off()
+                plan.cancel()
             head, ticket.begun = not ticket.begun, True
             if more is not None:
                 ticket.beyond.add(more)
@@ -236,42 +236,47 @@
                 raise ClientGone from None
 
         if first_kept is not None and not await self.noted(first_kept, plan):
-            return self.leg_ended(
+            return self.attempt_ended(
                 ticket,
                 server,
                 stage,
-                LegEnd(Verdict.CALLED_OFF if plan.called_off else Verdict.FULL, why="the journal can't be kept"),
+                AttemptResult(Verdict.CANCELLED if plan.cancelled else Verdict.FULL, why="the journal can't be kept"),
                 now_ms() - since,
                 plan,
             )
         try:
             end = await (self.transport.read(ask) if stage is Stage.READ else self.transport.stream(ask, pass_on))
         except ClientGone:
-            end = LegEnd(Verdict.CALLED_OFF, begun=True, why="the client left")
+            end = AttemptResult(Verdict.CANCELLED, begun=True, why="the client left")
             self.client_left(ticket)
         except Exception as fault:
             self.faulted(fault)
-            end = LegEnd(Verdict.ERROR, begun=ticket.flowing, why=repr(fault))
-        self.leg_ended(ticket, server, stage, end, now_ms() - since, plan)
+            end = AttemptResult(Verdict.ERROR, begun=ticket.flowing, why=repr(fault))
+        self.attempt_ended(ticket, server, stage, end, now_ms() - since, plan)
 
-    async def noted(self, number: int, plan: LegPlan) -> bool:
+    async def noted(self, number: int, plan: AttemptPlan) -> bool:
         """Waits until the disk has it that this leg goes out; where it hasn't in time, the leg is not sent."""
         assert self.scribe is not None
-        legs_own, plan.scope = plan.scope, trio.CancelScope(deadline=trio.current_time() + self.facts.connect_ms / 1000)
+        attempts_own, plan.scope = (
+            plan.scope,
+            trio.CancelScope(deadline=trio.current_time() + self.facts.connect_ms / 1000),
+        )
         with plan.scope:  # which a call-off ends
             await self.scribe.writer.until_kept(number)
-        kept, plan.scope = not plan.scope.cancelled_caught, legs_own
-        return kept and not plan.called_off
+        kept, plan.scope = not plan.scope.cancelled_caught, attempts_own
+        return kept and not plan.cancelled
 
-    def leg_ended(self, ticket: Ticket, server: Server, stage: Stage, end: LegEnd, took: float, plan: LegPlan) -> None:
-        ticket.leg, ticket.flowing = None, False
+    def attempt_ended(
+        self, ticket: Ticket, server: Server, stage: Stage, end: AttemptResult, took: float, plan: AttemptPlan
+    ) -> None:
+        ticket.attempt, ticket.flowing = None, False
         place = self.book.places[server]
         ticket.trail.append(f"{place.ident} {stage.name} {end.verdict.name}")
-        self.measures.legs.labels(stage.name.lower(), end.verdict.name.lower()).inc()
+        self.measures.attempts.labels(stage.name.lower(), end.verdict.name.lower()).inc()
         self.log.debug(
             "leg",
             gen=ticket.ident,
-            leg=ticket.legs - 1,
+            leg=ticket.attempts - 1,
             server=place.ident,
             stage=stage.name,
             verdict=end.verdict.name,
@@ -285,7 +290,7 @@
             and not ticket.join.took_in(end.usage.prompt_tokens, ticket.prompt_said)
         ):
             end.verdict, end.why = Verdict.ERROR, "it read no more than the prompt, and can't go on with the text"
-        ticket.made.append(made_of(stage, end, ticket.join.leg_pieces))
+        ticket.made.append(made_of(stage, end, ticket.join.attempt_pieces))
         if end.usage is not None:
             if not ticket.join.resumed:
                 self.intake.learn_prompt(ticket.known, end.usage.prompt_tokens)
@@ -304,15 +309,15 @@
         elif end.verdict is Verdict.STREAMED or ticket.join.stopped:
             self.streamed(ticket, "stop" if ticket.join.stopped else end.finish, end.usage)
         elif end.begun:
-            broken = not plan.called_off and not ticket.left and self.broke(ticket, end)
+            broken = not plan.cancelled and not ticket.left and self.broke(ticket, end)
             if not broken:  # its client has part of the answer, and hears that there is no more
-                self.settle(ticket, Terminated(ticket.why if plan.called_off else end.why or "the stream broke"))
+                self.settle(ticket, Terminated(ticket.why if plan.cancelled else end.why or "the stream broke"))
         over = ticket.final is not None or ticket.left
         never_ran = Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD
         if end.verdict in never_ran and server.duty is Duty.READ:
             ticket.holders.pop(server, None)  # it ran nothing, so it left nothing
         self.tell(
-            port.LegEnded(ticket.request, server, end.verdict, took, over, kept, end.state_lost, end.report, broken)
+            port.AttemptEnded(ticket.request, server, end.verdict, took, over, kept, end.state_lost, end.report, broken)
         )
         self.forget(ticket)
         if broken:
@@ -333,7 +338,7 @@
 
     # -- streams that broke
 
-    def broke(self, ticket: Ticket, end: LegEnd) -> bool:
+    def broke(self, ticket: Ticket, end: AttemptResult) -> bool:
         """Whether another leg may give the rest; if so it waits for its turn."""
         ticket.broke_at = len(ticket.made) if ticket.broke_at is None else ticket.broke_at
         fate = self.mender.broke(
@@ -425,7 +430,7 @@
             self.log.warning("release unheard", gen=ticket.ident, server=place.ident)
 
 
-def made_of(stage: Stage, end: LegEnd, pieces: int) -> Used:
+def made_of(stage: Stage, end: AttemptResult, pieces: int) -> Used:
     """What a leg is known to have made: by its usage, or, of a stream that broke, the pieces that came."""
     usage = end.usage
     details = usage.prompt_tokens_details if usage is not None else None
--- a/ternlane/gateway/measures.py
+++ b/ternlane/gateway/measures.py
@@ -12,7 +12,7 @@
         self.outcomes = Counter(
             "ternlane_generations", "Generations by model and final answer", ["model", "outcome"], registry=r
         )
-        self.legs = Counter("ternlane_legs", "Legs by stage and how they ended", ["stage", "verdict"], registry=r)
+        self.attempts = Counter("ternlane_legs", "Legs by stage and how they ended", ["stage", "verdict"], registry=r)
         self.first = Histogram("ternlane_first_token_seconds", "Arrival to first token", ["model"], registry=r)
         self.breaks = Counter(
             "ternlane_broken_streams", "Streams that broke, by what became of them", ["way"], registry=r
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/ticket.py
@@ -10,7 +10,7 @@
 
 from ternlane.chat import ChatAsk, Keep, Known, kept_for_repeats
 from ternlane.chat.beyond import Beyond, More
-from ternlane.engine import LegPlan
+from ternlane.engine import AttemptPlan
 from ternlane.port import Request, Server
 from ternlane.recover import Join
 from ternlane.tenants.billing import Used
@@ -65,8 +65,8 @@
     prompt_said: int = 0  # tokens of the prompt, by the first engine that said
     kept_said: int = 0  # of them found kept
     broke_at: int | None = None  # legs in `made` when its stream broke first
-    leg: LegPlan | None = None
-    legs: int = 0
+    attempt: AttemptPlan | None = None
+    attempts: int = 0
     trail: list[str] = field(default_factory=list)  # server and verdict of each leg
     why: str = ""
     beyond: Beyond = field(default_factory=Beyond)  # its text apart
@@ -92,7 +92,7 @@
     def for_repeats(self) -> Final | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else type(self.final).__name__.lower()
-        match kept_for_repeats(self.request.product.effect, outcome, self.legs):
+        match kept_for_repeats(self.request.product.effect, outcome, self.attempts):
             case Keep.NOTHING:
                 return None
             case Keep.UNSURE:
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -135,7 +135,7 @@
                 ticket.ident,
                 outcome,
                 billed,
-                ticket.legs,
+                ticket.attempts,
                 now_ms(),
                 time.time(),
                 xxh3_64_hexdigest(ticket.key.encode()),
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -47,7 +47,7 @@
     reads: bool
     writes: bool
     said: tuple[float, float, float | None] | None  # its last report: when, memory share, generations held
-    legs: dict[Leg, None]
+    attempts: dict[Attempt, None]
     booked: dict[Course, tuple[float, float]]
     shut_until: float  # it is sent nothing before, then one leg at a time until it has proved itself
 
@@ -63,14 +63,14 @@
     cold_ms: float
     retry_ms: float  # first pause after a server could not be reached
     idle_ms: float  # idle connections are closed after this
-    leg_limit: int
+    max_attempts: int
     pause_ms: float  # the longest return time a client heeds; 0 where none may be given
     hand_ms: float  # how long after its read a state may still be sent to a writer that must be reached first
     guard_ms: float  # how long after its prefill a state is released while an attempt for it is out unanswered
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
+class Attempt:
     engine: Seat
     course: Course
     writes: bool
@@ -94,8 +94,8 @@
     lot: float = 0.0  # its draw, from nought to one, for servers that take only some
     reader: Seat | None = None
     writer: Seat | None = None
-    leg: Leg | None = None
-    legs: int = 0
+    attempt: Attempt | None = None
+    attempts: int = 0
     lease: Lease[Seat] = field(default_factory=Lease)  # what may be held for it
     may_have_run: tuple[float, Server] | None = None
     waited: bool = False  # no pair was found for it yet
@@ -150,11 +150,11 @@
 
 
 class Sent(NamedTuple):
-    leg: Leg
+    attempt: Attempt
 
 
 class StageEnded(NamedTuple):
-    leg: Leg
+    attempt: Attempt
     good: bool | None  # None: how it ended tells nothing of the server
     next_usual_ms: float | None  # None: the leg has ended with this stage
 
@@ -185,7 +185,7 @@
 class Lost(NamedTuple):
     """A read that was sent later to the same server has ended before this one."""
 
-    leg: Leg
+    attempt: Attempt
 
 
 class Onward(NamedTuple):
--- a/ternlane/paper/gateway.py
+++ b/ternlane/paper/gateway.py
@@ -43,7 +43,7 @@
 class FleetTerms(Sheet, frozen=True, kw_only=True):
     """What holds of the model servers and of the rules."""
 
-    leg_limit: Count = 5
+    max_attempts: Count = 5
     connect_ms: Positive = 250.0
     idle_ms: Positive = 30e3
     release_ms: Positive = 500.0
@@ -55,7 +55,7 @@
     longest_pause_ms: NotNegative = 1000.0
     reports_mem: bool = True
     ask_load: bool = False  # engines tell their load when asked (GET /metrics), and in no answer
-    may_call_off: bool = True
+    may_cancel: bool = True
     writers_read: bool = False
     holds: bool = False  # engines hold places ahead (our extension)
 
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
+class Attempt:
     """One leg's way out: the request as the client sent it, to which address, for how long."""
 
     address: str
@@ -64,21 +64,21 @@
     barred: BeginCheck = may_always_begin
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     release_wait: trio.CancelScope = field(default_factory=trio.CancelScope)  # for what was held before
-    called_off: bool = False
+    cancelled: bool = False
     written_at: float | None = None  # when its last byte was, by trio's clock: from then on it may run
 
     @property
     def written(self) -> bool:
         return self.written_at is not None
 
-    def call_off(self) -> None:
-        self.called_off = True
+    def cancel(self) -> None:
+        self.cancelled = True
         self.release_wait.cancel()
         self.scope.cancel()
 
 
 @dataclass(slots=True)
-class LegEnd:
+class AttemptResult:
     verdict: Verdict = Verdict.TIMED_OUT
     begun: bool = False  # the client has its first event
     kept: float = 0.0
@@ -104,21 +104,21 @@
         self.heard: OrderedDict[str, float] = OrderedDict()
         self.release_calls = 0  # that are out
 
-    async def run(self, leg: Leg, outlet: Outlet) -> LegEnd:
+    async def run(self, attempt: Attempt, outlet: Outlet) -> AttemptResult:
         """Never raises but for an outer cancellation, and ClientGone."""
-        end, caller, whole = LegEnd(), None, False
-        leg.scope.deadline = min(leg.scope.deadline, leg.last_by)
+        end, caller, whole = AttemptResult(), None, False
+        attempt.scope.deadline = min(attempt.scope.deadline, attempt.last_by)
         try:
-            with leg.scope:
-                caller = await self.pool.take(leg.address, REST_MS)
-                await self.begin(leg, caller)
+            with attempt.scope:
+                caller = await self.pool.take(attempt.address, REST_MS)
+                await self.begin(attempt, caller)
                 head = await caller.read_head()
-                self.has_answered(leg.address)
+                self.has_answered(attempt.address)
                 said = {name: value.decode("latin-1") for name, value in head.headers}
                 end.report = load_of(said.get(LOAD), self.deployment)
-                outcome = outcome_of(head.status_code, said.get(NOT_STARTED) == "1", leg.duty)
+                outcome = outcome_of(head.status_code, said.get(NOT_STARTED) == "1", attempt.duty)
                 if outcome.verdict is None:
-                    whole = await self.stream(leg, caller, outlet, end)
+                    whole = await self.stream(attempt, caller, outlet, end)
                 else:
                     body = await caller.body(PLAIN_BYTES)
                     whole = True
@@ -132,7 +132,7 @@
         except Silent:
             end.verdict, end.why = Verdict.TIMED_OUT, "silent within the stream" if end.begun else "no answer in time"
         except Unconnected as why:
-            self.heard.pop(leg.address, None)
+            self.heard.pop(attempt.address, None)
             end.verdict, end.why = Verdict.UNCONNECTED, str(why)
         except BROKEN as why:
             end.verdict, end.why = Verdict.RESET, repr(why)
@@ -146,60 +146,60 @@
                 self.pool.give_back(caller)
             elif caller is not None:
                 caller.close_now()
-        if leg.scope.cancelled_caught and not whole:
-            self.given_up(leg, end)
+        if attempt.scope.cancelled_caught and not whole:
+            self.given_up(attempt, end)
         return end
 
-    async def begin(self, leg: Leg, caller: Caller) -> None:
+    async def begin(self, attempt: Attempt, caller: Caller) -> None:
         """Writes the request. Here attempts begin, and nowhere else: after every wait for a connection or a release.
         Raises Barred or Unconnected."""
-        barred = leg.barred()
+        barred = attempt.barred()
         if barred is not None:
             raise Barred(barred)
-        left_s = max(0.0, leg.last_by - trio.current_time())
+        left_s = max(0.0, attempt.last_by - trio.current_time())
         await caller.send_request(
-            leg.method,
-            leg.target,
-            [("Request-Id", leg.ident), ("Request-Timeout", f"{left_s:.3f}"), ("Content-Type", "application/json")],
-            leg.body,
+            attempt.method,
+            attempt.target,
+            [("Request-Id", attempt.ident), ("Request-Timeout", f"{left_s:.3f}"), ("Content-Type", "application/json")],
+            attempt.body,
         )
-        leg.written_at = trio.current_time()
-        leg.scope.deadline = inf  # from here on reads end by themselves, not without what has arrived by then
-        caller.expect_by(leg.last_by)
+        attempt.written_at = trio.current_time()
+        attempt.scope.deadline = inf  # from here on reads end by themselves, not without what has arrived by then
+        caller.expect_by(attempt.last_by)
 
-    def given_up(self, leg: Leg, end: LegEnd) -> None:
+    def given_up(self, attempt: Attempt, end: AttemptResult) -> None:
         """How an attempt ended whose scope was cancelled: by its time limit while it was not written yet, or called
         off."""
-        barred = leg.barred()
-        if leg.written:
-            end.verdict = Verdict.CALLED_OFF if leg.called_off else Verdict.TIMED_OUT
+        barred = attempt.barred()
+        if attempt.written:
+            end.verdict = Verdict.CANCELLED if attempt.cancelled else Verdict.TIMED_OUT
         elif barred is not None:  # no fault of the server's
             end.verdict, end.why = barred, WHY_BARRED[barred]
         else:  # its last byte never left: nothing can have run
             end.verdict, end.why = Verdict.UNCONNECTED, "given up before all was written"
 
-    async def stream(self, leg: Leg, caller: Caller, outlet: Outlet, end: LegEnd) -> bool:
+    async def stream(self, attempt: Attempt, caller: Caller, outlet: Outlet, end: AttemptResult) -> bool:
         """Passes a writer's events on as they came. True once the last chunk has come. Raises Silent, ClientGone, and
         ValueError for what is no stream of events."""
         events = Events()
         async for piece in caller.chunks():
             ready = events.feed(piece)
             if ready and (end.begun or events.begun):
-                await keep_open(leg.scope, inf)  # called off in this very moment: the client is given nothing
+                await keep_open(attempt.scope, inf)  # called off in this very moment: the client is given nothing
                 first, end.begun = not end.begun, True
                 try:
                     await (outlet.first(ready) if first else outlet.more(ready))
                 except BROKEN:
                     raise ClientGone from None
                 # Counted from here: a client that takes its bytes slowly is not the server's silence.
-                caller.expect_by(trio.current_time() + leg.quiet_ms / 1000)
+                caller.expect_by(trio.current_time() + attempt.quiet_ms / 1000)
             elif ready:
                 events.put_back(ready)
         if not events.done:
             raise ValueError("the stream ended before its last event")
         end.verdict, end.kept = Verdict.STREAMED, events.kept
         end.report = load_of(events.load, self.deployment) or end.report
-        self.has_answered(leg.address)
+        self.has_answered(attempt.address)
         return True
 
     async def ask(
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -11,7 +11,7 @@
 
 from ternlane import port
 from ternlane.deployment import Deployment
-from ternlane.platform.engines import ClientGone, Engines, Leg, LegEnd
+from ternlane.platform.engines import ClientGone, Engines, Attempt, AttemptResult
 from ternlane.platform.held_states import HeldStateMonitor
 from ternlane.platform.open_requests import OpenRequest
 from ternlane.platform.request_history import RequestRecord
@@ -129,8 +129,8 @@
                 ticket.phase,
                 round(now - ticket.since, 1),
                 round(ticket.deadline_ms - now, 1),
-                ticket.legs,
-                ticket.server_name if ticket.leg is not None else "",
+                ticket.attempts,
+                ticket.server_name if ticket.attempt is not None else "",
                 self.after_sigterm_ms(ticket),
             )
             for ticket in self.tickets.values()
@@ -141,8 +141,10 @@
         """Nothing is owed any more; a stream that nobody reads is given up."""
         if not ticket.over:
             ticket.left = True
-            if ticket.leg is not None and (ticket.flowing or not ticket.leg.written):  # it was never a begun attempt
-                ticket.leg.call_off()
+            if ticket.attempt is not None and (
+                ticket.flowing or not ticket.attempt.written
+            ):  # it was never a begun attempt
+                ticket.attempt.cancel()
             self.closed(ticket, "left")
             self.tell(port.ClientLeft(ticket.request))
 
@@ -182,17 +184,17 @@
 
     def forget(self, ticket: Ticket) -> None:
         """It stays until its answer is settled and its last leg has ended."""
-        if ticket.leg is None and ticket.over:
+        if ticket.attempt is None and ticket.over:
             self.tickets.pop(ticket.request, None)
             if self.idents.get(ticket.ident) is ticket:
                 del self.idents[ticket.ident]
 
     # -- legs
 
-    def send(self, ticket: Ticket, server: Server, times: port.SendLeg) -> None:
+    def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
         spot, exchange, now = self.roster.spots.get(server), ticket.exchange, trio.current_time()
         barred = begin_check(server, times.begin_by_ms, lambda: ticket.over or exchange.closed)
-        leg = ticket.leg = Leg(
+        attempt = ticket.attempt = Attempt(
             spot.address if spot is not None else "",
             server.duty,
             exchange.method,
@@ -206,24 +208,24 @@
         name = ticket.server_name = spot.name if spot is not None else "gone"
         if ticket.trail:
             self.counts[f"retry after {ticket.last_verdict}"] += ticket.last_verdict != Verdict.READ.name
-        ticket.legs += 1
-        ticket.note(f"attempt {ticket.legs} to {name} decided, {times.timeout_ms:.0f} ms for it")
-        self.nursery.start_soon(self.run, ticket, server, leg, name)
+        ticket.attempts += 1
+        ticket.note(f"attempt {ticket.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
+        self.nursery.start_soon(self.run, ticket, server, attempt, name)
 
-    async def run(self, ticket: Ticket, server: Server, leg: Leg, name: str) -> None:
-        since, end = now_ms(), LegEnd()
+    async def run(self, ticket: Ticket, server: Server, attempt: Attempt, name: str) -> None:
+        since, end = now_ms(), AttemptResult()
         if ticket.freeing is not None:  # lest a late DELETE release what this leg has read
-            leg.release_wait.deadline = trio.current_time() + self.deployment.facts.connect_ms / 1000
-            with leg.release_wait:
+            attempt.release_wait.deadline = trio.current_time() + self.deployment.facts.connect_ms / 1000
+            with attempt.release_wait:
                 await ticket.freeing.wait()
         try:
-            end = await self.engines.run(leg, Passing(self, ticket, server, since))
+            end = await self.engines.run(attempt, Passing(self, ticket, server, since))
         except ClientGone:
-            end = LegEnd(Verdict.CALLED_OFF, begun=True, why="the client left")
+            end = AttemptResult(Verdict.CANCELLED, begun=True, why="the client left")
             self.client_left(ticket)
         except Exception as why:  # a fault of this program must not take the other generations with it
             self.log.exception("leg")
-            end = LegEnd(Verdict.ERROR, begun=ticket.flowing, why=repr(why))
+            end = AttemptResult(Verdict.ERROR, begun=ticket.flowing, why=repr(why))
         if end.verdict is Verdict.MOOT:
             self.client_left(ticket)
         if end.verdict is Verdict.STREAMED and not ticket.over:
@@ -234,15 +236,15 @@
             self.settle(ticket, Streamed(True))
         elif end.begun:
             self.settle(ticket, Streamed(False))
-        self.leg_ended(ticket, server, name, end, now_ms() - since)
+        self.attempt_ended(ticket, server, name, end, now_ms() - since)
 
-    def leg_ended(self, ticket: Ticket, server: Server, name: str, end: LegEnd, took: float) -> None:
-        leg, ticket.leg, ticket.flowing = ticket.leg, None, False
+    def attempt_ended(self, ticket: Ticket, server: Server, name: str, end: AttemptResult, took: float) -> None:
+        attempt, ticket.attempt, ticket.flowing = ticket.attempt, None, False
         ticket.why = f"{end.verdict.name}: {end.why}" if end.why else ticket.why
         kind = "read" if server.duty is port.Duty.READ else "write"
         ticket.trail.append(f"{name} {kind} {end.verdict.name} {took:.0f} ms {end.why}".rstrip())
-        written = "not written" if leg is None or leg.written_at is None else "written"
-        ticket.note(f"attempt {ticket.legs} ended: {kind} {end.verdict.name}, {written}: {end.why}".rstrip(": "))
+        written = "not written" if attempt is None or attempt.written_at is None else "written"
+        ticket.note(f"attempt {ticket.attempts} ended: {kind} {end.verdict.name}, {written}: {end.why}".rstrip(": "))
         if end.verdict is Verdict.READ:
             self.held_states.held(ticket.ident, name, now_ms())
         elif end.verdict is Verdict.STREAMED or end.state_lost:
@@ -261,13 +263,17 @@
             why=end.why,
         )
         self.tell(
-            port.LegEnded(ticket.request, server, end.verdict, took, ticket.over, end.kept, end.state_lost, end.report)
+            port.AttemptEnded(
+                ticket.request, server, end.verdict, took, ticket.over, end.kept, end.state_lost, end.report
+            )
         )
         self.forget(ticket)
 
     def oldest_unanswered_ms(self) -> float:
         """For how long the attempt has waited that was written first of those without a byte of their answer's head."""
-        written = [ticket.leg.written_at for ticket in self.tickets.values() if ticket.leg and not ticket.flowing]
+        written = [
+            ticket.attempt.written_at for ticket in self.tickets.values() if ticket.attempt and not ticket.flowing
+        ]
         return max((trio.current_time() - at for at in written if at is not None), default=0.0) * 1000
 
     # -- what is held
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/ticket.py
@@ -8,7 +8,7 @@
 
 from ternlane import port
 from ternlane.http1 import Exchange
-from ternlane.platform.engines import Leg
+from ternlane.platform.engines import Attempt
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
 from ternlane.port import Request
@@ -39,9 +39,9 @@
     final: Final | None = None
     left: bool = False
     flowing: bool = False
-    leg: Leg | None = None
+    attempt: Attempt | None = None
     server_name: str = ""  # of the newest attempt
-    legs: int = 0
+    attempts: int = 0
     why: str = ""
     trail: list[str] = field(default_factory=list)
     freeing: trio.Event | None = None  # set once what was held before is released
@@ -77,11 +77,11 @@
         """How far it has come."""
         if self.flowing:
             return Phase.STREAMING
-        if self.leg is None:
+        if self.attempt is None:
             return Phase.QUEUED
-        if not self.leg.written:
+        if not self.attempt.written:
             return Phase.CONNECTING
-        return Phase.PREFILL if self.leg.duty is port.Duty.READ else Phase.DECODE
+        return Phase.PREFILL if self.attempt.duty is port.Duty.READ else Phase.DECODE
 
     async def first(self, data: bytes) -> None:
         await self.exchange.begin(200, STREAM_HEAD, data)
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -56,7 +56,7 @@
     TIMED_OUT = auto()
     UNCONNECTED = auto()
     RESET = auto()
-    CALLED_OFF = auto()
+    CANCELLED = auto()
     MOOT = auto()
     WITHHELD = auto()
     READ = auto()
@@ -149,8 +149,8 @@
     gateways: int
     zone: str
     products: tuple[Product, ...]
-    leg_limit: int
-    may_call_off: bool
+    max_attempts: int
+    may_cancel: bool
     may_hold_ahead: bool
     may_probe: bool
     may_advise: bool
@@ -238,7 +238,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LegEnded:
+class AttemptEnded:
     """`over`: the client has its final answer by this leg. `kept_toks`: so much of the prompt need not be read anew;
     `state_lost`: a writer found nothing to go on with. `broken`: its client has a part of the answer, and another leg
     may give the rest once GoOn says so."""
@@ -306,7 +306,7 @@
     | ListFailed
     | Arrived
     | FirstTok
-    | LegEnded
+    | AttemptEnded
     | GoOn
     | ReleaseHeard
     | PlaceHeld
@@ -320,7 +320,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SendLeg:
+class StartAttempt:
     """`timeout_ms` runs until the first token; after it, a stream that is silent for `quiet_ms` has broken, and one
     that is not over after `whole_ms`, counted from the send, comes too late for its client. Nothing of it may be sent
     later than `begin_by_ms` from now, as no one drops the repeat of a generation any more."""
@@ -334,7 +334,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallOff:
+class CancelAttempt:
     """Stops the wait for the generation's leg that is out."""
 
     request: Request
@@ -404,4 +404,4 @@
     text: str
 
 
-Action = SendLeg | CallOff | Throttle | Terminate | Release | HoldAhead | Probe | Follow | Wake | Log
+Action = StartAttempt | CancelAttempt | Throttle | Terminate | Release | HoldAhead | Probe | Follow | Wake | Log
--- a/ternlane/recover/join.py
+++ b/ternlane/recover/join.py
@@ -36,8 +36,8 @@
         self.way, self.why, self.shelf, self.max_toks = way, why, shelf, max_toks
         self.pieces: list[str] = []
         self.bytes = self.toks = 0  # kept; and tokens that the client has by legs that are over
-        self.leg_pieces = 0  # of the present leg
-        self.legs = 0  # that broke after their first piece
+        self.attempt_pieces = 0  # of the present leg
+        self.attempts = 0  # that broke after their first piece
         self.skip = ""  # what a repeat has still to say before anything new
         self.stopped = self.differs = False
         self.ahead = 0  # characters that the client has of a run that is not known here
@@ -50,7 +50,7 @@
 
     @property
     def resumed(self) -> bool:
-        return self.legs > 0
+        return self.attempts > 0
 
     def left(self) -> int:
         """Tokens that the answer may still have."""
@@ -62,7 +62,7 @@
             raise Differs
         if self.stopped:
             return ""
-        self.leg_pieces += 1
+        self.attempt_pieces += 1
         if self.skip:
             known, piece = piece[: len(self.skip)], piece[len(self.skip) :]
             if not self.skip.startswith(known):
@@ -102,7 +102,7 @@
         if self.way is not Way.END and (
             self.bytes > self.shelf.each
             or self.shelf.used > self.shelf.most
-            or self.toks + self.leg_pieces > self.shelf.toks
+            or self.toks + self.attempt_pieces > self.shelf.toks
         ):
             self.shelf.dropped += 1
             self.end("it outgrew what is kept for a loss")
@@ -136,12 +136,12 @@
         to be read anew besides the prompt; None where it can't go on."""
         if self.way is Way.END:
             return None
-        self.legs += 1
+        self.attempts += 1
         if self.way is Way.REPLAY:
             self.skip = self.text
         else:
-            self.toks += self.leg_pieces if made is None else max(made, 0)
-        self.leg_pieces = 0
+            self.toks += self.attempt_pieces if made is None else max(made, 0)
+        self.attempt_pieces = 0
         if self.way is Way.GO_ON and self.pieces and self.pieces[-1].endswith(TORN):
             self.end("it broke within a character")
             return None
--- a/ternlane/rules/check.py
+++ b/ternlane/rules/check.py
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Leg:
+class Attempt:
     request: str
     n: int
     stage: str
@@ -76,7 +76,7 @@
     counted: dict[str, int] = {}
     broken = [
         f
-        for judge in (run.answers, run.effects, run.one_leg, run.drains, run.cold, run.pinned, run.texts)
+        for judge in (run.answers, run.effects, run.one_attempt, run.drains, run.cold, run.pinned, run.texts)
         for f in judge(counted)
     ]
     return Findings(broken, counted)
@@ -89,11 +89,11 @@
         for line in lines:
             self.by[line["k"]].append(line)
         self.end = lines[-1]["t"] if lines else 0.0
-        self.legs: defaultdict[str, list[Leg]] = defaultdict(list)
+        self.attempts: defaultdict[str, list[Attempt]] = defaultdict(list)
         self.downs: defaultdict[str, list[float]] = defaultdict(list)
         for line in self.by["down"]:
             self.downs[line["id"]].append(line["t"])
-        self.pair_legs()
+        self.pair_attempts()
         self.kills: defaultdict[str, list[Line]] = defaultdict(list)
         for line in self.by["gateway"]:
             self.kills[line["gw"]].append(line)
@@ -101,7 +101,7 @@
         for line in self.by["conn"]:
             self.conns[line["port"]].append(line)
 
-    def pair_legs(self) -> None:
+    def pair_attempts(self) -> None:
         ends: dict[tuple[str, str, int], Line] = {}
         for line in self.by["leg_end"]:
             ends[line["id"], line["gen"], line["n"]] = line
@@ -109,8 +109,8 @@
             end = ends.get((line["id"], line["gen"], line["n"]))
             if end is None:
                 end = {"t": self.next_down(line["id"], line["t"]), "how": "unfinished"}
-            self.legs[line["gen"]].append(
-                Leg(line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"])
+            self.attempts[line["gen"]].append(
+                Attempt(line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"])
             )
 
     def next_down(self, engine: str, since: float) -> float:
@@ -121,8 +121,8 @@
         near = min(self.conns.get(ask["port"], []), key=lambda c: abs(c["t"] - ask["t"]), default=None)
         if near is not None:
             return str(near["gw"])
-        legs = self.legs.get(ask["gen"])
-        return legs[0].gateway if legs else None
+        attempts = self.attempts.get(ask["gen"])
+        return attempts[0].gateway if attempts else None
 
     def went_down(self, gateway: str | None, begin: float, end: float) -> bool:
         """Was the gateway killed while this was open, or down when it came? One that was told to stop still owes what
@@ -189,14 +189,14 @@
             task, terms = ask["task"], self.rules["products"][ask["product"]]
             if effect == "side-effecting" and len(ran[task]) > 1 and ask["gen"] == ran[task][0]["gen"]:
                 yield Finding(2, ask["gen"], f"the effect happened {len(ran[task])} times", ran[task])
-            maybe: Leg | None = None
-            for leg in sorted(self.legs.get(ask["gen"], []), key=lambda v: v.begin):
+            maybe: Attempt | None = None
+            for attempt in sorted(self.attempts.get(ask["gen"], []), key=lambda v: v.begin):
                 if maybe is not None:
-                    why = self.wrong_repeat(effect, terms, maybe, leg, places)
+                    why = self.wrong_repeat(effect, terms, maybe, attempt, places)
                     if why:
-                        yield Finding(2, ask["gen"], why, [vars(maybe), vars(leg)])
-                elif leg.stage != "read" and not leg.how.startswith("refused"):
-                    maybe = leg
+                        yield Finding(2, ask["gen"], why, [vars(maybe), vars(attempt)])
+                elif attempt.stage != "read" and not attempt.how.startswith("refused"):
+                    maybe = attempt
             final = outcomes.get(ask["gen"])
             if (
                 maybe is not None
@@ -207,24 +207,26 @@
                 yield Finding(2, ask["gen"], "throttled although a leg may have run", [vars(maybe), final])
 
     @staticmethod
-    def wrong_repeat(effect: str, terms: dict[str, Any], maybe: Leg, leg: Leg, places: dict[str, Line]) -> str:
+    def wrong_repeat(
+        effect: str, terms: dict[str, Any], maybe: Attempt, attempt: Attempt, places: dict[str, Line]
+    ) -> str:
         if effect == "side-effecting":
             return "a further leg although an earlier one may have run"
-        if leg.stage == "read":
+        if attempt.stage == "read":
             return ""
-        a, b = places[maybe.engine], places[leg.engine]
+        a, b = places[maybe.engine], places[attempt.engine]
         if terms["group"] == "zone" and a["zone"] != b["zone"] or terms["group"] == "cell" and a["cell"] != b["cell"]:
             return "repeated outside the group that drops repeats"
-        if leg.begin > maybe.begin + terms["window_ms"] + TOLERANCE:
+        if attempt.begin > maybe.begin + terms["window_ms"] + TOLERANCE:
             return "repeated after the group had forgotten"
         return ""
 
-    def one_leg(self, counted: dict[str, int]) -> Iterable[Finding]:
+    def one_attempt(self, counted: dict[str, int]) -> Iterable[Finding]:
         """Never two legs of one generation at once."""
-        for request, legs in self.legs.items():
-            counted["legs"] = counted.get("legs", 0) + len(legs)
-            legs.sort(key=lambda v: v.begin)
-            for a, b in zip(legs, legs[1:], strict=False):
+        for request, attempts in self.attempts.items():
+            counted["legs"] = counted.get("legs", 0) + len(attempts)
+            attempts.sort(key=lambda v: v.begin)
+            for a, b in zip(attempts, attempts[1:], strict=False):
                 if b.begin < a.end - TOLERANCE and a.how not in ("unfinished",):
                     yield Finding(2, request, "two legs at once", [vars(a), vars(b)])
 
@@ -262,17 +264,17 @@
                 known |= set(states)
         counted["drains told"] = sum(1 for v in since.values() for _, up in v if not up)
         grace = self.rules["drain_grace_ms"] + TOLERANCE
-        for legs in self.legs.values():
-            for leg in legs:
-                changes = since.get((leg.gateway, leg.engine), [])
-                i = bisect_right([at for at, _ in changes], leg.begin)
-                if i and not changes[i - 1][1] and leg.begin > changes[i - 1][0] + grace:
+        for attempts in self.attempts.values():
+            for attempt in attempts:
+                changes = since.get((attempt.gateway, attempt.engine), [])
+                i = bisect_right([at for at, _ in changes], attempt.begin)
+                if i and not changes[i - 1][1] and attempt.begin > changes[i - 1][0] + grace:
                     yield Finding(
                         3,
-                        leg.request,
-                        f"sent {leg.begin - changes[i - 1][0]:.0f} ms after it was told that "
-                        f"{leg.engine} drains or is gone",
-                        [vars(leg)],
+                        attempt.request,
+                        f"sent {attempt.begin - changes[i - 1][0]:.0f} ms after it was told that "
+                        f"{attempt.engine} drains or is gone",
+                        [vars(attempt)],
                     )
 
     # -- rule 4
@@ -294,12 +296,15 @@
                 if start <= line["t"] and state is not None and state[0] == "up" and state[1] > 0:
                     told.setdefault((line["gw"], fell["id"]), line["t"])
             window = [
-                leg
-                for legs in self.legs.values()
-                for leg in legs
-                if leg.engine == fell["id"] and max(start, fell["t"] - self.rules["fall_ms"]) <= leg.begin <= fell["t"]
+                attempt
+                for attempts in self.attempts.values()
+                for attempt in attempts
+                if attempt.engine == fell["id"]
+                and max(start, fell["t"] - self.rules["fall_ms"]) <= attempt.begin <= fell["t"]
+            ]
+            knowing = [
+                attempt for attempt in window if told.get((attempt.gateway, attempt.engine), self.end) <= attempt.begin
             ]
-            knowing = [leg for leg in window if told.get((leg.gateway, leg.engine), self.end) <= leg.begin]
             if window and 3 * len(knowing) >= 2 * len(window):
                 yield Finding(
                     4,
@@ -327,21 +332,24 @@
                 default=self.next_down(state["id"], state["t"]),
             )
             at = state["t"]
-            legs = sorted(self.legs.get(state["gen"], []), key=lambda v: v.begin)
+            attempts = sorted(self.attempts.get(state["gen"], []), key=lambda v: v.begin)
             idle, since = 0.0, at
-            for leg in legs:
-                if leg.begin >= end:
+            for attempt in attempts:
+                if attempt.begin >= end:
                     break
-                idle = max(idle, leg.begin - since)
-                since = max(since, leg.end)
+                idle = max(idle, attempt.begin - since)
+                since = max(since, attempt.end)
             idle = max(idle, end - since)
             if idle <= allowed:
                 continue
-            gateway = legs[0].gateway if legs else None
+            gateway = attempts[0].gateway if attempts else None
             if self.went_down(gateway, at, end) or any(at - 20e3 <= c["t"] <= end for c in cuts):
                 continue
             yield Finding(
-                5, state["gen"], f"held at {state['id']} for {idle:.0f} ms with no leg out", [state, *map(vars, legs)]
+                5,
+                state["gen"],
+                f"held at {state['id']} for {idle:.0f} ms with no leg out",
+                [state, *map(vars, attempts)],
             )
 
     # -- rule 6
@@ -354,19 +362,21 @@
         for line in self.by["said"]:
             said[line["gen"]].append(line)
         for final in self.by["final"]:
-            legs, text = sorted(said.get(final["gen"], []), key=lambda v: v["n"]), final.get("text", "")
-            if not legs or final["outcome"] not in FINALS:
+            attempts, text = sorted(said.get(final["gen"], []), key=lambda v: v["n"]), final.get("text", "")
+            if not attempts or final["outcome"] not in FINALS:
                 continue
             counted["texts"] = counted.get("texts", 0) + 1
-            counted["texts of several legs"] = counted.get("texts of several legs", 0) + (len(legs) > 1)
-            for i, leg in enumerate(legs):
-                if leg["after"] and not any((v["after"] + v["text"]).startswith(leg["after"]) for v in legs[:i]):
-                    yield Finding(6, final["gen"], "a leg went on from what no engine had said", [final, *legs])
+            counted["texts of several legs"] = counted.get("texts of several legs", 0) + (len(attempts) > 1)
+            for i, attempt in enumerate(attempts):
+                if attempt["after"] and not any(
+                    (v["after"] + v["text"]).startswith(attempt["after"]) for v in attempts[:i]
+                ):
+                    yield Finding(6, final["gen"], "a leg went on from what no engine had said", [final, *attempts])
                     break
             if final["outcome"] == "streamed":
-                if text != legs[-1]["after"] + legs[-1]["text"]:
-                    yield Finding(6, final["gen"], "the text is not what the engines said", [final, *legs])
-                elif zlib.crc32(text.encode()) != legs[0]["whole"]:
-                    yield Finding(6, final["gen"], "the text is not what an unbroken leg gives", [final, *legs])
-            elif not any((v["after"] + v["text"]).startswith(text) for v in legs):
-                yield Finding(6, final["gen"], "a part of a text that no engine said so", [final, *legs])
+                if text != attempts[-1]["after"] + attempts[-1]["text"]:
+                    yield Finding(6, final["gen"], "the text is not what the engines said", [final, *attempts])
+                elif zlib.crc32(text.encode()) != attempts[0]["whole"]:
+                    yield Finding(6, final["gen"], "the text is not what an unbroken leg gives", [final, *attempts])
+            elif not any((v["after"] + v["text"]).startswith(text) for v in attempts):
+                yield Finding(6, final["gen"], "a part of a text that no engine said so", [final, *attempts])
--- a/ternlane/standin/engine.py
+++ b/ternlane/standin/engine.py
@@ -290,7 +290,7 @@
             exchange.reset()
             return
         if exchange.path == "/v1/chat/completions":
-            await self.leg(exchange)
+            await self.attempt(exchange)
         elif exchange.path == "/ternlane/v1/release":
             request = str(msgspec.json.decode(exchange.body)["request_id"])
             await exchange.answer(200 if self.drop_state(request, "released") else 404, [self.load()], b"{}")
@@ -333,7 +333,7 @@
         self.drop_state(request, "taken")
         await exchange.answer(200, [], msgspec.json.encode({"toks": toks}))
 
-    async def leg(self, exchange: Exchange) -> None:
+    async def attempt(self, exchange: Exchange) -> None:
         ident = exchange.header(b"x-request-id") or "?"
         request, _, number = ident.rpartition(".")
         body = msgspec.json.decode(exchange.body)
--- a/ternlane/standin/platform.py
+++ b/ternlane/standin/platform.py
@@ -185,11 +185,11 @@
         self.fleet.open[self.name] += 1
         try:
             await self._at("request")
-            await self._leg(exchange, ident)
+            await self._attempt(exchange, ident)
         finally:
             self.fleet.open[self.name] -= 1
 
-    async def _leg(self, exchange: Exchange, ident: str) -> None:
+    async def _attempt(self, exchange: Exchange, ident: str) -> None:
         way = self.script(ident)
         if way == "silent":
             await exchange.until_left()
--- a/ternlane/tenants/cashier.py
+++ b/ternlane/tenants/cashier.py
@@ -33,7 +33,7 @@
     bill: Used
     house: Used
     micros: int
-    legs: int
+    attempts: int
     key: str = ""  # the client's Idempotency-Key, hashed
     note: str = ""
 
@@ -185,7 +185,7 @@
         request: str,
         outcome: str,
         billed: Billed,
-        legs: int,
+        attempts: int,
         now: float,
         wall: float,
         key: str = "",
@@ -213,7 +213,7 @@
             bill,
             billed.house,
             micros,
-            legs,
+            attempts,
             key,
             "; ".join(filter(None, (billed.note, odd))),
         )
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -95,7 +95,7 @@
 
 
 class Waits(Protocol):
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Ends the wait for a leg."""
 
 
@@ -107,7 +107,7 @@
     trail: list[str]
 
     @property
-    def leg(self) -> Waits | None: ...
+    def attempt(self) -> Waits | None: ...
 
     @property
     def request(self) -> port.Request: ...
@@ -194,8 +194,8 @@
 
     def give_up(self, ticket: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
-        if ticket.leg is not None:
-            ticket.leg.call_off()
+        if ticket.attempt is not None:
+            ticket.attempt.cancel()
         self.settle(ticket, Terminated(why))
         self.tell(port.ClientLeft(ticket.request))
 
@@ -203,12 +203,12 @@
         match action:
             case port.Wake(at, beat):
                 self.at(at, partial(self.hear, port.Woken(beat)))
-            case port.SendLeg(request, server):
+            case port.StartAttempt(request, server):
                 self.send(self.tickets[request], server, action)
-            case port.CallOff(request):
+            case port.CancelAttempt(request):
                 ticket = self.tickets.get(request)
-                if ticket is not None and ticket.leg is not None and not ticket.flowing:
-                    ticket.leg.call_off()
+                if ticket is not None and ticket.attempt is not None and not ticket.flowing:
+                    ticket.attempt.cancel()
             case port.Throttle(request, pause, refusal):
                 if request in self.tickets:
                     self.settle(self.tickets[request], Throttled(pause, refusal))
@@ -221,7 +221,7 @@
                 self.carry_further(action)
 
     @abstractmethod
-    def send(self, ticket: T, server: port.Server, times: port.SendLeg) -> None:
+    def send(self, ticket: T, server: port.Server, times: port.StartAttempt) -> None:
         """Sends a leg."""
 
     @abstractmethod
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -11,7 +11,7 @@
 from ternlane.port import (
     Action,
     Arrived,
-    CallOff,
+    CancelAttempt,
     Checked,
     ClientLeft,
     Effect,
@@ -21,7 +21,7 @@
     Request,
     Group,
     HoldAhead,
-    LegEnded,
+    AttemptEnded,
     Release,
     Life,
     Listed,
@@ -31,7 +31,7 @@
     Probe,
     Product,
     Report,
-    SendLeg,
+    StartAttempt,
     Server,
     Terminate,
     Throttle,
@@ -47,7 +47,7 @@
     "T": Verdict.TIMED_OUT,
     "C": Verdict.UNCONNECTED,
     "R": Verdict.RESET,
-    "X": Verdict.CALLED_OFF,
+    "X": Verdict.CANCELLED,
     "N": Verdict.MOOT,
     "prefilled": Verdict.READ,
 }
@@ -77,8 +77,8 @@
         self.server_ids: dict[Server, str] = {}
         self.requests: dict[int, Request] = {}
         self.request_ids: dict[Request, int] = {}
-        self.legs: dict[Request, int] = {}
-        self.legs_back: dict[Request, int] = {}
+        self.attempts: dict[Request, int] = {}
+        self.attempts_ended: dict[Request, int] = {}
         self.closed: set[Request] = set()
         # Here any outcome begins the release time anew, also that of a connection that did not come up.
         self.router = Router(replace(self.deployment.facts, holds_run_on=False))
@@ -114,11 +114,11 @@
 
     def forget(self, request: Request) -> None:
         """Drops the ids of a generation that is over and whose legs have all ended."""
-        if request in self.closed and self.legs_back.get(request, 0) >= self.legs.get(request, 0):
+        if request in self.closed and self.attempts_ended.get(request, 0) >= self.attempts.get(request, 0):
             self.requests.pop(self.request_ids.pop(request, -1), None)
             self.closed.discard(request)
-            self.legs.pop(request, None)
-            self.legs_back.pop(request, None)
+            self.attempts.pop(request, None)
+            self.attempts_ended.pop(request, None)
 
     def event(self, part: list[str]) -> Event | None:
         what = part[0]
@@ -171,11 +171,11 @@
         if what == "REPORT_BACK":
             verdict, note = VERDICTS.get(part[5], Verdict.ERROR), number(part[8]) if len(part) > 8 else 0.0
             over = part[7] == "1"
-            self.legs_back[request] = self.legs_back.get(request, 0) + 1
+            self.attempts_ended[request] = self.attempts_ended.get(request, 0) + 1
             if over:
                 self.closed.add(request)
             kept = note if verdict in (Verdict.READ, Verdict.STREAMED) else 0.0
-            return LegEnded(
+            return AttemptEnded(
                 request,
                 server,
                 verdict,
@@ -190,11 +190,11 @@
     def lines(self, number_: str, actions: list[Action]) -> Iterator[str]:
         for a in actions:
             match a:
-                case SendLeg(request, server, timeout):
-                    self.legs[request] = self.legs.get(request, 0) + 1
+                case StartAttempt(request, server, timeout):
+                    self.attempts[request] = self.attempts.get(request, 0) + 1
                     yield f"FORWARD {number_} {self.request_ids[request]} {ms(timeout)} {self.server_ids[server]}"
-                case CallOff(request):
-                    yield f"CALL_OFF {number_} {self.request_ids[request]} {self.legs[request] - 1}"
+                case CancelAttempt(request):
+                    yield f"CALL_OFF {number_} {self.request_ids[request]} {self.attempts[request] - 1}"
                 case Throttle(request, pause):
                     yield f"BUSY {number_} {self.request_ids[request]} {ms(pause)}"
                     self.closed.add(request)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -64,22 +64,22 @@
         over: bool = False,
         **note: Any,
     ) -> list[Any]:
-        return self.tell(port.LegEnded(request, server, verdict, after, over, **note), after=after)
+        return self.tell(port.AttemptEnded(request, server, verdict, after, over, **note), after=after)
 
     def first(self, request: port.Request, server: Server, after: float = 100.0) -> list[Any]:
         return self.tell(port.FirstTok(request, server, after), after=after)
 
-    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Request, port.SendLeg]:
+    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Request, port.StartAttempt]:
         """A generation whose state has just been sent on to a writer, and that leg."""
         request = self.request(effect, **own)
-        leg = sent(self.arrive(request))
-        return request, sent(self.end(request, leg.server, Verdict.READ))
+        attempt = sent(self.arrive(request))
+        return request, sent(self.end(request, attempt.server, Verdict.READ))
 
 
-def sent(actions: list[Any]) -> port.SendLeg:
-    legs = [a for a in actions if isinstance(a, port.SendLeg)]
-    assert len(legs) == 1, actions
-    return legs[0]
+def sent(actions: list[Any]) -> port.StartAttempt:
+    attempts = [a for a in actions if isinstance(a, port.StartAttempt)]
+    assert len(attempts) == 1, actions
+    return attempts[0]
 
 
 def kinds(actions: list[Any]) -> list[type]:
@@ -91,8 +91,8 @@
     gateways=2,
     zone="east",
     products=(),
-    leg_limit=5,
-    may_call_off=True,
+    max_attempts=5,
+    may_cancel=True,
     may_hold_ahead=False,
     may_probe=False,
     may_advise=True,
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -23,8 +23,8 @@
 
 # The kinds of actions by their number in the canonical form. The order is part of the recorded digests.
 ACTION_KINDS = (
-    port.SendLeg,
-    port.CallOff,
+    port.StartAttempt,
+    port.CancelAttempt,
     port.Throttle,
     port.Terminate,
     port.Release,
@@ -183,10 +183,10 @@
         match action:
             case port.Wake(at, beat):
                 self.at(at, lambda: [port.Woken(beat)])
-            case port.SendLeg(request, server):
+            case port.StartAttempt(request, server):
                 self.begin(request, server, action)
-            case port.CallOff(request):
-                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, Verdict.CALLED_OFF))
+            case port.CancelAttempt(request):
+                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, Verdict.CANCELLED))
             case port.Throttle(request) | port.Terminate(request):
                 self.open.pop(request, None)
             case port.Release(request):
@@ -254,7 +254,7 @@
         entry = self.out.get(request)
         if entry is None or (times is not None and entry[0] is not times):
             return []
-        if verdict is Verdict.CALLED_OFF and entry[2].begun:
+        if verdict is Verdict.CANCELLED and entry[2].begun:
             return []
         del self.out[request]
         gone = request not in self.open
@@ -265,7 +265,7 @@
         kept = request.prompt_toks * self.rng.random() if verdict is Verdict.READ else 0.0
         lost = entry[1].duty is not Duty.READ and verdict is Verdict.ERROR and self.rng.random() < 0.5
         took = self.rng.uniform(1.0, 900.0)
-        ended = port.LegEnded(request, entry[1], verdict, took, over, kept, lost, self.report(), broken)
+        ended = port.AttemptEnded(request, entry[1], verdict, took, over, kept, lost, self.report(), broken)
         if broken:
             self.after(self.rng.uniform(5.0, 200.0), lambda: self.go_on(request))
         return [ended]
@@ -323,7 +323,7 @@
         self.facts = replace(
             self.facts,
             products=self.products,
-            leg_limit=self.rng.randint(2, 6),
+            max_attempts=self.rng.randint(2, 6),
             release_ms=self.rng.choice([300.0, 500.0, 900.0]),
             cold_ms=self.rng.choice([4e3, 10e3]),
         )
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -33,7 +33,7 @@
             match event:
                 case port.Arrived(request):
                     out.append(self.next(request, Duty.READ))
-                case port.LegEnded(request, server, verdict, _, over) if not over:
+                case port.AttemptEnded(request, server, verdict, _, over) if not over:
                     if verdict is Verdict.READ:
                         out.append(self.next(request, Duty.WRITE))
                         continue
@@ -58,7 +58,7 @@
         self.attempts[request] += 1
         best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
         day.view(best).add(best, client_request)
-        return port.SendLeg(request, gateway.know(best), min(left, request.product.slo_ms), inf, inf)
+        return port.StartAttempt(request, gateway.know(best), min(left, request.product.slo_ms), inf, inf)
 
 
 @dataclass
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -114,11 +114,11 @@
         if request not in self.jobs:
             self.tickets.pop(request, None)
 
-    def send(self, ticket: Any, server: Server, times: port.SendLeg) -> None:
+    def send(self, ticket: Any, server: Server, times: port.StartAttempt) -> None:
         request, now, incarnation = times.request, self.day.now, self.incarnation
         job = Job(self, request, server, self.requests[request], now, now + times.timeout_ms)
         self.jobs[request] = job
-        ticket.leg = Attempt(self, job)
+        ticket.attempt = Attempt(self, job)
         self.day.sent.append((now, self.truth[server]))
         self.truth[server].take(job)
 
@@ -137,7 +137,7 @@
         self.jobs.pop(job.request, None)
         ticket = self.tickets.get(job.request)
         if ticket is not None:
-            ticket.leg = None
+            ticket.attempt = None
         client_request = self.requests.get(job.request)
         over = verdict is Verdict.STREAMED or job.begun or client_request is None
         if over and verdict is not Verdict.STREAMED and client_request is not None and job.begun:
@@ -149,7 +149,7 @@
         kept = 0.0
         if verdict is Verdict.READ:
             kept = job.client_request.prompt - job.work * self.day.scene.reader_tokens_per_ms
-        self.tell(port.LegEnded(job.request, job.server, verdict, took, over, kept))
+        self.tell(port.AttemptEnded(job.request, job.server, verdict, took, over, kept))
         if job.request not in self.requests:
             self.tickets.pop(job.request, None)
 
@@ -190,7 +190,7 @@
 @dataclass(eq=False)
 class Ticket:
     request: Request
-    leg: Any = None
+    attempt: Any = None
     flowing: bool = False
     why: str = ""
     trail: list[str] = field(default_factory=list)
@@ -201,8 +201,8 @@
     gateway: Gateway
     job: Job
 
-    def call_off(self) -> None:
-        self.gateway.day.after(0.0, lambda: self.gateway.ended(self.job, Verdict.CALLED_OFF))
+    def cancel(self) -> None:
+        self.gateway.day.after(0.0, lambda: self.gateway.ended(self.job, Verdict.CANCELLED))
 
 
 @contextmanager
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,20 +10,20 @@
 
 
 def test_a_session_keeps_a_near_home(host: FakeHost) -> None:
-    first, leg = host.written(session="s")
+    first, attempt = host.written(session="s")
     reader = first.seat.reader.server
-    assert leg.server.cell == reader.cell
-    host.first(first, leg.server)
-    host.end(first, leg.server, Verdict.STREAMED, over=True)
+    assert attempt.server.cell == reader.cell
+    host.first(first, attempt.server)
+    host.end(first, attempt.server, Verdict.STREAMED, over=True)
     for _ in range(4):
         host.arrive(host.request())
     assert sent(host.arrive(host.request(session="s"))).server is reader
 
 
 def test_a_full_home_is_left_for_the_next_best_pair(host: FakeHost) -> None:
-    first, leg = host.written(session="s")
+    first, attempt = host.written(session="s")
     for _ in range(3):
-        host.end(first, leg.server, Verdict.STREAMED, over=True)
+        host.end(first, attempt.server, Verdict.STREAMED, over=True)
     big = host.request(prompt_toks=150e3, opening=None, opening_toks=0.0)
     taken = sent(host.arrive(big)).server
     again = host.request(session="s", prompt_toks=60e3, opening=None, opening_toks=0.0)
@@ -32,9 +32,9 @@
 
 def test_a_read_that_breaks_is_read_elsewhere(host: FakeHost) -> None:
     request = host.request(Effect.SIDE_EFFECTING)
-    leg = sent(host.arrive(request))
-    said = host.end(request, leg.server, Verdict.RESET)
-    assert sent(said).server is not leg.server
+    attempt = sent(host.arrive(request))
+    said = host.end(request, attempt.server, Verdict.RESET)
+    assert sent(said).server is not attempt.server
     assert port.Release in kinds(said)  # the read may have gone on unheard and left its state
 
 
@@ -46,33 +46,33 @@
     later = host.request(session="a")
     assert sent(host.arrive(later, after=100.0)).server is first.server  # not overdue yet: it may only be long
     said = host.end(later, first.server, Verdict.READ, after=20.0)
-    assert sent(said).server.duty is port.Duty.WRITE and port.CallOff not in kinds(said)
+    assert sent(said).server.duty is port.Duty.WRITE and port.CancelAttempt not in kinds(said)
     said = host.tell(after=300.0)  # nothing else is sent there, and still it is not waited for to its time limit
-    assert [a.request for a in said if isinstance(a, port.CallOff)] == [mute]
-    again = sent(host.end(mute, first.server, Verdict.CALLED_OFF))
+    assert [a.request for a in said if isinstance(a, port.CancelAttempt)] == [mute]
+    again = sent(host.end(mute, first.server, Verdict.CANCELLED))
     assert again.server.duty is port.Duty.READ and again.server is not first.server
     assert sent(host.end(mute, again.server, Verdict.READ)).server.duty is port.Duty.WRITE
 
 
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
-    host = build(leg_limit=2)  # none is called off
+    host = build(max_attempts=2)  # none is called off
     reader = sent(host.arrive(host.request(session="a", prompt_toks=3e3))).server
     full = host.router.desk.board[reader.seat].queue_ms
     later = host.request(session="a", prompt_toks=100.0)
     assert full > 0 and sent(host.arrive(later, after=10.0)).server is reader
     host.end(later, reader, Verdict.READ, after=10.0)
-    assert host.router.desk.board[reader.seat].queue_ms == 0 and len(reader.seat.legs) == 1
+    assert host.router.desk.board[reader.seat].queue_ms == 0 and len(reader.seat.attempts) == 1
 
 
 def test_a_writer_on_trial_is_sent_the_state_that_was_read_for_it(host: FakeHost) -> None:
     """What the generation itself had booked there barred it, so nothing ever found out that the writer is well."""
-    kept, leg = host.written(session="a")
-    writer = leg.server
+    kept, attempt = host.written(session="a")
+    writer = attempt.server
     host.first(kept, writer)
     host.end(kept, writer, Verdict.STREAMED, over=True)
     other = host.request(session="a")
     host.end(other, sent(host.arrive(other)).server, Verdict.READ)
-    host.tell(port.LegEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))  # shut, and on trial after
+    host.tell(port.AttemptEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))  # shut, and on trial after
     host.tell(after=2000.0)
     found = host.request(session="a")
     reader = sent(host.arrive(found)).server
@@ -80,12 +80,12 @@
 
 
 def test_streams_begun_before_do_not_keep_a_writer_on_trial_and_its_trial_is_one_leg(host: FakeHost) -> None:
-    begun, leg = host.written(session="a")
-    writer = leg.server
+    begun, attempt = host.written(session="a")
+    writer = attempt.server
     host.first(begun, writer)  # streams on for long
     other = host.request(session="a")
     host.end(other, sent(host.arrive(other)).server, Verdict.READ)
-    host.tell(port.LegEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))
+    host.tell(port.AttemptEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))
     host.tell(after=600.0)
     found, second = host.request(session="a"), host.request(session="a")
     reader = sent(host.arrive(found)).server
@@ -95,33 +95,33 @@
 
 
 def test_a_read_is_not_called_off_where_no_legs_are_left_for_another_pair() -> None:
-    host = build(leg_limit=2)
+    host = build(max_attempts=2)
     mute, later = host.request(session="a"), host.request(session="a")
     first = sent(host.arrive(mute))
     assert sent(host.arrive(later, after=500.0)).server is first.server
-    assert port.CallOff not in kinds(host.end(later, first.server, Verdict.READ, after=50.0))
+    assert port.CancelAttempt not in kinds(host.end(later, first.server, Verdict.READ, after=50.0))
 
 
 def test_a_state_goes_straight_to_another_writer_when_one_is_full(host: FakeHost) -> None:
-    request, leg = host.written(Effect.SIDE_EFFECTING)
-    other = sent(host.end(request, leg.server, Verdict.FULL)).server
-    assert other.duty is leg.server.duty and other is not leg.server
+    request, attempt = host.written(Effect.SIDE_EFFECTING)
+    other = sent(host.end(request, attempt.server, Verdict.FULL)).server
+    assert other.duty is attempt.server.duty and other is not attempt.server
 
 
 def test_a_state_is_released_before_connections_that_never_come_up_outlast_its_release_time() -> None:
     host = build(("w2", "w3"))  # 250 ms to connect, 500 to release: one failed connection leaves time for one more
-    request, leg = host.written()
-    second = sent(host.end(request, leg.server, Verdict.UNCONNECTED, after=250.0)).server
+    request, attempt = host.written()
+    second = sent(host.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)).server
     assert second.duty is port.Duty.WRITE
     said = host.end(request, second, Verdict.UNCONNECTED, after=250.0)
-    assert [type(a) for a in said] == [port.Release, port.SendLeg]
+    assert [type(a) for a in said] == [port.Release, port.StartAttempt]
     assert sent(said).server.duty is port.Duty.READ
     other = build(("w2", "w3"), holds_run_on=False)  # where an outcome of any kind begins that time anew
-    request, leg = other.written()
-    second = sent(other.end(request, leg.server, Verdict.UNCONNECTED, after=250.0)).server
+    request, attempt = other.written()
+    second = sent(other.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)).server
     assert sent(other.end(request, second, Verdict.UNCONNECTED, after=250.0)).server.duty is port.Duty.WRITE
-    request, leg = host.written()  # a writer that refuses has answered: the time counts from then
-    second = sent(host.end(request, leg.server, Verdict.FULL, after=400.0)).server
+    request, attempt = host.written()  # a writer that refuses has answered: the time counts from then
+    second = sent(host.end(request, attempt.server, Verdict.FULL, after=400.0)).server
     assert sent(host.end(request, second, Verdict.FULL, after=400.0)).server.duty is port.Duty.WRITE
 
 
@@ -129,11 +129,11 @@
 def test_a_read_that_never_ran_left_nothing_to_release(host: FakeHost, verdict: Verdict) -> None:
     request = host.request()
     said = host.end(request, sent(host.arrive(request)).server, verdict)
-    assert kinds(said) == [port.SendLeg]
+    assert kinds(said) == [port.StartAttempt]
     assert port.Release in kinds(host.end(request, sent(said).server, Verdict.TIMED_OUT))  # it may have run
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.CALLED_OFF, Verdict.RESET])
+@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.CANCELLED, Verdict.RESET])
 def test_what_a_read_may_yet_leave_is_released_once_more_when_nothing_follows_it(
     host: FakeHost, verdict: Verdict
 ) -> None:
@@ -147,24 +147,24 @@
 
 
 def test_a_lost_state_is_read_again(host: FakeHost) -> None:
-    request, leg = host.written()
-    said = host.end(request, leg.server, Verdict.FULL, state_lost=True)
+    request, attempt = host.written()
+    said = host.end(request, attempt.server, Verdict.FULL, state_lost=True)
     assert sent(said).server.duty is port.Duty.READ
     assert port.Release in kinds(said)  # its reader may only be cut off from that writer
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET, Verdict.ERROR, Verdict.CALLED_OFF])
+@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET, Verdict.ERROR, Verdict.CANCELLED])
 def test_a_side_effect_that_may_have_happened_is_not_tried_again(host: FakeHost, verdict: Verdict) -> None:
-    request, leg = host.written(Effect.SIDE_EFFECTING)
-    assert kinds(host.end(request, leg.server, verdict)) == [port.Terminate, port.Release]
+    request, attempt = host.written(Effect.SIDE_EFFECTING)
+    assert kinds(host.end(request, attempt.server, verdict)) == [port.Terminate, port.Release]
     assert host.tell(after=3000.0) == []
 
 
 def test_a_deduplicated_generation_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
-    request, leg = host.written(Effect.DEDUPLICATED)
-    assert kinds(host.end(request, leg.server, Verdict.RESET)) == [port.Release, port.Terminate]
-    request, leg = host.written(Effect.IDEMPOTENT)
-    assert sent(host.end(request, leg.server, Verdict.RESET)).server.duty is port.Duty.WRITE
+    request, attempt = host.written(Effect.DEDUPLICATED)
+    assert kinds(host.end(request, attempt.server, Verdict.RESET)) == [port.Release, port.Terminate]
+    request, attempt = host.written(Effect.IDEMPOTENT)
+    assert sent(host.end(request, attempt.server, Verdict.RESET)).server.duty is port.Duty.WRITE
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
@@ -178,10 +178,10 @@
 
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
     request = host.request()
-    leg = sent(host.arrive(request))
+    attempt = sent(host.arrive(request))
     home = request.seat.writer.server
     host.list(**{name: Life.DRAINING for name, s in host.servers.items() if s is home})
-    assert sent(host.end(request, leg.server, Verdict.READ)).server is not home
+    assert sent(host.end(request, attempt.server, Verdict.READ)).server is not home
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.life = Life.GONE
@@ -190,15 +190,15 @@
 
 def test_a_state_read_for_a_client_that_left_is_released(host: FakeHost) -> None:
     request = host.request()
-    leg = sent(host.arrive(request))
-    assert kinds(host.tell(port.ClientLeft(request))) == [port.CallOff]
-    assert kinds(host.end(request, leg.server, Verdict.READ, over=True)) == [port.Release]
+    attempt = sent(host.arrive(request))
+    assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
+    assert kinds(host.end(request, attempt.server, Verdict.READ, over=True)) == [port.Release]
 
 
 def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
-    request, leg = host.written()
-    assert kinds(host.tell(port.ClientLeft(request))) == [port.CallOff]
-    assert kinds(host.end(request, leg.server, Verdict.CALLED_OFF, over=True)) == [port.Release]
+    request, attempt = host.written()
+    assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
+    assert kinds(host.end(request, attempt.server, Verdict.CANCELLED, over=True)) == [port.Release]
 
 
 def test_a_restarted_server_gets_its_cold_share_only() -> None:
@@ -206,22 +206,22 @@
     host.tell(after=20e3)
     host.servers["r0"].started_ms = host.servers["w0"].started_ms = host.now
     host.list()
-    legs = []
+    attempts = []
     for _ in range(40):
-        request, leg = host.written(opening=None)
-        legs.append(leg.server)
-        host.first(request, leg.server, after=20.0)
-        host.end(request, leg.server, Verdict.STREAMED, over=True)
-    assert 1 <= sum(s is host.servers["w0"] for s in legs) <= 16
+        request, attempt = host.written(opening=None)
+        attempts.append(attempt.server)
+        host.first(request, attempt.server, after=20.0)
+        host.end(request, attempt.server, Verdict.STREAMED, over=True)
+    assert 1 <= sum(s is host.servers["w0"] for s in attempts) <= 16
 
 
 def test_a_silent_writer_loses_its_sessions(host: FakeHost) -> None:
     mute = None
     for i in range(8):
-        request, leg = host.written(session=f"s{i}", opening=f"o{i}")
-        mute = mute or leg.server
-        if leg.server is not mute:
-            host.first(request, leg.server, after=20.0)
+        request, attempt = host.written(session=f"s{i}", opening=f"o{i}")
+        mute = mute or attempt.server
+        if attempt.server is not mute:
+            host.first(request, attempt.server, after=20.0)
     host.tell(after=900.0)
     later = [host.written(session=f"t{i}")[1].server for i in range(3)]
     assert mute not in later
@@ -231,7 +231,7 @@
     big = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0, max_toks=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
     assert port.Throttle not in kinds(said)
-    waiting = [g for g in big if g.seat.leg is None]
+    waiting = [g for g in big if g.seat.attempt is None]
     late = host.tell(after=6000.0)
     assert waiting and {a.request for a in late if isinstance(a, port.Throttle)} == set(waiting)
 
@@ -247,32 +247,32 @@
     ill, hits = host.servers["r0"], 0
     for _ in range(30):
         request = host.request(opening=None)
-        leg = sent(host.arrive(request, after=60.0))
-        hits += leg.server is ill
-        if leg.server is ill:
-            leg = sent(host.end(request, ill, Verdict.ERROR, after=4.0))
-        leg = sent(host.end(request, leg.server, Verdict.READ, after=60.0))
-        host.first(request, leg.server, after=20.0)
-        host.end(request, leg.server, Verdict.STREAMED, over=True)
+        attempt = sent(host.arrive(request, after=60.0))
+        hits += attempt.server is ill
+        if attempt.server is ill:
+            attempt = sent(host.end(request, ill, Verdict.ERROR, after=4.0))
+        attempt = sent(host.end(request, attempt.server, Verdict.READ, after=60.0))
+        host.first(request, attempt.server, after=20.0)
+        host.end(request, attempt.server, Verdict.STREAMED, over=True)
     assert 1 <= hits <= 12
 
 
 def test_servers_that_all_came_back_cold_are_used_again(host: FakeHost) -> None:
     for _ in range(10):
-        request, leg = host.written(opening=None)
-        host.first(request, leg.server, after=20.0)
-        host.end(request, leg.server, Verdict.STREAMED, over=True)
+        request, attempt = host.written(opening=None)
+        host.first(request, attempt.server, after=20.0)
+        host.end(request, attempt.server, Verdict.STREAMED, over=True)
     for server in host.servers.values():
         server.started_ms = host.now
     host.list()
     host.tell(after=3000.0)
-    assert kinds(host.arrive(host.request())) == [port.SendLeg]
+    assert kinds(host.arrive(host.request())) == [port.StartAttempt]
 
 
 def test_one_generation_does_not_fill_a_server_for_a_hundred_gateways() -> None:
     host = build(gateways=130)
     for _ in range(3):  # one's own count times 130 would be several times each server's memory
-        assert kinds(host.arrive(host.request())) == [port.SendLeg]
+        assert kinds(host.arrive(host.request())) == [port.StartAttempt]
 
 
 def test_gateways_that_know_nothing_do_not_all_take_the_same_writer() -> None:
@@ -290,13 +290,13 @@
     taken = set()
     for seed in range(20):
         host = build(extra=tuple(readers), gateways=130, seed=seed)
-        leg = sent(host.arrive(host.request(session=f"s{seed}", opening="shared")))
-        taken.add(next(name for name, s in host.servers.items() if s is leg.server))
+        attempt = sent(host.arrive(host.request(session=f"s{seed}", opening="shared")))
+        taken.add(next(name for name, s in host.servers.items() if s is attempt.server))
     assert len(taken) <= 12 and len(taken) >= 2
     first, second = (build(extra=tuple(readers), seed=seed) for seed in (1, 2))
     for opening in "abcdef":
-        legs = [sent(h.arrive(h.request(session=opening, opening=opening), after=3000.0)) for h in (first, second)]
-        assert len({leg.server.mark for leg in legs}) == 1
+        attempts = [sent(h.arrive(h.request(session=opening, opening=opening), after=3000.0)) for h in (first, second)]
+        assert len({attempt.server.mark for attempt in attempts}) == 1
 
 
 def test_a_handful_of_generations_does_not_make_an_opening_popular() -> None:
@@ -315,16 +315,16 @@
 def serve(host: FakeHost, request: port.Request, ill: Server, verdict: Verdict | None) -> bool:
     """Plays it to its end, with `verdict` wherever it meets `ill`; was that so?"""
     said, met = host.arrive(request, after=60.0), False
-    while any(isinstance(a, port.SendLeg) for a in said):
-        leg = sent(said)
-        met = met or leg.server is ill
-        if leg.server is ill and verdict is not None:
+    while any(isinstance(a, port.StartAttempt) for a in said):
+        attempt = sent(said)
+        met = met or attempt.server is ill
+        if attempt.server is ill and verdict is not None:
             said = host.end(request, ill, verdict, after=20.0)
-        elif leg.server.duty is port.Duty.READ:
-            said = host.end(request, leg.server, Verdict.READ, after=20.0)
+        elif attempt.server.duty is port.Duty.READ:
+            said = host.end(request, attempt.server, Verdict.READ, after=20.0)
         else:
-            host.first(request, leg.server, after=20.0)
-            said = host.end(request, leg.server, Verdict.STREAMED, over=True)
+            host.first(request, attempt.server, after=20.0)
+            said = host.end(request, attempt.server, Verdict.STREAMED, over=True)
     return met
 
 
@@ -356,13 +356,13 @@
 def test_a_last_try_without_time_for_a_first_token_is_answered_at_once(host: FakeHost) -> None:
     for _ in range(20):
         request = host.request()
-        leg = sent(host.arrive(request))
-        leg = sent(host.end(request, leg.server, Verdict.READ, after=400.0))
-        host.first(request, leg.server, after=100.0)
-        host.end(request, leg.server, Verdict.STREAMED, over=True)
+        attempt = sent(host.arrive(request))
+        attempt = sent(host.end(request, attempt.server, Verdict.READ, after=400.0))
+        host.first(request, attempt.server, after=100.0)
+        host.end(request, attempt.server, Verdict.STREAMED, over=True)
     assert kinds(host.arrive(host.request(patience_ms=600.0))) == [port.Throttle]
-    assert kinds(host.arrive(host.request(patience_ms=3000.0))) == [port.SendLeg]
-    assert kinds(host.arrive(host.request(patience_ms=600.0), after=9000.0)) == [port.SendLeg]  # is it still so?
+    assert kinds(host.arrive(host.request(patience_ms=3000.0))) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request(patience_ms=600.0), after=9000.0)) == [port.StartAttempt]  # is it still so?
 
 
 def test_a_batch_of_many_ends_costs_what_waits_few_tries(host: FakeHost) -> None:
@@ -379,15 +379,15 @@
         return best(course)
 
     desk.best = counted  # type: ignore[attr-defined]
-    host.tell(*(port.LegEnded(request, server, Verdict.MOOT, 10.0, True) for request, server in out))
+    host.tell(*(port.AttemptEnded(request, server, Verdict.MOOT, 10.0, True) for request, server in out))
     assert len(desk.waiting) == 40 and 1 <= tries <= 3  # type: ignore[attr-defined]
 
 
 def test_a_short_prompt_passes_a_long_one_that_finds_no_room(host: FakeHost) -> None:
     long = host.request(prompt_toks=250e3, opening=None, opening_toks=0.0, max_toks=0.0, patience_ms=60e3)
     host.arrive(long)
-    assert long.seat.leg is None
-    assert kinds(host.arrive(host.request(prompt_toks=200.0, opening=None, opening_toks=0.0))) == [port.SendLeg]
+    assert long.seat.attempt is None
+    assert kinds(host.arrive(host.request(prompt_toks=200.0, opening=None, opening_toks=0.0))) == [port.StartAttempt]
 
 
 def test_where_connections_fail_the_connected_servers_are_nearer() -> None:
@@ -397,16 +397,16 @@
     for _ in range(30):
         request = host.request(session=f"s{tries}")
         said = host.arrive(request, after=2000.0)
-        while any(isinstance(a, port.SendLeg) for a in said):
-            leg = sent(said)
+        while any(isinstance(a, port.StartAttempt) for a in said):
+            attempt = sent(said)
             tries += 1
-            if leg.server not in known:
-                said = host.end(request, leg.server, Verdict.UNCONNECTED, after=250.0)
-            elif leg.server.duty is port.Duty.READ:
-                said = host.end(request, leg.server, Verdict.READ)
+            if attempt.server not in known:
+                said = host.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)
+            elif attempt.server.duty is port.Duty.READ:
+                said = host.end(request, attempt.server, Verdict.READ)
             else:
-                host.first(request, leg.server)
-                host.end(request, leg.server, Verdict.STREAMED, over=True)
+                host.first(request, attempt.server)
+                host.end(request, attempt.server, Verdict.STREAMED, over=True)
                 linked.append(request)
                 break
     assert len(linked) > 20 and tries < 100  # three tries each, where chance would need five and more
@@ -416,9 +416,9 @@
     patience = []
     for _ in range(8):
         request = host.request(patience_ms=30e3)
-        leg = sent(host.arrive(request, after=4000.0))
-        patience.append(leg.timeout_ms)
-        host.end(request, leg.server, Verdict.TIMED_OUT, after=leg.timeout_ms)
+        attempt = sent(host.arrive(request, after=4000.0))
+        patience.append(attempt.timeout_ms)
+        host.end(request, attempt.server, Verdict.TIMED_OUT, after=attempt.timeout_ms)
         host.tell(port.ClientLeft(request))
     assert patience[-1] > patience[0]
 
@@ -432,17 +432,17 @@
     for _ in range(12):
         request = host.request(opening=None, opening_toks=0.0)
         said = host.arrive(request, after=400.0)
-        assert kinds(said) == [port.SendLeg]
+        assert kinds(said) == [port.StartAttempt]
         if sent(said).server is not cold:  # the cold one keeps what it was given
-            leg = sent(host.end(request, host.servers["r1"], Verdict.READ, after=50.0))
-            host.first(request, leg.server, after=20.0)
-            host.end(request, leg.server, Verdict.STREAMED, over=True)
+            attempt = sent(host.end(request, host.servers["r1"], Verdict.READ, after=50.0))
+            host.first(request, attempt.server, after=20.0)
+            host.end(request, attempt.server, Verdict.STREAMED, over=True)
 
 
 def test_a_burst_is_believed_soon_where_many_generations_are_open(host: FakeHost) -> None:
     for i in range(16):
-        request, leg = host.written(session=f"s{i}", opening=f"o{i}")
-        host.first(request, leg.server, after=5.0)
+        request, attempt = host.written(session=f"s{i}", opening=f"o{i}")
+        host.first(request, attempt.server, after=5.0)
     host.tell(after=600.0)
     engines = [host.servers[name].seat for name in ("w0", "w1")]
     held = sum(share for engine in engines for _, share in engine.booked.values()) / 2
@@ -450,20 +450,20 @@
 
 
 def test_a_gateway_that_goes_throttles_what_it_could_not_finish_and_finishes_the_rest(host: FakeHost) -> None:
-    streams, leg = host.written()
+    streams, attempt = host.written()
     reads = host.request(Effect.SIDE_EFFECTING)
     read = sent(host.arrive(reads))
     assert not host.tell(port.Ending(port.ShutdownTimes(500.0, 800.0, 1000.0)))
     said = host.arrive(host.request(Effect.SIDE_EFFECTING))
     assert kinds(said) == [port.Throttle]  # another gateway may do it: nothing has run
     assert sent(host.end(reads, read.server, Verdict.READ)).server.duty is port.Duty.WRITE
-    host.first(streams, leg.server)
-    assert not kinds(host.end(streams, leg.server, Verdict.STREAMED, over=True))
+    host.first(streams, attempt.server)
+    assert not kinds(host.end(streams, attempt.server, Verdict.STREAMED, over=True))
 
 
 def test_servers_that_went_and_openings_of_old_are_forgotten(host: FakeHost) -> None:
     board = host.router.desk.board
-    busy, leg = host.written()
+    busy, attempt = host.written()
     for turn in range(300):
         new = Server("east", 0, port.Duty.READ, 200e3, mark=turn)
         host.tell(port.Listed((new,)))
@@ -472,12 +472,12 @@
         host.router.desk.asked_for.update(f"{turn}.{i}" for i in range(50))
         host.tell(port.Woken(True), after=100.0)
     assert len(board) < 20 and len(host.router.desk.asked_for) <= 4096 + 200
-    leg.server.life = Life.GONE  # one that still has a leg stays until it has ended
-    host.tell(port.Listed((leg.server,)))
+    attempt.server.life = Life.GONE  # one that still has a leg stays until it has ended
+    host.tell(port.Listed((attempt.server,)))
     for _ in range(8):
         host.tell(port.Woken(True), after=100.0)
-    assert leg.server.seat in board
-    host.end(busy, leg.server, Verdict.RESET, over=True)
+    assert attempt.server.seat in board
+    host.end(busy, attempt.server, Verdict.RESET, over=True)
     for _ in range(8):
         host.tell(port.Woken(True), after=100.0)
-    assert leg.server.seat not in board
+    assert attempt.server.seat not in board
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -75,21 +75,21 @@
         for action in actions:
             if isinstance(action, port.Wake):
                 self.at(action.at_ms, nth, port.Woken(action.beat))
-            elif isinstance(action, port.SendLeg):
+            elif isinstance(action, port.StartAttempt):
                 request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
                 told = server.started_ms == true_server.started_ms
                 self.sent.append(Attempt(self.now, true_server, nth, told))
                 if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
-                    self.at(self.now + 5.0, nth, port.LegEnded(request, server, Verdict.FULL, 5.0, False))
+                    self.at(self.now + 5.0, nth, port.AttemptEnded(request, server, Verdict.FULL, 5.0, False))
                 elif server.duty is Duty.READ:
                     self.at(
-                        self.now + READ_MS, nth, port.LegEnded(request, server, Verdict.READ, READ_MS, False, 300.0)
+                        self.now + READ_MS, nth, port.AttemptEnded(request, server, Verdict.READ, READ_MS, False, 300.0)
                     )
                 else:
                     self.at(self.now + FIRST_MS, nth, port.FirstTok(request, server, FIRST_MS))
                     self.at(
-                        self.now + STREAM_MS, nth, port.LegEnded(request, server, Verdict.STREAMED, STREAM_MS, True)
+                        self.now + STREAM_MS, nth, port.AttemptEnded(request, server, Verdict.STREAMED, STREAM_MS, True)
                     )
 
     def run(self, ms: float) -> None:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -124,12 +124,12 @@
 
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
     host = build(("w2", "w3"))
-    request, leg = host.written(Effect.SIDE_EFFECTING)
-    second = sent(host.end(request, leg.server, Verdict.WITHHELD, after=200.0))
-    assert second.server is not leg.server and second.server.duty is port.Duty.WRITE
+    request, attempt = host.written(Effect.SIDE_EFFECTING)
+    second = sent(host.end(request, attempt.server, Verdict.WITHHELD, after=200.0))
+    assert second.server is not attempt.server and second.server.duty is port.Duty.WRITE
     said = host.end(request, second.server, Verdict.WITHHELD, after=200.0)  # 400 of 500 ms, and 250 to connect
     assert port.Release in kinds(said) and sent(said).server.duty is port.Duty.READ
-    assert not host.router.desk.board[leg.server.seat].shut
+    assert not host.router.desk.board[attempt.server.seat].shut
 
 
 # -- the time that is left
@@ -262,9 +262,9 @@
 
 def test_a_repeat_may_begin_only_while_the_window_lasts() -> None:
     host = keyed(3000.0)
-    request, leg = host.written(Effect.DEDUPLICATED)
-    assert leg.begin_by_ms == float("inf")  # nothing may have run yet
-    again = sent(host.end(request, leg.server, Verdict.RESET, after=1000.0))
+    request, attempt = host.written(Effect.DEDUPLICATED)
+    assert attempt.begin_by_ms == float("inf")  # nothing may have run yet
+    again = sent(host.end(request, attempt.server, Verdict.RESET, after=1000.0))
     assert again.begin_by_ms == pytest.approx(2000.0)
 
 
@@ -274,9 +274,9 @@
 ) -> None:
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
-    request, leg = host.written(Effect.DEDUPLICATED)
+    request, attempt = host.written(Effect.DEDUPLICATED)
     host.list(w0=port.Life.DRAINING, w1=port.Life.DRAINING)
-    assert answer in kinds(host.end(request, leg.server, Verdict.RESET, after=after))
+    assert answer in kinds(host.end(request, attempt.server, Verdict.RESET, after=after))
 
 
 # -- second answers, kept connections
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -57,8 +57,8 @@
 def test_a_transfer_called_off_gives_its_share_to_the_others_and_a_clock_that_jumps_back_moves_nothing() -> None:
     link = Link(10.0)
     gone, stays = link.begin(0.0, 1000.0, "a"), link.begin(0.0, 1000.0, "b")
-    link.call_off(100.0, gone)  # each has 500 by now
-    link.call_off(100.0, gone)
+    link.cancel(100.0, gone)  # each has 500 by now
+    link.cancel(100.0, gone)
     link.forward(20.0)
     assert link.ended(149.0) == [] and link.ended(150.0) == [(150.0, stays)]
     link.begin(200.0, 100.0, "c")
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -14,7 +14,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Pool
 from ternlane.platform import registry
-from ternlane.platform.engines import Engines, Leg, LegEnd
+from ternlane.platform.engines import Engines, Attempt, AttemptResult
 from ternlane.platform.roster import BEHIND_MS, Listing, Lists, Roster, read_listing
 from ternlane.platform.settings import Limits
 from ternlane.port import Duty, Life, Verdict
@@ -310,7 +310,7 @@
 @pytest.mark.parametrize("struck", [False, True])
 async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
     """The time-out strikes while the event is already there, so it does not keep the task from going on."""
-    leg, outlet = Leg("a:1", Duty.WRITE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
+    attempt, outlet = Attempt("a:1", Duty.WRITE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
 
     class Stub:
         def expect_by(self, when: float) -> None:
@@ -318,14 +318,14 @@
 
         async def chunks(self) -> AsyncIterator[bytes]:
             if struck:
-                leg.scope.cancel()
+                attempt.scope.cancel()
             yield EVENT
             await trio.lowlevel.checkpoint()
             yield DONE
 
-    end = LegEnd()
-    with leg.scope:
-        await Engines(Pool(1.0, 1.0), Deployment(1, TOLD)).stream(leg, Stub(), outlet, end)  # type: ignore[arg-type]
+    end = AttemptResult()
+    with attempt.scope:
+        await Engines(Pool(1.0, 1.0), Deployment(1, TOLD)).stream(attempt, Stub(), outlet, end)  # type: ignore[arg-type]
     assert (end.begun, len(outlet.got)) == ((False, 0) if struck else (True, 2))
 
 
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -123,13 +123,13 @@
 
 def test_the_guess_counts_once_answers_come_late() -> None:
     """Overload is real then, and what would be late is refused at once."""
-    host = build(gateways=200, leg_limit=2)
+    host = build(gateways=200, max_attempts=2)
     streaming(host, 8)
     served = 0
     while served < 32:
         request = host.request(opening=None, opening_toks=0.0)
         said = host.arrive(request) + host.tell(after=1000.0)
-        attempts = [action for action in said if isinstance(action, port.SendLeg)]
+        attempts = [action for action in said if isinstance(action, port.StartAttempt)]
         if not attempts:
             break
         write = sent(host.end(request, attempts[0].server, Verdict.READ, after=10.0))
@@ -155,35 +155,35 @@
     request = host.request(opening=None, opening_toks=0.0)
     attempt = sent(host.arrive(request, after=100.0))
     said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=1200.0)
-    for further in [action for action in said if isinstance(action, port.SendLeg)]:
+    for further in [action for action in said if isinstance(action, port.StartAttempt)]:
         host.end(request, further.server, Verdict.READ, after=20.0, over=True)
     return said
 
 
 def test_requests_that_are_late_already_give_way_to_others_where_reads_come_late() -> None:
     host = build(gateways=200)
-    assert port.SendLeg in kinds(late_request(host))  # one slow read is no overload
+    assert port.StartAttempt in kinds(late_request(host))  # one slow read is no overload
     for _ in range(8):
         last = late_request(host)
-    assert port.SendLeg not in kinds(last) and port.Throttle in kinds(last)
+    assert port.StartAttempt not in kinds(last) and port.Throttle in kinds(last)
     request = host.request(opening=None, opening_toks=0.0)
     attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
     host.end(request, attempt.server, Verdict.READ, after=20.0, over=True)
     for _ in range(32):
         request = host.request(opening=None, opening_toks=0.0)
         host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.READ, after=20.0, over=True)
-    assert port.SendLeg in kinds(late_request(host))  # and once reads come in time again, so do they
+    assert port.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
 
 
 def test_a_single_late_answer_is_no_overload_also_where_late_answers_earn_nothing() -> None:
     host = build(gateways=200)
     for product in host.products.values():
         product.late_share = 0.0
-    assert port.SendLeg in kinds(late_request(host))
+    assert port.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(opening=None, opening_toks=0.0)
         host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.READ, after=20.0, over=True)
-    assert port.SendLeg in kinds(late_request(host))
+    assert port.StartAttempt in kinds(late_request(host))
 
 
 def test_what_a_server_reports_and_what_is_booked_there_count_without_a_guess() -> None:
@@ -193,11 +193,11 @@
         full = port.Report(open_requests=40.0, mem_share=1.0)
         host.tell(port.Checked(host.servers[name], Verdict.STREAMED, full))
     said = host.arrive(host.request())
-    assert port.SendLeg not in kinds(said)
+    assert port.StartAttempt not in kinds(said)
 
 
 def test_one_gateway_alone_knows_all_of_the_load() -> None:
     host = build(gateways=1)
     for _ in range(2):
         sent(host.arrive(host.request(prompt_toks=180e3, opening=None, opening_toks=0.0)))
-    assert port.SendLeg not in kinds(host.arrive(host.request(prompt_toks=180e3, opening=None, opening_toks=0.0)))
+    assert port.StartAttempt not in kinds(host.arrive(host.request(prompt_toks=180e3, opening=None, opening_toks=0.0)))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,7 +13,7 @@
 import trio
 
 from tests.world import BUILD, Reply, World, heard, patient, replace, world
-from ternlane.engine.leg import LegPlan, read_leg, stream_leg
+from ternlane.engine.attempt import AttemptPlan, prefill_attempt, stream_attempt
 from ternlane.http1 import Caller, Pool
 from ternlane.paper import ConsulSource, NodeLine
 from ternlane.paper.gateway import DoorTerms
@@ -293,9 +293,9 @@
             s.setblocking(False)
             s.connect_ex(deaf.getsockname())
         pool = Pool(120, 1000)
-        plan = LegPlan("127.0.0.1:%d" % deaf.getsockname()[1], [], b"{}", 5000, 100)
+        plan = AttemptPlan("127.0.0.1:%d" % deaf.getsockname()[1], [], b"{}", 5000, 100)
         since = trio.current_time()
-        end = await read_leg(pool, plan)
+        end = await prefill_attempt(pool, plan)
         assert end.verdict is Verdict.UNCONNECTED and trio.current_time() - since < 0.4
         for s in fill:
             s.close()
@@ -339,7 +339,7 @@
             got.append(text)
 
         with trio.fail_after(2):
-            end = await stream_leg(pool, LegPlan(peer.address, [], b"{}", 150, 150), pass_on)
+            end = await stream_attempt(pool, AttemptPlan(peer.address, [], b"{}", 150, 150), pass_on)
         assert (end.verdict, end.begun) == (verdict, begun)
         pool.close()
         nursery.cancel_scope.cancel()
@@ -350,7 +350,7 @@
     async with trio.open_nursery() as nursery:
         peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
-        end = await read_leg(Pool(200, 1000), LegPlan(peer.address, [], b"{}", 500, 100))
+        end = await prefill_attempt(Pool(200, 1000), AttemptPlan(peer.address, [], b"{}", 500, 100))
         assert end.verdict is Verdict.ERROR and end.state is None
         nursery.cancel_scope.cancel()
 
@@ -394,12 +394,12 @@
             nursery.start_soon(first)
             await trio.sleep(0.06)
             assert (await w.ask("note", headers=key)).status == 409
-        legs = len(w.said("leg"))
+        attempts = len(w.said("leg"))
         again = await w.ask("note", headers=key)
         assert again.text == got[0].text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
         assert (await w.ask("note", text="other", headers=key)).status == 422
         assert (await w.ask("note", headers=key)).done == 1  # a refused one has not unsettled the first
-        assert len(w.said("effect")) == 1 and len(w.said("leg")) == legs
+        assert len(w.said("effect")) == 1 and len(w.said("leg")) == attempts
 
 
 async def test_an_effect_that_may_have_happened_is_remembered_under_its_key() -> None:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -33,7 +33,7 @@
         (Verdict.ERROR, True),
         (Verdict.TIMED_OUT, False),  # nothing shows that it has arrived
         (Verdict.RESET, False),
-        (Verdict.CALLED_OFF, False),
+        (Verdict.CANCELLED, False),
         (Verdict.UNCONNECTED, False),
         (Verdict.WITHHELD, False),
     ],
@@ -100,37 +100,37 @@
 
 def test_a_state_that_a_decode_attempt_has_taken_is_not_released() -> None:
     host = platform_like()
-    request, leg = host.written()
-    host.first(request, leg.server)
+    request, attempt = host.written()
+    host.first(request, attempt.server)
     assert not released(host.tell(after=2 * FACTS.release_ms))
 
 
 def test_an_attempt_that_timed_out_does_not_prolong_the_release_time() -> None:
     host = platform_like("w2", "w3")
-    request, leg = host.written()
-    said = host.end(request, leg.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
-    leg = sent(said)
-    assert leg.server.duty is port.Duty.WRITE and not released(said)  # another may still take it
+    request, attempt = host.written()
+    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
+    attempt = sent(said)
+    assert attempt.server.duty is port.Duty.WRITE and not released(said)  # another may still take it
     assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
-    said = host.end(request, leg.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
+    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.duty is port.Duty.READ
 
 
 def test_a_state_that_survives_a_heard_release_is_handed_on() -> None:
     """The servers kept it for the attempt, if that had arrived and was merely slow."""
     host = platform_like("w2")
-    request, leg = host.written()
+    request, attempt = host.written()
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
     host.tell(port.ReleaseHeard(request))
-    said = host.end(request, leg.server, Verdict.TIMED_OUT, after=250.0)
+    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=250.0)
     assert sent(said).server.duty is port.Duty.WRITE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
 
 
 def test_no_prefill_begins_that_would_be_the_last_attempt() -> None:
-    host = platform_like(leg_limit=3)
-    request, leg = host.written()
-    said = host.end(request, leg.server, Verdict.FULL, state_lost=True)
+    host = platform_like(max_attempts=3)
+    request, attempt = host.written()
+    said = host.end(request, attempt.server, Verdict.FULL, state_lost=True)
     assert kinds(said) == [port.Release, port.Throttle] and said[-1].why is port.Refusal.ATTEMPTS_SPENT
 
 
@@ -158,7 +158,7 @@
 
 
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
-    host = platform_like(may_call_off=False)
+    host = platform_like(may_cancel=False)
     request, _ = host.written(Effect.SIDE_EFFECTING)
     host.tell(port.ClientLeft(request))
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -224,9 +224,9 @@
             await trio.sleep(0.2)
             board = p.gateway.node.chooser.desk.board  # type: ignore[attr-defined]
             names = {s: spot.name for s, spot in p.gateway.node.roster.spots.items()}
-            believed = {names[e.server]: len(e.legs) for e in board if e.legs}
+            believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
             assert believed == dict(+p.fleet.open) and sum(believed.values()) >= 8
             pool = p.gateway.node.engines.pool
             assert len(pool.open) == sum(p.fleet.conns.values())
         await p.settled()
-        assert all(not e.legs and not e.booked for e in board)
+        assert all(not e.attempts and not e.booked for e in board)
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -63,7 +63,7 @@
         assert not node.tickets and not node.idents and not node.ended and not node.releasing and not desk.waiting
         assert len(node.records) == TRAILS and sum(desk.asked_for.values()) <= 2 * FEW**2
         assert len(node.engines.heard) <= len(node.roster.spots) == len(node.roster.servers) == 3
-        assert all(not e.legs and not e.booked for e in desk.board)
+        assert all(not e.attempts and not e.booked for e in desk.board)
         assert front.conns == len(front.idle) == 0 and len(pool.open) == len(pool.resting)
         for name in list(p.servers):
             p.discovery.put(name, "", "writer", "DELETED")
@@ -354,7 +354,7 @@
 
         async def quiet() -> bool:
             names = {s: spot.name for s, spot in node.roster.spots.items()}
-            believed = {names[e.server]: len(e.legs) for e in board if e.legs}
+            believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
             return believed == dict(+p.fleet.open) and len(node.engines.pool.open) == sum(p.fleet.conns.values())
 
         async with trio.open_nursery() as nursery:
@@ -367,7 +367,7 @@
                 agreed += await quiet()
         assert agreed == 8
         await p.settled()
-        assert await quiet() and all(not e.legs and not e.booked for e in board)
+        assert await quiet() and all(not e.attempts and not e.booked for e in board)
 
 
 # -- the process
@@ -416,7 +416,11 @@
                 await trio.sleep(0.02)
         line = next(json.loads(raw) for raw in log.read_text().splitlines() if '"trail"' in raw)
         assert line["gen"] == "00000000000000aa" and line["outcome"] == "streamed"
-        assert [leg.split()[1:3] for leg in line["legs"]] == [["read", "FULL"], ["read", "READ"], ["write", "STREAMED"]]
+        assert [attempt.split()[1:3] for attempt in line["legs"]] == [
+            ["read", "FULL"],
+            ["read", "READ"],
+            ["write", "STREAMED"],
+        ]
 
 
 async def test_nothing_is_held_when_the_process_has_ended(tmp_path: Path) -> None:
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -38,7 +38,7 @@
     def carry_further(self, action: port.Action) -> None:
         raise AssertionError(action)
 
-    def send(self, ticket: Any, server: port.Server, times: port.SendLeg) -> None:
+    def send(self, ticket: Any, server: port.Server, times: port.StartAttempt) -> None:
         raise AssertionError(times)
 
     def settle(self, ticket: Any, final: Any) -> None:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -20,7 +20,7 @@
 from ternlane.paper import FleetTerms, StreamTerms
 from ternlane.port import Effect
 from ternlane.embed import open_routing
-from ternlane.engine import Kept, LegAsk, LocalTransport
+from ternlane.engine import Kept, AttemptRequest, LocalTransport
 from ternlane.recover import Differs, Join, Pace, Rhythm, Shelf, Way, way_of
 from ternlane.rules import check
 from ternlane.tenants import Used, bill_for
@@ -29,7 +29,7 @@
 
 
 def terms(**changes: Any) -> FleetTerms:
-    return msgspec.structs.replace(TERMS, leg_limit=12, **changes)
+    return msgspec.structs.replace(TERMS, max_attempts=12, **changes)
 
 
 def usage_of(reply: Reply) -> dict[str, Any]:
@@ -58,7 +58,7 @@
             engine.trouble.script = script
 
 
-def legs_at(w: World, stage: str = "write") -> list[str]:
+def attempts_at(w: World, stage: str = "write") -> list[str]:
     return [v["id"] for v in w.said("leg", stage=stage)]
 
 
@@ -72,7 +72,7 @@
         assert reply.done == 1 and reply.error is None and reply.text == whole.text
         ids = {json.loads(e)["id"] for e in reply.events if e != "[DONE]"}
         assert len(ids) == 1 and usage_of(reply) == usage_of(whole)
-        writers = legs_at(w)
+        writers = attempts_at(w)
         assert len(writers) == 2 and writers[0] != writers[1]
         await w.settled()
 
@@ -93,7 +93,7 @@
         break_all(w, 2)
         reply = await w.ask(stream_options={"include_usage": True})
         assert reply.text == whole.text and reply.done == 1  # 2 + 2 + 2 pieces, and then only its end
-        assert usage_of(reply)["completion_tokens"] == 6 and len(set(legs_at(w))) >= 3
+        assert usage_of(reply)["completion_tokens"] == 6 and len(set(attempts_at(w))) >= 3
         await w.settled()
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 1)
@@ -127,10 +127,10 @@
         reply = await w.ask(model)
         if model == "note":
             assert len(w.said("effect")) == 1 and reply.done == 0 and reply.error is not None
-            assert len(legs_at(w)) == 1
+            assert len(attempts_at(w)) == 1
         else:
             assert reply.text == whole.text and reply.done == 1
-            assert len({v["key"] for v in w.said("effect")}) == 1 and len({i[1] for i in legs_at(w)}) == 1
+            assert len({v["key"] for v in w.said("effect")}) == 1 and len({i[1] for i in attempts_at(w)}) == 1
         await w.settled()
 
 
@@ -163,7 +163,7 @@
         break_all(w, 3)
         w.nursery.start_soon(others, w)
         reply = await w.ask(stream_options={"include_usage": True}, **more)
-        assert reply.done == joined and (reply.text == whole.text) == joined and len(legs_at(w)) == 1 + joined
+        assert reply.done == joined and (reply.text == whole.text) == joined and len(attempts_at(w)) == 1 + joined
         assert not joined or usage_of(reply) == usage_of(whole)
         await w.settled()
 
@@ -193,7 +193,7 @@
                 nursery.start_soon(leave)
                 await w.ask()
         await w.settled()
-        assert len(legs_at(w)) == 1
+        assert len(attempts_at(w)) == 1
 
 
 async def test_a_time_limit_within_a_resume_is_kept() -> None:
@@ -238,7 +238,7 @@
     async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(resume=False)) as w:
         break_all(w, 4)
         reply = await w.ask()
-        assert reply.done == 0 and len(legs_at(w)) == 1
+        assert reply.done == 0 and len(attempts_at(w)) == 1
 
 
 async def test_half_the_writers_go_at_once_and_all_streams_come_through() -> None:
@@ -525,7 +525,7 @@
         break_all(w, 3)
         reply = await w.ask(tools=TOOLS, temperature=0)
         assert reply.done == 0 and "more than text" in reply.error["message"]  # type: ignore[index]
-        assert len(legs_at(w)) == 1
+        assert len(attempts_at(w)) == 1
         await w.settled()
 
 
@@ -574,10 +574,10 @@
         super().__init__()
         self.made, self.broke = 0, broke
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         return Kept({}, 10 + (len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0))
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         for i in range(len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0, 20):
             if i == 10 and not self.broke:
                 self.broke.append("once")
@@ -618,7 +618,7 @@
             old = w.engines[w.said("effect")[0]["id"]]
             await trio.sleep(0.1)
             old.trouble.hung = True
-            while len(legs_at(w)) < 2:
+            while len(attempts_at(w)) < 2:
                 await trio.sleep(0.001)
             await trio.sleep(0.04)  # the other streams by now
             old.trouble.hung = False
@@ -627,7 +627,7 @@
         w.nursery.start_soon(stand_still_and_heal)
         reply = await w.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and reply.text.startswith(whole.text)
-        assert len(legs_at(w)) == 2 and check(w.traffic.lines, RULES).broken == []
+        assert len(attempts_at(w)) == 2 and check(w.traffic.lines, RULES).broken == []
 
 
 @pytest.mark.parametrize("script", ["midway", "silent", "stall"])
@@ -643,11 +643,11 @@
         for i in range(60):
             w.nursery.start_soon(ask, i)
             await trio.sleep(0.04)
-        early = len(legs_at(w))
+        early = len(attempts_at(w))
         for i in range(60, 90):
             w.nursery.start_soon(ask, i)
             await trio.sleep(0.04)
-        late = legs_at(w)[early:]
+        late = attempts_at(w)[early:]
         assert len(late) >= 20 and late.count("w0") <= len(late) / 10
         with trio.fail_after(4):
             while len(replies) < 90:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,8 @@
 
 from tests.world import BUILD, PRODUCTS, TERMS, World, replace, world
 from ternlane import port
-from ternlane.engine import LegAsk, LegEnd, Stage
-from ternlane.engine.leg import LegPlan
+from ternlane.engine import AttemptRequest, AttemptResult, Stage
+from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import Host
 from ternlane.gateway.door import StreamOutlet
 from ternlane.gateway.ticket import Final, Streamed, Ticket
@@ -72,25 +72,27 @@
 class Repeats(Host):
     """Rule 2: takes a broken connection for one that was never made."""
 
-    def leg_ended(self, ticket: Ticket, server: Server, stage: Stage, end: LegEnd, took: float, plan: LegPlan) -> None:
+    def attempt_ended(
+        self, ticket: Ticket, server: Server, stage: Stage, end: AttemptResult, took: float, plan: AttemptPlan
+    ) -> None:
         if end.verdict in (Verdict.RESET, Verdict.TIMED_OUT) and not end.begun:
             end.verdict = Verdict.UNCONNECTED
-        super().leg_ended(ticket, server, stage, end, took, plan)
+        super().attempt_ended(ticket, server, stage, end, took, plan)
 
 
 class Twice(Host):
     """Rule 2: begins a second leg of each generation beside the first."""
 
-    def send(self, ticket: Ticket, server: Server, times: port.SendLeg) -> None:
+    def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
         super().send(ticket, server, times)
-        plan = ticket.leg
+        plan = ticket.attempt
         if plan is not None and server.duty is port.Duty.READ:
             others = [s for s in self.book.servers.values() if s.duty is port.Duty.READ and s is not server]
             place = self.book.places[others[0]]
-            again = LegPlan(place.address, [], b"", 400, 400)
+            again = AttemptPlan(place.address, [], b"", 400, 400)
             self.nursery.start_soon(
                 self.transport.read,
-                LegAsk(
+                AttemptRequest(
                     place.ident, place.address, Stage.READ, ticket.ident, 0, ticket.key, ticket.ask.raw, None, 1, again
                 ),
             )
@@ -132,7 +134,7 @@
 
     def take(self, piece: str) -> str:
         new = super().take(piece)
-        if not self.resumed or self.leg_pieces != 1:
+        if not self.resumed or self.attempt_pieces != 1:
             return new
         return new + new if self.how == "twice" else "" if self.how == "skips" else new
 
@@ -262,7 +264,7 @@
     build = replace(
         BUILD, cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, slots=4, tok_ms=12.0, answer_toks=(20, 20)
     )
-    terms = replace_paper(cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, leg_limit=10)
+    terms = replace_paper(cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -26,7 +26,7 @@
 from ternlane import port
 from tests.world import BUILD, heard, patient, replace
 from tests.world import TERMS as SHORT_TERMS
-from ternlane.engine import Kept, LegAsk, LocalTransport, Refuses, Unreached
+from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
 from ternlane.http1 import Pool
 from ternlane.paper import GatewayPaper, NodeLine
 from ternlane.paper.gateway import InlineSource
@@ -124,7 +124,7 @@
         if self.script == "silent":
             await trio.sleep_forever()
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         self.before()
         await self.slowly()
         await self.fail()
@@ -133,11 +133,11 @@
         return Kept({"of": ask.ident}, 10 + self.done(ask))
 
     @staticmethod
-    def done(ask: LegAsk) -> int:
+    def done(ask: AttemptRequest) -> int:
         """Pieces that the client has already."""
         return len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         self.before()
         if ask.ident not in self.states:
             raise Refuses("no-state", state_lost=True)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -87,7 +87,7 @@
             match action:
                 case port.Wake(at, beat):
                     self.at(at, nth, port.Woken(beat))
-                case port.SendLeg(request, server, timeout):
+                case port.StartAttempt(request, server, timeout):
                     self.attempt(nth, request, server, timeout)
                 case port.Throttle(request) | port.Terminate(request):
                     self.of[request].rejected = True
@@ -99,18 +99,18 @@
             self.busy_until[place] = done
             verdict = Verdict.READ if done <= self.now + timeout else Verdict.TIMED_OUT
             took = min(done - self.now, timeout)
-            self.at(self.now + took, nth, port.LegEnded(request, server, verdict, took, False))
+            self.at(self.now + took, nth, port.AttemptEnded(request, server, verdict, took, False))
             return
         tokens = request.prompt_toks + request.max_toks
         if self.held[place] + tokens > MEMORY_TOKENS:
-            self.at(self.now + 1, nth, port.LegEnded(request, server, Verdict.FULL, 1.0, False))
+            self.at(self.now + 1, nth, port.AttemptEnded(request, server, Verdict.FULL, 1.0, False))
             return
         self.held[place] += tokens
         self.at(since + 50, nth, port.FirstTok(request, server, 50.0))
         self.at(
             since + 50 + TOKEN_MS * request.max_toks / 4,
             nth,
-            (place, tokens, port.LegEnded(request, server, Verdict.STREAMED, 50.0, True)),
+            (place, tokens, port.AttemptEnded(request, server, Verdict.STREAMED, 50.0, True)),
         )
 
     def arrivals(self) -> None:
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -51,9 +51,9 @@
 def learn_short_streams(host: FakeHost, effect: Effect) -> None:
     """Usual streams take no time, so that no estimate keeps the decisions from beginning one."""
     for _ in range(60):
-        request, leg = host.written(effect)
-        host.first(request, leg.server, after=1.0)
-        host.end(request, leg.server, Verdict.STREAMED, after=1.0, over=True)
+        request, attempt = host.written(effect)
+        host.first(request, attempt.server, after=1.0)
+        host.end(request, attempt.server, Verdict.STREAMED, after=1.0, over=True)
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -62,7 +62,7 @@
     learn_short_streams(host, effect)
     host.tell(port.Ending(TIMES))
     early = host.request(effect)
-    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.SendLeg]
+    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.StartAttempt]
     late = host.request(effect)
     said = host.arrive(late, after=20.0)
     assert [type(action) for action in said if action.request is late] == [port.Throttle]
@@ -82,11 +82,11 @@
     read = host.request(effect, patience_ms=9000.0)
     prefill = sent(host.arrive(read))
     said = host.tell(after=300.0)
-    called_off = {action.request for action in said if isinstance(action, port.CallOff)}
-    assert called_off == {decoded, read} and not finals(said)  # the client of the third has a part of it
-    after_prefill = finals(host.end(read, prefill.server, Verdict.CALLED_OFF, after=1.0))
+    cancelled = {action.request for action in said if isinstance(action, port.CancelAttempt)}
+    assert cancelled == {decoded, read} and not finals(said)  # the client of the third has a part of it
+    after_prefill = finals(host.end(read, prefill.server, Verdict.CANCELLED, after=1.0))
     assert kinds(after_prefill) == [port.Throttle]  # a prefill has no effect, however it ends
-    said = host.end(decoded, decode.server, Verdict.CALLED_OFF, after=1.0)
+    said = host.end(decoded, decode.server, Verdict.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
     assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate]
     assert port.Release in kinds(said) and not host.router.desk.unanswered
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("effect", Effect)
 def test_where_nothing_may_be_called_off_the_answer_claims_no_more_than_is_known(effect: Effect) -> None:
     """Of an attempt that is out nothing is known, so what may run only once is failed."""
-    host = build(may_call_off=False)
+    host = build(may_cancel=False)
     learn_short_streams(host, effect)
     host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
     requests = [host.request(effect, patience_ms=9000.0), host.written(effect, patience_ms=9000.0)[0]]
@@ -103,7 +103,7 @@
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
     assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate] * 2
-    assert port.CallOff not in kinds(said) and not host.router.desk.unanswered
+    assert port.CancelAttempt not in kinds(said) and not host.router.desk.unanswered
 
 
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
@@ -118,14 +118,16 @@
 
 
 def test_nothing_is_kept_of_requests_that_are_over(host: FakeHost) -> None:
-    streamed, leg = host.written()
-    host.first(streamed, leg.server)
+    streamed, attempt = host.written()
+    host.first(streamed, attempt.server)
     left, _ = host.written()
     host.tell(port.ClientLeft(left))
-    whole, leg = host.written()
-    host.end(whole, leg.server, Verdict.STREAMED, over=True)  # a host that passes answers on whole tells no first token
-    failed, leg = host.written(Effect.SIDE_EFFECTING)
-    host.end(failed, leg.server, Verdict.ERROR)
+    whole, attempt = host.written()
+    host.end(
+        whole, attempt.server, Verdict.STREAMED, over=True
+    )  # a host that passes answers on whole tells no first token
+    failed, attempt = host.written(Effect.SIDE_EFFECTING)
+    host.end(failed, attempt.server, Verdict.ERROR)
     assert not host.router.desk.unanswered
 
 
@@ -153,7 +155,7 @@
             server.lease_way = "silent"
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="9"))
-        await until(lambda: any(ticket.legs == 3 for ticket in p.gateway.node.tickets.values()))
+        await until(lambda: any(ticket.attempts == 3 for ticket in p.gateway.node.tickets.values()))
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
         assert answer.startswith(b"HTTP/1.1 503 ") and not p.gateway.node.counts["overdue"]
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -30,7 +30,13 @@
 def other_shape(paper: GatewayPaper) -> GatewayPaper:
     """Loads told to probes only, no advice, fewer legs, other terms, one product gone and one new."""
     fleet = msgspec.structs.replace(
-        TERMS, ask_load=True, reports_mem=False, longest_pause_ms=0.0, leg_limit=4, writers_read=True, release_ms=250.0
+        TERMS,
+        ask_load=True,
+        reports_mem=False,
+        longest_pause_ms=0.0,
+        max_attempts=4,
+        writers_read=True,
+        release_ms=250.0,
     )
     summary, note, _ = paper.products
     quote = ProductTerms(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, limit_ms=8000)
@@ -126,7 +132,7 @@
         async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
             async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
                 with pytest.raises(PaperError, match="leg_limit"):
-                    routing.alter(msgspec.structs.replace(paper, fleet=msgspec.structs.replace(TERMS, leg_limit=0)))
+                    routing.alter(msgspec.structs.replace(paper, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
                 routing.alter(other_shape(paper))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(Wrong, match="does not exist"):
@@ -177,17 +183,17 @@
 
 
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
-    request, leg = host.written()
-    assert host.tell(port.Altered(replace(FACTS, leg_limit=1))) == []
-    assert kinds(host.end(request, leg.server, port.Verdict.FULL)) == [port.Throttle, port.Release]
+    request, attempt = host.written()
+    assert host.tell(port.Altered(replace(FACTS, max_attempts=1))) == []
+    assert kinds(host.end(request, attempt.server, port.Verdict.FULL)) == [port.Throttle, port.Release]
 
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
-    request, leg = host.written(session="s")
+    request, attempt = host.written(session="s")
     home = request.seat.reader.server
-    host.first(request, leg.server)
-    host.end(request, leg.server, port.Verdict.STREAMED, over=True)
-    host.tell(port.Altered(replace(FACTS, gateways=50, leg_limit=4, longest_pause_ms=0.0, may_advise=False)))
+    host.first(request, attempt.server)
+    host.end(request, attempt.server, port.Verdict.STREAMED, over=True)
+    host.tell(port.Altered(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False)))
     assert sent(host.arrive(host.request(session="s"))).server is home
 
 
@@ -199,13 +205,13 @@
     busy, idle = asked
     assert host.tell(port.Checked(busy, port.Verdict.STREAMED, port.Report(30.0, 0.99))) == []
     said = host.tell(port.Checked(idle, port.Verdict.STREAMED, port.Report(0.0, 0.05)))
-    leg = next(a for a in said if isinstance(a, port.SendLeg))
-    assert leg.server is idle and leg.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
+    attempt = next(a for a in said if isinstance(a, port.StartAttempt))
+    assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
     assert sent(build().arrive(request)).timeout_ms == 1000.0
     late = host.request(opening="other")
     said = host.arrive(late, after=3000.0)
-    assert port.Probe in kinds(said) and port.SendLeg not in kinds(said)
-    assert port.SendLeg in kinds(host.tell(after=100.0))  # none has answered
+    assert port.Probe in kinds(said) and port.StartAttempt not in kinds(said)
+    assert port.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
 
 
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
@@ -214,7 +220,7 @@
     request = host.request(patience_ms=patience)
     said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
-    while not any(isinstance(a, (port.SendLeg, port.Throttle)) for a in said):
+    while not any(isinstance(a, (port.StartAttempt, port.Throttle)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
     assert answered <= request.seat.limit_at - 0.5 * patience
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -130,14 +130,14 @@
         first = await bank.ask(w, "noto", text="x" * 200, max_tokens=10)
         assert first.done == 1 and float(first.headers["x-ratelimit-remaining-tokens"]) < 150
         assert first.headers["x-ratelimit-limit-tokens"] == "6000"
-        legs, no = len(w.said("leg")), Reply()
+        attempts, no = len(w.said("leg")), Reply()
         for _ in range(6):
             no = await bank.ask(w, "noto", text="x" * 200, max_tokens=10)
             if no.status == 429:
                 break
-            legs = len(w.said("leg"))
+            attempts = len(w.said("leg"))
         assert no.status == 429 and no.error is not None and no.error["code"] == "rate_limit_exceeded"
-        assert len(w.said("leg")) == legs
+        assert len(w.said("leg")) == attempts
         assert (await bank.ask(w, "avola", text="x" * 200, max_tokens=10)).done == 1  # not another's allowance
         await trio.sleep(float(no.headers["retry-after-ms"]) / 1000 + 0.02)
         assert (await bank.ask(w, "noto", text="x" * 200, max_tokens=10)).done == 1
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -15,8 +15,18 @@
 from tests.world import BUILD, PRODUCTS, TERMS, World, replace, world
 from ternlane.chat import Wrong
 from ternlane.embed import TerminatedError, ThrottledError, open_routing
-from ternlane.engine import Kept, LegAsk, LegPlan, LocalTransport, Refuses, SocketTransport, Stage, Transport, Unreached
-from ternlane.engine.leg import ClientGone
+from ternlane.engine import (
+    Kept,
+    AttemptRequest,
+    AttemptPlan,
+    LocalTransport,
+    Refuses,
+    SocketTransport,
+    Stage,
+    Transport,
+    Unreached,
+)
+from ternlane.engine.attempt import ClientGone
 from ternlane.http1 import Exchange, Pool
 from ternlane.paper import GatewayPaper, NodeLine, PaperError, read_text
 from ternlane.paper.gateway import InlineSource
@@ -31,7 +41,7 @@
         self.states: set[str] = set()
         self.trouble, self.effects, self.closed = "", 0, 0
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         if self.trouble == "full":
             raise Refuses("queue-full")
         if self.trouble == "hung":
@@ -40,7 +50,7 @@
         self.states.add(ask.ident)
         return Kept({"by": ask.server, "of": ask.ident}, 10)
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         if ask.stage is Stage.WRITE and (ask.state or {}).get("of") != ask.ident:
             raise Refuses("no-state", state_lost=True)
         if self.trouble == "broken":
@@ -73,10 +83,14 @@
             await self.world.add(ident, replace(BUILD, tok_ms=2.0))
         return SocketTransport(Pool(100, 1000), "t (t)")
 
-    def ask(self, server: str, stage: Stage, state: Any = None, ident: str = "g", timeout: float = 150) -> LegAsk:
+    def ask(
+        self, server: str, stage: Stage, state: Any = None, ident: str = "g", timeout: float = 150
+    ) -> AttemptRequest:
         address = "" if self.kind == "local" else f"127.0.0.1:{self.world.engines[server].port}"
         raw = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
-        return LegAsk(server, address, stage, ident, 0, "k", raw, state, 6, LegPlan(address, [], b"", timeout, 60))
+        return AttemptRequest(
+            server, address, stage, ident, 0, "k", raw, state, 6, AttemptPlan(address, [], b"", timeout, 60)
+        )
 
     def trouble(self, server: str, what: str) -> None:
         self.local[server].trouble = what
@@ -89,7 +103,7 @@
         return len(self.local["r0"].states) if self.kind == "local" else len(self.world.engines["r0"].states)
 
 
-async def collect(transport: Transport, ask: LegAsk) -> tuple[Any, list[str]]:
+async def collect(transport: Transport, ask: AttemptRequest) -> tuple[Any, list[str]]:
     got: list[str] = []
 
     async def pass_on(text: str, first: bool) -> None:
@@ -127,8 +141,8 @@
 
         called = bed.ask("r0", Stage.READ)
         bed.trouble("r0", "hung")
-        nursery.start_soon(_call_off, called)
-        assert (await transport.read(called)).verdict is Verdict.CALLED_OFF
+        nursery.start_soon(_cancel, called)
+        assert (await transport.read(called)).verdict is Verdict.CANCELLED
         bed.trouble("r0", "")
 
         state = (await transport.read(bed.ask("r0", Stage.READ, ident="j"))).state
@@ -143,9 +157,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def _call_off(ask: LegAsk) -> None:
+async def _cancel(ask: AttemptRequest) -> None:
     await trio.sleep(0.03)
-    ask.plan.call_off()
+    ask.plan.cancel()
 
 
 def paper(*idents: str, **more: Any) -> GatewayPaper:
