--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -75,15 +75,15 @@
             nursery.start_soon(engine.run, nursery)
 
 
-async def direct(pool: Pool, reader: str, writer: str, i: int) -> list[float]:
+async def direct(pool: Pool, prefill_server: str, decode_server: str, i: int) -> list[float]:
     """Reads and writes straight at the engines; times of the token events, ms since the ask."""
     since, raw = time.perf_counter(), body(i)
     head = [("Content-Type", "application/json"), ("X-Request-Id", f"d{i}.0")]
-    caller = await pool.take(reader)
+    caller = await pool.take(prefill_server)
     await caller.ask("POST", "/v1/chat/completions", head, read_body(raw))
     state = msgspec.json.decode(await caller.body(1 << 20))["kv_transfer_params"]
     pool.give_back(caller)
-    caller = await pool.take(writer)
+    caller = await pool.take(decode_server)
     await caller.ask("POST", "/v1/chat/completions", head, write_body(raw, state, TOKS))
     return await events(pool, caller, since)
 
@@ -97,9 +97,9 @@
 
 
 async def events(pool: Pool, caller: Caller, since: float) -> list[float]:
-    reader, at = EventReader(), []
+    prefill_server, at = EventReader(), []
     async for chunk in caller.chunks():
-        for data in reader.feed(chunk):
+        for data in prefill_server.feed(chunk):
             if '"content"' in data:
                 at.append((time.perf_counter() - since) * 1000)
     pool.give_back(caller)
@@ -257,7 +257,12 @@
                     await ready(a)
                 pool = Pool(2000, 60e3)
                 ways: dict[str, Any] = {n: partial(through, address=a) for n, a in address.items()}
-                ways = {"straight": partial(direct, reader=f"127.0.0.1:{port}", writer=f"127.0.0.1:{port + 1}"), **ways}
+                ways = {
+                    "straight": partial(
+                        direct, prefill_server=f"127.0.0.1:{port}", decode_server=f"127.0.0.1:{port + 1}"
+                    ),
+                    **ways,
+                }
                 got = await one_by_one(pool, ways, told.rounds)
                 print(
                     f"{'one at a time, ms':<20}{'first token':>12}{'added':>8}{'p99':>8}{'last token':>12}{'added':>8}"
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -43,8 +43,8 @@
     seats = [fleet.add(Engine(Build(blocks=8000), Nature(jitter=0.05), i), "a", i // 5) for i in range(many)]
     size = tracemalloc.get_traced_memory()[0] // many
     tracemalloc.stop()
-    readers = [s for i, s in enumerate(seats) if i % 5 < 2]
-    writers = [s for i, s in enumerate(seats) if i % 5 >= 2]
+    prefill_servers = [s for i, s in enumerate(seats) if i % 5 < 2]
+    decode_servers = [s for i, s in enumerate(seats) if i % 5 >= 2]
     texts = [chain(rng.randbytes(4 * 600), 64) for _ in range(40)]
     due, wrote, held = 0.0, 0, dict[Job, Seat]()
     since = time.perf_counter()
@@ -54,19 +54,19 @@
             return seconds / (time.perf_counter() - since), wrote, size
         for seat, told in fleet.advance(at):
             if told.what is What.READ:
-                near = [w for w in writers if w.cell == seat.cell]
+                near = [w for w in decode_servers if w.cell == seat.cell]
                 job = Job(Course(told.job.course.prompt, rng.randrange(20, 200)))
-                writer = rng.choice(near if rng.random() < 0.5 else writers)
-                if not fleet.write(at, writer, job, held[told.job], told.job):
+                decode_server = rng.choice(near if rng.random() < 0.5 else decode_servers)
+                if not fleet.write(at, decode_server, job, held[told.job], told.job):
                     fleet.release(at, seat, told.job)
                 del held[told.job]
             wrote += told.what is What.TOKEN
         while due <= at:
             due += rng.expovariate(many / 1000)
             read = Job(Course(600 + rng.randrange(400), 0, texts[min(39, int(rng.paretovariate(0.9)) - 1)]))
-            reader = rng.choice(readers)
-            if fleet.read(at, reader, read):
-                held[read] = reader
+            prefill_server = rng.choice(prefill_servers)
+            if fleet.read(at, prefill_server, read):
+                held[read] = prefill_server
 
 
 def fits() -> None:
--- a/bench/library.py
+++ b/bench/library.py
@@ -43,7 +43,7 @@
 
 def paper() -> ternlane.GatewayPaper:
     nodes = [
-        ternlane.NodeLine(id=i, address="127.0.0.1:9", duty="read" if i[0] == "r" else "write", mem_toks=1e9)
+        ternlane.NodeLine(id=i, address="127.0.0.1:9", role="read" if i[0] == "r" else "write", mem_toks=1e9)
         for i in ("r0", "r1", "w0", "w1")
     ]
     return ternlane.GatewayPaper(
@@ -113,7 +113,9 @@
         attempt = next(a for a in router.take(now, [port.Arrived(request)]) if isinstance(a, port.StartAttempt))
         attempt = next(
             a
-            for a in router.take(now + 1, [port.AttemptEnded(request, attempt.server, port.Verdict.READ, 1.0, False)])
+            for a in router.take(
+                now + 1, [port.AttemptEnded(request, attempt.server, port.Verdict.PREFILLED, 1.0, False)]
+            )
             if isinstance(a, port.StartAttempt)
         )
         router.take(now + 1.5, [port.FirstTok(request, attempt.server, 0.5)])
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -29,7 +29,7 @@
         self.rng = random.Random(seed)
         self.effects: dict[str, list[str]] = defaultdict(list)  # by key, the cells where it took effect
         self.seen: dict[tuple[str, str], None] = {}  # cell and key: where repeats are dropped
-        self.reads: list[tuple[float, int, bool]] = []  # when, tokens, anew?
+        self.prefills: list[tuple[float, int, bool]] = []  # when, tokens, anew?
 
 
 class Engine:
@@ -54,7 +54,7 @@
         async with self.busy:
             if self.read_tok_s < 1e9:
                 await trio.sleep(toks / self.read_tok_s)
-        self.fleet.reads.append((trio.current_time(), toks, ask.goes_on))
+        self.fleet.prefills.append((trio.current_time(), toks, ask.goes_on))
         return Kept({}, toks)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
@@ -92,7 +92,7 @@
 def paper(**streams: bool) -> ternlane.GatewayPaper:
     nodes = [
         ternlane.NodeLine(
-            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, mem_toks=1e9, duty="read" if d == "r" else "write"
+            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, mem_toks=1e9, role="read" if d == "r" else "write"
         )
         for d in "rw"
         for c in range(3)
@@ -178,8 +178,8 @@
             for ident in struck:
                 engines[ident].dead.cancel()
             at = trio.current_time()
-    anew = [(t - at, n) for t, n, again in fleet.reads if again]
-    first = sum(n for t, n, again in fleet.reads if not again)
+    anew = [(t - at, n) for t, n, again in fleet.prefills if again]
+    first = sum(n for t, n, again in fleet.prefills if not again)
     rates = Counter(int(t * 4) for t, _ in anew)
     print(
         f"{streams} streams, {len(struck)} of 12 writers go at once, resume {resume}: {dict(outcomes)}; read first "
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -16,7 +16,7 @@
     may_advise=True,
     must_ask=False,
     ask_within_ms=0.0,
-    writers_read=False,
+    decode_servers_prefill=False,
     reports_mem=False,
     longest_pause_ms=500.0,
     connect_ms=250.0,
@@ -30,9 +30,10 @@
     step_ms=1.0,
 )
 names = {
-    ternlane.Server("hall", cell, duty, 200e3, mark=mark): f"{duty.name.lower()}-{cell}"
-    for mark, (cell, duty) in enumerate(
-        ((0, ternlane.Duty.READ), (0, ternlane.Duty.WRITE), (1, ternlane.Duty.READ), (1, ternlane.Duty.WRITE)), start=7
+    ternlane.Server("hall", cell, role, 200e3, mark=mark): f"{role.name.lower()}-{cell}"
+    for mark, (cell, role) in enumerate(
+        ((0, ternlane.Role.PREFILL), (0, ternlane.Role.DECODE), (1, ternlane.Role.PREFILL), (1, ternlane.Role.DECODE)),
+        start=7,
     )
 }
 router = ternlane.Router(facts)
@@ -46,9 +47,13 @@
     return sent.server
 
 
-reader = attempt(router.take(1.0, [port.Arrived(request)]))
-writer = attempt(router.take(60.0, [port.AttemptEnded(request, reader, ternlane.Verdict.READ, 59.0, False)]))
-other = attempt(router.take(61.0, [port.AttemptEnded(request, writer, ternlane.Verdict.UNCONNECTED, 1.0, False)]))
+prefill_server = attempt(router.take(1.0, [port.Arrived(request)]))
+decode_server = attempt(
+    router.take(60.0, [port.AttemptEnded(request, prefill_server, ternlane.Verdict.PREFILLED, 59.0, False)])
+)
+other = attempt(
+    router.take(61.0, [port.AttemptEnded(request, decode_server, ternlane.Verdict.UNCONNECTED, 1.0, False)])
+)
 router.take(90.0, [port.FirstTok(request, other, 29.0)])
 router.take(400.0, [port.AttemptEnded(request, other, ternlane.Verdict.STREAMED, 339.0, True)])
-print(f"read by {names[reader]}, written by {names[other]}")
+print(f"read by {names[prefill_server]}, written by {names[other]}")
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -28,8 +28,8 @@
     products=[ternlane.ProductTerms(name="count", effect="idempotent", slo_ms=500, limit_ms=2000)],
     nodes=InlineSource(
         nodes=[
-            ternlane.NodeLine(id="reader", address="here:1", duty="read", mem_toks=1e5),
-            ternlane.NodeLine(id="writer", address="here:2", duty="write", mem_toks=1e5),
+            ternlane.NodeLine(id="reader", address="here:1", role="read", mem_toks=1e5),
+            ternlane.NodeLine(id="writer", address="here:2", role="write", mem_toks=1e5),
         ]
     ),
 )
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -19,9 +19,9 @@
 def engines(port: int) -> None:
     async def serve() -> None:
         async with trio.open_nursery() as nursery:
-            for i, duty in enumerate(("read", "write")):
+            for i, role in enumerate(("read", "write")):
                 build = Build(answer_toks=(5, 5))
-                engine = Engine(duty, duty, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
+                engine = Engine(role, role, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
                 nursery.start_soon(engine.run, nursery)
 
     trio.run(serve)
@@ -30,8 +30,8 @@
 first = free_ports(5)
 threading.Thread(target=engines, args=(first,), daemon=True).start()
 nodes = [
-    {"id": duty, "address": f"127.0.0.1:{first + i}", "duty": duty, "mem_toks": 1e5}
-    for i, duty in enumerate(("read", "write"))
+    {"id": role, "address": f"127.0.0.1:{first + i}", "duty": role, "mem_toks": 1e5}
+    for i, role in enumerate(("read", "write"))
 ]
 with tempfile.TemporaryDirectory() as folder:
     daemons = []
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -21,7 +21,7 @@
         self.asked.append(ask.server)
         path = self.folder / ask.ident
         path.write_text(ask.raw["messages"][-1]["content"])
-        return AttemptResult(ternlane.Verdict.READ, state={"path": str(path)})
+        return AttemptResult(ternlane.Verdict.PREFILLED, state={"path": str(path)})
 
     async def stream(self, ask: ternlane.AttemptRequest, pass_on) -> AttemptResult:
         self.asked.append(ask.server)
@@ -47,8 +47,8 @@
 
 async def main() -> None:
     nodes = [
-        ternlane.NodeLine(id=name, address="folder:1", duty=duty, mem_toks=1e5)
-        for name, duty in (("reader", "read"), ("broken", "write"), ("whole", "write"))
+        ternlane.NodeLine(id=name, address="folder:1", role=role, mem_toks=1e5)
+        for name, role in (("reader", "read"), ("broken", "write"), ("whole", "write"))
     ]
     paper = ternlane.GatewayPaper(
         name="folder",
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -25,7 +25,7 @@
     "Request": "port",
     "Effect": "port",
     "Group": "port",
-    "Duty": "port",
+    "Role": "port",
     "Life": "port",
     "Verdict": "port",
     "Report": "port",
@@ -107,7 +107,7 @@
     from ternlane.paper import checked as checked
     from ternlane.paper import read_paper as read_paper
     from ternlane.paper import read_text as read_text
-    from ternlane.port import Duty as Duty
+    from ternlane.port import Role as Role
     from ternlane.port import Effect as Effect
     from ternlane.port import Request as Request
     from ternlane.port import Group as Group
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -39,7 +39,7 @@
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, ReleaseSchedule
 from ternlane.policy.shutdown import ShutdownSchedule
 from ternlane.port import (
-    Duty,
+    Role,
     Effect,
     Event,
     Request,
@@ -68,7 +68,7 @@
 LONG_READ = 1000.0  # tokens
 LOT = 0.618  # of the way round between two draws of a generation, as far from all before as can be
 OUT_SHARE = 0.25  # part of the longest answer that a generation is expected to fill
-NEVER_RAN = {Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD, Verdict.READ}
+NEVER_RAN = {Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD, Verdict.PREFILLED}
 NO_SIGN = {Verdict.TIMED_OUT, Verdict.ERROR, Verdict.FULL, Verdict.CANCELLED, Verdict.MOOT, Verdict.WITHHELD}
 
 
@@ -96,7 +96,7 @@
     def __init__(self, router: Loop, server: Server) -> None:
         super().__init__(router)
         self.server = server
-        self.reads, self.writes = server.duty is not Duty.WRITE, server.duty is not Duty.READ
+        self.prefills, self.decodes = server.role is not Role.DECODE, server.role is not Role.PREFILL
         self.booked: dict[Course, tuple[float, float]] = {}  # when, how much of its memory
         self.attempts: dict[Attempt, None] = {}
         self.said: tuple[float, float, float | None] | None = None  # when, memory share, generations held
@@ -122,7 +122,7 @@
                 self.due += (good is False) * DOUBT / 2  # guards against one that fails fast and looks free
                 if next_usual is None:
                     self.attempts.pop(attempt, None)
-                    if good and not attempt.writes:
+                    if good and not attempt.decodes:
                         self.answered = max(self.answered, attempt.sent)
                 else:
                     attempt.since, attempt.usual_ms, attempt.counted = now, next_usual, 0.0
@@ -157,7 +157,7 @@
     def overtaken(self) -> None:
         """Guards against lost answers: prompts are read in turn, so what is overdue has been read too."""
         for attempt in self.attempts:
-            if attempt.sent < min(self.answered, self.router.now - attempt.usual_ms) and not attempt.writes:
+            if attempt.sent < min(self.answered, self.router.now - attempt.usual_ms) and not attempt.decodes:
                 self.router.desk.post(Lost(attempt))
 
     def shut(self, wait: float, why: str) -> None:
@@ -192,7 +192,7 @@
             free = min(free, 1 - fresh * (mem_share + since) - (1 - fresh) * used)
             if held is not None:
                 ahead = fresh * held * self.fleet.read_ms + (1 - fresh) * ahead
-        if self.reads:
+        if self.prefills:
             free = min(free, 1 - ahead / self.limits.slo_ms)
             known = min(known, 1 - queue / self.limits.slo_ms)
         return Standing(
@@ -222,7 +222,7 @@
         self.read_ms, self.asked, self.unmet = 0.0, False, 0.0  # part of new connections that fail
         self.seed, self.turn, self.beats, self.stuck = facts.seed, 0, 0, inf  # no room for prompts so large
         self.board: dict[Seat, Standing] = {}
-        self.lots: dict[Duty, dict[Seat, tuple[float, float]]] = {d: {} for d in Duty}  # of cold ones
+        self.lots: dict[Role, dict[Seat, tuple[float, float]]] = {d: {} for d in Role}  # of cold ones
         self.homes: OrderedDict[str, Home] = OrderedDict()
         self.waiting: list[tuple[float, float, int, Course]] = []
         self.releases: ReleaseSchedule[Course] = ReleaseSchedule()
@@ -235,10 +235,10 @@
         self.told: defaultdict[Product, float] = defaultdict(lambda: 0.5)  # part kept at the agreed reader
         self.asked_for: Counter[str | None] = Counter()  # generations of each opening
         self.tok_ms = self.limits.slo_ms / 10e3
-        self.fleets = {duty: Beat() for duty in Duty}
+        self.fleets = {role: Beat() for role in Role}
         self.foreseen = self.took = self.limits.slo_ms / 8
         self.failures: FailureRates[Seat] = FailureRates()  # by product, tenant, or the verdict of silence
-        self.late = {duty: 0.0 for duty in Duty}  # part of the answers that came late, or were none
+        self.late = {role: 0.0 for role in Role}  # part of the answers that came late, or were none
         self.trust = 1.0  # how long reads took, against what the readers' queues were believed to be
 
     def adopt(self, facts: StartFacts) -> None:
@@ -267,7 +267,7 @@
             case port.Listed(servers):
                 for server in servers:
                     server.seat = server.seat or Engine(self.router, server)
-                    self.lots[server.duty].pop(server.seat, None)
+                    self.lots[server.role].pop(server.seat, None)
                     server.seat.post(News())
             case port.Checked(server, _, report):
                 self.checked(server.seat, report)
@@ -339,10 +339,13 @@
     def usable(self, engine: Seat, course: Course) -> bool:
         """May the course be sent to this server? Asked again by send(). Guards cold ones against the sum of
         all gateways: each gives a part by lot, as what all saved up could come at once."""
-        s, (low, part) = self.board.get(engine), self.lots[engine.server.duty].get(engine, (0.0, 0.0))
+        s, (low, part) = self.board.get(engine), self.lots[engine.server.role].get(engine, (0.0, 0.0))
         if s is None or engine.server.life is not Life.UP or engine in course.tried:
             return False
-        drawn = engine in (course.reader, course.writer) or (course.lot + course.attempts * LOT - low) % 1 < part
+        drawn = (
+            engine in (course.prefill_server, course.decode_server)
+            or (course.lot + course.attempts * LOT - low) % 1 < part
+        )
         return (drawn or s.cold_until <= self.router.now) and self.effect_allows(course, engine)
 
     def sound(self, s: Standing) -> bool:
@@ -351,12 +354,12 @@
     def fit(self, s: Standing, course: Course) -> bool:
         if s.trial and not s.shut:  # one leg at a time finds out, and none that can't be made good
             barred = any(b[0] >= s.engine.shut_until for c, b in s.engine.booked.items() if c is not course)
-            return not barred and (not s.engine.writes or course.request.product.effect is Effect.IDEMPOTENT)
+            return not barred and (not s.engine.decodes or course.request.product.effect is Effect.IDEMPOTENT)
         return self.sound(s)
 
     def congested(self, s: Standing, course: Course) -> bool:
         """What own requests make a gateway guess of all the others' counts as far as answers come late."""
-        free = s.known + min(1.0, CONFIRM * self.late[s.engine.server.duty]) * (s.free - s.known)
+        free = s.known + min(1.0, CONFIRM * self.late[s.engine.server.role]) * (s.free - s.known)
         return (
             not self.fit(s, course)
             or s.open > CROWD * max(s.fleet.open, CROWD)
@@ -368,31 +371,31 @@
 
     def too_few_attempts(self, course: Course) -> bool:
         """A prefill needs a decode after it, but where a server does both in one attempt."""
-        two_stages = not any(e.reads and e.writes for e in self.board)
+        two_stages = not any(e.prefills and e.decodes for e in self.board)
         return two_stages and course.attempts > 0 and course.attempts + 2 > self.limits.max_attempts
 
     def toks(self, course: Course, engine: Seat) -> float:
-        return course.request.prompt_toks + (OUT_SHARE * course.request.max_toks if engine.writes else 0.0)
+        return course.request.prompt_toks + (OUT_SHARE * course.request.max_toks if engine.decodes else 0.0)
 
     def pairs(
-        self, readers: list[Standing], writers: list[Standing], lost: dict[Seat, float]
+        self, prefill_servers: list[Standing], decode_servers: list[Standing], lost: dict[Seat, float]
     ) -> Iterator[tuple[Standing, Standing]]:
         """Each reader with the best writer of its cell, of its zone and of all (no other scores more), a
         mixed one with itself. Equals go by chance, or all gateways would fill the first in the list."""
         freest: dict[Any, tuple[float, int, Standing]] = {}
         self.turn += 1
         draw = zlib.crc32(b"%d %d" % (self.seed, self.turn)) | 1
-        for w in writers:
+        for w in decode_servers:
             at = w.engine.server
-            if w.engine.writes and not w.engine.reads:
+            if w.engine.decodes and not w.engine.prefills:
                 mine = w.free - lost[w.engine] - self.unmet * (not w.linked), draw * at.mark % 2**32, w
                 for near in (at.cell, at.zone, None):
                     if near not in freest or mine[:2] > freest[near][:2]:
                         freest[near] = mine
-        for r in readers:
-            if r.engine.writes and r.engine.reads:
+        for r in prefill_servers:
+            if r.engine.decodes and r.engine.prefills:
                 yield r, r
-            elif r.engine.reads:
+            elif r.engine.prefills:
                 at = r.engine.server
                 yield from ((r, freest[by][2]) for by in (at.cell, at.zone, None) if by in freest)
 
@@ -413,19 +416,19 @@
         """The best pair that is not congested. With no server of a duty sound, the view is suspected."""
         able = [s for s in self.board.values() if self.usable(s.engine, course)]
         ill = {s.engine for s in able if self.ill(s.engine, course)} if self.failures else set()
-        for duty in Duty if ill else ():  # where all are, it is not theirs
-            if all(s.engine in ill for s in able if s.engine.server.duty is duty):
-                ill = {e for e in ill if e.server.duty is not duty}
+        for role in Role if ill else ():  # where all are, it is not theirs
+            if all(s.engine in ill for s in able if s.engine.server.role is role):
+                ill = {e for e in ill if e.server.role is not role}
         calm = [s for s in able if s.engine not in ill and not self.congested(s, course)]
-        for duty in Duty:
-            if not any(s.listed and e.server.duty is duty and self.sound(s) for e, s in self.board.items()):
-                calm += [s for s in able if s.engine.server.duty is duty and s not in calm]
-        course.agreed, readers = self.agreed(course.request), [self.board[holder]] if holder else calm
+        for role in Role:
+            if not any(s.listed and e.server.role is role and self.sound(s) for e, s in self.board.items()):
+                calm += [s for s in able if s.engine.server.role is role and s not in calm]
+        course.agreed, prefill_servers = self.agreed(course.request), [self.board[holder]] if holder else calm
         lost = {s.engine: self.loss(s.engine, course) if self.failures else 0.0 for s in calm}
-        work = {r.engine: WORTH * self.work_ms(r.engine, course) / self.limits.slo_ms for r in readers}
-        less = {r: work[r] + lost.get(r, 0.0) * (not r.writes) for r in work}
+        work = {r.engine: WORTH * self.work_ms(r.engine, course) / self.limits.slo_ms for r in prefill_servers}
+        less = {r: work[r] + lost.get(r, 0.0) * (not r.decodes) for r in work}
         return max(
-            self.pairs(readers, calm, lost),
+            self.pairs(prefill_servers, calm, lost),
             default=None,
             key=lambda p: self.score(p[0], p[1], less[p[0].engine] + lost[p[1].engine]),
         )
@@ -433,14 +436,14 @@
     def agreed(self, request: Request) -> list[Seat]:
         """The reader that every gateway holds nearest, as openings and sessions come to all of them.
         An opening has readers by its part of the traffic, the same everywhere; its sessions share them."""
-        readers = [e for e, s in self.board.items() if e.reads and s.listed and self.sound(s)]
+        prefill_servers = [e for e, s in self.board.items() if e.prefills and s.listed and self.sound(s)]
         if request.opening is not None:
             key = zlib.crc32(request.opening.encode())
-            readers.sort(key=lambda e: key * (e.server.mark | 1) % 2**32)
+            prefill_servers.sort(key=lambda e: key * (e.server.mark | 1) % 2**32)
             part = (max(1, self.asked_for[request.opening]) - 1) / (self.asked_for.total() + FEW)  # but this
-            readers = readers[: round(CROWD + CROWD * len(readers) * part)]
+            prefill_servers = prefill_servers[: round(CROWD + CROWD * len(prefill_servers) * part)]
         key = zlib.crc32((request.session or "").encode())
-        return sorted(readers, key=lambda e: key * (e.server.mark | 1) % 2**32)
+        return sorted(prefill_servers, key=lambda e: key * (e.server.mark | 1) % 2**32)
 
     def place(self, course: Course) -> None:
         """Home pair if it is calm, else the best calm pair; else the generation waits before its read."""
@@ -453,7 +456,7 @@
             self.usable(e, course) and not self.congested(self.board[e], course) and not self.ill(e, course)
             for e in home[:2]
         ):
-            reader, writer = home[:2]
+            prefill_server, decode_server = home[:2]
         else:
             pair = self.best(course)
             if pair is None:
@@ -461,16 +464,16 @@
                 if self.served(course):
                     return self.wait(course)
                 return self.finish(course, Refusal.NO_SERVER)
-            reader, writer = pair[0].engine, pair[1].engine
+            prefill_server, decode_server = pair[0].engine, pair[1].engine
         if request.session:
-            self.homes[request.session] = Home(reader, writer, now)
+            self.homes[request.session] = Home(prefill_server, decode_server, now)
             self.homes.move_to_end(request.session)
-        course.reader, course.writer = reader, writer
-        for engine in {reader: None, writer: None}:
+        course.prefill_server, course.decode_server = prefill_server, decode_server
+        for engine in {prefill_server: None, decode_server: None}:
             engine.post(Booked(course, self.toks(course, engine)))
-        if self.told_if_asked and writer is not reader:  # its report comes while the prompt is read
-            self.ask(writer)
-        self.send(course, reader)
+        if self.told_if_asked and decode_server is not prefill_server:  # its report comes while the prompt is read
+            self.ask(decode_server)
+        self.send(course, prefill_server)
 
     def refusal(self, course: Course) -> Refusal | None:
         """Why no prefill should begin for it any more."""
@@ -484,22 +487,22 @@
 
     def record(self, engine: Seat, request: Request, verdict: Verdict, waited: float) -> None:
         """Guards against servers that look well and fail one product, refuse one tenant or lose answers."""
-        if verdict in (Verdict.READ, Verdict.TIMED_OUT, Verdict.FULL):  # two such waits, and more is late
+        if verdict in (Verdict.PREFILLED, Verdict.TIMED_OUT, Verdict.FULL):  # two such waits, and more is late
             late = verdict is Verdict.FULL or 2 * MARGIN * waited > request.product.slo_ms
-            self.late[engine.server.duty] += GAIN * (late - self.late[engine.server.duty])
-        decodes, now = engine.writes, self.router.now
+            self.late[engine.server.role] += GAIN * (late - self.late[engine.server.role])
+        decodes, now = engine.decodes, self.router.now
         for bad, kind in ((Verdict.ERROR, request.product), (Verdict.FULL, request.tenant), (Verdict.TIMED_OUT,) * 2):
-            if kind is not None and verdict in (bad, Verdict.READ):
+            if kind is not None and verdict in (bad, Verdict.PREFILLED):
                 self.failures.add(kind, engine, decodes, verdict is bad, now)
 
     def risk(self, engine: Seat, kind: Any) -> float:
         """The chance that this server fails this product or refuses this tenant, shrunk to that of all."""
-        return self.failures.risk(kind, engine, engine.writes, self.router.now)
+        return self.failures.risk(kind, engine, engine.decodes, self.router.now)
 
     def loss(self, engine: Seat, course: Course) -> float:
         """What that risk costs: a leg's time, or all where an error of a writer ends it."""
         request = course.request
-        last = engine.writes and request.product.effect is not Effect.IDEMPOTENT
+        last = engine.decodes and request.product.effect is not Effect.IDEMPOTENT
         fails = self.risk(engine, request.product) + self.risk(engine, Verdict.TIMED_OUT)
         return fails * (CROWD if last else SICK) + self.risk(engine, request.tenant) * SICK
 
@@ -529,7 +532,7 @@
     def outweighed(self, course: Course) -> bool:
         """Guards against reads for what is late already, where they make others late that earn more."""
         least = max(1.5 * GAIN, course.request.product.late_share)  # one late read in ten is no overload
-        return self.router.now >= course.slo_at and self.late[Duty.READ] > least
+        return self.router.now >= course.slo_at and self.late[Role.PREFILL] > least
 
     def cut_off(self, course: Course) -> bool:
         """Guards against streams that this gateway will not see to their end: another may, if asked now."""
@@ -556,7 +559,7 @@
             for e in self.board
             if e.server.life is Life.UP and e not in course.tried and self.effect_allows(course, e)
         ]
-        return any(e.reads for e in able) and any(e.writes for e in able)
+        return any(e.prefills for e in able) and any(e.decodes for e in able)
 
     def wait(self, course: Course) -> None:
         """Waits before its read: what earns most for its work first, then what is due first."""
@@ -593,17 +596,17 @@
     def send(self, course: Course, engine: Seat) -> None:
         assert not course.over and course.attempt is None and engine.server.life is Life.UP
         now, product, s = self.router.now, course.request.product, self.board[engine]
-        writes, patience = engine is course.writer, course.limit_at - now
+        decodes, patience = engine is course.decode_server, course.limit_at - now
         whole = patience if course.request.whole else inf  # lest a slow writer outlast its client
         course.attempts += 1
         course.lease.attempt_begins()
-        work = 0.0 if writes else self.work_ms(engine, course)
-        usual = max(self.usual_ms(product, "open" if writes else "read"), work + s.queue_ms)
+        work = 0.0 if decodes else self.work_ms(engine, course)
+        usual = max(self.usual_ms(product, "open" if decodes else "read"), work + s.queue_ms)
         course.attempt = Attempt(
-            engine, course, writes, now, now, usual, work, work + s.ahead_ms / max(self.trust, GAIN), not s.linked
+            engine, course, decodes, now, now, usual, work, work + s.ahead_ms / max(self.trust, GAIN), not s.linked
         )
-        if course.attempts < self.limits.max_attempts and (not writes or product.effect is Effect.IDEMPOTENT):
-            slow = 1 / CROWD if writes else CROWD if self.told_if_asked else 1  # a told one is not mute
+        if course.attempts < self.limits.max_attempts and (not decodes or product.effect is Effect.IDEMPOTENT):
+            slow = 1 / CROWD if decodes else CROWD if self.told_if_asked else 1  # a told one is not mute
             patience = min(patience, max(slow * product.slo_ms, 4 * course.attempt.usual_ms))
         engine.post(Sent(course.attempt))
         quiet = max(self.limits.span_ms, DOUBT * product.tok_slo_ms)  # a mute stream has broken
@@ -626,7 +629,7 @@
         if lease.may_hold:  # also what a read may yet leave behind whose end was not heard: said to the last
             self.router.out.append(port.Release(course.request, course.over and lease.unheard, why))
             lease.released(course.over)
-        for engine in filter(None, (course.reader, course.writer)):
+        for engine in filter(None, (course.prefill_server, course.decode_server)):
             engine.post(Unbooked(course))
 
     def guard_lease(self, course: Course) -> None:
@@ -639,7 +642,7 @@
         """Releases what was neither taken nor released so far, though a decode attempt may be out for it. A prefill
         that is out would lose what it is about to leave, and gets its own release when it ends."""
         for course in self.releases.take_due(self.router.now):
-            if course.attempt is not None and not course.attempt.writes:
+            if course.attempt is not None and not course.attempt.decodes:
                 continue
             course.lease.released_early()
             self.router.out.append(port.Release(course.request, why=ReleaseReason.UNCONFIRMED))
@@ -675,9 +678,9 @@
         course.lease.attempt_answered()
         self.unanswered.pop(course, None)
         self.learn(product, "open", took)
-        if course.reader is not None and course.reader is not course.writer:
-            course.reader.post(Unbooked(course))
-        self.record(attempt.engine, course.request, Verdict.READ, took)  # as good a sign
+        if course.prefill_server is not None and course.prefill_server is not course.decode_server:
+            course.prefill_server.post(Unbooked(course))
+        self.record(attempt.engine, course.request, Verdict.PREFILLED, took)  # as good a sign
         attempt.engine.post(StageEnded(attempt, True, self.usual_ms(product, "stream")))
 
     def attempt_ended(self, note: port.AttemptEnded) -> None:
@@ -691,22 +694,22 @@
         product, verdict = course.request.product, note.verdict
         if verdict is Verdict.STREAMED:
             self.learn(product, "stream", self.router.now - attempt.since)
-        good = True if verdict in (Verdict.READ, Verdict.STREAMED) else None if verdict in NO_SIGN else False
+        good = True if verdict in (Verdict.PREFILLED, Verdict.STREAMED) else None if verdict in NO_SIGN else False
         engine.post(StageEnded(attempt, good, None))
         if verdict in (Verdict.UNCONNECTED, Verdict.RESET):
             engine.post(Trouble(silent=False))
         if not note.state_lost:
             ended = Verdict.TIMED_OUT if attempt.lost and good is None else verdict
             self.record(engine, course.request, ended, note.took_ms - attempt.work_ms)
-        if attempt.writes and verdict not in NEVER_RAN and course.may_have_run is None:
+        if attempt.decodes and verdict not in NEVER_RAN and course.may_have_run is None:
             course.may_have_run = attempt.sent, note.server
         if attempt.fresh and good is not None:  # where these fail, the connected are nearer
             self.unmet += 4 * GAIN * ((verdict is Verdict.UNCONNECTED) - self.unmet)
-        if not attempt.writes and verdict in (Verdict.READ, Verdict.TIMED_OUT):
+        if not attempt.decodes and verdict in (Verdict.PREFILLED, Verdict.TIMED_OUT):
             self.read_took(course, attempt, note)
         elif verdict is Verdict.TIMED_OUT:
             self.learn(product, "open", note.took_ms)
-        end = AttemptEnd(verdict, engine.reads, note.state_lost)
+        end = AttemptEnd(verdict, engine.prefills, note.state_lost)
         course.lease.attempt_ended(end, engine, self.router.now)
         course.over = course.over or note.over
         if course.over:
@@ -716,7 +719,7 @@
             self.guard_lease(course)
         if verdict is Verdict.MOOT:
             return self.finish(course, Refusal.CLIENT_LEFT)
-        if verdict is not Verdict.READ and not note.state_lost:  # a full one is not asked again either
+        if verdict is not Verdict.PREFILLED and not note.state_lost:  # a full one is not asked again either
             course.tried.add(engine)
         if note.broken:  # only the time limit binds one whose client has a part; GoOn says when
             course.slo_at = course.limit_at
@@ -753,43 +756,43 @@
         """One that ran out of time took at least as long; were it not counted, ever more would."""
         request, took, unread = course.request, note.took_ms, course.request.prompt_toks - note.kept_toks
         usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.product, request.prompt_toks))
-        if note.verdict is Verdict.READ or usual > self.usual_ms(request.product, "read"):  # or it was cut
+        if note.verdict is Verdict.PREFILLED or usual > self.usual_ms(request.product, "read"):  # or it was cut
             self.learn(request.product, "read", usual)
         self.foreseen += GAIN * (attempt.foreseen - self.foreseen)
         self.took += GAIN * (took - self.took)
         self.trust = min(CROWD**2, self.took / self.foreseen)
-        if note.verdict is Verdict.READ and attempt.engine in course.agreed[:1]:
+        if note.verdict is Verdict.PREFILLED and attempt.engine in course.agreed[:1]:
             self.told[request.product] += GAIN * (
                 1 - unread / max(request.prompt_toks, 1.0) - self.told[request.product]
             )
         self.read_ms += GAIN * (self.tok_ms * unread - self.read_ms)
-        if note.verdict is Verdict.READ and unread > LONG_READ:  # short ones tell of steps and queues
+        if note.verdict is Verdict.PREFILLED and unread > LONG_READ:  # short ones tell of steps and queues
             pace = took / unread
             self.tok_ms += (pace - self.tok_ms) * (4 * GAIN if pace < self.tok_ms else GAIN / 4)
 
     def hand_on(self, course: Course) -> None:
         """The state goes to the home writer, or, if that has congested since, straight to the next best."""
-        writer = course.writer
-        assert writer is not None and course.reader is not None  # chosen together
-        s = self.board[writer]
+        decode_server = course.decode_server
+        assert decode_server is not None and course.prefill_server is not None  # chosen together
+        s = self.board[decode_server]
         if (
-            not self.usable(writer, course)
+            not self.usable(decode_server, course)
             or not self.fit(s, course)
-            or self.ill(writer, course)
+            or self.ill(decode_server, course)
             or (self.told_if_asked and self.congested(s, course))
         ):
             pair = self.best(course, course.lease.held_at)
-            if pair is None and self.usable(writer, course) and self.fit(s, course):
-                return self.send(course, writer)
+            if pair is None and self.usable(decode_server, course) and self.fit(s, course):
+                return self.send(course, decode_server)
             if pair is None:  # the state is released, and the prompt, now kept, read again
                 course.lease.held_at = None
                 return self.onward(course)
-            writer.post(Unbooked(course))
-            writer = course.writer = pair[1].engine
-            writer.post(Booked(course, self.toks(course, writer)))
+            decode_server.post(Unbooked(course))
+            decode_server = course.decode_server = pair[1].engine
+            decode_server.post(Booked(course, self.toks(course, decode_server)))
             if course.request.session and course.request.session in self.homes:
-                self.homes[course.request.session] = Home(course.reader, writer, self.router.now)
-        self.send(course, writer)
+                self.homes[course.request.session] = Home(course.prefill_server, decode_server, self.router.now)
+        self.send(course, decode_server)
 
     def usual_ms(self, product: Product, stage: str) -> float:
         first = product.tok_slo_ms * 100 / CROWD if stage == "stream" else (product.slo_ms or 1000.0) / 8
@@ -820,20 +823,20 @@
                 self.failures.forget(engine)
             if len(self.asked_for) > FEW**2:
                 self.asked_for = Counter({name: n // 2 for name, n in self.asked_for.items() if n > 1})
-        for duty in Duty if self.beats % LOOK == 1 else ():
-            peers = [s for s in self.board.values() if s.engine.server.duty is duty and s.listed]
+        for role in Role if self.beats % LOOK == 1 else ():
+            peers = [s for s in self.board.values() if s.engine.server.role is role and s.listed]
             if peers:
-                self.look(duty, peers)
+                self.look(role, peers)
 
-    def look(self, duty: Duty, peers: list[Standing]) -> None:
+    def look(self, role: Role, peers: list[Standing]) -> None:
         """Sums up the servers of one duty and lets each of them know."""
-        old, ms, self.stuck = self.fleets[duty], LOOK * self.limits.beat_ms, inf
+        old, ms, self.stuck = self.fleets[role], LOOK * self.limits.beat_ms, inf
         fit = [s for s in peers if not s.shut and not s.trial] or peers
         now, able = self.router.now, [e for e, s in self.board.items() if s.listed]
         warm = [s for s in fit if s.cold_until <= now] or fit  # lest the warm look as full as the cold
-        even = self.limits.cold_part / sum(e.writes if duty is Duty.WRITE else e.reads for e in able)
+        even = self.limits.cold_part / sum(e.decodes if role is Role.DECODE else e.prefills for e in able)
         cold = [s for s in peers if s.cold_until > now]
-        self.lots[duty] = {
+        self.lots[role] = {
             s.engine: (
                 i / len(cold),
                 even * (1 + 3 * max(0.0, 1 - (s.cold_until - now) / max(self.limits.cold_ms, 1.0)) ** 2),
@@ -846,7 +849,7 @@
         level = (1 - new) * old.level + scale * sum(s.own for s in warm)
         queue = (1 - new) * old.queue_ms + scale * sum(s.queue_ms for s in warm)
         sent, pace = sum(s.sent for s in warm) / len(warm), min(1.0, median(s.progress for s in fit))
-        self.fleets[duty] = view = Beat(mid, pace, level, queue, sent, self.trust, self.read_ms)
+        self.fleets[role] = view = Beat(mid, pace, level, queue, sent, self.trust, self.read_ms)
         for i, s in enumerate(peers):
             if s.progress < SICK * view.pace and not s.shut and not s.trial:
                 s.engine.post(Trouble(silent=True))
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from ternlane import port
-from ternlane.port import Action, Duty, Effect, Event, Request, Life, Server, StartFacts, Verdict
+from ternlane.port import Action, Role, Effect, Event, Request, Life, Server, StartFacts, Verdict
 
 
 class RoundRobin:
@@ -26,7 +26,7 @@
                     self.servers += [s for s in servers if s not in self.servers]
                 case port.Arrived(request):
                     self.attempts[request], self.until[request] = 0, now + request.patience_ms
-                    out += self.send(request, now, {Duty.READ, Duty.BOTH})
+                    out += self.send(request, now, {Role.PREFILL, Role.BOTH})
                 case port.AttemptEnded(request, server, verdict, _, over):
                     out += (
                         [port.Release(request), *self.forget(request)]
@@ -37,8 +37,8 @@
                     out += [port.CancelAttempt(request), port.Release(request), *self.forget(request)]
         return out
 
-    def send(self, request: Request, now: float, duties: set[Duty]) -> list[Action]:
-        able = [s for s in self.servers if s.life is Life.UP and s.duty in duties]
+    def send(self, request: Request, now: float, roles: set[Role]) -> list[Action]:
+        able = [s for s in self.servers if s.life is Life.UP and s.role in roles]
         if not able or self.attempts[request] >= self.facts.max_attempts or now >= self.until[request]:
             final: Action = port.Terminate(request) if request in self.ran else port.Throttle(request, 0.0)
             return [final, port.Release(request), *self.forget(request)]
@@ -57,16 +57,16 @@
     def next(self, request: Request, server: Server, verdict: Verdict, now: float) -> list[Action]:
         if request not in self.attempts:
             return [port.Release(request)]
-        if verdict is Verdict.READ:
-            return self.send(request, now, {Duty.WRITE})
+        if verdict is Verdict.PREFILLED:
+            return self.send(request, now, {Role.DECODE})
         if (
-            server.duty is not Duty.READ
+            server.role is not Role.PREFILL
             and verdict not in (Verdict.FULL, Verdict.UNCONNECTED)
             and request.product.effect is not Effect.IDEMPOTENT
         ):
             self.ran.add(request)
             return [port.Terminate(request), port.Release(request), *self.forget(request)]
-        return [port.Release(request), *self.send(request, now, {Duty.READ, Duty.BOTH})]
+        return [port.Release(request), *self.send(request, now, {Role.PREFILL, Role.BOTH})]
 
     def forget(self, request: Request) -> list[Action]:
         self.attempts.pop(request, None)
--- a/ternlane/days/bench.py
+++ b/ternlane/days/bench.py
@@ -16,7 +16,7 @@
 from ternlane.paper import read_text
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
-DUTIES = {"read": "readers", "write": "writers", "both": "mixed"}
+ROLES = {"read": "readers", "write": "writers", "both": "mixed"}
 OWN = {"balancer_crash", "balancer_roll", "burst", "hot_key", "heavy_tail", "origin_slow", "zone_cut"}
 TOKS_LIMIT = 4000  # of a prompt, so that one machine can carry the day
 
@@ -31,19 +31,19 @@
     found: dict[tuple[int, int], dict[str, int]] = {}
     for server in raw["servers"]:
         cell = found.setdefault((server["zone"], server["cell"]), {})
-        duty = DUTIES[roles[server["kind"]]]
-        cell[duty] = cell.get(duty, 0) + 1
+        role = ROLES[roles[server["kind"]]]
+        cell[role] = cell.get(role, 0) + 1
     scale = min(1.0, engines / len(raw["servers"]))
     keep = max(1, round(len(found) * scale**0.5))
     cells = []
     for (zone, _), many in sorted(found.items())[:keep] if keep < len(found) else sorted(found.items()):
         shrink = scale * len(found) / keep
         cells.append(
-            {"zone": name_of(zones[zone]), **{duty: round(many.get(duty, 0) * shrink) for duty in DUTIES.values()}}
+            {"zone": name_of(zones[zone]), **{role: round(many.get(role, 0) * shrink) for role in ROLES.values()}}
         )
-    for duty in {DUTIES[r] for r in roles}:
-        if not any(c[duty] for c in cells):
-            cells[0][duty] = 1
+    for role in {ROLES[r] for r in roles}:
+        if not any(c[role] for c in cells):
+            cells[0][role] = 1
     return cells, scale
 
 
@@ -158,14 +158,14 @@
     troubles = [t for t in (trouble_of(t, raw, speed, zones) for t in raw["troubles"]) if t is not None]
     troubles = [t for t in troubles if t["at_s"] < length and not (t["kind"] == "zone_cut" and len(zones) < 2)]
     load, rules = float(raw["traffic"]["load"]), raw["tiers"][0]
-    writers = max(1, sum(int(c["writers"]) + int(c["mixed"]) for c in cells))
-    readers = max(1, sum(int(c["readers"]) + int(c["mixed"]) for c in cells))
-    busy_writers = rate * 22 * 9 / 1000 * 1.5 / max(load, 0.05)  # slots that make the fleet as busy as the day
+    decode_servers = max(1, sum(int(c["writers"]) + int(c["mixed"]) for c in cells))
+    prefill_servers = max(1, sum(int(c["readers"]) + int(c["mixed"]) for c in cells))
+    busy_decode_servers = rate * 22 * 9 / 1000 * 1.5 / max(load, 0.05)  # slots that make the fleet as busy as the day
     mean_toks = sum(
         u["share"] * (u["adds"][0] + u["adds"][1] + u["opening_part"] * u["opening_toks"][0]) / 2 for u in uses
     ) / sum(u["share"] for u in uses)
-    slots = max(2, round(busy_writers / writers))
-    per_reader = rate * mean_toks / readers / max(load, 0.05)
+    slots = max(2, round(busy_decode_servers / decode_servers))
+    per_prefill_server = rate * mean_toks / prefill_servers / max(load, 0.05)
     near = {"near_tok_s": round(fam["near"] * speed), "far_tok_s": round(fam["far"] * speed)}
     script = {
         "name": name_of(f"{raw['site']}-{raw['kind']}"),
@@ -178,7 +178,7 @@
         "reader": {
             "slots": 4,
             "queue": min(60, fam["engines"][0]["queue"]),
-            "read_tok_s": round(per_reader * 1.3, 1),
+            "read_tok_s": round(per_prefill_server * 1.3, 1),
             "mem_toks": 80000,
             **near,
         },
--- a/ternlane/days/parts.py
+++ b/ternlane/days/parts.py
@@ -133,7 +133,7 @@
     engines = {
         n: Engine(
             e.ident,
-            e.duty,
+            e.role,
             e.zone,
             e.cell,
             e.host,
--- a/ternlane/days/plan.py
+++ b/ternlane/days/plan.py
@@ -31,7 +31,7 @@
 class EngineLine:
     number: int
     ident: str
-    duty: str
+    role: str
     zone: str
     cell: int
     host: str
@@ -79,9 +79,9 @@
     rng, zones = random.Random(f"{day.seed} engines"), zones_of(day)
     out: list[EngineLine] = []
     for number, cell in enumerate(day.cells):
-        for duty, kind, many in (
-            ("read", day.reader, cell.readers),
-            ("write", day.writer, cell.writers),
+        for role, kind, many in (
+            ("read", day.prefill_server, cell.prefill_servers),
+            ("write", day.decode_server, cell.decode_servers),
             ("both", day.mixed, cell.mixed),
         ):
             for _ in range(many):
@@ -90,8 +90,8 @@
                 out.append(
                     EngineLine(
                         len(out),
-                        f"{duty}-{len(out)}",
-                        duty,
+                        f"{role}-{len(out)}",
+                        role,
                         cell.zone,
                         number,
                         address_of(ENGINE_NET, zones.index(cell.zone)),
@@ -136,13 +136,13 @@
 def struck(day: DayScript, trouble: OnServers, rng: random.Random, engines: list[EngineLine]) -> tuple[int, ...]:
     if trouble.on is not None:
         return tuple(trouble.on)
-    among = [e for e in engines if trouble.duty in ("any", e.duty)]
-    if isinstance(trouble, MassRestart) and trouble.duty == "any":  # those struck are of one kind
-        duty = rng.choice(sorted({e.duty for e in among}))
+    among = [e for e in engines if trouble.role in ("any", e.role)]
+    if isinstance(trouble, MassRestart) and trouble.role == "any":  # those struck are of one kind
+        role = rng.choice(sorted({e.role for e in among}))
         return drawn(
             rng,
-            [e.number for e in among if e.duty == duty],
-            min(1.0, trouble.part * len(among) / max(1, sum(e.duty == duty for e in among))),
+            [e.number for e in among if e.role == role],
+            min(1.0, trouble.part * len(among) / max(1, sum(e.role == role for e in among))),
         )
     return drawn(rng, [e.number for e in among], trouble.part)
 
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -98,7 +98,7 @@
         self.idents = {e.number: e.ident for e in engines}
         for e in engines:
             self.registry.put(
-                Listing(e.ident, e.host, self.scene.engine_port + e.number, e.duty, e.zone, e.cell, e.build.mem_toks)
+                Listing(e.ident, e.host, self.scene.engine_port + e.number, e.role, e.zone, e.cell, e.build.mem_toks)
             )
         try:
             async with trio.open_nursery() as nursery:
--- a/ternlane/days/script.py
+++ b/ternlane/days/script.py
@@ -40,8 +40,8 @@
 
 class Cell(Sheet, frozen=True, kw_only=True):
     zone: str = "hall"
-    readers: int = 1
-    writers: int = 1
+    prefill_servers: int = 1
+    decode_servers: int = 1
     mixed: int = 0
 
 
@@ -109,7 +109,7 @@
 
     part: Part = 0.2
     on: list[int] | None = None
-    duty: Literal["any", "read", "write", "both"] = "any"
+    role: Literal["any", "read", "write", "both"] = "any"
 
 
 class TenantRush(Struck, frozen=True, kw_only=True, tag="tenant_rush", tag_field="kind"):
@@ -255,8 +255,8 @@
     load: Annotated[tuple[Span, ...], Meta(min_length=1)] = ((0.0, 1.0),)  # second, times the rate; straight lines
     gateways: Count = 2
     cells: Annotated[list[Cell], Meta(min_length=1)]
-    reader: Kind = Kind()
-    writer: Kind = Kind()
+    prefill_server: Kind = Kind()
+    decode_server: Kind = Kind()
     mixed: Kind = Kind()
     products: Annotated[list[ProductTerms], Meta(min_length=1)]
     uses: Annotated[list[Use], Meta(min_length=1)]
@@ -277,7 +277,7 @@
             if use.product not in names:
                 raise ValueError(f"uses[{i}].product {use.product!r} is not among the products")
         zones = {c.zone for c in self.cells}
-        engines = sum(c.readers + c.writers + c.mixed for c in self.cells)
+        engines = sum(c.prefill_servers + c.decode_servers + c.mixed for c in self.cells)
         for i, trouble in enumerate(self.troubles):
             if isinstance(trouble, ZoneCut) and trouble.zone not in zones:
                 raise ValueError(f"troubles[{i}].zone {trouble.zone!r} has no cell")
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -11,11 +11,11 @@
 from typing import Any, Mapping
 from zlib import crc32
 
-from ternlane.port import Duty, Effect, Request, Group, Product, Report, Server, StartFacts, Tenant
+from ternlane.port import Role, Effect, Request, Group, Product, Report, Server, StartFacts, Tenant
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-DUTIES = {"read": Duty.READ, "write": Duty.WRITE, "both": Duty.BOTH}
+ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
 
 
 def figure(name: str, section: Mapping[str, Any], key: str, default: float | None) -> float:
@@ -52,7 +52,7 @@
         self.columns: list[str] = report.get("columns", []) if how != "off" else []
         self.probes_allowed, self.holds_allowed = bool(limits.get("probes")), bool(spec.get("holds_allowed"))
         kinds = told.get("kinds", [])
-        self.duty = {k: DUTIES.get(d, Duty.BOTH) for k, d in zip(kinds, spec.get("duty_by_kind", []))}
+        self.role = {k: ROLES.get(d, Role.BOTH) for k, d in zip(kinds, spec.get("duty_by_kind", []))}
         self.mem = {k: float(toks) for k, toks in zip(kinds, spec.get("tokens_by_kind", []))}
         per_ktok, tok_slo = spec.get("aim_us_per_1000_prompt_tokens", []), spec.get("token_aim", [])
         self.products: dict[str, Product] = {}
@@ -84,7 +84,7 @@
             may_advise=bool(limits.get("retry_after")),
             must_ask=told.get("discovery") == "ask",
             ask_within_ms=figure("ask_within_ms", rules, "ask_within", 0.0),
-            writers_read=bool(spec.get("read_in_place")),
+            decode_servers_prefill=bool(spec.get("read_in_place")),
             reports_mem="x0" in self.columns,
             longest_pause_ms=figure("longest_pause_ms", limits, "max_retry_after", 0.0),
             connect_ms=figure("connect_ms", limits, "connect_timeout", 0.0),
@@ -104,7 +104,7 @@
                 raise ValueError(f"settings: a figure of class {name!r} is no number, or negative")
 
     def server(self, ident: str, zone: str, kind: str, cell: int) -> Server:
-        return Server(zone, cell, self.duty.get(kind, Duty.BOTH), self.mem.get(kind, 0.0), mark=crc32(ident.encode()))
+        return Server(zone, cell, self.role.get(kind, Role.BOTH), self.mem.get(kind, 0.0), mark=crc32(ident.encode()))
 
     def report(self, said: Mapping[str, float]) -> Report | None:
         """A report by the names of its figures."""
--- a/ternlane/emulator/fit.py
+++ b/ternlane/emulator/fit.py
@@ -90,17 +90,17 @@
 
 def shape(kind: EngineKind, point: Point, free: int) -> list[list[float]]:
     """The four figures as sums of step_ms, write_ms, read_ms and back_ms, if steps went by the book."""
-    writers = min(point.at_once, kind.slots) - 1
-    back = writers * (point.prompt + point.answer / 2) / 1000
-    room = max(1, kind.step_toks - writers)
+    decode_servers = min(point.at_once, kind.slots) - 1
+    back = decode_servers * (point.prompt + point.answer / 2) / 1000
+    room = max(1, kind.step_toks - decode_servers)
     chunks = [min(room, point.prompt - at) for at in range(0, point.prompt, room)]
-    charged = [max(0, chunk + writers - free) if free else chunk for chunk in chunks]
-    steps, idle = len(chunks), float(max(0, writers + 1 - free) if free else 0)
-    first = [steps + 0.5, (steps + 0.5) * writers, sum(charged) + 0.5 * idle, (steps + 0.5) * back]
-    late = [steps + 1.0, (steps + 1.0) * writers, sum(charged) + charged[0] / 2, (steps + 1.0) * back]
-    plain = [1.0, writers + 1.0, idle, back]
-    busy = [1.0, writers + 1.0, float(charged[0]), back]
-    reading = writers * steps / point.answer  # part of the steps in which another's prompt is read
+    charged = [max(0, chunk + decode_servers - free) if free else chunk for chunk in chunks]
+    steps, idle = len(chunks), float(max(0, decode_servers + 1 - free) if free else 0)
+    first = [steps + 0.5, (steps + 0.5) * decode_servers, sum(charged) + 0.5 * idle, (steps + 0.5) * back]
+    late = [steps + 1.0, (steps + 1.0) * decode_servers, sum(charged) + charged[0] / 2, (steps + 1.0) * back]
+    plain = [1.0, decode_servers + 1.0, idle, back]
+    busy = [1.0, decode_servers + 1.0, float(charged[0]), back]
+    reading = decode_servers * steps / point.answer  # part of the steps in which another's prompt is read
     return [first, late, busy if reading > 0.5 else plain, busy if reading > 0.01 else plain]
 
 
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -117,7 +117,7 @@
         if answer.kv_transfer_params is None:
             end.verdict, end.why = Verdict.ERROR, "no kv_transfer_params in a reader's answer"
             return
-        end.verdict, end.state, end.usage = Verdict.READ, answer.kv_transfer_params, answer.usage
+        end.verdict, end.state, end.usage = Verdict.PREFILLED, answer.kv_transfer_params, answer.usage
 
     return await ended(plan, end, run)
 
--- a/ternlane/engine/kinds.py
+++ b/ternlane/engine/kinds.py
@@ -43,9 +43,9 @@
             ("User-Agent", agent),
             ("Idempotency-Key", ask.key),
         ]
-        if ask.stage is Stage.READ:
+        if ask.stage is Stage.PREFILL:
             return headers, read_body(ask.raw)
-        if ask.stage is Stage.WRITE:
+        if ask.stage is Stage.DECODE:
             return headers, write_body(ask.raw, ask.state or {}, ask.max_toks)
         return headers, msgspec.json.encode(whole(ask.raw, ask.max_toks))
 
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -25,8 +25,8 @@
 class Stage(Enum):
     """Which part of a generation a leg asks for."""
 
-    READ = auto()
-    WRITE = auto()
+    PREFILL = auto()
+    DECODE = auto()
     WHOLE = auto()  # a mixed server reads and writes in one leg
 
 
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -183,7 +183,7 @@
 
         async def run() -> None:
             got = await self._engine(ask).read(ask)
-            end.verdict, end.state, end.report = Verdict.READ, got.state, got.report
+            end.verdict, end.state, end.report = Verdict.PREFILLED, got.state, got.report
             end.usage = Usage(got.prompt_toks, 0, got.prompt_toks)
 
         return await self._ended(ask, end, run)
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -62,7 +62,7 @@
         may_advise=fleet.longest_pause_ms > 0,
         must_ask=False,
         ask_within_ms=0.0,
-        writers_read=fleet.writers_read,
+        decode_servers_prefill=fleet.decode_servers_prefill,
         reports_mem=fleet.reports_mem,
         longest_pause_ms=fleet.longest_pause_ms,
         connect_ms=fleet.connect_ms,
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -20,7 +20,7 @@
 from ternlane.gateway.ticket import Streamed, Terminated, Throttled, Ticket
 from ternlane.nodes import Book
 from ternlane.paper import StreamTerms
-from ternlane.port import Duty, Life, Server, StartFacts, Verdict
+from ternlane.port import Role, Life, Server, StartFacts, Verdict
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
@@ -151,18 +151,23 @@
         number = ticket.attempts
         ticket.attempts += 1
         stage = Stage.WHOLE
-        if server.duty is Duty.READ:
-            stage = Stage.READ
+        if server.role is Role.PREFILL:
+            stage = Stage.PREFILL
             ticket.holders[server] = None  # from now on: a read whose end is not heard may have left its state
-        elif server.duty is Duty.WRITE and ticket.state is not None:
-            stage = Stage.WRITE
+        elif server.role is Role.DECODE and ticket.state is not None:
+            stage = Stage.DECODE
         barred = begin_check(server, times.begin_by_ms, lambda: ticket.left or ticket.final is not None)
         ticket.attempt = AttemptPlan(place.address, [], b"", times.timeout_ms, times.quiet_ms, times.whole_ms, barred)
         join, goes_on = ticket.join, ticket.join.resumed and ticket.join.way is Way.GO_ON
         first = None
         if self.scribe is not None:
             first = self.scribe.sends(
-                ticket, place.ident, place.address, place.line.protocol, stage is Stage.READ, stage is not Stage.READ
+                ticket,
+                place.ident,
+                place.address,
+                place.line.protocol,
+                stage is Stage.PREFILL,
+                stage is not Stage.PREFILL,
             )
         self.nursery.start_soon(
             self.run,
@@ -245,7 +250,7 @@
                 plan,
             )
         try:
-            end = await (self.transport.read(ask) if stage is Stage.READ else self.transport.stream(ask, pass_on))
+            end = await (self.transport.read(ask) if stage is Stage.PREFILL else self.transport.stream(ask, pass_on))
         except ClientGone:
             end = AttemptResult(Verdict.CANCELLED, begun=True, why="the client left")
             self.client_left(ticket)
@@ -285,7 +290,7 @@
         )
         kept = 0.0
         if (
-            end.verdict is Verdict.READ
+            end.verdict is Verdict.PREFILLED
             and end.usage is not None
             and not ticket.join.took_in(end.usage.prompt_tokens, ticket.prompt_said)
         ):
@@ -294,12 +299,12 @@
         if end.usage is not None:
             if not ticket.join.resumed:
                 self.intake.learn_prompt(ticket.known, end.usage.prompt_tokens)
-                if stage is not Stage.WRITE:
+                if stage is not Stage.DECODE:
                     ticket.prompt_said, ticket.kept_said = end.usage.prompt_tokens, ticket.made[-1].kept
                     self.mender.read(now_ms(), ticket.made[-1].prompt - ticket.made[-1].kept, took)
             details = end.usage.prompt_tokens_details
             kept = float(details.cached_tokens or 0) if details is not None else 0.0
-        if end.verdict is Verdict.READ:
+        if end.verdict is Verdict.PREFILLED:
             ticket.state = end.state
         elif end.why:
             ticket.why = f"{place.ident}: {end.why}"
@@ -314,7 +319,7 @@
                 self.settle(ticket, Terminated(ticket.why if plan.cancelled else end.why or "the stream broke"))
         over = ticket.final is not None or ticket.left
         never_ran = Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD
-        if end.verdict in never_ran and server.duty is Duty.READ:
+        if end.verdict in never_ran and server.role is Role.PREFILL:
             ticket.holders.pop(server, None)  # it ran nothing, so it left nothing
         self.tell(
             port.AttemptEnded(ticket.request, server, end.verdict, took, over, kept, end.state_lost, end.report, broken)
@@ -348,7 +353,7 @@
             None if end.usage is None else end.usage.completion_tokens,
             now_ms(),
             ticket.deadline_ms,
-            sum(s.life is Life.UP and s.duty is not Duty.WRITE for s in self.book.servers.values()),
+            sum(s.life is Life.UP and s.role is not Role.DECODE for s in self.book.servers.values()),
         )
         self.measures.breaks.labels(fate.name.lower()).inc()
         if fate is Fate.ENDS:
@@ -435,9 +440,9 @@
     usage = end.usage
     details = usage.prompt_tokens_details if usage is not None else None
     kept = (details.cached_tokens or 0) if details is not None else 0
-    if stage is Stage.READ:
+    if stage is Stage.PREFILL:
         return Used(usage.prompt_tokens, kept, 0) if usage is not None else Used()
     answer = usage.completion_tokens if usage is not None else pieces if end.begun else 0
-    if stage is Stage.WRITE:
+    if stage is Stage.DECODE:
         return Used(0, 0, answer)
     return Used(usage.prompt_tokens, kept, answer) if usage is not None else Used(0, 0, answer)
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -57,13 +57,15 @@
             )
         )
 
-    def sends(self, ticket: Ticket, server: str, address: str, protocol: str, reads: bool, writes: bool) -> int | None:
+    def sends(
+        self, ticket: Ticket, server: str, address: str, protocol: str, prefills: bool, decodes: bool
+    ) -> int | None:
         """Gives the number to wait for, where the leg must not go out before it is kept."""
-        if not ticket.repeat_key and not reads:
+        if not ticket.repeat_key and not prefills:
             return None
         ticket.noted = ticket.noted or f"{self.birth}.{next(self.count)}"
-        number = self.writer.add(Sent(ticket.noted, ticket.ident, server, address, protocol, reads, writes))
-        needed = writes and ticket.repeat_key and ticket.request.product.effect is not Effect.IDEMPOTENT
+        number = self.writer.add(Sent(ticket.noted, ticket.ident, server, address, protocol, prefills, decodes))
+        needed = decodes and ticket.repeat_key and ticket.request.product.effect is not Effect.IDEMPOTENT
         return number if needed else None
 
     def freed(self, ticket: Ticket) -> None:
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -7,9 +7,9 @@
 from zlib import crc32
 
 from ternlane.paper import NodeLine
-from ternlane.port import Duty, Life, Listed, Server
+from ternlane.port import Role, Life, Listed, Server
 
-DUTIES = {"read": Duty.READ, "write": Duty.WRITE, "both": Duty.BOTH}
+ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
 LIVES = {"up": Life.UP, "draining": Life.DRAINING, "gone": Life.GONE}
 
 
@@ -38,12 +38,12 @@
             place = None if server is None else self.places[server]
             if server is not None and place is not None and place.line == line:
                 continue
-            if server is None or server.duty is not DUTIES[line.duty]:  # another duty makes it another server
+            if server is None or server.role is not ROLES[line.role]:  # another duty makes it another server
                 if server is not None:
                     server.life = Life.GONE
                     news.append(server)
                 server = self.servers[line.id] = Server(
-                    line.zone, line.cell, DUTIES[line.duty], line.mem_toks, mark=crc32(line.id.encode())
+                    line.zone, line.cell, ROLES[line.role], line.mem_toks, mark=crc32(line.id.encode())
                 )
             server.zone, server.cell, server.mem_toks, server.size = line.zone, line.cell, line.mem_toks, line.size
             server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
@@ -54,7 +54,7 @@
             if ident not in named and server.life is not Life.GONE:
                 server.life = Life.GONE
                 self.places[server].line = NodeLine(
-                    id=ident, address=self.places[server].address, duty="both", mem_toks=1, state="gone"
+                    id=ident, address=self.places[server].address, role="both", mem_toks=1, state="gone"
                 )
                 news.append(server)
         return Listed(tuple(news))
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -44,8 +44,8 @@
     """The actor of one model server, as the others know it."""
 
     server: Server
-    reads: bool
-    writes: bool
+    prefills: bool
+    decodes: bool
     said: tuple[float, float, float | None] | None  # its last report: when, memory share, generations held
     attempts: dict[Attempt, None]
     booked: dict[Course, tuple[float, float]]
@@ -73,7 +73,7 @@
 class Attempt:
     engine: Seat
     course: Course
-    writes: bool
+    decodes: bool
     sent: float
     since: float  # start of the present stage: read, open (until the first token) or stream
     usual_ms: float  # what its peers take for that stage
@@ -92,8 +92,8 @@
     slo_at: float
     limit_at: float
     lot: float = 0.0  # its draw, from nought to one, for servers that take only some
-    reader: Seat | None = None
-    writer: Seat | None = None
+    prefill_server: Seat | None = None
+    decode_server: Seat | None = None
     attempt: Attempt | None = None
     attempts: int = 0
     lease: Lease[Seat] = field(default_factory=Lease)  # what may be held for it
@@ -106,8 +106,8 @@
 
 
 class Home(NamedTuple):
-    reader: Seat
-    writer: Seat
+    prefill_server: Seat
+    decode_server: Seat
     used: float
 
 
--- a/ternlane/paper/gateway.py
+++ b/ternlane/paper/gateway.py
@@ -56,7 +56,7 @@
     reports_mem: bool = True
     ask_load: bool = False  # engines tell their load when asked (GET /metrics), and in no answer
     may_cancel: bool = True
-    writers_read: bool = False
+    decode_servers_prefill: bool = False
     holds: bool = False  # engines hold places ahead (our extension)
 
 
@@ -96,7 +96,7 @@
     address: Address
     zone: str = "-"
     cell: int = 0
-    duty: Literal["read", "write", "both"]
+    role: Literal["read", "write", "both"]
     mem_toks: Positive
     size: Positive = 1.0
     state: Literal["up", "draining", "gone"] = "up"
@@ -104,7 +104,7 @@
     protocol: Literal["disaggregated", "chat"] = "disaggregated"  # chat: any server of the public chat API
 
     def __post_init__(self) -> None:
-        if self.protocol == "chat" and self.duty != "both":
+        if self.protocol == "chat" and self.role != "both":
             raise ValueError("a server of the plain chat protocol has duty both")
 
 
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -17,7 +17,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Caller, Pool, Silent, Unconnected, keep_open
 from ternlane.platform.protocol import LEASE_PATH, LOAD, NOT_STARTED, STATS_PATH, Events, kept_of, load_of, outcome_of
-from ternlane.port import Duty, Report, Verdict
+from ternlane.port import Role, Report, Verdict
 from ternlane.turns import BeginCheck, may_always_begin
 
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
@@ -54,7 +54,7 @@
     """One leg's way out: the request as the client sent it, to which address, for how long."""
 
     address: str
-    duty: Duty
+    role: Role
     method: str
     target: str
     ident: str
@@ -116,15 +116,15 @@
                 self.has_answered(attempt.address)
                 said = {name: value.decode("latin-1") for name, value in head.headers}
                 end.report = load_of(said.get(LOAD), self.deployment)
-                outcome = outcome_of(head.status_code, said.get(NOT_STARTED) == "1", attempt.duty)
+                outcome = outcome_of(head.status_code, said.get(NOT_STARTED) == "1", attempt.role)
                 if outcome.verdict is None:
                     whole = await self.stream(attempt, caller, outlet, end)
                 else:
                     body = await caller.body(PLAIN_BYTES)
                     whole = True
                     end.verdict, end.state_lost = outcome.verdict, outcome.state_lost
-                    end.kept = kept_of(body) if outcome.verdict is Verdict.READ else 0.0
-                    end.why = "" if outcome.verdict is Verdict.READ else f"status {head.status_code}"
+                    end.kept = kept_of(body) if outcome.verdict is Verdict.PREFILLED else 0.0
+                    end.why = "" if outcome.verdict is Verdict.PREFILLED else f"status {head.status_code}"
         except ClientGone:
             raise
         except Barred as why:  # the connection, on which nothing was asked, serves the next one
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -196,7 +196,7 @@
         barred = begin_check(server, times.begin_by_ms, lambda: ticket.over or exchange.closed)
         attempt = ticket.attempt = Attempt(
             spot.address if spot is not None else "",
-            server.duty,
+            server.role,
             exchange.method,
             exchange.request.target.decode("latin-1"),
             ticket.ident,
@@ -207,7 +207,7 @@
         )
         name = ticket.server_name = spot.name if spot is not None else "gone"
         if ticket.trail:
-            self.counts[f"retry after {ticket.last_verdict}"] += ticket.last_verdict != Verdict.READ.name
+            self.counts[f"retry after {ticket.last_verdict}"] += ticket.last_verdict != Verdict.PREFILLED.name
         ticket.attempts += 1
         ticket.note(f"attempt {ticket.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
         self.nursery.start_soon(self.run, ticket, server, attempt, name)
@@ -241,11 +241,11 @@
     def attempt_ended(self, ticket: Ticket, server: Server, name: str, end: AttemptResult, took: float) -> None:
         attempt, ticket.attempt, ticket.flowing = ticket.attempt, None, False
         ticket.why = f"{end.verdict.name}: {end.why}" if end.why else ticket.why
-        kind = "read" if server.duty is port.Duty.READ else "write"
+        kind = "read" if server.role is port.Role.PREFILL else "write"
         ticket.trail.append(f"{name} {kind} {end.verdict.name} {took:.0f} ms {end.why}".rstrip())
         written = "not written" if attempt is None or attempt.written_at is None else "written"
         ticket.note(f"attempt {ticket.attempts} ended: {kind} {end.verdict.name}, {written}: {end.why}".rstrip(": "))
-        if end.verdict is Verdict.READ:
+        if end.verdict is Verdict.PREFILLED:
             self.held_states.held(ticket.ident, name, now_ms())
         elif end.verdict is Verdict.STREAMED or end.state_lost:
             self.held_states.ended(ticket.ident, now_ms())
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ternlane.port import Duty, Report, Verdict
+from ternlane.port import Role, Report, Verdict
 from ternlane.deployment import Deployment
 
 CHAT_PATH = "/v1/chat/completions"
@@ -49,12 +49,12 @@
     state_lost: bool = False
 
 
-def outcome_of(status: int, not_started: bool, duty: Duty) -> Outcome:
+def outcome_of(status: int, not_started: bool, role: Role) -> Outcome:
     """A status that vouches for nothing may have run."""
-    if status == 200 and duty is not Duty.READ:
+    if status == 200 and role is not Role.PREFILL:
         return Outcome(None)
-    if status == 202 and duty is not Duty.WRITE:
-        return Outcome(Verdict.READ)
+    if status == 202 and role is not Role.DECODE:
+        return Outcome(Verdict.PREFILLED)
     if status in (503, 504) and not_started:
         return Outcome(Verdict.FULL)
     if status == 410 and not_started:
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/ticket.py
@@ -81,7 +81,7 @@
             return Phase.QUEUED
         if not self.attempt.written:
             return Phase.CONNECTING
-        return Phase.PREFILL if self.attempt.duty is port.Duty.READ else Phase.DECODE
+        return Phase.PREFILL if self.attempt.role is port.Role.PREFILL else Phase.DECODE
 
     async def first(self, data: bytes) -> None:
         await self.exchange.begin(200, STREAM_HEAD, data)
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -65,12 +65,12 @@
         if verdict in NOTHING_LEFT:
             self.may_hold = self._held_before
         elif end.prefills:
-            self.unheard = verdict is not Verdict.READ
+            self.unheard = verdict is not Verdict.PREFILLED
         if self._renews(end):
             self.since = now
         if end.state_lost:
             self.held_at = None
-        elif verdict is Verdict.READ:
+        elif verdict is Verdict.PREFILLED:
             self.held_at = server
 
     def _renews(self, end: AttemptEnd) -> bool:
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -29,11 +29,11 @@
     CELL = auto()
 
 
-class Duty(Enum):
+class Role(Enum):
     """What a server is for: prompts (prefill), answers (decode), or whole generations."""
 
-    READ = auto()
-    WRITE = auto()
+    PREFILL = auto()
+    DECODE = auto()
     BOTH = auto()
 
 
@@ -59,7 +59,7 @@
     CANCELLED = auto()
     MOOT = auto()
     WITHHELD = auto()
-    READ = auto()
+    PREFILLED = auto()
 
 
 class Refusal(Enum):
@@ -115,7 +115,7 @@
 
     zone: str
     cell: int
-    duty: Duty
+    role: Role
     mem_toks: float
     size: float = 1.0
     started_ms: float = 0.0
@@ -156,7 +156,7 @@
     may_advise: bool
     must_ask: bool
     ask_within_ms: float
-    writers_read: bool
+    decode_servers_prefill: bool
     reports_mem: bool
     longest_pause_ms: float
     connect_ms: float
--- a/ternlane/recover/inflight.py
+++ b/ternlane/recover/inflight.py
@@ -40,8 +40,8 @@
     server: str
     address: str
     protocol: str
-    reads: bool
-    writes: bool
+    prefills: bool
+    decodes: bool
 
 
 class Freed(msgspec.Struct, array_like=True, tag="f"):
@@ -112,13 +112,13 @@
                 if entry.key:
                     self.known.pop(entry.key, None)
                 self.sweep()
-            case Sent(ident=ident, name=name) if ident in self.opened or entry.reads:
+            case Sent(ident=ident, name=name) if ident in self.opened or entry.prefills:
                 if ident not in self.opened:
                     self.opened[ident] = Open(Taken(ident, name, "", b"", Effect.IDEMPOTENT.name, 0.0, 0.0), ended=True)
                 it = self.opened[ident]
-                if entry.reads:
+                if entry.prefills:
                     it.held = [*it.held, (entry.server, entry.address, entry.protocol)]
-                it.may_have_run = it.may_have_run or entry.writes
+                it.may_have_run = it.may_have_run or entry.decodes
             case Freed(ident=ident) if ident in self.opened:
                 self.opened[ident].held = []
                 self.drop(ident)
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -83,7 +83,7 @@
     # -- a leg broke
 
     def broke(
-        self, item: T, join: Join, request: Request, made: int | None, now: float, until: float, readers: int
+        self, item: T, join: Join, request: Request, made: int | None, now: float, until: float, prefill_servers: int
     ) -> Fate:
         """`made`: tokens of the leg by its engine's word; `until`: the client's time limit; `readers` to be asked.
         A generation that goes on grows by what is there."""
@@ -96,7 +96,7 @@
         self.broke_at[item] = now
         request.prompt_toks += again - before
         request.max_toks = float(join.left())
-        self.pace.readers = readers
+        self.pace.prefill_servers = prefill_servers
         self.pace.wait(item, request.prompt_toks, request.product.revenue, float(join.toks), until)
         return Fate.GOES_ON
 
--- a/ternlane/recover/pace.py
+++ b/ternlane/recover/pace.py
@@ -21,7 +21,7 @@
 
     def __init__(self, share: float, span_ms: float, gateways: int = 1) -> None:
         self.share, self.span_ms, self.gateways = share, span_ms, gateways
-        self.readers = 0  # that may be read at
+        self.prefill_servers = 0  # that may be read at
         self.speed = 0.0  # tokens a ms of one prompt's reading, its wait included; mean
         self.peak = 0.0  # tokens a ms, the best span of late
         self.level = 0.0  # tokens that may be read anew now
@@ -33,7 +33,7 @@
 
     def able(self) -> float:
         """Tokens a ms that readers can do for this gateway."""
-        return max(self.peak, self.speed * self.readers / self.gateways)
+        return max(self.peak, self.speed * self.prefill_servers / self.gateways)
 
     def clock(self, now: float) -> None:
         spent = now - self.at
--- a/ternlane/standin/engine.py
+++ b/ternlane/standin/engine.py
@@ -98,7 +98,7 @@
     def __init__(
         self,
         ident: str,
-        duty: str,
+        role: str,
         zone: str,
         cell: int,
         host: str,
@@ -108,7 +108,7 @@
         seed: int,
         source: str | None = None,
     ) -> None:
-        self.ident, self.duty, self.zone, self.cell = ident, duty, zone, cell
+        self.ident, self.role, self.zone, self.cell = ident, role, zone, cell
         self.host, self.port, self.build, self.traffic = host, port, build, traffic
         self.rng = random.Random(zlib.crc32(f"{seed} {ident}".encode()))
         self.trouble = Trouble()
@@ -140,7 +140,7 @@
         self.traffic.line(
             "up",
             id=self.ident,
-            duty=self.duty,
+            duty=self.role,
             cold=self.started_ms > 0,
             zone=self.zone,
             cell=self.cell,
@@ -298,7 +298,7 @@
             asked = msgspec.json.decode(exchange.body)
             request, toks = str(asked["request_id"]), float(asked["tokens"])
             fits = (
-                self.duty != "read"
+                self.role != "read"
                 and not self.queue
                 and self.busy < self.build.slots
                 and self.used + toks <= self.build.mem_toks
@@ -434,7 +434,7 @@
 
     async def read(self, exchange: Exchange, request: str, body: dict[str, Any], text: bytes) -> str:
         toks = len(text) / TOK_BYTES
-        if self.duty == "write":
+        if self.role == "write":
             raise Refused(400, "not-a-reader")
         if self.refusing:
             raise Refused(503, "draining")
@@ -539,7 +539,7 @@
     async def write(
         self, exchange: Exchange, request: str, number: int, stage: str, body: dict[str, Any], text: bytes
     ) -> str:
-        if self.duty == ("write" if stage == "whole" else "read"):
+        if self.role == ("write" if stage == "whole" else "read"):
             raise Refused(409, "no-state")
         if self.refusing:
             raise Refused(503, "draining")
--- a/ternlane/standin/platform.py
+++ b/ternlane/standin/platform.py
@@ -114,7 +114,7 @@
 @dataclass(eq=False)
 class ModelServer:
     name: str
-    duty: str  # "read" or "write"
+    role: str  # "read" or "write"
     fleet: Fleet
     script: Callable[[str], str] = lambda _: ""
     read_ms: float = 1.0
@@ -178,8 +178,8 @@
         if exchange.path == "/stats":
             self.fleet.seen.append((self.name, "probe", ""))
             return await exchange.answer(200, [], b"inflight=1,x0=0.1", "text/plain")
-        self.fleet.seen.append((self.name, self.duty, ident))
-        if self.duty == "write" and self.fleet.ran[ident]:
+        self.fleet.seen.append((self.name, self.role, ident))
+        if self.role == "write" and self.fleet.ran[ident]:
             self.fleet.repeated.add(ident)
         self.fleet.told_s.append(float(exchange.header(b"request-timeout") or "nan"))
         self.fleet.open[self.name] += 1
@@ -199,13 +199,13 @@
             await trio.sleep(0.05)
             self.fleet.hold(ident, self.name)
             return
-        if self.duty == "read" and not way:
+        if self.role == "read" and not way:
             with trio.move_on_after(self.read_ms / 1000):
                 await exchange.until_left()
                 return  # it was given up
             self.fleet.hold(ident, self.name)
             return await exchange.answer(202, [("Server-Load", "inflight=1,x0=0.1")], b'{"cached_tokens":4}')
-        if self.duty == "write" and not way.startswith(("status_", "full_", "gone_")):
+        if self.role == "write" and not way.startswith(("status_", "full_", "gone_")):
             if await self._take_state(ident):
                 self.fleet.ran[ident] += 1
             else:
--- a/ternlane/standin/registry.py
+++ b/ternlane/standin/registry.py
@@ -18,7 +18,7 @@
     ident: str
     address: str
     port: int
-    duty: str
+    role: str
     zone: str
     cell: int
     mem_toks: float
@@ -30,7 +30,7 @@
         if self.state == "draining":
             checks.append({"CheckID": f"_service_maintenance:{self.ident}", "Status": "critical"})
         meta = {
-            "duty": self.duty,
+            "duty": self.role,
             "zone": self.zone,
             "cell": str(self.cell),
             "mem_toks": str(self.mem_toks),
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -49,7 +49,7 @@
     "R": Verdict.RESET,
     "X": Verdict.CANCELLED,
     "N": Verdict.MOOT,
-    "prefilled": Verdict.READ,
+    "prefilled": Verdict.PREFILLED,
 }
 LIVES = {"healthy": Life.UP, "cordoned": Life.DRAINING, "deregistered": Life.GONE}
 BEAT, DUE = 0, 1
@@ -174,7 +174,7 @@
             self.attempts_ended[request] = self.attempts_ended.get(request, 0) + 1
             if over:
                 self.closed.add(request)
-            kept = note if verdict in (Verdict.READ, Verdict.STREAMED) else 0.0
+            kept = note if verdict in (Verdict.PREFILLED, Verdict.STREAMED) else 0.0
             return AttemptEnded(
                 request,
                 server,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Group, Life, Product, Server, StartFacts, Verdict
+from ternlane.port import Role, Effect, Group, Life, Product, Server, StartFacts, Verdict
 
 
 @dataclass
@@ -73,7 +73,7 @@
         """A generation whose state has just been sent on to a writer, and that leg."""
         request = self.request(effect, **own)
         attempt = sent(self.arrive(request))
-        return request, sent(self.end(request, attempt.server, Verdict.READ))
+        return request, sent(self.end(request, attempt.server, Verdict.PREFILLED))
 
 
 def sent(actions: list[Any]) -> port.StartAttempt:
@@ -98,7 +98,7 @@
     may_advise=True,
     must_ask=False,
     ask_within_ms=10e3,
-    writers_read=False,
+    decode_servers_prefill=False,
     reports_mem=False,
     longest_pause_ms=500.0,
     connect_ms=250.0,
@@ -117,7 +117,7 @@
     products = {e: Product(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
     servers = {
         name: Server(
-            "east", int(name[1]), Duty.READ if name[0] == "r" else Duty.WRITE, 200e3, mark=zlib.crc32(name.encode())
+            "east", int(name[1]), Role.PREFILL if name[0] == "r" else Role.DECODE, 200e3, mark=zlib.crc32(name.encode())
         )
         for name in ("r0", "w0", "r1", "w1", *extra)
     }
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -17,7 +17,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Group, Life, Product, Server, Tenant, Verdict
+from ternlane.port import Role, Effect, Group, Life, Product, Server, Tenant, Verdict
 from tests import fleet
 from tests.conftest import FACTS
 
@@ -129,7 +129,7 @@
         )
 
     def server(self, number: int) -> Server:
-        roles = list(Duty) if self.facts.writers_read else [Duty.READ, Duty.WRITE]
+        roles = list(Role) if self.facts.decode_servers_prefill else [Role.PREFILL, Role.DECODE]
         role = roles[number % len(roles)]
         mark = zlib.crc32(b"server %d" % number)
         return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), mark=mark)
@@ -242,7 +242,7 @@
                     Verdict.TIMED_OUT,
                 ]
             )
-        return Verdict.READ if server.duty is Duty.READ else Verdict.STREAMED
+        return Verdict.PREFILLED if server.role is Role.PREFILL else Verdict.STREAMED
 
     def first_token(self, request: Any, server: Server, took: float, times: Any) -> list[Any]:
         if self.out.get(request, (None,))[0] is not times:
@@ -262,8 +262,8 @@
         broken = entry[2].begun and not over
         if over:
             self.open.pop(request, None)
-        kept = request.prompt_toks * self.rng.random() if verdict is Verdict.READ else 0.0
-        lost = entry[1].duty is not Duty.READ and verdict is Verdict.ERROR and self.rng.random() < 0.5
+        kept = request.prompt_toks * self.rng.random() if verdict is Verdict.PREFILLED else 0.0
+        lost = entry[1].role is not Role.PREFILL and verdict is Verdict.ERROR and self.rng.random() < 0.5
         took = self.rng.uniform(1.0, 900.0)
         ended = port.AttemptEnded(request, entry[1], verdict, took, over, kept, lost, self.report(), broken)
         if broken:
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ternlane import port
-from ternlane.port import Duty, Effect, Request, Verdict
+from ternlane.port import Role, Effect, Request, Verdict
 from tests.fleet.scene import ClientRequest, Scene
 from tests.fleet.server import ModelServer
 
@@ -32,26 +32,26 @@
         for event in events:
             match event:
                 case port.Arrived(request):
-                    out.append(self.next(request, Duty.READ))
+                    out.append(self.next(request, Role.PREFILL))
                 case port.AttemptEnded(request, server, verdict, _, over) if not over:
-                    if verdict is Verdict.READ:
-                        out.append(self.next(request, Duty.WRITE))
+                    if verdict is Verdict.PREFILLED:
+                        out.append(self.next(request, Role.DECODE))
                         continue
                     model = self.gateway.truth[server]
                     self.tried[request].add(model)
-                    if server.duty is Duty.WRITE and verdict not in (Verdict.UNCONNECTED, Verdict.FULL):
+                    if server.role is Role.DECODE and verdict not in (Verdict.UNCONNECTED, Verdict.FULL):
                         self.ran.add(request)
-                    out.append(self.next(request, Duty.READ if server.duty is Duty.READ else Duty.WRITE))
+                    out.append(self.next(request, Role.PREFILL if server.role is Role.PREFILL else Role.DECODE))
         return out
 
-    def next(self, request: Request, duty: Duty) -> port.Action:
+    def next(self, request: Request, role: Role) -> port.Action:
         gateway, day = self.gateway, self.day
         client_request = gateway.requests[request]
         left = client_request.came + client_request.patience - day.now
         unsafe = request.product.effect is not Effect.IDEMPOTENT and request in self.ran
         if unsafe:
             return port.Terminate(request)
-        able = [m for m in day.models if m.duty is duty and day.view(m).healthy and m not in self.tried[request]]
+        able = [m for m in day.models if m.role is role and day.view(m).healthy and m not in self.tried[request]]
         able = [m for m in able if not day.cut(gateway, m)]
         if left <= 0 or self.attempts[request] >= 5 or not able:
             return port.Throttle(request, 200.0)
@@ -66,14 +66,14 @@
     healthy: bool
     load: float
     warmth: float
-    duty: Duty
+    role: Role
     scene: Scene
 
     def cost(self, model: ModelServer, client_request: ClientRequest) -> float:
         """What the request adds to the load: less work where its text is kept."""
-        if self.duty is Duty.READ:
-            return model.unread(client_request) / self.scene.reader_tokens_per_ms / self.warmth
-        return (client_request.prompt + client_request.answer) / self.scene.writer_memory / self.warmth
+        if self.role is Role.PREFILL:
+            return model.unread(client_request) / self.scene.prefill_tokens_per_ms / self.warmth
+        return (client_request.prompt + client_request.answer) / self.scene.decode_memory / self.warmth
 
     def add(self, model: ModelServer, client_request: ClientRequest) -> None:
         self.load += self.cost(model, client_request)
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -12,7 +12,7 @@
 from typing import Any, Callable
 
 from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Group, Product, Tenant, Verdict
+from ternlane.port import Role, Effect, Group, Product, Tenant, Verdict
 from tests.conftest import FACTS
 from tests.fleet.baseline import LATE_VIEW_MS, LateSeeing, View
 from tests.fleet.gateway import Gateway, virtual_clock
@@ -27,13 +27,13 @@
         self.now = 1000.0
         self.order = count()
         self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.models = [ModelServer(self, n, Duty.READ) for n in range(scene.readers)]
-        self.models += [ModelServer(self, n, Duty.WRITE) for n in range(scene.writers)]
+        self.models = [ModelServer(self, n, Role.PREFILL) for n in range(scene.prefill_servers)]
+        self.models += [ModelServer(self, n, Role.DECODE) for n in range(scene.decode_servers)]
         spread_cells(self.models)
         self.discovery_back = -inf  # when it can be reached again
         self.cuts: set[tuple[str, str]] = set()
         self.requests: list[ClientRequest] = []
-        self.attempt_outcomes: defaultdict[tuple[Duty, Verdict], int] = defaultdict(int)
+        self.attempt_outcomes: defaultdict[tuple[Role, Verdict], int] = defaultdict(int)
         self.sent: list[tuple[float, ModelServer]] = []
         self.probes = 0
         self.seen: dict[ModelServer, View] = {}
@@ -109,8 +109,8 @@
         if self.now - self.seen_at >= LATE_VIEW_MS:
             self.seen_at = self.now
             for m in self.models:
-                load = m.backlog_ms() if m.duty is Duty.READ else m.fullness() / m.warmth()
-                self.seen[m] = View(m.healthy(), load, m.warmth(), m.duty, self.scene)
+                load = m.backlog_ms() if m.role is Role.PREFILL else m.fullness() / m.warmth()
+                self.seen[m] = View(m.healthy(), load, m.warmth(), m.role, self.scene)
         return self.seen[model]
 
     def listed(self, model: ModelServer) -> None:
@@ -125,8 +125,8 @@
         scene, rng = self.scene, random.Random(self.scene.seed + 2)
         rate = (
             scene.load
-            * scene.readers
-            * scene.reader_tokens_per_ms
+            * scene.prefill_servers
+            * scene.prefill_tokens_per_ms
             / (scene.prompt_tokens * (1 - 0.55 * scene.kept_share))
         )
         when, end = self.now, self.now + scene.seconds * 1000
--- a/tests/fleet/faults.py
+++ b/tests/fleet/faults.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any, Callable
 
-from ternlane.port import Duty
+from ternlane.port import Role
 from tests.fleet.day import Day
 from tests.fleet.gateway import Gateway
 from tests.fleet.server import ModelServer
@@ -31,12 +31,12 @@
     return begin
 
 
-def ail(part: float, at_ms: float, for_ms: float, duty: Duty | None = None, **state: Any) -> Fault:
+def ail(part: float, at_ms: float, for_ms: float, role: Role | None = None, **state: Any) -> Fault:
     """A part of the model servers have these fields for a while, as `bad=1.0` or `silent=True`."""
 
     def begin(day: Day) -> None:
         draw = random.Random(day.scene.seed + 4)
-        able = [m for m in day.models if duty is None or m.duty is duty]
+        able = [m for m in day.models if role is None or m.role is role]
         chosen = draw.sample(able, round(part * len(able)))
 
         def set_all(values: dict[str, Any]) -> None:
@@ -94,7 +94,7 @@
             def drain(model: ModelServer = model) -> None:
                 model.draining = True
                 day.listed(model)
-                successor = ModelServer(day, len(day.models), model.duty)
+                successor = ModelServer(day, len(day.models), model.role)
                 successor.cell, successor.zone, successor.started = model.cell, model.zone, day.now
                 day.models.append(successor)
                 day.seen_at = float("-inf")
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
 from ternlane import port, turns
-from ternlane.port import Duty, Effect, Request, Life, Server, Verdict
+from ternlane.port import Role, Effect, Request, Life, Server, Verdict
 from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
@@ -46,8 +46,8 @@
     def know(self, model: ModelServer) -> Server:
         server = self.known.get(model)
         if server is None:
-            memory = self.day.scene.writer_memory if model.duty is Duty.WRITE else 250e3
-            server = Server(model.zone, model.cell, model.duty, memory, mark=zlib.crc32(model.name.encode()))
+            memory = self.day.scene.decode_memory if model.role is Role.DECODE else 250e3
+            server = Server(model.zone, model.cell, model.role, memory, mark=zlib.crc32(model.name.encode()))
             self.known[model], self.truth[server] = server, model
         server.started_ms = max(0.0, model.started)
         server.incarnation = Life.DRAINING if model.draining else Life.UP
@@ -144,11 +144,11 @@
             client_request.broken = True
         if over:
             self.requests.pop(job.request, None)
-        self.day.attempt_outcomes[model.duty, verdict] += 1
+        self.day.attempt_outcomes[model.role, verdict] += 1
         took = self.day.now - job.since
         kept = 0.0
-        if verdict is Verdict.READ:
-            kept = job.client_request.prompt - job.work * self.day.scene.reader_tokens_per_ms
+        if verdict is Verdict.PREFILLED:
+            kept = job.client_request.prompt - job.work * self.day.scene.prefill_tokens_per_ms
         self.tell(port.AttemptEnded(job.request, job.server, verdict, took, over, kept))
         if job.request not in self.requests:
             self.tickets.pop(job.request, None)
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -19,19 +19,19 @@
     """What a day is like. `load` is the share of the prefill servers' capacity that the requests ask for."""
 
     gateways: int = 200
-    readers: int = 36
-    writers: int = 24
+    prefill_servers: int = 36
+    decode_servers: int = 24
     zones: int = 1
     load: float = 0.6
     seconds: float = 20.0
     seed: int = 1
     unevenness: float = 0.8  # sigma of the log-normal weights of the gateways
-    reader_tokens_per_ms: float = 21.0
-    reader_slots: int = 8
-    reader_queue: int = 45
-    writer_slots: int = 90
-    writer_queue: int = 28
-    writer_memory: float = 200e3
+    prefill_tokens_per_ms: float = 21.0
+    prefill_slots: int = 8
+    prefill_queue: int = 45
+    decode_slots: int = 90
+    decode_queue: int = 28
+    decode_memory: float = 200e3
     tenants: int = 0
     unsafe_share: float = 0.5
     prompt_tokens: float = 1800.0
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Duty, Report, Verdict
+from ternlane.port import Role, Report, Verdict
 from tests.fleet.scene import Job, ClientRequest
 
 if TYPE_CHECKING:
@@ -24,11 +24,11 @@
 class ModelServer:
     """What a model server truly does, whatever the gateways believe."""
 
-    def __init__(self, day: Day, number: int, duty: Duty) -> None:
-        self.day, self.number, self.duty = day, number, duty
+    def __init__(self, day: Day, number: int, role: Role) -> None:
+        self.day, self.number, self.role = day, number, role
         self.cell = number // CELL_SIZE
         self.zone = f"zone-{self.cell % day.scene.zones}"
-        self.name = f"{duty.name}-{number}"
+        self.name = f"{role.name}-{number}"
         self.up, self.silent, self.hung, self.bad, self.resetting = True, False, False, 0.0, 0.0
         self.draining = False
         self.slow = 1.0
@@ -53,7 +53,7 @@
         scene = self.day.scene
         ahead = sum(j.client_request.prompt + j.client_request.answer for j in self.waiting)
         return max(
-            (self.memory + ahead) / scene.writer_memory, (len(self.running) + len(self.waiting)) / scene.writer_slots
+            (self.memory + ahead) / scene.decode_memory, (len(self.running) + len(self.waiting)) / scene.decode_slots
         )
 
     def unread(self, client_request: ClientRequest) -> float:
@@ -69,7 +69,7 @@
     def report(self) -> Report:
         """What it says of its load."""
         held = len(self.running) + len(self.waiting)
-        share = self.memory / self.day.scene.writer_memory if self.duty is Duty.WRITE else 0.0
+        share = self.memory / self.day.scene.decode_memory if self.role is Role.DECODE else 0.0
         return Report(open_requests=float(held), mem_share=share)
 
     # -- attempts
@@ -88,16 +88,16 @@
         self.connected[job.gateway] += 1
         if day.rng.random() < self.bad:
             return day.after(8.0, lambda: job.gateway.ended(job, Verdict.ERROR))
-        limit = scene.reader_queue if self.duty is Duty.READ else scene.writer_queue
+        limit = scene.prefill_queue if self.role is Role.PREFILL else scene.decode_queue
         if len(self.waiting) >= limit:
             return day.after(CONFIRM_MS, lambda: job.gateway.ended(job, Verdict.FULL))
-        job.work = self.unread(job.client_request) / scene.reader_tokens_per_ms if self.duty is Duty.READ else 0.0
+        job.work = self.unread(job.client_request) / scene.prefill_tokens_per_ms if self.role is Role.PREFILL else 0.0
         self.waiting.append(job)
         self.go_on()
 
     def go_on(self) -> None:
         while self.waiting and not self.hung and self.up:
-            if self.duty is Duty.READ:
+            if self.role is Role.PREFILL:
                 if self.running:
                     return
                 job = self.waiting.popleft()
@@ -107,9 +107,9 @@
             else:
                 job = self.waiting[0]
                 need = job.client_request.prompt + job.client_request.answer
-                if len(self.running) >= self.day.scene.writer_slots * self.warmth():
+                if len(self.running) >= self.day.scene.decode_slots * self.warmth():
                     return
-                if self.running and self.memory + need > self.day.scene.writer_memory:
+                if self.running and self.memory + need > self.day.scene.decode_memory:
                     return
                 self.waiting.popleft()
                 self.running.append(job)
@@ -123,7 +123,7 @@
         self.running.remove(job)
         self.kept |= {job.client_request.session, job.client_request.opening}
         if not self.silent and not self.day.cut(job.gateway, self):
-            job.gateway.ended(job, Verdict.READ)
+            job.gateway.ended(job, Verdict.PREFILLED)
         self.go_on()
 
     def first(self, job: Job) -> None:
@@ -131,7 +131,7 @@
             return
         if not self.silent and not self.day.cut(job.gateway, self):
             job.gateway.first_token(job)
-        crowd = 1 + len(self.running) / self.day.scene.writer_slots
+        crowd = 1 + len(self.running) / self.day.scene.decode_slots
         took = job.client_request.answer * TOKEN_MS * crowd * self.slow / self.warmth()
         self.day.after(took, lambda: self.written(job))
 
@@ -146,7 +146,7 @@
         """The attempt is cancelled or over."""
         if job in self.running:
             self.running.remove(job)
-            if self.duty is not Duty.READ:
+            if self.role is not Role.PREFILL:
                 self.memory -= job.client_request.prompt + job.client_request.answer
             self.go_on()
         elif job in self.waiting:
@@ -178,9 +178,9 @@
 
 def spread_cells(models: list[ModelServer]) -> None:
     """Each cell has about the same mix of both duties."""
-    by_duty: defaultdict[Duty, int] = defaultdict(int)
+    by_role: defaultdict[Role, int] = defaultdict(int)
     cells = max(1, len(models) // CELL_SIZE)
     for model in models:
-        model.cell = by_duty[model.duty] % cells
+        model.cell = by_role[model.role] % cells
         model.zone = f"zone-{model.cell % model.day.scene.zones}"
-        by_duty[model.duty] += 1
+        by_role[model.role] += 1
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -85,7 +85,7 @@
 
     def list(self, server: ModelServer, address: str) -> None:
         """Puts it on the list of servers at this address, its own or that of a proxy before it."""
-        self.discovery.put(server.name, address, "reader" if server.duty == "read" else "writer")
+        self.discovery.put(server.name, address, "reader" if server.role == "read" else "writer")
 
     async def add_behind_proxy(self, name: str, **more: Any) -> StallingProxy:
         """Adds a server that is reached by way of a proxy alone."""
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -140,12 +140,12 @@
 )
 def test_events_are_read_however_their_bytes_are_cut(said: list[str], end: str, rng: random.Random) -> None:
     raw = "".join("".join(f"data: {line}{end}" for line in s.split("\n")) + end for s in said).encode()
-    reader, got = EventReader(), []
+    prefill_server, got = EventReader(), []
     while raw:
         n = rng.randint(1, 4)
-        got += reader.feed(raw[:n])
+        got += prefill_server.feed(raw[:n])
         raw = raw[n:]
-    got += reader.feed(b"\n") if end == "\r" else []  # a CR alone ends a line once it is no CRLF
+    got += prefill_server.feed(b"\n") if end == "\r" else []  # a CR alone ends a line once it is no CRLF
     assert got == said
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -11,13 +11,13 @@
 
 def test_a_session_keeps_a_near_home(host: FakeHost) -> None:
     first, attempt = host.written(session="s")
-    reader = first.seat.reader.server
-    assert attempt.server.cell == reader.cell
+    prefill_server = first.seat.prefill_server.server
+    assert attempt.server.cell == prefill_server.cell
     host.first(first, attempt.server)
     host.end(first, attempt.server, Verdict.STREAMED, over=True)
     for _ in range(4):
         host.arrive(host.request())
-    assert sent(host.arrive(host.request(session="s"))).server is reader
+    assert sent(host.arrive(host.request(session="s"))).server is prefill_server
 
 
 def test_a_full_home_is_left_for_the_next_best_pair(host: FakeHost) -> None:
@@ -45,53 +45,53 @@
     first = sent(host.arrive(mute))
     later = host.request(session="a")
     assert sent(host.arrive(later, after=100.0)).server is first.server  # not overdue yet: it may only be long
-    said = host.end(later, first.server, Verdict.READ, after=20.0)
-    assert sent(said).server.duty is port.Duty.WRITE and port.CancelAttempt not in kinds(said)
+    said = host.end(later, first.server, Verdict.PREFILLED, after=20.0)
+    assert sent(said).server.role is port.Role.DECODE and port.CancelAttempt not in kinds(said)
     said = host.tell(after=300.0)  # nothing else is sent there, and still it is not waited for to its time limit
     assert [a.request for a in said if isinstance(a, port.CancelAttempt)] == [mute]
     again = sent(host.end(mute, first.server, Verdict.CANCELLED))
-    assert again.server.duty is port.Duty.READ and again.server is not first.server
-    assert sent(host.end(mute, again.server, Verdict.READ)).server.duty is port.Duty.WRITE
+    assert again.server.role is port.Role.PREFILL and again.server is not first.server
+    assert sent(host.end(mute, again.server, Verdict.PREFILLED)).server.role is port.Role.DECODE
 
 
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
     host = build(max_attempts=2)  # none is called off
-    reader = sent(host.arrive(host.request(session="a", prompt_toks=3e3))).server
-    full = host.router.desk.board[reader.seat].queue_ms
+    prefill_server = sent(host.arrive(host.request(session="a", prompt_toks=3e3))).server
+    full = host.router.desk.board[prefill_server.seat].queue_ms
     later = host.request(session="a", prompt_toks=100.0)
-    assert full > 0 and sent(host.arrive(later, after=10.0)).server is reader
-    host.end(later, reader, Verdict.READ, after=10.0)
-    assert host.router.desk.board[reader.seat].queue_ms == 0 and len(reader.seat.attempts) == 1
+    assert full > 0 and sent(host.arrive(later, after=10.0)).server is prefill_server
+    host.end(later, prefill_server, Verdict.PREFILLED, after=10.0)
+    assert host.router.desk.board[prefill_server.seat].queue_ms == 0 and len(prefill_server.seat.attempts) == 1
 
 
 def test_a_writer_on_trial_is_sent_the_state_that_was_read_for_it(host: FakeHost) -> None:
     """What the generation itself had booked there barred it, so nothing ever found out that the writer is well."""
     kept, attempt = host.written(session="a")
-    writer = attempt.server
-    host.first(kept, writer)
-    host.end(kept, writer, Verdict.STREAMED, over=True)
+    decode_server = attempt.server
+    host.first(kept, decode_server)
+    host.end(kept, decode_server, Verdict.STREAMED, over=True)
     other = host.request(session="a")
-    host.end(other, sent(host.arrive(other)).server, Verdict.READ)
-    host.tell(port.AttemptEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))  # shut, and on trial after
+    host.end(other, sent(host.arrive(other)).server, Verdict.PREFILLED)
+    host.tell(port.AttemptEnded(other, decode_server, Verdict.UNCONNECTED, 1.0, True))  # shut, and on trial after
     host.tell(after=2000.0)
     found = host.request(session="a")
-    reader = sent(host.arrive(found)).server
-    assert sent(host.end(found, reader, Verdict.READ)).server is writer
+    prefill_server = sent(host.arrive(found)).server
+    assert sent(host.end(found, prefill_server, Verdict.PREFILLED)).server is decode_server
 
 
 def test_streams_begun_before_do_not_keep_a_writer_on_trial_and_its_trial_is_one_leg(host: FakeHost) -> None:
     begun, attempt = host.written(session="a")
-    writer = attempt.server
-    host.first(begun, writer)  # streams on for long
+    decode_server = attempt.server
+    host.first(begun, decode_server)  # streams on for long
     other = host.request(session="a")
-    host.end(other, sent(host.arrive(other)).server, Verdict.READ)
-    host.tell(port.AttemptEnded(other, writer, Verdict.UNCONNECTED, 1.0, True))
+    host.end(other, sent(host.arrive(other)).server, Verdict.PREFILLED)
+    host.tell(port.AttemptEnded(other, decode_server, Verdict.UNCONNECTED, 1.0, True))
     host.tell(after=600.0)
     found, second = host.request(session="a"), host.request(session="a")
-    reader = sent(host.arrive(found)).server
-    assert sent(host.end(found, reader, Verdict.READ)).server is writer
-    said = host.end(second, sent(host.arrive(second)).server, Verdict.READ)
-    assert sent(said).server is not writer  # until the first has ended well
+    prefill_server = sent(host.arrive(found)).server
+    assert sent(host.end(found, prefill_server, Verdict.PREFILLED)).server is decode_server
+    said = host.end(second, sent(host.arrive(second)).server, Verdict.PREFILLED)
+    assert sent(said).server is not decode_server  # until the first has ended well
 
 
 def test_a_read_is_not_called_off_where_no_legs_are_left_for_another_pair() -> None:
@@ -99,30 +99,30 @@
     mute, later = host.request(session="a"), host.request(session="a")
     first = sent(host.arrive(mute))
     assert sent(host.arrive(later, after=500.0)).server is first.server
-    assert port.CancelAttempt not in kinds(host.end(later, first.server, Verdict.READ, after=50.0))
+    assert port.CancelAttempt not in kinds(host.end(later, first.server, Verdict.PREFILLED, after=50.0))
 
 
 def test_a_state_goes_straight_to_another_writer_when_one_is_full(host: FakeHost) -> None:
     request, attempt = host.written(Effect.SIDE_EFFECTING)
     other = sent(host.end(request, attempt.server, Verdict.FULL)).server
-    assert other.duty is attempt.server.duty and other is not attempt.server
+    assert other.role is attempt.server.role and other is not attempt.server
 
 
 def test_a_state_is_released_before_connections_that_never_come_up_outlast_its_release_time() -> None:
     host = build(("w2", "w3"))  # 250 ms to connect, 500 to release: one failed connection leaves time for one more
     request, attempt = host.written()
     second = sent(host.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)).server
-    assert second.duty is port.Duty.WRITE
+    assert second.role is port.Role.DECODE
     said = host.end(request, second, Verdict.UNCONNECTED, after=250.0)
     assert [type(a) for a in said] == [port.Release, port.StartAttempt]
-    assert sent(said).server.duty is port.Duty.READ
+    assert sent(said).server.role is port.Role.PREFILL
     other = build(("w2", "w3"), holds_run_on=False)  # where an outcome of any kind begins that time anew
     request, attempt = other.written()
     second = sent(other.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)).server
-    assert sent(other.end(request, second, Verdict.UNCONNECTED, after=250.0)).server.duty is port.Duty.WRITE
+    assert sent(other.end(request, second, Verdict.UNCONNECTED, after=250.0)).server.role is port.Role.DECODE
     request, attempt = host.written()  # a writer that refuses has answered: the time counts from then
     second = sent(host.end(request, attempt.server, Verdict.FULL, after=400.0)).server
-    assert sent(host.end(request, second, Verdict.FULL, after=400.0)).server.duty is port.Duty.WRITE
+    assert sent(host.end(request, second, Verdict.FULL, after=400.0)).server.role is port.Role.DECODE
 
 
 @pytest.mark.parametrize("verdict", [Verdict.UNCONNECTED, Verdict.FULL])
@@ -139,9 +139,15 @@
 ) -> None:
     """It ended unheard, its state came after the first release, and nobody was left for another read."""
     request = host.request()
-    reader = sent(host.arrive(request)).server
-    host.list(**{name: Life.GONE for name, s in host.servers.items() if s.duty is port.Duty.READ and s is not reader})
-    said = host.end(request, reader, verdict)
+    prefill_server = sent(host.arrive(request)).server
+    host.list(
+        **{
+            name: Life.GONE
+            for name, s in host.servers.items()
+            if s.role is port.Role.PREFILL and s is not prefill_server
+        }
+    )
+    said = host.end(request, prefill_server, verdict)
     assert [a.again for a in said if isinstance(a, port.Release)] == [False, True] and port.Throttle in kinds(said)
     assert host.tell(after=3000.0) == []
 
@@ -149,7 +155,7 @@
 def test_a_lost_state_is_read_again(host: FakeHost) -> None:
     request, attempt = host.written()
     said = host.end(request, attempt.server, Verdict.FULL, state_lost=True)
-    assert sent(said).server.duty is port.Duty.READ
+    assert sent(said).server.role is port.Role.PREFILL
     assert port.Release in kinds(said)  # its reader may only be cut off from that writer
 
 
@@ -164,7 +170,7 @@
     request, attempt = host.written(Effect.DEDUPLICATED)
     assert kinds(host.end(request, attempt.server, Verdict.RESET)) == [port.Release, port.Terminate]
     request, attempt = host.written(Effect.IDEMPOTENT)
-    assert sent(host.end(request, attempt.server, Verdict.RESET)).server.duty is port.Duty.WRITE
+    assert sent(host.end(request, attempt.server, Verdict.RESET)).server.role is port.Role.DECODE
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
@@ -179,9 +185,9 @@
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
     request = host.request()
     attempt = sent(host.arrive(request))
-    home = request.seat.writer.server
+    home = request.seat.decode_server.server
     host.list(**{name: Life.DRAINING for name, s in host.servers.items() if s is home})
-    assert sent(host.end(request, attempt.server, Verdict.READ)).server is not home
+    assert sent(host.end(request, attempt.server, Verdict.PREFILLED)).server is not home
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.life = Life.GONE
@@ -192,7 +198,7 @@
     request = host.request()
     attempt = sent(host.arrive(request))
     assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
-    assert kinds(host.end(request, attempt.server, Verdict.READ, over=True)) == [port.Release]
+    assert kinds(host.end(request, attempt.server, Verdict.PREFILLED, over=True)) == [port.Release]
 
 
 def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
@@ -251,7 +257,7 @@
         hits += attempt.server is ill
         if attempt.server is ill:
             attempt = sent(host.end(request, ill, Verdict.ERROR, after=4.0))
-        attempt = sent(host.end(request, attempt.server, Verdict.READ, after=60.0))
+        attempt = sent(host.end(request, attempt.server, Verdict.PREFILLED, after=60.0))
         host.first(request, attempt.server, after=20.0)
         host.end(request, attempt.server, Verdict.STREAMED, over=True)
     assert 1 <= hits <= 12
@@ -281,29 +287,29 @@
         host = build(extra=("w0a", "w0b", "w1a", "w1b"), gateways=130, seed=seed)
         request = host.request(session="s")
         host.arrive(request)
-        chosen.add(next(name for name, s in host.servers.items() if s is request.seat.writer.server))
+        chosen.add(next(name for name, s in host.servers.items() if s is request.seat.decode_server.server))
     assert len(chosen) == 3  # all in the cell of the one reader that they agree on
 
 
 def test_gateways_agree_on_the_readers_of_an_opening() -> None:
-    readers = [f"r{i % 2}{letter}" for i, letter in enumerate("abcdefgh")]
+    prefill_servers = [f"r{i % 2}{letter}" for i, letter in enumerate("abcdefgh")]
     taken = set()
     for seed in range(20):
-        host = build(extra=tuple(readers), gateways=130, seed=seed)
+        host = build(extra=tuple(prefill_servers), gateways=130, seed=seed)
         attempt = sent(host.arrive(host.request(session=f"s{seed}", opening="shared")))
         taken.add(next(name for name, s in host.servers.items() if s is attempt.server))
     assert len(taken) <= 12 and len(taken) >= 2
-    first, second = (build(extra=tuple(readers), seed=seed) for seed in (1, 2))
+    first, second = (build(extra=tuple(prefill_servers), seed=seed) for seed in (1, 2))
     for opening in "abcdef":
         attempts = [sent(h.arrive(h.request(session=opening, opening=opening), after=3000.0)) for h in (first, second)]
         assert len({attempt.server.mark for attempt in attempts}) == 1
 
 
 def test_a_handful_of_generations_does_not_make_an_opening_popular() -> None:
-    readers = tuple(f"r{i % 2}{letter}" for i, letter in enumerate("abcdefghijkl"))
+    prefill_servers = tuple(f"r{i % 2}{letter}" for i, letter in enumerate("abcdefghijkl"))
     seen: list[set[int]] = []
     for seed in range(6):  # gateways that have met one opening, or six others before it
-        host = build(extra=readers, gateways=90, seed=seed)
+        host = build(extra=prefill_servers, gateways=90, seed=seed)
         for i in range(seed):
             host.arrive(host.request(opening=f"x{i}"))
         request = host.request(session="s", opening="shared")
@@ -320,8 +326,8 @@
         met = met or attempt.server is ill
         if attempt.server is ill and verdict is not None:
             said = host.end(request, ill, verdict, after=20.0)
-        elif attempt.server.duty is port.Duty.READ:
-            said = host.end(request, attempt.server, Verdict.READ, after=20.0)
+        elif attempt.server.role is port.Role.PREFILL:
+            said = host.end(request, attempt.server, Verdict.PREFILLED, after=20.0)
         else:
             host.first(request, attempt.server, after=20.0)
             said = host.end(request, attempt.server, Verdict.STREAMED, over=True)
@@ -357,7 +363,7 @@
     for _ in range(20):
         request = host.request()
         attempt = sent(host.arrive(request))
-        attempt = sent(host.end(request, attempt.server, Verdict.READ, after=400.0))
+        attempt = sent(host.end(request, attempt.server, Verdict.PREFILLED, after=400.0))
         host.first(request, attempt.server, after=100.0)
         host.end(request, attempt.server, Verdict.STREAMED, over=True)
     assert kinds(host.arrive(host.request(patience_ms=600.0))) == [port.Throttle]
@@ -402,8 +408,8 @@
             tries += 1
             if attempt.server not in known:
                 said = host.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)
-            elif attempt.server.duty is port.Duty.READ:
-                said = host.end(request, attempt.server, Verdict.READ)
+            elif attempt.server.role is port.Role.PREFILL:
+                said = host.end(request, attempt.server, Verdict.PREFILLED)
             else:
                 host.first(request, attempt.server)
                 host.end(request, attempt.server, Verdict.STREAMED, over=True)
@@ -434,7 +440,7 @@
         said = host.arrive(request, after=400.0)
         assert kinds(said) == [port.StartAttempt]
         if sent(said).server is not cold:  # the cold one keeps what it was given
-            attempt = sent(host.end(request, host.servers["r1"], Verdict.READ, after=50.0))
+            attempt = sent(host.end(request, host.servers["r1"], Verdict.PREFILLED, after=50.0))
             host.first(request, attempt.server, after=20.0)
             host.end(request, attempt.server, Verdict.STREAMED, over=True)
 
@@ -451,12 +457,12 @@
 
 def test_a_gateway_that_goes_throttles_what_it_could_not_finish_and_finishes_the_rest(host: FakeHost) -> None:
     streams, attempt = host.written()
-    reads = host.request(Effect.SIDE_EFFECTING)
-    read = sent(host.arrive(reads))
+    prefills = host.request(Effect.SIDE_EFFECTING)
+    read = sent(host.arrive(prefills))
     assert not host.tell(port.Ending(port.ShutdownTimes(500.0, 800.0, 1000.0)))
     said = host.arrive(host.request(Effect.SIDE_EFFECTING))
     assert kinds(said) == [port.Throttle]  # another gateway may do it: nothing has run
-    assert sent(host.end(reads, read.server, Verdict.READ)).server.duty is port.Duty.WRITE
+    assert sent(host.end(prefills, read.server, Verdict.PREFILLED)).server.role is port.Role.DECODE
     host.first(streams, attempt.server)
     assert not kinds(host.end(streams, attempt.server, Verdict.STREAMED, over=True))
 
@@ -465,7 +471,7 @@
     board = host.router.desk.board
     busy, attempt = host.written()
     for turn in range(300):
-        new = Server("east", 0, port.Duty.READ, 200e3, mark=turn)
+        new = Server("east", 0, port.Role.PREFILL, 200e3, mark=turn)
         host.tell(port.Listed((new,)))
         new.life = Life.GONE
         host.tell(port.Listed((new,)))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -14,7 +14,7 @@
 
 from ternlane import port
 from ternlane.choice import CARE, Router
-from ternlane.port import Duty, Effect, Request, Group, Life, Product, Server, Verdict
+from ternlane.port import Role, Effect, Request, Group, Life, Product, Server, Verdict
 from tests.conftest import FACTS
 
 PRODUCT = Product(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
@@ -43,9 +43,9 @@
 
     def __post_init__(self) -> None:
         self.servers = [
-            Server("east", n // 2, duty, 300e3, mark=zlib.crc32(b"%d %s" % (n, duty.name.encode())))
+            Server("east", n // 2, role, 300e3, mark=zlib.crc32(b"%d %s" % (n, role.name.encode())))
             for n in range(self.peers)
-            for duty in (Duty.READ, Duty.WRITE)
+            for role in (Role.PREFILL, Role.DECODE)
         ]
         self.order, self.due = count(), list[tuple[float, int, int, port.Event | tuple[Server, ...]]]()
         self.all = [self.router(n) for n in range(self.routers)]
@@ -82,9 +82,11 @@
                 self.sent.append(Attempt(self.now, true_server, nth, told))
                 if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
                     self.at(self.now + 5.0, nth, port.AttemptEnded(request, server, Verdict.FULL, 5.0, False))
-                elif server.duty is Duty.READ:
+                elif server.role is Role.PREFILL:
                     self.at(
-                        self.now + READ_MS, nth, port.AttemptEnded(request, server, Verdict.READ, READ_MS, False, 300.0)
+                        self.now + READ_MS,
+                        nth,
+                        port.AttemptEnded(request, server, Verdict.PREFILLED, READ_MS, False, 300.0),
                     )
                 else:
                     self.at(self.now + FIRST_MS, nth, port.FirstTok(request, server, FIRST_MS))
@@ -134,10 +136,10 @@
         return max((len(window) for window in self.windows(server, since, span)), default=0)
 
 
-def capacity(fleet: Fleet, since: float) -> dict[Duty, float]:
+def capacity(fleet: Fleet, since: float) -> dict[Role, float]:
     """What a warm server of each duty took each ms: no more than it could do."""
-    took = Counter(a.server.duty for a in fleet.sent if a.at >= since)
-    return {duty: n / fleet.peers / (fleet.now - since) for duty, n in took.items()}
+    took = Counter(a.server.role for a in fleet.sent if a.at >= since)
+    return {role: n / fleet.peers / (fleet.now - since) for role, n in took.items()}
 
 
 def allowed(calls: float) -> float:
@@ -152,11 +154,11 @@
     fleet = Fleet(routers, rate, uneven=True)
     fleet.run(WARM_MS)
     rates = capacity(fleet, WARM_MS / 2)
-    cold = [s for duty in (Duty.READ, Duty.WRITE) for s in [s for s in fleet.servers if s.duty is duty][:3]]
+    cold = [s for role in (Role.PREFILL, Role.DECODE) for s in [s for s in fleet.servers if s.role is role][:3]]
     start = fleet.now
     fleet.restart(*cold)
     fleet.run(FALL_MS)
-    budget = MULTIPLE * COLD_FROM * rates[Duty.READ] * FALL_MS
+    budget = MULTIPLE * COLD_FROM * rates[Role.PREFILL] * FALL_MS
     got = {server: fleet.most(server, start, FALL_MS) for server in cold}
     assert max(got.values()) <= allowed(budget), (sorted(got.values()), budget)
 
@@ -167,19 +169,19 @@
     fleet = Fleet(routers, rate=120.0)
     fleet.run(WARM_MS)
     rates = capacity(fleet, WARM_MS / 2)
-    cold = [s for duty in (Duty.READ, Duty.WRITE) for s in [s for s in fleet.servers if s.duty is duty][:together]]
+    cold = [s for role in (Role.PREFILL, Role.DECODE) for s in [s for s in fleet.servers if s.role is role][:together]]
     start = fleet.now
     fleet.restart(*cold)
     fleet.run(FALL_MS)
-    got, budget = {}, MULTIPLE * COLD_FROM * rates[Duty.READ] * FALL_MS
+    got, budget = {}, MULTIPLE * COLD_FROM * rates[Role.PREFILL] * FALL_MS
     for server in cold:  # at its very coldest
         got[server] = fleet.most(server, start, FALL_MS)
-        assert got[server] <= allowed(budget), (server.duty, got[server], budget)
+        assert got[server] <= allowed(budget), (server.role, got[server], budget)
     least = budget / 4 if together == fleet.peers else 1  # where they are needed each part is spent, also below one
     assert min(got.values()) >= least, (sorted(got.values()), budget)
     fleet.run(COLD_MS - FALL_MS)
     for server in cold:  # never more than a warm one of its size could be pushed over by
-        budget = MULTIPLE * rates[server.duty] * FALL_MS
+        budget = MULTIPLE * rates[server.role] * FALL_MS
         assert fleet.most(server, start, FALL_MS) <= allowed(budget)
 
 
@@ -188,7 +190,7 @@
     """They know nothing but the list; and three times the usual requests come."""
     fleet = Fleet(routers, rate=120.0)
     fleet.run(WARM_MS)
-    budget = MULTIPLE * COLD_FROM * capacity(fleet, WARM_MS / 2)[Duty.READ] * FALL_MS
+    budget = MULTIPLE * COLD_FROM * capacity(fleet, WARM_MS / 2)[Role.PREFILL] * FALL_MS
     cold = fleet.servers[:2]
     for server in cold:
         server.started_ms = fleet.now
@@ -207,7 +209,7 @@
     been told. What those sent keeps to the budget by itself, further attempts and hand-overs counted."""
     fleet = Fleet(routers, rate=120.0, turned_away=turned_away)
     fleet.run(WARM_MS)
-    ran = capacity(fleet, WARM_MS / 2)[Duty.READ] * (1 - turned_away)
+    ran = capacity(fleet, WARM_MS / 2)[Role.PREFILL] * (1 - turned_away)
     budget = MULTIPLE * COLD_FROM * ran * FALL_MS
     cold = fleet.servers[:4]
     start = fleet.now
@@ -216,7 +218,7 @@
     for server in cold:
         for window in fleet.windows(server, start, FALL_MS):
             told = sum(attempt.told for attempt in window)
-            assert told <= allowed(budget), (server.duty, told, len(window), budget)
+            assert told <= allowed(budget), (server.role, told, len(window), budget)
             assert len(window) <= allowed(budget) or told <= len(window) * 2 / 3
 
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -49,10 +49,10 @@
 
         monkeypatch.setattr(caller_module, "reach", slow)
 
-    def after(self, p: Platform, duty: str) -> None:
+    def after(self, p: Platform, role: str) -> None:
         """Holds the connections to servers of this duty once one of them has been asked."""
-        addresses = {server.address for server in p.servers.values() if server.duty == duty}
-        self.holds = lambda address: address in addresses and p.fleet.count(duty) > 0
+        addresses = {server.address for server in p.servers.values() if server.role == role}
+        self.holds = lambda address: address in addresses and p.fleet.count(role) > 0
 
 
 # -- draining x send
@@ -126,9 +126,9 @@
     host = build(("w2", "w3"))
     request, attempt = host.written(Effect.SIDE_EFFECTING)
     second = sent(host.end(request, attempt.server, Verdict.WITHHELD, after=200.0))
-    assert second.server is not attempt.server and second.server.duty is port.Duty.WRITE
+    assert second.server is not attempt.server and second.server.role is port.Role.DECODE
     said = host.end(request, second.server, Verdict.WITHHELD, after=200.0)  # 400 of 500 ms, and 250 to connect
-    assert port.Release in kinds(said) and sent(said).server.duty is port.Duty.READ
+    assert port.Release in kinds(said) and sent(said).server.role is port.Role.PREFILL
     assert not host.router.desk.board[attempt.server.seat].shut
 
 
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -17,7 +17,7 @@
 from tests.decision_digests import day_digest, stream_digest
 
 RECORDED = Path(__file__).parent / "data" / "decision_digests.json"
-SMALL = fleet.Scene(gateways=16, readers=12, writers=8, seconds=8.0, tenants=3, zones=2)
+SMALL = fleet.Scene(gateways=16, prefill_servers=12, decode_servers=8, seconds=8.0, tenants=3, zones=2)
 
 DAYS: dict[str, Callable[[], str]] = {
     "quiet day": lambda: day_digest(SMALL),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -89,32 +89,32 @@
 
 def test_a_state_is_read_moved_and_written_and_the_readers_memory_released() -> None:
     fleet = Fleet(port_rate=200.0, link_rate=100.0)
-    reader, near, far = cell(fleet), cell(fleet), cell(fleet, zone="b", at=1)
+    prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, zone="b", at=1)
     ends: list[float] = []
     for target in (near, far):
         held, job = Job(Course(1000, 0)), Job(Course(1000, 20))
-        assert fleet.read(fleet.now, reader, held)
-        assert counted(run(fleet), What.READ) == {held: 1} and reader.engine.memory.used == 63
+        assert fleet.read(fleet.now, prefill_server, held)
+        assert counted(run(fleet), What.READ) == {held: 1} and prefill_server.engine.memory.used == 63
         since = fleet.now
-        assert fleet.write(since, target, job, reader, held)
-        assert not fleet.write(since, near, Job(Course(1000, 5)), reader, held)  # it is promised already
+        assert fleet.write(since, target, job, prefill_server, held)
+        assert not fleet.write(since, near, Job(Course(1000, 5)), prefill_server, held)  # it is promised already
         told = run(fleet)
         assert counted(told, What.TOKEN) == {job: 20} and counted(told, What.DONE) == {job: 1}
-        assert reader.engine.memory.used == target.engine.memory.used == 0
+        assert prefill_server.engine.memory.used == target.engine.memory.used == 0
         ends.append(next(t.at for _, t in told if t.what is What.TOKEN) - since)
     assert ends[0] == pytest.approx(5.0 + 5.1, abs=0.2) and ends[1] == pytest.approx(20.0 + 5.1, abs=0.2)
 
 
 def test_a_cells_link_that_is_full_slows_all_that_leave_it_and_nothing_else() -> None:
     fleet = Fleet(port_rate=1000.0, link_rate=100.0)
-    reader, near, far = cell(fleet), cell(fleet), cell(fleet, at=1)
+    prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, at=1)
     helds, jobs = [Job(Course(500, 0)) for _ in range(6)], [Job(Course(500, 1)) for _ in range(6)]
     for held in helds:
-        assert fleet.read(0.0, reader, held)
+        assert fleet.read(0.0, prefill_server, held)
     run(fleet)
     since = fleet.now
     for i, (held, job) in enumerate(zip(helds, jobs)):
-        assert fleet.write(since, near if i == 5 else far, job, reader, held)
+        assert fleet.write(since, near if i == 5 else far, job, prefill_server, held)
     first = {t.job: t.at - since for _, t in run(fleet) if t.what is What.TOKEN}
     assert first[jobs[5]] < 7.0 and all(25.0 < first[job] < 37.0 for job in jobs[:5])
 
@@ -124,7 +124,10 @@
 def test_whatever_is_cancelled_cut_or_lost_memory_comes_back_and_tokens_add_up(data: st.DataObject) -> None:
     fleet = Fleet(port_rate=200.0, link_rate=60.0)
     small = Build(blocks=40, slots=4, step_toks=64, queue=6, pace=PACE)
-    readers, writers = [cell(fleet, small, at=i) for i in range(2)], [cell(fleet, small, at=i) for i in range(2)]
+    prefill_servers, decode_servers = (
+        [cell(fleet, small, at=i) for i in range(2)],
+        [cell(fleet, small, at=i) for i in range(2)],
+    )
     helds: dict[Job, Seat] = {}
     jobs: dict[Job, Seat] = {}
     stopped: set[Job] = set()
@@ -133,11 +136,13 @@
         now = fleet.now + data.draw(st.integers(0, 30))
         told += fleet.advance(now)
         what = data.draw(st.sampled_from(["read", "write", "cancel", "die", "cut", "place", "release", "hang"]))
-        seat = data.draw(st.sampled_from(writers if what in ("write", "place") else readers + writers))
+        seat = data.draw(
+            st.sampled_from(decode_servers if what in ("write", "place") else prefill_servers + decode_servers)
+        )
         if what == "read":
             job = Job(Course(data.draw(st.integers(1, 300)), 0))
-            if fleet.read(now, data.draw(st.sampled_from(readers)), job):
-                helds[job] = next(s for s in readers if job.course in s.engine.jobs or job in s.engine.states)
+            if fleet.read(now, data.draw(st.sampled_from(prefill_servers)), job):
+                helds[job] = next(s for s in prefill_servers if job.course in s.engine.jobs or job in s.engine.states)
         elif what == "write" and helds:
             held = data.draw(st.sampled_from(list(helds)))
             job = Job(Course(held.course.prompt, data.draw(st.integers(0, 40))))
@@ -162,7 +167,7 @@
         elif what == "hang":
             seat.engine.ailment.hung = not seat.engine.ailment.hung
             fleet.alter(now, seat)
-    for seat in readers + writers:
+    for seat in prefill_servers + decode_servers:
         seat.engine.ailment.hung = False
         seat.engine.take(0.0)
         fleet.alter(fleet.now, seat)
@@ -176,7 +181,7 @@
         for held, seat in helds.items():
             fleet.release(fleet.now, seat, held)
         run(fleet)
-    for seat in readers + writers:
+    for seat in prefill_servers + decode_servers:
         memory = seat.engine.memory
         assert memory.used == 0 and memory.room == memory.total and not seat.engine.jobs and not seat.engine.batch.queue
     assert not fleet.moves and not fleet.claimed
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -17,7 +17,7 @@
 from ternlane.platform.engines import Engines, Attempt, AttemptResult
 from ternlane.platform.roster import BEHIND_MS, Listing, Lists, Roster, read_listing
 from ternlane.platform.settings import Limits
-from ternlane.port import Duty, Life, Verdict
+from ternlane.port import Role, Life, Verdict
 from ternlane.standin.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_world import BODY, TOLD, Platform, platform
 
@@ -102,9 +102,9 @@
         end = data.draw(st.sampled_from([b"\n", b"\r\n", b"\n\n \n"]))
         text += json.dumps(one, indent=indent).encode() + end
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
-    reader, out = Lists(), list[bytes]()
+    prefill_server, out = Lists(), list[bytes]()
     for begin, end_at in zip([0, *cuts], [*cuts, len(text)]):
-        out += reader.feed(text[begin:end_at])
+        out += prefill_server.feed(text[begin:end_at])
     assert [json.loads(raw) for raw in out] == lists
     assert [read_listing(raw).index for raw in out] == [1, 2, 3]
 
@@ -310,7 +310,7 @@
 @pytest.mark.parametrize("struck", [False, True])
 async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
     """The time-out strikes while the event is already there, so it does not keep the task from going on."""
-    attempt, outlet = Attempt("a:1", Duty.WRITE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
+    attempt, outlet = Attempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
 
     class Stub:
         def expect_by(self, when: float) -> None:
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -30,7 +30,7 @@
 FLOORS = {"day": 1 / 2, "class": 1 / 2, "third": 1 / 5, "tenant": 1 / 3}
 CALM_LOSS = 0.1
 LITTLE = 0.3  # where the baseline itself serves less, a class has no floor
-FLEET = Scene(gateways=200, readers=24, writers=16, seconds=10.0, tenants=3)
+FLEET = Scene(gateways=200, prefill_servers=24, decode_servers=16, seconds=10.0, tenants=3)
 UNEVEN = replace(FLEET, unevenness=1.2, seconds=15.0)
 
 
@@ -74,9 +74,9 @@
 
 MANY_TEXTS = replace(
     FLEET,
-    readers=60,
-    writers=24,
-    writer_memory=600e3,
+    prefill_servers=60,
+    decode_servers=24,
+    decode_memory=600e3,
     openings=600,
     kept_share=0.8,
     load=0.7,
@@ -108,8 +108,8 @@
     host = build(gateways=200)
     streaming(host, 8)
     host.tell(after=3000.0)
-    assert host.router.desk.fleets[port.Duty.WRITE].level > 1.0  # the guess: all of them are full
-    assert sent(host.arrive(host.request())).server.duty is port.Duty.READ
+    assert host.router.desk.fleets[port.Role.DECODE].level > 1.0  # the guess: all of them are full
+    assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
 
 
 def test_reads_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
@@ -117,8 +117,8 @@
     for _ in range(3):
         sent(host.arrive(host.request(opening=None, opening_toks=0.0), after=50.0))
     host.tell(after=300.0)
-    assert host.router.desk.fleets[port.Duty.READ].queue_ms > 1000.0  # the guess: longer than the SLO time
-    assert sent(host.arrive(host.request())).server.duty is port.Duty.READ
+    assert host.router.desk.fleets[port.Role.PREFILL].queue_ms > 1000.0  # the guess: longer than the SLO time
+    assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
 
 
 def test_the_guess_counts_once_answers_come_late() -> None:
@@ -132,7 +132,7 @@
         attempts = [action for action in said if isinstance(action, port.StartAttempt)]
         if not attempts:
             break
-        write = sent(host.end(request, attempts[0].server, Verdict.READ, after=10.0))
+        write = sent(host.end(request, attempts[0].server, Verdict.PREFILLED, after=10.0))
         host.end(request, write.server, Verdict.TIMED_OUT, after=500.0, over=True)
         served += 1
     assert 0 < served < 32 and port.Throttle in kinds(said)
@@ -156,7 +156,7 @@
     attempt = sent(host.arrive(request, after=100.0))
     said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=1200.0)
     for further in [action for action in said if isinstance(action, port.StartAttempt)]:
-        host.end(request, further.server, Verdict.READ, after=20.0, over=True)
+        host.end(request, further.server, Verdict.PREFILLED, after=20.0, over=True)
     return said
 
 
@@ -168,10 +168,10 @@
     assert port.StartAttempt not in kinds(last) and port.Throttle in kinds(last)
     request = host.request(opening=None, opening_toks=0.0)
     attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
-    host.end(request, attempt.server, Verdict.READ, after=20.0, over=True)
+    host.end(request, attempt.server, Verdict.PREFILLED, after=20.0, over=True)
     for _ in range(32):
         request = host.request(opening=None, opening_toks=0.0)
-        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.READ, after=20.0, over=True)
+        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.PREFILLED, after=20.0, over=True)
     assert port.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
 
 
@@ -182,7 +182,7 @@
     assert port.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(opening=None, opening_toks=0.0)
-        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.READ, after=20.0, over=True)
+        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.PREFILLED, after=20.0, over=True)
     assert port.StartAttempt in kinds(late_request(host))
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -362,7 +362,7 @@
             async def drain() -> None:
                 while not w.said("leg"):
                     await trio.sleep(0.005)
-                home = next(iter(w.gateway.host.tickets)).seat.writer.server
+                home = next(iter(w.gateway.host.tickets)).seat.decode_server.server
                 w.list(**{w.gateway.book.places[home].ident: "draining"})
 
             nursery.start_soon(drain)
@@ -554,8 +554,8 @@
 async def test_a_read_whose_answer_is_lost_is_told_by_a_later_one(model: str) -> None:
     async with world(products=patient(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
-        reader = w.engines[w.said("leg", stage="read")[0]["id"]]
-        reader.trouble.script = "silent"
+        prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
+        prefill_server.trouble.script = "silent"
         replies: list[Reply] = []
 
         async def mute() -> None:
@@ -563,14 +563,14 @@
 
         nursery.start_soon(mute)
         with trio.fail_after(3):  # under the 3.2 s for which it would be waited
-            while len(w.said("leg", stage="read", id=reader.ident)) < 2:
+            while len(w.said("leg", stage="read", id=prefill_server.ident)) < 2:
                 await trio.sleep(0.001)
             request = w.said("leg", stage="read")[-1]["gen"]
-            reader.trouble.script = ""
+            prefill_server.trouble.script = ""
             while not replies:
                 await w.ask(text="the same")
-        reads = [line["id"] for line in w.said("leg", stage="read", gen=request)]
-        assert len(reads) == 2 and reads[0] == reader.ident != reads[1]
+        prefills = [line["id"] for line in w.said("leg", stage="read", gen=request)]
+        assert len(prefills) == 2 and prefills[0] == prefill_server.ident != prefills[1]
         assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=request)) == 1
         await w.settled()
 
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -58,8 +58,8 @@
     """What is recovered, against the records that it was recovered from, gone through one by one."""
     taken = {r.ident: r for r in records if isinstance(r, Taken)}
     ended = {r.ident: r for r in records if isinstance(r, Ended)}
-    ran = {r.ident for r in records if isinstance(r, Sent) and r.writes}
-    held = {r.ident for r in records if isinstance(r, Sent) and r.reads} - {
+    ran = {r.ident for r in records if isinstance(r, Sent) and r.decodes}
+    held = {r.ident for r in records if isinstance(r, Sent) and r.prefills} - {
         r.ident for r in records if isinstance(r, Freed)
     }
     answers = {v.taken.ident: v.ended for v in found.answers(NOW)}
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -161,13 +161,13 @@
             assert self.attempts(server) == before, server
 
 
-async def play(steps: list[tuple[Any, ...]], reads: list[str], writes: list[str]) -> None:
+async def play(steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]) -> None:
     """Plays the steps; `reads` and `writes` are the ways in which the first attempts of each kind go."""
-    ways = {"read": list(reads), "write": list(writes)}
+    ways = {"read": list(prefills), "write": list(decodes)}
     async with platform(*SERVERS, told=PATIENT) as p:
         for server in p.servers.values():
             server.gates["request"] = cast(Any, Turnstile())
-            server.script = lambda _, left=ways[server.duty]: left.pop() if left else ""  # type: ignore[misc]
+            server.script = lambda _, left=ways[server.role]: left.pop() if left else ""  # type: ignore[misc]
         playing = Play(p)
         for step in steps:
             await playing.step(step)
@@ -180,7 +180,9 @@
     st.lists(st.sampled_from(WAYS), max_size=3),
     st.lists(st.sampled_from(WAYS), max_size=4),
 )
-@example(steps=[("ask", "note")], reads=[], writes=["opening_cut", "opening_cut"])
-@example(steps=[("half", 40), ("displace",), ("shutdown",)], reads=[], writes=[])
-def test_no_order_of_events_breaks_a_rule(steps: list[tuple[Any, ...]], reads: list[str], writes: list[str]) -> None:
-    trio.run(play, steps, reads, writes)
+@example(steps=[("ask", "note")], prefills=[], decodes=["opening_cut", "opening_cut"])
+@example(steps=[("half", 40), ("displace",), ("shutdown",)], prefills=[], decodes=[])
+def test_no_order_of_events_breaks_a_rule(
+    steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]
+) -> None:
+    trio.run(play, steps, prefills, decodes)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -22,7 +22,7 @@
 def prefilled(at: float = 100.0) -> Lease[str]:
     lease: Lease[str] = Lease()
     lease.attempt_begins()
-    lease.attempt_ended(AttemptEnd(Verdict.READ, prefills=True, state_lost=False), "p0", at)
+    lease.attempt_ended(AttemptEnd(Verdict.PREFILLED, prefills=True, state_lost=False), "p0", at)
     return lease
 
 
@@ -110,10 +110,10 @@
     request, attempt = host.written()
     said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
     attempt = sent(said)
-    assert attempt.server.duty is port.Duty.WRITE and not released(said)  # another may still take it
+    assert attempt.server.role is port.Role.DECODE and not released(said)  # another may still take it
     assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
     said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
-    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.duty is port.Duty.READ
+    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is port.Role.PREFILL
 
 
 def test_a_state_that_survives_a_heard_release_is_handed_on() -> None:
@@ -123,7 +123,7 @@
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
     host.tell(port.ReleaseHeard(request))
     said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=250.0)
-    assert sent(said).server.duty is port.Duty.WRITE and not released(said)
+    assert sent(said).server.role is port.Role.DECODE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from ternlane.deployment import Deployment
 from ternlane.platform.protocol import load_of, outcome_of
 from ternlane.platform.roster import Roster, read_listing
-from ternlane.port import Duty, Verdict
+from ternlane.port import Role, Verdict
 from ternlane.standin.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
 from ternlane.wirehost.host import Instance
@@ -66,24 +66,24 @@
 @pytest.mark.parametrize(
     "status, vouched, duty, verdict, lost",
     [
-        (200, False, Duty.WRITE, None, False),
-        (202, False, Duty.READ, Verdict.READ, False),
-        (200, False, Duty.READ, Verdict.ERROR, False),
-        (202, False, Duty.WRITE, Verdict.ERROR, False),
-        (500, False, Duty.WRITE, Verdict.ERROR, False),
-        (500, True, Duty.WRITE, Verdict.ERROR, False),
-        (503, True, Duty.READ, Verdict.FULL, False),
-        (504, True, Duty.WRITE, Verdict.FULL, False),
-        (503, False, Duty.WRITE, Verdict.ERROR, False),
-        (504, False, Duty.WRITE, Verdict.ERROR, False),
-        (410, True, Duty.WRITE, Verdict.FULL, True),
-        (410, False, Duty.WRITE, Verdict.ERROR, False),
-        (429, False, Duty.WRITE, Verdict.ERROR, False),
-        (404, False, Duty.READ, Verdict.ERROR, False),
+        (200, False, Role.DECODE, None, False),
+        (202, False, Role.PREFILL, Verdict.PREFILLED, False),
+        (200, False, Role.PREFILL, Verdict.ERROR, False),
+        (202, False, Role.DECODE, Verdict.ERROR, False),
+        (500, False, Role.DECODE, Verdict.ERROR, False),
+        (500, True, Role.DECODE, Verdict.ERROR, False),
+        (503, True, Role.PREFILL, Verdict.FULL, False),
+        (504, True, Role.DECODE, Verdict.FULL, False),
+        (503, False, Role.DECODE, Verdict.ERROR, False),
+        (504, False, Role.DECODE, Verdict.ERROR, False),
+        (410, True, Role.DECODE, Verdict.FULL, True),
+        (410, False, Role.DECODE, Verdict.ERROR, False),
+        (429, False, Role.DECODE, Verdict.ERROR, False),
+        (404, False, Role.PREFILL, Verdict.ERROR, False),
     ],
 )
-def test_what_a_status_proves(status: int, vouched: bool, duty: Duty, verdict: Verdict | None, lost: bool) -> None:
-    assert (outcome_of(status, vouched, duty).verdict, outcome_of(status, vouched, duty).state_lost) == (verdict, lost)
+def test_what_a_status_proves(status: int, vouched: bool, role: Role, verdict: Verdict | None, lost: bool) -> None:
+    assert (outcome_of(status, vouched, role).verdict, outcome_of(status, vouched, role).state_lost) == (verdict, lost)
 
 
 async def test_a_generation_is_read_written_and_passed_on_unchanged() -> None:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -72,8 +72,8 @@
         assert reply.done == 1 and reply.error is None and reply.text == whole.text
         ids = {json.loads(e)["id"] for e in reply.events if e != "[DONE]"}
         assert len(ids) == 1 and usage_of(reply) == usage_of(whole)
-        writers = attempts_at(w)
-        assert len(writers) == 2 and writers[0] != writers[1]
+        decode_servers = attempts_at(w)
+        assert len(decode_servers) == 2 and decode_servers[0] != decode_servers[1]
         await w.settled()
 
 
@@ -383,7 +383,7 @@
 def test_reading_anew_stays_within_its_share(steps: list[tuple[float, str, int, int]]) -> None:
     share, span = 0.25, 500.0
     pace: Pace[int] = Pace(share, span, 3)
-    pace.readers = 7
+    pace.prefill_servers = 7
     now, charged, alone, peak, largest = 0.0, 0.0, 0, 0.0, 0
     waiting: dict[int, int] = {}
     for i, (wait, what, toks, revenue) in enumerate(steps):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -86,14 +86,23 @@
     def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
         super().send(ticket, server, times)
         plan = ticket.attempt
-        if plan is not None and server.duty is port.Duty.READ:
-            others = [s for s in self.book.servers.values() if s.duty is port.Duty.READ and s is not server]
+        if plan is not None and server.role is port.Role.PREFILL:
+            others = [s for s in self.book.servers.values() if s.role is port.Role.PREFILL and s is not server]
             place = self.book.places[others[0]]
             again = AttemptPlan(place.address, [], b"", 400, 400)
             self.nursery.start_soon(
                 self.transport.read,
                 AttemptRequest(
-                    place.ident, place.address, Stage.READ, ticket.ident, 0, ticket.key, ticket.ask.raw, None, 1, again
+                    place.ident,
+                    place.address,
+                    Stage.PREFILL,
+                    ticket.ident,
+                    0,
+                    ticket.key,
+                    ticket.ask.raw,
+                    None,
+                    1,
+                    again,
                 ),
             )
 
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -40,8 +40,8 @@
     async with trio.open_nursery() as nursery:
         fleet, discovery, pool = Fleet(nursery), Discovery(nursery), Pool(1000, 1000)
         await discovery.start()
-        for name, duty, kind in (("r0", "read", "reader"), ("w0", "write", "writer")):
-            server = ModelServer(name, duty, fleet)
+        for name, role, kind in (("r0", "read", "reader"), ("w0", "write", "writer")):
+            server = ModelServer(name, role, fleet)
             await server.start()
             discovery.put(name, server.address, kind)
         spare = await trio.open_tcp_listeners(0, host="127.0.0.1")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -35,7 +35,7 @@
 
 ROOT = Path(__file__).parent.parent
 IDENTS = ("r0", "r1", "w0", "w0b", "w1")
-READERS, WRITERS = IDENTS[:2], IDENTS[2:]
+PREFILL_SERVERS, DECODE_SERVERS = IDENTS[:2], IDENTS[2:]
 # A busy machine must not matter. The time limit lies midway between the first and the second silence (twice the SLO
 # time) of a stalled stream, so that exactly two writers are asked whether or not a step takes a second longer.
 PRODUCTS = patient(3)
@@ -48,31 +48,31 @@
 AILS: dict[str, dict[str, str]] = {
     "all well": {},
     "one reader full": {"r0": "full"},
-    "all readers full": dict.fromkeys(READERS, "full"),
+    "all readers full": dict.fromkeys(PREFILL_SERVERS, "full"),
     "one reader fails": {"r0": "error"},
-    "all readers fail": dict.fromkeys(READERS, "error"),
+    "all readers fail": dict.fromkeys(PREFILL_SERVERS, "error"),
     "one reader breaks off": {"r1": "reset"},
-    "all readers silent": dict.fromkeys(READERS, "silent"),
+    "all readers silent": dict.fromkeys(PREFILL_SERVERS, "silent"),
     "one reader dead": {"r0": "dead"},
-    "all readers dead": dict.fromkeys(READERS, "dead"),
-    "all readers gone": dict.fromkeys(READERS, "gone"),
+    "all readers dead": dict.fromkeys(PREFILL_SERVERS, "dead"),
+    "all readers gone": dict.fromkeys(PREFILL_SERVERS, "gone"),
     "one reader drains": {"r1": "drains"},
     "one writer full": {"w0": "full"},
-    "all writers full": dict.fromkeys(WRITERS, "full"),
-    "all writers fail": dict.fromkeys(WRITERS, "error"),
-    "all writers break off": dict.fromkeys(WRITERS, "reset"),
-    "all writers silent": dict.fromkeys(WRITERS, "silent"),
-    "all writers stall": dict.fromkeys(WRITERS, "stall"),
-    "all writers break midway": dict.fromkeys(WRITERS, "midway"),
-    "all writers lack the state": dict.fromkeys(WRITERS, "nostate"),
+    "all writers full": dict.fromkeys(DECODE_SERVERS, "full"),
+    "all writers fail": dict.fromkeys(DECODE_SERVERS, "error"),
+    "all writers break off": dict.fromkeys(DECODE_SERVERS, "reset"),
+    "all writers silent": dict.fromkeys(DECODE_SERVERS, "silent"),
+    "all writers stall": dict.fromkeys(DECODE_SERVERS, "stall"),
+    "all writers break midway": dict.fromkeys(DECODE_SERVERS, "midway"),
+    "all writers lack the state": dict.fromkeys(DECODE_SERVERS, "nostate"),
     "two writers dead": {"w0": "dead", "w1": "dead"},
-    "all writers dead": dict.fromkeys(WRITERS, "dead"),
-    "all writers drain": dict.fromkeys(WRITERS, "drains"),
+    "all writers dead": dict.fromkeys(DECODE_SERVERS, "dead"),
+    "all writers drain": dict.fromkeys(DECODE_SERVERS, "drains"),
     "nobody listed": dict.fromkeys(IDENTS, "gone"),
-    "all writers slow": dict.fromkeys(WRITERS, "slow"),
+    "all writers slow": dict.fromkeys(DECODE_SERVERS, "slow"),
     "one reader slow": {"r0": "slow"},
     "new connections slow": dict.fromkeys(IDENTS, "handshake"),
-    "all readers forgot": dict.fromkeys(READERS, "flushed"),
+    "all readers forgot": dict.fromkeys(PREFILL_SERVERS, "flushed"),
     "answers lost at one writer, one dead": {"w0": "silent", "w0b": "dead"},
     "a reader and two writers ail": {"r0": "error", "w0": "full", "w0b": "dead"},
 }
@@ -165,7 +165,7 @@
             address=f"127.0.0.1:{ports.get(i, 9)}",
             cell=int(i[1]),
             mem_toks=2e5,
-            duty="read" if i[0] == "r" else "write",
+            role="read" if i[0] == "r" else "write",
             state=state.get(ails.get(i, ""), "up"),
         )  # type: ignore
         for i in IDENTS
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -102,10 +102,10 @@
         request, attempt = host.written(opening=None, opening_toks=0.0)
         host.first(request, attempt.server, after=20.0)
     host.tell(after=2000.0)
-    assert sent(host.arrive(host.request())).server.duty is port.Duty.READ
+    assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
 
 
-def readers(host: FakeHost, count: int) -> set[str]:
+def prefill_servers(host: FakeHost, count: int) -> set[str]:
     """By which readers so many requests are read, one after the other, once r0 has started just now."""
     host.servers["r0"].started_ms = host.now
     host.list()
@@ -114,7 +114,7 @@
     for _ in range(count):
         request = host.request(opening=None, opening_toks=0.0)
         read = sent(host.arrive(request)).server
-        write = sent(host.end(request, read, Verdict.READ, after=5.0)).server
+        write = sent(host.end(request, read, Verdict.PREFILLED, after=5.0)).server
         host.first(request, write, after=5.0)
         host.end(request, write, Verdict.STREAMED, after=5.0, over=True)
         used |= {name for name, server in host.servers.items() if server is read}
@@ -122,8 +122,8 @@
 
 
 def test_where_the_settings_allow_a_cold_server_nothing_it_is_sent_nothing() -> None:
-    assert readers(build(gateways=200, fall_multiple=0.0, cold_ms=60e3), 60) == {"r1"}
+    assert prefill_servers(build(gateways=200, fall_multiple=0.0, cold_ms=60e3), 60) == {"r1"}
 
 
 def test_where_the_settings_know_no_slow_start_a_new_server_is_used_at_once() -> None:
-    assert "r0" in readers(build(gateways=200, cold_ms=0.0), 60)
+    assert "r0" in prefill_servers(build(gateways=200, cold_ms=0.0), 60)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,7 +20,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Request, Group, Product, Server, Verdict
+from ternlane.port import Role, Effect, Request, Group, Product, Server, Verdict
 from tests.conftest import FACTS
 
 READ_TOKENS_PER_MS, TOKEN_MS, MEMORY_TOKENS = 8.0, 12.0, 60e3
@@ -71,9 +71,9 @@
             )
             self.servers.append(
                 [
-                    Server("east", n, duty, MEMORY_TOKENS, mark=zlib.crc32(b"%d%d" % (n, duty.value)))
+                    Server("east", n, role, MEMORY_TOKENS, mark=zlib.crc32(b"%d%d" % (n, role.value)))
                     for n in range(self.pairs)
-                    for duty in (Duty.READ, Duty.WRITE)
+                    for role in (Role.PREFILL, Role.DECODE)
                 ]
             )
             self.routers.append(Router(facts))
@@ -94,10 +94,10 @@
 
     def attempt(self, nth: int, request: Request, server: Server, timeout: float) -> None:
         place, since = self.servers[nth].index(server), self.now
-        if server.duty is Duty.READ:
+        if server.role is Role.PREFILL:
             done = max(self.busy_until[place], self.now) + request.prompt_toks / READ_TOKENS_PER_MS
             self.busy_until[place] = done
-            verdict = Verdict.READ if done <= self.now + timeout else Verdict.TIMED_OUT
+            verdict = Verdict.PREFILLED if done <= self.now + timeout else Verdict.TIMED_OUT
             took = min(done - self.now, timeout)
             self.at(self.now + took, nth, port.AttemptEnded(request, server, verdict, took, False))
             return
@@ -188,7 +188,7 @@
     fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
     fleet.tell(0, port.Arrived(first))
     home = fleet.routers[0].desk.homes["a"]  # type: ignore[attr-defined]
-    fleet.held[fleet.servers[0].index(home.writer.server)] = MEMORY_TOKENS
+    fleet.held[fleet.servers[0].index(home.decode_server.server)] = MEMORY_TOKENS
     for _ in range(8):
         turn = Request(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
         fleet.at(fleet.now + 3000.0, 0, ClientRequest("chat", turn, "a", fleet.now))
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -35,7 +35,7 @@
         reports_mem=False,
         longest_pause_ms=0.0,
         max_attempts=4,
-        writers_read=True,
+        decode_servers_prefill=True,
         release_ms=250.0,
     )
     summary, note, _ = paper.products
@@ -190,7 +190,7 @@
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
     request, attempt = host.written(session="s")
-    home = request.seat.reader.server
+    home = request.seat.prefill_server.server
     host.first(request, attempt.server)
     host.end(request, attempt.server, port.Verdict.STREAMED, over=True)
     host.tell(port.Altered(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False)))
@@ -201,7 +201,7 @@
     host = build(may_probe=True, told_if_asked=True)
     request = host.request()
     asked = [a.server for a in host.arrive(request)]
-    assert len(asked) == 2 and all(server.duty is port.Duty.READ for server in asked)
+    assert len(asked) == 2 and all(server.role is port.Role.PREFILL for server in asked)
     busy, idle = asked
     assert host.tell(port.Checked(busy, port.Verdict.STREAMED, port.Report(30.0, 0.99))) == []
     said = host.tell(port.Checked(idle, port.Verdict.STREAMED, port.Report(0.0, 0.05)))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -136,15 +136,15 @@
 
 
 def test_a_log_line_that_can_t_be_written_is_dropped_and_counted() -> None:
-    reader, writer = os.pipe()
-    log = LogOutput(writer)
+    prefill_server, decode_server = os.pipe()
+    log = LogOutput(decode_server)
     log.write("a line\n")
-    assert os.read(reader, 100) == b"a line\n" and log.dropped == 0
+    assert os.read(prefill_server, 100) == b"a line\n" and log.dropped == 0
     while log.dropped == 0:  # nobody reads any more
         log.write("x" * PIPE_BYTES)
-    os.close(reader)
+    os.close(prefill_server)
     log.write("nobody listens\n")
-    os.close(writer)
+    os.close(decode_server)
     log.write("it is closed\n")
     assert log.dropped == 3
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -43,21 +43,21 @@
     async with platform(
         *names.get(attempt, ["r0", "w0", "w1"]), told=told(connect_timeout=1000.0), **scripts.get(attempt, {})
     ) as p:
-        duty = "write" if attempt in ("hand-over", "further write") else "read"
+        role = "write" if attempt in ("hand-over", "further write") else "read"
         held = HeldConnects(monkeypatch, "")
         client = Client(p.address)
         if attempt.startswith("further"):
-            held.after(p, duty)
+            held.after(p, role)
         else:
-            held.address = p.servers["w0" if duty == "write" else "r0"].address
+            held.address = p.servers["w0" if role == "write" else "r0"].address
         client.send(request(p))
         await held.gate.reached.wait()
-        before = p.fleet.count(duty)
+        before = p.fleet.count(role)
         client.leave(how)
         held.gate.open()  # no turn of the loop lies between the two
         await until(lambda: p.gateway.node.counts["left"])
         await p.settled()
-        assert p.fleet.count(duty) == before == (1 if attempt.startswith("further") else 0)
+        assert p.fleet.count(role) == before == (1 if attempt.startswith("further") else 0)
 
 
 @pytest.mark.parametrize("how", LEAVINGS)
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -51,7 +51,7 @@
         return Kept({"by": ask.server, "of": ask.ident}, 10)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
-        if ask.stage is Stage.WRITE and (ask.state or {}).get("of") != ask.ident:
+        if ask.stage is Stage.DECODE and (ask.state or {}).get("of") != ask.ident:
             raise Refuses("no-state", state_lost=True)
         if self.trouble == "broken":
             raise RuntimeError("out of memory")
@@ -118,40 +118,40 @@
     async with trio.open_nursery() as nursery:
         bed = Bed(kind, nursery)
         transport = await bed.open()
-        end = await transport.read(bed.ask("r0", Stage.READ))
-        assert end.verdict is Verdict.READ and end.state is not None and end.usage is not None and bed.held() == 1
-        wrote, got = await collect(transport, bed.ask("w0", Stage.WRITE, end.state))
+        end = await transport.read(bed.ask("r0", Stage.PREFILL))
+        assert end.verdict is Verdict.PREFILLED and end.state is not None and end.usage is not None and bed.held() == 1
+        wrote, got = await collect(transport, bed.ask("w0", Stage.DECODE, end.state))
         assert wrote.verdict is Verdict.STREAMED and wrote.begun and len(got) == 6
         assert wrote.usage is not None and wrote.usage.completion_tokens == 6
         if kind == "local":
             bed.local["r0"].states.clear()  # a local engine hands its state on as it likes
-        again = await transport.read(bed.ask("r0", Stage.READ, ident="h"))
-        assert bed.held() == 1 and await transport.release("r0", bed.ask("r0", Stage.READ).address, "h", 200)
-        assert bed.held() == 0 and again.verdict is Verdict.READ
+        again = await transport.read(bed.ask("r0", Stage.PREFILL, ident="h"))
+        assert bed.held() == 1 and await transport.release("r0", bed.ask("r0", Stage.PREFILL).address, "h", 200)
+        assert bed.held() == 0 and again.verdict is Verdict.PREFILLED
 
         lost, _ = await collect(
-            transport, bed.ask("w0", Stage.WRITE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i")
+            transport, bed.ask("w0", Stage.DECODE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i")
         )
         assert (lost.verdict, lost.state_lost) == (Verdict.FULL, True)
         bed.trouble("r0", "full")
-        assert (await transport.read(bed.ask("r0", Stage.READ))).verdict is Verdict.FULL
+        assert (await transport.read(bed.ask("r0", Stage.PREFILL))).verdict is Verdict.FULL
         bed.trouble("r0", "hung")
-        assert (await transport.read(bed.ask("r0", Stage.READ, timeout=50))).verdict is Verdict.TIMED_OUT
+        assert (await transport.read(bed.ask("r0", Stage.PREFILL, timeout=50))).verdict is Verdict.TIMED_OUT
         bed.trouble("r0", "")
 
-        called = bed.ask("r0", Stage.READ)
+        called = bed.ask("r0", Stage.PREFILL)
         bed.trouble("r0", "hung")
         nursery.start_soon(_cancel, called)
         assert (await transport.read(called)).verdict is Verdict.CANCELLED
         bed.trouble("r0", "")
 
-        state = (await transport.read(bed.ask("r0", Stage.READ, ident="j"))).state
+        state = (await transport.read(bed.ask("r0", Stage.PREFILL, ident="j"))).state
 
         async def gone(text: str, first: bool) -> None:
             raise ClientGone
 
         with pytest.raises(ClientGone):
-            await transport.stream(bed.ask("w0", Stage.WRITE, state, ident="j"), gone)
+            await transport.stream(bed.ask("w0", Stage.DECODE, state, ident="j"), gone)
         assert kind == "sockets" or bed.local["w0"].closed == bed.local["w0"].effects
         transport.close()
         nursery.cancel_scope.cancel()
@@ -163,14 +163,14 @@
 
 
 def paper(*idents: str, **more: Any) -> GatewayPaper:
-    duty = {"r": "read", "w": "write"}
+    role = {"r": "read", "w": "write"}
     return GatewayPaper(
         name="lib",
         listen="127.0.0.1:0",
         products=PRODUCTS,
         fleet=TERMS,
         nodes=InlineSource(
-            nodes=[NodeLine(id=i, address="127.0.0.1:9", duty=duty[i[0]], mem_toks=2e5) for i in idents]
+            nodes=[NodeLine(id=i, address="127.0.0.1:9", role=role[i[0]], mem_toks=2e5) for i in idents]
         ),
         **more,
     )  # type: ignore
@@ -280,7 +280,7 @@
             engines.append(engine)
         w.gateway.found(
             [
-                NodeLine(id=e.ident, address=f"{e.host}:{e.port}", duty="both", mem_toks=2e5, protocol="chat")
+                NodeLine(id=e.ident, address=f"{e.host}:{e.port}", role="both", mem_toks=2e5, protocol="chat")
                 for e in engines
             ]
         )
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -219,8 +219,8 @@
         def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
             out = super().take(now, events)
             for action in list(out):
-                if isinstance(action, port.StartAttempt) and action.server.duty is port.Duty.READ:
-                    out.append(port.HoldAhead(action.request, action.request.seat.writer.server))
+                if isinstance(action, port.StartAttempt) and action.server.role is port.Role.PREFILL:
+                    out.append(port.HoldAhead(action.request, action.request.seat.decode_server.server))
             told.extend(e for e in events if isinstance(e, port.PlaceHeld))
             return out
 
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -19,7 +19,7 @@
 from ternlane.platform import process
 from ternlane.platform.protocol import NAME_CHARS
 from ternlane.platform.settings import Limits
-from ternlane.port import Duty, Effect
+from ternlane.port import Role, Effect
 from ternlane.standin.platform import Gate
 from tests.crossing import Client, request, until
 from tests.platform_world import Platform, always, platform
@@ -141,10 +141,10 @@
 
 def test_servers_that_do_both_are_known_where_a_variant_has_them() -> None:
     deployment = Deployment(1, settings("vigne-alte"))
-    assert {kind: deployment.duty[kind] for kind in deployment.duty} == {
-        "prefill": Duty.READ,
-        "decode": Duty.WRITE,
-        "mixed": Duty.BOTH,
+    assert {kind: deployment.role[kind] for kind in deployment.role} == {
+        "prefill": Role.PREFILL,
+        "decode": Role.DECODE,
+        "mixed": Role.BOTH,
     }
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -71,8 +71,8 @@
         self.pool = Pool(1000, 1000)
 
     async def add(self, ident: str, build: Build = BUILD, zone: str = "hall") -> Engine:
-        duty = {"r": "read", "w": "write", "m": "both"}[ident[0]]
-        engine = Engine(ident, duty, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
+        role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
+        engine = Engine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
         self.engines[ident] = engine
         up = trio.Event()
         self.nursery.start_soon(engine.run, self.nursery, up)
@@ -91,7 +91,7 @@
                 address=f"{e.host}:{e.port}",
                 zone=e.zone,
                 cell=e.cell,
-                duty=e.duty,
+                role=e.role,
                 mem_toks=e.build.mem_toks,
                 state=changes.get(e.ident, "up"),
             )
