--- a/bench/budget.py
+++ b/bench/budget.py
@@ -264,7 +264,7 @@
                 (
                     e.request,
                     e.tenant,
-                    e.product,
+                    e.request_class,
                     e.period,
                     e.wall,
                     e.outcome,
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -40,7 +40,7 @@
     far_tok_s=1e9,
     answer_toks=(8, 8),
 )
-PRODUCTS = [{"name": "summary", "effect": "idempotent", "slo_ms": 2000, "limit_ms": 10000, "revenue": 3}]
+REQUEST_CLASSES = [{"name": "summary", "effect": "idempotent", "slo_ms": 2000, "limit_ms": 10000, "revenue": 3}]
 TOKS = 8
 VARIANTS: dict[str, dict[str, Any]] = {
     "gateway": {},
@@ -202,7 +202,7 @@
                 {
                     "name": f"b{k}",
                     "listen": address,
-                    "products": PRODUCTS,
+                    "products": REQUEST_CLASSES,
                     "nodes": {"from": "inline", "nodes": nodes},
                     **{key: str(folder / value) if key == "journal" else value for key, value in more.items()},
                 }
--- a/bench/library.py
+++ b/bench/library.py
@@ -50,7 +50,7 @@
         name="b",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
-        products=[ternlane.ProductTerms(name="summary", effect="idempotent", slo_ms=2000, limit_ms=10000)],
+        request_classes=[ternlane.RequestClassConfig(name="summary", effect="idempotent", slo_ms=2000, limit_ms=10000)],
     )
 
 
@@ -109,7 +109,7 @@
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
-        request = port.Request(offer.products["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
+        request = port.Request(offer.request_classes["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
         attempt = next(a for a in router.take(now, [port.Arrived(request)]) if isinstance(a, port.StartAttempt))
         attempt = next(
             a
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -105,10 +105,10 @@
         nodes=ternlane.InlineSource(nodes=nodes),
         fleet=ternlane.FleetTerms(max_attempts=10),
         streams=ternlane.StreamTerms(**streams),
-        products=[
-            ternlane.ProductTerms(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
-            ternlane.ProductTerms(name="form", effect="deduplicated", group="cell", window_ms=20_000, **common),  # type: ignore[arg-type]
-            ternlane.ProductTerms(name="note", effect="side-effecting", **common),  # type: ignore[arg-type]
+        request_classes=[
+            ternlane.RequestClassConfig(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
+            ternlane.RequestClassConfig(name="form", effect="deduplicated", group="cell", window_ms=20_000, **common),  # type: ignore[arg-type]
+            ternlane.RequestClassConfig(name="note", effect="side-effecting", **common),  # type: ignore[arg-type]
         ],
     )
 
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -3,12 +3,14 @@
 import ternlane
 from ternlane import port
 
-product = ternlane.Product(ternlane.Effect.IDEMPOTENT, ternlane.Group.ALL, 0.0, 500.0, 40.0, 60.0, 5000.0, 3.0, 0.1)
+request_class = ternlane.RequestClass(
+    ternlane.Effect.IDEMPOTENT, ternlane.Group.ALL, 0.0, 500.0, 40.0, 60.0, 5000.0, 3.0, 0.1
+)
 facts = ternlane.StartFacts(
     seed=1,
     gateways=1,
     zone="hall",
-    products=(product,),
+    request_classes=(request_class,),
     max_attempts=5,
     may_cancel=True,
     may_hold_ahead=False,
@@ -38,7 +40,7 @@
 }
 router = ternlane.Router(facts)
 router.take(0.0, [port.Listed(tuple(names))])
-request = ternlane.Request(product, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
+request = ternlane.Request(request_class, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
 
 def attempt(actions: list) -> ternlane.Server:
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -54,7 +54,9 @@
         name="folder",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
-        products=[ternlane.ProductTerms(name="mirror", effect="side-effecting", slo_ms=500, limit_ms=2000)],
+        request_classes=[
+            ternlane.RequestClassConfig(name="mirror", effect="side-effecting", slo_ms=500, limit_ms=2000)
+        ],
     )
     with tempfile.TemporaryDirectory() as name:
         transport = FolderTransport(Path(name))
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -20,7 +20,7 @@
 _PLACES = {
     "Router": "choice",
     "StartFacts": "port",
-    "Product": "port",
+    "RequestClass": "port",
     "Server": "port",
     "Request": "port",
     "Effect": "port",
@@ -53,7 +53,7 @@
     "Usage": "engine",
     "Wrong": "chat",
     "GatewayPaper": "paper",
-    "ProductTerms": "paper",
+    "RequestClassConfig": "paper",
     "FleetTerms": "paper",
     "NodeLine": "paper",
     "DoorTerms": "paper",
@@ -102,7 +102,7 @@
     from ternlane.paper import InlineSource as InlineSource
     from ternlane.paper import NodeLine as NodeLine
     from ternlane.paper import PaperError as PaperError
-    from ternlane.paper import ProductTerms as ProductTerms
+    from ternlane.paper import RequestClassConfig as RequestClassConfig
     from ternlane.paper import StreamTerms as StreamTerms
     from ternlane.paper import checked as checked
     from ternlane.paper import read_paper as read_paper
@@ -112,7 +112,7 @@
     from ternlane.port import Request as Request
     from ternlane.port import Group as Group
     from ternlane.port import Life as Life
-    from ternlane.port import Product as Product
+    from ternlane.port import RequestClass as RequestClass
     from ternlane.port import Report as Report
     from ternlane.port import Server as Server
     from ternlane.port import StartFacts as StartFacts
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -10,7 +10,7 @@
 from ternlane.chat.openings import BLOCK, Openings, blocks
 from ternlane.chat.request import ChatAsk, Wrong, canonical
 from ternlane.chat.sessions import Sessions, chain
-from ternlane.port import Effect, Request, Group, Product, Tenant
+from ternlane.port import Effect, Request, Group, RequestClass, Tenant
 
 FIRST_TOKS_A_BYTE = 0.25  # until engines have said how many there were
 WEIGHT = 1 / 32  # of one more report
@@ -37,21 +37,21 @@
 class Intake:
     """One gateway's knowledge of conversations. `models` maps each model name to its product."""
 
-    def __init__(self, models: dict[str, Product], max_toks: dict[Product, int], session_limit: int) -> None:
+    def __init__(self, models: dict[str, RequestClass], max_toks: dict[RequestClass, int], session_limit: int) -> None:
         self.models, self.max_toks = models, max_toks
         self.sessions = Sessions(2 * session_limit)
         self.openings = Openings(BLOCKS_A_SESSION * session_limit)
         self.tenants: dict[str, Tenant] = {}  # by owner
-        self.toks_a_byte: dict[Product, float] = {}
+        self.toks_a_byte: dict[RequestClass, float] = {}
 
-    def offer(self, models: dict[str, Product], max_toks: dict[Product, int]) -> None:
+    def offer(self, models: dict[str, RequestClass], max_toks: dict[RequestClass, int]) -> None:
         """Other products from the next request on; what is known of conversations stays."""
         self.models, self.max_toks = models, max_toks
 
     def take(self, ask: ChatAsk, patience_ms: float, owner: str = "") -> Known:
         """Two owners' equal conversations are two. Raises Wrong for a model that no product is offered under."""
-        product = self.models.get(ask.model)
-        if product is None:
+        request_class = self.models.get(ask.model)
+        if request_class is None:
             raise Wrong("model", f"The model `{ask.model}` does not exist", "model_not_found", 404)
         whole = b"".join(ask.texts)
         last = chain(ask.texts, f"{ask.model}\0{owner}\0{ask.user or ''}".encode())
@@ -62,10 +62,10 @@
         run = blocks(whole)
         shared = self.openings.meet(run, xxh3_64_intdigest(session.encode()) >> 1)
         opening = xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None
-        ratio = self.toks_a_byte.get(product, FIRST_TOKS_A_BYTE)
-        limit = self.max_toks[product]
+        ratio = self.toks_a_byte.get(request_class, FIRST_TOKS_A_BYTE)
+        limit = self.max_toks[request_class]
         request = Request(
-            product,
+            request_class,
             session,
             opening,
             shared * BLOCK * ratio,
@@ -81,9 +81,9 @@
         """An engine has said how many tokens the prompt had; absurd figures are not believed."""
         if not 0 < prompt_toks <= 4 * known.prompt_bytes + 64:
             return
-        product, ratio = known.request.product, prompt_toks / known.prompt_bytes
-        old = self.toks_a_byte.get(product)
-        self.toks_a_byte[product] = ratio if old is None else old + WEIGHT * (ratio - old)
+        request_class, ratio = known.request.request_class, prompt_toks / known.prompt_bytes
+        old = self.toks_a_byte.get(request_class)
+        self.toks_a_byte[request_class] = ratio if old is None else old + WEIGHT * (ratio - old)
 
     def answered(self, known: Known, message: dict[str, Any]) -> None:
         """Lets the next turn be recognised by the message that was answered."""
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -45,7 +45,7 @@
     Request,
     Group,
     Life,
-    Product,
+    RequestClass,
     Refusal,
     ReleaseReason,
     Server,
@@ -73,7 +73,7 @@
 
 
 def limits_from(facts: StartFacts) -> Limits:
-    slo = min((p.slo_ms for p in facts.products if p.slo_ms), default=1000.0)
+    slo = min((p.slo_ms for p in facts.request_classes if p.slo_ms), default=1000.0)
     return Limits(
         slo_ms=slo,
         span_ms=2 * slo,
@@ -229,10 +229,10 @@
         self.next_due = self.least = inf  # of those waiting: when the first must begin, the shortest prompt
         self.shutdown = ShutdownSchedule()
         self.unanswered: dict[Course, None] = {}  # requests without a first token and without a final answer
-        self.usual: dict[tuple[Product, str], float] = {}
-        self.learnt_at: dict[Product, float] = {}
-        self.prompt: dict[Product, float] = {}
-        self.told: defaultdict[Product, float] = defaultdict(lambda: 0.5)  # part kept at the agreed reader
+        self.usual: dict[tuple[RequestClass, str], float] = {}
+        self.learnt_at: dict[RequestClass, float] = {}
+        self.prompt: dict[RequestClass, float] = {}
+        self.told: defaultdict[RequestClass, float] = defaultdict(lambda: 0.5)  # part kept at the agreed reader
         self.asked_for: Counter[str | None] = Counter()  # generations of each opening
         self.tok_ms = self.limits.slo_ms / 10e3
         self.fleets = {role: Beat() for role in Role}
@@ -274,11 +274,11 @@
             case port.Altered(facts):
                 self.router.limits, self.stuck = limits_from(facts), inf
                 self.adopt(facts)
-                kept = set(facts.products)  # what was learnt of those that are no more must not pile up
+                kept = set(facts.request_classes)  # what was learnt of those that are no more must not pile up
                 self.usual = {kind: ms for kind, ms in self.usual.items() if kind[0] in kept}
                 for table in (self.prompt, self.learnt_at, self.told):
-                    for product in table.keys() - kept:
-                        del table[product]
+                    for request_class in table.keys() - kept:
+                        del table[request_class]
                 for engine in self.board:
                     engine.post(News())
             case port.Ending(times):
@@ -296,14 +296,14 @@
                 self.answer_before_the_end()
 
     def arrived(self, request: Request) -> None:
-        now, product = self.router.now, request.product
-        slo = (product.slo_ms or request.patience_ms) + product.slo_per_ktok_ms * request.prompt_toks / 1000
+        now, request_class = self.router.now, request.request_class
+        slo = (request_class.slo_ms or request.patience_ms) + request_class.slo_per_ktok_ms * request.prompt_toks / 1000
         self.turn += 1
         lot = zlib.crc32(b"%d lot %d" % (self.seed, self.turn)) / 2**32
         request.seat = course = Course(request, now + slo, now + request.patience_ms, lot)
         self.unanswered[course] = None
-        mean = self.prompt.setdefault(product, max(request.prompt_toks, 1.0))
-        self.prompt[product] = mean + GAIN * (request.prompt_toks - mean)
+        mean = self.prompt.setdefault(request_class, max(request.prompt_toks, 1.0))
+        self.prompt[request_class] = mean + GAIN * (request.prompt_toks - mean)
         self.asked_for[request.opening] += request.opening is not None
         if now >= self.shutdown.admits_until:
             return self.finish(course, Refusal.SHUTDOWN)
@@ -354,7 +354,7 @@
     def fit(self, s: Standing, course: Course) -> bool:
         if s.trial and not s.shut:  # one leg at a time finds out, and none that can't be made good
             barred = any(b[0] >= s.engine.shut_until for c, b in s.engine.booked.items() if c is not course)
-            return not barred and (not s.engine.decodes or course.request.product.effect is Effect.IDEMPOTENT)
+            return not barred and (not s.engine.decodes or course.request.request_class.effect is Effect.IDEMPOTENT)
         return self.sound(s)
 
     def congested(self, s: Standing, course: Course) -> bool:
@@ -404,7 +404,7 @@
         if engine not in agreed:
             return self.tok_ms * request.prompt_toks
         known = request.opening_toks + (request.prompt_toks - request.opening_toks) / (1 + agreed.index(engine))
-        return self.tok_ms * (request.prompt_toks - self.told[request.product] * known)
+        return self.tok_ms * (request.prompt_toks - self.told[request.request_class] * known)
 
     def score(self, r: Standing, w: Standing, less: float) -> tuple[float, float]:
         a, b = r.engine.server, w.engine.server
@@ -488,10 +488,14 @@
     def record(self, engine: Seat, request: Request, verdict: Verdict, waited: float) -> None:
         """Guards against servers that look well and fail one product, refuse one tenant or lose answers."""
         if verdict in (Verdict.PREFILLED, Verdict.TIMED_OUT, Verdict.FULL):  # two such waits, and more is late
-            late = verdict is Verdict.FULL or 2 * MARGIN * waited > request.product.slo_ms
+            late = verdict is Verdict.FULL or 2 * MARGIN * waited > request.request_class.slo_ms
             self.late[engine.server.role] += GAIN * (late - self.late[engine.server.role])
         decodes, now = engine.decodes, self.router.now
-        for bad, kind in ((Verdict.ERROR, request.product), (Verdict.FULL, request.tenant), (Verdict.TIMED_OUT,) * 2):
+        for bad, kind in (
+            (Verdict.ERROR, request.request_class),
+            (Verdict.FULL, request.tenant),
+            (Verdict.TIMED_OUT,) * 2,
+        ):
             if kind is not None and verdict in (bad, Verdict.PREFILLED):
                 self.failures.add(kind, engine, decodes, verdict is bad, now)
 
@@ -502,42 +506,42 @@
     def loss(self, engine: Seat, course: Course) -> float:
         """What that risk costs: a leg's time, or all where an error of a writer ends it."""
         request = course.request
-        last = engine.decodes and request.product.effect is not Effect.IDEMPOTENT
-        fails = self.risk(engine, request.product) + self.risk(engine, Verdict.TIMED_OUT)
+        last = engine.decodes and request.request_class.effect is not Effect.IDEMPOTENT
+        fails = self.risk(engine, request.request_class) + self.risk(engine, Verdict.TIMED_OUT)
         return fails * (CROWD if last else SICK) + self.risk(engine, request.tenant) * SICK
 
     def ill(self, engine: Seat, course: Course) -> bool:
         """Has it failed this product, or refused this tenant, more often than not lately?"""
-        kinds = (course.request.product, course.request.tenant)
+        kinds = (course.request.request_class, course.request.tenant)
         return any(self.failures.fails_mostly(kind, engine, self.router.now) for kind in kinds)
 
     def latest(self, course: Course) -> float:
         """The last time at which a read may begin and the first token still come within the SLO time."""
-        product, end = course.request.product, min(course.slo_at, course.limit_at) - self.limits.beat_ms
-        return end - MARGIN * self.first_ms(product)
+        request_class, end = course.request.request_class, min(course.slo_at, course.limit_at) - self.limits.beat_ms
+        return end - MARGIN * self.first_ms(request_class)
 
-    def first_ms(self, product: Product) -> float:
-        return self.usual_ms(product, "read") + self.usual_ms(product, "open")
+    def first_ms(self, request_class: RequestClass) -> float:
+        return self.usual_ms(request_class, "read") + self.usual_ms(request_class, "open")
 
     def hopeless(self, course: Course) -> bool:
         """Guards against last tries, with less than the SLO time, whose reads could only be thrown away. What
         is usual is believed while it is fresh, or nobody would find out that all is well again."""
-        product, now = course.request.product, self.router.now
+        request_class, now = course.request.request_class, self.router.now
         return (
             course.limit_at < course.slo_at
-            and now + MARGIN * self.first_ms(product) > course.limit_at
-            and now - self.learnt_at.get(product, -inf) < DOUBT * self.limits.span_ms
+            and now + MARGIN * self.first_ms(request_class) > course.limit_at
+            and now - self.learnt_at.get(request_class, -inf) < DOUBT * self.limits.span_ms
         )
 
     def outweighed(self, course: Course) -> bool:
         """Guards against reads for what is late already, where they make others late that earn more."""
-        least = max(1.5 * GAIN, course.request.product.late_share)  # one late read in ten is no overload
+        least = max(1.5 * GAIN, course.request.request_class.late_share)  # one late read in ten is no overload
         return self.router.now >= course.slo_at and self.late[Role.PREFILL] > least
 
     def cut_off(self, course: Course) -> bool:
         """Guards against streams that this gateway will not see to their end: another may, if asked now."""
-        product = course.request.product
-        usual_ms = self.first_ms(product) + self.usual_ms(product, "stream")
+        request_class = course.request.request_class
+        usual_ms = self.first_ms(request_class) + self.usual_ms(request_class, "stream")
         return self.router.now + usual_ms > self.shutdown.ends_at
 
     def answer_before_the_end(self) -> None:
@@ -567,7 +571,7 @@
             return self.finish(course, Refusal.QUEUED_TOO_LONG)
         self.turn += 1
         latest = self.latest(course)
-        heapq.heappush(self.waiting, (-course.request.product.revenue, latest, self.turn, course))
+        heapq.heappush(self.waiting, (-course.request.request_class.revenue, latest, self.turn, course))
         self.next_due = min(self.next_due, latest)
         self.least = min(self.least, course.request.prompt_toks * course.waited)
 
@@ -595,30 +599,30 @@
 
     def send(self, course: Course, engine: Seat) -> None:
         assert not course.over and course.attempt is None and engine.server.life is Life.UP
-        now, product, s = self.router.now, course.request.product, self.board[engine]
+        now, request_class, s = self.router.now, course.request.request_class, self.board[engine]
         decodes, patience = engine is course.decode_server, course.limit_at - now
         whole = patience if course.request.whole else inf  # lest a slow writer outlast its client
         course.attempts += 1
         course.lease.attempt_begins()
         work = 0.0 if decodes else self.work_ms(engine, course)
-        usual = max(self.usual_ms(product, "open" if decodes else "read"), work + s.queue_ms)
+        usual = max(self.usual_ms(request_class, "open" if decodes else "read"), work + s.queue_ms)
         course.attempt = Attempt(
             engine, course, decodes, now, now, usual, work, work + s.ahead_ms / max(self.trust, GAIN), not s.linked
         )
-        if course.attempts < self.limits.max_attempts and (not decodes or product.effect is Effect.IDEMPOTENT):
+        if course.attempts < self.limits.max_attempts and (not decodes or request_class.effect is Effect.IDEMPOTENT):
             slow = 1 / CROWD if decodes else CROWD if self.told_if_asked else 1  # a told one is not mute
-            patience = min(patience, max(slow * product.slo_ms, 4 * course.attempt.usual_ms))
+            patience = min(patience, max(slow * request_class.slo_ms, 4 * course.attempt.usual_ms))
         engine.post(Sent(course.attempt))
-        quiet = max(self.limits.span_ms, DOUBT * product.tok_slo_ms)  # a mute stream has broken
+        quiet = max(self.limits.span_ms, DOUBT * request_class.tok_slo_ms)  # a mute stream has broken
         self.router.out.append(
             port.StartAttempt(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
         )
 
     def finish(self, course: Course, why: Refusal) -> None:
         """The one final answer, given at once: throttled wherever that promise is true, else terminated."""
-        product, window = course.request.product, self.window_ms(course)
-        pause = min(self.limits.pause_ms, product.slo_ms / 2)
-        harmless = window == inf or (product.group is Group.ALL and window > pause)
+        request_class, window = course.request.request_class, self.window_ms(course)
+        pause = min(self.limits.pause_ms, request_class.slo_ms / 2)
+        harmless = window == inf or (request_class.group is Group.ALL and window > pause)
         self.router.out.append(
             port.Throttle(course.request, pause, why) if harmless else port.Terminate(course.request, why)
         )
@@ -664,24 +668,26 @@
             return True
         first, other = course.may_have_run[1], engine.server
         same = {Group.ALL: True, Group.ZONE: first.zone == other.zone, Group.CELL: first.cell == other.cell}
-        return same[course.request.product.group] and self.window_ms(course) > 0
+        return same[course.request.request_class.group] and self.window_ms(course) > 0
 
     def window_ms(self, course: Course) -> float:
         """For how long a repeat does no harm, where the servers know it as one."""
-        product, ran = course.request.product, course.may_have_run
-        if ran is None or product.effect is Effect.IDEMPOTENT:
+        request_class, ran = course.request.request_class, course.may_have_run
+        if ran is None or request_class.effect is Effect.IDEMPOTENT:
             return inf
-        return ran[0] + product.window_ms - self.router.now if product.effect is Effect.DEDUPLICATED else -inf
+        return (
+            ran[0] + request_class.window_ms - self.router.now if request_class.effect is Effect.DEDUPLICATED else -inf
+        )
 
     def first_tok(self, course: Course, attempt: Attempt, took: float) -> None:
-        product = course.request.product
+        request_class = course.request.request_class
         course.lease.attempt_answered()
         self.unanswered.pop(course, None)
-        self.learn(product, "open", took)
+        self.learn(request_class, "open", took)
         if course.prefill_server is not None and course.prefill_server is not course.decode_server:
             course.prefill_server.post(Unbooked(course))
         self.record(attempt.engine, course.request, Verdict.PREFILLED, took)  # as good a sign
-        attempt.engine.post(StageEnded(attempt, True, self.usual_ms(product, "stream")))
+        attempt.engine.post(StageEnded(attempt, True, self.usual_ms(request_class, "stream")))
 
     def attempt_ended(self, note: port.AttemptEnded) -> None:
         course: Course = note.request.seat
@@ -691,9 +697,9 @@
             engine.post(Reported(note.report.mem_share, note.report.open_requests))
         if attempt is None:
             return
-        product, verdict = course.request.product, note.verdict
+        request_class, verdict = course.request.request_class, note.verdict
         if verdict is Verdict.STREAMED:
-            self.learn(product, "stream", self.router.now - attempt.since)
+            self.learn(request_class, "stream", self.router.now - attempt.since)
         good = True if verdict in (Verdict.PREFILLED, Verdict.STREAMED) else None if verdict in NO_SIGN else False
         engine.post(StageEnded(attempt, good, None))
         if verdict in (Verdict.UNCONNECTED, Verdict.RESET):
@@ -708,7 +714,7 @@
         if not attempt.decodes and verdict in (Verdict.PREFILLED, Verdict.TIMED_OUT):
             self.read_took(course, attempt, note)
         elif verdict is Verdict.TIMED_OUT:
-            self.learn(product, "open", note.took_ms)
+            self.learn(request_class, "open", note.took_ms)
         end = AttemptEnd(verdict, engine.prefills, note.state_lost)
         course.lease.attempt_ended(end, engine, self.router.now)
         course.over = course.over or note.over
@@ -755,15 +761,15 @@
     def read_took(self, course: Course, attempt: Attempt, note: port.AttemptEnded) -> None:
         """One that ran out of time took at least as long; were it not counted, ever more would."""
         request, took, unread = course.request, note.took_ms, course.request.prompt_toks - note.kept_toks
-        usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.product, request.prompt_toks))
-        if note.verdict is Verdict.PREFILLED or usual > self.usual_ms(request.product, "read"):  # or it was cut
-            self.learn(request.product, "read", usual)
+        usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.request_class, request.prompt_toks))
+        if note.verdict is Verdict.PREFILLED or usual > self.usual_ms(request.request_class, "read"):  # or it was cut
+            self.learn(request.request_class, "read", usual)
         self.foreseen += GAIN * (attempt.foreseen - self.foreseen)
         self.took += GAIN * (took - self.took)
         self.trust = min(CROWD**2, self.took / self.foreseen)
         if note.verdict is Verdict.PREFILLED and attempt.engine in course.agreed[:1]:
-            self.told[request.product] += GAIN * (
-                1 - unread / max(request.prompt_toks, 1.0) - self.told[request.product]
+            self.told[request.request_class] += GAIN * (
+                1 - unread / max(request.prompt_toks, 1.0) - self.told[request.request_class]
             )
         self.read_ms += GAIN * (self.tok_ms * unread - self.read_ms)
         if note.verdict is Verdict.PREFILLED and unread > LONG_READ:  # short ones tell of steps and queues
@@ -794,13 +800,13 @@
                 self.homes[course.request.session] = Home(course.prefill_server, decode_server, self.router.now)
         self.send(course, decode_server)
 
-    def usual_ms(self, product: Product, stage: str) -> float:
-        first = product.tok_slo_ms * 100 / CROWD if stage == "stream" else (product.slo_ms or 1000.0) / 8
-        return self.usual.get((product, stage), first)
+    def usual_ms(self, request_class: RequestClass, stage: str) -> float:
+        first = request_class.tok_slo_ms * 100 / CROWD if stage == "stream" else (request_class.slo_ms or 1000.0) / 8
+        return self.usual.get((request_class, stage), first)
 
-    def learn(self, product: Product, stage: str, took: float) -> None:
-        self.learnt_at[product] = self.router.now
-        self.usual[product, stage] = (1 - GAIN) * self.usual_ms(product, stage) + GAIN * took
+    def learn(self, request_class: RequestClass, stage: str, took: float) -> None:
+        self.learnt_at[request_class] = self.router.now
+        self.usual[request_class, stage] = (1 - GAIN) * self.usual_ms(request_class, stage) + GAIN * took
 
     def beat(self) -> None:
         now, out = self.router.now, self.router.out
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -337,7 +337,7 @@
 @click.option("--cut/--no-cut", default=None, help="end streams that pass the overdraft")
 @click.option("--clear", is_flag=True, help="forget what was set before")
 @ROLL
-def budget_set(name: str, product: str, clear: bool, file: str, **given: Any) -> None:
+def budget_set(name: str, request_class: str, clear: bool, file: str, **given: Any) -> None:
     """Changes the limits that are named; gateways take it over within a second, open generations keep theirs."""
     import msgspec
 
@@ -345,10 +345,10 @@
 
     def change(roll: Any) -> Any:
         it = tenant_of(roll, name)
-        old = Budget() if clear else (it.products.get(product, Budget()) if product else it.budget)
+        old = Budget() if clear else (it.request_classes.get(request_class, Budget()) if request_class else it.budget)
         limits = msgspec.to_builtins(old) | {k: v for k, v in given.items() if v is not None}
         made = msgspec.convert(limits, Budget)
-        changed = {"products": {**it.products, product: made}} if product else {"budget": made}
+        changed = {"products": {**it.request_classes, request_class: made}} if request_class else {"budget": made}
         return replace_tenant(roll, msgspec.structs.replace(it, **changed))
 
     change_roll(file, change)
@@ -368,8 +368,8 @@
                 f"{it.name}  period {it.period} {it.zone}  minute {b.minute} burst {b.burst} period {b.period} "
                 f"at once {b.at_once} overdraft {b.overdraft}"
             )
-            for product, own in it.products.items():
-                click.echo(f"  {product}: minute {own.minute} period {own.period} at once {own.at_once}")
+            for request_class, own in it.request_classes.items():
+                click.echo(f"  {request_class}: minute {own.minute} period {own.period} at once {own.at_once}")
             for key in it.keys:
                 click.echo(f"  key {key.name} {key.state}" + (f" until {key.until:.0f}" if key.until else ""))
 
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -62,7 +62,7 @@
         if (
             server.role is not Role.PREFILL
             and verdict not in (Verdict.FULL, Verdict.UNCONNECTED)
-            and request.product.effect is not Effect.IDEMPOTENT
+            and request.request_class.effect is not Effect.IDEMPOTENT
         ):
             self.ran.add(request)
             return [port.Terminate(request), port.Release(request), *self.forget(request)]
--- a/ternlane/days/bench.py
+++ b/ternlane/days/bench.py
@@ -120,11 +120,11 @@
     cells, scale = cells_of(raw, engines)
     zones = list(dict.fromkeys(str(c["zone"]) for c in cells))
     fam, length = raw["fam"], raw["length"] / 1e6 / speed
-    products, uses = [], []
+    request_classes, uses = [], []
     for cls, talk in zip(raw["classes"], fam["talks"], strict=True):
         name, toks = name_of(cls["name"]), float(talk["prefix_tokens"]) + float(talk["new_tokens"])
         shrink = min(1.0, TOKS_LIMIT / max(toks * max(1.0, talk["turns"] / 2), 1.0))
-        products.append(
+        request_classes.append(
             {
                 "name": name,
                 "effect": EFFECTS[cls["effect"]],
@@ -190,7 +190,7 @@
             "tok_grow": 0.5,
             **near,
         },
-        "products": products,
+        "products": request_classes,
         "uses": uses,
         "terms": {
             "leg_limit": raw["allow"]["max_attempts"],
--- a/ternlane/days/parts.py
+++ b/ternlane/days/parts.py
@@ -179,8 +179,8 @@
     match act.trouble:
         case Burst(times=times):
             w.rate = times if on else 1.0
-        case HeavyTail(share=share, times=times, product=product):
-            w.long_part, w.long_times, w.long_product = (share, times, product) if on else (0.0, 1.0, "")
+        case HeavyTail(share=share, times=times, request_class=request_class):
+            w.long_part, w.long_times, w.long_request_class = (share, times, request_class) if on else (0.0, 1.0, "")
         case TenantRush(share=share):
             w.rush_part = share if on else 0.0
         case HotKey(share=share, keys=keys, toks=toks):
--- a/ternlane/days/plan.py
+++ b/ternlane/days/plan.py
@@ -102,13 +102,13 @@
 
 
 def talks_of(day: DayScript) -> list[Talk]:
-    terms = {p.name: p for p in day.products}
+    terms = {p.name: p for p in day.request_classes}
     return [
         Talk(
-            u.product,
-            terms[u.product].effect,
+            u.request_class,
+            terms[u.request_class].effect,
             u.share,
-            terms[u.product].limit_ms,
+            terms[u.request_class].limit_ms,
             u.turns,
             u.adds,
             u.openings,
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -72,7 +72,7 @@
                 "limit_ms": p.limit_ms,
                 "late_share": p.late_share,
             }
-            for p in day.products
+            for p in day.request_classes
         },
     }
 
@@ -161,7 +161,7 @@
                 gateways=self.day.gateways,
                 seed=self.day.seed * 100 + i,
                 state=str(self.folder / f"{name}.nodes"),
-                products=self.day.products,
+                request_classes=self.day.request_classes,
                 nodes=ConsulSource(address=f"{scene.registry[0]}:{scene.registry[1]}", service="engines"),
                 fleet=self.day.terms,
                 door=self.day.door,
--- a/ternlane/days/report.py
+++ b/ternlane/days/report.py
@@ -38,8 +38,8 @@
                 attempts += 1
             case "leg_end":
                 verdicts[f"{line['how'].split(' ')[0]}"] += 1
-    terms = {p.name: p for p in day.products}
-    products: dict[str, dict[str, Any]] = {}
+    terms = {p.name: p for p in day.request_classes}
+    request_classes: dict[str, dict[str, Any]] = {}
     owners: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])  # earned in time, could be earned
     for name, p in terms.items():
         mine = [t for t in tasks.values() if t["product"] == name]
@@ -58,7 +58,7 @@
             late += wait > slo
             owners[task.get("tenant", "")][0] += p.revenue if wait <= slo else p.revenue * p.late_share
         earned = p.revenue * (in_time + p.late_share * late)
-        products[name] = {
+        request_classes[name] = {
             "asked": len(mine),
             "outcomes": dict(outcomes),
             "in_time": in_time,
@@ -67,7 +67,7 @@
             "could_earn": round(p.revenue * len(mine), 1),
             "first_token_ms": {q: round(quantile(waits, float(q)), 1) for q in ("0.5", "0.9", "0.99")},
         }
-    could = sum(v["could_earn"] for v in products.values())
+    could = sum(v["could_earn"] for v in request_classes.values())
     span = max((a["t"] for v in asks.values() for a in v), default=0) - min(
         (a["t"] for v in asks.values() for a in v), default=0
     )
@@ -78,10 +78,10 @@
         "generations": len(tasks),
         "tries": sum(map(len, asks.values())),
         "per_second": round(len(tasks) / max(span / 1000, 1e-9), 1),
-        "revenue_in_time": round(sum(v["earned"] for v in products.values()) / could, 4) if could else 0.0,
+        "revenue_in_time": round(sum(v["earned"] for v in request_classes.values()) / could, 4) if could else 0.0,
         **({"accounts": accounts_of(folder, day, lines, span / 1000, owners)} if day.tenants else {}),
         "streams": streams_of(lines),
-        "products": products,
+        "products": request_classes,
         "legs": attempts,
         "legs_each": round(attempts / max(1, len(finals)), 3),
         "legs_ended": dict(verdicts),
--- a/ternlane/days/script.py
+++ b/ternlane/days/script.py
@@ -15,7 +15,7 @@
     NotNegative,
     Part,
     Positive,
-    ProductTerms,
+    RequestClassConfig,
     Sheet,
     StreamTerms,
 )
@@ -48,7 +48,7 @@
 class Use(Sheet, frozen=True, kw_only=True):
     """How clients use one product."""
 
-    product: Name
+    request_class: Name
     share: Positive = 1.0
     turns: Span = (1.0, 2.0)
     adds: Span = (100.0, 400.0)
@@ -93,7 +93,7 @@
 
     share: Part = 0.02
     times: Positive = 10.0
-    product: str = ""
+    request_class: str = ""
 
 
 class HotKey(Struck, frozen=True, kw_only=True, tag="hot_key", tag_field="kind"):
@@ -258,7 +258,7 @@
     prefill_server: Kind = Kind()
     decode_server: Kind = Kind()
     mixed: Kind = Kind()
-    products: Annotated[list[ProductTerms], Meta(min_length=1)]
+    request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
     uses: Annotated[list[Use], Meta(min_length=1)]
     terms: FleetTerms = FleetTerms()
     door: DoorTerms = DoorTerms()
@@ -272,10 +272,10 @@
     troubles: list[AnyTrouble] = []
 
     def __post_init__(self) -> None:
-        names = {p.name for p in self.products}
+        names = {p.name for p in self.request_classes}
         for i, use in enumerate(self.uses):
-            if use.product not in names:
-                raise ValueError(f"uses[{i}].product {use.product!r} is not among the products")
+            if use.request_class not in names:
+                raise ValueError(f"uses[{i}].product {use.request_class!r} is not among the products")
         zones = {c.zone for c in self.cells}
         engines = sum(c.prefill_servers + c.decode_servers + c.mixed for c in self.cells)
         for i, trouble in enumerate(self.troubles):
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -11,7 +11,7 @@
 from typing import Any, Mapping
 from zlib import crc32
 
-from ternlane.port import Role, Effect, Request, Group, Product, Report, Server, StartFacts, Tenant
+from ternlane.port import Role, Effect, Request, Group, RequestClass, Report, Server, StartFacts, Tenant
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
@@ -38,13 +38,16 @@
         self.told = told
         try:
             self._read(
-                seed, told, before.products if before is not None else {}, before.tenants if before is not None else {}
+                seed,
+                told,
+                before.request_classes if before is not None else {},
+                before.tenants if before is not None else {},
             )
         except (KeyError, TypeError, AttributeError) as why:
             raise ValueError(f"settings: {type(why).__name__}: {why}") from None
 
     def _read(
-        self, seed: int, told: Mapping[str, Any], held: Mapping[str, Product], held_tenants: Mapping[str, Tenant]
+        self, seed: int, told: Mapping[str, Any], held: Mapping[str, RequestClass], held_tenants: Mapping[str, Tenant]
     ) -> None:
         limits, rules, spec = told.get("limits", {}), told.get("invariants", {}), told.get("specifics", {})
         report = told.get("report", {})
@@ -55,10 +58,10 @@
         self.role = {k: ROLES.get(d, Role.BOTH) for k, d in zip(kinds, spec.get("duty_by_kind", []))}
         self.mem = {k: float(toks) for k, toks in zip(kinds, spec.get("tokens_by_kind", []))}
         per_ktok, tok_slo = spec.get("aim_us_per_1000_prompt_tokens", []), spec.get("token_aim", [])
-        self.products: dict[str, Product] = {}
+        self.request_classes: dict[str, RequestClass] = {}
         for i, p in enumerate(told.get("profiles", [])):
             of_class = f"of class {p['name']!r}"
-            new = Product(
+            new = RequestClass(
                 effect=EFFECTS.get(p.get("semantics", ""), Effect.SIDE_EFFECTING),
                 group=GROUPS.get(p.get("group", ""), Group.CELL),
                 window_ms=figure(f"window_ms {of_class}", p, "key_ttl", 0.0),
@@ -70,13 +73,13 @@
                 late_share=figure(f"late_share {of_class}", p, "late_worth", 0.0),
             )
             old = held.get(p["name"])
-            self.products[p["name"]] = old if old is not None and astuple(old) == astuple(new) else new
+            self.request_classes[p["name"]] = old if old is not None and astuple(old) == astuple(new) else new
         self.tenants = {t["name"]: held_tenants.get(t["name"]) or Tenant() for t in told.get("tenants", [])}
         self.facts = StartFacts(
             seed=seed,
             gateways=max(1, int(figure("gateways", told, "n_instances", 1))),
             zone=told.get("locality", ""),
-            products=tuple(self.products.values()),
+            request_classes=tuple(self.request_classes.values()),
             max_attempts=int(figure("leg_limit", limits, "most_tries", 1)),
             may_cancel=bool(limits.get("cancel")),
             may_hold_ahead=self.holds_allowed,
@@ -99,8 +102,8 @@
             told_if_asked=how == "on_probe",
             releases_spare_attempts=True,
         )
-        for name, product in self.products.items():
-            if not all(isinstance(v, (int, float)) and 0 <= v < inf for v in astuple(product)[2:]):
+        for name, request_class in self.request_classes.items():
+            if not all(isinstance(v, (int, float)) and 0 <= v < inf for v in astuple(request_class)[2:]):
                 raise ValueError(f"settings: a figure of class {name!r} is no number, or negative")
 
     def server(self, ident: str, zone: str, kind: str, cell: int) -> Server:
@@ -112,7 +115,7 @@
 
     def request(
         self,
-        product: Product,
+        request_class: RequestClass,
         session: str | None,
         opening: str | None,
         opening_toks: float,
@@ -122,5 +125,12 @@
         tenant: str = "",
     ) -> Request:
         return Request(
-            product, session, opening, opening_toks, prompt_toks, max_toks, patience_ms, tenant=self.tenants.get(tenant)
+            request_class,
+            session,
+            opening,
+            opening_toks,
+            prompt_toks,
+            max_toks,
+            patience_ms,
+            tenant=self.tenants.get(tenant),
         )
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -113,7 +113,7 @@
         """Takes over `products`, `fleet`, `gateways`, `zone` and inline nodes of another paper, and back by the same
         call; what was taken in keeps its product's terms. Raises PaperError, and then nothing has changed."""
         self.paper = checked(paper)
-        self.offer = offer_of(self.paper, self.offer.products)
+        self.offer = offer_of(self.paper, self.offer.request_classes)
         self.facts = self.offer.facts
         self.host.alter(self.offer)
         if isinstance(self.paper.nodes, InlineSource):
@@ -126,8 +126,8 @@
         """`request` as the chat API has it; `time_limit_ms` at most the product's own; `key` under which engines drop
         repeats. Raises Wrong, which names the field, before anything is sent."""
         ask = body if isinstance(body, ChatAsk) else read_chat(msgspec.json.encode(body))
-        product = self.intake.models.get(ask.model)
-        limit = product.limit_ms if product is not None else 0.0
+        request_class = self.intake.models.get(ask.model)
+        limit = request_class.limit_ms if request_class is not None else 0.0
         known = self.intake.take(ask, limit if time_limit_ms is None else min(limit, time_limit_ms))
         known.request.whole = False  # the caller sees the text as it comes
         stream, ident = Stream(), f"{self.paper.name}-{next(self.count)}"
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -34,7 +34,7 @@
 from ternlane.gateway.ticket import Final, Outlet, Streamed, Terminated, Throttled, Ticket
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
 from ternlane.paper import DoorTerms, GatewayPaper
-from ternlane.port import Product
+from ternlane.port import RequestClass
 from ternlane.recover import comes_out_the_same
 from ternlane.recover.inflight import Known
 from ternlane.tenants import Hold, Refusal, TenantLine, Unknown
@@ -126,7 +126,7 @@
         paper: GatewayPaper,
         host: Host,
         intake: Intake,
-        models: dict[str, Product],
+        models: dict[str, RequestClass],
         measures: Measures,
         log: Any,
         till: Till | None = None,
@@ -134,7 +134,7 @@
         self.paper, self.host, self.intake, self.models = paper, host, intake, models
         self.measures, self.log, self.till = measures, log, till
         self.terms: DoorTerms = paper.door
-        self.names = {product: name for name, product in reversed(models.items())}
+        self.names = {request_class: name for name, request_class in reversed(models.items())}
         self.repeats = Repeats(paper.door.repeat_bytes)
         self.count = count(1)
         self.started = int(time.time())
@@ -142,11 +142,11 @@
         self.draining = False
         self.conns = self.busy = 0  # connections, and requests being answered
 
-    def alter(self, paper: GatewayPaper, models: dict[str, Product]) -> None:
+    def alter(self, paper: GatewayPaper, models: dict[str, RequestClass]) -> None:
         """New limits, from the next connection on, and other products, from the next request on; the answers kept for
         repeats stay."""
         self.paper, self.terms, self.models = paper, paper.door, models
-        self.names = {product: name for name, product in reversed(models.items())}
+        self.names = {request_class: name for name, request_class in reversed(models.items())}
         self.repeats.byte_limit = paper.door.repeat_bytes
 
     async def connection(self, stream: trio.SocketStream) -> None:
@@ -331,7 +331,7 @@
         """Makes the generation and reserves for it. Raises Wrong, or NotTaken where the budget has no room."""
         owner = tenant.name if tenant is not None else ""
         known = self.intake.take(ask, patience, owner)
-        if after and not comes_out_the_same(ask.raw, known.request.product.effect):
+        if after and not comes_out_the_same(ask.raw, known.request.request_class.effect):
             raise NotTaken(
                 409,
                 "The rest of this answer can't be had: it is not kept, and another run must not be, or "
@@ -342,7 +342,7 @@
         hold: Hold | None = None
         if self.till is not None and tenant is not None:
             got = self.till.reserve(
-                tenant, self.names[known.request.product], known.request.prompt_toks, int(known.request.max_toks)
+                tenant, self.names[known.request.request_class], known.request.prompt_toks, int(known.request.max_toks)
             )
             if isinstance(got, Refusal):
                 raise over_budget(got)
@@ -381,9 +381,9 @@
             ident = f"{self.birth}-{next(self.count)}"
         return ident
 
-    def patience(self, exchange: Exchange, product: Product | None) -> float:
+    def patience(self, exchange: Exchange, request_class: RequestClass | None) -> float:
         """The client's time limit where it states a shorter one, less what the answer's way back may take."""
-        limit = product.limit_ms if product is not None else 0.0
+        limit = request_class.limit_ms if request_class is not None else 0.0
         said = exchange.header(TIME_LIMIT)
         if said is not None:
             try:
@@ -447,9 +447,9 @@
 
     def remember(self, key: str, ticket: Ticket) -> None:
         """Ends the key's first request with what a repeat will hear."""
-        product, final = ticket.request.product, ticket.for_repeats()
+        request_class, final = ticket.request.request_class, ticket.for_repeats()
         cost = len(final.text) if isinstance(final, Streamed) else 0
-        self.repeats.end(key, final, cost, now_ms() + max(product.window_ms, product.limit_ms))
+        self.repeats.end(key, final, cost, now_ms() + max(request_class.window_ms, request_class.limit_ms))
         self.repeats.sweep(now_ms())
 
     async def replay(self, exchange: Exchange, final: Final, ask: ChatAsk, after: int) -> None:
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -6,7 +6,7 @@
 
 from ternlane.chat.intake import EFFECTS, GROUPS
 from ternlane.paper import GatewayPaper
-from ternlane.port import Product, StartFacts
+from ternlane.port import RequestClass, StartFacts
 
 STEP_MS = 1.0  # the host hands events over as they come
 
@@ -16,18 +16,18 @@
     """What a document comes to: products by their names and by all model names, the longest answer of each, and what
     the decisions are told."""
 
-    products: dict[str, Product]
-    models: dict[str, Product]
-    max_toks: dict[Product, int]
+    request_classes: dict[str, RequestClass]
+    models: dict[str, RequestClass]
+    max_toks: dict[RequestClass, int]
     facts: StartFacts
 
 
-def offer_of(paper: GatewayPaper, held: dict[str, Product] | None = None) -> Offer:
+def offer_of(paper: GatewayPaper, held: dict[str, RequestClass] | None = None) -> Offer:
     """A product of `held` whose terms are the same stays the object that it is, with all that was learnt of it; a
     changed one is another, and what was taken before keeps its own."""
-    products: dict[str, Product] = {}
-    for p in paper.products:
-        new = Product(
+    request_classes: dict[str, RequestClass] = {}
+    for p in paper.request_classes:
+        new = RequestClass(
             EFFECTS[p.effect],
             GROUPS[p.group],
             p.window_ms,
@@ -39,22 +39,22 @@
             p.late_share,
         )
         old = (held or {}).get(p.name)
-        products[p.name] = old if old is not None and astuple(old) == astuple(new) else new
+        request_classes[p.name] = old if old is not None and astuple(old) == astuple(new) else new
     return Offer(
-        products,
-        {model: products[p.name] for p in paper.products for model in (p.name, *p.models)},
-        {products[p.name]: p.max_toks for p in paper.products},
-        facts_of(paper, products),
+        request_classes,
+        {model: request_classes[p.name] for p in paper.request_classes for model in (p.name, *p.models)},
+        {request_classes[p.name]: p.max_toks for p in paper.request_classes},
+        facts_of(paper, request_classes),
     )
 
 
-def facts_of(paper: GatewayPaper, products: dict[str, Product]) -> StartFacts:
+def facts_of(paper: GatewayPaper, request_classes: dict[str, RequestClass]) -> StartFacts:
     fleet = paper.fleet
     return StartFacts(
         seed=paper.seed,
         gateways=paper.gateways,
         zone=paper.zone,
-        products=tuple(products.values()),
+        request_classes=tuple(request_classes.values()),
         max_attempts=fleet.max_attempts,
         may_cancel=fleet.may_cancel,
         may_hold_ahead=fleet.holds,
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -158,7 +158,7 @@
                 kept_back.append(field)
         self.paper = msgspec.structs.replace(old, **{field: getattr(paper, field) for field in changed})
         if set(changed) - {"door", "nodes"}:
-            self.offer = offer_of(self.paper, self.offer.products)
+            self.offer = offer_of(self.paper, self.offer.request_classes)
             self.facts = self.offer.facts
             self.pool.connect_ms, self.pool.idle_ms = self.paper.fleet.connect_ms, self.paper.fleet.idle_ms
             self.host.alter(self.offer)
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -40,7 +40,7 @@
     # -- what happens
 
     def took(self, ticket: Ticket) -> None:
-        product, now = ticket.request.product, time.time() * 1000
+        request_class, now = ticket.request.request_class, time.time() * 1000
         if not ticket.repeat_key:  # nobody can ask for it again: only what it holds need be known
             ticket.noted = ""
             return
@@ -51,9 +51,9 @@
                 ticket.ident,
                 ticket.repeat_key,
                 ticket.mark,
-                product.effect.name,
+                request_class.effect.name,
                 now,
-                now + max(product.window_ms, product.limit_ms),
+                now + max(request_class.window_ms, request_class.limit_ms),
             )
         )
 
@@ -65,7 +65,7 @@
             return None
         ticket.noted = ticket.noted or f"{self.birth}.{next(self.count)}"
         number = self.writer.add(Sent(ticket.noted, ticket.ident, server, address, protocol, prefills, decodes))
-        needed = decodes and ticket.repeat_key and ticket.request.product.effect is not Effect.IDEMPOTENT
+        needed = decodes and ticket.repeat_key and ticket.request.request_class.effect is not Effect.IDEMPOTENT
         return number if needed else None
 
     def freed(self, ticket: Ticket) -> None:
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/ticket.py
@@ -92,7 +92,7 @@
     def for_repeats(self) -> Final | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else type(self.final).__name__.lower()
-        match kept_for_repeats(self.request.product.effect, outcome, self.attempts):
+        match kept_for_repeats(self.request.request_class.effect, outcome, self.attempts):
             case Keep.NOTHING:
                 return None
             case Keep.UNSURE:
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -89,8 +89,8 @@
                 meter = self.cashier.meters.get((name, ""))
                 if meter is not None and toks > 0:
                     meter.draw(toks, target)
-            for (name, product, period, _), chunk in zip(periods, chunks, strict=True):
-                meter = self.cashier.meters.get((name, product))
+            for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
+                meter = self.cashier.meters.get((name, request_class))
                 if meter is not None and meter.period is not None and meter.period.name == period:
                     meter.allowed += chunk
 
@@ -103,14 +103,17 @@
                 lender.ask(name, self.paper.name, want, it.minute or 0, it.most_saved, time.time(), least)
                 for name, want, _, it, least in asks
             ]
-            return got, [lender.draw(f"{name}/{product}", period, budget) for name, product, period, budget in periods]
+            return got, [
+                lender.draw(f"{name}/{request_class}", period, budget)
+                for name, request_class, period, budget in periods
+            ]
 
     def whose(self, authorization: str | None) -> TenantLine:
         """Raises tenants.Unknown."""
         return self.roll.whose(authorization, time.time())
 
-    def reserve(self, tenant: TenantLine, product: str, prompt: float, most: int) -> Hold | Refusal:
-        return self.cashier.reserve(tenant, product, int(prompt), most, now_ms(), time.time())
+    def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | Refusal:
+        return self.cashier.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def affords(self, ticket: Ticket) -> bool:
         return ticket.hold is None or not self.cashier.overrun(ticket.hold, len(ticket.pieces))
--- a/ternlane/ledger/store.py
+++ b/ternlane/ledger/store.py
@@ -80,7 +80,7 @@
     sums: dict[tuple[str, str, str], Sum] = field(default_factory=dict)
 
     def add(self, entry: Entry) -> None:
-        key = entry.tenant, entry.product, entry.period
+        key = entry.tenant, entry.request_class, entry.period
         it = self.sums.get(key)
         if it is None:
             it = self.sums[key] = Sum()
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -53,7 +53,7 @@
     whatever the answers do. `late_ms`: by how much the tool itself may be late for one request in a hundred. `tenants`:
     keys, and the weight of each."""
 
-    products: Annotated[list[Mix], Meta(min_length=1)]
+    request_classes: Annotated[list[Mix], Meta(min_length=1)]
     seconds: Positive = 10.0
     arrivals: Arrivals = Arrivals()
     at_once: Annotated[int, Meta(ge=0)] = 0
@@ -118,17 +118,17 @@
 
     def __init__(self, paper: LoadPaper, rng: random.Random) -> None:
         self.paper, self.rng = paper, rng
-        self.shares = list(accumulate(m.share for m in paper.products))
-        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.openings))) for m in paper.products]
+        self.shares = list(accumulate(m.share for m in paper.request_classes))
+        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.openings))) for m in paper.request_classes]
         self.tenants = list(accumulate(paper.tenants.values()))
 
     def ask(self, at_s: float) -> Ask:
         rng = self.rng
         at = bisect(self.shares, rng.random() * self.shares[-1])
-        mix = self.paper.products[min(at, len(self.shares) - 1)]
+        mix = self.paper.request_classes[min(at, len(self.shares) - 1)]
         messages: list[dict[str, str]] = []
         if mix.openings:
-            sums = self.zipf[self.paper.products.index(mix)]
+            sums = self.zipf[self.paper.request_classes.index(mix)]
             which = bisect(sums, rng.random() * sums[-1])
             own = random.Random(f"{self.paper.seed} {mix.model} {which}")
             messages.append({"role": "system", "content": words(own, mix.opening_words)})
--- a/ternlane/paper/__init__.py
+++ b/ternlane/paper/__init__.py
@@ -8,7 +8,7 @@
     GatewayPaper,
     InlineSource,
     NodeLine,
-    ProductTerms,
+    RequestClassConfig,
     StreamTerms,
 )
 from ternlane.paper.reading import PaperError, checked, read_paper, read_text
@@ -22,7 +22,7 @@
     "InlineSource",
     "NodeLine",
     "PaperError",
-    "ProductTerms",
+    "RequestClassConfig",
     "StreamTerms",
     "checked",
     "read_paper",
--- a/ternlane/paper/gateway.py
+++ b/ternlane/paper/gateway.py
@@ -19,7 +19,7 @@
     """Unknown keys are refused: a misspelt limit would otherwise be no limit."""
 
 
-class ProductTerms(Sheet, frozen=True, kw_only=True):
+class RequestClassConfig(Sheet, frozen=True, kw_only=True):
     """One product: which model names mean it, what may be repeated, what is promised, what it earns."""
 
     name: Name
@@ -141,7 +141,7 @@
     gateways: Count = 1  # how many share the fleet
     seed: int = 0
     state: str | None = None  # file that keeps the last node list over a restart
-    products: Annotated[list[ProductTerms], Meta(min_length=1)]
+    request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
     nodes: FileSource | ConsulSource | InlineSource
     tenants: str | None = None  # file of tenants; without it everybody is served
     journal: str | None = None  # folder of what is in flight, for a restart after a loss
@@ -157,8 +157,8 @@
         if self.tenants is not None and self.ledger is None:
             raise ValueError("tenants need a ledger, where their bills are kept")
         seen: set[str] = set()
-        for product in self.products:
-            for model in (product.name, *product.models):
+        for request_class in self.request_classes:
+            for model in (request_class.name, *request_class.models):
                 if model in seen:
                     raise ValueError(f"model name {model!r} is given twice")
                 seen.add(model)
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -198,12 +198,12 @@
             node.counts["refused room"] += 1
             await exchange.answer(503, [], said("room", "this gateway holds as much as it may"))
             return
-        product = node.deployment.products[wish.product]
+        request_class = node.deployment.request_classes[wish.request_class]
         # Counted from the request's last byte, as the users' page does: a slow client's time has only begun, and one
         # that came while this loop was busy has lost some of it already.
-        patience = (wish.patience_ms or product.limit_ms) - self.unseen_ms() - node.lag_ms()
+        patience = (wish.patience_ms or request_class.limit_ms) - self.unseen_ms() - node.lag_ms()
         request = node.deployment.request(
-            product,
+            request_class,
             wish.session,
             wish.opening,
             wish.opening_toks,
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -109,7 +109,9 @@
         """From here on each connection ends with its next answer. Those that have been served and rest close at once:
         a request that came later might be cut off without an answer."""
         deployment, now = self.node.deployment, now_ms()
-        longest_ms = min(LONGEST_MS, max(product.limit_ms for product in deployment.products.values()))
+        longest_ms = min(
+            LONGEST_MS, max(request_class.limit_ms for request_class in deployment.request_classes.values())
+        )
         times = shutdown_times(longest_ms, ENDS_MS, deployment.facts.release_ms, since_signal_ms)
         self.front.draining = True
         self.node.sigterm_ms = now - since_signal_ms
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -173,7 +173,7 @@
     """What a client's head asks for."""
 
     ident: str
-    product: str
+    request_class: str
     session: str | None
     opening: str | None
     opening_toks: float
@@ -189,7 +189,7 @@
     if not IDENT.fullmatch(ident):
         raise Wrong(400, "bad_id", "Request-Id must be sixteen hex digits")
     name = headers.get(b"request-class", "")
-    if name not in deployment.products:
+    if name not in deployment.request_classes:
         raise Wrong(400, "bad_class", "Request-Class names no class that is served here")
     patience = None
     if b"request-timeout" in headers:
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -70,7 +70,7 @@
         known = read_listing(raw.known)
     except ValueError as why:
         raise Unfit(f"{path}: {why}") from None
-    if not deployment.products:
+    if not deployment.request_classes:
         raise Unfit(f"{path}: settings: no profiles")
     if not (raw.limits.sockets >= 64 and raw.limits.memory_mb > 0):
         raise Unfit(f"{path}: limits: no gateway can run with these")
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Product:
+class RequestClass:
     """What is known of a kind of generation. Its first token is due `slo_ms` + `slo_per_ktok_ms` for each thousand
     tokens of the prompt, the others each `tok_slo_ms` after; all of it within `limit_ms`. In time it earns `revenue`,
     late `late_share` of it. Servers of `group` drop repeats for `window_ms`, where the effect is DEDUPLICATED."""
@@ -129,7 +129,7 @@
     """A request to be routed. `session`: turns of one conversation; `opening`: a beginning of `opening_toks` tokens
     that others share; `patience_ms`: until its client gives up; `whole`: it hears nothing before all of it is there."""
 
-    product: Product
+    request_class: RequestClass
     session: str | None
     opening: str | None
     opening_toks: float
@@ -148,7 +148,7 @@
     seed: int
     gateways: int
     zone: str
-    products: tuple[Product, ...]
+    request_classes: tuple[RequestClass, ...]
     max_attempts: int
     may_cancel: bool
     may_hold_ahead: bool
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -35,19 +35,19 @@
         self.terms = terms
         self.shelf = Shelf(terms.keep_toks, terms.keep_bytes, terms.keep_all_bytes)
         self.rhythm = Rhythm(terms.alarms, facts.seed)
-        longest = max((p.limit_ms for p in facts.products), default=1000.0)
+        longest = max((p.limit_ms for p in facts.request_classes), default=1000.0)
         self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, facts.gateways)
         self.broke_at: dict[T, float] = {}
 
     def alter(self, facts: StartFacts) -> None:
         """The fleet's figures have changed; what waits keeps its turn."""
-        self.pace.span_ms = max((p.limit_ms for p in facts.products), default=1000.0) * SPAN_SHARE
+        self.pace.span_ms = max((p.limit_ms for p in facts.request_classes), default=1000.0) * SPAN_SHARE
         self.pace.gateways = facts.gateways
 
     def join(self, raw: dict[str, Any], request: Request) -> Join:
         way, why = Way.END, "resuming is off"
         if self.terms.resume:
-            way, why = way_of(raw, request.product.effect, self.terms.continues)
+            way, why = way_of(raw, request.request_class.effect, self.terms.continues)
         return Join(way, why, self.shelf, int(request.max_toks), raw.get("stop"))
 
     # -- a leg streams
@@ -97,7 +97,7 @@
         request.prompt_toks += again - before
         request.max_toks = float(join.left())
         self.pace.prefill_servers = prefill_servers
-        self.pace.wait(item, request.prompt_toks, request.product.revenue, float(join.toks), until)
+        self.pace.wait(item, request.prompt_toks, request.request_class.revenue, float(join.toks), until)
         return Fate.GOES_ON
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
--- a/ternlane/standin/clients.py
+++ b/ternlane/standin/clients.py
@@ -23,7 +23,7 @@
 class Talk:
     """How one product is used."""
 
-    product: str
+    request_class: str
     effect: str
     share: float
     limit_ms: float
@@ -55,7 +55,7 @@
     rate: float = 1.0
     long_part: float = 0.0
     long_times: float = 1.0
-    long_product: str = ""
+    long_request_class: str = ""
     hot_part: float = 0.0
     hot_toks: float = 3000.0
     hot_keys: int = 1
@@ -123,7 +123,7 @@
             toks = w.hot_toks
         else:
             ranks = [1 / (i + 1) for i in range(talk.openings)]
-            key = talk.product, self.rng.choices(range(talk.openings), ranks)[0], 0
+            key = talk.request_class, self.rng.choices(range(talk.openings), ranks)[0], 0
             low, high = talk.opening_toks
             toks = low + (high - low) * (zlib.crc32(repr(key).encode()) % 1000) / 1000
         if key not in self.opening_texts:
@@ -175,7 +175,7 @@
         talk, w = session.talk, self.weather
         low, high = talk.adds
         toks = low + (high - low) * self.rng.random()
-        if w.long_part and w.long_product in ("", talk.product) and self.rng.random() < w.long_part:
+        if w.long_part and w.long_request_class in ("", talk.request_class) and self.rng.random() < w.long_part:
             toks *= w.long_times
         session.messages.append({"role": "user", "content": words(self.rng, toks)})
         task, begun, tries = f"{session.ident}.{session.said}", clock_ms(), 0
@@ -199,7 +199,7 @@
         self.traffic.line(
             "task",
             task=f"{owner}:{task}" if owner else task,
-            product=talk.product,
+            product=talk.request_class,
             tenant=owner,
             outcome=heard.outcome,
             tries=tries,
@@ -226,7 +226,7 @@
             task = f"{session.tenant[0]}:{task}"
         stream = self.rng.random() >= talk.plain_part
         body: dict[str, Any] = {
-            "model": talk.product,
+            "model": talk.request_class,
             "messages": session.messages,
             "stream": stream,
             "max_tokens": talk.max_toks,
@@ -260,7 +260,7 @@
                     "ask",
                     gen=request,
                     task=task,
-                    product=talk.product,
+                    product=talk.request_class,
                     effect=talk.effect,
                     limit_ms=round(limit_ms, 1),
                     port=caller.local[1],
--- a/ternlane/tenants/cashier.py
+++ b/ternlane/tenants/cashier.py
@@ -26,7 +26,7 @@
 
     request: str
     tenant: str
-    product: str
+    request_class: str
     period: str
     wall: float
     outcome: str
@@ -52,7 +52,7 @@
     """What is reserved for one generation."""
 
     tenant: TenantLine
-    product: str
+    request_class: str
     prompt: int
     answer: int
     most: int
@@ -77,10 +77,10 @@
     seen_wall: float = 0.0
     past: dict[tuple[str, str, str], int] = field(default_factory=dict)  # tenant, product or "", period -> tokens
 
-    def remember(self, tenant: str, product: str, period: str, toks: int) -> None:
+    def remember(self, tenant: str, request_class: str, period: str, toks: int) -> None:
         """What this gateway had settled before it was restarted, out of its ledger; also while it serves already, as
         the process before may end later."""
-        for name in ("", product):
+        for name in ("", request_class):
             meter = self.meters.get((tenant, name))
             if meter is not None and meter.period is not None and meter.period.name == period:
                 meter.spent += toks
@@ -93,10 +93,10 @@
     def base(self) -> float:
         return (FLOOR if self.lends else 1.0) / self.gateways
 
-    def meter(self, tenant: TenantLine, product: str, now: float) -> Meter | None:
+    def meter(self, tenant: TenantLine, request_class: str, now: float) -> Meter | None:
         """The tenant's meter for a product, or for all ("" as product). A changed budget keeps what is open."""
-        budget = tenant.products.get(product) if product else tenant.budget
-        key = tenant.name, product
+        budget = tenant.request_classes.get(request_class) if request_class else tenant.budget
+        key = tenant.name, request_class
         if budget is None:
             self.meters.pop(key, None)
             return None
@@ -117,8 +117,8 @@
     def short_of_period(self) -> list[tuple[str, str, str, int]]:
         """Meters that have spent most of what they may of their period: tenant, product, period, budget."""
         return [
-            (name, product, m.period.name, m.budget.period)
-            for (name, product), m in self.meters.items()
+            (name, request_class, m.period.name, m.budget.period)
+            for (name, request_class), m in self.meters.items()
             if self.lends and m.budget.period and m.period is not None and m.spent > NEARLY * m.allowed
         ]
 
@@ -128,12 +128,12 @@
         return self.seen_wall
 
     def reserve(
-        self, tenant: TenantLine, product: str, prompt: int, most: int, now: float, wall: float
+        self, tenant: TenantLine, request_class: str, prompt: int, most: int, now: float, wall: float
     ) -> Hold | Refusal:
         """Both the tenant's budget and the product's must have room; the first that has none gives the reason."""
         wall = self.clock(wall)
-        answer = self.lengths.estimate(tenant.name, product, most)
-        meters = [m for m in (self.meter(tenant, "", now), self.meter(tenant, product, now)) if m is not None]
+        answer = self.lengths.estimate(tenant.name, request_class, most)
+        meters = [m for m in (self.meter(tenant, "", now), self.meter(tenant, request_class, now)) if m is not None]
         taken: list[Meter] = []
         for meter in meters:
             short = meter.reserve(prompt + answer, now, wall)
@@ -144,7 +144,7 @@
             taken.append(meter)
         if self.lends and tenant.budget.minute is not None:  # what the floor can't carry is drawn
             self.borrower(tenant).saw(prompt + answer, True)
-        return Hold(tenant, product, prompt, answer, most, meters, [m.period for m in meters], wall)
+        return Hold(tenant, request_class, prompt, answer, most, meters, [m.period for m in meters], wall)
 
     def refuse(self, tenant: TenantLine, toks: int, short: Short) -> Refusal:
         if self.lends and short.kind == "minute":
@@ -199,14 +199,14 @@
         for meter, begun in zip(hold.meters, hold.begun, strict=True):
             meter.settle(hold.toks, used, begun, now, self.clock(wall))
         if outcome == "streamed":
-            self.lengths.learn(hold.tenant.name, hold.product, bill.answer)
-        price = hold.tenant.price(hold.product)
+            self.lengths.learn(hold.tenant.name, hold.request_class, bill.answer)
+        price = hold.tenant.price(hold.request_class)
         micros = (bill.prompt - bill.kept) * price.prompt + bill.kept * price.kept + bill.answer * price.answer
         period = period_at(hold.wall, hold.tenant.zone, hold.tenant.period).name  # by its arrival
         return Entry(
             request,
             hold.tenant.name,
-            hold.product,
+            hold.request_class,
             period,
             hold.wall,
             outcome,
--- a/ternlane/tenants/lengths.py
+++ b/ternlane/tenants/lengths.py
@@ -50,17 +50,17 @@
         self.own: OrderedDict[tuple[str, str], Sketch] = OrderedDict()
         self.all: dict[str, Sketch] = {}
 
-    def estimate(self, tenant: str, product: str, most: int) -> int:
+    def estimate(self, tenant: str, request_class: str, most: int) -> int:
         """Tokens to reserve for an answer that may have `most`. Nothing known: all that it may have."""
-        own, everyone = self.own.get((tenant, product)), self.all.get(product)
+        own, everyone = self.own.get((tenant, request_class)), self.all.get(request_class)
         if own is not None and own.total >= ENOUGH:
             return min(most, ceil(own.quantile(self.q)))
         if everyone is not None and everyone.total >= ENOUGH:
             return min(most, ceil(everyone.quantile(self.q)))
         return most
 
-    def learn(self, tenant: str, product: str, toks: int) -> None:
-        key = tenant, product
+    def learn(self, tenant: str, request_class: str, toks: int) -> None:
+        key = tenant, request_class
         sketch = self.own.get(key)
         if sketch is None:
             sketch = self.own[key] = Sketch()
@@ -69,4 +69,4 @@
         else:
             self.own.move_to_end(key)
         sketch.add(toks)
-        self.all.setdefault(product, Sketch()).add(toks)
+        self.all.setdefault(request_class, Sketch()).add(toks)
--- a/ternlane/tenants/roll.py
+++ b/ternlane/tenants/roll.py
@@ -50,7 +50,7 @@
     name: Name
     keys: list[KeyLine] = []
     budget: Budget = Budget()
-    products: dict[str, Budget] = {}  # further budgets for single products, beside the one for all
+    request_classes: dict[str, Budget] = {}  # further budgets for single products, beside the one for all
     prices: dict[str, Prices] = {}  # by product; "*" for the others
     zone: str = "UTC"  # of the billing period's edges
     period: Literal["day", "month"] = "month"
@@ -61,8 +61,8 @@
         except (ZoneInfoNotFoundError, ValueError, OSError):
             raise ValueError(f"zone {self.zone!r} is unknown") from None
 
-    def price(self, product: str) -> Prices:
-        return self.prices.get(product) or self.prices.get("*") or Prices()
+    def price(self, request_class: str) -> Prices:
+        return self.prices.get(request_class) or self.prices.get("*") or Prices()
 
 
 class RollPaper(Sheet, frozen=True, kw_only=True):
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -29,7 +29,7 @@
     Log,
     PlaceHeld,
     Probe,
-    Product,
+    RequestClass,
     Report,
     StartAttempt,
     Server,
@@ -72,7 +72,7 @@
 
     def __init__(self, seed: int, told: dict[str, Any]) -> None:
         self.deployment = Deployment(seed, told)
-        self.products = dict(self.deployment.products)
+        self.request_classes = dict(self.deployment.request_classes)
         self.servers: dict[str, Server] = {}
         self.server_ids: dict[Server, str] = {}
         self.requests: dict[int, Request] = {}
@@ -124,13 +124,13 @@
         what = part[0]
         if what == "WORK_ITEM":
             _, _, corr, opening_toks, _, opening, lane, prompt, patience, _, session, longest, *rest = part
-            product = self.products.get(lane)
-            if product is None:  # never listed: nothing is promised of it, so nothing may be repeated
-                product = self.products[lane] = Product(
+            request_class = self.request_classes.get(lane)
+            if request_class is None:  # never listed: nothing is promised of it, so nothing may be repeated
+                request_class = self.request_classes[lane] = RequestClass(
                     Effect.SIDE_EFFECTING, Group.CELL, 0.0, 0.0, 0.0, 0.0, number(patience), 0.0, 0.0
                 )
             request = self.deployment.request(
-                product,
+                request_class,
                 name(session),
                 name(opening),
                 number(opening_toks),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,14 +11,14 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Life, Product, Server, StartFacts, Verdict
+from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, StartFacts, Verdict
 
 
 @dataclass
 class FakeHost:
     router: Router
     servers: dict[str, Server]
-    products: dict[Effect, Product]
+    request_classes: dict[Effect, RequestClass]
     now: float = 0.0
     alarm: float = inf  # when the module wants to be woken besides its beat
 
@@ -50,7 +50,7 @@
 
     def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Request:
         facts = dict(opening="o", opening_toks=2000.0, prompt_toks=2400.0, max_toks=400.0, patience_ms=5000.0) | own
-        return port.Request(self.products[effect], session, **facts)
+        return port.Request(self.request_classes[effect], session, **facts)
 
     def arrive(self, request: port.Request, after: float = 0.0) -> list[Any]:
         return self.tell(port.Arrived(request), after=after)
@@ -90,7 +90,7 @@
     seed=7,
     gateways=2,
     zone="east",
-    products=(),
+    request_classes=(),
     max_attempts=5,
     may_cancel=True,
     may_hold_ahead=False,
@@ -114,14 +114,19 @@
 
 
 def build(extra: tuple[str, ...] = (), **facts: Any) -> FakeHost:
-    products = {e: Product(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
+    request_classes = {e: RequestClass(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
     servers = {
         name: Server(
             "east", int(name[1]), Role.PREFILL if name[0] == "r" else Role.DECODE, 200e3, mark=zlib.crc32(name.encode())
         )
         for name in ("r0", "w0", "r1", "w1", *extra)
     }
-    host = FakeHost(Router(replace(FACTS, products=tuple(products.values()), **facts)), servers, products, 1000.0)
+    host = FakeHost(
+        Router(replace(FACTS, request_classes=tuple(request_classes.values()), **facts)),
+        servers,
+        request_classes,
+        1000.0,
+    )
     host.list()
     return host
 
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -17,7 +17,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Life, Product, Server, Tenant, Verdict
+from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, Tenant, Verdict
 from tests import fleet
 from tests.conftest import FACTS
 
@@ -100,8 +100,8 @@
 
     def __init__(self, seed: int, **facts: Any) -> None:
         self.rng = random.Random(seed)
-        self.products = tuple(self.product() for _ in range(4))
-        self.facts = replace(FACTS, seed=seed, products=self.products, **facts)
+        self.request_classes = tuple(self.request_class() for _ in range(4))
+        self.facts = replace(FACTS, seed=seed, request_classes=self.request_classes, **facts)
         self.recorder = Recorder(Router(self.facts))
         self.tenants = [Tenant(), Tenant(), None]
         self.servers = [self.server(number) for number in range(self.rng.randint(4, 14))]
@@ -114,9 +114,9 @@
 
     # -- what there is
 
-    def product(self) -> Product:
+    def request_class(self) -> RequestClass:
         rng = self.rng
-        return Product(
+        return RequestClass(
             rng.choice(list(Effect)),
             rng.choice(list(Group)),
             rng.uniform(200.0, 5000.0),
@@ -135,16 +135,16 @@
         return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), mark=mark)
 
     def request(self) -> Any:
-        rng, product = self.rng, self.rng.choice(self.products)
+        rng, request_class = self.rng, self.rng.choice(self.request_classes)
         prompt = 2000.0 * rng.lognormvariate(-0.2, 0.8)
         return port.Request(
-            product,
+            request_class,
             rng.choice([None, *(f"s{n}" for n in range(12))]),
             rng.choice([None, *(f"o{n}" for n in range(4))]),
             prompt * rng.uniform(0.0, 0.9),
             prompt,
             rng.uniform(20.0, 900.0),
-            product.limit_ms * rng.uniform(0.2, 1.0),
+            request_class.limit_ms * rng.uniform(0.2, 1.0),
             rng.random() < 0.1,
             tenant=rng.choice(self.tenants),
         )
@@ -318,11 +318,11 @@
         return [port.Listed((old, new))]
 
     def reload(self) -> list[Any]:
-        kept = self.rng.sample(self.products, 3)
-        self.products = (*kept, self.product())
+        kept = self.rng.sample(self.request_classes, 3)
+        self.request_classes = (*kept, self.request_class())
         self.facts = replace(
             self.facts,
-            products=self.products,
+            request_classes=self.request_classes,
             max_attempts=self.rng.randint(2, 6),
             release_ms=self.rng.choice([300.0, 500.0, 900.0]),
             cold_ms=self.rng.choice([4e3, 10e3]),
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -48,7 +48,7 @@
         gateway, day = self.gateway, self.day
         client_request = gateway.requests[request]
         left = client_request.came + client_request.patience - day.now
-        unsafe = request.product.effect is not Effect.IDEMPOTENT and request in self.ran
+        unsafe = request.request_class.effect is not Effect.IDEMPOTENT and request in self.ran
         if unsafe:
             return port.Terminate(request)
         able = [m for m in day.models if m.role is role and day.view(m).healthy and m not in self.tried[request]]
@@ -58,7 +58,7 @@
         self.attempts[request] += 1
         best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
         day.view(best).add(best, client_request)
-        return port.StartAttempt(request, gateway.know(best), min(left, request.product.slo_ms), inf, inf)
+        return port.StartAttempt(request, gateway.know(best), min(left, request.request_class.slo_ms), inf, inf)
 
 
 @dataclass
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -12,7 +12,7 @@
 from typing import Any, Callable
 
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Product, Tenant, Verdict
+from ternlane.port import Role, Effect, Group, RequestClass, Tenant, Verdict
 from tests.conftest import FACTS
 from tests.fleet.baseline import LATE_VIEW_MS, LateSeeing, View
 from tests.fleet.gateway import Gateway, virtual_clock
@@ -38,9 +38,11 @@
         self.probes = 0
         self.seen: dict[ModelServer, View] = {}
         self.seen_at = -inf
-        self.products = (
-            Product(Effect.IDEMPOTENT, Group.ALL, 5000.0, scene.slo_ms, 40.0, 70.0, scene.limit_ms, 3.0, LATE_SHARE),
-            Product(
+        self.request_classes = (
+            RequestClass(
+                Effect.IDEMPOTENT, Group.ALL, 5000.0, scene.slo_ms, 40.0, 70.0, scene.limit_ms, 3.0, LATE_SHARE
+            ),
+            RequestClass(
                 Effect.SIDE_EFFECTING,
                 Group.ALL,
                 5000.0,
@@ -90,7 +92,7 @@
             seed=zlib.crc32(b"%d %d %d" % (scene.seed, gateway.number, gateway.incarnation)),
             gateways=scene.gateways,
             zone=gateway.zone,
-            products=self.products,
+            request_classes=self.request_classes,
             may_probe=True,
             reports_mem=scene.told_if_asked,
             idle_ms=30e3,
@@ -141,13 +143,13 @@
                 session, opening = f"s{len(sessions)}", f"o{rng.choices(range(scene.openings), popularity)[0]}"
                 kind = int(rng.random() < scene.unsafe_share)
                 sessions.append((session, opening, kind))
-            product = self.products[kind]
+            request_class = self.request_classes[kind]
             prompt = min(9000.0, scene.prompt_tokens * rng.lognormvariate(-0.2, 0.6))
             answer = max(4.0, scene.answer_tokens * rng.lognormvariate(-0.1, 0.4))
             tenant = rng.choice(self.tenants) if self.tenants else None
-            patience = product.limit_ms * rng.uniform(0.5, 1.0)
+            patience = request_class.limit_ms * rng.uniform(0.5, 1.0)
             client_request = ClientRequest(
-                product,
+                request_class,
                 tenant,
                 session,
                 opening,
@@ -155,7 +157,7 @@
                 answer,
                 when,
                 patience,
-                product.revenue * (prompt + 4 * answer),
+                request_class.revenue * (prompt + 4 * answer),
             )
             if scene.leave_share and rng.random() < scene.leave_share:
                 client_request.gives_up_ms = rng.uniform(50.0, 1000.0)
@@ -190,7 +192,7 @@
     def counted(self) -> list[ClientRequest]:
         """Those whose time was over before the day's end."""
         end = 1000.0 + self.scene.seconds * 1000
-        return [r for r in self.requests if r.came + r.product.slo_ms < end and not r.left]
+        return [r for r in self.requests if r.came + r.request_class.slo_ms < end and not r.left]
 
     def thirds(self) -> list[float]:
         part = self.scene.seconds * 1000 / 3
@@ -199,8 +201,8 @@
     def shares(self) -> dict[str, float]:
         """By name: the whole day, each class, each third, each tenant."""
         out = {"day": self.share()}
-        for n, product in enumerate(self.products):
-            out[f"class {n}"] = self.share(lambda r, product=product: r.product is product)
+        for n, request_class in enumerate(self.request_classes):
+            out[f"class {n}"] = self.share(lambda r, request_class=request_class: r.request_class is request_class)
         for n, share in enumerate(self.thirds()):
             out[f"third {n}"] = share
         for n, tenant in enumerate(self.tenants):
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -88,7 +88,7 @@
     def arrive(self, client_request: ClientRequest) -> None:
         left = client_request.came + client_request.patience - self.day.now
         request = Request(
-            client_request.product,
+            client_request.request_class,
             client_request.session,
             client_request.opening,
             client_request.prompt * 0.5,
@@ -167,7 +167,7 @@
             return
         if isinstance(final, turns.Throttled):
             self.day.again(client_request, "rejected", final.pause_ms)
-        elif client_request.product.effect is Effect.IDEMPOTENT:
+        elif client_request.request_class.effect is Effect.IDEMPOTENT:
             self.day.again(client_request, "failed")
         else:
             client_request.outcomes.append("failed")
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Request, Product, Server, Tenant
+from ternlane.port import Request, RequestClass, Server, Tenant
 
 if TYPE_CHECKING:
     from tests.fleet.gateway import Gateway
@@ -53,7 +53,7 @@
 class ClientRequest:
     """What one client wants; its tries are counted as one."""
 
-    product: Product
+    request_class: RequestClass
     tenant: Tenant | None
     session: str
     opening: str
@@ -72,7 +72,7 @@
     def served(self) -> float:
         if self.broken or self.first_token == inf:
             return 0.0
-        late = self.first_token > self.came + self.product.slo_ms
+        late = self.first_token > self.came + self.request_class.slo_ms
         return self.value * (LATE_SHARE if late else 1.0)
 
 
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -43,7 +43,7 @@
     """A request that a client has written to its last byte, and what came back."""
 
     ident: str
-    product: str
+    request_class: str
     at: float
     timeout_s: float
     answer: bytes = b""
@@ -261,11 +261,11 @@
         """One request; False once the connection is of no more use."""
         if rng.random() < 0.3 and await ended_within(stream, rng.choice([0.1, 0.4, 1.0])):
             return False
-        product = rng.choice(["summary", "summary", "note", "form"])
-        limit_s = next(p["deadline"] for p in self.plan.settings["profiles"] if p["name"] == product) / 1000
+        request_class = rng.choice(["summary", "summary", "note", "form"])
+        limit_s = next(p["deadline"] for p in self.plan.settings["profiles"] if p["name"] == request_class) / 1000
         timeout_s = rng.choice([limit_s, limit_s, min(limit_s, 0.6)])
-        data = client_request(self.p, Request_Class=product, Request_Timeout=f"{timeout_s:.3f}")
-        sent = Sent(f"{self.p.count:016x}", product, 0.0, timeout_s)
+        data = client_request(self.p, Request_Class=request_class, Request_Timeout=f"{timeout_s:.3f}")
+        sent = Sent(f"{self.p.count:016x}", request_class, 0.0, timeout_s)
         if rng.random() < 0.25:  # a slow writer
             cut = rng.randrange(1, len(data))
             await stream.send_all(data[:cut])
@@ -302,7 +302,9 @@
     def said(self, rule: str, sent: Sent, why: str) -> str:
         attempts = [f"{a.server} {a.way or 'well'} at {a.at - self.told_at:+.3f}" for a in self.attempts_for(sent)]
         after_s = sent.at - self.told_at
-        return f"{rule}: {sent.ident} ({sent.product}, {sent.timeout_s} s) sent {after_s:+.3f} s: {why}; {attempts}"
+        return (
+            f"{rule}: {sent.ident} ({sent.request_class}, {sent.timeout_s} s) sent {after_s:+.3f} s: {why}; {attempts}"
+        )
 
     def lost(self) -> list[str]:
         out = []
@@ -331,15 +333,15 @@
     def repeated(self) -> list[str]:
         out = []
         for sent in self.sent:
-            if sent.product == "summary":
+            if sent.request_class == "summary":
                 continue
             began = [a for a in self.attempts_for(sent) if a.server in DECODE and a.way not in NOT_STARTED]
             may_have_run = [a for a in began if a.way or self.p.fleet.ran[sent.ident]]
-            if sent.product == "note" and self.p.fleet.ran[sent.ident] > 1:
+            if sent.request_class == "note" and self.p.fleet.ran[sent.ident] > 1:
                 out.append(self.said("duplicate", sent, "ran twice"))
-            if sent.product == "note" and sent.status == "503" and may_have_run:
+            if sent.request_class == "note" and sent.status == "503" and may_have_run:
                 out.append(self.said("duplicate", sent, "rejected though it may have run"))
-            if sent.product == "form" and may_have_run:
+            if sent.request_class == "form" and may_have_run:
                 window_s = self.plan.settings["profiles"][2]["key_ttl"] / 1000 + self.own_lateness_s
                 if any(a.at > may_have_run[0].at + window_s and a.server not in self.faulty for a in began):
                     out.append(self.said("duplicate", sent, f"repeated after its window of {window_s:.3f} s"))
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -14,11 +14,11 @@
 from ternlane.http1 import EventReader
 from ternlane.engine import load_of
 from ternlane.paper import GatewayPaper, PaperError, read_text
-from ternlane.port import Effect, Group, Product
+from ternlane.port import Effect, Group, RequestClass
 
 
-def product() -> Product:
-    return Product(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
+def request_class() -> RequestClass:
+    return RequestClass(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
 
 
 def ask(*contents: str, user: str = "u", key: str | None = None) -> object:
@@ -31,7 +31,7 @@
 
 
 def intake(limit: int = 1000) -> Intake:
-    p = product()
+    p = request_class()
     return Intake({"m": p}, {p: 100}, limit)
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -14,10 +14,10 @@
 
 from ternlane import port
 from ternlane.choice import CARE, Router
-from ternlane.port import Role, Effect, Request, Group, Life, Product, Server, Verdict
+from ternlane.port import Role, Effect, Request, Group, Life, RequestClass, Server, Verdict
 from tests.conftest import FACTS
 
-PRODUCT = Product(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
+REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
 READ_MS, FIRST_MS, STREAM_MS = 120.0, 60.0, 1500.0
 WARM_MS, COLD_MS, FALL_MS, MULTIPLE, COLD_FROM = 20e3, 10e3, 3000.0, 4.0, 0.31
 
@@ -55,7 +55,7 @@
             FACTS,
             seed=nth * 7919 + 1,
             gateways=self.routers,
-            products=(PRODUCT,),
+            request_classes=(REQUEST_CLASS,),
             idle_ms=30e3,
             fall_multiple=MULTIPLE,
             cold_from=COLD_FROM,
@@ -98,7 +98,7 @@
         until, arrivals = self.now + ms, int(ms / 1000 * self.rate)
         for n in range(arrivals):
             draw = zlib.crc32(b"arrival %d %f" % (n, self.now))
-            request = Request(PRODUCT, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
+            request = Request(REQUEST_CLASS, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
             nth = int(self.routers * (draw / 2**32) ** 3) if self.uneven else draw % self.routers
             self.at(self.now + ms * n / arrivals, nth, port.Arrived(request))
         while self.due and self.due[0][0] <= until:
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -278,16 +278,16 @@
         node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
         for _ in range(3):
             assert (await p.ask()).status == 200
-        old = node.deployment.products["summary"]
+        old = node.deployment.request_classes["summary"]
         assert old in desk.prompt
         other = [profile | {"aim": 700.0} for profile in TOLD["profiles"]]
         reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
-        new = node.deployment.products["summary"]
+        new = node.deployment.request_classes["summary"]
         tables = desk.prompt, desk.learnt_at, desk.told
-        assert new is not old and not any(product in table for product in (old, new) for table in tables)
+        assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
         assert desk.usual_ms(new, "read") == 700.0 / 8  # as if nothing had been met yet
         reload(p, tmp_path, monkeypatch, TOLD)  # and back: its terms are new ones again
-        assert desk.usual_ms(node.deployment.products["summary"], "read") == 500.0 / 8
+        assert desk.usual_ms(node.deployment.request_classes["summary"], "read") == 500.0 / 8
         assert (await p.ask()).status == 200
         await p.settled()
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -254,8 +254,8 @@
 
 def keyed(window_ms: float, group: Group = Group.ALL) -> FakeHost:
     host = build()
-    product = port.Product(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
-    host.products[Effect.DEDUPLICATED] = product
+    request_class = port.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
+    host.request_classes[Effect.DEDUPLICATED] = request_class
     host.tell(port.Altered(FACTS))
     return host
 
@@ -305,9 +305,9 @@
     assert 20 <= engines_module.REST_MS <= 100
 
 
-@pytest.mark.parametrize("product, status", [("summary", 200), ("note", 502)])
+@pytest.mark.parametrize("request_class, status", [("summary", 200), ("note", 502)])
 async def test_a_kept_connection_that_its_server_closes_as_it_is_used_is_a_reset(
-    product: str, status: int, monkeypatch: pytest.MonkeyPatch
+    request_class: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
     monkeypatch.setattr(engines_module, "REST_MS", 0.0)
@@ -329,9 +329,9 @@
 
         monkeypatch.setattr(Caller, "dead", property(well))
         before = p.fleet.count("write")
-        reply = await p.ask(Request_Class=product, Request_Timeout="15")
+        reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
-        assert p.fleet.count("write") - before == (1 if product == "summary" else 0)
+        assert p.fleet.count("write") - before == (1 if request_class == "summary" else 0)
         await p.settled()
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -257,7 +257,9 @@
         ("zone_cut", 3.0),
         ("preempt", 3.5),
     ]
-    assert [p.effect for p in day.products] == ["idempotent", "side-effecting"] and day.products[0].slo_ms == 500
+    assert [p.effect for p in day.request_classes] == ["idempotent", "side-effecting"] and day.request_classes[
+        0
+    ].slo_ms == 500
     assert sorted(e.role for e in engines_of(day)) == ["read"] * 4 + ["write"] * 4
     assert sum(a.what == "drain" for a in acts_of(day)) == 2
     (tmp_path / "day.json").write_text('{"family": "web"}')
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -15,7 +15,7 @@
 from ternlane.turns import OVERDUE_MS
 from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform
-from tests.world import PRODUCTS, TERMS, world
+from tests.world import REQUEST_CLASSES, TERMS, world
 
 
 class Faulty:
@@ -192,7 +192,11 @@
 async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
     async with world() as w:
         paper = GatewayPaper(
-            name="lib", listen="127.0.0.1:0", products=PRODUCTS, fleet=TERMS, nodes=InlineSource(nodes=w.lines())
+            name="lib",
+            listen="127.0.0.1:0",
+            request_classes=REQUEST_CLASSES,
+            fleet=TERMS,
+            nodes=InlineSource(nodes=w.lines()),
         )
         async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
             routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -177,8 +177,8 @@
 
 def test_a_single_late_answer_is_no_overload_also_where_late_answers_earn_nothing() -> None:
     host = build(gateways=200)
-    for product in host.products.values():
-        product.late_share = 0.0
+    for request_class in host.request_classes.values():
+        request_class.late_share = 0.0
     assert port.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(opening=None, opening_toks=0.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -552,7 +552,7 @@
 
 @pytest.mark.parametrize("model", ["summary", "note"])
 async def test_a_read_whose_answer_is_lost_is_told_by_a_later_one(model: str) -> None:
-    async with world(products=patient(8)) as w, trio.open_nursery() as nursery:
+    async with world(request_classes=patient(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
         prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
         prefill_server.trouble.script = "silent"
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -301,7 +301,11 @@
             await probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
         paper = msgspec.structs.replace(
-            w.gateway.paper, listen=f"127.0.0.1:{port}", journal=str(tmp_path / "j"), products=patient(20), fleet=TERMS
+            w.gateway.paper,
+            listen=f"127.0.0.1:{port}",
+            journal=str(tmp_path / "j"),
+            request_classes=patient(20),
+            fleet=TERMS,
         )
         (tmp_path / "g.json5").write_bytes(msgspec.json.encode(paper))
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -47,7 +47,7 @@
 
     client: Client
     ident: str
-    product: str
+    request_class: str
     rest: bytes = b""  # of the request, not sent yet
     left: bool = False
     answer: bytes = b""
@@ -73,11 +73,11 @@
         await cast(Any, getattr(self, "do_" + step[0].replace(" ", "_")))(*step[1:])
         await trio.testing.wait_all_tasks_blocked()
 
-    async def do_ask(self, product: str) -> Asked | None:
+    async def do_ask(self, request_class: str) -> Asked | None:
         if self.ending:
             return None
-        whole = client_request(self.p, Request_Class=product, Request_Timeout="15")
-        one = Asked(Client(self.p.address), f"{self.p.count:016x}", product)
+        whole = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
+        one = Asked(Client(self.p.address), f"{self.p.count:016x}", request_class)
         one.client.send(whole)
         self.asked.append(one)
         return one
@@ -155,7 +155,7 @@
                 continue
             listed_status = one.answer[9:12]
             assert listed_status in (b"200", b"502", b"503"), one.answer
-            if one.product == "note":
+            if one.request_class == "note":
                 assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not ran[one.ident])
         for server, before in self.told_to_leave_alone.items():
             assert self.attempts(server) == before, server
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -50,7 +50,7 @@
 
 
 def paper(**changes: object) -> LoadPaper:
-    return LoadPaper(products=[Mix("summary", answer_toks=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
+    return LoadPaper(request_classes=[Mix("summary", answer_toks=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
     ],
 )
 def test_arrivals_have_the_rate_that_was_asked_for_and_their_shape(arrivals: Arrivals) -> None:
-    told = LoadPaper(products=[Mix("summary")], seconds=200.0, arrivals=arrivals)
+    told = LoadPaper(request_classes=[Mix("summary")], seconds=200.0, arrivals=arrivals)
     times = list(times_of(told, random.Random(3)))
     assert times == sorted(times) and len(times) == pytest.approx(10_000, rel=0.06)
     peak = {"poisson": 0.1, "bursty": 0.5, "diurnal": 0.18}[arrivals.kind]
@@ -80,7 +80,7 @@
 def test_what_is_asked_does_not_hang_on_answers_and_popular_openings_come_by_zipf() -> None:
     mix = Mix("summary", turns=2.0, openings=20, opening_words=5, zipf=1.0)
     told = LoadPaper(
-        products=[mix, Mix("note", share=0.25)],
+        request_classes=[mix, Mix("note", share=0.25)],
         seconds=100.0,
         arrivals=Arrivals(rate=40.0),
         tenants={"a": 3.0, "b": 1.0},
@@ -99,7 +99,7 @@
     async with world() as w:
         lines: list[dict[str, object]] = []
         told = LoadPaper(
-            products=[Mix("summary", turns=2.0, think_s=0.05, openings=2), Mix("note", stream=False)],
+            request_classes=[Mix("summary", turns=2.0, think_s=0.05, openings=2), Mix("note", stream=False)],
             seconds=1.0,
             arrivals=Arrivals(rate=30.0),
             late_ms=1000.0,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,8 +23,10 @@
 
 def test_simulator_and_platform_tell_the_decisions_equal_facts() -> None:
     wire, told = Instance(7, TOLD), Deployment(7, TOLD)
-    assert [astuple(p) for p in wire.deployment.facts.products] == [astuple(p) for p in told.facts.products]
-    assert replace(wire.deployment.facts, products=()) == replace(told.facts, products=())
+    assert [astuple(p) for p in wire.deployment.facts.request_classes] == [
+        astuple(p) for p in told.facts.request_classes
+    ]
+    assert replace(wire.deployment.facts, request_classes=()) == replace(told.facts, request_classes=())
     roster = Roster(Deployment(7, TOLD))
     listing = read_listing(
         json.dumps(
@@ -53,7 +55,7 @@
         assert getattr(mine, name) == getattr(theirs, name), name
     by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
     assert isinstance(by_wire, port.Arrived)
-    by_socket = told.request(told.products["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
+    by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
     for name in ("session", "opening", "opening_toks", "prompt_toks", "max_toks", "patience_ms", "tenant"):
         assert getattr(by_wire.request, name) == getattr(by_socket, name), name
     assert load_of("inflight=7,x0=0.5", Deployment(7, TOLD)) == wire.report("7,0.5") == port.Report(7.0, 0.5)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from tests.world import BUILD, PRODUCTS, TERMS, World, replace, world
+from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
 from ternlane import port
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
 from ternlane.engine.attempt import AttemptPlan
@@ -27,9 +27,9 @@
     "drain_grace_ms": 100.0,
     "connect_ms": TERMS.connect_ms,
     "fall_ms": TERMS.fall_ms,
-    "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in PRODUCTS},
+    "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.limit_ms, adds=(20, 80), opening_toks=(50, 100)) for p in PRODUCTS]
+TALKS = [Talk(p.name, p.effect, 1.0, p.limit_ms, adds=(20, 80), opening_toks=(50, 100)) for p in REQUEST_CLASSES]
 
 
 class Honest(Host):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -38,11 +38,11 @@
 PREFILL_SERVERS, DECODE_SERVERS = IDENTS[:2], IDENTS[2:]
 # A busy machine must not matter. The time limit lies midway between the first and the second silence (twice the SLO
 # time) of a stalled stream, so that exactly two writers are asked whether or not a step takes a second longer.
-PRODUCTS = patient(3)
+REQUEST_CLASSES = patient(3)
 TERMS = msgspec.structs.replace(
     SHORT_TERMS, connect_ms=3 * SHORT_TERMS.connect_ms, release_ms=3 * SHORT_TERMS.release_ms
 )
-LIMIT = 3 * PRODUCTS[0].slo_ms
+LIMIT = 3 * REQUEST_CLASSES[0].slo_ms
 
 # What ails which engines; "dead" ones refuse connections, "gone" and "drains" are said by the list.
 AILS: dict[str, dict[str, str]] = {
@@ -76,7 +76,7 @@
     "answers lost at one writer, one dead": {"w0": "silent", "w0b": "dead"},
     "a reader and two writers ail": {"r0": "error", "w0": "full", "w0b": "dead"},
 }
-SCENARIOS = [(p.name, ail) for p in PRODUCTS for ail in AILS]
+SCENARIOS = [(p.name, ail) for p in REQUEST_CLASSES for ail in AILS]
 
 
 @dataclass(frozen=True)
@@ -174,7 +174,11 @@
 
 def paper_of(ails: dict[str, str], ports: dict[str, int], listen: str = "127.0.0.1:0") -> GatewayPaper:
     return GatewayPaper(
-        name="s", listen=listen, products=PRODUCTS, fleet=TERMS, nodes=InlineSource(nodes=lines(ails, ports))
+        name="s",
+        listen=listen,
+        request_classes=REQUEST_CLASSES,
+        fleet=TERMS,
+        nodes=InlineSource(nodes=lines(ails, ports)),
     )
 
 
@@ -281,7 +285,7 @@
 
 def coarse(scene: tuple[str, str], seen: Seen) -> Seen:
     """How often an idempotent generation ran before it was given up goes by real time on sockets: never, or at all."""
-    idempotent = next(p for p in PRODUCTS if p.name == scene[0]).effect == "idempotent"
+    idempotent = next(p for p in REQUEST_CLASSES if p.name == scene[0]).effect == "idempotent"
     return Seen(seen.outcome, min(seen.effects, 1) if idempotent else seen.effects, seen.text)
 
 
@@ -320,10 +324,10 @@
     assert not differing, differing
 
 
-@pytest.mark.parametrize("product", PRODUCTS)
-def test_what_scenarios_must_come_to(product: Any) -> None:
+@pytest.mark.parametrize("request_class", REQUEST_CLASSES)
+def test_what_scenarios_must_come_to(request_class: Any) -> None:
     def of(ail: str) -> Seen:
-        return trio.run(by_library, product.name, AILS[ail], clock=trio.testing.MockClock(autojump_threshold=0))
+        return trio.run(by_library, request_class.name, AILS[ail], clock=trio.testing.MockClock(autojump_threshold=0))
 
     for ail in (
         "all well",
@@ -338,8 +342,8 @@
     for ail in ("nobody listed", "all readers gone", "all writers drain", "all readers dead", "all writers full"):
         assert of(ail) == Seen("throttled", 0, "0"), ail
     for ail in ("all writers break midway", "all writers stall"):
-        goes_on = product.effect == "idempotent"  # and breaks off again at the next, until the legs are used up
+        goes_on = request_class.effect == "idempotent"  # and breaks off again at the next, until the legs are used up
         assert of(ail) == (Seen("broken off", 2, "4") if goes_on else Seen("broken off", 1, "2")), ail
     broken = of("all writers break off")
-    assert broken.effects == 1 if product.effect == "side-effecting" else broken.effects >= 1
-    assert broken.outcome == ("throttled" if product.effect == "idempotent" else "terminated")
+    assert broken.effects == 1 if request_class.effect == "side-effecting" else broken.effects >= 1
+    assert broken.outcome == ("throttled" if request_class.effect == "idempotent" else "terminated")
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,7 +20,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Request, Group, Product, Server, Verdict
+from ternlane.port import Role, Effect, Request, Group, RequestClass, Server, Verdict
 from tests.conftest import FACTS
 
 READ_TOKENS_PER_MS, TOKEN_MS, MEMORY_TOKENS = 8.0, 12.0, 60e3
@@ -54,9 +54,9 @@
         self.due: list[tuple[float, int, int, Any]] = []
         self.busy_until: defaultdict[int, float] = defaultdict(float)
         self.held: defaultdict[int, float] = defaultdict(float)
-        self.products = {
-            "chat": Product(Effect.IDEMPOTENT, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 8000.0, 3.0, 0.1),
-            "order": Product(Effect.SIDE_EFFECTING, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 9000.0, 1.0, 0.1),
+        self.request_classes = {
+            "chat": RequestClass(Effect.IDEMPOTENT, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 8000.0, 3.0, 0.1),
+            "order": RequestClass(Effect.SIDE_EFFECTING, Group.CELL, 0.0, 2000.0, 40.0, 70.0, 9000.0, 1.0, 0.1),
         }
         self.of: dict[Request, ClientRequest] = {}
         self.routers, self.servers = list[Router](), list[list[Server]]()
@@ -65,7 +65,7 @@
                 FACTS,
                 seed=self.seed + nth,
                 gateways=self.gateways,
-                products=tuple(self.products.values()),
+                request_classes=tuple(self.request_classes.values()),
                 idle_ms=30e3,
                 cold_ms=0.0,
             )
@@ -124,7 +124,7 @@
             nth, turn_at = self.rng.randrange(self.gateways), when
             for _ in range(3):
                 prompt = min(12e3, mean * self.rng.lognormvariate(-0.5, 1.0))
-                request = Request(self.products[name], session, None, 0.0, prompt, 400.0, 7000.0)
+                request = Request(self.request_classes[name], session, None, 0.0, prompt, 400.0, 7000.0)
                 self.at(turn_at, nth, ClientRequest(name, request, session, turn_at))
                 turn_at += 3000.0
 
@@ -161,7 +161,7 @@
     fleet = Fleet(gateways, load, seed)
     fleet.run()
     assert len(fleet.requests) > 300
-    for name in fleet.products:
+    for name in fleet.request_classes:
         mine = sorted((r for r in fleet.requests if r.name == name), key=lambda r: -r.request.prompt_toks)
         tenth = len(mine) // 10
         assert share(mine) > (0.9 if day == "quiet" else 0.3)
@@ -183,14 +183,14 @@
 def test_a_session_whose_home_congests_is_served_elsewhere_while_there_is_room() -> None:
     """Its home is full for long; other pairs are not, so none of its turns is refused."""
     fleet = Fleet(1, 0.0, seed=3)
-    product = fleet.products["chat"]
-    first = Request(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
+    request_class = fleet.request_classes["chat"]
+    first = Request(request_class, "a", None, 0.0, 800.0, 400.0, 7000.0)
     fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
     fleet.tell(0, port.Arrived(first))
     home = fleet.routers[0].desk.homes["a"]  # type: ignore[attr-defined]
     fleet.held[fleet.servers[0].index(home.decode_server.server)] = MEMORY_TOKENS
     for _ in range(8):
-        turn = Request(product, "a", None, 0.0, 800.0, 400.0, 7000.0)
+        turn = Request(request_class, "a", None, 0.0, 800.0, 400.0, 7000.0)
         fleet.at(fleet.now + 3000.0, 0, ClientRequest("chat", turn, "a", fleet.now))
         fleet.until(fleet.now + 3000.0)
     assert len(fleet.requests) == 8 and not any(r.rejected for r in fleet.requests)
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -143,7 +143,7 @@
         since = trio.current_time()
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
-        longest_ms = max(product.limit_ms for product in p.gateway.node.deployment.products.values())
+        longest_ms = max(request_class.limit_ms for request_class in p.gateway.node.deployment.request_classes.values())
         assert answer.startswith(b"HTTP/1.1 502 ") and (trio.current_time() - since) * 1000 < longest_ms + ENDS_MS
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -19,7 +19,7 @@
 from ternlane.chat import Wrong
 from ternlane.engine import SocketTransport
 from ternlane.engine.protocol import load_told
-from ternlane.paper import GatewayPaper, ProductTerms
+from ternlane.paper import GatewayPaper, RequestClassConfig
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
 from tests.test_days import gate, wait_for
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
@@ -38,14 +38,14 @@
         decode_servers_prefill=True,
         release_ms=250.0,
     )
-    summary, note, _ = paper.products
-    quote = ProductTerms(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, limit_ms=8000)
+    summary, note, _ = paper.request_classes
+    quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, limit_ms=8000)
     return msgspec.structs.replace(
         paper,
         fleet=fleet,
         gateways=5,
         zone="hall",
-        products=[summary, msgspec.structs.replace(note, slo_ms=1500, limit_ms=7000), quote],
+        request_classes=[summary, msgspec.structs.replace(note, slo_ms=1500, limit_ms=7000), quote],
     )
 
 
@@ -56,7 +56,7 @@
 
 async def test_a_switch_and_the_way_back_lose_nothing_and_repeat_nothing() -> None:
     replies: list[Reply] = []
-    async with world(build=SLOW, products=patient(4)) as w:
+    async with world(build=SLOW, request_classes=patient(4)) as w:
         before = w.gateway.paper
 
         async def ask(model: str) -> None:
@@ -103,14 +103,14 @@
         async def ask(model: str) -> None:
             replies[model] = await w.ask(model)
 
-        first = w.gateway.paper.products[0]
+        first = w.gateway.paper.request_classes[0]
         for model in ("summary", "note"):
             nursery.start_soon(ask, model)
         await trio.sleep(0.25)
         w.gateway.reload(
             msgspec.structs.replace(
                 w.gateway.paper,
-                products=[  # the two have changed places
+                request_classes=[  # the two have changed places
                     msgspec.structs.replace(first, effect="side-effecting"),
                     msgspec.structs.replace(first, name="note"),
                 ],
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -90,7 +90,7 @@
 
 
 def test_a_refused_product_budget_gives_the_tenant_budget_back() -> None:
-    noto = TenantLine(name="n", budget=Budget(minute=1000), products={"s": Budget(minute=10)})
+    noto = TenantLine(name="n", budget=Budget(minute=1000), request_classes={"s": Budget(minute=10)})
     cashier = Cashier()
     refusals = [cashier.reserve(noto, "s", 400, 10, 0.0, NOON) for _ in range(2)]
     assert isinstance(refusals[0], Hold) or isinstance(refusals[1], Refusal)
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -12,7 +12,7 @@
 import trio
 
 import ternlane
-from tests.world import BUILD, PRODUCTS, TERMS, World, replace, world
+from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
 from ternlane.chat import Wrong
 from ternlane.embed import TerminatedError, ThrottledError, open_routing
 from ternlane.engine import (
@@ -167,7 +167,7 @@
     return GatewayPaper(
         name="lib",
         listen="127.0.0.1:0",
-        products=PRODUCTS,
+        request_classes=REQUEST_CLASSES,
         fleet=TERMS,
         nodes=InlineSource(
             nodes=[NodeLine(id=i, address="127.0.0.1:9", role=role[i[0]], mem_toks=2e5) for i in idents]
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -22,7 +22,7 @@
 from ternlane.nodes import follow_file
 from ternlane.paper import FileSource, NodeLine
 from ternlane.paper.gateway import DoorTerms
-from ternlane.port import Effect, Group, Product
+from ternlane.port import Effect, Group, RequestClass
 from ternlane.tenants import Cashier, Hold, Lender
 from ternlane.tenants.billing import Billed, Used
 
@@ -95,8 +95,8 @@
 
 
 def test_a_user_of_very_many_sessions_is_held_in_bounds() -> None:
-    product = Product(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
-    intake = Intake({"m": product}, {product: 100}, 500)
+    request_class = RequestClass(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
+    intake = Intake({"m": request_class}, {request_class: 100}, 500)
     for i in range(20_000):
         intake.take(ask(f"folder {i} " * 60), 1000)  # type: ignore[arg-type]
     assert len(intake.sessions.ends) <= 1000 and intake.openings.held <= 4000
@@ -148,8 +148,8 @@
         self.store, self.cashier, self.life = Store(self.disk, 500), Cashier(), object()  # type: ignore[arg-type]
         self.cashier.clock(NOON + self.now / 1000)
         self.store.recover()
-        for (name, product, period), it in self.store.totals.sums.items():
-            self.cashier.remember(name, product, period, it.bill.prompt + it.bill.answer)
+        for (name, request_class, period), it in self.store.totals.sums.items():
+            self.cashier.remember(name, request_class, period, it.bill.prompt + it.bill.answer)
 
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -118,8 +118,8 @@
     told = settings(name) | {"kinds": ["reader", "writer"]}
     unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
     async with platform("r0", "w0", told=told, w0=always("opening_cut")) as p:
-        product = p.gateway.node.deployment.products[unsafe["name"]]
-        assert product.effect is Effect.SIDE_EFFECTING and product.limit_ms == unsafe["deadline"]
+        request_class = p.gateway.node.deployment.request_classes[unsafe["name"]]
+        assert request_class.effect is Effect.SIDE_EFFECTING and request_class.limit_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
         assert reply.status == 502 and p.fleet.count("write") == 1
         assert p.fleet.told_s[0] <= unsafe["deadline"] / 1000
@@ -179,11 +179,11 @@
         client = Client(p.address)
         client.send(request(p, Request_Class=name))
         await gate.reached.wait()
-        mine = set(node.deployment.products.values())
+        mine = set(node.deployment.request_classes.values())
         await switch(p, other)
-        assert not mine & set(node.deployment.products.values())
+        assert not mine & set(node.deployment.request_classes.values())
         assert not mine & (desk.prompt.keys() | desk.learnt_at.keys() | desk.told.keys())
-        assert not mine & {product for product, _ in desk.usual}
+        assert not mine & {request_class for request_class, _ in desk.usual}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
         client.sock.close()
@@ -192,9 +192,9 @@
         await switch(p, first)
         assert (await p.ask(Request_Class=name)).status == 200
         await until(lambda: not node.tickets)
-        kept = set(node.deployment.products.values())
+        kept = set(node.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
-        assert {product for product in desk.prompt} <= kept
+        assert {request_class for request_class in desk.prompt} <= kept
         await p.settled()
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,23 +14,23 @@
 from ternlane.choice import Router
 from ternlane.gateway import Gateway, Host, open_gateway
 from ternlane.http1 import Caller, EventReader, Pool
-from ternlane.paper import FleetTerms, GatewayPaper, NodeLine, ProductTerms
+from ternlane.paper import FleetTerms, GatewayPaper, NodeLine, RequestClassConfig
 from ternlane.paper.gateway import DoorTerms, InlineSource
 from ternlane.standin.engine import Build, Engine
 from ternlane.standin.traffic import Traffic
 
-PRODUCTS = [
-    ProductTerms(name="summary", effect="idempotent", slo_ms=400, tok_slo_ms=60, limit_ms=2000, revenue=3),
-    ProductTerms(name="note", effect="side-effecting", slo_ms=400, tok_slo_ms=60, limit_ms=1500, revenue=2),
-    ProductTerms(
+REQUEST_CLASSES = [
+    RequestClassConfig(name="summary", effect="idempotent", slo_ms=400, tok_slo_ms=60, limit_ms=2000, revenue=3),
+    RequestClassConfig(name="note", effect="side-effecting", slo_ms=400, tok_slo_ms=60, limit_ms=1500, revenue=2),
+    RequestClassConfig(
         name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, tok_slo_ms=60, limit_ms=1500
     ),
 ]
 
 
-def patient(times: float) -> list[ProductTerms]:
+def patient(times: float) -> list[RequestClassConfig]:
     """The same products with longer times, where a busy machine must not matter."""
-    return [msgspec.structs.replace(p, slo_ms=times * p.slo_ms, limit_ms=times * p.limit_ms) for p in PRODUCTS]
+    return [msgspec.structs.replace(p, slo_ms=times * p.slo_ms, limit_ms=times * p.limit_ms) for p in REQUEST_CLASSES]
 
 
 BUILD = Build(slots=8, read_tok_s=40e3, tok_ms=3.0, tok_grow=0.0, answer_toks=(6, 6), cold_ms=2000, cold_from=0.3)
@@ -166,7 +166,7 @@
     host_type: type[Host] = Host,
     chooser: Any = Router,
     terms: FleetTerms = TERMS,
-    products: list[ProductTerms] = PRODUCTS,
+    request_classes: list[RequestClassConfig] = REQUEST_CLASSES,
     **changes: Any,
 ) -> AsyncIterator[World]:
     async with trio.open_nursery() as nursery:
@@ -176,7 +176,7 @@
         paper = GatewayPaper(
             name="g1",
             listen="127.0.0.1:0",
-            products=products,
+            request_classes=request_classes,
             fleet=terms,
             nodes=InlineSource(nodes=made.lines()),
             door=changes.pop("door", DoorTerms(drain_ms=800)),
@@ -193,4 +193,4 @@
         nursery.cancel_scope.cancel()
 
 
-__all__ = ["BUILD", "PRODUCTS", "TERMS", "Reply", "World", "heard", "patient", "replace", "world"]
+__all__ = ["BUILD", "REQUEST_CLASSES", "TERMS", "Reply", "World", "heard", "patient", "replace", "world"]
