--- a/bench/library.py
+++ b/bench/library.py
@@ -50,7 +50,9 @@
         name="b",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
-        request_classes=[ternlane.RequestClassConfig(name="summary", effect="idempotent", slo_ms=2000, limit_ms=10000)],
+        request_classes=[
+            ternlane.RequestClassConfig(name="summary", effect="idempotent", slo_ms=2000, deadline_ms=10000)
+        ],
     )
 
 
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -25,7 +25,7 @@
 paper = ternlane.GatewayPaper(
     name="script",
     listen="127.0.0.1:0",
-    request_classes=[ternlane.RequestClassConfig(name="count", effect="idempotent", slo_ms=500, limit_ms=2000)],
+    request_classes=[ternlane.RequestClassConfig(name="count", effect="idempotent", slo_ms=500, deadline_ms=2000)],
     nodes=InlineSource(
         nodes=[
             ternlane.NodeLine(id="reader", address="here:1", role="read", mem_toks=1e5),
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -55,7 +55,7 @@
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
         request_classes=[
-            ternlane.RequestClassConfig(name="mirror", effect="side-effecting", slo_ms=500, limit_ms=2000)
+            ternlane.RequestClassConfig(name="mirror", effect="side-effecting", slo_ms=500, deadline_ms=2000)
         ],
     )
     with tempfile.TemporaryDirectory() as name:
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -48,7 +48,7 @@
         """Other products from the next request on; what is known of conversations stays."""
         self.models, self.max_toks = models, max_toks
 
-    def take(self, ask: ChatAsk, patience_ms: float, owner: str = "") -> Known:
+    def take(self, ask: ChatAsk, client_timeout_ms: float, owner: str = "") -> Known:
         """Two owners' equal conversations are two. Raises Wrong for a model that no product is offered under."""
         request_class = self.models.get(ask.model)
         if request_class is None:
@@ -71,7 +71,7 @@
             shared * BLOCK * ratio,
             max(1.0, len(whole) * ratio),
             float(min(ask.max_toks or limit, limit)),
-            patience_ms,
+            client_timeout_ms,
             not ask.stream,
             tenant=self.tenants.setdefault(owner, Tenant()) if owner else None,
         )
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -297,17 +297,19 @@
 
     def arrived(self, request: Request) -> None:
         now, request_class = self.router.now, request.request_class
-        slo = (request_class.slo_ms or request.patience_ms) + request_class.slo_per_ktok_ms * request.prompt_toks / 1000
+        slo = (
+            request_class.slo_ms or request.client_timeout_ms
+        ) + request_class.slo_per_ktok_ms * request.prompt_toks / 1000
         self.turn += 1
         lot = zlib.crc32(b"%d lot %d" % (self.seed, self.turn)) / 2**32
-        request.seat = course = Course(request, now + slo, now + request.patience_ms, lot)
+        request.seat = course = Course(request, now + slo, now + request.client_timeout_ms, lot)
         self.unanswered[course] = None
         mean = self.prompt.setdefault(request_class, max(request.prompt_toks, 1.0))
         self.prompt[request_class] = mean + GAIN * (request.prompt_toks - mean)
         self.asked_for[request.opening] += request.opening is not None
         if now >= self.shutdown.admits_until:
             return self.finish(course, Refusal.SHUTDOWN)
-        if self.told_if_asked and course.limit_at > now + CROWD * self.limits.beat_ms:  # or time runs out
+        if self.told_if_asked and course.deadline > now + CROWD * self.limits.beat_ms:  # or time runs out
             course.agreed = self.agreed(request)
             course.asked = {e for e in course.agreed[: round(CROWD)] if self.ask(e)}
         if course.asked:
@@ -367,7 +369,7 @@
         )
 
     def spent(self, course: Course) -> bool:
-        return self.router.now >= course.limit_at or course.attempts >= self.limits.max_attempts
+        return self.router.now >= course.deadline or course.attempts >= self.limits.max_attempts
 
     def too_few_attempts(self, course: Course) -> bool:
         """A prefill needs a decode after it, but where a server does both in one attempt."""
@@ -517,7 +519,7 @@
 
     def latest(self, course: Course) -> float:
         """The last time at which a read may begin and the first token still come within the SLO time."""
-        request_class, end = course.request.request_class, min(course.slo_at, course.limit_at) - self.limits.beat_ms
+        request_class, end = course.request.request_class, min(course.slo_at, course.deadline) - self.limits.beat_ms
         return end - MARGIN * self.first_ms(request_class)
 
     def first_ms(self, request_class: RequestClass) -> float:
@@ -528,8 +530,8 @@
         is usual is believed while it is fresh, or nobody would find out that all is well again."""
         request_class, now = course.request.request_class, self.router.now
         return (
-            course.limit_at < course.slo_at
-            and now + MARGIN * self.first_ms(request_class) > course.limit_at
+            course.deadline < course.slo_at
+            and now + MARGIN * self.first_ms(request_class) > course.deadline
             and now - self.learnt_at.get(request_class, -inf) < DOUBT * self.limits.span_ms
         )
 
@@ -600,7 +602,7 @@
     def send(self, course: Course, engine: Seat) -> None:
         assert not course.over and course.attempt is None and engine.server.life is Life.UP
         now, request_class, s = self.router.now, course.request.request_class, self.board[engine]
-        decodes, patience = engine is course.decode_server, course.limit_at - now
+        decodes, patience = engine is course.decode_server, course.deadline - now
         whole = patience if course.request.whole else inf  # lest a slow writer outlast its client
         course.attempts += 1
         course.lease.attempt_begins()
@@ -728,7 +730,7 @@
         if verdict is not Verdict.PREFILLED and not note.state_lost:  # a full one is not asked again either
             course.tried.add(engine)
         if note.broken:  # only the time limit binds one whose client has a part; GoOn says when
-            course.slo_at = course.limit_at
+            course.slo_at = course.deadline
             return self.release(course, ReleaseReason.STREAM_BROKE)
         engine.post(Onward(course))
 
--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -101,13 +101,13 @@
 
     @contextmanager
     def answer(
-        self, request: dict[str, Any], stream: bool, key: str | None, idempotent: bool, time_limit_ms: float | None
+        self, request: dict[str, Any], stream: bool, key: str | None, idempotent: bool, request_timeout_ms: float | None
     ) -> Iterator[httpx.Response]:
         """A response with status 200, repeated as far as that does no harm."""
         body = {**request, "stream": stream} | ({"stream_options": {"include_usage": True}} if stream else {})
         headers = {"idempotency-key": key} if key else {}
-        if time_limit_ms:
-            headers["x-ternlane-time-limit-ms"] = f"{time_limit_ms:.1f}"
+        if request_timeout_ms:
+            headers["x-ternlane-time-limit-ms"] = f"{request_timeout_ms:.1f}"
         for attempt in range(self.retries + 1):
             pause = 100.0 * 2**attempt
             try:
@@ -143,11 +143,11 @@
         request: dict[str, Any],
         key: str | None = None,
         idempotent: bool = False,
-        time_limit_ms: float | None = None,
+        request_timeout_ms: float | None = None,
     ) -> Iterator[str]:
         """The text, piece by piece. Leaving the loop and closing the iterator ends the generation at the gateway."""
         begun = done = False
-        with self.answer(request, True, key, idempotent, time_limit_ms) as response:
+        with self.answer(request, True, key, idempotent, request_timeout_ms) as response:
             try:
                 for line in response.iter_lines():
                     if not line.startswith("data:"):
@@ -174,10 +174,10 @@
         request: dict[str, Any],
         key: str | None = None,
         idempotent: bool = False,
-        time_limit_ms: float | None = None,
+        request_timeout_ms: float | None = None,
     ) -> dict[str, Any]:
         """The whole answer: text, finish, usage."""
-        with self.answer(request, False, key, idempotent, time_limit_ms) as response:
+        with self.answer(request, False, key, idempotent, request_timeout_ms) as response:
             said = json.loads(response.read())
         choice = said["choices"][0]
         return {"text": choice["message"]["content"], "finish": choice["finish_reason"], "usage": said["usage"]}
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -25,7 +25,7 @@
                 case port.Listed(servers):
                     self.servers += [s for s in servers if s not in self.servers]
                 case port.Arrived(request):
-                    self.attempts[request], self.until[request] = 0, now + request.patience_ms
+                    self.attempts[request], self.until[request] = 0, now + request.client_timeout_ms
                     out += self.send(request, now, {Role.PREFILL, Role.BOTH})
                 case port.AttemptEnded(request, server, verdict, _, over):
                     out += (
@@ -49,7 +49,7 @@
                 request,
                 able[next(self.turn) % len(able)],
                 left,
-                request.patience_ms / 2,
+                request.client_timeout_ms / 2,
                 left if request.whole else float("inf"),
             )
         ]
--- a/ternlane/days/plan.py
+++ b/ternlane/days/plan.py
@@ -108,7 +108,7 @@
             u.request_class,
             terms[u.request_class].effect,
             u.share,
-            terms[u.request_class].limit_ms,
+            terms[u.request_class].deadline_ms,
             u.turns,
             u.adds,
             u.openings,
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -69,7 +69,7 @@
                 "slo_ms": p.slo_ms,
                 "slo_per_ktok_ms": p.slo_per_ktok_ms,
                 "revenue": p.revenue,
-                "limit_ms": p.limit_ms,
+                "limit_ms": p.deadline_ms,
                 "late_share": p.late_share,
             }
             for p in day.request_classes
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -68,7 +68,7 @@
                 slo_ms=figure(f"slo_ms {of_class}", p, "aim", None),
                 slo_per_ktok_ms=per_ktok[i] / 1000.0 if i < len(per_ktok) else 0.0,
                 tok_slo_ms=tok_slo[i] if i < len(tok_slo) else 0.0,
-                limit_ms=figure(f"limit_ms {of_class}", p, "deadline", None),
+                deadline_ms=figure(f"limit_ms {of_class}", p, "deadline", None),
                 revenue=figure(f"revenue {of_class}", p, "worth", 1.0),
                 late_share=figure(f"late_share {of_class}", p, "late_worth", 0.0),
             )
@@ -121,7 +121,7 @@
         opening_toks: float,
         prompt_toks: float,
         max_toks: float,
-        patience_ms: float,
+        client_timeout_ms: float,
         tenant: str = "",
     ) -> Request:
         return Request(
@@ -131,6 +131,6 @@
             opening_toks,
             prompt_toks,
             max_toks,
-            patience_ms,
+            client_timeout_ms,
             tenant=self.tenants.get(tenant),
         )
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -383,7 +383,7 @@
 
     def patience(self, exchange: Exchange, request_class: RequestClass | None) -> float:
         """The client's time limit where it states a shorter one, less what the answer's way back may take."""
-        limit = request_class.limit_ms if request_class is not None else 0.0
+        limit = request_class.deadline_ms if request_class is not None else 0.0
         said = exchange.header(TIME_LIMIT)
         if said is not None:
             try:
@@ -449,7 +449,7 @@
         """Ends the key's first request with what a repeat will hear."""
         request_class, final = ticket.request.request_class, ticket.for_repeats()
         cost = len(final.text) if isinstance(final, Streamed) else 0
-        self.repeats.end(key, final, cost, now_ms() + max(request_class.window_ms, request_class.limit_ms))
+        self.repeats.end(key, final, cost, now_ms() + max(request_class.window_ms, request_class.deadline_ms))
         self.repeats.sweep(now_ms())
 
     async def replay(self, exchange: Exchange, final: Final, ask: ChatAsk, after: int) -> None:
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -34,7 +34,7 @@
             p.slo_ms,
             p.slo_per_ktok_ms,
             p.tok_slo_ms,
-            p.limit_ms,
+            p.deadline_ms,
             p.revenue,
             p.late_share,
         )
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -53,7 +53,7 @@
                 ticket.mark,
                 request_class.effect.name,
                 now,
-                now + max(request_class.window_ms, request_class.limit_ms),
+                now + max(request_class.window_ms, request_class.deadline_ms),
             )
         )
 
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/ticket.py
@@ -83,7 +83,7 @@
 
     @property
     def deadline_ms(self) -> float:
-        return self.taken + self.request.patience_ms
+        return self.taken + self.request.client_timeout_ms
 
     @property
     def pieces(self) -> list[str]:
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -90,7 +90,7 @@
 
     request: Request
     slo_at: float
-    limit_at: float
+    deadline: float
     lot: float = 0.0  # its draw, from nought to one, for servers that take only some
     prefill_server: Seat | None = None
     decode_server: Seat | None = None
--- a/ternlane/paper/gateway.py
+++ b/ternlane/paper/gateway.py
@@ -30,13 +30,13 @@
     slo_ms: Positive
     slo_per_ktok_ms: NotNegative = 0.0
     tok_slo_ms: Positive = 80.0
-    limit_ms: Positive
+    deadline_ms: Positive
     revenue: NotNegative = 1.0
     late_share: Part = 0.0
     max_toks: Count = 1024  # of an answer whose request names no maximum
 
     def __post_init__(self) -> None:
-        if self.limit_ms < self.slo_ms:
+        if self.deadline_ms < self.slo_ms:
             raise ValueError("limit_ms is shorter than slo_ms")
 
 
--- a/ternlane/platform/held_states.py
+++ b/ternlane/platform/held_states.py
@@ -50,12 +50,12 @@
         oldest = next(iter(self._held.values()), None)
         return 0.0 if oldest is None else now_ms - oldest.since_ms
 
-    def newly_overdue(self, now_ms: float, limit_ms: float) -> list[Overdue]:
+    def newly_overdue(self, now_ms: float, deadline_ms: float) -> list[Overdue]:
         """Those held for more than the limit, each of them once."""
         overdue: list[Overdue] = []
         for request_id, state in self._held.items():
             held_ms = now_ms - state.since_ms
-            if held_ms <= limit_ms:
+            if held_ms <= deadline_ms:
                 break
             if not state.reported:
                 state.reported = True
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -105,7 +105,7 @@
     def arrived(self, ticket: Ticket) -> None:
         self.idents[ticket.ident] = ticket
         self.counts["taken"] += 1
-        ticket.note(f"received, {ticket.request.patience_ms:.0f} ms left{self.after_sigterm(ticket)}")
+        ticket.note(f"received, {ticket.request.client_timeout_ms:.0f} ms left{self.after_sigterm(ticket)}")
         self.taken(ticket)
 
     def after_sigterm_ms(self, ticket: Ticket) -> float | None:
@@ -176,7 +176,7 @@
             attempts=ticket.trail,
             after_sigterm_ms=self.after_sigterm_ms(ticket),
             took_ms=round(now_ms() - ticket.since, 1),
-            patience_ms=round(ticket.request.patience_ms),
+            patience_ms=round(ticket.request.client_timeout_ms),
         )
         ticket.note(f"closed: {outcome}")
         self.records.append(RequestRecord(ticket.ident, outcome, ticket.trail, ticket.history))
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -110,7 +110,7 @@
         a request that came later might be cut off without an answer."""
         deployment, now = self.node.deployment, now_ms()
         longest_ms = min(
-            LONGEST_MS, max(request_class.limit_ms for request_class in deployment.request_classes.values())
+            LONGEST_MS, max(request_class.deadline_ms for request_class in deployment.request_classes.values())
         )
         times = shutdown_times(longest_ms, ENDS_MS, deployment.facts.release_ms, since_signal_ms)
         self.front.draining = True
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -179,7 +179,7 @@
     opening_toks: float
     prompt_toks: float
     max_toks: float
-    patience_ms: float | None
+    client_timeout_ms: float | None
     tenant: str
 
 
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/ticket.py
@@ -70,7 +70,7 @@
 
     @property
     def deadline_ms(self) -> float:
-        return self.since + self.request.patience_ms
+        return self.since + self.request.client_timeout_ms
 
     @property
     def phase(self) -> Phase:
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -98,7 +98,7 @@
     slo_ms: float
     slo_per_ktok_ms: float
     tok_slo_ms: float
-    limit_ms: float
+    deadline_ms: float
     revenue: float
     late_share: float
 
@@ -135,7 +135,7 @@
     opening_toks: float
     prompt_toks: float
     max_toks: float
-    patience_ms: float
+    client_timeout_ms: float
     whole: bool = False
     seat: Any = None
     tenant: Tenant | None = None
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -35,13 +35,13 @@
         self.terms = terms
         self.shelf = Shelf(terms.keep_toks, terms.keep_bytes, terms.keep_all_bytes)
         self.rhythm = Rhythm(terms.alarms, facts.seed)
-        longest = max((p.limit_ms for p in facts.request_classes), default=1000.0)
+        longest = max((p.deadline_ms for p in facts.request_classes), default=1000.0)
         self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, facts.gateways)
         self.broke_at: dict[T, float] = {}
 
     def alter(self, facts: StartFacts) -> None:
         """The fleet's figures have changed; what waits keeps its turn."""
-        self.pace.span_ms = max((p.limit_ms for p in facts.request_classes), default=1000.0) * SPAN_SHARE
+        self.pace.span_ms = max((p.deadline_ms for p in facts.request_classes), default=1000.0) * SPAN_SHARE
         self.pace.gateways = facts.gateways
 
     def join(self, raw: dict[str, Any], request: Request) -> Join:
--- a/ternlane/standin/clients.py
+++ b/ternlane/standin/clients.py
@@ -26,7 +26,7 @@
     request_class: str
     effect: str
     share: float
-    limit_ms: float
+    deadline_ms: float
     turns: tuple[float, float] = (1.0, 2.0)
     adds: tuple[float, float] = (100.0, 400.0)  # tokens a turn
     openings: int = 8
@@ -182,14 +182,16 @@
         self.open += 1
         while True:
             low, high = self.habits.try_share
-            limit = min(talk.limit_ms * (low + (high - low) * self.rng.random()), begun + talk.limit_ms - clock_ms())
+            limit = min(
+                talk.deadline_ms * (low + (high - low) * self.rng.random()), begun + talk.deadline_ms - clock_ms()
+            )
             heard = await self.attempt(session, task, tries, limit)
             tries += 1
             pause = self.pause(heard)
             if (
                 tries > self.habits.retries
                 or not self.may_retry(talk, heard)
-                or clock_ms() + pause > begun + talk.limit_ms - 50
+                or clock_ms() + pause > begun + talk.deadline_ms - 50
             ):
                 break
             await trio.sleep(pause / 1000)
@@ -218,7 +220,7 @@
             return heard.pause_ms
         return low + (high - low) * self.rng.random()
 
-    async def attempt(self, session: Session, task: str, number: int, limit_ms: float) -> Heard:
+    async def attempt(self, session: Session, task: str, number: int, deadline_ms: float) -> Heard:
         talk, request = session.talk, f"{task}.{number}"
         name = request  # as gateway and engines have it
         if session.tenant is not None:
@@ -240,7 +242,7 @@
         headers = [
             ("Content-Type", "application/json"),
             ("X-Request-Id", name),
-            ("X-Ternlane-Time-Limit-Ms", f"{limit_ms:.1f}"),
+            ("X-Ternlane-Time-Limit-Ms", f"{deadline_ms:.1f}"),
             ("Connection", "close"),
         ]
         if session.tenant is not None:
@@ -249,7 +251,7 @@
             headers.append(("Idempotency-Key", task))
         leave = self.rng.random() < self.habits.leave_part
         low, high = self.habits.leave_ms
-        stay = low + (high - low) * self.rng.random() if leave else limit_ms + LISTENS_ON_MS
+        stay = low + (high - low) * self.rng.random() if leave else deadline_ms + LISTENS_ON_MS
         toks = sum(len(m["content"]) for m in session.messages) / TOK_BYTES
         heard, caller = Heard("none"), None
         scope = trio.CancelScope(deadline=trio.current_time() + stay / 1000)
@@ -262,12 +264,12 @@
                     task=task,
                     product=talk.request_class,
                     effect=talk.effect,
-                    limit_ms=round(limit_ms, 1),
+                    limit_ms=round(deadline_ms, 1),
                     port=caller.local[1],
                     toks=toks,
                     stream=stream,
                 )
-                await self.listen(caller, request, headers, msgspec.json.encode(body), heard, scope, leave, limit_ms)
+                await self.listen(caller, request, headers, msgspec.json.encode(body), heard, scope, leave, deadline_ms)
         except Unconnected:
             heard.outcome = "unreachable"
         except GONE as why:
@@ -301,13 +303,13 @@
         heard: Heard,
         scope: trio.CancelScope,
         leave: bool,
-        limit_ms: float,
+        deadline_ms: float,
     ) -> None:
         head = await caller.ask("POST", "/v1/chat/completions", headers, body)
         heard.status = head.status_code
         said = {name: value.decode("latin-1") for name, value in head.headers}
         if said.get(b"content-type", "").startswith("text/event-stream"):
-            await self.stream(caller, request, heard, scope, leave, limit_ms)
+            await self.stream(caller, request, heard, scope, leave, deadline_ms)
         else:
             raw = await caller.body(64 * 2**20)
             answer = msgspec.json.decode(raw)
@@ -329,7 +331,7 @@
             pass
 
     async def stream(
-        self, caller: Caller, request: str, heard: Heard, scope: trio.CancelScope, leave: bool, limit_ms: float
+        self, caller: Caller, request: str, heard: Heard, scope: trio.CancelScope, leave: bool, deadline_ms: float
     ) -> None:
         events, first, last = EventReader(), True, 0.0
         pieces: list[str] = []
@@ -338,7 +340,7 @@
             now, last = clock_ms(), last or clock_ms()
             heard.gap_ms, last = max(heard.gap_ms, now - last), now
             if not leave:  # a begun stream has no time limit but the client's patience between events
-                scope.deadline = trio.current_time() + limit_ms / 1000
+                scope.deadline = trio.current_time() + deadline_ms / 1000
             for data in events.feed(chunk):
                 if finals:
                     heard.unread += len(data)
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -144,7 +144,7 @@
             prompt * rng.uniform(0.0, 0.9),
             prompt,
             rng.uniform(20.0, 900.0),
-            request_class.limit_ms * rng.uniform(0.2, 1.0),
+            request_class.deadline_ms * rng.uniform(0.2, 1.0),
             rng.random() < 0.1,
             tenant=rng.choice(self.tenants),
         )
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -40,7 +40,7 @@
         self.seen_at = -inf
         self.request_classes = (
             RequestClass(
-                Effect.IDEMPOTENT, Group.ALL, 5000.0, scene.slo_ms, 40.0, 70.0, scene.limit_ms, 3.0, LATE_SHARE
+                Effect.IDEMPOTENT, Group.ALL, 5000.0, scene.slo_ms, 40.0, 70.0, scene.deadline_ms, 3.0, LATE_SHARE
             ),
             RequestClass(
                 Effect.SIDE_EFFECTING,
@@ -49,7 +49,7 @@
                 1.25 * scene.slo_ms,
                 40.0,
                 80.0,
-                1.2 * scene.limit_ms,
+                1.2 * scene.deadline_ms,
                 2.0,
                 LATE_SHARE,
             ),
@@ -147,7 +147,7 @@
             prompt = min(9000.0, scene.prompt_tokens * rng.lognormvariate(-0.2, 0.6))
             answer = max(4.0, scene.answer_tokens * rng.lognormvariate(-0.1, 0.4))
             tenant = rng.choice(self.tenants) if self.tenants else None
-            patience = request_class.limit_ms * rng.uniform(0.5, 1.0)
+            patience = request_class.deadline_ms * rng.uniform(0.5, 1.0)
             client_request = ClientRequest(
                 request_class,
                 tenant,
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -39,7 +39,7 @@
     answer_tokens: float = 150.0
     openings: int = 12  # beginnings that sessions share, drawn by Zipf's law
     slo_ms: float = 2000.0
-    limit_ms: float = 10000.0
+    deadline_ms: float = 10000.0
     tries: int = 3
     cold_ms: float = 10e3
     cold_from: float = 0.35
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -179,7 +179,7 @@
 
 
 def test_no_time_left_is_answered_at_once(host: FakeHost) -> None:
-    assert kinds(host.arrive(host.request(patience_ms=0.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(client_timeout_ms=0.0))) == [port.Throttle]
 
 
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
@@ -246,7 +246,7 @@
     crowd = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0) for _ in range(6)]
     for request in crowd:
         host.arrive(request)
-    assert kinds(host.arrive(host.request(patience_ms=30.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [port.Throttle]
 
 
 def test_a_reader_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
@@ -366,16 +366,18 @@
         attempt = sent(host.end(request, attempt.server, Verdict.PREFILLED, after=400.0))
         host.first(request, attempt.server, after=100.0)
         host.end(request, attempt.server, Verdict.STREAMED, over=True)
-    assert kinds(host.arrive(host.request(patience_ms=600.0))) == [port.Throttle]
-    assert kinds(host.arrive(host.request(patience_ms=3000.0))) == [port.StartAttempt]
-    assert kinds(host.arrive(host.request(patience_ms=600.0), after=9000.0)) == [port.StartAttempt]  # is it still so?
+    assert kinds(host.arrive(host.request(client_timeout_ms=600.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(client_timeout_ms=3000.0))) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request(client_timeout_ms=600.0), after=9000.0)) == [
+        port.StartAttempt
+    ]  # is it still so?
 
 
 def test_a_batch_of_many_ends_costs_what_waits_few_tries(host: FakeHost) -> None:
     small = [host.request(prompt_toks=50.0, opening=None, opening_toks=0.0) for _ in range(8)]
     out = [(request, sent(host.arrive(request)).server) for request in small]
     for i in range(40):  # none of them fits anywhere
-        host.arrive(host.request(prompt_toks=250e3 + i, opening=None, opening_toks=0.0, patience_ms=60e3))
+        host.arrive(host.request(prompt_toks=250e3 + i, opening=None, opening_toks=0.0, client_timeout_ms=60e3))
     desk, tries = host.router.desk, 0
     best = desk.best  # type: ignore[attr-defined]
 
@@ -390,7 +392,7 @@
 
 
 def test_a_short_prompt_passes_a_long_one_that_finds_no_room(host: FakeHost) -> None:
-    long = host.request(prompt_toks=250e3, opening=None, opening_toks=0.0, max_toks=0.0, patience_ms=60e3)
+    long = host.request(prompt_toks=250e3, opening=None, opening_toks=0.0, max_toks=0.0, client_timeout_ms=60e3)
     host.arrive(long)
     assert long.seat.attempt is None
     assert kinds(host.arrive(host.request(prompt_toks=200.0, opening=None, opening_toks=0.0))) == [port.StartAttempt]
@@ -421,7 +423,7 @@
 def test_reads_that_run_out_of_time_make_the_next_ones_more_patient(host: FakeHost) -> None:
     patience = []
     for _ in range(8):
-        request = host.request(patience_ms=30e3)
+        request = host.request(client_timeout_ms=30e3)
         attempt = sent(host.arrive(request, after=4000.0))
         patience.append(attempt.timeout_ms)
         host.end(request, attempt.server, Verdict.TIMED_OUT, after=attempt.timeout_ms)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -107,7 +107,7 @@
             with Client(f"http://{w.gateway.address}", retries=5) as client:
                 assert client.complete(REQUEST)["text"]
             with Client(f"http://{w.gateway.address}", retries=0) as client, pytest.raises(Throttled) as no:
-                client.complete(REQUEST, time_limit_ms=1)
+                client.complete(REQUEST, request_timeout_ms=1)
             assert no.value.retry_after_ms is not None
 
         await trio.to_thread.run_sync(back)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -202,5 +202,5 @@
             routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
             with trio.fail_after(3), pytest.raises(TerminatedError):
-                async with routing.request(asked, time_limit_ms=400) as stream:
+                async with routing.request(asked, request_timeout_ms=400) as stream:
                     await stream.text()
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -493,7 +493,7 @@
         since = trio.current_time()
         reply = await w.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and trio.current_time() - since < 0.8
-        assert w.gateway.host.facts.request_classes[0].limit_ms / 2 == 1000  # the silence that the decisions allow
+        assert w.gateway.host.facts.request_classes[0].deadline_ms / 2 == 1000  # the silence that the decisions allow
 
 
 # -- what an answer has besides its text
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     "fall_ms": TERMS.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.limit_ms, adds=(20, 80), opening_toks=(50, 100)) for p in REQUEST_CLASSES]
+TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), opening_toks=(50, 100)) for p in REQUEST_CLASSES]
 
 
 class Honest(Host):
@@ -65,7 +65,7 @@
     """Rule 1: believes that clients have more time than they have."""
 
     def arrived(self, ticket: Ticket) -> None:
-        ticket.request.patience_ms += 300.0
+        ticket.request.client_timeout_ms += 300.0
         super().arrived(ticket)
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -211,7 +211,7 @@
     transport = LocalTransport(dict(engines))  # type: ignore[arg-type]
     async with ternlane.open_routing(paper_of(ails, {}), transport, chooser) as routing:
         try:
-            async with routing.request(request(model), time_limit_ms=LIMIT - 50) as stream:
+            async with routing.request(request(model), request_timeout_ms=LIMIT - 50) as stream:
                 async for text in stream:
                     said.append(text)
             outcome = "streamed"
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -76,10 +76,10 @@
     host = build()
     learn_short_streams(host, effect)
     host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    streamed, stream = host.written(effect, patience_ms=9000.0)
+    streamed, stream = host.written(effect, client_timeout_ms=9000.0)
     host.first(streamed, stream.server)
-    decoded, decode = host.written(effect, patience_ms=9000.0)
-    read = host.request(effect, patience_ms=9000.0)
+    decoded, decode = host.written(effect, client_timeout_ms=9000.0)
+    read = host.request(effect, client_timeout_ms=9000.0)
     prefill = sent(host.arrive(read))
     said = host.tell(after=300.0)
     cancelled = {action.request for action in said if isinstance(action, port.CancelAttempt)}
@@ -98,7 +98,7 @@
     host = build(may_cancel=False)
     learn_short_streams(host, effect)
     host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    requests = [host.request(effect, patience_ms=9000.0), host.written(effect, patience_ms=9000.0)[0]]
+    requests = [host.request(effect, client_timeout_ms=9000.0), host.written(effect, client_timeout_ms=9000.0)[0]]
     host.arrive(requests[0])
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
@@ -109,7 +109,7 @@
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
     for name in ("r0", "r1"):
         host.list(**{name: port.Life.DRAINING})
-    waiting = host.request(patience_ms=9000.0)
+    waiting = host.request(client_timeout_ms=9000.0)
     host.router.desk.served = lambda course: True  # type: ignore[method-assign]
     host.arrive(waiting)
     host.tell(port.Ending(TIMES))
@@ -139,11 +139,13 @@
         await until(lambda: p.fleet.count("write"))
         make_faulty(p, lambda events: [])
         ticket = next(iter(p.gateway.node.tickets.values()))
-        ticket.request.patience_ms = 60e3
+        ticket.request.client_timeout_ms = 60e3
         since = trio.current_time()
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
-        longest_ms = max(request_class.limit_ms for request_class in p.gateway.node.deployment.request_classes.values())
+        longest_ms = max(
+            request_class.deadline_ms for request_class in p.gateway.node.deployment.request_classes.values()
+        )
         assert answer.startswith(b"HTTP/1.1 502 ") and (trio.current_time() - since) * 1000 < longest_ms + ENDS_MS
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -39,13 +39,13 @@
         release_ms=250.0,
     )
     summary, note, _ = paper.request_classes
-    quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, limit_ms=8000)
+    quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, deadline_ms=8000)
     return msgspec.structs.replace(
         paper,
         fleet=fleet,
         gateways=5,
         zone="hall",
-        request_classes=[summary, msgspec.structs.replace(note, slo_ms=1500, limit_ms=7000), quote],
+        request_classes=[summary, msgspec.structs.replace(note, slo_ms=1500, deadline_ms=7000), quote],
     )
 
 
@@ -217,13 +217,13 @@
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
 def test_nobody_waits_for_loads_beyond_its_clients_patience(patience: float) -> None:
     host = build(may_probe=True, told_if_asked=True)
-    request = host.request(patience_ms=patience)
+    request = host.request(client_timeout_ms=patience)
     said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
     while not any(isinstance(a, (port.StartAttempt, port.Throttle)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
-    assert answered <= request.seat.limit_at - 0.5 * patience
+    assert answered <= request.seat.deadline - 0.5 * patience
 
 
 @pytest.mark.parametrize(
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -205,7 +205,7 @@
                 await trio.sleep(0.002)
         engines["r0"].trouble = "full"
         with pytest.raises(ThrottledError):
-            async with routing.request(REQUEST, time_limit_ms=200) as stream:
+            async with routing.request(REQUEST, request_timeout_ms=200) as stream:
                 await stream.text()
 
 
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -119,7 +119,7 @@
     unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
     async with platform("r0", "w0", told=told, w0=always("opening_cut")) as p:
         request_class = p.gateway.node.deployment.request_classes[unsafe["name"]]
-        assert request_class.effect is Effect.SIDE_EFFECTING and request_class.limit_ms == unsafe["deadline"]
+        assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
         assert reply.status == 502 and p.fleet.count("write") == 1
         assert p.fleet.told_s[0] <= unsafe["deadline"] / 1000
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,17 +20,19 @@
 from ternlane.standin.traffic import Traffic
 
 REQUEST_CLASSES = [
-    RequestClassConfig(name="summary", effect="idempotent", slo_ms=400, tok_slo_ms=60, limit_ms=2000, revenue=3),
-    RequestClassConfig(name="note", effect="side-effecting", slo_ms=400, tok_slo_ms=60, limit_ms=1500, revenue=2),
+    RequestClassConfig(name="summary", effect="idempotent", slo_ms=400, tok_slo_ms=60, deadline_ms=2000, revenue=3),
+    RequestClassConfig(name="note", effect="side-effecting", slo_ms=400, tok_slo_ms=60, deadline_ms=1500, revenue=2),
     RequestClassConfig(
-        name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, tok_slo_ms=60, limit_ms=1500
+        name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, tok_slo_ms=60, deadline_ms=1500
     ),
 ]
 
 
 def patient(times: float) -> list[RequestClassConfig]:
     """The same products with longer times, where a busy machine must not matter."""
-    return [msgspec.structs.replace(p, slo_ms=times * p.slo_ms, limit_ms=times * p.limit_ms) for p in REQUEST_CLASSES]
+    return [
+        msgspec.structs.replace(p, slo_ms=times * p.slo_ms, deadline_ms=times * p.deadline_ms) for p in REQUEST_CLASSES
+    ]
 
 
 BUILD = Build(slots=8, read_tok_s=40e3, tok_ms=3.0, tok_grow=0.0, answer_toks=(6, 6), cold_ms=2000, cold_from=0.3)
