--- a/bench/losses.py
+++ b/bench/losses.py
@@ -127,10 +127,10 @@
                     text = await stream.text()
                 outcomes[f"{model} streamed"] += 1
                 assert text == "".join(f"w{k} " for k in range(8)), text
-            except ternlane.ThrottledError:
+            except ternlane.RejectedError:
                 outcomes[f"{model} throttled"] += 1
                 assert model == "summary" or not fleet.effects.get(f"{model}-{i}"), "throttled although it ran"
-            except ternlane.TerminatedError:
+            except ternlane.FailedError:
                 outcomes[f"{model} terminated"] += 1
 
         for begin in range(0, many, 50):
@@ -166,8 +166,8 @@
                 whole = text == "".join(f"w{k} " for k in range(240))
                 outcomes["whole" if whole else "WRONG"] += 1
                 pauses.append(longest * 1000)
-            except (ternlane.ThrottledError, ternlane.TerminatedError) as why:
-                outcomes["in part" if isinstance(why, ternlane.TerminatedError) and why.begun else "not begun"] += 1
+            except (ternlane.RejectedError, ternlane.FailedError) as why:
+                outcomes["in part" if isinstance(why, ternlane.FailedError) and why.begun else "not begun"] += 1
 
         async with trio.open_nursery() as nursery:
             for i in range(streams):
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -34,8 +34,8 @@
     "open_routing": "embed",
     "Routing": "embed",
     "Stream": "embed",
-    "ThrottledError": "embed",
-    "TerminatedError": "embed",
+    "RejectedError": "embed",
+    "FailedError": "embed",
     "Blocking": "embed",
     "Bridged": "embed",
     "Transport": "engine",
@@ -76,8 +76,8 @@
     from ternlane.embed import Bridged as Bridged
     from ternlane.embed import Routing as Routing
     from ternlane.embed import Stream as Stream
-    from ternlane.embed import TerminatedError as TerminatedError
-    from ternlane.embed import ThrottledError as ThrottledError
+    from ternlane.embed import FailedError as FailedError
+    from ternlane.embed import RejectedError as RejectedError
     from ternlane.embed import open_routing as open_routing
     from ternlane.engine import ClientGone as ClientGone
     from ternlane.engine import Kept as Kept
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -46,7 +46,7 @@
     Group,
     Life,
     RequestClass,
-    Refusal,
+    RejectReason,
     ReleaseReason,
     Server,
     StartFacts,
@@ -308,7 +308,7 @@
         self.prompt[request_class] = mean + GAIN * (request.prompt_toks - mean)
         self.asked_for[request.opening] += request.opening is not None
         if now >= self.shutdown.admits_until:
-            return self.finish(course, Refusal.SHUTDOWN)
+            return self.finish(course, RejectReason.SHUTDOWN)
         if self.told_if_asked and course.deadline > now + CROWD * self.limits.beat_ms:  # or time runs out
             course.agreed = self.agreed(request)
             course.asked = {e for e in course.agreed[: round(CROWD)] if self.ask(e)}
@@ -450,9 +450,9 @@
     def place(self, course: Course) -> None:
         """Home pair if it is calm, else the best calm pair; else the generation waits before its read."""
         now, request = self.router.now, course.request
-        refusal = self.refusal(course)
-        if refusal is not None:
-            return self.finish(course, refusal)
+        reject_reason = self.reject_reason(course)
+        if reject_reason is not None:
+            return self.finish(course, reject_reason)
         home = self.homes.get(request.session or "")
         if home and all(
             self.usable(e, course) and not self.congested(self.board[e], course) and not self.ill(e, course)
@@ -465,7 +465,7 @@
                 course.waited = True
                 if self.served(course):
                     return self.wait(course)
-                return self.finish(course, Refusal.NO_SERVER)
+                return self.finish(course, RejectReason.NO_SERVER)
             prefill_server, decode_server = pair[0].engine, pair[1].engine
         if request.session:
             self.homes[request.session] = Home(prefill_server, decode_server, now)
@@ -477,15 +477,15 @@
             self.ask(decode_server)
         self.send(course, prefill_server)
 
-    def refusal(self, course: Course) -> Refusal | None:
+    def reject_reason(self, course: Course) -> RejectReason | None:
         """Why no prefill should begin for it any more."""
         if self.spent(course) or self.too_few_attempts(course):
-            return Refusal.ATTEMPTS_SPENT
+            return RejectReason.ATTEMPTS_SPENT
         if self.hopeless(course):
-            return Refusal.DEADLINE_TOO_CLOSE
+            return RejectReason.DEADLINE_TOO_CLOSE
         if self.outweighed(course):
-            return Refusal.OVERLOAD
-        return Refusal.SHUTDOWN if self.cut_off(course) else None
+            return RejectReason.OVERLOAD
+        return RejectReason.SHUTDOWN if self.cut_off(course) else None
 
     def record(self, engine: Seat, request: Request, verdict: Verdict, waited: float) -> None:
         """Guards against servers that look well and fail one product, refuse one tenant or lose answers."""
@@ -557,7 +557,7 @@
                 continue
             if course.attempt is not None and course.may_have_run is None:
                 course.may_have_run = course.attempt.sent, course.attempt.engine.server
-            self.finish(course, Refusal.SHUTDOWN)
+            self.finish(course, RejectReason.SHUTDOWN)
 
     def served(self, course: Course) -> bool:  # is anyone left who could read it, and who could write it?
         able = [
@@ -570,7 +570,7 @@
     def wait(self, course: Course) -> None:
         """Waits before its read: what earns most for its work first, then what is due first."""
         if self.router.now >= self.latest(course):
-            return self.finish(course, Refusal.QUEUED_TOO_LONG)
+            return self.finish(course, RejectReason.QUEUED_TOO_LONG)
         self.turn += 1
         latest = self.latest(course)
         heapq.heappush(self.waiting, (-course.request.request_class.revenue, latest, self.turn, course))
@@ -586,7 +586,7 @@
         while queue and not self.router.ready:
             entry = _, latest, _, course = heapq.heappop(queue)
             if latest <= self.router.now and not course.over:
-                self.finish(course, Refusal.QUEUED_TOO_LONG)
+                self.finish(course, RejectReason.QUEUED_TOO_LONG)
             elif course.request.prompt_toks >= self.stuck and course.waited and not course.over:
                 heapq.heappush(self.waiting, entry)
             elif not course.over:
@@ -620,14 +620,12 @@
             port.StartAttempt(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
         )
 
-    def finish(self, course: Course, why: Refusal) -> None:
+    def finish(self, course: Course, why: RejectReason) -> None:
         """The one final answer, given at once: throttled wherever that promise is true, else terminated."""
         request_class, window = course.request.request_class, self.window_ms(course)
         pause = min(self.limits.pause_ms, request_class.slo_ms / 2)
         harmless = window == inf or (request_class.group is Group.ALL and window > pause)
-        self.router.out.append(
-            port.Throttle(course.request, pause, why) if harmless else port.Terminate(course.request, why)
-        )
+        self.router.out.append(port.Reject(course.request, pause, why) if harmless else port.Fail(course.request, why))
         self.close(course)
 
     def release(self, course: Course, why: ReleaseReason = ReleaseReason.REQUEST_OVER) -> None:
@@ -726,7 +724,7 @@
         if self.limits.guard_ms < inf and course.lease.may_hold:
             self.guard_lease(course)
         if verdict is Verdict.MOOT:
-            return self.finish(course, Refusal.CLIENT_LEFT)
+            return self.finish(course, RejectReason.CLIENT_LEFT)
         if verdict is not Verdict.PREFILLED and not note.state_lost:  # a full one is not asked again either
             course.tried.add(engine)
         if note.broken:  # only the time limit binds one whose client has a part; GoOn says when
@@ -749,11 +747,11 @@
     def onward(self, course: Course) -> None:
         """The next leg, if the effect allows one: with the state at hand a writer, else a pair anew."""
         if self.router.now >= self.shutdown.answers_by:
-            return self.finish(course, Refusal.SHUTDOWN)
+            return self.finish(course, RejectReason.SHUTDOWN)
         if self.spent(course):
-            return self.finish(course, Refusal.ATTEMPTS_SPENT)
+            return self.finish(course, RejectReason.ATTEMPTS_SPENT)
         if not any(self.effect_allows(course, e) for e in self.board):
-            return self.finish(course, Refusal.MAY_HAVE_RUN)
+            return self.finish(course, RejectReason.MAY_HAVE_RUN)
         if course.lease.held_at is not None and self.router.now <= course.lease.since + self.limits.hand_ms:
             return self.hand_on(course)
         # Lest one more connection that never comes up outlast its release time:
--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -43,11 +43,11 @@
     """Wrong as it stands: 400, 401, 404, 409, 413, 422."""
 
 
-class Throttled(ClientError):
+class Rejected(ClientError):
     """Nothing ran; `retry_after_ms` is when to come back."""
 
 
-class Terminated(ClientError):
+class Failed(ClientError):
     """Given up, or broken off: it may have run."""
 
 
@@ -63,9 +63,9 @@
     why = info.get("message") or f"HTTP {response.status_code}"
     told: dict[str, Any] = {"status": response.status_code, "code": info.get("code"), "param": info.get("param")}
     if response.status_code in (429, 503):
-        return Throttled(why, retry_after_ms=return_ms(response.headers), **told)
+        return Rejected(why, retry_after_ms=return_ms(response.headers), **told)
     if response.status_code >= 500:
-        return Terminated(why, may_have_run=True, **told)
+        return Failed(why, may_have_run=True, **told)
     return RequestError(why, **told)
 
 
@@ -129,7 +129,7 @@
                 response.close()
                 error = failure(response)
                 pause = error.retry_after_ms if error.retry_after_ms is not None else pause
-            harmless = isinstance(error, Throttled) or (isinstance(error, Unconnected) and not error.may_have_run)
+            harmless = isinstance(error, Rejected) or (isinstance(error, Unconnected) and not error.may_have_run)
             if (
                 attempt == self.retries
                 or pause > self.longest_pause_ms
@@ -158,7 +158,7 @@
                         continue
                     said = json.loads(data)
                     if "error" in said:
-                        raise Terminated(said["error"]["message"], may_have_run=True, begun=begun)
+                        raise Failed(said["error"]["message"], may_have_run=True, begun=begun)
                     for choice in said["choices"]:
                         text = choice["delta"].get("content")
                         if text:
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -40,7 +40,7 @@
     def send(self, request: Request, now: float, roles: set[Role]) -> list[Action]:
         able = [s for s in self.servers if s.life is Life.UP and s.role in roles]
         if not able or self.attempts[request] >= self.facts.max_attempts or now >= self.until[request]:
-            final: Action = port.Terminate(request) if request in self.ran else port.Throttle(request, 0.0)
+            final: Action = port.Fail(request) if request in self.ran else port.Reject(request, 0.0)
             return [final, port.Release(request), *self.forget(request)]
         self.attempts[request] += 1
         left = self.until[request] - now
@@ -65,7 +65,7 @@
             and request.request_class.effect is not Effect.IDEMPOTENT
         ):
             self.ran.add(request)
-            return [port.Terminate(request), port.Release(request), *self.forget(request)]
+            return [port.Fail(request), port.Release(request), *self.forget(request)]
         return [port.Release(request), *self.send(request, now, {Role.PREFILL, Role.BOTH})]
 
     def forget(self, request: Request) -> list[Action]:
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -26,14 +26,14 @@
 from ternlane.gateway.host import Host
 from ternlane.gateway.logs import library_log
 from ternlane.gateway.measures import Measures
-from ternlane.gateway.ticket import Outlet, Streamed, Terminated, Throttled, Ticket
+from ternlane.gateway.ticket import Outlet, Streamed, Failed, Rejected, Ticket
 from ternlane.nodes import Book
 from ternlane.paper import GatewayPaper, InlineSource, NodeLine, checked
 from ternlane.port import StartFacts
 from ternlane.turns import Chooser, now_ms
 
 
-class ThrottledError(Exception):
+class RejectedError(Exception):
     """Nothing ran, or a new try does no harm; best after `pause_ms`."""
 
     def __init__(self, pause_ms: float) -> None:
@@ -41,7 +41,7 @@
         self.pause_ms = pause_ms
 
 
-class TerminatedError(Exception):
+class FailedError(Exception):
     """Given up; it may have run. `begun`: part of the text had come."""
 
     def __init__(self, why: str, begun: bool) -> None:
@@ -75,10 +75,10 @@
         match self.ticket.final:
             case Streamed(_, finish, usage):
                 self.finish, self.usage = finish, usage
-            case Throttled(pause):
-                raise ThrottledError(pause)
-            case Terminated(why):
-                raise TerminatedError(why, self.ticket.begun)
+            case Rejected(pause):
+                raise RejectedError(pause)
+            case Failed(why):
+                raise FailedError(why, self.ticket.begun)
 
     async def text(self) -> str:
         """The whole text, once it is there. Raises ThrottledError or TerminatedError."""
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -180,8 +180,8 @@
     end.report = load_of(said.get(LOAD))
     if head.status_code == 200:
         return False
-    refusal = refusal_of(head.status_code, said.get(NOT_RUN))
-    end.verdict, end.state_lost = refusal.verdict, refusal.state_lost
+    reject_reason = refusal_of(head.status_code, said.get(NOT_RUN))
+    end.verdict, end.state_lost = reject_reason.verdict, reject_reason.state_lost
     end.why = f"status {head.status_code} {said.get(NOT_RUN, '')}".strip()
     return True
 
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -93,7 +93,7 @@
 class DeltaIn(msgspec.Struct):
     content: str | None = None
     tool_calls: list[dict[str, Any]] | None = None
-    refusal: str | None = None
+    reject_reason: str | None = None
     reasoning_content: str | None = None
     reasoning: str | None = None
 
@@ -106,7 +106,9 @@
     def more(self) -> dict[str, Any] | None:
         """What it has besides text, as chat.Beyond puts it together; None for nothing."""
         delta, out = self.delta, {}
-        if delta is not None and (delta.tool_calls or delta.refusal or delta.reasoning_content or delta.reasoning):
+        if delta is not None and (
+            delta.tool_calls or delta.reject_reason or delta.reasoning_content or delta.reasoning
+        ):
             out["delta"] = {
                 k: v for k in ("tool_calls", "refusal", "reasoning_content", "reasoning") if (v := getattr(delta, k))
             }
@@ -126,18 +128,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
+class RejectReason:
     verdict: Verdict
     state_lost: bool = False
 
 
-def refusal_of(status: int, not_run: str | None) -> Refusal:
+def refusal_of(status: int, not_run: str | None) -> RejectReason:
     """What an answer without success proves. A 429 is a refusal by its meaning; other codes only with our header."""
     if not_run == "no-state":
-        return Refusal(Verdict.FULL, state_lost=True)
+        return RejectReason(Verdict.FULL, state_lost=True)
     if not_run is not None or status == 429:
-        return Refusal(Verdict.FULL)
-    return Refusal(Verdict.ERROR)
+        return RejectReason(Verdict.FULL)
+    return RejectReason(Verdict.ERROR)
 
 
 def load_told(text: str) -> Report | None:
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -31,13 +31,13 @@
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.scribe import final_of
 from ternlane.gateway.till import Till
-from ternlane.gateway.ticket import Final, Outlet, Streamed, Terminated, Throttled, Ticket
+from ternlane.gateway.ticket import Final, Outlet, Streamed, Failed, Rejected, Ticket
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
 from ternlane.paper import DoorTerms, GatewayPaper
 from ternlane.port import RequestClass
 from ternlane.recover import comes_out_the_same
 from ternlane.recover.inflight import Known
-from ternlane.tenants import Hold, Refusal, TenantLine, Unknown
+from ternlane.tenants import Hold, RejectReason, TenantLine, Unknown
 from ternlane.tenants.cashier import wait_s
 from ternlane.turns import now_ms
 
@@ -67,7 +67,7 @@
         self.extra = [*(extra or []), *([] if after_s is None else [("Retry-After", str(after_s))])]
 
 
-def over_budget(no: Refusal) -> NotTaken:
+def over_budget(no: RejectReason) -> NotTaken:
     """Refused before any leg: a throttle, which promises that nothing ran."""
     why = {
         "minute": "tokens a minute",
@@ -109,7 +109,7 @@
                 out += event_bytes(usage_chunk(self.ident, self.created, self.model, final.usage))
             await self.exchange.end(out + event_bytes(b"[DONE]"))
         else:  # the error event takes the place of [DONE]
-            why = final.why if isinstance(final, Terminated) else "throttled"
+            why = final.why if isinstance(final, Failed) else "throttled"
             await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
 
 
@@ -168,7 +168,7 @@
                 body_ms=self.terms.body_ms,
                 idle_ms=self.terms.idle_ms,
                 send_ms=self.terms.send_ms,
-                refusal=self.refusal,
+                reject_reason=self.reject_reason,
                 draining=lambda: self.draining,
             )
         except Exception:  # a fault of this program must not take the other connections with it
@@ -177,7 +177,7 @@
             self.conns -= 1
             self.measures.conns.set(self.conns)
 
-    def refusal(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
+    def reject_reason(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
         self.measures.refused.labels(bad.code).inc()
         return error_body(bad.status, bad.why, bad.code), "application/json"
 
@@ -344,7 +344,7 @@
             got = self.till.reserve(
                 tenant, self.names[known.request.request_class], known.request.prompt_toks, int(known.request.max_toks)
             )
-            if isinstance(got, Refusal):
+            if isinstance(got, RejectReason):
                 raise over_budget(got)
             hold = got
         ident = self.ident(exchange, owner)
@@ -420,7 +420,7 @@
                     f"chatcmpl-{ticket.ident}", int(time.time()), ticket.ask.model, text, finish, usage, more
                 )
                 await exchange.answer(200, [ident, *extra], body)
-            case Throttled(pause):
+            case Rejected(pause):
                 seconds = max(1, -(-int(pause) // 1000))
                 await exchange.answer(
                     429,
@@ -429,7 +429,7 @@
                         429, "The model servers are busy; nothing has run and a new try does no harm", "throttled"
                     ),
                 )
-            case Terminated(why, timed_out):
+            case Failed(why, timed_out):
                 status = 504 if timed_out else 502
                 await exchange.answer(
                     status,
@@ -470,7 +470,7 @@
                     200, [mark], answer_body(ident, int(time.time()), ask.model, text, finish, usage, more)
                 )
             case _:
-                why = final.why if isinstance(final, Terminated) else ""
+                why = final.why if isinstance(final, Failed) else ""
                 await exchange.answer(
                     502, [mark, ("x-should-retry", "false")], error_body(502, f"Terminated: {why}", "terminated")
                 )
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -17,7 +17,7 @@
 from ternlane.gateway.facts import Offer
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.scribe import Scribe
-from ternlane.gateway.ticket import Streamed, Terminated, Throttled, Ticket
+from ternlane.gateway.ticket import Streamed, Failed, Rejected, Ticket
 from ternlane.nodes import Book
 from ternlane.paper import StreamTerms
 from ternlane.port import Role, Life, Server, StartFacts, Verdict
@@ -109,9 +109,9 @@
             self.tell(port.ClientLeft(ticket.request))
             self.close(ticket, "left")
 
-    def settle(self, ticket: Ticket, final: Throttled | Terminated | Streamed) -> None:
-        if ticket.begun and isinstance(final, Throttled):  # its client has a part: nothing to come back for
-            final = Terminated(ticket.why or "nobody could go on with it")
+    def settle(self, ticket: Ticket, final: Rejected | Failed | Streamed) -> None:
+        if ticket.begun and isinstance(final, Rejected):  # its client has a part: nothing to come back for
+            final = Failed(ticket.why or "nobody could go on with it")
         if not ticket.settle(final):
             return
         self.close(ticket, type(final).__name__.lower())
@@ -310,13 +310,13 @@
             ticket.why = f"{place.ident}: {end.why}"
         broken = False
         if end.verdict is Verdict.STREAMED and not ticket.join.ends():
-            self.settle(ticket, Terminated(ticket.join.why))
+            self.settle(ticket, Failed(ticket.join.why))
         elif end.verdict is Verdict.STREAMED or ticket.join.stopped:
             self.streamed(ticket, "stop" if ticket.join.stopped else end.finish, end.usage)
         elif end.begun:
             broken = not plan.cancelled and not ticket.left and self.broke(ticket, end)
             if not broken:  # its client has part of the answer, and hears that there is no more
-                self.settle(ticket, Terminated(ticket.why if plan.cancelled else end.why or "the stream broke"))
+                self.settle(ticket, Failed(ticket.why if plan.cancelled else end.why or "the stream broke"))
         over = ticket.final is not None or ticket.left
         never_ran = Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD
         if end.verdict in never_ran and server.role is Role.PREFILL:
@@ -368,7 +368,7 @@
         for ticket in go:
             self.tell(port.GoOn(ticket.request))
         for ticket in late:
-            self.settle(ticket, Terminated(ticket.why or "the stream broke"))
+            self.settle(ticket, Failed(ticket.why or "the stream broke"))
             self.tell(port.ClientLeft(ticket.request))
         at = self.mender.due(now_ms())
         if at < self.resume_at:
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.engine import Transport
-from ternlane.gateway.ticket import Final, Streamed, Terminated, Ticket
+from ternlane.gateway.ticket import Final, Streamed, Failed, Ticket
 from ternlane.ledger import Disk, Kind, Segmented, Writer
 from ternlane.port import Effect
 from ternlane.recover.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
@@ -87,7 +87,7 @@
                     {k: v for k, v in usage.items() if isinstance(v, int)},
                     more=more or {},
                 )
-            case Terminated(why):
+            case Failed(why):
                 kept = Ended(ticket.noted, "terminated", True, why=why)
         self.writer.add(kept)
 
@@ -126,5 +126,5 @@
 def final_of(known: Known) -> Final:
     it = known.ended
     if it.outcome != "streamed":
-        return Terminated(it.why)
+        return Failed(it.why)
     return Streamed(it.text, it.finish, dict(it.usage), it.more or None)
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/ticket.py
@@ -14,8 +14,8 @@
 from ternlane.port import Request, Server
 from ternlane.recover import Join
 from ternlane.tenants.billing import Used
-from ternlane.turns import Terminated as Terminated
-from ternlane.turns import Throttled as Throttled
+from ternlane.turns import Failed as Failed
+from ternlane.turns import Rejected as Rejected
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     more: More | None = None  # besides the text
 
 
-Final = Throttled | Terminated | Streamed
+Final = Rejected | Failed | Streamed
 
 
 class Outlet(ABC):
@@ -96,7 +96,7 @@
             case Keep.NOTHING:
                 return None
             case Keep.UNSURE:
-                return Terminated("the first client left; it may have run")
+                return Failed("the first client left; it may have run")
         return self.final
 
     def settle(self, final: Final) -> bool:
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -18,7 +18,7 @@
 from ternlane.ledger import Disk, Store, Totals, Writer
 from ternlane.ledger.lending import lender_file
 from ternlane.paper import GatewayPaper, PaperError, read_paper
-from ternlane.tenants import Cashier, Hold, Refusal, Roll, TenantLine, bill_for
+from ternlane.tenants import Cashier, Hold, RejectReason, Roll, TenantLine, bill_for
 from ternlane.tenants.roll import Budget, RollPaper
 from ternlane.turns import now_ms
 
@@ -112,7 +112,7 @@
         """Raises tenants.Unknown."""
         return self.roll.whose(authorization, time.time())
 
-    def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | Refusal:
+    def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | RejectReason:
         return self.cashier.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def affords(self, ticket: Ticket) -> bool:
--- a/ternlane/http1/server.py
+++ b/ternlane/http1/server.py
@@ -73,14 +73,14 @@
         handler: Handler,
         limits: ServerLimits,
         *,
-        refusal: Refuser = plain_refusal,
+        reject_reason: Refuser = plain_refusal,
         draining: Callable[[], bool] = lambda: False,
         early_ok: bool = False,
         on_idle: Callable[[ServerConnection], None] = lambda _: None,
         on_close: Callable[[CloseReason], None] = lambda _: None,
     ) -> None:
         self.stream, self.handler, self.limits = stream, handler, limits
-        self.refusal, self.draining, self.early_ok, self.on_idle = refusal, draining, early_ok, on_idle
+        self.reject_reason, self.draining, self.early_ok, self.on_idle = reject_reason, draining, early_ok, on_idle
         self.on_close, self.close_reason = on_close, CloseReason.CANCELLED
         self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
         self.idle = self.served = False
@@ -169,7 +169,7 @@
         """The error answer, where none was begun, and the connection's end."""
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        body, content = self.refusal(exchange, bad)
+        body, content = self.reject_reason(exchange, bad)
         head = [("Content-Type", content), ("Content-Length", str(len(body))), ("Connection", "close")]
         out = self.conn.send(h11.Response(status_code=bad.status, headers=head)) or b""
         out += self.conn.send(h11.Data(data=body)) or b""
@@ -292,13 +292,15 @@
     body_ms: float,
     idle_ms: float,
     send_ms: float,
-    refusal: Refuser = plain_refusal,
+    reject_reason: Refuser = plain_refusal,
     draining: Callable[[], bool] = lambda: False,
     early_ok: bool = False,
 ) -> None:
     """Serves one connection until either side ends it. Never raises for what the client does."""
     limits = ServerLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
-    await ServerConnection(stream, handler, limits, refusal=refusal, draining=draining, early_ok=early_ok).serve()
+    await ServerConnection(
+        stream, handler, limits, reject_reason=reject_reason, draining=draining, early_ok=early_ok
+    ).serve()
 
 
 async def linger(stream: trio.SocketStream) -> None:
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -12,7 +12,7 @@
 from ternlane.platform.node import Node
 from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, Wrong, wish_of
 from ternlane.platform.ticket import Streamed, Ticket
-from ternlane.turns import Terminated, Throttled, now_ms
+from ternlane.turns import Failed, Rejected, now_ms
 
 HEAD_BYTES = 16384
 # Who connects and sends no request is owed an end within 3 s of connecting (users' page); the rest is for the way.
@@ -113,7 +113,7 @@
             stream,
             self.handle,
             self.limits,
-            refusal=self.refusal,
+            reject_reason=self.reject_reason,
             draining=lambda: self.draining,
             on_idle=self.idle_changed,
             on_close=self.closed,
@@ -162,7 +162,7 @@
         for connection in list(self.open):
             connection.stop_reading()
 
-    def refusal(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
+    def reject_reason(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
         self.node.counts[f"refused {bad.code}"] += 1
         return said(bad.code, bad.why), "application/json"
 
@@ -229,10 +229,10 @@
         match ticket.final:
             case Streamed(whole=True):
                 pass
-            case Throttled(pause):
+            case Rejected(pause):
                 head = [("Retry-After", f"{pause / 1000:.3f}")] if pause > 0 else []
                 await exchange.answer(503, head, said("throttled", "nothing has run; a new try does no harm"))
-            case Terminated(why):
+            case Failed(why):
                 await exchange.answer(502, [], said("terminated", why or "no server could finish it"))
             case _:  # it left, or its stream broke: the connection ends without the last chunk
                 pass
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -157,8 +157,8 @@
         if isinstance(final, Streamed):
             outcome = "streamed" if final.whole else "broken"
         else:
-            self.counts[f"{outcome} {final.refusal.name}"] += 1
-            ticket.note(f"{outcome}: {final.refusal.name}")
+            self.counts[f"{outcome} {final.reject_reason.name}"] += 1
+            ticket.note(f"{outcome}: {final.reject_reason.name}")
         if now_ms() > ticket.deadline_ms and not ticket.flowing:
             self.counts["late"] += 1
         self.closed(ticket, outcome)
@@ -172,7 +172,7 @@
             gen=ticket.ident,
             outcome=outcome,
             phase=ticket.phase.value,
-            refusal=getattr(ticket.final, "refusal", port.Refusal.UNKNOWN).name,
+            refusal=getattr(ticket.final, "reject_reason", port.RejectReason.UNKNOWN).name,
             attempts=ticket.trail,
             after_sigterm_ms=self.after_sigterm_ms(ticket),
             took_ms=round(now_ms() - ticket.since, 1),
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/ticket.py
@@ -12,7 +12,7 @@
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
 from ternlane.port import Request
-from ternlane.turns import Terminated, Throttled, now_ms
+from ternlane.turns import Failed, Rejected, now_ms
 
 STREAM_HEAD = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-cache"), ("Transfer-Encoding", "chunked")]
 
@@ -24,7 +24,7 @@
     whole: bool
 
 
-Final = Throttled | Terminated | Streamed
+Final = Rejected | Failed | Streamed
 
 
 @dataclass(slots=True, eq=False)
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -62,7 +62,7 @@
     PREFILLED = auto()
 
 
-class Refusal(Enum):
+class RejectReason(Enum):
     """Why a request is given its final answer without having been served; for logs and metrics."""
 
     ATTEMPTS_SPENT = auto()  # no attempt or no time is left
@@ -341,20 +341,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Throttle:
+class Reject:
     """The final answer "not now": nothing ran that a new try would double. Best after `pause_ms`."""
 
     request: Request
     pause_ms: float
-    why: Refusal = Refusal.UNKNOWN
+    why: RejectReason = RejectReason.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
-class Terminate:
+class Fail:
     """The final answer "given up": it may have run."""
 
     request: Request
-    why: Refusal = Refusal.UNKNOWN
+    why: RejectReason = RejectReason.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
@@ -404,4 +404,4 @@
     text: str
 
 
-Action = StartAttempt | CancelAttempt | Throttle | Terminate | Release | HoldAhead | Probe | Follow | Wake | Log
+Action = StartAttempt | CancelAttempt | Reject | Fail | Release | HoldAhead | Probe | Follow | Wake | Log
--- a/ternlane/tenants/__init__.py
+++ b/ternlane/tenants/__init__.py
@@ -1,7 +1,7 @@
 """Tenants: who asks, what they may spend, what they owe. Free of I/O."""
 
 from ternlane.tenants.billing import Billed, Used, bill_for
-from ternlane.tenants.cashier import Cashier, Hold, Refusal
+from ternlane.tenants.cashier import Cashier, Hold, RejectReason
 from ternlane.tenants.keys import new_key
 from ternlane.tenants.lengths import Lengths
 from ternlane.tenants.meter import Meter, Period, Short
@@ -19,7 +19,7 @@
     "Meter",
     "Period",
     "Prices",
-    "Refusal",
+    "RejectReason",
     "Roll",
     "Short",
     "TenantLine",
--- a/ternlane/tenants/cashier.py
+++ b/ternlane/tenants/cashier.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
+class RejectReason:
     """Over budget: nothing ran. `wait_ms` until it would fit (inf: not in this period's budget at all)."""
 
     code: str  # rate_limit_exceeded or insufficient_quota
@@ -129,7 +129,7 @@
 
     def reserve(
         self, tenant: TenantLine, request_class: str, prompt: int, most: int, now: float, wall: float
-    ) -> Hold | Refusal:
+    ) -> Hold | RejectReason:
         """Both the tenant's budget and the product's must have room; the first that has none gives the reason."""
         wall = self.clock(wall)
         answer = self.lengths.estimate(tenant.name, request_class, most)
@@ -146,10 +146,10 @@
             self.borrower(tenant).saw(prompt + answer, True)
         return Hold(tenant, request_class, prompt, answer, most, meters, [m.period for m in meters], wall)
 
-    def refuse(self, tenant: TenantLine, toks: int, short: Short) -> Refusal:
+    def refuse(self, tenant: TenantLine, toks: int, short: Short) -> RejectReason:
         if self.lends and short.kind == "minute":
             self.borrower(tenant).saw(toks, False)
-        return Refusal(
+        return RejectReason(
             "insufficient_quota" if short.kind == "period" else "rate_limit_exceeded", short.kind, short.wait_ms
         )
 
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -29,16 +29,16 @@
 
 
 @dataclass(slots=True)
-class Throttled:
+class Rejected:
     pause_ms: float
-    refusal: port.Refusal = port.Refusal.UNKNOWN
+    reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
 
 
 @dataclass(slots=True)
-class Terminated:
+class Failed:
     why: str
     timed_out: bool = False
-    refusal: port.Refusal = port.Refusal.UNKNOWN
+    reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
 
 
 BeginCheck = Callable[[], port.Verdict | None]
@@ -196,7 +196,7 @@
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
         if ticket.attempt is not None:
             ticket.attempt.cancel()
-        self.settle(ticket, Terminated(why))
+        self.settle(ticket, Failed(why))
         self.tell(port.ClientLeft(ticket.request))
 
     def carry_out(self, action: port.Action) -> None:
@@ -209,14 +209,14 @@
                 ticket = self.tickets.get(request)
                 if ticket is not None and ticket.attempt is not None and not ticket.flowing:
                     ticket.attempt.cancel()
-            case port.Throttle(request, pause, refusal):
+            case port.Reject(request, pause, reject_reason):
                 if request in self.tickets:
-                    self.settle(self.tickets[request], Throttled(pause, refusal))
-            case port.Terminate(request, refusal):
+                    self.settle(self.tickets[request], Rejected(pause, reject_reason))
+            case port.Fail(request, reject_reason):
                 ticket = self.tickets.get(request)
                 if ticket is not None:
                     timed_out = bool(ticket.trail) and "TIMED_OUT" in ticket.trail[-1].split()
-                    self.settle(ticket, Terminated(ticket.why, timed_out, refusal))
+                    self.settle(ticket, Failed(ticket.why, timed_out, reject_reason))
             case _:
                 self.carry_further(action)
 
@@ -225,7 +225,7 @@
         """Sends a leg."""
 
     @abstractmethod
-    def settle(self, ticket: T, final: Throttled | Terminated) -> None:
+    def settle(self, ticket: T, final: Rejected | Failed) -> None:
         """Gives the one final answer."""
 
     @abstractmethod
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -33,8 +33,8 @@
     Report,
     StartAttempt,
     Server,
-    Terminate,
-    Throttle,
+    Fail,
+    Reject,
     Verdict,
     Wake,
     Woken,
@@ -195,10 +195,10 @@
                     yield f"FORWARD {number_} {self.request_ids[request]} {ms(timeout)} {self.server_ids[server]}"
                 case CancelAttempt(request):
                     yield f"CALL_OFF {number_} {self.request_ids[request]} {self.attempts[request] - 1}"
-                case Throttle(request, pause):
+                case Reject(request, pause):
                     yield f"BUSY {number_} {self.request_ids[request]} {ms(pause)}"
                     self.closed.add(request)
-                case Terminate(request):
+                case Fail(request):
                     yield f"DROP_REQUEST {number_} {self.request_ids[request]}"
                     self.closed.add(request)
                 case Release(request):
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -25,8 +25,8 @@
 ACTION_KINDS = (
     port.StartAttempt,
     port.CancelAttempt,
-    port.Throttle,
-    port.Terminate,
+    port.Reject,
+    port.Fail,
     port.Release,
     port.HoldAhead,
     port.Probe,
@@ -187,7 +187,7 @@
                 self.begin(request, server, action)
             case port.CancelAttempt(request):
                 self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, Verdict.CANCELLED))
-            case port.Throttle(request) | port.Terminate(request):
+            case port.Reject(request) | port.Fail(request):
                 self.open.pop(request, None)
             case port.Release(request):
                 if self.rng.random() < 0.7:
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -50,11 +50,11 @@
         left = client_request.came + client_request.patience - day.now
         unsafe = request.request_class.effect is not Effect.IDEMPOTENT and request in self.ran
         if unsafe:
-            return port.Terminate(request)
+            return port.Fail(request)
         able = [m for m in day.models if m.role is role and day.view(m).healthy and m not in self.tried[request]]
         able = [m for m in able if not day.cut(gateway, m)]
         if left <= 0 or self.attempts[request] >= 5 or not able:
-            return port.Throttle(request, 200.0)
+            return port.Reject(request, 200.0)
         self.attempts[request] += 1
         best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
         day.view(best).add(best, client_request)
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -161,11 +161,11 @@
         self.tickets[job.request].flowing = True
         self.tell(port.FirstTok(job.request, job.server, self.day.now - job.since))
 
-    def settle(self, ticket: Any, final: turns.Throttled | turns.Terminated) -> None:
+    def settle(self, ticket: Any, final: turns.Rejected | turns.Failed) -> None:
         client_request = self.requests.pop(ticket.request, None)
         if client_request is None:
             return
-        if isinstance(final, turns.Throttled):
+        if isinstance(final, turns.Rejected):
             self.day.again(client_request, "rejected", final.pause_ms)
         elif client_request.request_class.effect is Effect.IDEMPOTENT:
             self.day.again(client_request, "failed")
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -148,7 +148,7 @@
         }
     )
     said = host.end(request, prefill_server, verdict)
-    assert [a.again for a in said if isinstance(a, port.Release)] == [False, True] and port.Throttle in kinds(said)
+    assert [a.again for a in said if isinstance(a, port.Release)] == [False, True] and port.Reject in kinds(said)
     assert host.tell(after=3000.0) == []
 
 
@@ -162,24 +162,24 @@
 @pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET, Verdict.ERROR, Verdict.CANCELLED])
 def test_a_side_effect_that_may_have_happened_is_not_tried_again(host: FakeHost, verdict: Verdict) -> None:
     request, attempt = host.written(Effect.SIDE_EFFECTING)
-    assert kinds(host.end(request, attempt.server, verdict)) == [port.Terminate, port.Release]
+    assert kinds(host.end(request, attempt.server, verdict)) == [port.Fail, port.Release]
     assert host.tell(after=3000.0) == []
 
 
 def test_a_deduplicated_generation_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
     request, attempt = host.written(Effect.DEDUPLICATED)
-    assert kinds(host.end(request, attempt.server, Verdict.RESET)) == [port.Release, port.Terminate]
+    assert kinds(host.end(request, attempt.server, Verdict.RESET)) == [port.Release, port.Fail]
     request, attempt = host.written(Effect.IDEMPOTENT)
     assert sent(host.end(request, attempt.server, Verdict.RESET)).server.role is port.Role.DECODE
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
     host.list(w0=Life.GONE, w1=Life.DRAINING)
-    assert kinds(host.arrive(host.request())) == [port.Throttle]
+    assert kinds(host.arrive(host.request())) == [port.Reject]
 
 
 def test_no_time_left_is_answered_at_once(host: FakeHost) -> None:
-    assert kinds(host.arrive(host.request(client_timeout_ms=0.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(client_timeout_ms=0.0))) == [port.Reject]
 
 
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
@@ -191,7 +191,7 @@
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.life = Life.GONE
-    assert kinds(host.tell(port.Arrived(later), port.Listed(tuple(host.servers.values())))) == [port.Throttle]
+    assert kinds(host.tell(port.Arrived(later), port.Listed(tuple(host.servers.values())))) == [port.Reject]
 
 
 def test_a_state_read_for_a_client_that_left_is_released(host: FakeHost) -> None:
@@ -236,17 +236,17 @@
 def test_bursts_wait_and_are_thrown_off_before_the_slo_time_is_lost(host: FakeHost) -> None:
     big = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0, max_toks=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
-    assert port.Throttle not in kinds(said)
+    assert port.Reject not in kinds(said)
     waiting = [g for g in big if g.seat.attempt is None]
     late = host.tell(after=6000.0)
-    assert waiting and {a.request for a in late if isinstance(a, port.Throttle)} == set(waiting)
+    assert waiting and {a.request for a in late if isinstance(a, port.Reject)} == set(waiting)
 
 
 def test_a_generation_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
     crowd = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0) for _ in range(6)]
     for request in crowd:
         host.arrive(request)
-    assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [port.Reject]
 
 
 def test_a_reader_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
@@ -366,7 +366,7 @@
         attempt = sent(host.end(request, attempt.server, Verdict.PREFILLED, after=400.0))
         host.first(request, attempt.server, after=100.0)
         host.end(request, attempt.server, Verdict.STREAMED, over=True)
-    assert kinds(host.arrive(host.request(client_timeout_ms=600.0))) == [port.Throttle]
+    assert kinds(host.arrive(host.request(client_timeout_ms=600.0))) == [port.Reject]
     assert kinds(host.arrive(host.request(client_timeout_ms=3000.0))) == [port.StartAttempt]
     assert kinds(host.arrive(host.request(client_timeout_ms=600.0), after=9000.0)) == [
         port.StartAttempt
@@ -463,7 +463,7 @@
     read = sent(host.arrive(prefills))
     assert not host.tell(port.Ending(port.ShutdownTimes(500.0, 800.0, 1000.0)))
     said = host.arrive(host.request(Effect.SIDE_EFFECTING))
-    assert kinds(said) == [port.Throttle]  # another gateway may do it: nothing has run
+    assert kinds(said) == [port.Reject]  # another gateway may do it: nothing has run
     assert sent(host.end(prefills, read.server, Verdict.PREFILLED)).server.role is port.Role.DECODE
     host.first(streams, attempt.server)
     assert not kinds(host.end(streams, attempt.server, Verdict.STREAMED, over=True))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,7 +15,7 @@
 import trio
 
 from tests.world import BUILD, World, replace, world
-from ternlane.client import Client, RequestError, Terminated, Throttled, Unconnected
+from ternlane.client import Client, RequestError, Failed, Rejected, Unconnected
 from ternlane.standin.scripted import Scripted
 
 JS = Path(__file__).parent.parent / "clients" / "js"
@@ -106,7 +106,7 @@
         def back() -> None:
             with Client(f"http://{w.gateway.address}", retries=5) as client:
                 assert client.complete(REQUEST)["text"]
-            with Client(f"http://{w.gateway.address}", retries=0) as client, pytest.raises(Throttled) as no:
+            with Client(f"http://{w.gateway.address}", retries=0) as client, pytest.raises(Rejected) as no:
                 client.complete(REQUEST, request_timeout_ms=1)
             assert no.value.retry_after_ms is not None
 
@@ -119,7 +119,7 @@
             w.engines[ident].trouble.lost = 1.0
 
         def lost() -> None:
-            with Client(f"http://{w.gateway.address}", retries=3) as client, pytest.raises(Terminated) as why:
+            with Client(f"http://{w.gateway.address}", retries=3) as client, pytest.raises(Failed) as why:
                 client.complete(REQUEST)
             assert why.value.may_have_run
             with Client("http://127.0.0.1:9", retries=1) as nobody, pytest.raises(Unconnected) as refused:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -268,7 +268,7 @@
     assert again.begin_by_ms == pytest.approx(2000.0)
 
 
-@pytest.mark.parametrize("after, answer", [(100.0, port.Throttle), (2900.0, port.Terminate), (3100.0, port.Terminate)])
+@pytest.mark.parametrize("after, answer", [(100.0, port.Reject), (2900.0, port.Fail), (3100.0, port.Fail)])
 def test_a_repeat_by_its_client_is_called_harmless_only_where_it_would_come_within_the_window(
     after: float, answer: type
 ) -> None:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from ternlane import SocketTransport, TerminatedError, open_routing, port, turns
+from ternlane import SocketTransport, FailedError, open_routing, port, turns
 from ternlane.paper import GatewayPaper
 from ternlane.paper.gateway import InlineSource
 from ternlane.platform.node import Passing
@@ -149,7 +149,7 @@
                 raise OSError("a fault in this program")
             settle(ticket, final)
 
-        make_faulty(p, lambda events: [port.Throttle(e.request, 0.0) for e in events if isinstance(e, port.Arrived)])
+        make_faulty(p, lambda events: [port.Reject(e.request, 0.0) for e in events if isinstance(e, port.Arrived)])
         node.settle = settle_second  # type: ignore[method-assign]
         statuses: list[int] = []
 
@@ -201,6 +201,6 @@
         async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
             routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
-            with trio.fail_after(3), pytest.raises(TerminatedError):
+            with trio.fail_after(3), pytest.raises(FailedError):
                 async with routing.request(asked, request_timeout_ms=400) as stream:
                     await stream.text()
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -135,7 +135,7 @@
         write = sent(host.end(request, attempts[0].server, Verdict.PREFILLED, after=10.0))
         host.end(request, write.server, Verdict.TIMED_OUT, after=500.0, over=True)
         served += 1
-    assert 0 < served < 32 and port.Throttle in kinds(said)
+    assert 0 < served < 32 and port.Reject in kinds(said)
 
 
 def test_an_opening_that_one_gateway_of_many_has_met_once_does_not_pass_for_a_popular_one() -> None:
@@ -165,7 +165,7 @@
     assert port.StartAttempt in kinds(late_request(host))  # one slow read is no overload
     for _ in range(8):
         last = late_request(host)
-    assert port.StartAttempt not in kinds(last) and port.Throttle in kinds(last)
+    assert port.StartAttempt not in kinds(last) and port.Reject in kinds(last)
     request = host.request(opening=None, opening_toks=0.0)
     attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
     host.end(request, attempt.server, Verdict.PREFILLED, after=20.0, over=True)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -131,7 +131,7 @@
     host = platform_like(max_attempts=3)
     request, attempt = host.written()
     said = host.end(request, attempt.server, Verdict.FULL, state_lost=True)
-    assert kinds(said) == [port.Release, port.Throttle] and said[-1].why is port.Refusal.ATTEMPTS_SPENT
+    assert kinds(said) == [port.Release, port.Reject] and said[-1].why is port.RejectReason.ATTEMPTS_SPENT
 
 
 def test_nothing_is_released_while_a_prefill_is_out() -> None:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -69,7 +69,7 @@
         with pytest.raises(ternlane.Wrong):
             list(routing.request(REQUEST | {"model": "x"}))
         made["w0"].trouble = "broken"
-        with pytest.raises(ternlane.TerminatedError):
+        with pytest.raises(ternlane.FailedError):
             list(routing.request(REQUEST))
     assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
     with pytest.raises(RuntimeError, match="has ended"):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -215,9 +215,9 @@
                 async for text in stream:
                     said.append(text)
             outcome = "streamed"
-        except ternlane.ThrottledError:
+        except ternlane.RejectedError:
             outcome = "throttled"
-        except ternlane.TerminatedError as why:
+        except ternlane.FailedError as why:
             outcome = "broken off" if why.begun else "terminated"
         with trio.fail_after(2):
             while routing.host.tickets:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -89,7 +89,7 @@
                     self.at(at, nth, port.Woken(beat))
                 case port.StartAttempt(request, server, timeout):
                     self.attempt(nth, request, server, timeout)
-                case port.Throttle(request) | port.Terminate(request):
+                case port.Reject(request) | port.Fail(request):
                     self.of[request].rejected = True
 
     def attempt(self, nth: int, request: Request, server: Server, timeout: float) -> None:
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -10,7 +10,7 @@
 from ternlane import port
 from ternlane.platform.process import ENDS_MS, LONGEST_MS
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
-from ternlane.port import Effect, Refusal, ShutdownTimes, Verdict
+from ternlane.port import Effect, RejectReason, ShutdownTimes, Verdict
 from ternlane.standin.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.crossing import Client, client_request, until
@@ -45,7 +45,7 @@
 
 
 def finals(actions: list[Any]) -> list[Any]:
-    return [action for action in actions if isinstance(action, (port.Throttle, port.Terminate))]
+    return [action for action in actions if isinstance(action, (port.Reject, port.Fail))]
 
 
 def learn_short_streams(host: FakeHost, effect: Effect) -> None:
@@ -65,8 +65,8 @@
     assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.StartAttempt]
     late = host.request(effect)
     said = host.arrive(late, after=20.0)
-    assert [type(action) for action in said if action.request is late] == [port.Throttle]
-    assert said[-1].why is Refusal.SHUTDOWN and said[-1].pause_ms > 0
+    assert [type(action) for action in said if action.request is late] == [port.Reject]
+    assert said[-1].why is RejectReason.SHUTDOWN and said[-1].pause_ms > 0
     assert late not in host.router.desk.unanswered
 
 
@@ -85,10 +85,10 @@
     cancelled = {action.request for action in said if isinstance(action, port.CancelAttempt)}
     assert cancelled == {decoded, read} and not finals(said)  # the client of the third has a part of it
     after_prefill = finals(host.end(read, prefill.server, Verdict.CANCELLED, after=1.0))
-    assert kinds(after_prefill) == [port.Throttle]  # a prefill has no effect, however it ends
+    assert kinds(after_prefill) == [port.Reject]  # a prefill has no effect, however it ends
     said = host.end(decoded, decode.server, Verdict.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate]
+    assert kinds(finals(said)) == [port.Reject if harmless else port.Fail]
     assert port.Release in kinds(said) and not host.router.desk.unanswered
 
 
@@ -102,7 +102,7 @@
     host.arrive(requests[0])
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate] * 2
+    assert kinds(finals(said)) == [port.Reject if harmless else port.Fail] * 2
     assert port.CancelAttempt not in kinds(said) and not host.router.desk.unanswered
 
 
@@ -114,7 +114,7 @@
     host.arrive(waiting)
     host.tell(port.Ending(TIMES))
     said = host.tell(after=TIMES.answers_ms)
-    assert [type(action) for action in said] == [port.Throttle] and not host.router.desk.unanswered
+    assert [type(action) for action in said] == [port.Reject] and not host.router.desk.unanswered
 
 
 def test_nothing_is_kept_of_requests_that_are_over(host: FakeHost) -> None:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -185,7 +185,7 @@
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
     assert host.tell(port.Altered(replace(FACTS, max_attempts=1))) == []
-    assert kinds(host.end(request, attempt.server, port.Verdict.FULL)) == [port.Throttle, port.Release]
+    assert kinds(host.end(request, attempt.server, port.Verdict.FULL)) == [port.Reject, port.Release]
 
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
@@ -220,7 +220,7 @@
     request = host.request(client_timeout_ms=patience)
     said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
-    while not any(isinstance(a, (port.StartAttempt, port.Throttle)) for a in said):
+    while not any(isinstance(a, (port.StartAttempt, port.Reject)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
     assert answered <= request.seat.deadline - 0.5 * patience
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -12,7 +12,19 @@
 from hypothesis import strategies as st
 
 from ternlane.ledger.store import BILLS, Damaged, Store, Totals, read_segment
-from ternlane.tenants import Budget, Cashier, Hold, KeyLine, Lender, Lengths, Meter, Refusal, Roll, TenantLine, Unknown
+from ternlane.tenants import (
+    Budget,
+    Cashier,
+    Hold,
+    KeyLine,
+    Lender,
+    Lengths,
+    Meter,
+    RejectReason,
+    Roll,
+    TenantLine,
+    Unknown,
+)
 from ternlane.tenants.billing import Billed, Used
 from ternlane.tenants.cashier import Entry
 from ternlane.tenants.keys import new_key
@@ -28,13 +40,13 @@
     return TenantLine(name=name, budget=limits, prices={"*": Prices(prompt=3, kept=1, answer=12)})
 
 
-def held(got: Hold | Refusal) -> Hold:
+def held(got: Hold | RejectReason) -> Hold:
     assert isinstance(got, Hold), got
     return got
 
 
-def refused(got: Hold | Refusal) -> Refusal:
-    assert isinstance(got, Refusal), got
+def refused(got: Hold | RejectReason) -> RejectReason:
+    assert isinstance(got, RejectReason), got
     return got
 
 
@@ -85,7 +97,7 @@
     cashier, noto = Cashier(), tenant(minute=600, burst=100)
     held(cashier.reserve(noto, "s", 90, 10, 0.0, NOON))
     no = refused(cashier.reserve(noto, "s", 30, 10, 0.0, NOON))
-    assert isinstance(cashier.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), Refusal)
+    assert isinstance(cashier.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), RejectReason)
     held(cashier.reserve(noto, "s", 30, 10, no.wait_ms + 1, NOON))
 
 
@@ -93,7 +105,7 @@
     noto = TenantLine(name="n", budget=Budget(minute=1000), request_classes={"s": Budget(minute=10)})
     cashier = Cashier()
     refusals = [cashier.reserve(noto, "s", 400, 10, 0.0, NOON) for _ in range(2)]
-    assert isinstance(refusals[0], Hold) or isinstance(refusals[1], Refusal)
+    assert isinstance(refusals[0], Hold) or isinstance(refusals[1], RejectReason)
     cashier.meters["n", "s"].level = 0
     before = cashier.meters["n", ""].level, cashier.meters["n", ""].open
     refused(cashier.reserve(noto, "s", 5, 1, 0.0, NOON))
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -14,7 +14,7 @@
 import ternlane
 from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
 from ternlane.chat import Wrong
-from ternlane.embed import TerminatedError, ThrottledError, open_routing
+from ternlane.embed import FailedError, RejectedError, open_routing
 from ternlane.engine import (
     Kept,
     AttemptRequest,
@@ -196,7 +196,7 @@
     async with open_routing(paper("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
         for local in ("w0", "w1"):
             engines[local].trouble = "broken"
-        with pytest.raises(TerminatedError, match="out of memory") as bad:
+        with pytest.raises(FailedError, match="out of memory") as bad:
             async with routing.request(REQUEST) as stream:
                 await stream.text()
         assert not bad.value.begun
@@ -204,7 +204,7 @@
             while engines["r0"].states:
                 await trio.sleep(0.002)
         engines["r0"].trouble = "full"
-        with pytest.raises(ThrottledError):
+        with pytest.raises(RejectedError):
             async with routing.request(REQUEST, request_timeout_ms=200) as stream:
                 await stream.text()
 
