--- a/bench/library.py
+++ b/bench/library.py
@@ -116,12 +116,12 @@
         attempt = next(
             a
             for a in router.take(
-                now + 1, [port.AttemptEnded(request, attempt.server, port.Verdict.PREFILLED, 1.0, False)]
+                now + 1, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.PREFILLED, 1.0, False)]
             )
             if isinstance(a, port.StartAttempt)
         )
         router.take(now + 1.5, [port.FirstTok(request, attempt.server, 0.5)])
-        router.take(now + 2, [port.AttemptEnded(request, attempt.server, port.Verdict.STREAMED, 1.0, True)])
+        router.take(now + 2, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.STREAMED, 1.0, True)])
         took.append((time.perf_counter() - since) * 1000)
     return took
 
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -51,11 +51,11 @@
 
 prefill_server = attempt(router.take(1.0, [port.Arrived(request)]))
 decode_server = attempt(
-    router.take(60.0, [port.AttemptEnded(request, prefill_server, ternlane.Verdict.PREFILLED, 59.0, False)])
+    router.take(60.0, [port.AttemptEnded(request, prefill_server, ternlane.AttemptOutcome.PREFILLED, 59.0, False)])
 )
 other = attempt(
-    router.take(61.0, [port.AttemptEnded(request, decode_server, ternlane.Verdict.UNCONNECTED, 1.0, False)])
+    router.take(61.0, [port.AttemptEnded(request, decode_server, ternlane.AttemptOutcome.CONNECT_FAILED, 1.0, False)])
 )
 router.take(90.0, [port.FirstTok(request, other, 29.0)])
-router.take(400.0, [port.AttemptEnded(request, other, ternlane.Verdict.STREAMED, 339.0, True)])
+router.take(400.0, [port.AttemptEnded(request, other, ternlane.AttemptOutcome.STREAMED, 339.0, True)])
 print(f"read by {names[prefill_server]}, written by {names[other]}")
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -21,15 +21,15 @@
         self.asked.append(ask.server)
         path = self.folder / ask.ident
         path.write_text(ask.raw["messages"][-1]["content"])
-        return AttemptResult(ternlane.Verdict.PREFILLED, state={"path": str(path)})
+        return AttemptResult(ternlane.AttemptOutcome.PREFILLED, state={"path": str(path)})
 
     async def stream(self, ask: ternlane.AttemptRequest, pass_on) -> AttemptResult:
         self.asked.append(ask.server)
         if ask.server == "broken":
-            return AttemptResult(ternlane.Verdict.UNCONNECTED, why="no such folder")
+            return AttemptResult(ternlane.AttemptOutcome.CONNECT_FAILED, why="no such folder")
         for i, word in enumerate(Path(ask.state["path"]).read_text().split()):
             await pass_on(word[::-1] + " ", i == 0)
-        return AttemptResult(ternlane.Verdict.STREAMED, begun=True)
+        return AttemptResult(ternlane.AttemptOutcome.STREAMED, begun=True)
 
     async def release(self, server, address, ident, within_ms, protocol="disaggregated") -> bool:
         (self.folder / ident).unlink(missing_ok=True)
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -27,7 +27,7 @@
     "Group": "port",
     "Role": "port",
     "Life": "port",
-    "Verdict": "port",
+    "AttemptOutcome": "port",
     "Report": "port",
     "open_gateway": "gateway",
     "Gateway": "gateway",
@@ -116,7 +116,7 @@
     from ternlane.port import Report as Report
     from ternlane.port import Server as Server
     from ternlane.port import StartFacts as StartFacts
-    from ternlane.port import Verdict as Verdict
+    from ternlane.port import AttemptOutcome as AttemptOutcome
 
 
 def __getattr__(name: str) -> Any:
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -50,7 +50,7 @@
     ReleaseReason,
     Server,
     StartFacts,
-    Verdict,
+    AttemptOutcome,
 )
 
 STEP = 0.1  # score lost for each step between reader and writer (design page)
@@ -68,8 +68,21 @@
 LONG_READ = 1000.0  # tokens
 LOT = 0.618  # of the way round between two draws of a generation, as far from all before as can be
 OUT_SHARE = 0.25  # part of the longest answer that a generation is expected to fill
-NEVER_RAN = {Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD, Verdict.PREFILLED}
-NO_SIGN = {Verdict.TIMED_OUT, Verdict.ERROR, Verdict.FULL, Verdict.CANCELLED, Verdict.MOOT, Verdict.WITHHELD}
+NEVER_RAN = {
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.CLIENT_GONE,
+    AttemptOutcome.NOT_STARTED,
+    AttemptOutcome.PREFILLED,
+}
+NO_SIGN = {
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.CANCELLED,
+    AttemptOutcome.CLIENT_GONE,
+    AttemptOutcome.NOT_STARTED,
+}
 
 
 def limits_from(facts: StartFacts) -> Limits:
@@ -487,19 +500,23 @@
             return RejectReason.OVERLOAD
         return RejectReason.SHUTDOWN if self.cut_off(course) else None
 
-    def record(self, engine: Seat, request: Request, verdict: Verdict, waited: float) -> None:
+    def record(self, engine: Seat, request: Request, outcome: AttemptOutcome, waited: float) -> None:
         """Guards against servers that look well and fail one product, refuse one tenant or lose answers."""
-        if verdict in (Verdict.PREFILLED, Verdict.TIMED_OUT, Verdict.FULL):  # two such waits, and more is late
-            late = verdict is Verdict.FULL or 2 * MARGIN * waited > request.request_class.slo_ms
+        if outcome in (
+            AttemptOutcome.PREFILLED,
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.OVERLOADED,
+        ):  # two such waits, and more is late
+            late = outcome is AttemptOutcome.OVERLOADED or 2 * MARGIN * waited > request.request_class.slo_ms
             self.late[engine.server.role] += GAIN * (late - self.late[engine.server.role])
         decodes, now = engine.decodes, self.router.now
         for bad, kind in (
-            (Verdict.ERROR, request.request_class),
-            (Verdict.FULL, request.tenant),
-            (Verdict.TIMED_OUT,) * 2,
+            (AttemptOutcome.ERROR, request.request_class),
+            (AttemptOutcome.OVERLOADED, request.tenant),
+            (AttemptOutcome.TIMED_OUT,) * 2,
         ):
-            if kind is not None and verdict in (bad, Verdict.PREFILLED):
-                self.failures.add(kind, engine, decodes, verdict is bad, now)
+            if kind is not None and outcome in (bad, AttemptOutcome.PREFILLED):
+                self.failures.add(kind, engine, decodes, outcome is bad, now)
 
     def risk(self, engine: Seat, kind: Any) -> float:
         """The chance that this server fails this product or refuses this tenant, shrunk to that of all."""
@@ -509,7 +526,7 @@
         """What that risk costs: a leg's time, or all where an error of a writer ends it."""
         request = course.request
         last = engine.decodes and request.request_class.effect is not Effect.IDEMPOTENT
-        fails = self.risk(engine, request.request_class) + self.risk(engine, Verdict.TIMED_OUT)
+        fails = self.risk(engine, request.request_class) + self.risk(engine, AttemptOutcome.TIMED_OUT)
         return fails * (CROWD if last else SICK) + self.risk(engine, request.tenant) * SICK
 
     def ill(self, engine: Seat, course: Course) -> bool:
@@ -686,7 +703,7 @@
         self.learn(request_class, "open", took)
         if course.prefill_server is not None and course.prefill_server is not course.decode_server:
             course.prefill_server.post(Unbooked(course))
-        self.record(attempt.engine, course.request, Verdict.PREFILLED, took)  # as good a sign
+        self.record(attempt.engine, course.request, AttemptOutcome.PREFILLED, took)  # as good a sign
         attempt.engine.post(StageEnded(attempt, True, self.usual_ms(request_class, "stream")))
 
     def attempt_ended(self, note: port.AttemptEnded) -> None:
@@ -697,25 +714,31 @@
             engine.post(Reported(note.report.mem_share, note.report.open_requests))
         if attempt is None:
             return
-        request_class, verdict = course.request.request_class, note.verdict
-        if verdict is Verdict.STREAMED:
+        request_class, outcome = course.request.request_class, note.outcome
+        if outcome is AttemptOutcome.STREAMED:
             self.learn(request_class, "stream", self.router.now - attempt.since)
-        good = True if verdict in (Verdict.PREFILLED, Verdict.STREAMED) else None if verdict in NO_SIGN else False
+        good = (
+            True
+            if outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.STREAMED)
+            else None
+            if outcome in NO_SIGN
+            else False
+        )
         engine.post(StageEnded(attempt, good, None))
-        if verdict in (Verdict.UNCONNECTED, Verdict.RESET):
+        if outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET):
             engine.post(Trouble(silent=False))
         if not note.state_lost:
-            ended = Verdict.TIMED_OUT if attempt.lost and good is None else verdict
+            ended = AttemptOutcome.TIMED_OUT if attempt.lost and good is None else outcome
             self.record(engine, course.request, ended, note.took_ms - attempt.work_ms)
-        if attempt.decodes and verdict not in NEVER_RAN and course.may_have_run is None:
+        if attempt.decodes and outcome not in NEVER_RAN and course.may_have_run is None:
             course.may_have_run = attempt.sent, note.server
         if attempt.fresh and good is not None:  # where these fail, the connected are nearer
-            self.unmet += 4 * GAIN * ((verdict is Verdict.UNCONNECTED) - self.unmet)
-        if not attempt.decodes and verdict in (Verdict.PREFILLED, Verdict.TIMED_OUT):
+            self.unmet += 4 * GAIN * ((outcome is AttemptOutcome.CONNECT_FAILED) - self.unmet)
+        if not attempt.decodes and outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.TIMED_OUT):
             self.read_took(course, attempt, note)
-        elif verdict is Verdict.TIMED_OUT:
+        elif outcome is AttemptOutcome.TIMED_OUT:
             self.learn(request_class, "open", note.took_ms)
-        end = AttemptEnd(verdict, engine.prefills, note.state_lost)
+        end = AttemptEnd(outcome, engine.prefills, note.state_lost)
         course.lease.attempt_ended(end, engine, self.router.now)
         course.over = course.over or note.over
         if course.over:
@@ -723,9 +746,9 @@
             return self.release(course)
         if self.limits.guard_ms < inf and course.lease.may_hold:
             self.guard_lease(course)
-        if verdict is Verdict.MOOT:
+        if outcome is AttemptOutcome.CLIENT_GONE:
             return self.finish(course, RejectReason.CLIENT_LEFT)
-        if verdict is not Verdict.PREFILLED and not note.state_lost:  # a full one is not asked again either
+        if outcome is not AttemptOutcome.PREFILLED and not note.state_lost:  # a full one is not asked again either
             course.tried.add(engine)
         if note.broken:  # only the time limit binds one whose client has a part; GoOn says when
             course.slo_at = course.deadline
@@ -762,17 +785,19 @@
         """One that ran out of time took at least as long; were it not counted, ever more would."""
         request, took, unread = course.request, note.took_ms, course.request.prompt_toks - note.kept_toks
         usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.request_class, request.prompt_toks))
-        if note.verdict is Verdict.PREFILLED or usual > self.usual_ms(request.request_class, "read"):  # or it was cut
+        if note.outcome is AttemptOutcome.PREFILLED or usual > self.usual_ms(
+            request.request_class, "read"
+        ):  # or it was cut
             self.learn(request.request_class, "read", usual)
         self.foreseen += GAIN * (attempt.foreseen - self.foreseen)
         self.took += GAIN * (took - self.took)
         self.trust = min(CROWD**2, self.took / self.foreseen)
-        if note.verdict is Verdict.PREFILLED and attempt.engine in course.agreed[:1]:
+        if note.outcome is AttemptOutcome.PREFILLED and attempt.engine in course.agreed[:1]:
             self.told[request.request_class] += GAIN * (
                 1 - unread / max(request.prompt_toks, 1.0) - self.told[request.request_class]
             )
         self.read_ms += GAIN * (self.tok_ms * unread - self.read_ms)
-        if note.verdict is Verdict.PREFILLED and unread > LONG_READ:  # short ones tell of steps and queues
+        if note.outcome is AttemptOutcome.PREFILLED and unread > LONG_READ:  # short ones tell of steps and queues
             pace = took / unread
             self.tok_ms += (pace - self.tok_ms) * (4 * GAIN if pace < self.tok_ms else GAIN / 4)
 
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from ternlane import port
-from ternlane.port import Action, Role, Effect, Event, Request, Life, Server, StartFacts, Verdict
+from ternlane.port import Action, Role, Effect, Event, Request, Life, Server, StartFacts, AttemptOutcome
 
 
 class RoundRobin:
@@ -54,14 +54,14 @@
             )
         ]
 
-    def next(self, request: Request, server: Server, verdict: Verdict, now: float) -> list[Action]:
+    def next(self, request: Request, server: Server, verdict: AttemptOutcome, now: float) -> list[Action]:
         if request not in self.attempts:
             return [port.Release(request)]
-        if verdict is Verdict.PREFILLED:
+        if verdict is AttemptOutcome.PREFILLED:
             return self.send(request, now, {Role.DECODE})
         if (
             server.role is not Role.PREFILL
-            and verdict not in (Verdict.FULL, Verdict.UNCONNECTED)
+            and verdict not in (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED)
             and request.request_class.effect is not Effect.IDEMPOTENT
         ):
             self.ran.add(request)
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -26,7 +26,7 @@
     refusal_of,
 )
 from ternlane.http1 import Caller, EventReader, Pool, Unconnected, keep_open
-from ternlane.port import Report, Verdict
+from ternlane.port import Report, AttemptOutcome
 from ternlane.turns import BeginCheck, may_always_begin
 
 ANSWER_LIMIT = 4 * 2**20  # bytes of an engine's plain answer
@@ -59,7 +59,7 @@
 class AttemptResult:
     """How a leg ended. `begun`: its first token had come; `state` is a reader's, to hand on."""
 
-    verdict: Verdict
+    outcome: AttemptOutcome
     begun: bool = False
     why: str = ""
     state: dict[str, Any] | None = None
@@ -78,9 +78,9 @@
 class Barred(Exception):
     """The leg must not begin any more."""
 
-    def __init__(self, verdict: Verdict) -> None:
+    def __init__(self, outcome: AttemptOutcome) -> None:
         super().__init__("the client left, the server drains, or the time to begin is over")
-        self.verdict = verdict
+        self.outcome = outcome
 
 
 async def take(pool: Pool, plan: AttemptPlan) -> Caller:
@@ -100,7 +100,7 @@
 
 async def prefill_attempt(pool: Pool, plan: AttemptPlan) -> AttemptResult:
     """Has a prompt read. Never raises but for an outer cancellation."""
-    end = AttemptResult(Verdict.TIMED_OUT)
+    end = AttemptResult(AttemptOutcome.TIMED_OUT)
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -115,9 +115,9 @@
             return
         answer: ReadAnswer = read_answer.decode(body)
         if answer.kv_transfer_params is None:
-            end.verdict, end.why = Verdict.ERROR, "no kv_transfer_params in a reader's answer"
+            end.outcome, end.why = AttemptOutcome.ERROR, "no kv_transfer_params in a reader's answer"
             return
-        end.verdict, end.state, end.usage = Verdict.PREFILLED, answer.kv_transfer_params, answer.usage
+        end.outcome, end.state, end.usage = AttemptOutcome.PREFILLED, answer.kv_transfer_params, answer.usage
 
     return await ended(plan, end, run)
 
@@ -125,7 +125,7 @@
 async def stream_attempt(pool: Pool, plan: AttemptPlan, pass_on: PassOn) -> AttemptResult:
     """Has an answer written; `pass_on(text, first)` gets each piece, with a third value where it has
     more than text (chat.More). Raises ClientGone where that breaks."""
-    end, last = AttemptResult(Verdict.TIMED_OUT), trio.current_time() + plan.whole_ms / 1000
+    end, last = AttemptResult(AttemptOutcome.TIMED_OUT), trio.current_time() + plan.whole_ms / 1000
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -144,7 +144,7 @@
                         continue
                     said = chunk_in.decode(data)
                     if said.error is not None:
-                        end.verdict, end.why = Verdict.ERROR, f"the engine says: {str(said.error)[:200]}"
+                        end.outcome, end.why = AttemptOutcome.ERROR, f"the engine says: {str(said.error)[:200]}"
                         return
                     if said.usage is not None:
                         end.usage = said.usage
@@ -160,12 +160,12 @@
                 if end.begun:
                     plan.scope.deadline = min(last, trio.current_time() + plan.quiet_ms / 1000)
             if not whole:
-                end.verdict, end.why = Verdict.RESET, "the stream ended before [DONE]"
+                end.outcome, end.why = AttemptOutcome.RESET, "the stream ended before [DONE]"
                 return
             if not end.begun:  # an answer of no tokens has begun with its end
                 end.begun = True
                 await pass_on("", True)
-            end.verdict = Verdict.STREAMED
+            end.outcome = AttemptOutcome.STREAMED
         finally:
             if whole:
                 pool.give_back(caller)
@@ -181,7 +181,7 @@
     if head.status_code == 200:
         return False
     reject_reason = refusal_of(head.status_code, said.get(NOT_RUN))
-    end.verdict, end.state_lost = reject_reason.verdict, reject_reason.state_lost
+    end.outcome, end.state_lost = reject_reason.outcome, reject_reason.state_lost
     end.why = f"status {head.status_code} {said.get(NOT_RUN, '')}".strip()
     return True
 
@@ -192,18 +192,18 @@
         with plan.scope:
             await run()
     except Barred as why:
-        end.verdict, end.why = why.verdict, str(why)
+        end.outcome, end.why = why.outcome, str(why)
     except Unconnected as why:
-        end.verdict, end.why = Verdict.UNCONNECTED, str(why)
+        end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
     except BROKEN as why:
-        end.verdict, end.why = Verdict.RESET, repr(why)
+        end.outcome, end.why = AttemptOutcome.RESET, repr(why)
     except h11.RemoteProtocolError as why:  # a torn answer is a broken connection, a wrong one an error
-        end.verdict = Verdict.RESET if "closed" in str(why) else Verdict.ERROR
+        end.outcome = AttemptOutcome.RESET if "closed" in str(why) else AttemptOutcome.ERROR
         end.why = str(why)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as why:
-        end.verdict, end.why = Verdict.ERROR, f"not understood: {why}"
+        end.outcome, end.why = AttemptOutcome.ERROR, f"not understood: {why}"
     if plan.scope.cancelled_caught:
-        end.verdict = Verdict.CANCELLED if plan.cancelled else Verdict.TIMED_OUT
+        end.outcome = AttemptOutcome.CANCELLED if plan.cancelled else AttemptOutcome.TIMED_OUT
         if end.begun and not plan.cancelled:
             end.why = end.why or "silent or too slow within the stream"
     return end
@@ -237,29 +237,31 @@
 
 async def once(
     pool: Pool, address: str, method: str, path: str, headers: list[tuple[str, str]], body: bytes, within_ms: float
-) -> tuple[Verdict, bytes]:
+) -> tuple[AttemptOutcome, bytes]:
     """Asks an engine for something small. One try: the answer's body, or how it failed."""
-    caller, failed = None, Verdict.TIMED_OUT
+    caller, failed = None, AttemptOutcome.TIMED_OUT
     with trio.move_on_after(within_ms / 1000):
         try:
             caller = await pool.take(address)
             head = await caller.ask(method, path, headers, body)
             answer = await caller.body(ANSWER_LIMIT)
             pool.give_back(caller)
-            return (Verdict.STREAMED, answer) if head.status_code in (200, 204) else (Verdict.ERROR, b"")
+            return (AttemptOutcome.STREAMED, answer) if head.status_code in (200, 204) else (AttemptOutcome.ERROR, b"")
         except Unconnected:
-            return Verdict.UNCONNECTED, b""
+            return AttemptOutcome.CONNECT_FAILED, b""
         except (h11.RemoteProtocolError, *BROKEN):
-            failed = Verdict.RESET
+            failed = AttemptOutcome.RESET
     if caller is not None:
         caller.close_now()
     return failed, b""
 
 
-async def load(pool: Pool, address: str, headers: list[tuple[str, str]], within_ms: float) -> tuple[Verdict, str]:
+async def load(
+    pool: Pool, address: str, headers: list[tuple[str, str]], within_ms: float
+) -> tuple[AttemptOutcome, str]:
     """Asks an engine for its metrics: the text, or how it failed."""
-    verdict, answer = await once(pool, address, "GET", LOAD_PATH, headers, b"", within_ms)
-    return verdict, answer.decode(errors="replace")
+    outcome, answer = await once(pool, address, "GET", LOAD_PATH, headers, b"", within_ms)
+    return outcome, answer.decode(errors="replace")
 
 
 async def hold(
@@ -267,4 +269,4 @@
 ) -> bool:
     """Asks a writer to hold a slot and memory for a generation. A place that is not free at once is none."""
     body = msgspec.json.encode({"request_id": ident, "tokens": toks})
-    return (await once(pool, address, "POST", HOLD_PATH, headers, body, within_ms))[0] is Verdict.STREAMED
+    return (await once(pool, address, "POST", HOLD_PATH, headers, body, within_ms))[0] is AttemptOutcome.STREAMED
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -10,7 +10,7 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families
 
-from ternlane.port import Report, Verdict
+from ternlane.port import Report, AttemptOutcome
 
 CHAT_PATH = "/v1/chat/completions"
 RELEASE_PATH = "/ternlane/v1/release"
@@ -129,17 +129,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectReason:
-    verdict: Verdict
+    outcome: AttemptOutcome
     state_lost: bool = False
 
 
 def refusal_of(status: int, not_run: str | None) -> RejectReason:
     """What an answer without success proves. A 429 is a refusal by its meaning; other codes only with our header."""
     if not_run == "no-state":
-        return RejectReason(Verdict.FULL, state_lost=True)
+        return RejectReason(AttemptOutcome.OVERLOADED, state_lost=True)
     if not_run is not None or status == 429:
-        return RejectReason(Verdict.FULL)
-    return RejectReason(Verdict.ERROR)
+        return RejectReason(AttemptOutcome.OVERLOADED)
+    return RejectReason(AttemptOutcome.ERROR)
 
 
 def load_told(text: str) -> Report | None:
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -26,7 +26,7 @@
 )
 from ternlane.engine.protocol import Stage, Usage, load_told
 from ternlane.http1 import Pool, keep_open
-from ternlane.port import Report, Verdict
+from ternlane.port import Report, AttemptOutcome
 
 
 @dataclass(slots=True)
@@ -68,9 +68,9 @@
 
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
-    ) -> tuple[Verdict, Report | None]:
+    ) -> tuple[AttemptOutcome, Report | None]:
         """Asks a server how loaded it is, outside any generation; None where it does not say, as here."""
-        return Verdict.ERROR, None
+        return AttemptOutcome.ERROR, None
 
     def sweep(self) -> None:
         """Called now and then: a time to close what lay idle."""
@@ -100,13 +100,13 @@
         try:
             return await prefill_attempt(self.pool, self._fill(ask))
         except Unable as why:
-            return AttemptResult(Verdict.FULL, why=str(why))
+            return AttemptResult(AttemptOutcome.OVERLOADED, why=str(why))
 
     async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
         try:
             return await stream_attempt(self.pool, self._fill(ask), pass_on)
         except Unable as why:
-            return AttemptResult(Verdict.FULL, why=str(why))
+            return AttemptResult(AttemptOutcome.OVERLOADED, why=str(why))
 
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
@@ -124,9 +124,9 @@
 
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
-    ) -> tuple[Verdict, Report | None]:
-        verdict, text = await load(self.pool, address, [("User-Agent", self.agent)], within_ms)
-        return verdict, load_told(text) if verdict is Verdict.STREAMED else None
+    ) -> tuple[AttemptOutcome, Report | None]:
+        outcome, text = await load(self.pool, address, [("User-Agent", self.agent)], within_ms)
+        return outcome, load_told(text) if outcome is AttemptOutcome.STREAMED else None
 
     def sweep(self) -> None:
         self.pool.sweep()
@@ -179,17 +179,17 @@
         self.engines = engines
 
     async def read(self, ask: AttemptRequest) -> AttemptResult:
-        end = AttemptResult(Verdict.TIMED_OUT)
+        end = AttemptResult(AttemptOutcome.TIMED_OUT)
 
         async def run() -> None:
             got = await self._engine(ask).read(ask)
-            end.verdict, end.state, end.report = Verdict.PREFILLED, got.state, got.report
+            end.outcome, end.state, end.report = AttemptOutcome.PREFILLED, got.state, got.report
             end.usage = Usage(got.prompt_toks, 0, got.prompt_toks)
 
         return await self._ended(ask, end, run)
 
     async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
-        end, plan = AttemptResult(Verdict.TIMED_OUT), ask.plan
+        end, plan = AttemptResult(AttemptOutcome.TIMED_OUT), ask.plan
         last, written = trio.current_time() + plan.whole_ms / 1000, 0
 
         async def run() -> None:
@@ -212,7 +212,7 @@
             if not end.begun:
                 end.begun = True
                 await pass_on("", True)
-            end.verdict, end.usage = Verdict.STREAMED, Usage(0, written, written)
+            end.outcome, end.usage = AttemptOutcome.STREAMED, Usage(0, written, written)
 
         return await self._ended(ask, end, run)
 
@@ -230,15 +230,15 @@
             with plan.scope:
                 await run()
         except Refuses as why:
-            end.verdict, end.state_lost, end.why = Verdict.FULL, why.state_lost, str(why)
+            end.outcome, end.state_lost, end.why = AttemptOutcome.OVERLOADED, why.state_lost, str(why)
         except Unreached as why:
-            end.verdict, end.why = Verdict.UNCONNECTED, str(why)
+            end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
         except ClientGone:
             raise
         except Exception as why:  # the engine is the caller's code: whatever it raises, it may have run
-            end.verdict, end.why = Verdict.ERROR, repr(why)
+            end.outcome, end.why = AttemptOutcome.ERROR, repr(why)
         if plan.scope.cancelled_caught:
-            end.verdict = Verdict.CANCELLED if plan.cancelled else Verdict.TIMED_OUT
+            end.outcome = AttemptOutcome.CANCELLED if plan.cancelled else AttemptOutcome.TIMED_OUT
             if end.begun and not plan.cancelled:
                 end.why = "silent or too slow within the stream"
         return end
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -20,7 +20,7 @@
 from ternlane.gateway.ticket import Streamed, Failed, Rejected, Ticket
 from ternlane.nodes import Book
 from ternlane.paper import StreamTerms
-from ternlane.port import Role, Life, Server, StartFacts, Verdict
+from ternlane.port import Role, Life, Server, StartFacts, AttemptOutcome
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
@@ -245,18 +245,21 @@
                 ticket,
                 server,
                 stage,
-                AttemptResult(Verdict.CANCELLED if plan.cancelled else Verdict.FULL, why="the journal can't be kept"),
+                AttemptResult(
+                    AttemptOutcome.CANCELLED if plan.cancelled else AttemptOutcome.OVERLOADED,
+                    why="the journal can't be kept",
+                ),
                 now_ms() - since,
                 plan,
             )
         try:
             end = await (self.transport.read(ask) if stage is Stage.PREFILL else self.transport.stream(ask, pass_on))
         except ClientGone:
-            end = AttemptResult(Verdict.CANCELLED, begun=True, why="the client left")
+            end = AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
             self.client_left(ticket)
         except Exception as fault:
             self.faulted(fault)
-            end = AttemptResult(Verdict.ERROR, begun=ticket.flowing, why=repr(fault))
+            end = AttemptResult(AttemptOutcome.ERROR, begun=ticket.flowing, why=repr(fault))
         self.attempt_ended(ticket, server, stage, end, now_ms() - since, plan)
 
     async def noted(self, number: int, plan: AttemptPlan) -> bool:
@@ -276,25 +279,28 @@
     ) -> None:
         ticket.attempt, ticket.flowing = None, False
         place = self.book.places[server]
-        ticket.trail.append(f"{place.ident} {stage.name} {end.verdict.name}")
-        self.measures.attempts.labels(stage.name.lower(), end.verdict.name.lower()).inc()
+        ticket.trail.append(f"{place.ident} {stage.name} {end.outcome.name}")
+        self.measures.attempts.labels(stage.name.lower(), end.outcome.name.lower()).inc()
         self.log.debug(
             "leg",
             gen=ticket.ident,
             leg=ticket.attempts - 1,
             server=place.ident,
             stage=stage.name,
-            verdict=end.verdict.name,
+            verdict=end.outcome.name,
             took_ms=round(took, 1),
             why=end.why,
         )
         kept = 0.0
         if (
-            end.verdict is Verdict.PREFILLED
+            end.outcome is AttemptOutcome.PREFILLED
             and end.usage is not None
             and not ticket.join.took_in(end.usage.prompt_tokens, ticket.prompt_said)
         ):
-            end.verdict, end.why = Verdict.ERROR, "it read no more than the prompt, and can't go on with the text"
+            end.outcome, end.why = (
+                AttemptOutcome.ERROR,
+                "it read no more than the prompt, and can't go on with the text",
+            )
         ticket.made.append(made_of(stage, end, ticket.join.attempt_pieces))
         if end.usage is not None:
             if not ticket.join.resumed:
@@ -304,25 +310,30 @@
                     self.mender.read(now_ms(), ticket.made[-1].prompt - ticket.made[-1].kept, took)
             details = end.usage.prompt_tokens_details
             kept = float(details.cached_tokens or 0) if details is not None else 0.0
-        if end.verdict is Verdict.PREFILLED:
+        if end.outcome is AttemptOutcome.PREFILLED:
             ticket.state = end.state
         elif end.why:
             ticket.why = f"{place.ident}: {end.why}"
         broken = False
-        if end.verdict is Verdict.STREAMED and not ticket.join.ends():
+        if end.outcome is AttemptOutcome.STREAMED and not ticket.join.ends():
             self.settle(ticket, Failed(ticket.join.why))
-        elif end.verdict is Verdict.STREAMED or ticket.join.stopped:
+        elif end.outcome is AttemptOutcome.STREAMED or ticket.join.stopped:
             self.streamed(ticket, "stop" if ticket.join.stopped else end.finish, end.usage)
         elif end.begun:
             broken = not plan.cancelled and not ticket.left and self.broke(ticket, end)
             if not broken:  # its client has part of the answer, and hears that there is no more
                 self.settle(ticket, Failed(ticket.why if plan.cancelled else end.why or "the stream broke"))
         over = ticket.final is not None or ticket.left
-        never_ran = Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD
-        if end.verdict in never_ran and server.role is Role.PREFILL:
+        never_ran = (
+            AttemptOutcome.OVERLOADED,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.CLIENT_GONE,
+            AttemptOutcome.NOT_STARTED,
+        )
+        if end.outcome in never_ran and server.role is Role.PREFILL:
             ticket.holders.pop(server, None)  # it ran nothing, so it left nothing
         self.tell(
-            port.AttemptEnded(ticket.request, server, end.verdict, took, over, kept, end.state_lost, end.report, broken)
+            port.AttemptEnded(ticket.request, server, end.outcome, took, over, kept, end.state_lost, end.report, broken)
         )
         self.forget(ticket)
         if broken:
@@ -411,14 +422,18 @@
     async def probe(self, server: Server) -> None:
         """Asks an engine for its load; one that does not say is heard all the same, and named in the log once."""
         place = self.book.places[server]
-        verdict, report = await self.transport.load(
+        outcome, report = await self.transport.load(
             place.ident, place.address, self.facts.connect_ms, place.line.protocol
         )
-        self.measures.probes.labels("told" if report is not None else verdict.name.lower()).inc()
-        if report is None and verdict in (Verdict.STREAMED, Verdict.ERROR) and place.ident not in self.mute:
+        self.measures.probes.labels("told" if report is not None else outcome.name.lower()).inc()
+        if (
+            report is None
+            and outcome in (AttemptOutcome.STREAMED, AttemptOutcome.ERROR)
+            and place.ident not in self.mute
+        ):
             self.mute.add(place.ident)
             self.log.warning("load not told", server=place.ident, why="no metrics that can be read at /metrics")
-        self.tell(port.Checked(server, verdict, report))
+        self.tell(port.Checked(server, outcome, report))
 
     async def release(self, ticket: Ticket, server: Server) -> None:
         place = self.book.places[server]
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -17,7 +17,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Caller, Pool, Silent, Unconnected, keep_open
 from ternlane.platform.protocol import LEASE_PATH, LOAD, NOT_STARTED, STATS_PATH, Events, kept_of, load_of, outcome_of
-from ternlane.port import Role, Report, Verdict
+from ternlane.port import Role, Report, AttemptOutcome
 from ternlane.turns import BeginCheck, may_always_begin
 
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
@@ -32,8 +32,8 @@
 
 
 WHY_BARRED = {
-    Verdict.MOOT: "the client left before it was sent",
-    Verdict.WITHHELD: "its server drains, or its time to begin is over",
+    AttemptOutcome.CLIENT_GONE: "the client left before it was sent",
+    AttemptOutcome.NOT_STARTED: "its server drains, or its time to begin is over",
 }
 
 
@@ -44,9 +44,9 @@
 class Barred(Exception):
     """The attempt must not begin any more."""
 
-    def __init__(self, verdict: Verdict) -> None:
-        super().__init__(WHY_BARRED[verdict])
-        self.verdict = verdict
+    def __init__(self, outcome: AttemptOutcome) -> None:
+        super().__init__(WHY_BARRED[outcome])
+        self.outcome = outcome
 
 
 @dataclass(slots=True, eq=False)
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    verdict: Verdict = Verdict.TIMED_OUT
+    outcome: AttemptOutcome = AttemptOutcome.TIMED_OUT
     begun: bool = False  # the client has its first event
     kept: float = 0.0
     state_lost: bool = False
@@ -117,30 +117,33 @@
                 said = {name: value.decode("latin-1") for name, value in head.headers}
                 end.report = load_of(said.get(LOAD), self.deployment)
                 outcome = outcome_of(head.status_code, said.get(NOT_STARTED) == "1", attempt.role)
-                if outcome.verdict is None:
+                if outcome.outcome is None:
                     whole = await self.stream(attempt, caller, outlet, end)
                 else:
                     body = await caller.body(PLAIN_BYTES)
                     whole = True
-                    end.verdict, end.state_lost = outcome.verdict, outcome.state_lost
-                    end.kept = kept_of(body) if outcome.verdict is Verdict.PREFILLED else 0.0
-                    end.why = "" if outcome.verdict is Verdict.PREFILLED else f"status {head.status_code}"
+                    end.outcome, end.state_lost = outcome.outcome, outcome.state_lost
+                    end.kept = kept_of(body) if outcome.outcome is AttemptOutcome.PREFILLED else 0.0
+                    end.why = "" if outcome.outcome is AttemptOutcome.PREFILLED else f"status {head.status_code}"
         except ClientGone:
             raise
         except Barred as why:  # the connection, on which nothing was asked, serves the next one
-            whole, end.verdict, end.why = True, why.verdict, str(why)
+            whole, end.outcome, end.why = True, why.outcome, str(why)
         except Silent:
-            end.verdict, end.why = Verdict.TIMED_OUT, "silent within the stream" if end.begun else "no answer in time"
+            end.outcome, end.why = (
+                AttemptOutcome.TIMED_OUT,
+                "silent within the stream" if end.begun else "no answer in time",
+            )
         except Unconnected as why:
             self.heard.pop(attempt.address, None)
-            end.verdict, end.why = Verdict.UNCONNECTED, str(why)
+            end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
         except BROKEN as why:
-            end.verdict, end.why = Verdict.RESET, repr(why)
+            end.outcome, end.why = AttemptOutcome.RESET, repr(why)
         except h11.RemoteProtocolError as why:  # a torn answer is a broken connection, a spoilt one an error
-            end.verdict = Verdict.RESET if "closed" in str(why) else Verdict.ERROR
+            end.outcome = AttemptOutcome.RESET if "closed" in str(why) else AttemptOutcome.ERROR
             end.why = f"spoilt: {str(why)[:200]}"
         except ValueError as why:
-            end.verdict, end.why = Verdict.ERROR, f"spoilt: {str(why)[:200]}"
+            end.outcome, end.why = AttemptOutcome.ERROR, f"spoilt: {str(why)[:200]}"
         finally:
             if caller is not None and whole:
                 self.pool.give_back(caller)
@@ -172,11 +175,11 @@
         off."""
         barred = attempt.barred()
         if attempt.written:
-            end.verdict = Verdict.CANCELLED if attempt.cancelled else Verdict.TIMED_OUT
+            end.outcome = AttemptOutcome.CANCELLED if attempt.cancelled else AttemptOutcome.TIMED_OUT
         elif barred is not None:  # no fault of the server's
-            end.verdict, end.why = barred, WHY_BARRED[barred]
+            end.outcome, end.why = barred, WHY_BARRED[barred]
         else:  # its last byte never left: nothing can have run
-            end.verdict, end.why = Verdict.UNCONNECTED, "given up before all was written"
+            end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, "given up before all was written"
 
     async def stream(self, attempt: Attempt, caller: Caller, outlet: Outlet, end: AttemptResult) -> bool:
         """Passes a writer's events on as they came. True once the last chunk has come. Raises Silent, ClientGone, and
@@ -197,16 +200,16 @@
                 events.put_back(ready)
         if not events.done:
             raise ValueError("the stream ended before its last event")
-        end.verdict, end.kept = Verdict.STREAMED, events.kept
+        end.outcome, end.kept = AttemptOutcome.STREAMED, events.kept
         end.report = load_of(events.load, self.deployment) or end.report
         self.has_answered(attempt.address)
         return True
 
     async def ask(
         self, address: str, method: str, target: str, within_ms: float
-    ) -> tuple[Verdict, int, str | None, bytes]:
+    ) -> tuple[AttemptOutcome, int, str | None, bytes]:
         """A small call: how it went, the status, the load that came along and the body."""
-        caller, verdict = None, Verdict.TIMED_OUT
+        caller, outcome = None, AttemptOutcome.TIMED_OUT
         try:
             with trio.move_on_after(within_ms / 1000):
                 caller = await self.pool.take(address)
@@ -216,16 +219,16 @@
                 self.has_answered(address)
                 self.pool.give_back(caller)
                 caller = None
-                return Verdict.STREAMED, head.status_code, said, body
+                return AttemptOutcome.STREAMED, head.status_code, said, body
         except Unconnected:
             self.heard.pop(address, None)
-            verdict = Verdict.UNCONNECTED
+            outcome = AttemptOutcome.CONNECT_FAILED
         except (h11.RemoteProtocolError, *BROKEN):
-            verdict = Verdict.RESET
+            outcome = AttemptOutcome.RESET
         finally:
             if caller is not None:  # also when called off, as another server has heard it
                 caller.close_now()
-        return verdict, 0, None, b""
+        return outcome, 0, None, b""
 
     async def release(self, ident: str, addresses: Iterable[str], within_ms: float) -> str | None:
         """Releases all that is held for a request, wherever: any running server passes it on. Returns the address of
@@ -288,12 +291,12 @@
         _, status, _, _ = await self.ask(address, "POST", LEASE_PATH + ident, within_ms)
         return status == 200
 
-    async def load(self, address: str, within_ms: float) -> tuple[Verdict, Report | None]:
-        verdict, status, said, body = await self.ask(address, "GET", STATS_PATH, within_ms)
-        if verdict is Verdict.STREAMED and status != 200:
-            verdict = Verdict.ERROR
+    async def load(self, address: str, within_ms: float) -> tuple[AttemptOutcome, Report | None]:
+        outcome, status, said, body = await self.ask(address, "GET", STATS_PATH, within_ms)
+        if outcome is AttemptOutcome.STREAMED and status != 200:
+            outcome = AttemptOutcome.ERROR
         text = body.decode("latin-1").strip()
-        return verdict, load_of(said, self.deployment) or load_of(
+        return outcome, load_of(said, self.deployment) or load_of(
             text.removeprefix("Server-Load:").strip(), self.deployment
         )
 
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -17,7 +17,7 @@
 from ternlane.platform.request_history import RequestRecord
 from ternlane.platform.roster import Listing, Roster
 from ternlane.platform.ticket import Final, Streamed, Ticket
-from ternlane.port import Life, Server, Verdict
+from ternlane.port import Life, Server, AttemptOutcome
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
@@ -207,7 +207,7 @@
         )
         name = ticket.server_name = spot.name if spot is not None else "gone"
         if ticket.trail:
-            self.counts[f"retry after {ticket.last_verdict}"] += ticket.last_verdict != Verdict.PREFILLED.name
+            self.counts[f"retry after {ticket.last_outcome}"] += ticket.last_outcome != AttemptOutcome.PREFILLED.name
         ticket.attempts += 1
         ticket.note(f"attempt {ticket.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
         self.nursery.start_soon(self.run, ticket, server, attempt, name)
@@ -221,14 +221,14 @@
         try:
             end = await self.engines.run(attempt, Passing(self, ticket, server, since))
         except ClientGone:
-            end = AttemptResult(Verdict.CANCELLED, begun=True, why="the client left")
+            end = AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
             self.client_left(ticket)
         except Exception as why:  # a fault of this program must not take the other generations with it
             self.log.exception("leg")
-            end = AttemptResult(Verdict.ERROR, begun=ticket.flowing, why=repr(why))
-        if end.verdict is Verdict.MOOT:
+            end = AttemptResult(AttemptOutcome.ERROR, begun=ticket.flowing, why=repr(why))
+        if end.outcome is AttemptOutcome.CLIENT_GONE:
             self.client_left(ticket)
-        if end.verdict is Verdict.STREAMED and not ticket.over:
+        if end.outcome is AttemptOutcome.STREAMED and not ticket.over:
             try:
                 await ticket.exchange.end()
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -240,22 +240,22 @@
 
     def attempt_ended(self, ticket: Ticket, server: Server, name: str, end: AttemptResult, took: float) -> None:
         attempt, ticket.attempt, ticket.flowing = ticket.attempt, None, False
-        ticket.why = f"{end.verdict.name}: {end.why}" if end.why else ticket.why
+        ticket.why = f"{end.outcome.name}: {end.why}" if end.why else ticket.why
         kind = "read" if server.role is port.Role.PREFILL else "write"
-        ticket.trail.append(f"{name} {kind} {end.verdict.name} {took:.0f} ms {end.why}".rstrip())
+        ticket.trail.append(f"{name} {kind} {end.outcome.name} {took:.0f} ms {end.why}".rstrip())
         written = "not written" if attempt is None or attempt.written_at is None else "written"
-        ticket.note(f"attempt {ticket.attempts} ended: {kind} {end.verdict.name}, {written}: {end.why}".rstrip(": "))
-        if end.verdict is Verdict.PREFILLED:
+        ticket.note(f"attempt {ticket.attempts} ended: {kind} {end.outcome.name}, {written}: {end.why}".rstrip(": "))
+        if end.outcome is AttemptOutcome.PREFILLED:
             self.held_states.held(ticket.ident, name, now_ms())
-        elif end.verdict is Verdict.STREAMED or end.state_lost:
+        elif end.outcome is AttemptOutcome.STREAMED or end.state_lost:
             self.held_states.ended(ticket.ident, now_ms())
-        self.counts[f"{kind} {end.verdict.name}"] += 1
+        self.counts[f"{kind} {end.outcome.name}"] += 1
         self.log.debug(
             "attempt",
             gen=ticket.ident,
             server=name,
             kind=kind,
-            verdict=end.verdict.name,
+            verdict=end.outcome.name,
             took_ms=round(took, 1),
             begun=end.begun,
             kept=end.kept,
@@ -264,7 +264,7 @@
         )
         self.tell(
             port.AttemptEnded(
-                ticket.request, server, end.verdict, took, ticket.over, end.kept, end.state_lost, end.report
+                ticket.request, server, end.outcome, took, ticket.over, end.kept, end.state_lost, end.report
             )
         )
         self.forget(ticket)
@@ -326,10 +326,10 @@
             self.tell(port.PlaceHeld(ticket.request, held))
 
     async def probe(self, server: Server) -> None:
-        verdict, report, spot = Verdict.UNCONNECTED, None, self.roster.spots.get(server)
+        outcome, report, spot = AttemptOutcome.CONNECT_FAILED, None, self.roster.spots.get(server)
         if spot is not None:
-            verdict, report = await self.engines.load(spot.address, self.deployment.facts.connect_ms)
-        self.tell(port.Checked(server, verdict, report))
+            outcome, report = await self.engines.load(spot.address, self.deployment.facts.connect_ms)
+        self.tell(port.Checked(server, outcome, report))
 
 
 @dataclass(slots=True)
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ternlane.port import Role, Report, Verdict
+from ternlane.port import Role, Report, AttemptOutcome
 from ternlane.deployment import Deployment
 
 CHAT_PATH = "/v1/chat/completions"
@@ -45,7 +45,7 @@
 class Outcome:
     """What the head of an answer proves. Neither verdict nor lost state: a stream follows."""
 
-    verdict: Verdict | None
+    outcome: AttemptOutcome | None
     state_lost: bool = False
 
 
@@ -54,12 +54,12 @@
     if status == 200 and role is not Role.PREFILL:
         return Outcome(None)
     if status == 202 and role is not Role.DECODE:
-        return Outcome(Verdict.PREFILLED)
+        return Outcome(AttemptOutcome.PREFILLED)
     if status in (503, 504) and not_started:
-        return Outcome(Verdict.FULL)
+        return Outcome(AttemptOutcome.OVERLOADED)
     if status == 410 and not_started:
-        return Outcome(Verdict.FULL, state_lost=True)
-    return Outcome(Verdict.ERROR)
+        return Outcome(AttemptOutcome.OVERLOADED, state_lost=True)
+    return Outcome(AttemptOutcome.ERROR)
 
 
 def load_of(said: str | None, deployment: Deployment) -> Report | None:
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/ticket.py
@@ -64,7 +64,7 @@
         return not self.over and not self.flowing
 
     @property
-    def last_verdict(self) -> str:
+    def last_outcome(self) -> str:
         """How its last attempt ended, "" before one has."""
         return self.trail[-1].split()[2] if self.trail else ""
 
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -14,17 +14,19 @@
 from math import inf
 from typing import Any, Generic, TypeVar
 
-from ternlane.port import Verdict
+from ternlane.port import AttemptOutcome
 
 # Part of the release time that is kept for the release itself: the first server asked may be silent, and each further
 # round of servers is asked an eighth of the release time later.
 RELEASE_RESERVE = 1 / 4
 # Outcomes of an attempt that leave nothing behind at its server.
-NOTHING_LEFT = frozenset({Verdict.FULL, Verdict.UNCONNECTED, Verdict.MOOT, Verdict.WITHHELD})
+NOTHING_LEFT = frozenset(
+    {AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CLIENT_GONE, AttemptOutcome.NOT_STARTED}
+)
 # Outcomes of a decode attempt that only a running server can have given.
-ANSWERED = frozenset({Verdict.FULL, Verdict.ERROR})
+ANSWERED = frozenset({AttemptOutcome.OVERLOADED, AttemptOutcome.ERROR})
 # Outcomes of an attempt of which not all was sent.
-NEVER_SENT = frozenset({Verdict.UNCONNECTED, Verdict.WITHHELD})
+NEVER_SENT = frozenset({AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_STARTED})
 
 ServerT = TypeVar("ServerT")
 RequestT = TypeVar("RequestT")
@@ -34,7 +36,7 @@
 class AttemptEnd:
     """What the end of an attempt tells of what is held."""
 
-    verdict: Verdict
+    outcome: AttemptOutcome
     prefills: bool  # its server may have read the prompt
     state_lost: bool  # it found no state to go on with
 
@@ -61,24 +63,24 @@
         self.held_at, self.may_hold, self.release_at = None, False, inf
 
     def attempt_ended(self, end: AttemptEnd, server: ServerT, now: float) -> None:
-        verdict = end.verdict
-        if verdict in NOTHING_LEFT:
+        outcome = end.outcome
+        if outcome in NOTHING_LEFT:
             self.may_hold = self._held_before
         elif end.prefills:
-            self.unheard = verdict is not Verdict.PREFILLED
+            self.unheard = outcome is not AttemptOutcome.PREFILLED
         if self._renews(end):
             self.since = now
         if end.state_lost:
             self.held_at = None
-        elif verdict is Verdict.PREFILLED:
+        elif outcome is AttemptOutcome.PREFILLED:
             self.held_at = server
 
     def _renews(self, end: AttemptEnd) -> bool:
         """Whether the release time begins anew with this outcome: only where the attempt must have been out until now,
         or has left nothing else: a state that outlasted a confirmed release was kept for an attempt that arrived."""
-        if end.verdict in NEVER_SENT:
+        if end.outcome in NEVER_SENT:
             return False
-        return end.prefills or end.verdict in ANSWERED or self._release_heard
+        return end.prefills or end.outcome in ANSWERED or self._release_heard
 
     def released(self, over: bool) -> None:
         """A release goes out. Once the request is over it is said to the last; before, an unheard prefill may still
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -45,20 +45,20 @@
     GONE = auto()
 
 
-class Verdict(Enum):
+class AttemptOutcome(Enum):
     """How a leg or a probe ended. FULL and UNCONNECTED: it ran nothing; MOOT: its client had left; WITHHELD: it did not
     begin, as its server began to drain or `SendLeg.begin_by_ms` passed; CALLED_OFF: by CallOff; READ: the prompt is
     kept; ERROR, TIMED_OUT, RESET: it may have run."""
 
     STREAMED = auto()
     ERROR = auto()
-    FULL = auto()
+    OVERLOADED = auto()
     TIMED_OUT = auto()
-    UNCONNECTED = auto()
+    CONNECT_FAILED = auto()
     RESET = auto()
     CANCELLED = auto()
-    MOOT = auto()
-    WITHHELD = auto()
+    CLIENT_GONE = auto()
+    NOT_STARTED = auto()
     PREFILLED = auto()
 
 
@@ -245,7 +245,7 @@
 
     request: Request
     server: Server
-    verdict: Verdict
+    outcome: AttemptOutcome
     took_ms: float
     over: bool
     kept_toks: float = 0.0
@@ -281,7 +281,7 @@
     """The answer to Probe."""
 
     server: Server
-    verdict: Verdict
+    outcome: AttemptOutcome
     report: Report | None
 
 
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -41,10 +41,10 @@
     reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
 
 
-BeginCheck = Callable[[], port.Verdict | None]
+BeginCheck = Callable[[], port.AttemptOutcome | None]
 
 
-def may_always_begin() -> port.Verdict | None:
+def may_always_begin() -> port.AttemptOutcome | None:
     """The check of an attempt that nothing can forbid."""
     return None
 
@@ -54,11 +54,11 @@
     and the first byte lie waits for a connection or a release; ask it after them, right before that byte is written."""
     begin_by = trio.current_time() + begin_by_ms / 1000
 
-    def barred() -> port.Verdict | None:
+    def barred() -> port.AttemptOutcome | None:
         if client_gone():
-            return port.Verdict.MOOT
+            return port.AttemptOutcome.CLIENT_GONE
         if server.life is not port.Life.UP or trio.current_time() > begin_by:
-            return port.Verdict.WITHHELD
+            return port.AttemptOutcome.NOT_STARTED
         return None
 
     return barred
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -35,21 +35,21 @@
     Server,
     Fail,
     Reject,
-    Verdict,
+    AttemptOutcome,
     Wake,
     Woken,
 )
 
-VERDICTS = {
-    "S": Verdict.STREAMED,
-    "E": Verdict.ERROR,
-    "F": Verdict.FULL,
-    "T": Verdict.TIMED_OUT,
-    "C": Verdict.UNCONNECTED,
-    "R": Verdict.RESET,
-    "X": Verdict.CANCELLED,
-    "N": Verdict.MOOT,
-    "prefilled": Verdict.PREFILLED,
+OUTCOMES = {
+    "S": AttemptOutcome.STREAMED,
+    "E": AttemptOutcome.ERROR,
+    "F": AttemptOutcome.OVERLOADED,
+    "T": AttemptOutcome.TIMED_OUT,
+    "C": AttemptOutcome.CONNECT_FAILED,
+    "R": AttemptOutcome.RESET,
+    "X": AttemptOutcome.CANCELLED,
+    "N": AttemptOutcome.CLIENT_GONE,
+    "prefilled": AttemptOutcome.PREFILLED,
 }
 LIVES = {"healthy": Life.UP, "cordoned": Life.DRAINING, "deregistered": Life.GONE}
 BEAT, DUE = 0, 1
@@ -149,7 +149,7 @@
                 None
                 if server is None
                 else Checked(
-                    server, VERDICTS.get(part[4], Verdict.ERROR), self.report(part[5] if len(part) > 5 else "-")
+                    server, OUTCOMES.get(part[4], AttemptOutcome.ERROR), self.report(part[5] if len(part) > 5 else "-")
                 )
             )
         if what in ("SHUTDOWN", "WHISPER"):
@@ -169,20 +169,20 @@
         if what == "NOTE":
             return PlaceHeld(request, part[5] == "1")
         if what == "REPORT_BACK":
-            verdict, note = VERDICTS.get(part[5], Verdict.ERROR), number(part[8]) if len(part) > 8 else 0.0
+            outcome, note = OUTCOMES.get(part[5], AttemptOutcome.ERROR), number(part[8]) if len(part) > 8 else 0.0
             over = part[7] == "1"
             self.attempts_ended[request] = self.attempts_ended.get(request, 0) + 1
             if over:
                 self.closed.add(request)
-            kept = note if verdict in (Verdict.PREFILLED, Verdict.STREAMED) else 0.0
+            kept = note if outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.STREAMED) else 0.0
             return AttemptEnded(
                 request,
                 server,
-                verdict,
+                outcome,
                 number(part[6]),
                 over,
                 kept,
-                verdict is Verdict.FULL and note == 1,
+                outcome is AttemptOutcome.OVERLOADED and note == 1,
                 self.report(part[9] if len(part) > 9 else "-"),
             )
         return None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, StartFacts, Verdict
+from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, StartFacts, AttemptOutcome
 
 
 @dataclass
@@ -61,12 +61,12 @@
         self,
         request: port.Request,
         server: Server,
-        verdict: Verdict,
+        outcome: AttemptOutcome,
         after: float = 100.0,
         over: bool = False,
         **note: Any,
     ) -> list[Any]:
-        return self.tell(port.AttemptEnded(request, server, verdict, after, over, **note), after=after)
+        return self.tell(port.AttemptEnded(request, server, outcome, after, over, **note), after=after)
 
     def first(self, request: port.Request, server: Server, after: float = 100.0) -> list[Any]:
         return self.tell(port.FirstTok(request, server, after), after=after)
@@ -75,7 +75,7 @@
         """A generation whose state has just been sent on to a writer, and that leg."""
         request = self.request(effect, **own)
         attempt = sent(self.arrive(request))
-        return request, sent(self.end(request, attempt.server, Verdict.PREFILLED))
+        return request, sent(self.end(request, attempt.server, AttemptOutcome.PREFILLED))
 
 
 def sent(actions: list[Any]) -> port.StartAttempt:
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -17,7 +17,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, Tenant, Verdict
+from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, Tenant, AttemptOutcome
 from tests import fleet
 from tests.conftest import FACTS
 
@@ -186,7 +186,7 @@
             case port.StartAttempt(request, server):
                 self.begin(request, server, action)
             case port.CancelAttempt(request):
-                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, Verdict.CANCELLED))
+                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, AttemptOutcome.CANCELLED))
             case port.Reject(request) | port.Fail(request):
                 self.open.pop(request, None)
             case port.Release(request):
@@ -202,8 +202,8 @@
                     self.after(self.rng.uniform(1.0, 500.0), lambda: [port.ListFailed()])
 
     def checked(self, server: Server) -> Any:
-        verdict = self.rng.choice([Verdict.STREAMED, Verdict.TIMED_OUT])
-        return port.Checked(server, verdict, self.report() if verdict is Verdict.STREAMED else None)
+        outcome = self.rng.choice([AttemptOutcome.STREAMED, AttemptOutcome.TIMED_OUT])
+        return port.Checked(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
 
     def report(self) -> Any:
         if self.rng.random() < 0.3:
@@ -218,31 +218,31 @@
         self.out[request] = times, server, pending
         took = rng.expovariate(1 / (150.0 + 30.0 * (server.mark % 5)))
         if took >= times.timeout_ms:
-            self.after(times.timeout_ms, lambda: self.end(request, Verdict.TIMED_OUT, times))
+            self.after(times.timeout_ms, lambda: self.end(request, AttemptOutcome.TIMED_OUT, times))
             return
-        verdict = self.outcome(server)
-        if verdict is Verdict.STREAMED:
+        outcome = self.outcome(server)
+        if outcome is AttemptOutcome.STREAMED:
             self.after(took, lambda: self.first_token(request, server, took, times))
             finish = took + rng.expovariate(1 / 800.0)
-            ending = Verdict.RESET if rng.random() < 0.08 else Verdict.STREAMED
+            ending = AttemptOutcome.RESET if rng.random() < 0.08 else AttemptOutcome.STREAMED
             self.after(finish, lambda: self.end(request, ending, times))
         else:
-            self.after(took, lambda: self.end(request, verdict, times))
+            self.after(took, lambda: self.end(request, outcome, times))
 
-    def outcome(self, server: Server) -> Verdict:
+    def outcome(self, server: Server) -> AttemptOutcome:
         fault_share = 0.6 if server.mark % 7 == 0 else 0.12
         if self.rng.random() < fault_share:
             return self.rng.choice(
                 [
-                    Verdict.ERROR,
-                    Verdict.FULL,
-                    Verdict.UNCONNECTED,
-                    Verdict.RESET,
-                    Verdict.WITHHELD,
-                    Verdict.TIMED_OUT,
+                    AttemptOutcome.ERROR,
+                    AttemptOutcome.OVERLOADED,
+                    AttemptOutcome.CONNECT_FAILED,
+                    AttemptOutcome.RESET,
+                    AttemptOutcome.NOT_STARTED,
+                    AttemptOutcome.TIMED_OUT,
                 ]
             )
-        return Verdict.PREFILLED if server.role is Role.PREFILL else Verdict.STREAMED
+        return AttemptOutcome.PREFILLED if server.role is Role.PREFILL else AttemptOutcome.STREAMED
 
     def first_token(self, request: Any, server: Server, took: float, times: Any) -> list[Any]:
         if self.out.get(request, (None,))[0] is not times:
@@ -250,22 +250,22 @@
         self.out[request][2].begun = True
         return [port.FirstTok(request, server, took)]
 
-    def end(self, request: Any, verdict: Verdict, times: Any = None) -> list[Any]:
+    def end(self, request: Any, outcome: AttemptOutcome, times: Any = None) -> list[Any]:
         entry = self.out.get(request)
         if entry is None or (times is not None and entry[0] is not times):
             return []
-        if verdict is Verdict.CANCELLED and entry[2].begun:
+        if outcome is AttemptOutcome.CANCELLED and entry[2].begun:
             return []
         del self.out[request]
         gone = request not in self.open
-        over = verdict is Verdict.STREAMED or gone
+        over = outcome is AttemptOutcome.STREAMED or gone
         broken = entry[2].begun and not over
         if over:
             self.open.pop(request, None)
-        kept = request.prompt_toks * self.rng.random() if verdict is Verdict.PREFILLED else 0.0
-        lost = entry[1].role is not Role.PREFILL and verdict is Verdict.ERROR and self.rng.random() < 0.5
+        kept = request.prompt_toks * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
+        lost = entry[1].role is not Role.PREFILL and outcome is AttemptOutcome.ERROR and self.rng.random() < 0.5
         took = self.rng.uniform(1.0, 900.0)
-        ended = port.AttemptEnded(request, entry[1], verdict, took, over, kept, lost, self.report(), broken)
+        ended = port.AttemptEnded(request, entry[1], outcome, took, over, kept, lost, self.report(), broken)
         if broken:
             self.after(self.rng.uniform(5.0, 200.0), lambda: self.go_on(request))
         return [ended]
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ternlane import port
-from ternlane.port import Role, Effect, Request, Verdict
+from ternlane.port import Role, Effect, Request, AttemptOutcome
 from tests.fleet.scene import ClientRequest, Scene
 from tests.fleet.server import ModelServer
 
@@ -33,13 +33,16 @@
             match event:
                 case port.Arrived(request):
                     out.append(self.next(request, Role.PREFILL))
-                case port.AttemptEnded(request, server, verdict, _, over) if not over:
-                    if verdict is Verdict.PREFILLED:
+                case port.AttemptEnded(request, server, outcome, _, over) if not over:
+                    if outcome is AttemptOutcome.PREFILLED:
                         out.append(self.next(request, Role.DECODE))
                         continue
                     model = self.gateway.truth[server]
                     self.tried[request].add(model)
-                    if server.role is Role.DECODE and verdict not in (Verdict.UNCONNECTED, Verdict.FULL):
+                    if server.role is Role.DECODE and outcome not in (
+                        AttemptOutcome.CONNECT_FAILED,
+                        AttemptOutcome.OVERLOADED,
+                    ):
                         self.ran.add(request)
                     out.append(self.next(request, Role.PREFILL if server.role is Role.PREFILL else Role.DECODE))
         return out
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -12,7 +12,7 @@
 from typing import Any, Callable
 
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, RequestClass, Tenant, Verdict
+from ternlane.port import Role, Effect, Group, RequestClass, Tenant, AttemptOutcome
 from tests.conftest import FACTS
 from tests.fleet.baseline import LATE_VIEW_MS, LateSeeing, View
 from tests.fleet.gateway import Gateway, virtual_clock
@@ -33,7 +33,7 @@
         self.discovery_back = -inf  # when it can be reached again
         self.cuts: set[tuple[str, str]] = set()
         self.requests: list[ClientRequest] = []
-        self.attempt_outcomes: defaultdict[tuple[Role, Verdict], int] = defaultdict(int)
+        self.attempt_outcomes: defaultdict[tuple[Role, AttemptOutcome], int] = defaultdict(int)
         self.sent: list[tuple[float, ModelServer]] = []
         self.probes = 0
         self.seen: dict[ModelServer, View] = {}
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
 from ternlane import port, turns
-from ternlane.port import Role, Effect, Request, Life, Server, Verdict
+from ternlane.port import Role, Effect, Request, Life, Server, AttemptOutcome
 from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
@@ -124,11 +124,11 @@
 
         def timeout() -> None:
             if self.alive and incarnation == self.incarnation and not job.begun:
-                self.ended(job, Verdict.TIMED_OUT)
+                self.ended(job, AttemptOutcome.TIMED_OUT)
 
         self.day.at(job.timeout_at, timeout)
 
-    def ended(self, job: Job, verdict: Verdict) -> None:
+    def ended(self, job: Job, outcome: AttemptOutcome) -> None:
         if job.ended or not self.alive:
             return
         job.ended = True
@@ -139,17 +139,17 @@
         if ticket is not None:
             ticket.attempt = None
         client_request = self.requests.get(job.request)
-        over = verdict is Verdict.STREAMED or job.begun or client_request is None
-        if over and verdict is not Verdict.STREAMED and client_request is not None and job.begun:
+        over = outcome is AttemptOutcome.STREAMED or job.begun or client_request is None
+        if over and outcome is not AttemptOutcome.STREAMED and client_request is not None and job.begun:
             client_request.broken = True
         if over:
             self.requests.pop(job.request, None)
-        self.day.attempt_outcomes[model.role, verdict] += 1
+        self.day.attempt_outcomes[model.role, outcome] += 1
         took = self.day.now - job.since
         kept = 0.0
-        if verdict is Verdict.PREFILLED:
+        if outcome is AttemptOutcome.PREFILLED:
             kept = job.client_request.prompt - job.work * self.day.scene.prefill_tokens_per_ms
-        self.tell(port.AttemptEnded(job.request, job.server, verdict, took, over, kept))
+        self.tell(port.AttemptEnded(job.request, job.server, outcome, took, over, kept))
         if job.request not in self.requests:
             self.tickets.pop(job.request, None)
 
@@ -181,7 +181,10 @@
         model = self.truth[server]
         self.day.probes += 1
         if model.up and not model.silent and not model.hung and not self.day.cut(self, model):
-            self.at(self.day.now + PROBE_MS, lambda: self.tell(port.Checked(server, Verdict.STREAMED, model.report())))
+            self.at(
+                self.day.now + PROBE_MS,
+                lambda: self.tell(port.Checked(server, AttemptOutcome.STREAMED, model.report())),
+            )
 
     def woken(self) -> None:
         pass
@@ -202,7 +205,7 @@
     job: Job
 
     def cancel(self) -> None:
-        self.gateway.day.after(0.0, lambda: self.gateway.ended(self.job, Verdict.CANCELLED))
+        self.gateway.day.after(0.0, lambda: self.gateway.ended(self.job, AttemptOutcome.CANCELLED))
 
 
 @contextmanager
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Role, Report, Verdict
+from ternlane.port import Role, Report, AttemptOutcome
 from tests.fleet.scene import Job, ClientRequest
 
 if TYPE_CHECKING:
@@ -77,20 +77,20 @@
     def take(self, job: Job) -> None:
         day, scene = self.day, self.day.scene
         if not self.up:
-            return day.after(1.0, lambda: job.gateway.ended(job, Verdict.UNCONNECTED))
+            return day.after(1.0, lambda: job.gateway.ended(job, AttemptOutcome.CONNECT_FAILED))
         if day.cut(job.gateway, self) or self.silent:
             linked = self.connected[job.gateway] > 0
             if linked:
                 return  # an open connection that stays silent
-            return day.after(CONNECT_MS, lambda: job.gateway.ended(job, Verdict.UNCONNECTED))
+            return day.after(CONNECT_MS, lambda: job.gateway.ended(job, AttemptOutcome.CONNECT_FAILED))
         if day.rng.random() < self.resetting:
-            return day.after(5.0, lambda: job.gateway.ended(job, Verdict.RESET))
+            return day.after(5.0, lambda: job.gateway.ended(job, AttemptOutcome.RESET))
         self.connected[job.gateway] += 1
         if day.rng.random() < self.bad:
-            return day.after(8.0, lambda: job.gateway.ended(job, Verdict.ERROR))
+            return day.after(8.0, lambda: job.gateway.ended(job, AttemptOutcome.ERROR))
         limit = scene.prefill_queue if self.role is Role.PREFILL else scene.decode_queue
         if len(self.waiting) >= limit:
-            return day.after(CONFIRM_MS, lambda: job.gateway.ended(job, Verdict.FULL))
+            return day.after(CONFIRM_MS, lambda: job.gateway.ended(job, AttemptOutcome.OVERLOADED))
         job.work = self.unread(job.client_request) / scene.prefill_tokens_per_ms if self.role is Role.PREFILL else 0.0
         self.waiting.append(job)
         self.go_on()
@@ -123,7 +123,7 @@
         self.running.remove(job)
         self.kept |= {job.client_request.session, job.client_request.opening}
         if not self.silent and not self.day.cut(job.gateway, self):
-            job.gateway.ended(job, Verdict.PREFILLED)
+            job.gateway.ended(job, AttemptOutcome.PREFILLED)
         self.go_on()
 
     def first(self, job: Job) -> None:
@@ -140,7 +140,7 @@
             return
         self.leave(job)
         if not self.silent and not self.day.cut(job.gateway, self):
-            job.gateway.ended(job, Verdict.STREAMED)
+            job.gateway.ended(job, AttemptOutcome.STREAMED)
 
     def leave(self, job: Job) -> None:
         """The attempt is cancelled or over."""
@@ -162,7 +162,7 @@
         self.kept.clear()
         self.connected.clear()
         for job in lost:
-            job.gateway.ended(job, Verdict.RESET)
+            job.gateway.ended(job, AttemptOutcome.RESET)
 
     def start(self) -> None:
         self.up, self.hung, self.silent, self.started = True, False, False, self.day.now
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ternlane import port
-from ternlane.port import Effect, Life, Server, Verdict
+from ternlane.port import Effect, Life, Server, AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 
 
@@ -14,7 +14,7 @@
     prefill_server = first.seat.prefill_server.server
     assert attempt.server.cell == prefill_server.cell
     host.first(first, attempt.server)
-    host.end(first, attempt.server, Verdict.STREAMED, over=True)
+    host.end(first, attempt.server, AttemptOutcome.STREAMED, over=True)
     for _ in range(4):
         host.arrive(host.request())
     assert sent(host.arrive(host.request(session="s"))).server is prefill_server
@@ -23,7 +23,7 @@
 def test_a_full_home_is_left_for_the_next_best_pair(host: FakeHost) -> None:
     first, attempt = host.written(session="s")
     for _ in range(3):
-        host.end(first, attempt.server, Verdict.STREAMED, over=True)
+        host.end(first, attempt.server, AttemptOutcome.STREAMED, over=True)
     big = host.request(prompt_toks=150e3, opening=None, opening_toks=0.0)
     taken = sent(host.arrive(big)).server
     again = host.request(session="s", prompt_toks=60e3, opening=None, opening_toks=0.0)
@@ -33,7 +33,7 @@
 def test_a_read_that_breaks_is_read_elsewhere(host: FakeHost) -> None:
     request = host.request(Effect.SIDE_EFFECTING)
     attempt = sent(host.arrive(request))
-    said = host.end(request, attempt.server, Verdict.RESET)
+    said = host.end(request, attempt.server, AttemptOutcome.RESET)
     assert sent(said).server is not attempt.server
     assert port.Release in kinds(said)  # the read may have gone on unheard and left its state
 
@@ -45,13 +45,13 @@
     first = sent(host.arrive(mute))
     later = host.request(session="a")
     assert sent(host.arrive(later, after=100.0)).server is first.server  # not overdue yet: it may only be long
-    said = host.end(later, first.server, Verdict.PREFILLED, after=20.0)
+    said = host.end(later, first.server, AttemptOutcome.PREFILLED, after=20.0)
     assert sent(said).server.role is port.Role.DECODE and port.CancelAttempt not in kinds(said)
     said = host.tell(after=300.0)  # nothing else is sent there, and still it is not waited for to its time limit
     assert [a.request for a in said if isinstance(a, port.CancelAttempt)] == [mute]
-    again = sent(host.end(mute, first.server, Verdict.CANCELLED))
+    again = sent(host.end(mute, first.server, AttemptOutcome.CANCELLED))
     assert again.server.role is port.Role.PREFILL and again.server is not first.server
-    assert sent(host.end(mute, again.server, Verdict.PREFILLED)).server.role is port.Role.DECODE
+    assert sent(host.end(mute, again.server, AttemptOutcome.PREFILLED)).server.role is port.Role.DECODE
 
 
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
@@ -60,7 +60,7 @@
     full = host.router.desk.board[prefill_server.seat].queue_ms
     later = host.request(session="a", prompt_toks=100.0)
     assert full > 0 and sent(host.arrive(later, after=10.0)).server is prefill_server
-    host.end(later, prefill_server, Verdict.PREFILLED, after=10.0)
+    host.end(later, prefill_server, AttemptOutcome.PREFILLED, after=10.0)
     assert host.router.desk.board[prefill_server.seat].queue_ms == 0 and len(prefill_server.seat.attempts) == 1
 
 
@@ -69,14 +69,16 @@
     kept, attempt = host.written(session="a")
     decode_server = attempt.server
     host.first(kept, decode_server)
-    host.end(kept, decode_server, Verdict.STREAMED, over=True)
+    host.end(kept, decode_server, AttemptOutcome.STREAMED, over=True)
     other = host.request(session="a")
-    host.end(other, sent(host.arrive(other)).server, Verdict.PREFILLED)
-    host.tell(port.AttemptEnded(other, decode_server, Verdict.UNCONNECTED, 1.0, True))  # shut, and on trial after
+    host.end(other, sent(host.arrive(other)).server, AttemptOutcome.PREFILLED)
+    host.tell(
+        port.AttemptEnded(other, decode_server, AttemptOutcome.CONNECT_FAILED, 1.0, True)
+    )  # shut, and on trial after
     host.tell(after=2000.0)
     found = host.request(session="a")
     prefill_server = sent(host.arrive(found)).server
-    assert sent(host.end(found, prefill_server, Verdict.PREFILLED)).server is decode_server
+    assert sent(host.end(found, prefill_server, AttemptOutcome.PREFILLED)).server is decode_server
 
 
 def test_streams_begun_before_do_not_keep_a_writer_on_trial_and_its_trial_is_one_leg(host: FakeHost) -> None:
@@ -84,13 +86,13 @@
     decode_server = attempt.server
     host.first(begun, decode_server)  # streams on for long
     other = host.request(session="a")
-    host.end(other, sent(host.arrive(other)).server, Verdict.PREFILLED)
-    host.tell(port.AttemptEnded(other, decode_server, Verdict.UNCONNECTED, 1.0, True))
+    host.end(other, sent(host.arrive(other)).server, AttemptOutcome.PREFILLED)
+    host.tell(port.AttemptEnded(other, decode_server, AttemptOutcome.CONNECT_FAILED, 1.0, True))
     host.tell(after=600.0)
     found, second = host.request(session="a"), host.request(session="a")
     prefill_server = sent(host.arrive(found)).server
-    assert sent(host.end(found, prefill_server, Verdict.PREFILLED)).server is decode_server
-    said = host.end(second, sent(host.arrive(second)).server, Verdict.PREFILLED)
+    assert sent(host.end(found, prefill_server, AttemptOutcome.PREFILLED)).server is decode_server
+    said = host.end(second, sent(host.arrive(second)).server, AttemptOutcome.PREFILLED)
     assert sent(said).server is not decode_server  # until the first has ended well
 
 
@@ -99,43 +101,43 @@
     mute, later = host.request(session="a"), host.request(session="a")
     first = sent(host.arrive(mute))
     assert sent(host.arrive(later, after=500.0)).server is first.server
-    assert port.CancelAttempt not in kinds(host.end(later, first.server, Verdict.PREFILLED, after=50.0))
+    assert port.CancelAttempt not in kinds(host.end(later, first.server, AttemptOutcome.PREFILLED, after=50.0))
 
 
 def test_a_state_goes_straight_to_another_writer_when_one_is_full(host: FakeHost) -> None:
     request, attempt = host.written(Effect.SIDE_EFFECTING)
-    other = sent(host.end(request, attempt.server, Verdict.FULL)).server
+    other = sent(host.end(request, attempt.server, AttemptOutcome.OVERLOADED)).server
     assert other.role is attempt.server.role and other is not attempt.server
 
 
 def test_a_state_is_released_before_connections_that_never_come_up_outlast_its_release_time() -> None:
     host = build(("w2", "w3"))  # 250 ms to connect, 500 to release: one failed connection leaves time for one more
     request, attempt = host.written()
-    second = sent(host.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)).server
+    second = sent(host.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)).server
     assert second.role is port.Role.DECODE
-    said = host.end(request, second, Verdict.UNCONNECTED, after=250.0)
+    said = host.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)
     assert [type(a) for a in said] == [port.Release, port.StartAttempt]
     assert sent(said).server.role is port.Role.PREFILL
     other = build(("w2", "w3"), holds_run_on=False)  # where an outcome of any kind begins that time anew
     request, attempt = other.written()
-    second = sent(other.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)).server
-    assert sent(other.end(request, second, Verdict.UNCONNECTED, after=250.0)).server.role is port.Role.DECODE
+    second = sent(other.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)).server
+    assert sent(other.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)).server.role is port.Role.DECODE
     request, attempt = host.written()  # a writer that refuses has answered: the time counts from then
-    second = sent(host.end(request, attempt.server, Verdict.FULL, after=400.0)).server
-    assert sent(host.end(request, second, Verdict.FULL, after=400.0)).server.role is port.Role.DECODE
+    second = sent(host.end(request, attempt.server, AttemptOutcome.OVERLOADED, after=400.0)).server
+    assert sent(host.end(request, second, AttemptOutcome.OVERLOADED, after=400.0)).server.role is port.Role.DECODE
 
 
-@pytest.mark.parametrize("verdict", [Verdict.UNCONNECTED, Verdict.FULL])
-def test_a_read_that_never_ran_left_nothing_to_release(host: FakeHost, verdict: Verdict) -> None:
+@pytest.mark.parametrize("outcome", [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.OVERLOADED])
+def test_a_read_that_never_ran_left_nothing_to_release(host: FakeHost, outcome: AttemptOutcome) -> None:
     request = host.request()
-    said = host.end(request, sent(host.arrive(request)).server, verdict)
+    said = host.end(request, sent(host.arrive(request)).server, outcome)
     assert kinds(said) == [port.StartAttempt]
-    assert port.Release in kinds(host.end(request, sent(said).server, Verdict.TIMED_OUT))  # it may have run
+    assert port.Release in kinds(host.end(request, sent(said).server, AttemptOutcome.TIMED_OUT))  # it may have run
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.CANCELLED, Verdict.RESET])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.RESET])
 def test_what_a_read_may_yet_leave_is_released_once_more_when_nothing_follows_it(
-    host: FakeHost, verdict: Verdict
+    host: FakeHost, outcome: AttemptOutcome
 ) -> None:
     """It ended unheard, its state came after the first release, and nobody was left for another read."""
     request = host.request()
@@ -147,30 +149,32 @@
             if s.role is port.Role.PREFILL and s is not prefill_server
         }
     )
-    said = host.end(request, prefill_server, verdict)
+    said = host.end(request, prefill_server, outcome)
     assert [a.again for a in said if isinstance(a, port.Release)] == [False, True] and port.Reject in kinds(said)
     assert host.tell(after=3000.0) == []
 
 
 def test_a_lost_state_is_read_again(host: FakeHost) -> None:
     request, attempt = host.written()
-    said = host.end(request, attempt.server, Verdict.FULL, state_lost=True)
+    said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
     assert sent(said).server.role is port.Role.PREFILL
     assert port.Release in kinds(said)  # its reader may only be cut off from that writer
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET, Verdict.ERROR, Verdict.CANCELLED])
-def test_a_side_effect_that_may_have_happened_is_not_tried_again(host: FakeHost, verdict: Verdict) -> None:
+@pytest.mark.parametrize(
+    "outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.ERROR, AttemptOutcome.CANCELLED]
+)
+def test_a_side_effect_that_may_have_happened_is_not_tried_again(host: FakeHost, outcome: AttemptOutcome) -> None:
     request, attempt = host.written(Effect.SIDE_EFFECTING)
-    assert kinds(host.end(request, attempt.server, verdict)) == [port.Fail, port.Release]
+    assert kinds(host.end(request, attempt.server, outcome)) == [port.Fail, port.Release]
     assert host.tell(after=3000.0) == []
 
 
 def test_a_deduplicated_generation_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
     request, attempt = host.written(Effect.DEDUPLICATED)
-    assert kinds(host.end(request, attempt.server, Verdict.RESET)) == [port.Release, port.Fail]
+    assert kinds(host.end(request, attempt.server, AttemptOutcome.RESET)) == [port.Release, port.Fail]
     request, attempt = host.written(Effect.IDEMPOTENT)
-    assert sent(host.end(request, attempt.server, Verdict.RESET)).server.role is port.Role.DECODE
+    assert sent(host.end(request, attempt.server, AttemptOutcome.RESET)).server.role is port.Role.DECODE
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
@@ -187,7 +191,7 @@
     attempt = sent(host.arrive(request))
     home = request.seat.decode_server.server
     host.list(**{name: Life.DRAINING for name, s in host.servers.items() if s is home})
-    assert sent(host.end(request, attempt.server, Verdict.PREFILLED)).server is not home
+    assert sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED)).server is not home
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.life = Life.GONE
@@ -198,13 +202,13 @@
     request = host.request()
     attempt = sent(host.arrive(request))
     assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
-    assert kinds(host.end(request, attempt.server, Verdict.PREFILLED, over=True)) == [port.Release]
+    assert kinds(host.end(request, attempt.server, AttemptOutcome.PREFILLED, over=True)) == [port.Release]
 
 
 def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
     request, attempt = host.written()
     assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
-    assert kinds(host.end(request, attempt.server, Verdict.CANCELLED, over=True)) == [port.Release]
+    assert kinds(host.end(request, attempt.server, AttemptOutcome.CANCELLED, over=True)) == [port.Release]
 
 
 def test_a_restarted_server_gets_its_cold_share_only() -> None:
@@ -217,7 +221,7 @@
         request, attempt = host.written(opening=None)
         attempts.append(attempt.server)
         host.first(request, attempt.server, after=20.0)
-        host.end(request, attempt.server, Verdict.STREAMED, over=True)
+        host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
     assert 1 <= sum(s is host.servers["w0"] for s in attempts) <= 16
 
 
@@ -256,10 +260,10 @@
         attempt = sent(host.arrive(request, after=60.0))
         hits += attempt.server is ill
         if attempt.server is ill:
-            attempt = sent(host.end(request, ill, Verdict.ERROR, after=4.0))
-        attempt = sent(host.end(request, attempt.server, Verdict.PREFILLED, after=60.0))
+            attempt = sent(host.end(request, ill, AttemptOutcome.ERROR, after=4.0))
+        attempt = sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=60.0))
         host.first(request, attempt.server, after=20.0)
-        host.end(request, attempt.server, Verdict.STREAMED, over=True)
+        host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
     assert 1 <= hits <= 12
 
 
@@ -267,7 +271,7 @@
     for _ in range(10):
         request, attempt = host.written(opening=None)
         host.first(request, attempt.server, after=20.0)
-        host.end(request, attempt.server, Verdict.STREAMED, over=True)
+        host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
     for server in host.servers.values():
         server.started_ms = host.now
     host.list()
@@ -318,31 +322,31 @@
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
 
 
-def serve(host: FakeHost, request: port.Request, ill: Server, verdict: Verdict | None) -> bool:
+def serve(host: FakeHost, request: port.Request, ill: Server, outcome: AttemptOutcome | None) -> bool:
     """Plays it to its end, with `verdict` wherever it meets `ill`; was that so?"""
     said, met = host.arrive(request, after=60.0), False
     while any(isinstance(a, port.StartAttempt) for a in said):
         attempt = sent(said)
         met = met or attempt.server is ill
-        if attempt.server is ill and verdict is not None:
-            said = host.end(request, ill, verdict, after=20.0)
+        if attempt.server is ill and outcome is not None:
+            said = host.end(request, ill, outcome, after=20.0)
         elif attempt.server.role is port.Role.PREFILL:
-            said = host.end(request, attempt.server, Verdict.PREFILLED, after=20.0)
+            said = host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0)
         else:
             host.first(request, attempt.server, after=20.0)
-            said = host.end(request, attempt.server, Verdict.STREAMED, over=True)
+            said = host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
     return met
 
 
-@pytest.mark.parametrize("name, verdict", [("w0", Verdict.ERROR), ("r0", Verdict.FULL)])
-def test_what_fails_one_product_or_refuses_one_tenant_serves_the_rest(name: str, verdict: Verdict) -> None:
+@pytest.mark.parametrize("name, outcome", [("w0", AttemptOutcome.ERROR), ("r0", AttemptOutcome.OVERLOADED)])
+def test_what_fails_one_product_or_refuses_one_tenant_serves_the_rest(name: str, outcome: AttemptOutcome) -> None:
     host, met = build(gateways=50), {True: 0, False: 0}
     ill, tenants = host.servers[name], (port.Tenant(), port.Tenant())
     for i in range(60):
         struck = bool(i % 2)
-        effect = Effect.SIDE_EFFECTING if struck and verdict is Verdict.ERROR else Effect.IDEMPOTENT
+        effect = Effect.SIDE_EFFECTING if struck and outcome is AttemptOutcome.ERROR else Effect.IDEMPOTENT
         request = host.request(effect, opening=None, tenant=tenants[struck])
-        met[struck] += serve(host, request, ill, verdict if struck else None)
+        met[struck] += serve(host, request, ill, outcome if struck else None)
     assert met[True] <= 4 and met[False] >= 8
 
 
@@ -351,7 +355,7 @@
     for _ in range(30):
         serve(host, host.request(opening=None, tenant=port.Tenant()), ill, None)
     assert not host.router.desk.failures  # type: ignore[attr-defined]
-    while not serve(host, host.request(opening=None), ill, Verdict.ERROR):
+    while not serve(host, host.request(opening=None), ill, AttemptOutcome.ERROR):
         pass
     assert host.router.desk.failures  # type: ignore[attr-defined]
     for _ in range(60):
@@ -363,9 +367,9 @@
     for _ in range(20):
         request = host.request()
         attempt = sent(host.arrive(request))
-        attempt = sent(host.end(request, attempt.server, Verdict.PREFILLED, after=400.0))
+        attempt = sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=400.0))
         host.first(request, attempt.server, after=100.0)
-        host.end(request, attempt.server, Verdict.STREAMED, over=True)
+        host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
     assert kinds(host.arrive(host.request(client_timeout_ms=600.0))) == [port.Reject]
     assert kinds(host.arrive(host.request(client_timeout_ms=3000.0))) == [port.StartAttempt]
     assert kinds(host.arrive(host.request(client_timeout_ms=600.0), after=9000.0)) == [
@@ -387,7 +391,7 @@
         return best(course)
 
     desk.best = counted  # type: ignore[attr-defined]
-    host.tell(*(port.AttemptEnded(request, server, Verdict.MOOT, 10.0, True) for request, server in out))
+    host.tell(*(port.AttemptEnded(request, server, AttemptOutcome.CLIENT_GONE, 10.0, True) for request, server in out))
     assert len(desk.waiting) == 40 and 1 <= tries <= 3  # type: ignore[attr-defined]
 
 
@@ -409,12 +413,12 @@
             attempt = sent(said)
             tries += 1
             if attempt.server not in known:
-                said = host.end(request, attempt.server, Verdict.UNCONNECTED, after=250.0)
+                said = host.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)
             elif attempt.server.role is port.Role.PREFILL:
-                said = host.end(request, attempt.server, Verdict.PREFILLED)
+                said = host.end(request, attempt.server, AttemptOutcome.PREFILLED)
             else:
                 host.first(request, attempt.server)
-                host.end(request, attempt.server, Verdict.STREAMED, over=True)
+                host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
                 linked.append(request)
                 break
     assert len(linked) > 20 and tries < 100  # three tries each, where chance would need five and more
@@ -426,7 +430,7 @@
         request = host.request(client_timeout_ms=30e3)
         attempt = sent(host.arrive(request, after=4000.0))
         patience.append(attempt.timeout_ms)
-        host.end(request, attempt.server, Verdict.TIMED_OUT, after=attempt.timeout_ms)
+        host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=attempt.timeout_ms)
         host.tell(port.ClientLeft(request))
     assert patience[-1] > patience[0]
 
@@ -442,9 +446,9 @@
         said = host.arrive(request, after=400.0)
         assert kinds(said) == [port.StartAttempt]
         if sent(said).server is not cold:  # the cold one keeps what it was given
-            attempt = sent(host.end(request, host.servers["r1"], Verdict.PREFILLED, after=50.0))
+            attempt = sent(host.end(request, host.servers["r1"], AttemptOutcome.PREFILLED, after=50.0))
             host.first(request, attempt.server, after=20.0)
-            host.end(request, attempt.server, Verdict.STREAMED, over=True)
+            host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
 
 
 def test_a_burst_is_believed_soon_where_many_generations_are_open(host: FakeHost) -> None:
@@ -464,9 +468,9 @@
     assert not host.tell(port.Ending(port.ShutdownTimes(500.0, 800.0, 1000.0)))
     said = host.arrive(host.request(Effect.SIDE_EFFECTING))
     assert kinds(said) == [port.Reject]  # another gateway may do it: nothing has run
-    assert sent(host.end(prefills, read.server, Verdict.PREFILLED)).server.role is port.Role.DECODE
+    assert sent(host.end(prefills, read.server, AttemptOutcome.PREFILLED)).server.role is port.Role.DECODE
     host.first(streams, attempt.server)
-    assert not kinds(host.end(streams, attempt.server, Verdict.STREAMED, over=True))
+    assert not kinds(host.end(streams, attempt.server, AttemptOutcome.STREAMED, over=True))
 
 
 def test_servers_that_went_and_openings_of_old_are_forgotten(host: FakeHost) -> None:
@@ -485,7 +489,7 @@
     for _ in range(8):
         host.tell(port.Woken(True), after=100.0)
     assert attempt.server.seat in board
-    host.end(busy, attempt.server, Verdict.RESET, over=True)
+    host.end(busy, attempt.server, AttemptOutcome.RESET, over=True)
     for _ in range(8):
         host.tell(port.Woken(True), after=100.0)
     assert attempt.server.seat not in board
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -14,7 +14,7 @@
 
 from ternlane import port
 from ternlane.choice import CARE, Router
-from ternlane.port import Role, Effect, Request, Group, Life, RequestClass, Server, Verdict
+from ternlane.port import Role, Effect, Request, Group, Life, RequestClass, Server, AttemptOutcome
 from tests.conftest import FACTS
 
 REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
@@ -81,17 +81,21 @@
                 told = server.started_ms == true_server.started_ms
                 self.sent.append(Attempt(self.now, true_server, nth, told))
                 if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
-                    self.at(self.now + 5.0, nth, port.AttemptEnded(request, server, Verdict.FULL, 5.0, False))
+                    self.at(
+                        self.now + 5.0, nth, port.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 5.0, False)
+                    )
                 elif server.role is Role.PREFILL:
                     self.at(
                         self.now + READ_MS,
                         nth,
-                        port.AttemptEnded(request, server, Verdict.PREFILLED, READ_MS, False, 300.0),
+                        port.AttemptEnded(request, server, AttemptOutcome.PREFILLED, READ_MS, False, 300.0),
                     )
                 else:
                     self.at(self.now + FIRST_MS, nth, port.FirstTok(request, server, FIRST_MS))
                     self.at(
-                        self.now + STREAM_MS, nth, port.AttemptEnded(request, server, Verdict.STREAMED, STREAM_MS, True)
+                        self.now + STREAM_MS,
+                        nth,
+                        port.AttemptEnded(request, server, AttemptOutcome.STREAMED, STREAM_MS, True),
                     )
 
     def run(self, ms: float) -> None:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -18,7 +18,7 @@
 from ternlane.http1 import caller as caller_module
 from ternlane.http1.nonblocking import send_now
 from ternlane.platform import engines as engines_module
-from ternlane.port import Effect, Group, Verdict
+from ternlane.port import Effect, Group, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
 from tests.crossing import Client, Wrapped, arrived, pair, client_request, until
@@ -125,9 +125,11 @@
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
     host = build(("w2", "w3"))
     request, attempt = host.written(Effect.SIDE_EFFECTING)
-    second = sent(host.end(request, attempt.server, Verdict.WITHHELD, after=200.0))
+    second = sent(host.end(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
     assert second.server is not attempt.server and second.server.role is port.Role.DECODE
-    said = host.end(request, second.server, Verdict.WITHHELD, after=200.0)  # 400 of 500 ms, and 250 to connect
+    said = host.end(
+        request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
+    )  # 400 of 500 ms, and 250 to connect
     assert port.Release in kinds(said) and sent(said).server.role is port.Role.PREFILL
     assert not host.router.desk.board[attempt.server.seat].shut
 
@@ -264,7 +266,7 @@
     host = keyed(3000.0)
     request, attempt = host.written(Effect.DEDUPLICATED)
     assert attempt.begin_by_ms == float("inf")  # nothing may have run yet
-    again = sent(host.end(request, attempt.server, Verdict.RESET, after=1000.0))
+    again = sent(host.end(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
     assert again.begin_by_ms == pytest.approx(2000.0)
 
 
@@ -276,7 +278,7 @@
     host = keyed(3000.0)
     request, attempt = host.written(Effect.DEDUPLICATED)
     host.list(w0=port.Life.DRAINING, w1=port.Life.DRAINING)
-    assert answer in kinds(host.end(request, attempt.server, Verdict.RESET, after=after))
+    assert answer in kinds(host.end(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
 # -- second answers, kept connections
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -17,7 +17,7 @@
 from ternlane.platform.engines import Engines, Attempt, AttemptResult
 from ternlane.platform.roster import BEHIND_MS, Listing, Lists, Roster, read_listing
 from ternlane.platform.settings import Limits
-from ternlane.port import Role, Life, Verdict
+from ternlane.port import Role, Life, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_world import BODY, TOLD, Platform, platform
 
@@ -277,10 +277,10 @@
     well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
     for server in (well, away):
         await server.start()
-        assert (await engines.ask(server.address, "GET", "/stats", 500.0))[0] is Verdict.STREAMED
+        assert (await engines.ask(server.address, "GET", "/stats", 500.0))[0] is AttemptOutcome.STREAMED
     away.stop()
     engines.pool.forget(away.address)
-    assert (await engines.ask(away.address, "GET", "/stats", 500.0))[0] is Verdict.UNCONNECTED
+    assert (await engines.ask(away.address, "GET", "/stats", 500.0))[0] is AttemptOutcome.CONNECT_FAILED
     assert engines.by_last_answer([away.address, well.address], 2) == [well.address, away.address]
     assert engines.by_last_answer([away.address, well.address], 1) == [well.address]
 
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ternlane import port
-from ternlane.port import Verdict
+from ternlane.port import AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.fleet import (
     Day,
@@ -132,8 +132,8 @@
         attempts = [action for action in said if isinstance(action, port.StartAttempt)]
         if not attempts:
             break
-        write = sent(host.end(request, attempts[0].server, Verdict.PREFILLED, after=10.0))
-        host.end(request, write.server, Verdict.TIMED_OUT, after=500.0, over=True)
+        write = sent(host.end(request, attempts[0].server, AttemptOutcome.PREFILLED, after=10.0))
+        host.end(request, write.server, AttemptOutcome.TIMED_OUT, after=500.0, over=True)
         served += 1
     assert 0 < served < 32 and port.Reject in kinds(said)
 
@@ -154,9 +154,9 @@
     """What is done about a request whose read has taken all of its SLO time."""
     request = host.request(opening=None, opening_toks=0.0)
     attempt = sent(host.arrive(request, after=100.0))
-    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=1200.0)
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
     for further in [action for action in said if isinstance(action, port.StartAttempt)]:
-        host.end(request, further.server, Verdict.PREFILLED, after=20.0, over=True)
+        host.end(request, further.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     return said
 
 
@@ -168,10 +168,12 @@
     assert port.StartAttempt not in kinds(last) and port.Reject in kinds(last)
     request = host.request(opening=None, opening_toks=0.0)
     attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
-    host.end(request, attempt.server, Verdict.PREFILLED, after=20.0, over=True)
+    host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     for _ in range(32):
         request = host.request(opening=None, opening_toks=0.0)
-        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.PREFILLED, after=20.0, over=True)
+        host.end(
+            request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
+        )
     assert port.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
 
 
@@ -182,7 +184,9 @@
     assert port.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(opening=None, opening_toks=0.0)
-        host.end(request, sent(host.arrive(request, after=100.0)).server, Verdict.PREFILLED, after=20.0, over=True)
+        host.end(
+            request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
+        )
     assert port.StartAttempt in kinds(late_request(host))
 
 
@@ -191,7 +195,7 @@
     request, attempt = host.written(opening=None, opening_toks=0.0)
     for name in ("w0", "w1"):
         full = port.Report(open_requests=40.0, mem_share=1.0)
-        host.tell(port.Checked(host.servers[name], Verdict.STREAMED, full))
+        host.tell(port.Checked(host.servers[name], AttemptOutcome.STREAMED, full))
     said = host.arrive(host.request())
     assert port.StartAttempt not in kinds(said)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,7 +17,7 @@
 from ternlane.http1 import Caller, Pool
 from ternlane.paper import ConsulSource, NodeLine
 from ternlane.paper.gateway import DoorTerms
-from ternlane.port import Verdict
+from ternlane.port import AttemptOutcome
 from ternlane.standin.registry import Listing, Registry
 from ternlane.standin.scripted import Scripted
 from ternlane.standin.traffic import Traffic
@@ -296,7 +296,7 @@
         plan = AttemptPlan("127.0.0.1:%d" % deaf.getsockname()[1], [], b"{}", 5000, 100)
         since = trio.current_time()
         end = await prefill_attempt(pool, plan)
-        assert end.verdict is Verdict.UNCONNECTED and trio.current_time() - since < 0.4
+        assert end.outcome is AttemptOutcome.CONNECT_FAILED and trio.current_time() - since < 0.4
         for s in fill:
             s.close()
 
@@ -312,25 +312,29 @@
 @pytest.mark.parametrize(
     "steps, verdict, begun",
     [
-        ([HEAD, chunked(PIECE), b"40\r\ndata: {", "reset"], Verdict.RESET, True),
-        ([HEAD, chunked(PIECE), "close"], Verdict.RESET, True),
-        ([HEAD, chunked(PIECE) + b"0\r\n\r\n"], Verdict.RESET, True),
-        ([HEAD, chunked(b"data: {not json}\n\n")], Verdict.ERROR, False),
-        ([HEAD, chunked(PIECE), chunked(b"data: \xff\xfe\n\n")], Verdict.ERROR, True),
-        ([HEAD, chunked(b'data: {"error":{"message":"out of memory"}}\n\n')], Verdict.ERROR, False),
-        ([HEAD, b"zz\r\nrubbish"], Verdict.ERROR, False),
-        ([b"HTTP/1.1 200 OK\r\nbad header\r\n\r\n"], Verdict.ERROR, False),
-        ([b"SSH-2.0-OpenSSH\r\n\r\n"], Verdict.ERROR, False),
-        ([b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"], Verdict.ERROR, False),
-        ([b"HTTP/1.1 503 Busy\r\nx-ternlane-not-run: draining\r\nContent-Length: 0\r\n\r\n"], Verdict.FULL, False),
-        ([b"HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n"], Verdict.FULL, False),
-        (["reset"], Verdict.RESET, False),
-        (["hold"], Verdict.TIMED_OUT, False),
-        ([HEAD, chunked(PIECE), "hold"], Verdict.TIMED_OUT, True),
-        ([HEAD, chunked(b"data: [DONE]\n\n") + b"0\r\n\r\n"], Verdict.STREAMED, True),
+        ([HEAD, chunked(PIECE), b"40\r\ndata: {", "reset"], AttemptOutcome.RESET, True),
+        ([HEAD, chunked(PIECE), "close"], AttemptOutcome.RESET, True),
+        ([HEAD, chunked(PIECE) + b"0\r\n\r\n"], AttemptOutcome.RESET, True),
+        ([HEAD, chunked(b"data: {not json}\n\n")], AttemptOutcome.ERROR, False),
+        ([HEAD, chunked(PIECE), chunked(b"data: \xff\xfe\n\n")], AttemptOutcome.ERROR, True),
+        ([HEAD, chunked(b'data: {"error":{"message":"out of memory"}}\n\n')], AttemptOutcome.ERROR, False),
+        ([HEAD, b"zz\r\nrubbish"], AttemptOutcome.ERROR, False),
+        ([b"HTTP/1.1 200 OK\r\nbad header\r\n\r\n"], AttemptOutcome.ERROR, False),
+        ([b"SSH-2.0-OpenSSH\r\n\r\n"], AttemptOutcome.ERROR, False),
+        ([b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"], AttemptOutcome.ERROR, False),
+        (
+            [b"HTTP/1.1 503 Busy\r\nx-ternlane-not-run: draining\r\nContent-Length: 0\r\n\r\n"],
+            AttemptOutcome.OVERLOADED,
+            False,
+        ),
+        ([b"HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n"], AttemptOutcome.OVERLOADED, False),
+        (["reset"], AttemptOutcome.RESET, False),
+        (["hold"], AttemptOutcome.TIMED_OUT, False),
+        ([HEAD, chunked(PIECE), "hold"], AttemptOutcome.TIMED_OUT, True),
+        ([HEAD, chunked(b"data: [DONE]\n\n") + b"0\r\n\r\n"], AttemptOutcome.STREAMED, True),
     ],
 )
-async def test_what_the_end_of_a_leg_proves(steps: list[Any], verdict: Verdict, begun: bool) -> None:
+async def test_what_the_end_of_a_leg_proves(steps: list[Any], outcome: AttemptOutcome, begun: bool) -> None:
     async with trio.open_nursery() as nursery:
         peer, pool, got = Scripted(steps), Pool(200, 1000), []
         await peer.run(nursery)
@@ -340,7 +344,7 @@
 
         with trio.fail_after(2):
             end = await stream_attempt(pool, AttemptPlan(peer.address, [], b"{}", 150, 150), pass_on)
-        assert (end.verdict, end.begun) == (verdict, begun)
+        assert (end.outcome, end.begun) == (outcome, begun)
         pool.close()
         nursery.cancel_scope.cancel()
 
@@ -351,7 +355,7 @@
         peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
         end = await prefill_attempt(Pool(200, 1000), AttemptPlan(peer.address, [], b"{}", 500, 100))
-        assert end.verdict is Verdict.ERROR and end.state is None
+        assert end.outcome is AttemptOutcome.ERROR and end.state is None
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,52 +9,52 @@
 
 from ternlane import port
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, Lease, ReleaseSchedule
-from ternlane.port import Effect, ReleaseReason, Verdict
+from ternlane.port import Effect, ReleaseReason, AttemptOutcome
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
 
 GUARD_MS = (1 - RELEASE_RESERVE) * FACTS.release_ms
 
 
-def decode_ended(verdict: Verdict) -> AttemptEnd:
-    return AttemptEnd(verdict, prefills=False, state_lost=False)
+def decode_ended(outcome: AttemptOutcome) -> AttemptEnd:
+    return AttemptEnd(outcome, prefills=False, state_lost=False)
 
 
 def prefilled(at: float = 100.0) -> Lease[str]:
     lease: Lease[str] = Lease()
     lease.attempt_begins()
-    lease.attempt_ended(AttemptEnd(Verdict.PREFILLED, prefills=True, state_lost=False), "p0", at)
+    lease.attempt_ended(AttemptEnd(AttemptOutcome.PREFILLED, prefills=True, state_lost=False), "p0", at)
     return lease
 
 
 @pytest.mark.parametrize(
     "verdict, renewed",
     [
-        (Verdict.FULL, True),  # a running server has answered
-        (Verdict.ERROR, True),
-        (Verdict.TIMED_OUT, False),  # nothing shows that it has arrived
-        (Verdict.RESET, False),
-        (Verdict.CANCELLED, False),
-        (Verdict.UNCONNECTED, False),
-        (Verdict.WITHHELD, False),
+        (AttemptOutcome.OVERLOADED, True),  # a running server has answered
+        (AttemptOutcome.ERROR, True),
+        (AttemptOutcome.TIMED_OUT, False),  # nothing shows that it has arrived
+        (AttemptOutcome.RESET, False),
+        (AttemptOutcome.CANCELLED, False),
+        (AttemptOutcome.CONNECT_FAILED, False),
+        (AttemptOutcome.NOT_STARTED, False),
     ],
 )
-def test_only_an_answer_begins_the_release_time_anew(verdict: Verdict, renewed: bool) -> None:
+def test_only_an_answer_begins_the_release_time_anew(outcome: AttemptOutcome, renewed: bool) -> None:
     lease = prefilled(at=100.0)
     lease.attempt_begins()
-    lease.attempt_ended(decode_ended(verdict), "d0", 300.0)
+    lease.attempt_ended(decode_ended(outcome), "d0", 300.0)
     assert lease.since == (300.0 if renewed else 100.0) and lease.held_at == "p0" and lease.may_hold
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET])
-def test_what_outlasts_a_confirmed_release_was_kept_for_an_attempt_that_had_arrived(verdict: Verdict) -> None:
+@pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET])
+def test_what_outlasts_a_confirmed_release_was_kept_for_an_attempt_that_had_arrived(outcome: AttemptOutcome) -> None:
     lease = prefilled()
     lease.attempt_begins()
     lease.released_early()
     lease.release_heard()
-    lease.attempt_ended(decode_ended(verdict), "d0", 900.0)
+    lease.attempt_ended(decode_ended(outcome), "d0", 900.0)
     assert lease.since == 900.0 and lease.held_at == "p0"
     lease.attempt_begins()  # what was heard for one attempt says nothing of the next
-    lease.attempt_ended(decode_ended(verdict), "d1", 1000.0)
+    lease.attempt_ended(decode_ended(outcome), "d1", 1000.0)
     assert lease.since == 900.0
 
 
@@ -63,7 +63,7 @@
     lease.release_heard()
     lease.attempt_begins()
     lease.release_heard()  # of an earlier release
-    lease.attempt_ended(decode_ended(Verdict.TIMED_OUT), "d0", 900.0)
+    lease.attempt_ended(decode_ended(AttemptOutcome.TIMED_OUT), "d0", 900.0)
     assert lease.since == 100.0
 
 
@@ -108,11 +108,11 @@
 def test_an_attempt_that_timed_out_does_not_prolong_the_release_time() -> None:
     host = platform_like("w2", "w3")
     request, attempt = host.written()
-    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=GUARD_MS / 2)
     attempt = sent(said)
     assert attempt.server.role is port.Role.DECODE and not released(said)  # another may still take it
     assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
-    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=50.0)  # nobody has heard the release
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is port.Role.PREFILL
 
 
@@ -122,7 +122,7 @@
     request, attempt = host.written()
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
     host.tell(port.ReleaseHeard(request))
-    said = host.end(request, attempt.server, Verdict.TIMED_OUT, after=250.0)
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
     assert sent(said).server.role is port.Role.DECODE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
 
@@ -130,7 +130,7 @@
 def test_no_prefill_begins_that_would_be_the_last_attempt() -> None:
     host = platform_like(max_attempts=3)
     request, attempt = host.written()
-    said = host.end(request, attempt.server, Verdict.FULL, state_lost=True)
+    said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
     assert kinds(said) == [port.Release, port.Reject] and said[-1].why is port.RejectReason.ATTEMPTS_SPENT
 
 
@@ -139,7 +139,7 @@
     host = platform_like()
     request = host.request()
     first = sent(host.arrive(request))
-    said = host.end(request, first.server, Verdict.RESET)
+    said = host.end(request, first.server, AttemptOutcome.RESET)
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server is not first.server
     assert not released(host.tell(after=2 * FACTS.release_ms))
 
@@ -152,7 +152,7 @@
     request = host.request(opening=None)
     first = sent(host.arrive(request))
     assert first.server is not large.server
-    said = host.end(request, first.server, Verdict.RESET)
+    said = host.end(request, first.server, AttemptOutcome.RESET)
     assert kinds(said) == [port.Release]  # no prefill server has room
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from ternlane.deployment import Deployment
 from ternlane.platform.protocol import load_of, outcome_of
 from ternlane.platform.roster import Roster, read_listing
-from ternlane.port import Role, Verdict
+from ternlane.port import Role, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
 from ternlane.wirehost.host import Instance
@@ -69,23 +69,25 @@
     "status, vouched, duty, verdict, lost",
     [
         (200, False, Role.DECODE, None, False),
-        (202, False, Role.PREFILL, Verdict.PREFILLED, False),
-        (200, False, Role.PREFILL, Verdict.ERROR, False),
-        (202, False, Role.DECODE, Verdict.ERROR, False),
-        (500, False, Role.DECODE, Verdict.ERROR, False),
-        (500, True, Role.DECODE, Verdict.ERROR, False),
-        (503, True, Role.PREFILL, Verdict.FULL, False),
-        (504, True, Role.DECODE, Verdict.FULL, False),
-        (503, False, Role.DECODE, Verdict.ERROR, False),
-        (504, False, Role.DECODE, Verdict.ERROR, False),
-        (410, True, Role.DECODE, Verdict.FULL, True),
-        (410, False, Role.DECODE, Verdict.ERROR, False),
-        (429, False, Role.DECODE, Verdict.ERROR, False),
-        (404, False, Role.PREFILL, Verdict.ERROR, False),
+        (202, False, Role.PREFILL, AttemptOutcome.PREFILLED, False),
+        (200, False, Role.PREFILL, AttemptOutcome.ERROR, False),
+        (202, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (500, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (500, True, Role.DECODE, AttemptOutcome.ERROR, False),
+        (503, True, Role.PREFILL, AttemptOutcome.OVERLOADED, False),
+        (504, True, Role.DECODE, AttemptOutcome.OVERLOADED, False),
+        (503, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (504, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (410, True, Role.DECODE, AttemptOutcome.OVERLOADED, True),
+        (410, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (429, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (404, False, Role.PREFILL, AttemptOutcome.ERROR, False),
     ],
 )
-def test_what_a_status_proves(status: int, vouched: bool, role: Role, verdict: Verdict | None, lost: bool) -> None:
-    assert (outcome_of(status, vouched, role).verdict, outcome_of(status, vouched, role).state_lost) == (verdict, lost)
+def test_what_a_status_proves(
+    status: int, vouched: bool, role: Role, outcome: AttemptOutcome | None, lost: bool
+) -> None:
+    assert (outcome_of(status, vouched, role).outcome, outcome_of(status, vouched, role).state_lost) == (outcome, lost)
 
 
 async def test_a_generation_is_read_written_and_passed_on_unchanged() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
 from ternlane.gateway.door import StreamOutlet
 from ternlane.gateway.ticket import Final, Streamed, Ticket
 from ternlane.http1 import event_bytes
-from ternlane.port import Life, Server, Verdict
+from ternlane.port import Life, Server, AttemptOutcome
 from ternlane.recover import Join
 from ternlane.rules import Findings, check
 from ternlane.standin.clients import Clients, Habits, Talk
@@ -75,8 +75,8 @@
     def attempt_ended(
         self, ticket: Ticket, server: Server, stage: Stage, end: AttemptResult, took: float, plan: AttemptPlan
     ) -> None:
-        if end.verdict in (Verdict.RESET, Verdict.TIMED_OUT) and not end.begun:
-            end.verdict = Verdict.UNCONNECTED
+        if end.verdict in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not end.begun:
+            end.verdict = AttemptOutcome.CONNECT_FAILED
         super().attempt_ended(ticket, server, stage, end, took, plan)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from ternlane import port
 from ternlane.choice import Router
 from ternlane.deployment import Deployment
-from ternlane.port import StartFacts, Verdict
+from ternlane.port import StartFacts, AttemptOutcome
 from tests.conftest import FakeHost, build, sent
 from tests.platform_world import TOLD
 
@@ -114,9 +114,9 @@
     for _ in range(count):
         request = host.request(opening=None, opening_toks=0.0)
         read = sent(host.arrive(request)).server
-        write = sent(host.end(request, read, Verdict.PREFILLED, after=5.0)).server
+        write = sent(host.end(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
         host.first(request, write, after=5.0)
-        host.end(request, write, Verdict.STREAMED, after=5.0, over=True)
+        host.end(request, write, AttemptOutcome.STREAMED, after=5.0, over=True)
         used |= {name for name, server in host.servers.items() if server is read}
     return used
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,7 +20,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Request, Group, RequestClass, Server, Verdict
+from ternlane.port import Role, Effect, Request, Group, RequestClass, Server, AttemptOutcome
 from tests.conftest import FACTS
 
 READ_TOKENS_PER_MS, TOKEN_MS, MEMORY_TOKENS = 8.0, 12.0, 60e3
@@ -97,20 +97,20 @@
         if server.role is Role.PREFILL:
             done = max(self.busy_until[place], self.now) + request.prompt_toks / READ_TOKENS_PER_MS
             self.busy_until[place] = done
-            verdict = Verdict.PREFILLED if done <= self.now + timeout else Verdict.TIMED_OUT
+            outcome = AttemptOutcome.PREFILLED if done <= self.now + timeout else AttemptOutcome.TIMED_OUT
             took = min(done - self.now, timeout)
-            self.at(self.now + took, nth, port.AttemptEnded(request, server, verdict, took, False))
+            self.at(self.now + took, nth, port.AttemptEnded(request, server, outcome, took, False))
             return
         tokens = request.prompt_toks + request.max_toks
         if self.held[place] + tokens > MEMORY_TOKENS:
-            self.at(self.now + 1, nth, port.AttemptEnded(request, server, Verdict.FULL, 1.0, False))
+            self.at(self.now + 1, nth, port.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 1.0, False))
             return
         self.held[place] += tokens
         self.at(since + 50, nth, port.FirstTok(request, server, 50.0))
         self.at(
             since + 50 + TOKEN_MS * request.max_toks / 4,
             nth,
-            (place, tokens, port.AttemptEnded(request, server, Verdict.STREAMED, 50.0, True)),
+            (place, tokens, port.AttemptEnded(request, server, AttemptOutcome.STREAMED, 50.0, True)),
         )
 
     def arrivals(self) -> None:
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -10,7 +10,7 @@
 from ternlane import port
 from ternlane.platform.process import ENDS_MS, LONGEST_MS
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
-from ternlane.port import Effect, RejectReason, ShutdownTimes, Verdict
+from ternlane.port import Effect, RejectReason, ShutdownTimes, AttemptOutcome
 from ternlane.standin.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.crossing import Client, client_request, until
@@ -53,7 +53,7 @@
     for _ in range(60):
         request, attempt = host.written(effect)
         host.first(request, attempt.server, after=1.0)
-        host.end(request, attempt.server, Verdict.STREAMED, after=1.0, over=True)
+        host.end(request, attempt.server, AttemptOutcome.STREAMED, after=1.0, over=True)
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -84,9 +84,9 @@
     said = host.tell(after=300.0)
     cancelled = {action.request for action in said if isinstance(action, port.CancelAttempt)}
     assert cancelled == {decoded, read} and not finals(said)  # the client of the third has a part of it
-    after_prefill = finals(host.end(read, prefill.server, Verdict.CANCELLED, after=1.0))
+    after_prefill = finals(host.end(read, prefill.server, AttemptOutcome.CANCELLED, after=1.0))
     assert kinds(after_prefill) == [port.Reject]  # a prefill has no effect, however it ends
-    said = host.end(decoded, decode.server, Verdict.CANCELLED, after=1.0)
+    said = host.end(decoded, decode.server, AttemptOutcome.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
     assert kinds(finals(said)) == [port.Reject if harmless else port.Fail]
     assert port.Release in kinds(said) and not host.router.desk.unanswered
@@ -124,10 +124,10 @@
     host.tell(port.ClientLeft(left))
     whole, attempt = host.written()
     host.end(
-        whole, attempt.server, Verdict.STREAMED, over=True
+        whole, attempt.server, AttemptOutcome.STREAMED, over=True
     )  # a host that passes answers on whole tells no first token
     failed, attempt = host.written(Effect.SIDE_EFFECTING)
-    host.end(failed, attempt.server, Verdict.ERROR)
+    host.end(failed, attempt.server, AttemptOutcome.ERROR)
     assert not host.router.desk.unanswered
 
 
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -30,7 +30,7 @@
 from ternlane.http1 import Exchange, Pool
 from ternlane.paper import GatewayPaper, NodeLine, PaperError, read_text
 from ternlane.paper.gateway import InlineSource
-from ternlane.port import Verdict
+from ternlane.port import AttemptOutcome
 from ternlane.standin.engine import Engine
 
 
@@ -119,30 +119,35 @@
         bed = Bed(kind, nursery)
         transport = await bed.open()
         end = await transport.read(bed.ask("r0", Stage.PREFILL))
-        assert end.verdict is Verdict.PREFILLED and end.state is not None and end.usage is not None and bed.held() == 1
+        assert (
+            end.outcome is AttemptOutcome.PREFILLED
+            and end.state is not None
+            and end.usage is not None
+            and bed.held() == 1
+        )
         wrote, got = await collect(transport, bed.ask("w0", Stage.DECODE, end.state))
-        assert wrote.verdict is Verdict.STREAMED and wrote.begun and len(got) == 6
+        assert wrote.outcome is AttemptOutcome.STREAMED and wrote.begun and len(got) == 6
         assert wrote.usage is not None and wrote.usage.completion_tokens == 6
         if kind == "local":
             bed.local["r0"].states.clear()  # a local engine hands its state on as it likes
         again = await transport.read(bed.ask("r0", Stage.PREFILL, ident="h"))
         assert bed.held() == 1 and await transport.release("r0", bed.ask("r0", Stage.PREFILL).address, "h", 200)
-        assert bed.held() == 0 and again.verdict is Verdict.PREFILLED
+        assert bed.held() == 0 and again.outcome is AttemptOutcome.PREFILLED
 
         lost, _ = await collect(
             transport, bed.ask("w0", Stage.DECODE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i")
         )
-        assert (lost.verdict, lost.state_lost) == (Verdict.FULL, True)
+        assert (lost.outcome, lost.state_lost) == (AttemptOutcome.OVERLOADED, True)
         bed.trouble("r0", "full")
-        assert (await transport.read(bed.ask("r0", Stage.PREFILL))).verdict is Verdict.FULL
+        assert (await transport.read(bed.ask("r0", Stage.PREFILL))).outcome is AttemptOutcome.OVERLOADED
         bed.trouble("r0", "hung")
-        assert (await transport.read(bed.ask("r0", Stage.PREFILL, timeout=50))).verdict is Verdict.TIMED_OUT
+        assert (await transport.read(bed.ask("r0", Stage.PREFILL, timeout=50))).outcome is AttemptOutcome.TIMED_OUT
         bed.trouble("r0", "")
 
         called = bed.ask("r0", Stage.PREFILL)
         bed.trouble("r0", "hung")
         nursery.start_soon(_cancel, called)
-        assert (await transport.read(called)).verdict is Verdict.CANCELLED
+        assert (await transport.read(called)).outcome is AttemptOutcome.CANCELLED
         bed.trouble("r0", "")
 
         state = (await transport.read(bed.ask("r0", Stage.PREFILL, ident="j"))).state
