--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -82,7 +82,7 @@
             request_classes=tuple(self.request_classes.values()),
             max_attempts=int(figure("leg_limit", limits, "most_tries", 1)),
             may_cancel=bool(limits.get("cancel")),
-            may_hold_ahead=self.holds_allowed,
+            may_reserve=self.holds_allowed,
             may_probe=self.probes_allowed,
             may_advise=bool(limits.get("retry_after")),
             must_ask=told.get("discovery") == "ask",
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -57,7 +57,7 @@
         request_classes=tuple(request_classes.values()),
         max_attempts=fleet.max_attempts,
         may_cancel=fleet.may_cancel,
-        may_hold_ahead=fleet.holds,
+        may_reserve=fleet.holds,
         may_probe=fleet.ask_load,
         may_advise=fleet.longest_pause_ms > 0,
         must_ask=False,
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -76,7 +76,7 @@
                 self.on_follow()
             case port.Log(server, text):
                 self.log.info("server", server=self.book.places[server].ident, text=text)
-            case port.HoldAhead(request, server):
+            case port.Reserve(request, server):
                 self.hold(self.tickets.get(request), server)
             case port.Probe(server):
                 self.nursery.start_soon(self.probe, server)
@@ -404,9 +404,9 @@
         """A place ahead: released like a state, so the server counts as a holder from now on."""
         if ticket is not None:
             ticket.holders[server] = None
-            self.nursery.start_soon(self.hold_ahead, ticket, server)
+            self.nursery.start_soon(self.reserve_ahead, ticket, server)
 
-    async def hold_ahead(self, ticket: Ticket, server: Server) -> None:
+    async def reserve_ahead(self, ticket: Ticket, server: Server) -> None:
         place, request = self.book.places[server], ticket.request
         held = await self.transport.hold(
             place.ident,
@@ -417,7 +417,7 @@
             place.line.protocol,
         )
         if ticket.request in self.tickets and not ticket.left and ticket.final is None:
-            self.tell(port.PlaceHeld(request, held))
+            self.tell(port.ReservationResult(request, held))
 
     async def probe(self, server: Server) -> None:
         """Asks an engine for its load; one that does not say is heard all the same, and named in the log once."""
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -59,7 +59,7 @@
                     ticket.note(f"release begins: {why.name}")
                     ticket.freeing = trio.Event()
                     self.nursery.start_soon(self.release, ticket, ticket.freeing, again)
-            case port.HoldAhead(request, server):
+            case port.Reserve(request, server):
                 ticket = self.tickets.get(request)
                 if ticket is not None and server in self.roster.spots:
                     self.nursery.start_soon(self.hold, ticket, server)
@@ -323,7 +323,7 @@
             self.roster.spots[server].address, ticket.ident, self.deployment.facts.release_ms
         )
         if not ticket.over:
-            self.tell(port.PlaceHeld(ticket.request, held))
+            self.tell(port.ReservationResult(ticket.request, held))
 
     async def probe(self, server: Server) -> None:
         outcome, report, spot = AttemptOutcome.CONNECT_FAILED, None, self.roster.spots.get(server)
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -151,7 +151,7 @@
     request_classes: tuple[RequestClass, ...]
     max_attempts: int
     may_cancel: bool
-    may_hold_ahead: bool
+    may_reserve: bool
     may_probe: bool
     may_advise: bool
     must_ask: bool
@@ -269,7 +269,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PlaceHeld:
+class ReservationResult:
     """The answer to HoldAhead."""
 
     request: Request
@@ -309,7 +309,7 @@
     | AttemptEnded
     | GoOn
     | ReleaseHeard
-    | PlaceHeld
+    | ReservationResult
     | Checked
     | ClientLeft
     | Woken
@@ -369,7 +369,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HoldAhead:
+class Reserve:
     """Asks a writer to keep a place free for it."""
 
     request: Request
@@ -404,4 +404,4 @@
     text: str
 
 
-Action = StartAttempt | CancelAttempt | Reject | Fail | Release | HoldAhead | Probe | Follow | Wake | Log
+Action = StartAttempt | CancelAttempt | Reject | Fail | Release | Reserve | Probe | Follow | Wake | Log
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -20,14 +20,14 @@
     Follow,
     Request,
     Group,
-    HoldAhead,
+    Reserve,
     AttemptEnded,
     Release,
     Life,
     Listed,
     ListFailed,
     Log,
-    PlaceHeld,
+    ReservationResult,
     Probe,
     RequestClass,
     Report,
@@ -167,7 +167,7 @@
         if what == "FLOWING":
             return FirstTok(request, server, number(part[5]))
         if what == "NOTE":
-            return PlaceHeld(request, part[5] == "1")
+            return ReservationResult(request, part[5] == "1")
         if what == "REPORT_BACK":
             outcome, note = OUTCOMES.get(part[5], AttemptOutcome.ERROR), number(part[8]) if len(part) > 8 else 0.0
             over = part[7] == "1"
@@ -203,7 +203,7 @@
                     self.closed.add(request)
                 case Release(request):
                     yield f"DROP_STATE {number_} {self.request_ids[request]}"
-                case HoldAhead(request, server):
+                case Reserve(request, server):
                     yield f"RESERVE {number_} {self.request_ids[request]} {self.server_ids[server]}"
                 case Probe(server):
                     yield f"ASK_LOAD {number_} {self.server_ids[server]}"
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -28,7 +28,7 @@
     port.Reject,
     port.Fail,
     port.Release,
-    port.HoldAhead,
+    port.Reserve,
     port.Probe,
     port.Follow,
     port.Wake,
@@ -192,9 +192,9 @@
             case port.Release(request):
                 if self.rng.random() < 0.7:
                     self.after(self.rng.uniform(1.0, 300.0), lambda: [port.ReleaseHeard(request)])
-            case port.HoldAhead(request):
+            case port.Reserve(request):
                 held = self.rng.random() < 0.5
-                self.after(self.rng.uniform(1.0, 50.0), lambda: [port.PlaceHeld(request, held)])
+                self.after(self.rng.uniform(1.0, 50.0), lambda: [port.ReservationResult(request, held)])
             case port.Probe(server):
                 self.after(self.rng.uniform(1.0, 80.0), lambda: [self.checked(server)])
             case port.Follow():
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -220,11 +220,11 @@
             out = super().take(now, events)
             for action in list(out):
                 if isinstance(action, port.StartAttempt) and action.server.role is port.Role.PREFILL:
-                    out.append(port.HoldAhead(action.request, action.request.seat.decode_server.server))
-            told.extend(e for e in events if isinstance(e, port.PlaceHeld))
+                    out.append(port.Reserve(action.request, action.request.seat.decode_server.server))
+            told.extend(e for e in events if isinstance(e, port.ReservationResult))
             return out
 
-    told: list[port.PlaceHeld] = []
+    told: list[port.ReservationResult] = []
     terms = msgspec.structs.replace(TERMS, holds=True)
     async with world(("r0", "w0"), build=replace(BUILD, read_tok_s=4000.0), chooser=Holds, terms=terms) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
