--- a/bench/load.py
+++ b/bench/load.py
@@ -48,7 +48,7 @@
 
 def drawn() -> None:
     told = LoadPaper(
-        request_classes=[Mix("summary", turns=2.0, openings=50)], seconds=20.0, arrivals=Arrivals(rate=200.0)
+        request_classes=[Mix("summary", turns=2.0, prefixes=50)], seconds=20.0, arrivals=Arrivals(rate=200.0)
     )
     since = time.perf_counter()
     many = sum(1 for _ in asks(told))
--- a/bench/openings.py
+++ b/bench/openings.py
@@ -11,16 +11,16 @@
 import tracemalloc
 from array import array
 
-from ternlane.chat.openings import Openings, WholePrefixes
+from ternlane.chat.prefixes import PrefixIndex, WholePrefixes
 
 
 def prompts(sessions: int, seed: int = 1) -> list[tuple[int, array[int]]]:
     """Sessions of one to four turns that share twenty openings, as prompts of 256-byte blocks."""
     rng = random.Random(seed)
-    openings = [array("Q", (rng.getrandbits(64) for _ in range(rng.randint(4, 30)))) for _ in range(20)]
+    prefixes = [array("Q", (rng.getrandbits(64) for _ in range(rng.randint(4, 30)))) for _ in range(20)]
     out = []
     for session in range(sessions):
-        run = array("Q", rng.choice(openings)) if rng.random() < 0.8 else array("Q")
+        run = array("Q", rng.choice(prefixes)) if rng.random() < 0.8 else array("Q")
         for _ in range(rng.randint(1, 4)):
             run = run + array("Q", (rng.getrandbits(64) for _ in range(rng.randint(2, 10))))
             out.append((session, run))
@@ -37,7 +37,7 @@
     print(f"{'':<28}{'us a prompt':>12}{'ns a block':>12}{'MB held':>10}{'said the same':>15}")
     for limit in (10**9, 50_000):
         said: list[list[int]] = []
-        for name, kind in (("tree", Openings), ("dict of beginnings", WholePrefixes)):
+        for name, kind in (("tree", PrefixIndex), ("dict of beginnings", WholePrefixes)):
             tracemalloc.start()
             it = kind(limit)
             for session, run in met:
--- a/ternlane/chat/__init__.py
+++ b/ternlane/chat/__init__.py
@@ -2,7 +2,7 @@
 
 from ternlane.chat.answers import ErrorBody, answer_body, chunk, error_body, usage_chunk
 from ternlane.chat.intake import Intake, Known
-from ternlane.chat.openings import Openings
+from ternlane.chat.prefixes import PrefixIndex
 from ternlane.chat.repeats import Busy, Differs, Done, Fresh, Keep, Repeats, kept_for_repeats
 from ternlane.chat.request import ChatAsk, Wrong, read_chat
 from ternlane.chat.sessions import Sessions, chain
@@ -17,7 +17,7 @@
     "Intake",
     "Keep",
     "Known",
-    "Openings",
+    "PrefixIndex",
     "Repeats",
     "Sessions",
     "Wrong",
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -7,7 +7,7 @@
 
 from xxhash import xxh3_64_hexdigest, xxh3_64_intdigest, xxh3_128_digest
 
-from ternlane.chat.openings import BLOCK, Openings, blocks
+from ternlane.chat.prefixes import BLOCK, PrefixIndex, blocks
 from ternlane.chat.request import ChatAsk, Wrong, canonical
 from ternlane.chat.sessions import Sessions, chain
 from ternlane.port import Effect, Request, Group, RequestClass, Tenant
@@ -40,7 +40,7 @@
     def __init__(self, models: dict[str, RequestClass], max_toks: dict[RequestClass, int], session_limit: int) -> None:
         self.models, self.max_toks = models, max_toks
         self.sessions = Sessions(2 * session_limit)
-        self.openings = Openings(BLOCKS_A_SESSION * session_limit)
+        self.prefixes = PrefixIndex(BLOCKS_A_SESSION * session_limit)
         self.tenants: dict[str, Tenant] = {}  # by owner
         self.toks_a_byte: dict[RequestClass, float] = {}
 
@@ -60,14 +60,14 @@
         else:
             session = self.sessions.find(last)
         run = blocks(whole)
-        shared = self.openings.meet(run, xxh3_64_intdigest(session.encode()) >> 1)
-        opening = xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None
+        shared = self.prefixes.meet(run, xxh3_64_intdigest(session.encode()) >> 1)
+        prefix = xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None
         ratio = self.toks_a_byte.get(request_class, FIRST_TOKS_A_BYTE)
         limit = self.max_toks[request_class]
         request = Request(
             request_class,
             session,
-            opening,
+            prefix,
             shared * BLOCK * ratio,
             max(1.0, len(whole) * ratio),
             float(min(ask.max_toks or limit, limit)),
--- a/ternlane/chat/openings.py
+++ b/ternlane/chat/prefixes.py
@@ -32,7 +32,7 @@
         self.newer: Node | None = None
 
 
-class Openings:
+class PrefixIndex:
     """`meet` takes a prompt's blocks and its session's number, and says how many of them others have begun with."""
 
     def __init__(self, block_limit: int) -> None:
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -246,7 +246,7 @@
         self.learnt_at: dict[RequestClass, float] = {}
         self.prompt: dict[RequestClass, float] = {}
         self.told: defaultdict[RequestClass, float] = defaultdict(lambda: 0.5)  # part kept at the agreed reader
-        self.asked_for: Counter[str | None] = Counter()  # generations of each opening
+        self.prefix_popularity: Counter[str | None] = Counter()  # generations of each opening
         self.tok_ms = self.limits.slo_ms / 10e3
         self.fleets = {role: Beat() for role in Role}
         self.foreseen = self.took = self.limits.slo_ms / 8
@@ -319,7 +319,7 @@
         self.unanswered[course] = None
         mean = self.prompt.setdefault(request_class, max(request.prompt_toks, 1.0))
         self.prompt[request_class] = mean + GAIN * (request.prompt_toks - mean)
-        self.asked_for[request.opening] += request.opening is not None
+        self.prefix_popularity[request.prefix] += request.prefix is not None
         if now >= self.shutdown.admits_until:
             return self.finish(course, RejectReason.SHUTDOWN)
         if self.told_if_asked and course.deadline > now + CROWD * self.limits.beat_ms:  # or time runs out
@@ -418,7 +418,7 @@
         request, agreed = course.request, course.agreed
         if engine not in agreed:
             return self.tok_ms * request.prompt_toks
-        known = request.opening_toks + (request.prompt_toks - request.opening_toks) / (1 + agreed.index(engine))
+        known = request.prefix_toks + (request.prompt_toks - request.prefix_toks) / (1 + agreed.index(engine))
         return self.tok_ms * (request.prompt_toks - self.told[request.request_class] * known)
 
     def score(self, r: Standing, w: Standing, less: float) -> tuple[float, float]:
@@ -452,10 +452,12 @@
         """The reader that every gateway holds nearest, as openings and sessions come to all of them.
         An opening has readers by its part of the traffic, the same everywhere; its sessions share them."""
         prefill_servers = [e for e, s in self.board.items() if e.prefills and s.listed and self.sound(s)]
-        if request.opening is not None:
-            key = zlib.crc32(request.opening.encode())
+        if request.prefix is not None:
+            key = zlib.crc32(request.prefix.encode())
             prefill_servers.sort(key=lambda e: key * (e.server.mark | 1) % 2**32)
-            part = (max(1, self.asked_for[request.opening]) - 1) / (self.asked_for.total() + FEW)  # but this
+            part = (max(1, self.prefix_popularity[request.prefix]) - 1) / (
+                self.prefix_popularity.total() + FEW
+            )  # but this
             prefill_servers = prefill_servers[: round(CROWD + CROWD * len(prefill_servers) * part)]
         key = zlib.crc32((request.session or "").encode())
         return sorted(prefill_servers, key=lambda e: key * (e.server.mark | 1) % 2**32)
@@ -852,8 +854,8 @@
             for engine in [e for e in self.board if e.server.life is Life.GONE and not (e.attempts or e.booked)]:
                 del self.board[engine]  # fleets change for ever; what is known of them must not grow
                 self.failures.forget(engine)
-            if len(self.asked_for) > FEW**2:
-                self.asked_for = Counter({name: n // 2 for name, n in self.asked_for.items() if n > 1})
+            if len(self.prefix_popularity) > FEW**2:
+                self.prefix_popularity = Counter({name: n // 2 for name, n in self.prefix_popularity.items() if n > 1})
         for role in Role if self.beats % LOOK == 1 else ():
             peers = [s for s in self.board.values() if s.engine.server.role is role and s.listed]
             if peers:
--- a/ternlane/days/script.py
+++ b/ternlane/days/script.py
@@ -52,9 +52,9 @@
     share: Positive = 1.0
     turns: Span = (1.0, 2.0)
     adds: Span = (100.0, 400.0)
-    openings: Count = 8
-    opening_toks: Span = (500.0, 2000.0)
-    opening_part: Part = 0.8
+    prefixes: Count = 8
+    prefix_toks: Span = (500.0, 2000.0)
+    prefix_share: Part = 0.8
     max_toks: Count = 400
     think_ms: Positive = 300.0
     key_part: Part = 0.5
--- a/ternlane/http1/caller.py
+++ b/ternlane/http1/caller.py
@@ -155,7 +155,7 @@
         self.idle: dict[str, OrderedDict[Caller, None]] = {}  # of each peer, the most recently used last
         self.resting: OrderedDict[Caller, None] = OrderedDict()  # the idle ones of all
         self.open: set[Caller] = set()
-        self.opening = 0
+        self.prefix = 0
         self.made = 0
         self.shortages = 0  # tries for a connection that failed for want of something on this machine
         self.wear = Wear(idle_ms)
@@ -165,7 +165,7 @@
         self.connect_ms, self.limit = connect_ms, limit
         if idle_ms != self.idle_ms:
             self.idle_ms, self.wear = idle_ms, Wear(idle_ms)
-        while self.resting and len(self.open) + self.opening > limit:
+        while self.resting and len(self.open) + self.prefix > limit:
             next(iter(self.resting)).close_now()
         self.sweep()
 
@@ -187,18 +187,18 @@
 
     async def connect(self, peer: str) -> Caller:
         host, _, port = peer.rpartition(":")
-        while len(self.open) + self.opening >= self.limit:
+        while len(self.open) + self.prefix >= self.limit:
             if not self.resting:
                 raise Unconnected(f"{peer}: {len(self.open)} connections are out, as many as may be")
             next(iter(self.resting)).close_now()
-        self.opening += 1
+        self.prefix += 1
         try:
             with trio.fail_after(self.connect_ms / 1000):
                 stream = await self._reach(host.strip("[]"), int(port))
         except (OSError, trio.TooSlowError) as why:
             raise Unconnected(f"{peer}: {why!r}") from None
         finally:
-            self.opening -= 1
+            self.prefix -= 1
         self.made += 1
         name = stream.socket.getsockname()
         caller = Caller(stream, peer, (name[0], name[1]))
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -42,8 +42,8 @@
     think_s: Positive = 2.0
     prompt_words: tuple[Positive, float] = (60.0, 0.6)
     answer_toks: tuple[Positive, float] = (80.0, 0.5)
-    openings: Annotated[int, Meta(ge=0)] = 0
-    opening_words: Annotated[int, Meta(ge=1)] = 200
+    prefixes: Annotated[int, Meta(ge=0)] = 0
+    prefix_words: Annotated[int, Meta(ge=1)] = 200
     zipf: Annotated[float, Meta(ge=0)] = 1.0
     stream: bool = True
 
@@ -119,7 +119,7 @@
     def __init__(self, paper: LoadPaper, rng: random.Random) -> None:
         self.paper, self.rng = paper, rng
         self.shares = list(accumulate(m.share for m in paper.request_classes))
-        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.openings))) for m in paper.request_classes]
+        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.prefixes))) for m in paper.request_classes]
         self.tenants = list(accumulate(paper.tenants.values()))
 
     def ask(self, at_s: float) -> Ask:
@@ -127,11 +127,11 @@
         at = bisect(self.shares, rng.random() * self.shares[-1])
         mix = self.paper.request_classes[min(at, len(self.shares) - 1)]
         messages: list[dict[str, str]] = []
-        if mix.openings:
+        if mix.prefixes:
             sums = self.zipf[self.paper.request_classes.index(mix)]
             which = bisect(sums, rng.random() * sums[-1])
             own = random.Random(f"{self.paper.seed} {mix.model} {which}")
-            messages.append({"role": "system", "content": words(own, mix.opening_words)})
+            messages.append({"role": "system", "content": words(own, mix.prefix_words)})
         turns = 1
         while rng.random() < 1 - 1 / mix.turns:
             turns += 1
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -205,8 +205,8 @@
         request = node.deployment.request(
             request_class,
             wish.session,
-            wish.opening,
-            wish.opening_toks,
+            wish.prefix,
+            wish.prefix_toks,
             wish.prompt_toks,
             wish.max_toks,
             max(0.0, patience),
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -175,8 +175,8 @@
     ident: str
     request_class: str
     session: str | None
-    opening: str | None
-    opening_toks: float
+    prefix: str | None
+    prefix_toks: float
     prompt_toks: float
     max_toks: float
     client_timeout_ms: float | None
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -131,8 +131,8 @@
 
     request_class: RequestClass
     session: str | None
-    opening: str | None
-    opening_toks: float
+    prefix: str | None
+    prefix_toks: float
     prompt_toks: float
     max_toks: float
     client_timeout_ms: float
--- a/ternlane/standin/clients.py
+++ b/ternlane/standin/clients.py
@@ -29,9 +29,9 @@
     deadline_ms: float
     turns: tuple[float, float] = (1.0, 2.0)
     adds: tuple[float, float] = (100.0, 400.0)  # tokens a turn
-    openings: int = 8
-    opening_toks: tuple[float, float] = (500.0, 2000.0)
-    opening_part: float = 0.8
+    prefixes: int = 8
+    prefix_toks: tuple[float, float] = (500.0, 2000.0)
+    prefix_share: float = 0.8
     max_toks: int = 400
     think_ms: float = 300.0
     key_part: float = 0.5  # sessions that name themselves by prompt_cache_key
@@ -112,31 +112,31 @@
         self.weather = Weather()
         self.count = self.open = 0
         self.tally: dict[str, int] = {}
-        self.opening_texts: dict[tuple[str, int, int], str] = {}
+        self.prefix_texts: dict[tuple[str, int, int], str] = {}
         self.tenants: list[tuple[str, str]] = []  # the first are the largest
 
-    def opening(self, talk: Talk) -> str:
+    def prefix(self, talk: Talk) -> str:
         """A text that sessions share; which are popular falls off as 1/rank."""
         w = self.weather
         if self.rng.random() < w.hot_part:
             key = "hot", self.rng.randrange(w.hot_keys), w.hot_seed
             toks = w.hot_toks
         else:
-            ranks = [1 / (i + 1) for i in range(talk.openings)]
-            key = talk.request_class, self.rng.choices(range(talk.openings), ranks)[0], 0
-            low, high = talk.opening_toks
+            ranks = [1 / (i + 1) for i in range(talk.prefixes)]
+            key = talk.request_class, self.rng.choices(range(talk.prefixes), ranks)[0], 0
+            low, high = talk.prefix_toks
             toks = low + (high - low) * (zlib.crc32(repr(key).encode()) % 1000) / 1000
-        if key not in self.opening_texts:
-            self.opening_texts[key] = words(random.Random(repr(key)), toks)
-        return self.opening_texts[key]
+        if key not in self.prefix_texts:
+            self.prefix_texts[key] = words(random.Random(repr(key)), toks)
+        return self.prefix_texts[key]
 
     def session(self) -> Session:
         self.count += 1
         talk = self.rng.choices(self.talks, [t.share for t in self.talks])[0]
         ident = f"{self.name}-{self.count}"
         messages = []
-        if self.rng.random() < talk.opening_part:
-            messages.append({"role": "system", "content": self.opening(talk)})
+        if self.rng.random() < talk.prefix_share:
+            messages.append({"role": "system", "content": self.prefix(talk)})
         low, high = talk.turns
         turns = low + (high - low) * self.rng.random()
         left = int(turns) + (self.rng.random() < turns % 1)
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -123,7 +123,7 @@
     def event(self, part: list[str]) -> Event | None:
         what = part[0]
         if what == "WORK_ITEM":
-            _, _, corr, opening_toks, _, opening, lane, prompt, patience, _, session, longest, *rest = part
+            _, _, corr, prefix_toks, _, prefix, lane, prompt, patience, _, session, longest, *rest = part
             request_class = self.request_classes.get(lane)
             if request_class is None:  # never listed: nothing is promised of it, so nothing may be repeated
                 request_class = self.request_classes[lane] = RequestClass(
@@ -132,8 +132,8 @@
             request = self.deployment.request(
                 request_class,
                 name(session),
-                name(opening),
-                number(opening_toks),
+                name(prefix),
+                number(prefix_toks),
                 number(prompt),
                 number(longest),
                 number(patience),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,9 +49,7 @@
         return self.tell(port.Listed(tuple(self.servers.values())))
 
     def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Request:
-        facts = (
-            dict(opening="o", opening_toks=2000.0, prompt_toks=2400.0, max_toks=400.0, client_timeout_ms=5000.0) | own
-        )
+        facts = dict(prefix="o", prefix_toks=2000.0, prompt_toks=2400.0, max_toks=400.0, client_timeout_ms=5000.0) | own
         return port.Request(self.request_classes[effect], session, **facts)
 
     def arrive(self, request: port.Request, after: float = 0.0) -> list[Any]:
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -133,16 +133,16 @@
         )
         when, end = self.now, self.now + scene.seconds * 1000
         sessions: list[tuple[str, str, int]] = []
-        popularity = [1 / (n + 1) ** 0.8 for n in range(scene.openings)]
+        popularity = [1 / (n + 1) ** 0.8 for n in range(scene.prefixes)]
         while when < end:
             burst = scene.burst if end - 2 * scene.seconds * 1000 / 3 <= when < end - scene.seconds * 1000 / 3 else 1.0
             when += rng.expovariate(rate * burst)
             if sessions and rng.random() < 0.6:
-                session, opening, kind = rng.choice(sessions[-400:])
+                session, prefix, kind = rng.choice(sessions[-400:])
             else:
-                session, opening = f"s{len(sessions)}", f"o{rng.choices(range(scene.openings), popularity)[0]}"
+                session, prefix = f"s{len(sessions)}", f"o{rng.choices(range(scene.prefixes), popularity)[0]}"
                 kind = int(rng.random() < scene.unsafe_share)
-                sessions.append((session, opening, kind))
+                sessions.append((session, prefix, kind))
             request_class = self.request_classes[kind]
             prompt = min(9000.0, scene.prompt_tokens * rng.lognormvariate(-0.2, 0.6))
             answer = max(4.0, scene.answer_tokens * rng.lognormvariate(-0.1, 0.4))
@@ -152,7 +152,7 @@
                 request_class,
                 tenant,
                 session,
-                opening,
+                prefix,
                 prompt,
                 answer,
                 when,
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -90,7 +90,7 @@
         request = Request(
             client_request.request_class,
             client_request.session,
-            client_request.opening,
+            client_request.prefix,
             client_request.prompt * 0.5,
             client_request.prompt,
             4 * client_request.answer,
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -37,7 +37,7 @@
     prompt_tokens: float = 1800.0
     kept_share: float = 0.6  # of a prompt that a reader holds which read its session or opening before
     answer_tokens: float = 150.0
-    openings: int = 12  # beginnings that sessions share, drawn by Zipf's law
+    prefixes: int = 12  # beginnings that sessions share, drawn by Zipf's law
     slo_ms: float = 2000.0
     deadline_ms: float = 10000.0
     tries: int = 3
@@ -56,7 +56,7 @@
     request_class: RequestClass
     tenant: Tenant | None
     session: str
-    opening: str
+    prefix: str
     prompt: float
     answer: float
     came: float
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -58,7 +58,7 @@
 
     def unread(self, client_request: ClientRequest) -> float:
         """The tokens of its prompt that are not kept here."""
-        kept = {client_request.session, client_request.opening} & self.kept
+        kept = {client_request.session, client_request.prefix} & self.kept
         return client_request.prompt * ((1 - self.day.scene.kept_share) if kept else 1.0)
 
     def healthy(self) -> bool:
@@ -121,7 +121,7 @@
         if job not in self.running or self.hung:
             return
         self.running.remove(job)
-        self.kept |= {job.client_request.session, job.client_request.opening}
+        self.kept |= {job.client_request.session, job.client_request.prefix}
         if not self.silent and not self.day.cut(job.gateway, self):
             job.gateway.ended(job, AttemptOutcome.PREFILLED)
         self.go_on()
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ternlane.chat import Busy, Differs, Done, Fresh, Intake, Openings, Repeats, Sessions, read_chat
-from ternlane.chat.openings import BLOCK, WholePrefixes, blocks
+from ternlane.chat import Busy, Differs, Done, Fresh, Intake, PrefixIndex, Repeats, Sessions, read_chat
+from ternlane.chat.prefixes import BLOCK, WholePrefixes, blocks
 from ternlane.http1 import EventReader
 from ternlane.engine import load_of
 from ternlane.paper import GatewayPaper, PaperError, read_text
@@ -57,9 +57,9 @@
 def test_an_opening_is_what_another_session_began_with() -> None:
     known, shared = intake(), "the rules of the bonus " * 60
     requests = [known.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
-    assert requests[0].opening is None and requests[1].opening == requests[2].opening is not None
-    assert 0 < requests[2].opening_toks <= requests[2].prompt_toks
-    assert abs(requests[2].opening_toks * 4 - len(shared)) <= BLOCK + 8
+    assert requests[0].prefix is None and requests[1].prefix == requests[2].prefix is not None
+    assert 0 < requests[2].prefix_toks <= requests[2].prompt_toks
+    assert abs(requests[2].prefix_toks * 4 - len(shared)) <= BLOCK + 8
 
 
 def test_token_counts_follow_what_engines_report_and_absurd_ones_do_not_count() -> None:
@@ -85,7 +85,7 @@
 @settings(max_examples=150, deadline=None)
 @given(runs)
 def test_the_tree_says_the_same_as_a_dict_of_all_beginnings(met: list[tuple[int, list[int]]]) -> None:
-    tree, plain = Openings(10**6), WholePrefixes(10**6)
+    tree, plain = PrefixIndex(10**6), WholePrefixes(10**6)
     for session, run in met:
         assert tree.meet(array("Q", run), session) == plain.meet(array("Q", run), session)
     assert tree.held == sum(len(n.run) for n in tree.walk())
@@ -94,7 +94,7 @@
 @settings(max_examples=80, deadline=None)
 @given(runs, st.integers(1, 12))
 def test_the_tree_keeps_its_bound_and_its_order(met: list[tuple[int, list[int]]], limit: int) -> None:
-    tree = Openings(limit)
+    tree = PrefixIndex(limit)
     for session, run in met:
         tree.meet(array("Q", run), session)
         assert tree.held <= max(limit, 0) and tree.nodes == sum(1 for _ in tree.walk()) - 1
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -24,9 +24,9 @@
     first, attempt = host.written(session="s")
     for _ in range(3):
         host.end(first, attempt.server, AttemptOutcome.STREAMED, over=True)
-    big = host.request(prompt_toks=150e3, opening=None, opening_toks=0.0)
+    big = host.request(prompt_toks=150e3, prefix=None, prefix_toks=0.0)
     taken = sent(host.arrive(big)).server
-    again = host.request(session="s", prompt_toks=60e3, opening=None, opening_toks=0.0)
+    again = host.request(session="s", prompt_toks=60e3, prefix=None, prefix_toks=0.0)
     assert sent(host.arrive(again)).server is not taken
 
 
@@ -218,7 +218,7 @@
     host.list()
     attempts = []
     for _ in range(40):
-        request, attempt = host.written(opening=None)
+        request, attempt = host.written(prefix=None)
         attempts.append(attempt.server)
         host.first(request, attempt.server, after=20.0)
         host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
@@ -228,7 +228,7 @@
 def test_a_silent_writer_loses_its_sessions(host: FakeHost) -> None:
     mute = None
     for i in range(8):
-        request, attempt = host.written(session=f"s{i}", opening=f"o{i}")
+        request, attempt = host.written(session=f"s{i}", prefix=f"o{i}")
         mute = mute or attempt.server
         if attempt.server is not mute:
             host.first(request, attempt.server, after=20.0)
@@ -238,7 +238,7 @@
 
 
 def test_bursts_wait_and_are_thrown_off_before_the_slo_time_is_lost(host: FakeHost) -> None:
-    big = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0, max_toks=0.0) for _ in range(4)]
+    big = [host.request(prompt_toks=90e3, prefix=None, prefix_toks=0.0, max_toks=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
     assert port.Reject not in kinds(said)
     waiting = [g for g in big if g.seat.attempt is None]
@@ -247,7 +247,7 @@
 
 
 def test_a_generation_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
-    crowd = [host.request(prompt_toks=90e3, opening=None, opening_toks=0.0) for _ in range(6)]
+    crowd = [host.request(prompt_toks=90e3, prefix=None, prefix_toks=0.0) for _ in range(6)]
     for request in crowd:
         host.arrive(request)
     assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [port.Reject]
@@ -256,7 +256,7 @@
 def test_a_reader_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
     ill, hits = host.servers["r0"], 0
     for _ in range(30):
-        request = host.request(opening=None)
+        request = host.request(prefix=None)
         attempt = sent(host.arrive(request, after=60.0))
         hits += attempt.server is ill
         if attempt.server is ill:
@@ -269,7 +269,7 @@
 
 def test_servers_that_all_came_back_cold_are_used_again(host: FakeHost) -> None:
     for _ in range(10):
-        request, attempt = host.written(opening=None)
+        request, attempt = host.written(prefix=None)
         host.first(request, attempt.server, after=20.0)
         host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
     for server in host.servers.values():
@@ -300,12 +300,12 @@
     taken = set()
     for seed in range(20):
         host = build(extra=tuple(prefill_servers), gateways=130, seed=seed)
-        attempt = sent(host.arrive(host.request(session=f"s{seed}", opening="shared")))
+        attempt = sent(host.arrive(host.request(session=f"s{seed}", prefix="shared")))
         taken.add(next(name for name, s in host.servers.items() if s is attempt.server))
     assert len(taken) <= 12 and len(taken) >= 2
     first, second = (build(extra=tuple(prefill_servers), seed=seed) for seed in (1, 2))
-    for opening in "abcdef":
-        attempts = [sent(h.arrive(h.request(session=opening, opening=opening), after=3000.0)) for h in (first, second)]
+    for prefix in "abcdef":
+        attempts = [sent(h.arrive(h.request(session=prefix, prefix=prefix), after=3000.0)) for h in (first, second)]
         assert len({attempt.server.mark for attempt in attempts}) == 1
 
 
@@ -315,8 +315,8 @@
     for seed in range(6):  # gateways that have met one opening, or six others before it
         host = build(extra=prefill_servers, gateways=90, seed=seed)
         for i in range(seed):
-            host.arrive(host.request(opening=f"x{i}"))
-        request = host.request(session="s", opening="shared")
+            host.arrive(host.request(prefix=f"x{i}"))
+        request = host.request(session="s", prefix="shared")
         host.arrive(request)
         seen.append({engine.server.mark for engine in request.seat.agreed})
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
@@ -345,7 +345,7 @@
     for i in range(60):
         struck = bool(i % 2)
         effect = Effect.SIDE_EFFECTING if struck and outcome is AttemptOutcome.ERROR else Effect.IDEMPOTENT
-        request = host.request(effect, opening=None, tenant=tenants[struck])
+        request = host.request(effect, prefix=None, tenant=tenants[struck])
         met[struck] += serve(host, request, ill, outcome if struck else None)
     assert met[True] <= 4 and met[False] >= 8
 
@@ -353,13 +353,13 @@
 def test_what_has_not_failed_leaves_nothing_behind(host: FakeHost) -> None:
     ill = host.servers["w0"]
     for _ in range(30):
-        serve(host, host.request(opening=None, tenant=port.Tenant()), ill, None)
+        serve(host, host.request(prefix=None, tenant=port.Tenant()), ill, None)
     assert not host.router.desk.failures  # type: ignore[attr-defined]
-    while not serve(host, host.request(opening=None), ill, AttemptOutcome.ERROR):
+    while not serve(host, host.request(prefix=None), ill, AttemptOutcome.ERROR):
         pass
     assert host.router.desk.failures  # type: ignore[attr-defined]
     for _ in range(60):
-        serve(host, host.request(opening=None), ill, None)
+        serve(host, host.request(prefix=None), ill, None)
     assert not host.router.desk.failures  # type: ignore[attr-defined]
 
 
@@ -378,10 +378,10 @@
 
 
 def test_a_batch_of_many_ends_costs_what_waits_few_tries(host: FakeHost) -> None:
-    small = [host.request(prompt_toks=50.0, opening=None, opening_toks=0.0) for _ in range(8)]
+    small = [host.request(prompt_toks=50.0, prefix=None, prefix_toks=0.0) for _ in range(8)]
     out = [(request, sent(host.arrive(request)).server) for request in small]
     for i in range(40):  # none of them fits anywhere
-        host.arrive(host.request(prompt_toks=250e3 + i, opening=None, opening_toks=0.0, client_timeout_ms=60e3))
+        host.arrive(host.request(prompt_toks=250e3 + i, prefix=None, prefix_toks=0.0, client_timeout_ms=60e3))
     desk, tries = host.router.desk, 0
     best = desk.best  # type: ignore[attr-defined]
 
@@ -396,10 +396,10 @@
 
 
 def test_a_short_prompt_passes_a_long_one_that_finds_no_room(host: FakeHost) -> None:
-    long = host.request(prompt_toks=250e3, opening=None, opening_toks=0.0, max_toks=0.0, client_timeout_ms=60e3)
+    long = host.request(prompt_toks=250e3, prefix=None, prefix_toks=0.0, max_toks=0.0, client_timeout_ms=60e3)
     host.arrive(long)
     assert long.seat.attempt is None
-    assert kinds(host.arrive(host.request(prompt_toks=200.0, opening=None, opening_toks=0.0))) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request(prompt_toks=200.0, prefix=None, prefix_toks=0.0))) == [port.StartAttempt]
 
 
 def test_where_connections_fail_the_connected_servers_are_nearer() -> None:
@@ -442,7 +442,7 @@
     cold.started_ms = host.now
     host.list()
     for _ in range(12):
-        request = host.request(opening=None, opening_toks=0.0)
+        request = host.request(prefix=None, prefix_toks=0.0)
         said = host.arrive(request, after=400.0)
         assert kinds(said) == [port.StartAttempt]
         if sent(said).server is not cold:  # the cold one keeps what it was given
@@ -453,7 +453,7 @@
 
 def test_a_burst_is_believed_soon_where_many_generations_are_open(host: FakeHost) -> None:
     for i in range(16):
-        request, attempt = host.written(session=f"s{i}", opening=f"o{i}")
+        request, attempt = host.written(session=f"s{i}", prefix=f"o{i}")
         host.first(request, attempt.server, after=5.0)
     host.tell(after=600.0)
     engines = [host.servers[name].seat for name in ("w0", "w1")]
@@ -481,9 +481,9 @@
         host.tell(port.Listed((new,)))
         new.life = Life.GONE
         host.tell(port.Listed((new,)))
-        host.router.desk.asked_for.update(f"{turn}.{i}" for i in range(50))
+        host.router.desk.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
         host.tell(port.Woken(True), after=100.0)
-    assert len(board) < 20 and len(host.router.desk.asked_for) <= 4096 + 200
+    assert len(board) < 20 and len(host.router.desk.prefix_popularity) <= 4096 + 200
     attempt.server.life = Life.GONE  # one that still has a leg stays until it has ended
     host.tell(port.Listed((attempt.server,)))
     for _ in range(8):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -78,7 +78,7 @@
 
 
 def test_what_is_asked_does_not_hang_on_answers_and_popular_openings_come_by_zipf() -> None:
-    mix = Mix("summary", turns=2.0, openings=20, opening_words=5, zipf=1.0)
+    mix = Mix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
     told = LoadPaper(
         request_classes=[mix, Mix("note", share=0.25)],
         seconds=100.0,
@@ -99,7 +99,7 @@
     async with world() as w:
         lines: list[dict[str, object]] = []
         told = LoadPaper(
-            request_classes=[Mix("summary", turns=2.0, think_s=0.05, openings=2), Mix("note", stream=False)],
+            request_classes=[Mix("summary", turns=2.0, think_s=0.05, prefixes=2), Mix("note", stream=False)],
             seconds=1.0,
             arrivals=Arrivals(rate=30.0),
             late_ms=1000.0,
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -61,7 +61,7 @@
                 await trio.sleep(0.02)
         front, pool = p.gateway.front, node.engines.pool
         assert not node.tickets and not node.idents and not node.ended and not node.releasing and not desk.waiting
-        assert len(node.records) == TRAILS and sum(desk.asked_for.values()) <= 2 * FEW**2
+        assert len(node.records) == TRAILS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
         assert len(node.engines.heard) <= len(node.roster.spots) == len(node.roster.servers) == 3
         assert all(not e.attempts and not e.booked for e in desk.board)
         assert front.conns == len(front.idle) == 0 and len(pool.open) == len(pool.resting)
@@ -99,8 +99,8 @@
         for last in "aab":
             info = f"prefix={'p' * 3000}{last},prompt_len=20,prefix_len=8"
             assert (await p.ask(Affinity_Key="k" * 9000 + last, Request_Info=info)).status == 200
-        assert len(desk.homes) == len(desk.asked_for) == 2
-        assert all(len(name) == 64 for name in [*desk.homes, *desk.asked_for])
+        assert len(desk.homes) == len(desk.prefix_popularity) == 2
+        assert all(len(name) == 64 for name in [*desk.homes, *desk.prefix_popularity])
 
 
 async def test_what_was_learnt_of_products_that_a_reload_took_away_is_forgotten(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     "fall_ms": TERMS.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), opening_toks=(50, 100)) for p in REQUEST_CLASSES]
+TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_toks=(50, 100)) for p in REQUEST_CLASSES]
 
 
 class Honest(Host):
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -208,7 +208,7 @@
     attempt = next(a for a in said if isinstance(a, port.StartAttempt))
     assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
     assert sent(build().arrive(request)).timeout_ms == 1000.0
-    late = host.request(opening="other")
+    late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
     assert port.Probe in kinds(said) and port.StartAttempt not in kinds(said)
     assert port.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
