--- a/bench/budget.py
+++ b/bench/budget.py
@@ -38,14 +38,14 @@
     def __init__(self) -> None:
         self.lock, self.counts = threading.Lock(), dict[str, tuple[int, int]]()
 
-    def reserve(self, name: str, limit: int, toks: int, wall: float) -> bool:
+    def reserve(self, name: str, limit: int, tokens: int, wall: float) -> bool:
         minute = int(wall // 60)
         with self.lock:
             at, spent = self.counts.get(name, (minute, 0))
             spent = spent if at == minute else 0
-            if spent + toks > limit:
+            if spent + tokens > limit:
                 return False
-            self.counts[name] = minute, spent + toks
+            self.counts[name] = minute, spent + tokens
             return True
 
     def settle(self, name: str, reserved: int, used: int) -> None:
@@ -109,7 +109,7 @@
     used = 0
     for _ in range(40_000):
         i = rng.randrange(40)
-        toks = min(most, max(1, int(rng.lognormvariate(*kinds[i]))))
+        tokens = min(most, max(1, int(rng.lognormvariate(*kinds[i]))))
         n, total = mean.get(i, (0, 0))
         said = {
             "sketch, 0.9 quantile": own.estimate(f"t{i}", "s", most),
@@ -119,11 +119,11 @@
         for name, it in said.items():
             row = sums[name]
             row[0] += it
-            row[1] += max(0, toks - it)
-            row[2] += toks > it
-        used += toks
-        mean[i] = n + 1, total + toks
-        own.learn(f"t{i}", "s", toks)
+            row[1] += max(0, tokens - it)
+            row[2] += tokens > it
+        used += tokens
+        mean[i] = n + 1, total + tokens
+        own.learn(f"t{i}", "s", tokens)
     print(f"{'':<22}{'reserved/used':>14}{'overrun/used':>14}{'overrun gens':>14}")
     for name, (reserved, over, many) in sums.items():
         print(f"{name:<22}{reserved / used:>14.2f}{over / used:>14.3f}{many / 40_000:>14.1%}")
@@ -176,13 +176,13 @@
                 meter.flow(now, WALL)
                 meter.part = min(4 / self.n, max(0.25 / self.n, self.seen[i]))
 
-    def offer(self, i: int, toks: int, now: float) -> bool:
+    def offer(self, i: int, tokens: int, now: float) -> bool:
         cashier = self.cashiers[i]
-        self.offered[i] += toks
-        hold = cashier.reserve(self.line, "s", toks - 1, 1, now, WALL + now / 1000)
+        self.offered[i] += tokens
+        hold = cashier.reserve(self.line, "s", tokens - 1, 1, now, WALL + now / 1000)
         if not isinstance(hold, Hold):
             return False
-        cashier.settle(hold, "g", "left", Billed(Used(toks - 1, 0, 1), Used()), 2, now, WALL + now / 1000)
+        cashier.settle(hold, "g", "left", Billed(Used(tokens - 1, 0, 1), Used()), 2, now, WALL + now / 1000)
         return True
 
 
@@ -218,11 +218,11 @@
         else:  # a few gateways see most of it, and which they are may change
             base = int(now / 60e3) * 7 if traffic == "moving" else 0
             i = (base + min(int(rng.expovariate(1 / max(1.0, n / 10))), n - 1)) % n
-        toks = rng.randint(100, 520)
-        got += toks * fleet.offer(i, toks, now)
-        if single.reserve(toks, now, WALL) is None:
-            single.settle(toks, toks, None, now, WALL)
-            ideal += toks
+        tokens = rng.randint(100, 520)
+        got += tokens * fleet.offer(i, tokens, now)
+        if single.reserve(tokens, now, WALL) is None:
+            single.settle(tokens, tokens, None, now, WALL)
+            ideal += tokens
     return got / ideal, got / (40_000 + 240_000 * now / 60e3)
 
 
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -32,16 +32,16 @@
 QUICK = Build(
     slots=4000,
     queue=4000,
-    mem_toks=1e9,
-    read_tok_s=1e7,
-    tok_ms=0.0,
-    tok_grow=0.0,
-    near_tok_s=1e9,
-    far_tok_s=1e9,
-    answer_toks=(8, 8),
+    kv_capacity_tokens=1e9,
+    prefill_tokens_per_s=1e7,
+    token_ms=0.0,
+    token_growth=0.0,
+    near_tokens_per_s=1e9,
+    far_tokens_per_s=1e9,
+    answer_tokens=(8, 8),
 )
 REQUEST_CLASSES = [{"name": "summary", "effect": "idempotent", "slo_ms": 2000, "limit_ms": 10000, "revenue": 3}]
-TOKS = 8
+TOKENS = 8
 VARIANTS: dict[str, dict[str, Any]] = {
     "gateway": {},
     "streams not joined": {"streams": {"resume": False}},
@@ -50,12 +50,12 @@
 }
 
 
-def body(i: int, toks: int = TOKS) -> dict[str, Any]:
+def body(i: int, tokens: int = TOKENS) -> dict[str, Any]:
     messages = [
         {"role": "system", "content": "the shared rules of the bonus " * 40},
         {"role": "user", "content": f"folder {i} " * 20},
     ]
-    return {"model": "summary", "stream": True, "messages": messages, "max_tokens": toks}
+    return {"model": "summary", "stream": True, "messages": messages, "max_tokens": tokens}
 
 
 async def engines(port: int, count: int, index: int) -> None:
@@ -84,7 +84,7 @@
     state = msgspec.json.decode(await caller.body(1 << 20))["kv_transfer_params"]
     pool.give_back(caller)
     caller = await pool.take(decode_server)
-    await caller.ask("POST", "/v1/chat/completions", head, write_body(raw, state, TOKS))
+    await caller.ask("POST", "/v1/chat/completions", head, write_body(raw, state, TOKENS))
     return await events(pool, caller, since)
 
 
@@ -141,7 +141,7 @@
         nonlocal done
         i = k
         while trio.current_time() < end:
-            assert len(await through(pool, address, i)) == TOKS
+            assert len(await through(pool, address, i)) == TOKENS
             done, i = done + 1, i + width
 
     async with trio.open_nursery() as nursery:
@@ -279,7 +279,7 @@
             trio.run(measure)
             print(
                 f"\n{'at full load':<20}{'a second':>12}{'of a core':>12}{'a core-second':>15}   "
-                f"({TOKS} tokens each, two load processes x {told.width})"
+                f"({TOKENS} tokens each, two load processes x {told.width})"
             )
             runs: dict[str, list[tuple[float, float]]] = {n: [] for n in serving}
             for _ in range(told.turns):  # in turns, as the machine's moods change
--- a/bench/library.py
+++ b/bench/library.py
@@ -43,7 +43,7 @@
 
 def paper() -> ternlane.GatewayPaper:
     nodes = [
-        ternlane.NodeLine(id=i, address="127.0.0.1:9", role="read" if i[0] == "r" else "write", mem_toks=1e9)
+        ternlane.NodeLine(id=i, address="127.0.0.1:9", role="read" if i[0] == "r" else "write", kv_capacity_tokens=1e9)
         for i in ("r0", "r1", "w0", "w1")
     ]
     return ternlane.GatewayPaper(
@@ -120,7 +120,7 @@
             )
             if isinstance(a, port.StartAttempt)
         )
-        router.take(now + 1.5, [port.FirstTok(request, attempt.server, 0.5)])
+        router.take(now + 1.5, [port.FirstToken(request, attempt.server, 0.5)])
         router.take(now + 2, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.STREAMED, 1.0, True)])
         took.append((time.perf_counter() - since) * 1000)
     return took
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -40,22 +40,26 @@
         fleet: Fleet,
         ident: str,
         faults: float,
-        toks: int = 8,
-        tok_s: float = 0.0,
-        read_tok_s: float = 1e9,
+        tokens: int = 8,
+        tokens_per_s: float = 0.0,
+        prefill_tokens_per_s: float = 1e9,
         slots: int = 10_000,
     ) -> None:
-        self.fleet, self.ident, self.faults, self.toks, self.tok_s = fleet, ident, faults, toks, tok_s
-        self.read_tok_s, self.dead, self.busy = read_tok_s, trio.CancelScope(), trio.CapacityLimiter(slots)
+        self.fleet, self.ident, self.faults, self.tokens, self.tokens_per_s = fleet, ident, faults, tokens, tokens_per_s
+        self.prefill_tokens_per_s, self.dead, self.busy = (
+            prefill_tokens_per_s,
+            trio.CancelScope(),
+            trio.CapacityLimiter(slots),
+        )
 
     async def read(self, ask: AttemptRequest) -> Kept:
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
-        toks = 100 + done
+        tokens = 100 + done
         async with self.busy:
-            if self.read_tok_s < 1e9:
-                await trio.sleep(toks / self.read_tok_s)
-        self.fleet.prefills.append((trio.current_time(), toks, ask.goes_on))
-        return Kept({}, toks)
+            if self.prefill_tokens_per_s < 1e9:
+                await trio.sleep(tokens / self.prefill_tokens_per_s)
+        self.fleet.prefills.append((trio.current_time(), tokens, ask.goes_on))
+        return Kept({}, tokens)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         fate = self.fleet.rng.random() / max(self.faults, 1e-9)
@@ -72,14 +76,14 @@
         if fate < 0.6:
             raise RuntimeError("after its effect")
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
-        for i in range(done, self.toks):
+        for i in range(done, self.tokens):
             if fate < 1 and i == done + int(fate * 10) % 5:
                 raise RuntimeError("midway")
-            if self.tok_s:
+            if self.tokens_per_s:
                 gone = False
-                with trio.move_on_after(self.tok_s):
+                with trio.move_on_after(self.tokens_per_s):
                     while not self.dead.cancel_called:
-                        await trio.sleep(self.tok_s / 4)
+                        await trio.sleep(self.tokens_per_s / 4)
                     gone = True
                 if gone:
                     raise RuntimeError("the writer died")
@@ -92,7 +96,7 @@
 def paper(**streams: bool) -> ternlane.GatewayPaper:
     nodes = [
         ternlane.NodeLine(
-            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, mem_toks=1e9, role="read" if d == "r" else "write"
+            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, kv_capacity_tokens=1e9, role="read" if d == "r" else "write"
         )
         for d in "rw"
         for c in range(3)
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -19,7 +19,7 @@
 
 from ternlane.recover import Rhythm
 
-SERVERS, TOKS, RESUME_MS, STALLS = 24, 48, 150.0, 0.02
+SERVERS, TOKENS, RESUME_MS, STALLS = 24, 48, 150.0, 0.02
 TEMPERS = {"steady": (0.25, 0.0, 0.0), "batches": (0.4, 0.02, 6.0), "pauses": (0.5, 0.004, 30.0)}
 Rule = Callable[[int, deque[float]], float]
 
@@ -36,9 +36,9 @@
             paces[server]
             * rng.lognormvariate(0, spread)
             * (rng.uniform(0.5, 1.5) * times if rng.random() < part else 1.0)
-            for _ in range(TOKS)
+            for _ in range(TOKENS)
         ]
-        yield server, waits, rng.randrange(1, TOKS) if rng.random() < STALLS else None
+        yield server, waits, rng.randrange(1, TOKENS) if rng.random() < STALLS else None
 
 
 def fixed(ms: float) -> Rule:
@@ -105,7 +105,7 @@
 
     def learnt(alarms: float) -> tuple[Rule, Rhythm | None]:
         rhythm = Rhythm(alarms)
-        rhythm.toks = TOKS
+        rhythm.tokens = TOKENS
         rhythm.resumed(RESUME_MS)
         return (lambda server, seen: rhythm.quiet_ms(server) or 1000.0), rhythm
 
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -56,6 +56,6 @@
 other = attempt(
     router.take(61.0, [port.AttemptEnded(request, decode_server, ternlane.AttemptOutcome.CONNECT_FAILED, 1.0, False)])
 )
-router.take(90.0, [port.FirstTok(request, other, 29.0)])
+router.take(90.0, [port.FirstToken(request, other, 29.0)])
 router.take(400.0, [port.AttemptEnded(request, other, ternlane.AttemptOutcome.STREAMED, 339.0, True)])
 print(f"read by {names[prefill_server]}, written by {names[other]}")
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -12,7 +12,7 @@
 
     async def read(self, ask: ternlane.AttemptRequest) -> ternlane.Kept:
         text = ask.raw["messages"][-1]["content"]
-        return ternlane.Kept({"words": len(text.split())}, prompt_toks=len(text) // 4)
+        return ternlane.Kept({"words": len(text.split())}, prompt_tokens=len(text) // 4)
 
     async def write(self, ask: ternlane.AttemptRequest) -> AsyncIterator[str]:
         for piece in ("there ", "are ", str(ask.state["words"]), " words"):
@@ -28,8 +28,8 @@
     request_classes=[ternlane.RequestClassConfig(name="count", effect="idempotent", slo_ms=500, deadline_ms=2000)],
     nodes=InlineSource(
         nodes=[
-            ternlane.NodeLine(id="reader", address="here:1", role="read", mem_toks=1e5),
-            ternlane.NodeLine(id="writer", address="here:2", role="write", mem_toks=1e5),
+            ternlane.NodeLine(id="reader", address="here:1", role="read", kv_capacity_tokens=1e5),
+            ternlane.NodeLine(id="writer", address="here:2", role="write", kv_capacity_tokens=1e5),
         ]
     ),
 )
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -20,7 +20,7 @@
     async def serve() -> None:
         async with trio.open_nursery() as nursery:
             for i, role in enumerate(("read", "write")):
-                build = Build(answer_toks=(5, 5))
+                build = Build(answer_tokens=(5, 5))
                 engine = Engine(role, role, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
                 nursery.start_soon(engine.run, nursery)
 
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -35,7 +35,7 @@
         (self.folder / ident).unlink(missing_ok=True)
         return True
 
-    async def hold(self, server, address, ident, toks, within_ms, protocol="disaggregated") -> bool:
+    async def hold(self, server, address, ident, tokens, within_ms, protocol="disaggregated") -> bool:
         return False
 
     def sweep(self) -> None:
@@ -47,7 +47,7 @@
 
 async def main() -> None:
     nodes = [
-        ternlane.NodeLine(id=name, address="folder:1", role=role, mem_toks=1e5)
+        ternlane.NodeLine(id=name, address="folder:1", role=role, kv_capacity_tokens=1e5)
         for name, role in (("reader", "read"), ("broken", "write"), ("whole", "write"))
     ]
     paper = ternlane.GatewayPaper(
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -12,7 +12,7 @@
 from ternlane.chat.sessions import Sessions, chain
 from ternlane.port import Effect, Request, Group, RequestClass, Tenant
 
-FIRST_TOKS_A_BYTE = 0.25  # until engines have said how many there were
+FIRST_TOKENS_A_BYTE = 0.25  # until engines have said how many there were
 WEIGHT = 1 / 32  # of one more report
 BLOCKS_A_SESSION = 8  # opening blocks kept for each session that may be recognised
 
@@ -37,16 +37,18 @@
 class Intake:
     """One gateway's knowledge of conversations. `models` maps each model name to its product."""
 
-    def __init__(self, models: dict[str, RequestClass], max_toks: dict[RequestClass, int], session_limit: int) -> None:
-        self.models, self.max_toks = models, max_toks
+    def __init__(
+        self, models: dict[str, RequestClass], max_tokens: dict[RequestClass, int], session_limit: int
+    ) -> None:
+        self.models, self.max_tokens = models, max_tokens
         self.sessions = Sessions(2 * session_limit)
         self.prefixes = PrefixIndex(BLOCKS_A_SESSION * session_limit)
         self.tenants: dict[str, Tenant] = {}  # by owner
-        self.toks_a_byte: dict[RequestClass, float] = {}
+        self.tokens_a_byte: dict[RequestClass, float] = {}
 
-    def offer(self, models: dict[str, RequestClass], max_toks: dict[RequestClass, int]) -> None:
+    def offer(self, models: dict[str, RequestClass], max_tokens: dict[RequestClass, int]) -> None:
         """Other products from the next request on; what is known of conversations stays."""
-        self.models, self.max_toks = models, max_toks
+        self.models, self.max_tokens = models, max_tokens
 
     def take(self, ask: ChatAsk, client_timeout_ms: float, owner: str = "") -> Known:
         """Two owners' equal conversations are two. Raises Wrong for a model that no product is offered under."""
@@ -62,28 +64,28 @@
         run = blocks(whole)
         shared = self.prefixes.meet(run, xxh3_64_intdigest(session.encode()) >> 1)
         prefix = xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None
-        ratio = self.toks_a_byte.get(request_class, FIRST_TOKS_A_BYTE)
-        limit = self.max_toks[request_class]
+        ratio = self.tokens_a_byte.get(request_class, FIRST_TOKENS_A_BYTE)
+        limit = self.max_tokens[request_class]
         request = Request(
             request_class,
             session,
             prefix,
             shared * BLOCK * ratio,
             max(1.0, len(whole) * ratio),
-            float(min(ask.max_toks or limit, limit)),
+            float(min(ask.max_tokens or limit, limit)),
             client_timeout_ms,
             not ask.stream,
             tenant=self.tenants.setdefault(owner, Tenant()) if owner else None,
         )
         return Known(request, session, last[-1], len(whole))
 
-    def learn_prompt(self, known: Known, prompt_toks: float) -> None:
+    def learn_prompt(self, known: Known, prompt_tokens: float) -> None:
         """An engine has said how many tokens the prompt had; absurd figures are not believed."""
-        if not 0 < prompt_toks <= 4 * known.prompt_bytes + 64:
+        if not 0 < prompt_tokens <= 4 * known.prompt_bytes + 64:
             return
-        request_class, ratio = known.request.request_class, prompt_toks / known.prompt_bytes
-        old = self.toks_a_byte.get(request_class)
-        self.toks_a_byte[request_class] = ratio if old is None else old + WEIGHT * (ratio - old)
+        request_class, ratio = known.request.request_class, prompt_tokens / known.prompt_bytes
+        old = self.tokens_a_byte.get(request_class)
+        self.tokens_a_byte[request_class] = ratio if old is None else old + WEIGHT * (ratio - old)
 
     def answered(self, known: Known, message: dict[str, Any]) -> None:
         """Lets the next turn be recognised by the message that was answered."""
--- a/ternlane/chat/request.py
+++ b/ternlane/chat/request.py
@@ -8,7 +8,7 @@
 import msgspec
 
 ROLES = {"system", "developer", "user", "assistant", "tool", "function"}
-TOKS_LIMIT = 10_000_000
+TOKENS_LIMIT = 10_000_000
 
 
 class Wrong(Exception):
@@ -28,7 +28,7 @@
     messages: list[dict[str, Any]]
     stream: bool
     include_usage: bool
-    max_toks: int | None
+    max_tokens: int | None
     user: str | None
     cache_key: str | None
     texts: list[bytes] = field(default_factory=list)  # each message in canonical form
@@ -93,8 +93,8 @@
     limits = []
     for name in ("max_completion_tokens", "max_tokens"):
         value = typed(raw, name, int, "a whole number")
-        if value is not None and not 1 <= value <= TOKS_LIMIT:
-            raise Wrong(name, f"{name} must be from 1 to {TOKS_LIMIT}", "integer_out_of_range")
+        if value is not None and not 1 <= value <= TOKENS_LIMIT:
+            raise Wrong(name, f"{name} must be from 1 to {TOKENS_LIMIT}", "integer_out_of_range")
         if value is not None:
             limits.append(value)
     if raw.get("n") not in (None, 1):
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -120,8 +120,8 @@
     def handle(self, note: Any) -> None:
         now = self.router.now
         match note:
-            case Booked(course, toks):
-                self.booked[course] = now, toks / max(self.server.mem_toks, 1.0)
+            case Booked(course, tokens):
+                self.booked[course] = now, tokens / max(self.server.kv_capacity_tokens, 1.0)
                 self.sent += 1
             case Unbooked(course):
                 self.booked.pop(course, None)
@@ -247,7 +247,7 @@
         self.prompt: dict[RequestClass, float] = {}
         self.told: defaultdict[RequestClass, float] = defaultdict(lambda: 0.5)  # part kept at the agreed reader
         self.prefix_popularity: Counter[str | None] = Counter()  # generations of each opening
-        self.tok_ms = self.limits.slo_ms / 10e3
+        self.token_ms = self.limits.slo_ms / 10e3
         self.fleets = {role: Beat() for role in Role}
         self.foreseen = self.took = self.limits.slo_ms / 8
         self.failures: FailureRates[Seat] = FailureRates()  # by product, tenant, or the verdict of silence
@@ -264,8 +264,8 @@
                 self.board[note.engine] = note
             case port.Arrived(request):
                 self.arrived(request)
-            case port.FirstTok(request, _, took) if request.seat.attempt is not None:
-                self.first_tok(request.seat, request.seat.attempt, took)
+            case port.FirstToken(request, _, took) if request.seat.attempt is not None:
+                self.first_token(request.seat, request.seat.attempt, took)
             case port.AttemptEnded():
                 self.stuck = inf
                 self.attempt_ended(note)
@@ -312,13 +312,13 @@
         now, request_class = self.router.now, request.request_class
         slo = (
             request_class.slo_ms or request.client_timeout_ms
-        ) + request_class.slo_per_ktok_ms * request.prompt_toks / 1000
+        ) + request_class.slo_per_1000_tokens_ms * request.prompt_tokens / 1000
         self.turn += 1
         lot = zlib.crc32(b"%d lot %d" % (self.seed, self.turn)) / 2**32
         request.seat = course = Course(request, now + slo, now + request.client_timeout_ms, lot)
         self.unanswered[course] = None
-        mean = self.prompt.setdefault(request_class, max(request.prompt_toks, 1.0))
-        self.prompt[request_class] = mean + GAIN * (request.prompt_toks - mean)
+        mean = self.prompt.setdefault(request_class, max(request.prompt_tokens, 1.0))
+        self.prompt[request_class] = mean + GAIN * (request.prompt_tokens - mean)
         self.prefix_popularity[request.prefix] += request.prefix is not None
         if now >= self.shutdown.admits_until:
             return self.finish(course, RejectReason.SHUTDOWN)
@@ -378,7 +378,7 @@
         return (
             not self.fit(s, course)
             or s.open > CROWD * max(s.fleet.open, CROWD)
-            or free * s.engine.server.mem_toks <= self.toks(course, s.engine)
+            or free * s.engine.server.kv_capacity_tokens <= self.tokens(course, s.engine)
         )
 
     def spent(self, course: Course) -> bool:
@@ -389,8 +389,8 @@
         two_stages = not any(e.prefills and e.decodes for e in self.board)
         return two_stages and course.attempts > 0 and course.attempts + 2 > self.limits.max_attempts
 
-    def toks(self, course: Course, engine: Seat) -> float:
-        return course.request.prompt_toks + (OUT_SHARE * course.request.max_toks if engine.decodes else 0.0)
+    def tokens(self, course: Course, engine: Seat) -> float:
+        return course.request.prompt_tokens + (OUT_SHARE * course.request.max_tokens if engine.decodes else 0.0)
 
     def pairs(
         self, prefill_servers: list[Standing], decode_servers: list[Standing], lost: dict[Seat, float]
@@ -417,9 +417,9 @@
     def work_ms(self, engine: Seat, course: Course) -> float:  # to read what it is not thought to keep
         request, agreed = course.request, course.agreed
         if engine not in agreed:
-            return self.tok_ms * request.prompt_toks
-        known = request.prefix_toks + (request.prompt_toks - request.prefix_toks) / (1 + agreed.index(engine))
-        return self.tok_ms * (request.prompt_toks - self.told[request.request_class] * known)
+            return self.token_ms * request.prompt_tokens
+        known = request.prefix_tokens + (request.prompt_tokens - request.prefix_tokens) / (1 + agreed.index(engine))
+        return self.token_ms * (request.prompt_tokens - self.told[request.request_class] * known)
 
     def score(self, r: Standing, w: Standing, less: float) -> tuple[float, float]:
         a, b = r.engine.server, w.engine.server
@@ -487,7 +487,7 @@
             self.homes.move_to_end(request.session)
         course.prefill_server, course.decode_server = prefill_server, decode_server
         for engine in {prefill_server: None, decode_server: None}:
-            engine.post(Booked(course, self.toks(course, engine)))
+            engine.post(Booked(course, self.tokens(course, engine)))
         if self.told_if_asked and decode_server is not prefill_server:  # its report comes while the prompt is read
             self.ask(decode_server)
         self.send(course, prefill_server)
@@ -594,7 +594,7 @@
         latest = self.latest(course)
         heapq.heappush(self.waiting, (-course.request.request_class.revenue, latest, self.turn, course))
         self.next_due = min(self.next_due, latest)
-        self.least = min(self.least, course.request.prompt_toks * course.waited)
+        self.least = min(self.least, course.request.prompt_tokens * course.waited)
 
     def pump(self) -> bool:
         """Places the waiting generation that comes first and throws off, at once, what has waited too long.
@@ -606,16 +606,16 @@
             entry = _, latest, _, course = heapq.heappop(queue)
             if latest <= self.router.now and not course.over:
                 self.finish(course, RejectReason.QUEUED_TOO_LONG)
-            elif course.request.prompt_toks >= self.stuck and course.waited and not course.over:
+            elif course.request.prompt_tokens >= self.stuck and course.waited and not course.over:
                 heapq.heappush(self.waiting, entry)
             elif not course.over:
                 self.place(course)
                 if course.attempt is None and not course.over:
-                    self.stuck = course.request.prompt_toks
+                    self.stuck = course.request.prompt_tokens
         self.waiting += queue
         heapq.heapify(self.waiting)
         self.next_due = min((entry[1] for entry in self.waiting), default=inf)
-        self.least = min((entry[3].request.prompt_toks for entry in self.waiting), default=inf)
+        self.least = min((entry[3].request.prompt_tokens for entry in self.waiting), default=inf)
         return bool(self.router.ready)
 
     def send(self, course: Course, engine: Seat) -> None:
@@ -634,7 +634,7 @@
             slow = 1 / CROWD if decodes else CROWD if self.told_if_asked else 1  # a told one is not mute
             patience = min(patience, max(slow * request_class.slo_ms, 4 * course.attempt.usual_ms))
         engine.post(Sent(course.attempt))
-        quiet = max(self.limits.span_ms, DOUBT * request_class.tok_slo_ms)  # a mute stream has broken
+        quiet = max(self.limits.span_ms, DOUBT * request_class.token_slo_ms)  # a mute stream has broken
         self.router.out.append(
             port.StartAttempt(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
         )
@@ -698,7 +698,7 @@
             ran[0] + request_class.window_ms - self.router.now if request_class.effect is Effect.DEDUPLICATED else -inf
         )
 
-    def first_tok(self, course: Course, attempt: Attempt, took: float) -> None:
+    def first_token(self, course: Course, attempt: Attempt, took: float) -> None:
         request_class = course.request.request_class
         course.lease.attempt_answered()
         self.unanswered.pop(course, None)
@@ -785,8 +785,8 @@
 
     def read_took(self, course: Course, attempt: Attempt, note: port.AttemptEnded) -> None:
         """One that ran out of time took at least as long; were it not counted, ever more would."""
-        request, took, unread = course.request, note.took_ms, course.request.prompt_toks - note.kept_toks
-        usual = took / max(1.0, request.prompt_toks / self.prompt.get(request.request_class, request.prompt_toks))
+        request, took, unread = course.request, note.took_ms, course.request.prompt_tokens - note.kept_tokens
+        usual = took / max(1.0, request.prompt_tokens / self.prompt.get(request.request_class, request.prompt_tokens))
         if note.outcome is AttemptOutcome.PREFILLED or usual > self.usual_ms(
             request.request_class, "read"
         ):  # or it was cut
@@ -796,12 +796,12 @@
         self.trust = min(CROWD**2, self.took / self.foreseen)
         if note.outcome is AttemptOutcome.PREFILLED and attempt.engine in course.agreed[:1]:
             self.told[request.request_class] += GAIN * (
-                1 - unread / max(request.prompt_toks, 1.0) - self.told[request.request_class]
+                1 - unread / max(request.prompt_tokens, 1.0) - self.told[request.request_class]
             )
-        self.read_ms += GAIN * (self.tok_ms * unread - self.read_ms)
+        self.read_ms += GAIN * (self.token_ms * unread - self.read_ms)
         if note.outcome is AttemptOutcome.PREFILLED and unread > LONG_READ:  # short ones tell of steps and queues
             pace = took / unread
-            self.tok_ms += (pace - self.tok_ms) * (4 * GAIN if pace < self.tok_ms else GAIN / 4)
+            self.token_ms += (pace - self.token_ms) * (4 * GAIN if pace < self.token_ms else GAIN / 4)
 
     def hand_on(self, course: Course) -> None:
         """The state goes to the home writer, or, if that has congested since, straight to the next best."""
@@ -822,13 +822,13 @@
                 return self.onward(course)
             decode_server.post(Unbooked(course))
             decode_server = course.decode_server = pair[1].engine
-            decode_server.post(Booked(course, self.toks(course, decode_server)))
+            decode_server.post(Booked(course, self.tokens(course, decode_server)))
             if course.request.session and course.request.session in self.homes:
                 self.homes[course.request.session] = Home(course.prefill_server, decode_server, self.router.now)
         self.send(course, decode_server)
 
     def usual_ms(self, request_class: RequestClass, stage: str) -> float:
-        first = request_class.tok_slo_ms * 100 / CROWD if stage == "stream" else (request_class.slo_ms or 1000.0) / 8
+        first = request_class.token_slo_ms * 100 / CROWD if stage == "stream" else (request_class.slo_ms or 1000.0) / 8
         return self.usual.get((request_class, stage), first)
 
     def learn(self, request_class: RequestClass, stage: str, took: float) -> None:
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -475,7 +475,7 @@
         pace = found.build.pace
         click.echo(
             f"{kind.name}: a step {pace.step_ms:.3f} ms, {pace.write_ms:.4f} a writer, {pace.read_ms:.4f} a "
-            f"token read beyond {pace.free_toks}, {pace.back_ms:.4f} a thousand looked back at; spread "
+            f"token read beyond {pace.free_tokens}, {pace.back_ms:.4f} a thousand looked back at; spread "
             f"{found.nature.jitter:.1%}"
         )
         click.echo("  at once  prompt  answer       first token    between tokens   off: median, 99th percentile")
--- a/ternlane/days/bench.py
+++ b/ternlane/days/bench.py
@@ -18,7 +18,7 @@
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
 ROLES = {"read": "readers", "write": "writers", "both": "mixed"}
 OWN = {"balancer_crash", "balancer_roll", "burst", "hot_key", "heavy_tail", "origin_slow", "zone_cut"}
-TOKS_LIMIT = 4000  # of a prompt, so that one machine can carry the day
+TOKENS_LIMIT = 4000  # of a prompt, so that one machine can carry the day
 
 
 def name_of(text: str) -> str:
@@ -87,7 +87,7 @@
             out |= {
                 "share": round(min(1.0, size), 3),
                 "keys": max(1, int(extra)),
-                "toks": min(TOKS_LIMIT, float(raw["fam"].get("hot_tokens", 3000))),
+                "toks": min(TOKENS_LIMIT, float(raw["fam"].get("hot_tokens", 3000))),
             }
         case "zone_cut":
             out["zone"] = zones[int(t.get("which", 0)) % len(zones)]
@@ -122,8 +122,8 @@
     fam, length = raw["fam"], raw["length"] / 1e6 / speed
     request_classes, uses = [], []
     for cls, talk in zip(raw["classes"], fam["talks"], strict=True):
-        name, toks = name_of(cls["name"]), float(talk["prefix_tokens"]) + float(talk["new_tokens"])
-        shrink = min(1.0, TOKS_LIMIT / max(toks * max(1.0, talk["turns"] / 2), 1.0))
+        name, tokens = name_of(cls["name"]), float(talk["prefix_tokens"]) + float(talk["new_tokens"])
+        shrink = min(1.0, TOKENS_LIMIT / max(tokens * max(1.0, talk["turns"] / 2), 1.0))
         request_classes.append(
             {
                 "name": name,
@@ -161,11 +161,11 @@
     decode_servers = max(1, sum(int(c["writers"]) + int(c["mixed"]) for c in cells))
     prefill_servers = max(1, sum(int(c["readers"]) + int(c["mixed"]) for c in cells))
     busy_decode_servers = rate * 22 * 9 / 1000 * 1.5 / max(load, 0.05)  # slots that make the fleet as busy as the day
-    mean_toks = sum(
+    mean_tokens = sum(
         u["share"] * (u["adds"][0] + u["adds"][1] + u["opening_part"] * u["opening_toks"][0]) / 2 for u in uses
     ) / sum(u["share"] for u in uses)
     slots = max(2, round(busy_decode_servers / decode_servers))
-    per_prefill_server = rate * mean_toks / prefill_servers / max(load, 0.05)
+    per_prefill_server = rate * mean_tokens / prefill_servers / max(load, 0.05)
     near = {"near_tok_s": round(fam["near"] * speed), "far_tok_s": round(fam["far"] * speed)}
     script = {
         "name": name_of(f"{raw['site']}-{raw['kind']}"),
--- a/ternlane/days/parts.py
+++ b/ternlane/days/parts.py
@@ -183,9 +183,9 @@
             w.long_part, w.long_times, w.long_request_class = (share, times, request_class) if on else (0.0, 1.0, "")
         case TenantRush(share=share):
             w.rush_part = share if on else 0.0
-        case HotKey(share=share, keys=keys, toks=toks):
-            w.hot_part, w.hot_keys, w.hot_toks, w.hot_seed = (
-                (share, keys, toks, w.hot_seed + 1) if on else (0.0, 1, toks, w.hot_seed)
+        case HotKey(share=share, keys=keys, tokens=tokens):
+            w.hot_part, w.hot_keys, w.hot_tokens, w.hot_seed = (
+                (share, keys, tokens, w.hot_seed + 1) if on else (0.0, 1, tokens, w.hot_seed)
             )
 
 
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -67,7 +67,7 @@
                 "group": p.group,
                 "window_ms": p.window_ms,
                 "slo_ms": p.slo_ms,
-                "slo_per_ktok_ms": p.slo_per_ktok_ms,
+                "slo_per_ktok_ms": p.slo_per_1000_tokens_ms,
                 "revenue": p.revenue,
                 "limit_ms": p.deadline_ms,
                 "late_share": p.late_share,
@@ -98,7 +98,15 @@
         self.idents = {e.number: e.ident for e in engines}
         for e in engines:
             self.registry.put(
-                Listing(e.ident, e.host, self.scene.engine_port + e.number, e.role, e.zone, e.cell, e.build.mem_toks)
+                Listing(
+                    e.ident,
+                    e.host,
+                    self.scene.engine_port + e.number,
+                    e.role,
+                    e.zone,
+                    e.cell,
+                    e.build.kv_capacity_tokens,
+                )
             )
         try:
             async with trio.open_nursery() as nursery:
--- a/ternlane/days/report.py
+++ b/ternlane/days/report.py
@@ -53,7 +53,7 @@
                 continue
             wait = firsts[done["gen"]] - tries[0]["t"]
             waits.append(wait)
-            slo = p.slo_ms + p.slo_per_ktok_ms * done["toks"] / 1000
+            slo = p.slo_ms + p.slo_per_1000_tokens_ms * done["toks"] / 1000
             in_time += wait <= slo
             late += wait > slo
             owners[task.get("tenant", "")][0] += p.revenue if wait <= slo else p.revenue * p.late_share
--- a/ternlane/days/script.py
+++ b/ternlane/days/script.py
@@ -28,13 +28,13 @@
 
     slots: Count = 8
     queue: int = 40
-    mem_toks: Positive = 200e3
-    read_tok_s: Positive = 20e3
-    tok_ms: Positive = 10.0
-    tok_grow: NotNegative = 1.0
-    near_tok_s: Positive = 300e3
-    far_tok_s: Positive = 100e3
-    answer_toks: tuple[int, int] = (8, 40)
+    kv_capacity_tokens: Positive = 200e3
+    prefill_tokens_per_s: Positive = 20e3
+    token_ms: Positive = 10.0
+    token_growth: NotNegative = 1.0
+    near_tokens_per_s: Positive = 300e3
+    far_tokens_per_s: Positive = 100e3
+    answer_tokens: tuple[int, int] = (8, 40)
     speeds: Span = (0.9, 1.1)  # drawn for each engine
 
 
@@ -53,9 +53,9 @@
     turns: Span = (1.0, 2.0)
     adds: Span = (100.0, 400.0)
     prefixes: Count = 8
-    prefix_toks: Span = (500.0, 2000.0)
+    prefix_tokens: Span = (500.0, 2000.0)
     prefix_share: Part = 0.8
-    max_toks: Count = 400
+    max_tokens: Count = 400
     think_ms: Positive = 300.0
     key_part: Part = 0.5
     plain_part: Part = 0.1
@@ -101,7 +101,7 @@
 
     share: Part = 0.2
     keys: Count = 1
-    toks: Positive = 3000.0
+    tokens: Positive = 3000.0
 
 
 class OnServers(Struck, frozen=True, kw_only=True):
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -56,8 +56,8 @@
         self.probes_allowed, self.holds_allowed = bool(limits.get("probes")), bool(spec.get("holds_allowed"))
         kinds = told.get("kinds", [])
         self.role = {k: ROLES.get(d, Role.BOTH) for k, d in zip(kinds, spec.get("duty_by_kind", []))}
-        self.mem = {k: float(toks) for k, toks in zip(kinds, spec.get("tokens_by_kind", []))}
-        per_ktok, tok_slo = spec.get("aim_us_per_1000_prompt_tokens", []), spec.get("token_aim", [])
+        self.mem = {k: float(tokens) for k, tokens in zip(kinds, spec.get("tokens_by_kind", []))}
+        per_1000_tokens, token_slo = spec.get("aim_us_per_1000_prompt_tokens", []), spec.get("token_aim", [])
         self.request_classes: dict[str, RequestClass] = {}
         for i, p in enumerate(told.get("profiles", [])):
             of_class = f"of class {p['name']!r}"
@@ -66,8 +66,8 @@
                 group=GROUPS.get(p.get("group", ""), Group.CELL),
                 window_ms=figure(f"window_ms {of_class}", p, "key_ttl", 0.0),
                 slo_ms=figure(f"slo_ms {of_class}", p, "aim", None),
-                slo_per_ktok_ms=per_ktok[i] / 1000.0 if i < len(per_ktok) else 0.0,
-                tok_slo_ms=tok_slo[i] if i < len(tok_slo) else 0.0,
+                slo_per_1000_tokens_ms=per_1000_tokens[i] / 1000.0 if i < len(per_1000_tokens) else 0.0,
+                token_slo_ms=token_slo[i] if i < len(token_slo) else 0.0,
                 deadline_ms=figure(f"limit_ms {of_class}", p, "deadline", None),
                 revenue=figure(f"revenue {of_class}", p, "worth", 1.0),
                 late_share=figure(f"late_share {of_class}", p, "late_worth", 0.0),
@@ -118,9 +118,9 @@
         request_class: RequestClass,
         session: str | None,
         prefix: str | None,
-        prefix_toks: float,
-        prompt_toks: float,
-        max_toks: float,
+        prefix_tokens: float,
+        prompt_tokens: float,
+        max_tokens: float,
         client_timeout_ms: float,
         tenant: str = "",
     ) -> Request:
@@ -128,9 +128,9 @@
             request_class,
             session,
             prefix,
-            prefix_toks,
-            prompt_toks,
-            max_toks,
+            prefix_tokens,
+            prompt_tokens,
+            max_tokens,
             client_timeout_ms,
             tenant=self.tenants.get(tenant),
         )
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -98,7 +98,7 @@
     ) -> None:
         self.paper, self.count, self.offer, self.book = paper, count(1), offer_of(paper), Book()
         self.facts = self.offer.facts
-        self.intake = Intake(self.offer.models, self.offer.max_toks, paper.door.session_limit)
+        self.intake = Intake(self.offer.models, self.offer.max_tokens, paper.door.session_limit)
         self.host = Host(
             chooser(self.facts), self.facts, transport, self.book, self.intake, nursery, Measures(), log, paper.streams
         )
--- a/ternlane/emulator/batch.py
+++ b/ternlane/emulator/batch.py
@@ -20,11 +20,11 @@
     write_ms: float = 0.15
     read_ms: float = 0.02
     back_ms: float = 0.01
-    free_toks: int = 0
+    free_tokens: int = 0
 
     def ms(self, wrote: int, read: int, back: int) -> float:
         """A step in which so many write, so many tokens are read, and so many are looked back at."""
-        charged = max(0, wrote + read - self.free_toks) if self.free_toks else read
+        charged = max(0, wrote + read - self.free_tokens) if self.free_tokens else read
         return self.step_ms + self.write_ms * wrote + self.read_ms * charged + self.back_ms * back / 1000
 
 
@@ -33,9 +33,9 @@
     """Blocks of `block_toks` tokens; at most `slots` sequences at once, `step_toks` tokens a step, `queue` waiting."""
 
     blocks: int
-    block_toks: int = 16
+    block_tokens: int = 16
     slots: int = 64
-    step_toks: int = 512
+    step_tokens: int = 512
     queue: int = 1000
     pace: Pace = Pace()
 
@@ -68,7 +68,7 @@
     wrote: list[Course] = field(default_factory=list)  # a token each
     finished: list[Course] = field(default_factory=list)
     preempted: list[Course] = field(default_factory=list)
-    read_toks: int = 0
+    read_tokens: int = 0
 
 
 class Batch:
@@ -78,8 +78,8 @@
         self.running: list[Course] = []  # the oldest first
         self.entered: list[Course] = []  # let in, and waiting for what they fetch, since the driver last looked
 
-    def blocks_for(self, toks: int) -> int:
-        return -(-toks // self.build.block_toks)
+    def blocks_for(self, tokens: int) -> int:
+        return -(-tokens // self.build.block_tokens)
 
     def add(self, it: Course) -> bool:
         """False where the queue is full, or where it could never fit."""
@@ -110,7 +110,7 @@
             if held is None:
                 return
             self.queue.popleft()
-            found = held.kept * self.build.block_toks
+            found = held.kept * self.build.block_tokens
             if it.fetches:
                 self.entered.append(it)
             it.held, it.read = held, min(found, it.to_read - 1)  # at least one token is read: the next hangs on it
@@ -149,7 +149,7 @@
         self.let_in()
         if all(it.fetches for it in self.running):
             return None
-        out, budget, back = Step(0.0), self.build.step_toks, 0
+        out, budget, back = Step(0.0), self.build.step_tokens, 0
         for it in [r for r in self.running if r.read >= r.to_read and r.made < r.answer and not r.fetches]:
             if budget <= 0 or it not in self.running or not self.room_for(it, out):
                 continue
@@ -166,7 +166,7 @@
                 break
             it.read += chunk
             budget -= chunk
-            out.read_toks += chunk
+            out.read_tokens += chunk
             self.seal(it)
             if it.read == it.to_read and it.made < it.answer and self.room_for(it, out):
                 it.made += 1  # the reading's last token gives the first of the answer
@@ -179,12 +179,12 @@
             else:
                 self.release(it)
             out.finished.append(it)
-        out.ms = self.build.pace.ms(len(out.wrote), out.read_toks, back)
+        out.ms = self.build.pace.ms(len(out.wrote), out.read_tokens, back)
         return out
 
     def seal(self, it: Course) -> None:
         """Full blocks of the prompt that have been read are known from now on."""
         assert it.held is not None
-        for at in range(it.held.kept, min(it.read // self.build.block_toks, len(it.keys))):
+        for at in range(it.held.kept, min(it.read // self.build.block_tokens, len(it.keys))):
             if self.memory.keys[it.held.blocks[at]] is None:
                 self.memory.seal(it.held, at, it.keys[at])
--- a/ternlane/emulator/describe.py
+++ b/ternlane/emulator/describe.py
@@ -27,11 +27,11 @@
     """A kind of engine. `memory_toks`: of read state; `step_toks`: that a step may read and write."""
 
     name: str
-    memory_toks: Whole
+    memory_tokens: Whole
     slots: Whole
-    step_toks: Whole
+    step_tokens: Whole
     curve: Annotated[list[Point], Meta(min_length=1)]
-    block_toks: Whole = 16
+    block_tokens: Whole = 16
     queue: Whole = 100
     cold_ms: float = 10e3
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.3
--- a/ternlane/emulator/fit.py
+++ b/ternlane/emulator/fit.py
@@ -47,7 +47,12 @@
 
 def build_of(kind: EngineKind, pace: Pace) -> Build:
     return Build(
-        max(1, kind.memory_toks // kind.block_toks), kind.block_toks, kind.slots, kind.step_toks, kind.queue, pace
+        max(1, kind.memory_tokens // kind.block_tokens),
+        kind.block_tokens,
+        kind.slots,
+        kind.step_tokens,
+        kind.queue,
+        pace,
     )
 
 
@@ -92,7 +97,7 @@
     """The four figures as sums of step_ms, write_ms, read_ms and back_ms, if steps went by the book."""
     decode_servers = min(point.at_once, kind.slots) - 1
     back = decode_servers * (point.prompt + point.answer / 2) / 1000
-    room = max(1, kind.step_toks - decode_servers)
+    room = max(1, kind.step_tokens - decode_servers)
     chunks = [min(room, point.prompt - at) for at in range(0, point.prompt, room)]
     charged = [max(0, chunk + decode_servers - free) if free else chunk for chunk in chunks]
     steps, idle = len(chunks), float(max(0, decode_servers + 1 - free) if free else 0)
@@ -126,7 +131,7 @@
                 tried[free] = error, pace, correction
 
     for part in FREE:
-        rounds(round(part * kind.step_toks), np.ones(len(given)))
+        rounds(round(part * kind.step_tokens), np.ones(len(given)))
     free = min(tried, key=lambda f: tried[f][0])
     start = tried[free][1]
 
--- a/ternlane/emulator/fleet.py
+++ b/ternlane/emulator/fleet.py
@@ -159,8 +159,8 @@
             return
         near = move.source.cell == move.target.cell
         move.link = move.source.port if near else self.cells[move.source.cell]
-        toks = told.job.course.prompt * (1.0 if move.source.zone == move.target.zone else self.zone_slower)
-        move.transfer = move.link.begin(told.at, toks, move)
+        tokens = told.job.course.prompt * (1.0 if move.source.zone == move.target.zone else self.zone_slower)
+        move.transfer = move.link.begin(told.at, tokens, move)
         self.watch(move.link)
 
     def arrived(self, at: float, transfer: Transfer) -> None:
--- a/ternlane/emulator/links.py
+++ b/ternlane/emulator/links.py
@@ -15,7 +15,7 @@
 class Transfer:
     """`toks` tokens of read state on their way; `job` is the caller's."""
 
-    toks: float
+    tokens: float
     job: object
     mark: float = 0.0
     left: bool = False  # called off, or over
@@ -37,10 +37,10 @@
             self.carried += (now - self.at) * self.rate
         self.at = now
 
-    def begin(self, now: float, toks: float, job: object) -> Transfer:
+    def begin(self, now: float, tokens: float, job: object) -> Transfer:
         """Puts a transfer on the link. What has ended by now must have been taken off by `ended` before."""
         self.forward(now)
-        it = Transfer(toks, job, self.progress + toks)
+        it = Transfer(tokens, job, self.progress + tokens)
         self.turn, self.many = self.turn + 1, self.many + 1
         heapq.heappush(self.heap, (it.mark, self.turn, it))
         return it
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -265,8 +265,8 @@
 
 
 async def hold(
-    pool: Pool, address: str, ident: str, toks: float, headers: list[tuple[str, str]], within_ms: float
+    pool: Pool, address: str, ident: str, tokens: float, headers: list[tuple[str, str]], within_ms: float
 ) -> bool:
     """Asks a writer to hold a slot and memory for a generation. A place that is not free at once is none."""
-    body = msgspec.json.encode({"request_id": ident, "tokens": toks})
+    body = msgspec.json.encode({"request_id": ident, "tokens": tokens})
     return (await once(pool, address, "POST", HOLD_PATH, headers, body, within_ms))[0] is AttemptOutcome.STREAMED
--- a/ternlane/engine/kinds.py
+++ b/ternlane/engine/kinds.py
@@ -20,7 +20,7 @@
     key: str
     raw: dict[str, Any]
     state: dict[str, Any] | None
-    max_toks: int
+    max_tokens: int
 
 
 class EngineProtocol(Protocol):
@@ -46,8 +46,8 @@
         if ask.stage is Stage.PREFILL:
             return headers, read_body(ask.raw)
         if ask.stage is Stage.DECODE:
-            return headers, write_body(ask.raw, ask.state or {}, ask.max_toks)
-        return headers, msgspec.json.encode(whole(ask.raw, ask.max_toks))
+            return headers, write_body(ask.raw, ask.state or {}, ask.max_tokens)
+        return headers, msgspec.json.encode(whole(ask.raw, ask.max_tokens))
 
 
 class PlainChat:
@@ -59,7 +59,7 @@
     def request(self, ask: Asked, agent: str) -> tuple[Headers, bytes]:
         if ask.stage is not Stage.WHOLE:
             raise ValueError("a plain chat server reads and writes in one leg")
-        body = whole(ask.raw, ask.max_toks)
+        body = whole(ask.raw, ask.max_tokens)
         body.pop("prompt_cache_key", None)  # servers that check their fields refuse it
         return [
             ("Content-Type", "application/json"),
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -48,16 +48,16 @@
     return msgspec.json.encode(body)
 
 
-def write_body(raw: dict[str, Any], state: dict[str, Any], max_toks: int) -> bytes:
+def write_body(raw: dict[str, Any], state: dict[str, Any], max_tokens: int) -> bytes:
     """To a writer: the reader's parameters come back with do_remote_prefill."""
-    body = whole(raw, max_toks)
+    body = whole(raw, max_tokens)
     body["kv_transfer_params"] = {**state, "do_remote_decode": False, "do_remote_prefill": True}
     return msgspec.json.encode(body)
 
 
-def whole(raw: dict[str, Any], max_toks: int) -> dict[str, Any]:
+def whole(raw: dict[str, Any], max_tokens: int) -> dict[str, Any]:
     body = {k: v for k, v in raw.items() if k not in ("max_completion_tokens", "kv_transfer_params")}
-    body.update(stream=True, max_tokens=max_toks, stream_options={"include_usage": True})
+    body.update(stream=True, max_tokens=max_tokens, stream_options={"include_usage": True})
     return body
 
 
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -41,7 +41,7 @@
     key: str  # under which an engine drops repeats
     raw: dict[str, Any]  # the client's request
     state: dict[str, Any] | None
-    max_toks: int
+    max_tokens: int
     plan: AttemptPlan
     protocol: str = "disaggregated"
     goes_on: bool = False  # `raw` ends with what the client has of the answer, to be continued from there
@@ -62,7 +62,7 @@
         """Releases what a server holds for a generation; true once it has confirmed."""
 
     async def hold(
-        self, server: str, address: str, ident: str, toks: float, within_ms: float, protocol: str = "disaggregated"
+        self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
         """Holds a place ahead at a writer, if one is free at once."""
 
@@ -116,10 +116,10 @@
         return await release(self.pool, address, ident, [("User-Agent", self.agent)], within_ms)
 
     async def hold(
-        self, server: str, address: str, ident: str, toks: float, within_ms: float, protocol: str = "disaggregated"
+        self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
         return KINDS[protocol].holds_states and await hold(
-            self.pool, address, ident, toks, [("User-Agent", self.agent)], within_ms
+            self.pool, address, ident, tokens, [("User-Agent", self.agent)], within_ms
         )
 
     async def load(
@@ -152,8 +152,8 @@
     """What a local engine gives for a prompt it has read: a state to hand on, and how much it had to read."""
 
     state: dict[str, Any]
-    prompt_toks: int
-    kept_toks: int = 0
+    prompt_tokens: int
+    kept_tokens: int = 0
     report: Report | None = None
 
 
@@ -184,7 +184,7 @@
         async def run() -> None:
             got = await self._engine(ask).read(ask)
             end.outcome, end.state, end.report = AttemptOutcome.PREFILLED, got.state, got.report
-            end.usage = Usage(got.prompt_toks, 0, got.prompt_toks)
+            end.usage = Usage(got.prompt_tokens, 0, got.prompt_tokens)
 
         return await self._ended(ask, end, run)
 
@@ -256,7 +256,7 @@
         return engine is not None and not scope.cancelled_caught
 
     async def hold(
-        self, server: str, address: str, ident: str, toks: float, within_ms: float, protocol: str = "disaggregated"
+        self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
         return False  # an engine in this process has no place to hold ahead
 
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -342,7 +342,10 @@
         hold: Hold | None = None
         if self.till is not None and tenant is not None:
             got = self.till.reserve(
-                tenant, self.names[known.request.request_class], known.request.prompt_toks, int(known.request.max_toks)
+                tenant,
+                self.names[known.request.request_class],
+                known.request.prompt_tokens,
+                int(known.request.max_tokens),
             )
             if isinstance(got, RejectReason):
                 raise over_budget(got)
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -18,7 +18,7 @@
 
     request_classes: dict[str, RequestClass]
     models: dict[str, RequestClass]
-    max_toks: dict[RequestClass, int]
+    max_tokens: dict[RequestClass, int]
     facts: StartFacts
 
 
@@ -32,8 +32,8 @@
             GROUPS[p.group],
             p.window_ms,
             p.slo_ms,
-            p.slo_per_ktok_ms,
-            p.tok_slo_ms,
+            p.slo_per_1000_tokens_ms,
+            p.token_slo_ms,
             p.deadline_ms,
             p.revenue,
             p.late_share,
@@ -43,7 +43,7 @@
     return Offer(
         request_classes,
         {model: request_classes[p.name] for p in paper.request_classes for model in (p.name, *p.models)},
-        {request_classes[p.name]: p.max_toks for p in paper.request_classes},
+        {request_classes[p.name]: p.max_tokens for p in paper.request_classes},
         facts_of(paper, request_classes),
     )
 
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -57,7 +57,7 @@
         self.facts = self.offer.facts
         self.measures, self.book = Measures(), Book()
         self.pool = Pool(paper.fleet.connect_ms, paper.fleet.idle_ms, paper.source)
-        intake = Intake(self.offer.models, self.offer.max_toks, paper.door.session_limit)
+        intake = Intake(self.offer.models, self.offer.max_tokens, paper.door.session_limit)
         self.agent = f"ternlane/{__version__} ({paper.name})"
         self.transport = transport or SocketTransport(self.pool, self.agent)
         self.host = host_type(
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -64,7 +64,7 @@
         """Other settings from now on. Legs that are out end as they began; homes and what was learnt stay."""
         self.facts = offer.facts
         self.mute.clear()
-        self.intake.offer(offer.models, offer.max_toks)
+        self.intake.offer(offer.models, offer.max_tokens)
         self.mender.alter(offer.facts)
         self.tell(port.Altered(offer.facts))
 
@@ -218,7 +218,7 @@
                 if paused is not None:
                     self.measures.resumed.observe(paused / 1000)
                     self.resume()  # its place is free
-                self.tell(port.FirstTok(ticket.request, server, now_ms() - since))
+                self.tell(port.FirstToken(ticket.request, server, now_ms() - since))
             try:
                 new = ticket.join.take(text)
             except Differs:
@@ -412,7 +412,7 @@
             place.ident,
             place.address,
             ticket.ident,
-            request.prompt_toks + request.max_toks,
+            request.prompt_tokens + request.max_tokens,
             self.facts.release_ms,
             place.line.protocol,
         )
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -43,10 +43,10 @@
     def remember(self, totals: Totals) -> None:
         """Tells the cashier what the ledger holds beyond what it was told before."""
         for key, it in totals.sums.items():
-            toks = it.bill.prompt + it.bill.answer
-            if toks > self.told.get(key, 0):
-                self.cashier.remember(*key, toks - self.told.get(key, 0))
-                self.told[key] = toks
+            tokens = it.bill.prompt + it.bill.answer
+            if tokens > self.told.get(key, 0):
+                self.cashier.remember(*key, tokens - self.told.get(key, 0))
+                self.told[key] = tokens
 
     def stat(self) -> tuple[int, int, int]:
         it = os.stat(self.path)
@@ -85,10 +85,10 @@
             except OSError as why:  # what was to be given back is lost: the bucket refills all the same
                 self.log.warning("lender not reached", why=str(why))
                 continue
-            for (name, _, target, _, _), toks in zip(asks, got, strict=True):
+            for (name, _, target, _, _), tokens in zip(asks, got, strict=True):
                 meter = self.cashier.meters.get((name, ""))
-                if meter is not None and toks > 0:
-                    meter.draw(toks, target)
+                if meter is not None and tokens > 0:
+                    meter.draw(tokens, target)
             for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
                 meter = self.cashier.meters.get((name, request_class))
                 if meter is not None and meter.period is not None and meter.period.name == period:
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -41,7 +41,7 @@
     turns: Annotated[float, Meta(ge=1)] = 1.0
     think_s: Positive = 2.0
     prompt_words: tuple[Positive, float] = (60.0, 0.6)
-    answer_toks: tuple[Positive, float] = (80.0, 0.5)
+    answer_tokens: tuple[Positive, float] = (80.0, 0.5)
     prefixes: Annotated[int, Meta(ge=0)] = 0
     prefix_words: Annotated[int, Meta(ge=1)] = 200
     zipf: Annotated[float, Meta(ge=0)] = 1.0
@@ -71,7 +71,7 @@
     at_s: float
     mix: Mix
     messages: list[dict[str, str]]
-    max_toks: int
+    max_tokens: int
     key: str = ""
     turns_left: int = 0
     more: list[str] = field(default_factory=list)  # what the later turns say
@@ -81,7 +81,7 @@
             "model": self.mix.model,
             "messages": self.messages,
             "stream": self.mix.stream,
-            "max_tokens": self.max_toks,
+            "max_tokens": self.max_tokens,
         }
 
 
@@ -144,7 +144,7 @@
             at_s,
             mix,
             [*messages, {"role": "user", "content": said[0]}],
-            drawn(rng, mix.answer_toks),
+            drawn(rng, mix.answer_tokens),
             key,
             turns - 1,
             said[1:],
--- a/ternlane/load/run.py
+++ b/ternlane/load/run.py
@@ -41,7 +41,7 @@
     whole: Sketch = field(default_factory=Sketch)
     late: Sketch = field(default_factory=Sketch)  # of the tool itself
     outcomes: Counter[str] = field(default_factory=Counter)
-    toks: int = 0
+    tokens: int = 0
 
     def told(self) -> dict[str, Any]:
         def three(it: Sketch) -> dict[str, float]:
@@ -54,7 +54,7 @@
 
         return {
             "outcomes": dict(self.outcomes),
-            "tokens": self.toks,
+            "tokens": self.tokens,
             "first_ms": three(self.first),
             "between_ms": three(self.between),
             "whole_ms": three(self.whole),
@@ -131,7 +131,7 @@
                 due,
                 ask.mix,
                 [*ask.messages, {"role": "assistant", "content": text}, {"role": "user", "content": ask.more[0]}],
-                ask.max_toks,
+                ask.max_tokens,
                 ask.key,
                 ask.turns_left - 1,
                 ask.more[1:],
@@ -195,7 +195,7 @@
         if not ask.mix.stream:
             whole = msgspec.json.decode(await caller.body(1 << 24))
             pieces.append(whole["choices"][0]["message"]["content"] or "")
-            self.tally.toks += (whole.get("usage") or {}).get("completion_tokens", 0)
+            self.tally.tokens += (whole.get("usage") or {}).get("completion_tokens", 0)
             return "streamed", 0.0
         events, first, last, done = EventReader(), 0.0, 0.0, False
         async for chunk in caller.chunks():
@@ -209,7 +209,7 @@
                 if not text:
                     continue
                 pieces.append(text)
-                self.tally.toks += 1
+                self.tally.tokens += 1
                 if last:
                     self.tally.between.add(now - last)
                 else:
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -43,9 +43,14 @@
                     server.life = Life.GONE
                     news.append(server)
                 server = self.servers[line.id] = Server(
-                    line.zone, line.cell, ROLES[line.role], line.mem_toks, mark=crc32(line.id.encode())
+                    line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, mark=crc32(line.id.encode())
                 )
-            server.zone, server.cell, server.mem_toks, server.size = line.zone, line.cell, line.mem_toks, line.size
+            server.zone, server.cell, server.kv_capacity_tokens, server.size = (
+                line.zone,
+                line.cell,
+                line.kv_capacity_tokens,
+                line.size,
+            )
             server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
             server.life = LIVES[line.state]
             self.places[server] = Place(line.id, line.address, line)
@@ -54,7 +59,7 @@
             if ident not in named and server.life is not Life.GONE:
                 server.life = Life.GONE
                 self.places[server].line = NodeLine(
-                    id=ident, address=self.places[server].address, role="both", mem_toks=1, state="gone"
+                    id=ident, address=self.places[server].address, role="both", kv_capacity_tokens=1, state="gone"
                 )
                 news.append(server)
         return Listed(tuple(news))
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -142,7 +142,7 @@
     """A generation is to be read or written here."""
 
     course: Course
-    toks: float
+    tokens: float
 
 
 class Unbooked(NamedTuple):
--- a/ternlane/paper/gateway.py
+++ b/ternlane/paper/gateway.py
@@ -28,12 +28,12 @@
     group: Literal["all", "zone", "cell"] = "cell"
     window_ms: NotNegative = 0.0
     slo_ms: Positive
-    slo_per_ktok_ms: NotNegative = 0.0
-    tok_slo_ms: Positive = 80.0
+    slo_per_1000_tokens_ms: NotNegative = 0.0
+    token_slo_ms: Positive = 80.0
     deadline_ms: Positive
     revenue: NotNegative = 1.0
     late_share: Part = 0.0
-    max_toks: Count = 1024  # of an answer whose request names no maximum
+    max_tokens: Count = 1024  # of an answer whose request names no maximum
 
     def __post_init__(self) -> None:
         if self.deadline_ms < self.slo_ms:
@@ -84,7 +84,7 @@
     continues: bool = True  # engines know continue_final_message; else whole runs are repeated, compared and skipped
     alarms: Annotated[float, Meta(ge=0, le=1)] = 1e-3  # part of streams wrongly given up as stalled; 0: none are
     share: Annotated[float, Meta(ge=0, le=1)] = 0.25  # of the readers' work that may go to reading anew
-    keep_toks: Count = 32_768  # of one answer, kept for a loss
+    keep_tokens: Count = 32_768  # of one answer, kept for a loss
     keep_bytes: Count = 2**18
     keep_all_bytes: Count = 2**27
 
@@ -97,7 +97,7 @@
     zone: str = "-"
     cell: int = 0
     role: Literal["read", "write", "both"]
-    mem_toks: Positive
+    kv_capacity_tokens: Positive
     size: Positive = 1.0
     state: Literal["up", "draining", "gone"] = "up"
     started: NotNegative = 0.0
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -206,9 +206,9 @@
             request_class,
             wish.session,
             wish.prefix,
-            wish.prefix_toks,
-            wish.prompt_toks,
-            wish.max_toks,
+            wish.prefix_tokens,
+            wish.prompt_tokens,
+            wish.max_tokens,
             max(0.0, patience),
             wish.tenant,
         )
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -259,7 +259,7 @@
             took_ms=round(took, 1),
             begun=end.begun,
             kept=end.kept,
-            prompt=ticket.request.prompt_toks,
+            prompt=ticket.request.prompt_tokens,
             why=end.why,
         )
         self.tell(
@@ -347,7 +347,7 @@
         self.ticket.flowing, self.ticket.body = True, b""
         self.ticket.note("first event")
         self.node.held_states.ended(self.ticket.ident, now_ms())
-        self.node.tell(port.FirstTok(self.ticket.request, self.server, now_ms() - self.since))
+        self.node.tell(port.FirstToken(self.ticket.request, self.server, now_ms() - self.since))
         await self.ticket.first(data)
 
     async def more(self, data: bytes) -> None:
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -176,9 +176,9 @@
     request_class: str
     session: str | None
     prefix: str | None
-    prefix_toks: float
-    prompt_toks: float
-    max_toks: float
+    prefix_tokens: float
+    prompt_tokens: float
+    max_tokens: float
     client_timeout_ms: float | None
     tenant: str
 
--- a/ternlane/platform/roster.py
+++ b/ternlane/platform/roster.py
@@ -159,4 +159,4 @@
         """Other settings: kinds of servers may have other memory."""
         self.deployment = deployment
         for server, spot in self.spots.items():
-            server.mem_toks = deployment.mem.get(spot.entry.type, 0.0)
+            server.kv_capacity_tokens = deployment.mem.get(spot.entry.type, 0.0)
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -96,8 +96,8 @@
     group: Group
     window_ms: float
     slo_ms: float
-    slo_per_ktok_ms: float
-    tok_slo_ms: float
+    slo_per_1000_tokens_ms: float
+    token_slo_ms: float
     deadline_ms: float
     revenue: float
     late_share: float
@@ -116,7 +116,7 @@
     zone: str
     cell: int
     role: Role
-    mem_toks: float
+    kv_capacity_tokens: float
     size: float = 1.0
     started_ms: float = 0.0
     life: Life = Life.UP
@@ -132,9 +132,9 @@
     request_class: RequestClass
     session: str | None
     prefix: str | None
-    prefix_toks: float
-    prompt_toks: float
-    max_toks: float
+    prefix_tokens: float
+    prompt_tokens: float
+    max_tokens: float
     client_timeout_ms: float
     whole: bool = False
     seat: Any = None
@@ -229,7 +229,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FirstTok:
+class FirstToken:
     """The leg's first token has come, `took_ms` after it was sent."""
 
     request: Request
@@ -248,7 +248,7 @@
     outcome: AttemptOutcome
     took_ms: float
     over: bool
-    kept_toks: float = 0.0
+    kept_tokens: float = 0.0
     state_lost: bool = False
     report: Report | None = None
     broken: bool = False
@@ -305,7 +305,7 @@
     | Ending
     | ListFailed
     | Arrived
-    | FirstTok
+    | FirstToken
     | AttemptEnded
     | GoOn
     | ReleaseHeard
--- a/ternlane/recover/join.py
+++ b/ternlane/recover/join.py
@@ -18,7 +18,7 @@
 class Shelf:
     """How much text may be kept for streams that might break, of one stream and of all, in bytes of UTF-8."""
 
-    toks: int
+    tokens: int
     each: int
     most: int
     used: int = 0
@@ -32,10 +32,10 @@
     long as the leg lasts, but a loss ends it.
     """
 
-    def __init__(self, way: Way, why: str, shelf: Shelf, max_toks: int, stop: Any = None) -> None:
-        self.way, self.why, self.shelf, self.max_toks = way, why, shelf, max_toks
+    def __init__(self, way: Way, why: str, shelf: Shelf, max_tokens: int, stop: Any = None) -> None:
+        self.way, self.why, self.shelf, self.max_tokens = way, why, shelf, max_tokens
         self.pieces: list[str] = []
-        self.bytes = self.toks = 0  # kept; and tokens that the client has by legs that are over
+        self.bytes = self.tokens = 0  # kept; and tokens that the client has by legs that are over
         self.attempt_pieces = 0  # of the present leg
         self.attempts = 0  # that broke after their first piece
         self.skip = ""  # what a repeat has still to say before anything new
@@ -54,7 +54,7 @@
 
     def left(self) -> int:
         """Tokens that the answer may still have."""
-        return self.max_toks - self.toks if self.way is Way.GO_ON else self.max_toks
+        return self.max_tokens - self.tokens if self.way is Way.GO_ON else self.max_tokens
 
     def take(self, piece: str) -> str:
         """A piece of the present leg; gives what of it is new to the client. Raises Differs."""
@@ -102,7 +102,7 @@
         if self.way is not Way.END and (
             self.bytes > self.shelf.each
             or self.shelf.used > self.shelf.most
-            or self.toks + self.attempt_pieces > self.shelf.toks
+            or self.tokens + self.attempt_pieces > self.shelf.tokens
         ):
             self.shelf.dropped += 1
             self.end("it outgrew what is kept for a loss")
@@ -121,7 +121,7 @@
         """Did a reader take in what the client has? One that doesn't know `continue_final_message` reads the prompt
         alone, and its writer would begin the answer anew. By its count of tokens and that of the first reading."""
         goes_on = self.resumed and self.way is Way.GO_ON
-        return not (goes_on and prompt and first) or prompt >= first + self.toks / 2
+        return not (goes_on and prompt and first) or prompt >= first + self.tokens / 2
 
     def beyond(self) -> None:
         """The client has more than text, which no other leg can go on from."""
@@ -140,12 +140,12 @@
         if self.way is Way.REPLAY:
             self.skip = self.text
         else:
-            self.toks += self.attempt_pieces if made is None else max(made, 0)
+            self.tokens += self.attempt_pieces if made is None else max(made, 0)
         self.attempt_pieces = 0
         if self.way is Way.GO_ON and self.pieces and self.pieces[-1].endswith(TORN):
             self.end("it broke within a character")
             return None
-        return self.toks if self.way is Way.GO_ON else 0
+        return self.tokens if self.way is Way.GO_ON else 0
 
     def over(self) -> None:
         """Nothing can break any more: its bytes count no longer."""
@@ -166,7 +166,7 @@
     def usage(self, prompt: int, kept: int, said: dict[str, Any]) -> dict[str, Any]:
         """The usage of the whole from the last leg's: the `prompt` as first read, `kept` of it found kept then (which a
         writer that took a state over can't know), and all tokens of the answer."""
-        answer = said["completion_tokens"] + (self.toks if self.way is Way.GO_ON else 0)
+        answer = said["completion_tokens"] + (self.tokens if self.way is Way.GO_ON else 0)
         if not prompt:
             return {**said, "completion_tokens": answer, "total_tokens": said["prompt_tokens"] + answer}
         out = {**said, "prompt_tokens": prompt, "completion_tokens": answer, "total_tokens": prompt + answer}
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -33,7 +33,7 @@
 
     def __init__(self, terms: StreamTerms, facts: StartFacts) -> None:
         self.terms = terms
-        self.shelf = Shelf(terms.keep_toks, terms.keep_bytes, terms.keep_all_bytes)
+        self.shelf = Shelf(terms.keep_tokens, terms.keep_bytes, terms.keep_all_bytes)
         self.rhythm = Rhythm(terms.alarms, facts.seed)
         longest = max((p.deadline_ms for p in facts.request_classes), default=1000.0)
         self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, facts.gateways)
@@ -48,7 +48,7 @@
         way, why = Way.END, "resuming is off"
         if self.terms.resume:
             way, why = way_of(raw, request.request_class.effect, self.terms.continues)
-        return Join(way, why, self.shelf, int(request.max_toks), raw.get("stop"))
+        return Join(way, why, self.shelf, int(request.max_tokens), raw.get("stop"))
 
     # -- a leg streams
 
@@ -77,8 +77,8 @@
         """A server is no longer listed."""
         self.rhythm.forget(server)
 
-    def read(self, now: float, toks: float, took_ms: float) -> None:
-        self.pace.read(now, toks, took_ms)
+    def read(self, now: float, tokens: float, took_ms: float) -> None:
+        self.pace.read(now, tokens, took_ms)
 
     # -- a leg broke
 
@@ -87,17 +87,17 @@
     ) -> Fate:
         """`made`: tokens of the leg by its engine's word; `until`: the client's time limit; `readers` to be asked.
         A generation that goes on grows by what is there."""
-        before = join.toks
+        before = join.tokens
         again = join.broke(made)
         if again is None:
             return Fate.ENDS
         if join.left() <= 0:  # lost between its last token and its end
             return Fate.WHOLE
         self.broke_at[item] = now
-        request.prompt_toks += again - before
-        request.max_toks = float(join.left())
+        request.prompt_tokens += again - before
+        request.max_tokens = float(join.left())
         self.pace.prefill_servers = prefill_servers
-        self.pace.wait(item, request.prompt_toks, request.request_class.revenue, float(join.toks), until)
+        self.pace.wait(item, request.prompt_tokens, request.request_class.revenue, float(join.tokens), until)
         return Fate.GOES_ON
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
--- a/ternlane/recover/pace.py
+++ b/ternlane/recover/pace.py
@@ -26,7 +26,7 @@
         self.peak = 0.0  # tokens a ms, the best span of late
         self.level = 0.0  # tokens that may be read anew now
         self.at = 0.0
-        self.span_at, self.span_toks = 0.0, 0.0
+        self.span_at, self.span_tokens = 0.0, 0.0
         self.out: dict[T, None] = {}
         self.turn = 0
         self.queue: list[tuple[float, float, int, float, float, T]] = []
@@ -42,22 +42,22 @@
         self.level = min(rate * self.span_ms, self.level + rate * spent)
         passed = now - self.span_at
         if passed >= self.span_ms:
-            rate = self.span_toks / passed
+            rate = self.span_tokens / passed
             self.peak = max(rate, self.peak * 0.5 ** (passed / (64 * self.span_ms)))
-            self.span_at, self.span_toks = now, 0.0
+            self.span_at, self.span_tokens = now, 0.0
 
-    def read(self, now: float, toks: float, took_ms: float) -> None:
+    def read(self, now: float, tokens: float, took_ms: float) -> None:
         """A reader has read an ordinary prompt, of which so many tokens were not kept."""
         self.clock(now)
-        self.span_toks += toks
-        if toks > 0 and took_ms > 0:
-            speed = toks / took_ms
+        self.span_tokens += tokens
+        if tokens > 0 and took_ms > 0:
+            speed = tokens / took_ms
             self.speed = speed if not self.speed else self.speed + (speed - self.speed) / 32
 
-    def wait(self, item: T, toks: float, revenue: float, streamed: float, until: float) -> None:
+    def wait(self, item: T, tokens: float, revenue: float, streamed: float, until: float) -> None:
         """Queues what broke. After `until` its client can't be helped any more."""
         self.turn += 1
-        heappush(self.queue, (-revenue, -streamed, self.turn, until, toks, item))
+        heappush(self.queue, (-revenue, -streamed, self.turn, until, tokens, item))
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
         """Which may go on now, and which have waited too long."""
@@ -68,9 +68,9 @@
             self.queue = [e for e in self.queue if e[3] > now]
             self.queue.sort()
         while self.queue and (self.level > 0 or not self.out):
-            *_, toks, item = heappop(self.queue)
+            *_, tokens, item = heappop(self.queue)
             if self.level > 0:  # one that goes because it is alone is not charged, or a debt would only grow
-                self.level -= toks
+                self.level -= tokens
             self.out[item] = None
             go.append(item)
         return go, late
--- a/ternlane/recover/rhythm.py
+++ b/ternlane/recover/rhythm.py
@@ -35,7 +35,7 @@
         self.counts = [0.0] * BUCKETS
         self.total = 0.0
         self.paces: dict[Hashable, float] = {}
-        self.toks = 32.0  # pieces a stream, mean
+        self.tokens = 32.0  # pieces a stream, mean
         self.first_ms = 0.0  # arrival to first piece, mean: what a resume is taken to cost until one was seen
         self.resume_ms = 0.0  # what a resume takes, mean; 0: not known
         self.worst = 0.0  # ratio that is passed by a part `alarms / toks` of waits
@@ -65,7 +65,7 @@
 
     def ended(self, pieces: int) -> None:
         """A stream came to its end with so many pieces."""
-        self.toks += (pieces - self.toks) / 64
+        self.tokens += (pieces - self.tokens) / 64
 
     def first(self, took_ms: float) -> None:
         """A stream's first piece, since its arrival."""
@@ -85,9 +85,9 @@
         if pace is None or self.total < LEAST or not cost:
             return None
         if self.stale >= LEAST:
-            self.stale, self.worst = 0, self.passed_by(self.alarms / max(self.toks, 1.0))
+            self.stale, self.worst = 0, self.passed_by(self.alarms / max(self.tokens, 1.0))
         elif not self.worst:
-            self.worst = self.passed_by(self.alarms / max(self.toks, 1.0))
+            self.worst = self.passed_by(self.alarms / max(self.tokens, 1.0))
         return max(pace * self.worst, cost)
 
     def passed_by(self, part: float) -> float:
--- a/ternlane/standin/clients.py
+++ b/ternlane/standin/clients.py
@@ -14,7 +14,7 @@
 from ternlane.http1 import Caller, EventReader, Pool, Unconnected
 from ternlane.standin.traffic import Traffic, clock_ms
 
-TOK_BYTES = 4
+TOKEN_BYTES = 4
 LISTENS_ON_MS = 300.0  # after its time is up, so that an answer that comes late is seen to be late
 GONE = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError)
 
@@ -30,9 +30,9 @@
     turns: tuple[float, float] = (1.0, 2.0)
     adds: tuple[float, float] = (100.0, 400.0)  # tokens a turn
     prefixes: int = 8
-    prefix_toks: tuple[float, float] = (500.0, 2000.0)
+    prefix_tokens: tuple[float, float] = (500.0, 2000.0)
     prefix_share: float = 0.8
-    max_toks: int = 400
+    max_tokens: int = 400
     think_ms: float = 300.0
     key_part: float = 0.5  # sessions that name themselves by prompt_cache_key
     plain_part: float = 0.1  # of generations that are not streamed
@@ -57,7 +57,7 @@
     long_times: float = 1.0
     long_request_class: str = ""
     hot_part: float = 0.0
-    hot_toks: float = 3000.0
+    hot_tokens: float = 3000.0
     hot_keys: int = 1
     hot_seed: int = 0
     rush_part: float = 0.0
@@ -89,9 +89,9 @@
     gap_ms: float = 0.0  # the longest pause within its stream
 
 
-def words(rng: random.Random, toks: float) -> str:
+def words(rng: random.Random, tokens: float) -> str:
     """Text of about so many tokens that nobody else sends."""
-    n = max(1, int(toks))
+    n = max(1, int(tokens))
     return "".join(f"{rng.getrandbits(12):03x} " for _ in range(n))
 
 
@@ -120,14 +120,14 @@
         w = self.weather
         if self.rng.random() < w.hot_part:
             key = "hot", self.rng.randrange(w.hot_keys), w.hot_seed
-            toks = w.hot_toks
+            tokens = w.hot_tokens
         else:
             ranks = [1 / (i + 1) for i in range(talk.prefixes)]
             key = talk.request_class, self.rng.choices(range(talk.prefixes), ranks)[0], 0
-            low, high = talk.prefix_toks
-            toks = low + (high - low) * (zlib.crc32(repr(key).encode()) % 1000) / 1000
+            low, high = talk.prefix_tokens
+            tokens = low + (high - low) * (zlib.crc32(repr(key).encode()) % 1000) / 1000
         if key not in self.prefix_texts:
-            self.prefix_texts[key] = words(random.Random(repr(key)), toks)
+            self.prefix_texts[key] = words(random.Random(repr(key)), tokens)
         return self.prefix_texts[key]
 
     def session(self) -> Session:
@@ -174,10 +174,10 @@
         """One generation with the client's own repeats."""
         talk, w = session.talk, self.weather
         low, high = talk.adds
-        toks = low + (high - low) * self.rng.random()
+        tokens = low + (high - low) * self.rng.random()
         if w.long_part and w.long_request_class in ("", talk.request_class) and self.rng.random() < w.long_part:
-            toks *= w.long_times
-        session.messages.append({"role": "user", "content": words(self.rng, toks)})
+            tokens *= w.long_times
+        session.messages.append({"role": "user", "content": words(self.rng, tokens)})
         task, begun, tries = f"{session.ident}.{session.said}", clock_ms(), 0
         self.open += 1
         while True:
@@ -231,7 +231,7 @@
             "model": talk.request_class,
             "messages": session.messages,
             "stream": stream,
-            "max_tokens": talk.max_toks,
+            "max_tokens": talk.max_tokens,
             "user": session.user,
             "temperature": 0,
         }
@@ -252,7 +252,7 @@
         leave = self.rng.random() < self.habits.leave_part
         low, high = self.habits.leave_ms
         stay = low + (high - low) * self.rng.random() if leave else deadline_ms + LISTENS_ON_MS
-        toks = sum(len(m["content"]) for m in session.messages) / TOK_BYTES
+        tokens = sum(len(m["content"]) for m in session.messages) / TOKEN_BYTES
         heard, caller = Heard("none"), None
         scope = trio.CancelScope(deadline=trio.current_time() + stay / 1000)
         try:
@@ -266,7 +266,7 @@
                     effect=talk.effect,
                     limit_ms=round(deadline_ms, 1),
                     port=caller.local[1],
-                    toks=toks,
+                    toks=tokens,
                     stream=stream,
                 )
                 await self.listen(caller, request, headers, msgspec.json.encode(body), heard, scope, leave, deadline_ms)
--- a/ternlane/standin/engine.py
+++ b/ternlane/standin/engine.py
@@ -23,7 +23,7 @@
 from ternlane.standin.traffic import Traffic, clock_ms
 
 KEPT_BLOCK = 256  # bytes of prompt text
-TOK_BYTES = 4
+TOKEN_BYTES = 4
 LINGER_0 = struct.pack("ii", 1, 0)  # closing resets the connection
 LEASE_MS = 30e3  # a state that nobody fetches is dropped after this
 
@@ -34,17 +34,17 @@
 
     slots: int = 8
     queue: int = 40
-    mem_toks: float = 200e3
-    read_tok_s: float = 20e3
-    tok_ms: float = 10.0  # from one token to the next with one stream
-    tok_grow: float = 1.0  # part by which that grows from one stream to all slots
-    near_tok_s: float = 300e3  # state to a writer of its own cell
-    far_tok_s: float = 100e3
+    kv_capacity_tokens: float = 200e3
+    prefill_tokens_per_s: float = 20e3
+    token_ms: float = 10.0  # from one token to the next with one stream
+    token_growth: float = 1.0  # part by which that grows from one stream to all slots
+    near_tokens_per_s: float = 300e3  # state to a writer of its own cell
+    far_tokens_per_s: float = 100e3
     cold_ms: float = 10e3
     cold_from: float = 0.3
     fall_multiple: float = 3.0
     fall_ms: float = 2000.0
-    answer_toks: tuple[int, int] = (8, 40)
+    answer_tokens: tuple[int, int] = (8, 40)
     dedup_ms: float = 5000.0
 
 
@@ -254,7 +254,7 @@
             self.die()
 
     def figures(self) -> Load:
-        return Load(self.busy, len(self.queue), min(1.0, self.used / self.build.mem_toks))
+        return Load(self.busy, len(self.queue), min(1.0, self.used / self.build.kv_capacity_tokens))
 
     def load(self) -> tuple[str, str]:
         return "endpoint-load-metrics", self.figures().header()
@@ -296,18 +296,18 @@
             await exchange.answer(200 if self.drop_state(request, "released") else 404, [self.load()], b"{}")
         elif exchange.path == "/ternlane/v1/hold":
             asked = msgspec.json.decode(exchange.body)
-            request, toks = str(asked["request_id"]), float(asked["tokens"])
+            request, tokens = str(asked["request_id"]), float(asked["tokens"])
             fits = (
                 self.role != "read"
                 and not self.queue
                 and self.busy < self.build.slots
-                and self.used + toks <= self.build.mem_toks
+                and self.used + tokens <= self.build.kv_capacity_tokens
                 and request not in self.states
             )
             if fits:
-                self.states[request] = toks, clock_ms()
-                self.used += toks
-                self.traffic.line("state", id=self.ident, gen=request, toks=toks)
+                self.states[request] = tokens, clock_ms()
+                self.used += tokens
+                self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
             await exchange.answer(200 if fits else 409, [self.load()], b"{}")
         elif exchange.path == "/metrics":
             self.traffic.line("asked", id=self.ident)
@@ -326,12 +326,12 @@
 
     async def give_state(self, exchange: Exchange) -> None:
         request = exchange.query.removeprefix("gen=")
-        toks = self.states[request][0] if request in self.states else None
-        if toks is None:
+        tokens = self.states[request][0] if request in self.states else None
+        if tokens is None:
             await exchange.answer(404, [], b"{}")
             return
         self.drop_state(request, "taken")
-        await exchange.answer(200, [], msgspec.json.encode({"toks": toks}))
+        await exchange.answer(200, [], msgspec.json.encode({"toks": tokens}))
 
     async def attempt(self, exchange: Exchange) -> None:
         ident = exchange.header(b"x-request-id") or "?"
@@ -406,14 +406,14 @@
         await trio.sleep_forever()
         raise AssertionError
 
-    def usage(self, toks: float, kept: float, out: int) -> dict[str, Any] | None:
+    def usage(self, tokens: float, kept: float, out: int) -> dict[str, Any] | None:
         if self.trouble.metering == "none":
             return None
         times = -(10**6) if self.trouble.metering == "absurd" else 1
         return {
-            "prompt_tokens": int(toks) * times,
+            "prompt_tokens": int(tokens) * times,
             "completion_tokens": out * times,
-            "total_tokens": (int(toks) + out) * times,
+            "total_tokens": (int(tokens) + out) * times,
             "prompt_tokens_details": {"cached_tokens": int(kept)},
         }
 
@@ -426,37 +426,37 @@
             kept += all_kept
             self.kept[key] = None
             self.kept.move_to_end(key)
-        limit = int(self.build.mem_toks / 2 * TOK_BYTES / KEPT_BLOCK)
+        limit = int(self.build.kv_capacity_tokens / 2 * TOKEN_BYTES / KEPT_BLOCK)
         while len(self.kept) > limit:
             self.kept.popitem(last=False)
-        found = kept * KEPT_BLOCK / TOK_BYTES
-        return len(text) / TOK_BYTES - found, found
+        found = kept * KEPT_BLOCK / TOKEN_BYTES
+        return len(text) / TOKEN_BYTES - found, found
 
     async def read(self, exchange: Exchange, request: str, body: dict[str, Any], text: bytes) -> str:
-        toks = len(text) / TOK_BYTES
+        tokens = len(text) / TOKEN_BYTES
         if self.role == "write":
             raise Refused(400, "not-a-reader")
         if self.refusing:
             raise Refused(503, "draining")
-        if self.used + toks > self.build.mem_toks:
+        if self.used + tokens > self.build.kv_capacity_tokens:
             raise Refused(429, "memory-full")
         if self.trouble.script not in ("", "deaf", "other"):
             return await self.play(exchange)
         unread, kept = self.unkept(text)
-        work = 2.0 + unread / self.build.read_tok_s * 1000
+        work = 2.0 + unread / self.build.prefill_tokens_per_s * 1000
         self.weigh(work)
         await self.enter()
-        self.used += toks
+        self.used += tokens
         try:
             await self.work(work)
         except BaseException:
-            self.used -= toks
+            self.used -= tokens
             raise
         finally:
             self.leave()
-        self.traffic.line("made", id=self.ident, gen=request, prompt=int(toks), kept=int(kept), answer=0)
-        self.states[request] = toks, clock_ms()
-        self.traffic.line("state", id=self.ident, gen=request, toks=toks)
+        self.traffic.line("made", id=self.ident, gen=request, prompt=int(tokens), kept=int(kept), answer=0)
+        self.states[request] = tokens, clock_ms()
+        self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
         if self.rng.random() < self.trouble.lost:
             return await self.silence(exchange)
         answer = {
@@ -473,7 +473,7 @@
                 "remote_request_id": request,
                 "standin_cell": self.cell,
             },
-            "usage": self.usage(toks, kept, 1),
+            "usage": self.usage(tokens, kept, 1),
         }
         await exchange.answer(200, [self.load()], msgspec.json.encode(answer))
         return "read"
@@ -505,7 +505,7 @@
         if head.status_code != 200:
             raise Refused(409, "no-state")
         near = params.get("standin_cell") == self.cell
-        rate = self.build.near_tok_s if near else self.build.far_tok_s / self.trouble.links
+        rate = self.build.near_tokens_per_s if near else self.build.far_tokens_per_s / self.trouble.links
         await self.work(said["toks"] / rate * 1000)
 
     def break_of(self, out: int) -> tuple[int | None, str]:
@@ -526,7 +526,7 @@
             text = text[: len(text) - len(begun.encode())]
         if self.trouble.script == "other":
             text = text + b"!"
-        low, high = self.build.answer_toks
+        low, high = self.build.answer_tokens
         many = low + zlib.crc32(text) % (high - low + 1)
         words = [f"{zlib.crc32(text + bytes([i % 256])) % 9973} " for i in range(many)]
         rest = begun
@@ -545,24 +545,24 @@
             raise Refused(503, "draining")
         if self.trouble.script in ("full", "nostate"):
             return await self.play(exchange)
-        toks, most = len(text) / TOK_BYTES, int(body.get("max_tokens") or 1024)
-        if self.used + toks > self.build.mem_toks:
+        tokens, most = len(text) / TOKEN_BYTES, int(body.get("max_tokens") or 1024)
+        if self.used + tokens > self.build.kv_capacity_tokens:
             raise Refused(429, "memory-full")
         self.drop_state(request, "taken")  # the place that was held for it, if one was
         after, words = self.answer(body, text)
         words = words[:most]
         out, said = len(words), 0
         break_at, break_by = self.break_of(out)
-        self.weigh(out * self.build.tok_ms + toks / self.build.near_tok_s * 1000)
+        self.weigh(out * self.build.token_ms + tokens / self.build.near_tokens_per_s * 1000)
         await self.enter()
-        held = toks + out
+        held = tokens + out
         self.used += held
         written, read, kept = 0, 0, 0.0
         try:
-            unread, kept = self.unkept(text) if stage == "whole" else (0.0, toks)
+            unread, kept = self.unkept(text) if stage == "whole" else (0.0, tokens)
             if stage == "whole":
-                await self.work(2.0 + unread / self.build.read_tok_s * 1000)
-                read = int(toks)
+                await self.work(2.0 + unread / self.build.prefill_tokens_per_s * 1000)
+                read = int(tokens)
             else:
                 await self.fetch(request, body["kv_transfer_params"])
             key = exchange.header(b"idempotency-key") or request
@@ -578,7 +578,7 @@
                 return await self.play(exchange)
             lost = self.rng.random() < self.trouble.lost
             for i, word in enumerate(words):
-                await self.work(self.build.tok_ms * (1 + self.build.tok_grow * self.busy / self.build.slots))
+                await self.work(self.build.token_ms * (1 + self.build.token_growth * self.busy / self.build.slots))
                 if i == break_at:
                     return await self.break_off(exchange, break_by)
                 written += 1
@@ -602,7 +602,7 @@
                 return await self.silence(exchange)
             if words and break_at == out:
                 return await self.break_off(exchange, break_by)  # after the last token, before the end
-            usage = self.usage(toks, kept, out)
+            usage = self.usage(tokens, kept, out)
             last = event_bytes(
                 msgspec.json.encode(
                     {
--- a/ternlane/standin/registry.py
+++ b/ternlane/standin/registry.py
@@ -21,7 +21,7 @@
     role: str
     zone: str
     cell: int
-    mem_toks: float
+    kv_capacity_tokens: float
     started: float = 0.0  # seconds since 1970
     state: str = "up"  # up, draining, gone
 
@@ -33,7 +33,7 @@
             "duty": self.role,
             "zone": self.zone,
             "cell": str(self.cell),
-            "mem_toks": str(self.mem_toks),
+            "mem_toks": str(self.kv_capacity_tokens),
             "started": str(self.started),
         }
         return {
--- a/ternlane/tenants/cashier.py
+++ b/ternlane/tenants/cashier.py
@@ -62,7 +62,7 @@
     done: bool = False
 
     @property
-    def toks(self) -> int:
+    def tokens(self) -> int:
         return self.prompt + self.answer
 
 
@@ -77,17 +77,17 @@
     seen_wall: float = 0.0
     past: dict[tuple[str, str, str], int] = field(default_factory=dict)  # tenant, product or "", period -> tokens
 
-    def remember(self, tenant: str, request_class: str, period: str, toks: int) -> None:
+    def remember(self, tenant: str, request_class: str, period: str, tokens: int) -> None:
         """What this gateway had settled before it was restarted, out of its ledger; also while it serves already, as
         the process before may end later."""
         for name in ("", request_class):
             meter = self.meters.get((tenant, name))
             if meter is not None and meter.period is not None and meter.period.name == period:
-                meter.spent += toks
+                meter.spent += tokens
                 meter.allowed = max(meter.allowed, meter.spent)
             else:
                 key = tenant, name, period
-                self.past[key] = self.past.get(key, 0) + toks
+                self.past[key] = self.past.get(key, 0) + tokens
 
     @property
     def base(self) -> float:
@@ -146,9 +146,9 @@
             self.borrower(tenant).saw(prompt + answer, True)
         return Hold(tenant, request_class, prompt, answer, most, meters, [m.period for m in meters], wall)
 
-    def refuse(self, tenant: TenantLine, toks: int, short: Short) -> RejectReason:
+    def refuse(self, tenant: TenantLine, tokens: int, short: Short) -> RejectReason:
         if self.lends and short.kind == "minute":
-            self.borrower(tenant).saw(toks, False)
+            self.borrower(tenant).saw(tokens, False)
         return RejectReason(
             "insufficient_quota" if short.kind == "period" else "rate_limit_exceeded", short.kind, short.wait_ms
         )
@@ -197,7 +197,7 @@
         bill, odd = self.plausible(hold, billed.bill, pieces)
         used = bill.prompt + bill.answer
         for meter, begun in zip(hold.meters, hold.begun, strict=True):
-            meter.settle(hold.toks, used, begun, now, self.clock(wall))
+            meter.settle(hold.tokens, used, begun, now, self.clock(wall))
         if outcome == "streamed":
             self.lengths.learn(hold.tenant.name, hold.request_class, bill.answer)
         price = hold.tenant.price(hold.request_class)
--- a/ternlane/tenants/lengths.py
+++ b/ternlane/tenants/lengths.py
@@ -24,8 +24,8 @@
         self.counts = bytearray(BUCKETS)
         self.total = 0
 
-    def add(self, toks: int) -> None:
-        i = min(BUCKETS - 1, max(0, ceil(log(max(toks, 1)) / STEP)))
+    def add(self, tokens: int) -> None:
+        i = min(BUCKETS - 1, max(0, ceil(log(max(tokens, 1)) / STEP)))
         if self.counts[i] == 255:
             self.counts = bytearray(c >> 1 for c in self.counts)
             self.total = sum(self.counts)
@@ -59,7 +59,7 @@
             return min(most, ceil(everyone.quantile(self.q)))
         return most
 
-    def learn(self, tenant: str, request_class: str, toks: int) -> None:
+    def learn(self, tenant: str, request_class: str, tokens: int) -> None:
         key = tenant, request_class
         sketch = self.own.get(key)
         if sketch is None:
@@ -68,5 +68,5 @@
                 self.own.popitem(last=False)
         else:
             self.own.move_to_end(key)
-        sketch.add(toks)
-        self.all.setdefault(request_class, Sketch()).add(toks)
+        sketch.add(tokens)
+        self.all.setdefault(request_class, Sketch()).add(tokens)
--- a/ternlane/tenants/meter.py
+++ b/ternlane/tenants/meter.py
@@ -90,7 +90,7 @@
             self.period, self.spent = period_at(wall, self.zone, self.kind), 0
             self.allowed = self.budget.period * self.part
 
-    def reserve(self, toks: int, now: float, wall: float) -> Short | None:
+    def reserve(self, tokens: int, now: float, wall: float) -> Short | None:
         """Takes `toks` out, or says why not."""
         self.flow(now, wall)
         if self.open >= self.slots:
@@ -98,13 +98,13 @@
         if self.budget.minute is not None:
             if self.level < 0 and -self.level > self.budget.overdraft * self.part:
                 return Short("overdraft", -self.level / self.rate if self.rate else inf)
-            need = min(float(toks), self.most)  # more than the burst: once the bucket is full
+            need = min(float(tokens), self.most)  # more than the burst: once the bucket is full
             if self.level < need:
                 return Short("minute", (need - self.level) / self.rate if self.rate else inf)
-        if self.budget.period is not None and self.period is not None and self.spent + toks > self.allowed:
+        if self.budget.period is not None and self.period is not None and self.spent + tokens > self.allowed:
             return Short("period", max(0.0, self.period.end - wall) * 1000)
-        self.level -= toks
-        self.spent += toks if self.budget.period is not None else 0
+        self.level -= tokens
+        self.spent += tokens if self.budget.period is not None else 0
         self.open += 1
         return None
 
@@ -122,9 +122,9 @@
         spare = self.level - max(target, 0.0)
         return min(spare, self.extra, max(0.0, self.level)) if spare > 0 else spare
 
-    def draw(self, toks: float, target: float) -> None:
+    def draw(self, tokens: float, target: float) -> None:
         """Puts drawn tokens in, or takes given-back ones out; `target` is the room for them from now on."""
-        self.level += toks
+        self.level += tokens
         self.extra = max(0.0, target, self.level - self.budget.most_saved * self.part)
 
     @property
--- a/ternlane/tenants/parts.py
+++ b/ternlane/tenants/parts.py
@@ -37,7 +37,7 @@
 
 class Drawn(msgspec.Struct, array_like=True):
     period: str
-    toks: float
+    tokens: float
 
 
 class Table(msgspec.Struct):
@@ -85,8 +85,8 @@
         if drawn is None or drawn.period < period:  # a clock set back does not open an old period anew
             drawn = self.table.drawn[tenant] = Drawn(period, 0.0)
         pool = budget * (1 - FLOOR)
-        chunk = max(0.0, min(pool / self.gateways / CHUNKS, pool - drawn.toks)) if drawn.period == period else 0.0
-        drawn.toks += chunk
+        chunk = max(0.0, min(pool / self.gateways / CHUNKS, pool - drawn.tokens)) if drawn.period == period else 0.0
+        drawn.tokens += chunk
         return chunk
 
 
@@ -99,9 +99,9 @@
     expected: float = 0.0  # tokens a look
     size: float = 0.0  # of one generation
 
-    def saw(self, toks: int, let_in: bool) -> None:
-        self.size += (toks - self.size) * (GAIN if self.size else 1.0)
-        self.used, self.refused = self.used + toks * let_in, self.refused + toks * (not let_in)
+    def saw(self, tokens: int, let_in: bool) -> None:
+        self.size += (tokens - self.size) * (GAIN if self.size else 1.0)
+        self.used, self.refused = self.used + tokens * let_in, self.refused + tokens * (not let_in)
 
     def target(self, plenty: float) -> float:
         """Tokens to hold until the next look; called once a look. Up at once, down slowly. While any traffic is
--- a/ternlane/tenants/roll.py
+++ b/ternlane/tenants/roll.py
@@ -11,18 +11,18 @@
 from ternlane.paper.gateway import Count, Name, NotNegative, Sheet
 from ternlane.tenants.keys import NOBODY, fits, split_key
 
-Toks = Annotated[int, Meta(ge=0, le=10**15)]
+Tokens = Annotated[int, Meta(ge=0, le=10**15)]
 Micros = Annotated[int, Meta(ge=0, le=10**9)]
 
 
 class Budget(Sheet, frozen=True, kw_only=True):
     """What may be spent; None: no limit of that kind. Tokens are prompt and answer tokens together."""
 
-    minute: Toks | None = None  # refilled continuously
-    burst: Toks | None = None  # the most that may be saved up (a minute's worth if not stated)
-    period: Toks | None = None  # tokens a billing period
+    minute: Tokens | None = None  # refilled continuously
+    burst: Tokens | None = None  # the most that may be saved up (a minute's worth if not stated)
+    period: Tokens | None = None  # tokens a billing period
     at_once: Count | None = None  # generations
-    overdraft: Toks = 0  # how far overruns may go before new generations are refused
+    overdraft: Tokens = 0  # how far overruns may go before new generations are refused
     cut: bool = False  # end a stream whose overrun passes the overdraft
 
     @property
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -16,7 +16,7 @@
     ClientLeft,
     Effect,
     Event,
-    FirstTok,
+    FirstToken,
     Follow,
     Request,
     Group,
@@ -123,7 +123,7 @@
     def event(self, part: list[str]) -> Event | None:
         what = part[0]
         if what == "WORK_ITEM":
-            _, _, corr, prefix_toks, _, prefix, lane, prompt, patience, _, session, longest, *rest = part
+            _, _, corr, prefix_tokens, _, prefix, lane, prompt, patience, _, session, longest, *rest = part
             request_class = self.request_classes.get(lane)
             if request_class is None:  # never listed: nothing is promised of it, so nothing may be repeated
                 request_class = self.request_classes[lane] = RequestClass(
@@ -133,7 +133,7 @@
                 request_class,
                 name(session),
                 name(prefix),
-                number(prefix_toks),
+                number(prefix_tokens),
                 number(prompt),
                 number(longest),
                 number(patience),
@@ -165,7 +165,7 @@
         if server is None:
             return None
         if what == "FLOWING":
-            return FirstTok(request, server, number(part[5]))
+            return FirstToken(request, server, number(part[5]))
         if what == "NOTE":
             return ReservationResult(request, part[5] == "1")
         if what == "REPORT_BACK":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,7 +49,10 @@
         return self.tell(port.Listed(tuple(self.servers.values())))
 
     def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Request:
-        facts = dict(prefix="o", prefix_toks=2000.0, prompt_toks=2400.0, max_toks=400.0, client_timeout_ms=5000.0) | own
+        facts = (
+            dict(prefix="o", prefix_tokens=2000.0, prompt_tokens=2400.0, max_tokens=400.0, client_timeout_ms=5000.0)
+            | own
+        )
         return port.Request(self.request_classes[effect], session, **facts)
 
     def arrive(self, request: port.Request, after: float = 0.0) -> list[Any]:
@@ -67,7 +70,7 @@
         return self.tell(port.AttemptEnded(request, server, outcome, after, over, **note), after=after)
 
     def first(self, request: port.Request, server: Server, after: float = 100.0) -> list[Any]:
-        return self.tell(port.FirstTok(request, server, after), after=after)
+        return self.tell(port.FirstToken(request, server, after), after=after)
 
     def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Request, port.StartAttempt]:
         """A generation whose state has just been sent on to a writer, and that leg."""
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -248,7 +248,7 @@
         if self.out.get(request, (None,))[0] is not times:
             return []
         self.out[request][2].begun = True
-        return [port.FirstTok(request, server, took)]
+        return [port.FirstToken(request, server, took)]
 
     def end(self, request: Any, outcome: AttemptOutcome, times: Any = None) -> list[Any]:
         entry = self.out.get(request)
@@ -262,7 +262,7 @@
         broken = entry[2].begun and not over
         if over:
             self.open.pop(request, None)
-        kept = request.prompt_toks * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
+        kept = request.prompt_tokens * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
         lost = entry[1].role is not Role.PREFILL and outcome is AttemptOutcome.ERROR and self.rng.random() < 0.5
         took = self.rng.uniform(1.0, 900.0)
         ended = port.AttemptEnded(request, entry[1], outcome, took, over, kept, lost, self.report(), broken)
@@ -273,7 +273,7 @@
     def go_on(self, request: Any) -> list[Any]:
         if request not in self.open:
             return []
-        request.prompt_toks += self.rng.uniform(1.0, 100.0)
+        request.prompt_tokens += self.rng.uniform(1.0, 100.0)
         return [port.GoOn(request)]
 
     # -- what happens by itself
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -159,7 +159,7 @@
         job.begun = True
         job.client_request.first_token = self.day.now
         self.tickets[job.request].flowing = True
-        self.tell(port.FirstTok(job.request, job.server, self.day.now - job.since))
+        self.tell(port.FirstToken(job.request, job.server, self.day.now - job.since))
 
     def settle(self, ticket: Any, final: turns.Rejected | turns.Failed) -> None:
         client_request = self.requests.pop(ticket.request, None)
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -58,8 +58,8 @@
     known, shared = intake(), "the rules of the bonus " * 60
     requests = [known.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
     assert requests[0].prefix is None and requests[1].prefix == requests[2].prefix is not None
-    assert 0 < requests[2].prefix_toks <= requests[2].prompt_toks
-    assert abs(requests[2].prefix_toks * 4 - len(shared)) <= BLOCK + 8
+    assert 0 < requests[2].prefix_tokens <= requests[2].prompt_tokens
+    assert abs(requests[2].prefix_tokens * 4 - len(shared)) <= BLOCK + 8
 
 
 def test_token_counts_follow_what_engines_report_and_absurd_ones_do_not_count() -> None:
@@ -69,7 +69,7 @@
         known.learn_prompt(it, 500)
     for absurd in (-3, 0, 10**9):
         known.learn_prompt(it, absurd)
-    assert known.take(ask("w" * 1000), 1000).request.prompt_toks == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
+    assert known.take(ask("w" * 1000), 1000).request.prompt_tokens == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
 
 
 def test_known_ends_of_conversations_are_bounded() -> None:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -24,9 +24,9 @@
     first, attempt = host.written(session="s")
     for _ in range(3):
         host.end(first, attempt.server, AttemptOutcome.STREAMED, over=True)
-    big = host.request(prompt_toks=150e3, prefix=None, prefix_toks=0.0)
+    big = host.request(prompt_tokens=150e3, prefix=None, prefix_tokens=0.0)
     taken = sent(host.arrive(big)).server
-    again = host.request(session="s", prompt_toks=60e3, prefix=None, prefix_toks=0.0)
+    again = host.request(session="s", prompt_tokens=60e3, prefix=None, prefix_tokens=0.0)
     assert sent(host.arrive(again)).server is not taken
 
 
@@ -56,9 +56,9 @@
 
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
     host = build(max_attempts=2)  # none is called off
-    prefill_server = sent(host.arrive(host.request(session="a", prompt_toks=3e3))).server
+    prefill_server = sent(host.arrive(host.request(session="a", prompt_tokens=3e3))).server
     full = host.router.desk.board[prefill_server.seat].queue_ms
-    later = host.request(session="a", prompt_toks=100.0)
+    later = host.request(session="a", prompt_tokens=100.0)
     assert full > 0 and sent(host.arrive(later, after=10.0)).server is prefill_server
     host.end(later, prefill_server, AttemptOutcome.PREFILLED, after=10.0)
     assert host.router.desk.board[prefill_server.seat].queue_ms == 0 and len(prefill_server.seat.attempts) == 1
@@ -238,7 +238,7 @@
 
 
 def test_bursts_wait_and_are_thrown_off_before_the_slo_time_is_lost(host: FakeHost) -> None:
-    big = [host.request(prompt_toks=90e3, prefix=None, prefix_toks=0.0, max_toks=0.0) for _ in range(4)]
+    big = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
     assert port.Reject not in kinds(said)
     waiting = [g for g in big if g.seat.attempt is None]
@@ -247,7 +247,7 @@
 
 
 def test_a_generation_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
-    crowd = [host.request(prompt_toks=90e3, prefix=None, prefix_toks=0.0) for _ in range(6)]
+    crowd = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0) for _ in range(6)]
     for request in crowd:
         host.arrive(request)
     assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [port.Reject]
@@ -378,10 +378,10 @@
 
 
 def test_a_batch_of_many_ends_costs_what_waits_few_tries(host: FakeHost) -> None:
-    small = [host.request(prompt_toks=50.0, prefix=None, prefix_toks=0.0) for _ in range(8)]
+    small = [host.request(prompt_tokens=50.0, prefix=None, prefix_tokens=0.0) for _ in range(8)]
     out = [(request, sent(host.arrive(request)).server) for request in small]
     for i in range(40):  # none of them fits anywhere
-        host.arrive(host.request(prompt_toks=250e3 + i, prefix=None, prefix_toks=0.0, client_timeout_ms=60e3))
+        host.arrive(host.request(prompt_tokens=250e3 + i, prefix=None, prefix_tokens=0.0, client_timeout_ms=60e3))
     desk, tries = host.router.desk, 0
     best = desk.best  # type: ignore[attr-defined]
 
@@ -396,10 +396,10 @@
 
 
 def test_a_short_prompt_passes_a_long_one_that_finds_no_room(host: FakeHost) -> None:
-    long = host.request(prompt_toks=250e3, prefix=None, prefix_toks=0.0, max_toks=0.0, client_timeout_ms=60e3)
+    long = host.request(prompt_tokens=250e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0, client_timeout_ms=60e3)
     host.arrive(long)
     assert long.seat.attempt is None
-    assert kinds(host.arrive(host.request(prompt_toks=200.0, prefix=None, prefix_toks=0.0))) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request(prompt_tokens=200.0, prefix=None, prefix_tokens=0.0))) == [port.StartAttempt]
 
 
 def test_where_connections_fail_the_connected_servers_are_nearer() -> None:
@@ -442,7 +442,7 @@
     cold.started_ms = host.now
     host.list()
     for _ in range(12):
-        request = host.request(prefix=None, prefix_toks=0.0)
+        request = host.request(prefix=None, prefix_tokens=0.0)
         said = host.arrive(request, after=400.0)
         assert kinds(said) == [port.StartAttempt]
         if sent(said).server is not cold:  # the cold one keeps what it was given
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -40,7 +40,7 @@
     "scene, effects", [("served", 2), ("aborted", 1), ("throttled", 1), ("lost", 1), ("keyed", 1), ("unreached", 0)]
 )
 async def test_the_javascript_client(scene: str, effects: int) -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=10.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=10.0)) as w:
         if scene == "throttled":
             w.gateway.found([])
 
@@ -76,7 +76,7 @@
 
 
 async def test_the_python_client_streams_comes_back_and_leaves() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=10.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=10.0)) as w:
 
         def talk() -> None:
             with Client(f"http://{w.gateway.address}") as client:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -91,7 +91,7 @@
                         port.AttemptEnded(request, server, AttemptOutcome.PREFILLED, READ_MS, False, 300.0),
                     )
                 else:
-                    self.at(self.now + FIRST_MS, nth, port.FirstTok(request, server, FIRST_MS))
+                    self.at(self.now + FIRST_MS, nth, port.FirstToken(request, server, FIRST_MS))
                     self.at(
                         self.now + STREAM_MS,
                         nth,
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -265,10 +265,10 @@
         kinds = TOLD["specifics"] | {"tokens_by_kind": [1000, 3000]}
         reload(p, tmp_path, monkeypatch, TOLD | {"specifics": kinds, "tenants": [{"name": "a"}]})
         servers, first = p.gateway.node.roster.servers, p.gateway.node.deployment.tenants["a"]
-        assert servers["r0"].mem_toks == 1000 and servers["w0"].mem_toks == 3000
+        assert servers["r0"].kv_capacity_tokens == 1000 and servers["w0"].kv_capacity_tokens == 3000
         reload(p, tmp_path, monkeypatch, TOLD | {"tenants": [{"name": "a"}, {"name": "b"}]})
         assert p.gateway.node.deployment.tenants["a"] is first  # still the same customer
-        assert servers["r0"].mem_toks == 200000 and len(p.gateway.node.deployment.tenants) == 2
+        assert servers["r0"].kv_capacity_tokens == 200000 and len(p.gateway.node.deployment.tenants) == 2
 
 
 async def test_nothing_that_was_learnt_under_other_terms_shows_under_new_ones(
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -140,7 +140,7 @@
 
 
 async def test_the_published_openai_client_is_served() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=10.0, answer_toks=(12, 12))) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=10.0, answer_tokens=(12, 12))) as w:
         base = f"http://{w.gateway.address}/v1"
         messages: Any = [{"role": "user", "content": "tell me"}]
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -126,9 +126,9 @@
 @given(LOADS, st.integers(4, 30), st.integers(1, 6), st.integers(8, 64), st.data())
 @settings(max_examples=150, deadline=None)
 def test_every_sequence_comes_to_its_end_or_was_refused_and_none_passes_memory(
-    loads: list[tuple[int, int, int]], blocks: int, slots: int, step_toks: int, data: st.DataObject
+    loads: list[tuple[int, int, int]], blocks: int, slots: int, step_tokens: int, data: st.DataObject
 ) -> None:
-    it = Batch(Build(blocks=blocks, block_toks=16, slots=slots, step_toks=step_toks))
+    it = Batch(Build(blocks=blocks, block_tokens=16, slots=slots, step_tokens=step_tokens))
     texts = [bytes([i]) * 400 for i in range(4)]
     taken: list[Course] = []
     for prompt, answer, text in loads:
@@ -144,7 +144,7 @@
         step = it.step()
         if step is None:
             break
-        assert len(it.running) <= slots and step.read_toks + len(step.wrote) <= step_toks + slots and step.ms > 0
+        assert len(it.running) <= slots and step.read_tokens + len(step.wrote) <= step_tokens + slots and step.ms > 0
         for course in step.wrote:
             wrote[course] += 1
         finished += step.finished
@@ -158,7 +158,7 @@
 
 
 def test_a_batch_grows_slower_with_each_that_writes_and_a_long_prompt_is_read_between_them() -> None:
-    it = Batch(Build(blocks=4000, slots=32, step_toks=128))
+    it = Batch(Build(blocks=4000, slots=32, step_tokens=128))
     for _ in range(8):
         it.add(Course(10, 400))
     it.step()
@@ -166,12 +166,12 @@
     it.add(Course(1000, 5))
     steps = [it.step() for _ in range(9)]
     assert alone is not None and len(alone.wrote) == 8
-    assert all(s is not None and len(s.wrote) >= 8 and s.read_toks <= 120 for s in steps)  # nobody waits for it
+    assert all(s is not None and len(s.wrote) >= 8 and s.read_tokens <= 120 for s in steps)  # nobody waits for it
     assert all(s is not None and s.ms > alone.ms for s in steps[:8])
 
 
 def test_what_was_put_back_is_written_on_not_anew() -> None:
-    it = Batch(Build(blocks=6, block_toks=16, slots=4, step_toks=64))
+    it = Batch(Build(blocks=6, block_tokens=16, slots=4, step_tokens=64))
     courses = [Course(20, 50), Course(20, 50)]
     for course in courses:
         assert it.add(course)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from ternlane.paper import read_paper
 
 PACE = Pace(step_ms=5.0, write_ms=0.1, read_ms=0.02, back_ms=0.0)
-BUILD = Build(blocks=400, slots=8, step_toks=256, queue=20, pace=PACE)
+BUILD = Build(blocks=400, slots=8, step_tokens=256, queue=20, pace=PACE)
 
 
 def slowly(sizes: list[tuple[float, float]], rate: float) -> list[float]:
@@ -44,14 +44,16 @@
 def test_transfers_share_a_link_evenly_and_none_is_lost(told: list[tuple[int, int]], rate: int) -> None:
     sizes = sorted((float(a), float(b)) for a, b in told)
     link, ends, jobs = Link(float(rate)), dict[int, float](), list[Transfer]()
-    for i, (at, toks) in enumerate(sizes):
+    for i, (at, tokens) in enumerate(sizes):
         for when, it in link.ended(at):
             ends[it.job] = when  # type: ignore[index]
-        jobs.append(link.begin(at, toks, i))
+        jobs.append(link.begin(at, tokens, i))
     for when, it in link.ended(1e9):
         ends[it.job] = when  # type: ignore[index]
     assert [ends[i] for i in range(len(sizes))] == pytest.approx(slowly(sizes, float(rate)), abs=1e-6)
-    assert link.carried == pytest.approx(sum(toks for _, toks in sizes)) and link.many == 0 and link.next_at() == inf
+    assert (
+        link.carried == pytest.approx(sum(tokens for _, tokens in sizes)) and link.many == 0 and link.next_at() == inf
+    )
 
 
 def test_a_transfer_called_off_gives_its_share_to_the_others_and_a_clock_that_jumps_back_moves_nothing() -> None:
@@ -123,7 +125,7 @@
 @settings(max_examples=80, deadline=None, phases=(Phase.explicit, Phase.generate))
 def test_whatever_is_cancelled_cut_or_lost_memory_comes_back_and_tokens_add_up(data: st.DataObject) -> None:
     fleet = Fleet(port_rate=200.0, link_rate=60.0)
-    small = Build(blocks=40, slots=4, step_toks=64, queue=6, pace=PACE)
+    small = Build(blocks=40, slots=4, step_tokens=64, queue=6, pace=PACE)
     prefill_servers, decode_servers = (
         [cell(fleet, small, at=i) for i in range(2)],
         [cell(fleet, small, at=i) for i in range(2)],
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -100,7 +100,7 @@
 def streaming(host: FakeHost, count: int) -> None:
     """So many streams are open, each begun at once."""
     for _ in range(count):
-        request, attempt = host.written(prefix=None, prefix_toks=0.0)
+        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
         host.first(request, attempt.server, after=20.0)
 
 
@@ -115,7 +115,7 @@
 def test_reads_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
     host = build(gateways=200)
     for _ in range(3):
-        sent(host.arrive(host.request(prefix=None, prefix_toks=0.0), after=50.0))
+        sent(host.arrive(host.request(prefix=None, prefix_tokens=0.0), after=50.0))
     host.tell(after=300.0)
     assert host.router.desk.fleets[port.Role.PREFILL].queue_ms > 1000.0  # the guess: longer than the SLO time
     assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
@@ -127,7 +127,7 @@
     streaming(host, 8)
     served = 0
     while served < 32:
-        request = host.request(prefix=None, prefix_toks=0.0)
+        request = host.request(prefix=None, prefix_tokens=0.0)
         said = host.arrive(request) + host.tell(after=1000.0)
         attempts = [action for action in said if isinstance(action, port.StartAttempt)]
         if not attempts:
@@ -152,7 +152,7 @@
 
 def late_request(host: FakeHost) -> list[Any]:
     """What is done about a request whose read has taken all of its SLO time."""
-    request = host.request(prefix=None, prefix_toks=0.0)
+    request = host.request(prefix=None, prefix_tokens=0.0)
     attempt = sent(host.arrive(request, after=100.0))
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
     for further in [action for action in said if isinstance(action, port.StartAttempt)]:
@@ -166,11 +166,11 @@
     for _ in range(8):
         last = late_request(host)
     assert port.StartAttempt not in kinds(last) and port.Reject in kinds(last)
-    request = host.request(prefix=None, prefix_toks=0.0)
+    request = host.request(prefix=None, prefix_tokens=0.0)
     attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
     host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     for _ in range(32):
-        request = host.request(prefix=None, prefix_toks=0.0)
+        request = host.request(prefix=None, prefix_tokens=0.0)
         host.end(
             request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
         )
@@ -183,7 +183,7 @@
         request_class.late_share = 0.0
     assert port.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
-        request = host.request(prefix=None, prefix_toks=0.0)
+        request = host.request(prefix=None, prefix_tokens=0.0)
         host.end(
             request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
         )
@@ -192,7 +192,7 @@
 
 def test_what_a_server_reports_and_what_is_booked_there_count_without_a_guess() -> None:
     host = build(gateways=200)
-    request, attempt = host.written(prefix=None, prefix_toks=0.0)
+    request, attempt = host.written(prefix=None, prefix_tokens=0.0)
     for name in ("w0", "w1"):
         full = port.Report(open_requests=40.0, mem_share=1.0)
         host.tell(port.Checked(host.servers[name], AttemptOutcome.STREAMED, full))
@@ -203,5 +203,7 @@
 def test_one_gateway_alone_knows_all_of_the_load() -> None:
     host = build(gateways=1)
     for _ in range(2):
-        sent(host.arrive(host.request(prompt_toks=180e3, prefix=None, prefix_toks=0.0)))
-    assert port.StartAttempt not in kinds(host.arrive(host.request(prompt_toks=180e3, prefix=None, prefix_toks=0.0)))
+        sent(host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0)))
+    assert port.StartAttempt not in kinds(
+        host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0))
+    )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,7 +22,7 @@
 from ternlane.standin.scripted import Scripted
 from ternlane.standin.traffic import Traffic
 
-SLOW = replace(BUILD, tok_ms=80.0, answer_toks=(8, 8))
+SLOW = replace(BUILD, token_ms=80.0, answer_tokens=(8, 8))
 
 
 async def test_a_chat_is_read_and_written_and_streamed() -> None:
@@ -89,7 +89,7 @@
 
 
 async def test_a_client_gone_before_the_first_event_leaves_no_state_behind() -> None:
-    async with world(build=replace(BUILD, read_tok_s=2000.0)) as w:
+    async with world(build=replace(BUILD, prefill_tokens_per_s=2000.0)) as w:
         await leave(w, 100, text="x" * 1600)  # 200 ms to read
         await trio.sleep(0.15)
         await w.settled()
@@ -97,7 +97,7 @@
 
 
 async def test_a_client_gone_while_its_generation_waits_costs_nothing() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, mem_toks=3000.0, tok_ms=60.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, kv_capacity_tokens=3000.0, token_ms=60.0)) as w:
         async with trio.open_nursery() as nursery:
             for _ in range(2):
                 nursery.start_soon(w.ask, "summary", "y" * 4000)
@@ -171,7 +171,7 @@
 
 
 async def test_a_shorter_time_limit_of_the_client_holds() -> None:
-    async with world(build=replace(BUILD, read_tok_s=100.0)) as w:
+    async with world(build=replace(BUILD, prefill_tokens_per_s=100.0)) as w:
         since = trio.current_time()
         reply = await w.ask(text="x" * 400, headers={"X-Ternlane-Time-Limit-Ms": "300"})
         assert reply.status in (429, 504) and trio.current_time() - since < 0.3
@@ -181,7 +181,7 @@
 
 
 async def test_a_writer_that_stalls_after_its_first_event_ends_in_an_error_event() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=30.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=30.0)) as w:
 
         async def hang() -> None:
             while not w.said("effect"):
@@ -200,7 +200,7 @@
 @pytest.mark.parametrize("model, served", [("summary", True), ("note", False), ("form", True)])
 async def test_a_writer_that_dies_before_the_first_event(model: str, served: bool) -> None:
     """An idempotent generation goes elsewhere, a deduplicated one within its cell, a side-effecting one nowhere."""
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=150.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=150.0)) as w:
 
         async def kill() -> None:
             while not w.said("effect"):
@@ -216,7 +216,7 @@
 
 
 async def test_a_deduplicated_generation_does_not_leave_its_cell() -> None:
-    async with world(("r0", "r1", "w0", "w1"), build=replace(BUILD, tok_ms=150.0)) as w:
+    async with world(("r0", "r1", "w0", "w1"), build=replace(BUILD, token_ms=150.0)) as w:
 
         async def kill() -> None:
             while not w.said("effect"):
@@ -229,7 +229,7 @@
 
 
 async def test_a_writer_that_dies_midway_ends_in_an_error_event() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=40.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=40.0)) as w:
 
         async def kill() -> None:
             while not w.said("effect"):
@@ -360,7 +360,7 @@
 
 
 async def test_nothing_goes_to_a_server_that_drains_and_a_state_that_waits_is_handed_elsewhere() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, read_tok_s=4000.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=4000.0)) as w:
         async with trio.open_nursery() as nursery:
 
             async def drain() -> None:
@@ -387,7 +387,7 @@
 
 
 async def test_repeats_under_one_key_run_once() -> None:
-    async with world(build=replace(BUILD, tok_ms=30.0)) as w:
+    async with world(build=replace(BUILD, token_ms=30.0)) as w:
         key = {"Idempotency-Key": "folder-17"}
         async with trio.open_nursery() as nursery:
             got: list[Any] = []
@@ -495,7 +495,7 @@
 
 
 async def test_a_gateway_that_drains_finishes_what_it_holds() -> None:
-    async with world(build=replace(BUILD, tok_ms=40.0)) as w:
+    async with world(build=replace(BUILD, token_ms=40.0)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
@@ -511,7 +511,7 @@
 
 
 async def test_what_outlasts_the_drain_is_terminated() -> None:
-    async with world(build=replace(BUILD, tok_ms=400.0), door=DoorTerms(drain_ms=100)) as w:
+    async with world(build=replace(BUILD, token_ms=400.0), door=DoorTerms(drain_ms=100)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("model", ["note", "form", "summary"])
 async def test_a_repeat_after_the_loss_hears_that_it_may_have_run(model: str, tmp_path: Path) -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=60.0), journal=str(tmp_path / "j")) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         replies: list[Reply] = []
 
         async def first() -> None:
@@ -209,7 +209,7 @@
 
 
 async def test_gateway_and_writer_lost_together_double_nothing(tmp_path: Path) -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=60.0), journal=str(tmp_path / "j")) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
         with trio.fail_after(2):
             while not w.said("effect"):
@@ -296,7 +296,7 @@
 
 
 async def test_a_daemon_killed_outright_doubles_nothing(tmp_path: Path) -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=60.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0)) as w:
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -50,7 +50,7 @@
 
 
 def paper(**changes: object) -> LoadPaper:
-    return LoadPaper(request_classes=[Mix("summary", answer_toks=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
+    return LoadPaper(request_classes=[Mix("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
         )
         tally = await Load(told, f"http://{w.gateway.address}/v1", lines.append).run()
         assert tally.outcomes["streamed"] == len(lines) > 20 and set(tally.outcomes) == {"streamed"}
-        assert tally.toks == 6 * len(lines) and len(w.said("effect")) >= len(lines)
+        assert tally.tokens == 6 * len(lines) and len(w.said("effect")) >= len(lines)
         assert tally.first.many and 0 < tally.first.quantile(0.5) < tally.whole.quantile(0.9)
         await w.settled()
 
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -180,7 +180,7 @@
 
 
 async def test_a_client_that_leaves_during_a_resume_leaves_nothing() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, read_tok_s=50.0), terms=terms()) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=50.0), terms=terms()) as w:
         break_all(w, 2)
         with trio.move_on_after(5):
             async with trio.open_nursery() as nursery:
@@ -215,7 +215,7 @@
 
 async def test_a_gateway_that_drains_lets_resumes_end() -> None:
     whole = await unbroken()
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=20.0), terms=terms()) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=20.0), terms=terms()) as w:
         break_all(w, 4)
 
         async def drain() -> None:
@@ -244,7 +244,7 @@
 async def test_half_the_writers_go_at_once_and_all_streams_come_through() -> None:
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"),
-        build=replace(BUILD, tok_ms=25.0, answer_toks=(20, 20)),
+        build=replace(BUILD, token_ms=25.0, answer_tokens=(20, 20)),
         terms=terms(),
         request_classes=patient(4),
     ) as w:
@@ -273,8 +273,8 @@
 # -- without sockets
 
 
-def join(text: str = "", way: Way = Way.GO_ON, stop: Any = None, max_toks: int = 1000) -> Join:
-    made = Join(way, "", Shelf(10**6, 10**6, 10**6), max_toks, stop)
+def join(text: str = "", way: Way = Way.GO_ON, stop: Any = None, max_tokens: int = 1000) -> Join:
+    made = Join(way, "", Shelf(10**6, 10**6, 10**6), max_tokens, stop)
     for piece in text.split("|") if text else ():
         made.take(piece)
     return made
@@ -287,7 +287,7 @@
     way = data.draw(st.sampled_from([Way.GO_ON, Way.REPLAY]))
     it, seen = join(way=way), ""
     for _ in range(4):
-        said = words[it.toks :] if way is Way.GO_ON else words
+        said = words[it.tokens :] if way is Way.GO_ON else words
         upto = data.draw(st.integers(1, max(1, len(said))))
         for piece in said[:upto]:
             seen += it.take(piece)
@@ -296,7 +296,7 @@
             break
         assert it.broke(None) is not None
     else:
-        for piece in words[it.toks :] if way is Way.GO_ON else words:
+        for piece in words[it.tokens :] if way is Way.GO_ON else words:
             seen += it.take(piece)
     assert seen == "".join(words) and it.ends()
 
@@ -329,9 +329,9 @@
 def test_a_text_is_not_continued_within_a_character_nor_past_its_last_token() -> None:
     it = join("a|\ufffd")
     assert it.broke(None) is None and it.way is Way.END
-    it = join("a|b|c", max_toks=3)
+    it = join("a|b|c", max_tokens=3)
     assert it.broke(None) == 3 and it.left() == 0
-    it = join("a|b|c", max_toks=9)
+    it = join("a|b|c", max_tokens=9)
     assert it.broke(5) == 5 and it.left() == 4  # two pieces were two tokens each, by the engine's word
 
 
@@ -386,13 +386,13 @@
     pace.prefill_servers = 7
     now, charged, alone, peak, largest = 0.0, 0.0, 0, 0.0, 0
     waiting: dict[int, int] = {}
-    for i, (wait, what, toks, revenue) in enumerate(steps):
+    for i, (wait, what, tokens, revenue) in enumerate(steps):
         now += wait
         if what == "read":
-            pace.read(now, toks, 10.0 + toks / 5)
+            pace.read(now, tokens, 10.0 + tokens / 5)
         elif what == "break":
-            waiting[i], largest = toks, max(largest, toks)
-            pace.wait(i, toks, revenue, 1.0, now + 3000)
+            waiting[i], largest = tokens, max(largest, tokens)
+            pace.wait(i, tokens, revenue, 1.0, now + 3000)
         elif pace.out:
             pace.landed(next(iter(pace.out)))
         out_before, level = len(pace.out), pace.level
@@ -441,7 +441,7 @@
     quiet = {}
     for pauses in (0.0, 0.01):
         rng, it = random.Random(5), Rhythm(1e-3)
-        it.toks = 30
+        it.tokens = 30
         it.resumed(20.0)
         assert it.quiet_ms("w0") is None  # nothing is known yet
         paces = {f"w{i}": 5.0 * (i + 1) for i in range(6)}
@@ -480,7 +480,10 @@
 
 async def test_a_stalled_stream_goes_on_long_before_the_silence_that_was_allowed() -> None:
     async with world(
-        ("r0", "w0", "w0b"), build=replace(BUILD, answer_toks=(30, 30)), terms=terms(), streams=StreamTerms(alarms=1e-3)
+        ("r0", "w0", "w0b"),
+        build=replace(BUILD, answer_tokens=(30, 30)),
+        terms=terms(),
+        streams=StreamTerms(alarms=1e-3),
     ) as w:
         rhythm, rng = w.gateway.host.mender.rhythm, random.Random(1)
         for _ in range(4000):
@@ -602,7 +605,7 @@
 
 
 async def test_an_old_writer_that_comes_back_while_another_goes_on_adds_nothing() -> None:
-    build = replace(BUILD, tok_ms=8.0, answer_toks=(30, 30))
+    build = replace(BUILD, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), build=build, terms=terms()) as w:
         rhythm, rng = w.gateway.host.mender.rhythm, random.Random(2)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     "fall_ms": TERMS.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_toks=(50, 100)) for p in REQUEST_CLASSES]
+TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100)) for p in REQUEST_CLASSES]
 
 
 class Honest(Host):
@@ -161,7 +161,7 @@
 
     def join_for(self, raw: dict[str, Any], request: port.Request) -> Join:
         it = super().join_for(raw, request)
-        wrong = Wrongly(it.way, it.why, it.shelf, it.max_toks)
+        wrong = Wrongly(it.way, it.why, it.shelf, it.max_tokens)
         wrong.how = self.how
         return wrong
 
@@ -223,7 +223,7 @@
 
 
 async def slowly_read(host: type[Host]) -> Findings:
-    async with world(("r0", "r0b", "w0"), build=replace(BUILD, read_tok_s=500.0), host_type=host) as w:
+    async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
         await talk(w, 15, 600)
         return check(w.traffic.lines, RULES)
 
@@ -244,7 +244,14 @@
 async def restarted(host: type[Host]) -> Findings:
     """One writer of two restarts cold, weak, under a load that it could not carry alone."""
     build = replace(
-        BUILD, slots=8, tok_ms=8.0, answer_toks=(12, 12), cold_from=0.05, cold_ms=4000, fall_multiple=1.0, fall_ms=500
+        BUILD,
+        slots=8,
+        token_ms=8.0,
+        answer_tokens=(12, 12),
+        cold_from=0.05,
+        cold_ms=4000,
+        fall_multiple=1.0,
+        fall_ms=500,
     )
     terms = replace_paper(cold_from=0.05, cold_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
     async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
@@ -271,7 +278,14 @@
 async def refilled(host: type[Host]) -> Findings:
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
-        BUILD, cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, slots=4, tok_ms=12.0, answer_toks=(20, 20)
+        BUILD,
+        cold_ms=3000,
+        cold_from=0.15,
+        fall_multiple=1.2,
+        fall_ms=500,
+        slots=4,
+        token_ms=12.0,
+        answer_tokens=(20, 20),
     )
     terms = replace_paper(cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
     async with world(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -164,7 +164,7 @@
             id=i,
             address=f"127.0.0.1:{ports.get(i, 9)}",
             cell=int(i[1]),
-            mem_toks=2e5,
+            kv_capacity_tokens=2e5,
             role="read" if i[0] == "r" else "write",
             state=state.get(ails.get(i, ""), "up"),
         )  # type: ignore
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -99,7 +99,7 @@
 def test_requests_are_served_whatever_the_count_of_gateways(gateways: int) -> None:
     host = build(gateways=gateways)
     for _ in range(6):
-        request, attempt = host.written(prefix=None, prefix_toks=0.0)
+        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
         host.first(request, attempt.server, after=20.0)
     host.tell(after=2000.0)
     assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
@@ -112,7 +112,7 @@
     host.tell(after=500.0)
     used = set[str]()
     for _ in range(count):
-        request = host.request(prefix=None, prefix_toks=0.0)
+        request = host.request(prefix=None, prefix_tokens=0.0)
         read = sent(host.arrive(request)).server
         write = sent(host.end(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
         host.first(request, write, after=5.0)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -95,20 +95,20 @@
     def attempt(self, nth: int, request: Request, server: Server, timeout: float) -> None:
         place, since = self.servers[nth].index(server), self.now
         if server.role is Role.PREFILL:
-            done = max(self.busy_until[place], self.now) + request.prompt_toks / READ_TOKENS_PER_MS
+            done = max(self.busy_until[place], self.now) + request.prompt_tokens / READ_TOKENS_PER_MS
             self.busy_until[place] = done
             outcome = AttemptOutcome.PREFILLED if done <= self.now + timeout else AttemptOutcome.TIMED_OUT
             took = min(done - self.now, timeout)
             self.at(self.now + took, nth, port.AttemptEnded(request, server, outcome, took, False))
             return
-        tokens = request.prompt_toks + request.max_toks
+        tokens = request.prompt_tokens + request.max_tokens
         if self.held[place] + tokens > MEMORY_TOKENS:
             self.at(self.now + 1, nth, port.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 1.0, False))
             return
         self.held[place] += tokens
-        self.at(since + 50, nth, port.FirstTok(request, server, 50.0))
+        self.at(since + 50, nth, port.FirstToken(request, server, 50.0))
         self.at(
-            since + 50 + TOKEN_MS * request.max_toks / 4,
+            since + 50 + TOKEN_MS * request.max_tokens / 4,
             nth,
             (place, tokens, port.AttemptEnded(request, server, AttemptOutcome.STREAMED, 50.0, True)),
         )
@@ -162,7 +162,7 @@
     fleet.run()
     assert len(fleet.requests) > 300
     for name in fleet.request_classes:
-        mine = sorted((r for r in fleet.requests if r.name == name), key=lambda r: -r.request.prompt_toks)
+        mine = sorted((r for r in fleet.requests if r.name == name), key=lambda r: -r.request.prompt_tokens)
         tenth = len(mine) // 10
         assert share(mine) > (0.9 if day == "quiet" else 0.3)
         for large in (mine[:tenth], mine[tenth : 3 * tenth]):
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -24,7 +24,7 @@
 from tests.test_days import gate, wait_for
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 
-SLOW = replace(BUILD, tok_ms=25.0, answer_toks=(16, 16))
+SLOW = replace(BUILD, token_ms=25.0, answer_tokens=(16, 16))
 
 
 def other_shape(paper: GatewayPaper) -> GatewayPaper:
@@ -39,7 +39,7 @@
         release_ms=250.0,
     )
     summary, note, _ = paper.request_classes
-    quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, deadline_ms=8000)
+    quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, token_slo_ms=60, deadline_ms=8000)
     return msgspec.structs.replace(
         paper,
         fleet=fleet,
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -229,21 +229,21 @@
     lender, budget, now, spent = Lender(n), Budget(minute=minute, burst=burst), 0.0, 0
     line = TenantLine(name="t", budget=budget)
     cashiers = [Cashier(n, f"g{i}", lends=True) for i in range(n)]
-    for who, toks, after in steps:
+    for who, tokens, after in steps:
         now += after
         cashier = cashiers[who % n]
-        if toks % 17 == 0:  # it dies, and comes back with its floor empty of what it drew
+        if tokens % 17 == 0:  # it dies, and comes back with its floor empty of what it drew
             old = cashier.meters.get(("t", ""))
             if old is not None:
                 cashier.borrowers.clear()
                 old.draw(-max(0.0, min(old.extra, old.level)), 0.0)
-        elif toks % 5 == 0:
+        elif tokens % 5 == 0:
             want, target = cashier.wants(line, now * 1000, NOON + now)
             got = lender.ask("t", cashier.gateway, want, minute, burst, NOON + now) if want else 0.0
             if got > 0:
                 cashier.meters["t", ""].draw(got, target)
-        elif isinstance(cashier.reserve(line, "s", toks, 0 + 1, now * 1000, NOON + now), Hold):
-            spent += toks + 1
+        elif isinstance(cashier.reserve(line, "s", tokens, 0 + 1, now * 1000, NOON + now), Hold):
+            spent += tokens + 1
         single = max([0, *[t + 1 for _, t, _ in steps]])  # one larger than a bucket goes when that is full
         assert spent <= burst + minute * now / 60 + n * single + 1e-6
         held = sum(m.level for c in cashiers for m in c.meters.values())
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -65,7 +65,7 @@
 
 
 async def test_only_a_live_key_is_let_in_and_a_revoked_one_keeps_its_running_stream(tmp_path: Path) -> None:
-    async with banked(tmp_path, build=replace(BUILD, tok_ms=150.0)) as (w, bank):
+    async with banked(tmp_path, build=replace(BUILD, token_ms=150.0)) as (w, bank):
         assert (await w.ask()).status == 401
         assert (await w.ask(headers={"Authorization": "Bearer tl-ffff-nothing"})).error == {
             "message": "Incorrect API key provided",
@@ -95,7 +95,7 @@
 
 
 async def test_bills_are_what_the_engines_counted_whatever_the_legs(tmp_path: Path) -> None:
-    async with banked(tmp_path, engines=("r0", "r0b", "w0", "w0b"), build=replace(BUILD, tok_ms=12.0)) as (w, bank):
+    async with banked(tmp_path, engines=("r0", "r0b", "w0", "w0b"), build=replace(BUILD, token_ms=12.0)) as (w, bank):
         for i in range(12):
             await bank.ask(w, "noto", text=f"folder {i} " * 30)
 
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("cut", [False, True])
 async def test_a_stream_is_cut_for_its_overrun_only_where_the_tenant_wants_it(tmp_path: Path, cut: bool) -> None:
     budget = {"minute": 60, "burst": 100, "overdraft": 20, "cut": cut}
-    build = replace(BUILD, answer_toks=(200, 200), tok_ms=1.0)
+    build = replace(BUILD, answer_tokens=(200, 200), token_ms=1.0)
     async with banked(tmp_path, names=("noto",), build=build, budget=budget) as (w, bank):
         for _ in range(20):  # it has given short answers so far
             w.gateway.till.cashier.lengths.learn("noto", "summary", 10)
@@ -238,7 +238,7 @@
     async with trio.open_nursery() as nursery:
         async with world(
             ("r0", "w0"),
-            build=replace(BUILD, tok_ms=40.0),
+            build=replace(BUILD, token_ms=40.0),
             tenants=str(tmp_path / "tenants.json5"),
             ledger=str(tmp_path / "ledger"),
         ) as w:
@@ -277,7 +277,7 @@
 
 
 async def test_a_killed_gateway_loses_only_what_was_open_and_it_is_listed(tmp_path: Path) -> None:
-    async with banked(tmp_path, build=replace(BUILD, tok_ms=60.0)) as (w, bank):
+    async with banked(tmp_path, build=replace(BUILD, token_ms=60.0)) as (w, bank):
         assert (await bank.ask(w, "noto")).done == 1
         await w.gateway.till.writer.flush(1.0)
         async with trio.open_nursery() as nursery:
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -80,7 +80,7 @@
         if self.kind == "local":
             return LocalTransport(dict(self.local))  # type: ignore[arg-type]
         for ident in ("r0", "w0"):
-            await self.world.add(ident, replace(BUILD, tok_ms=2.0))
+            await self.world.add(ident, replace(BUILD, token_ms=2.0))
         return SocketTransport(Pool(100, 1000), "t (t)")
 
     def ask(
@@ -175,7 +175,7 @@
         request_classes=REQUEST_CLASSES,
         fleet=TERMS,
         nodes=InlineSource(
-            nodes=[NodeLine(id=i, address="127.0.0.1:9", role=role[i[0]], mem_toks=2e5) for i in idents]
+            nodes=[NodeLine(id=i, address="127.0.0.1:9", role=role[i[0]], kv_capacity_tokens=2e5) for i in idents]
         ),
         **more,
     )  # type: ignore
@@ -285,7 +285,7 @@
             engines.append(engine)
         w.gateway.found(
             [
-                NodeLine(id=e.ident, address=f"{e.host}:{e.port}", role="both", mem_toks=2e5, protocol="chat")
+                NodeLine(id=e.ident, address=f"{e.host}:{e.port}", role="both", kv_capacity_tokens=2e5, protocol="chat")
                 for e in engines
             ]
         )
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -187,8 +187,8 @@
     @invariant()
     def books_agree(self) -> None:
         sums: dict[str, int] = {}
-        for period, toks in self.kept.values():
-            sums[period] = sums.get(period, 0) + toks
+        for period, tokens in self.kept.values():
+            sums[period] = sums.get(period, 0) + tokens
         told = {key[2]: it.bill.prompt + it.bill.answer for key, it in self.store.totals.sums.items()}
         assert told == sums
         meter = self.cashier.meters.get(("noto", ""))
@@ -226,7 +226,7 @@
 
     told: list[port.ReservationResult] = []
     terms = msgspec.structs.replace(TERMS, holds=True)
-    async with world(("r0", "w0"), build=replace(BUILD, read_tok_s=4000.0), chooser=Holds, terms=terms) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=Holds, terms=terms) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
         assert [e.held for e in told] == [True]
         assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used == 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,10 +20,10 @@
 from ternlane.standin.traffic import Traffic
 
 REQUEST_CLASSES = [
-    RequestClassConfig(name="summary", effect="idempotent", slo_ms=400, tok_slo_ms=60, deadline_ms=2000, revenue=3),
-    RequestClassConfig(name="note", effect="side-effecting", slo_ms=400, tok_slo_ms=60, deadline_ms=1500, revenue=2),
+    RequestClassConfig(name="summary", effect="idempotent", slo_ms=400, token_slo_ms=60, deadline_ms=2000, revenue=3),
+    RequestClassConfig(name="note", effect="side-effecting", slo_ms=400, token_slo_ms=60, deadline_ms=1500, revenue=2),
     RequestClassConfig(
-        name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, tok_slo_ms=60, deadline_ms=1500
+        name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, token_slo_ms=60, deadline_ms=1500
     ),
 ]
 
@@ -35,7 +35,15 @@
     ]
 
 
-BUILD = Build(slots=8, read_tok_s=40e3, tok_ms=3.0, tok_grow=0.0, answer_toks=(6, 6), cold_ms=2000, cold_from=0.3)
+BUILD = Build(
+    slots=8,
+    prefill_tokens_per_s=40e3,
+    token_ms=3.0,
+    token_growth=0.0,
+    answer_tokens=(6, 6),
+    cold_ms=2000,
+    cold_from=0.3,
+)
 TERMS = FleetTerms(connect_ms=150, release_ms=300, cold_ms=2000, cold_from=0.3, fall_multiple=3, fall_ms=1000)
 
 
@@ -94,7 +102,7 @@
                 zone=e.zone,
                 cell=e.cell,
                 role=e.role,
-                mem_toks=e.build.mem_toks,
+                kv_capacity_tokens=e.build.kv_capacity_tokens,
                 state=changes.get(e.ident, "up"),
             )
             for e in self.engines.values()
