--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -39,7 +39,7 @@
     )
 }
 router = ternlane.Router(facts)
-router.take(0.0, [port.Listed(tuple(names))])
+router.take(0.0, [port.EndpointsUpdated(tuple(names))])
 request = ternlane.Request(request_class, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
 
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -26,7 +26,7 @@
     "Effect": "port",
     "Group": "port",
     "Role": "port",
-    "Life": "port",
+    "EndpointStatus": "port",
     "AttemptOutcome": "port",
     "Report": "port",
     "open_gateway": "gateway",
@@ -111,7 +111,7 @@
     from ternlane.port import Effect as Effect
     from ternlane.port import Request as Request
     from ternlane.port import Group as Group
-    from ternlane.port import Life as Life
+    from ternlane.port import EndpointStatus as EndpointStatus
     from ternlane.port import RequestClass as RequestClass
     from ternlane.port import Report as Report
     from ternlane.port import Server as Server
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -44,7 +44,7 @@
     Event,
     Request,
     Group,
-    Life,
+    EndpointStatus,
     RequestClass,
     RejectReason,
     ReleaseReason,
@@ -210,7 +210,7 @@
             known = min(known, 1 - queue / self.limits.slo_ms)
         return Standing(
             self,
-            self.server.life is Life.UP,
+            self.server.status is EndpointStatus.READY,
             free,
             known,
             queue,
@@ -277,7 +277,7 @@
                 self.lost(attempt)
             case port.GoOn(request) if not request.seat.over and request.seat.attempt is None:
                 self.onward(request.seat)
-            case port.Listed(servers):
+            case port.EndpointsUpdated(servers):
                 for server in servers:
                     server.seat = server.seat or Engine(self.router, server)
                     self.lots[server.role].pop(server.seat, None)
@@ -355,7 +355,7 @@
         """May the course be sent to this server? Asked again by send(). Guards cold ones against the sum of
         all gateways: each gives a part by lot, as what all saved up could come at once."""
         s, (low, part) = self.board.get(engine), self.lots[engine.server.role].get(engine, (0.0, 0.0))
-        if s is None or engine.server.life is not Life.UP or engine in course.tried:
+        if s is None or engine.server.status is not EndpointStatus.READY or engine in course.tried:
             return False
         drawn = (
             engine in (course.prefill_server, course.decode_server)
@@ -582,7 +582,7 @@
         able = [
             e
             for e in self.board
-            if e.server.life is Life.UP and e not in course.tried and self.effect_allows(course, e)
+            if e.server.status is EndpointStatus.READY and e not in course.tried and self.effect_allows(course, e)
         ]
         return any(e.prefills for e in able) and any(e.decodes for e in able)
 
@@ -619,7 +619,7 @@
         return bool(self.router.ready)
 
     def send(self, course: Course, engine: Seat) -> None:
-        assert not course.over and course.attempt is None and engine.server.life is Life.UP
+        assert not course.over and course.attempt is None and engine.server.status is EndpointStatus.READY
         now, request_class, s = self.router.now, course.request.request_class, self.board[engine]
         decodes, patience = engine is course.decode_server, course.deadline - now
         whole = patience if course.request.whole else inf  # lest a slow writer outlast its client
@@ -851,7 +851,9 @@
             self.onward(course)
         if self.beats % LOOK == 1:
             self.failures.fade(exp(-LOOK * self.limits.beat_ms / HOME_AGE_MS))
-            for engine in [e for e in self.board if e.server.life is Life.GONE and not (e.attempts or e.booked)]:
+            for engine in [
+                e for e in self.board if e.server.status is EndpointStatus.REMOVED and not (e.attempts or e.booked)
+            ]:
                 del self.board[engine]  # fleets change for ever; what is known of them must not grow
                 self.failures.forget(engine)
             if len(self.prefix_popularity) > FEW**2:
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from ternlane import port
-from ternlane.port import Action, Role, Effect, Event, Request, Life, Server, StartFacts, AttemptOutcome
+from ternlane.port import Action, Role, Effect, Event, Request, EndpointStatus, Server, StartFacts, AttemptOutcome
 
 
 class RoundRobin:
@@ -22,7 +22,7 @@
         out: list[Action] = []
         for event in events:
             match event:
-                case port.Listed(servers):
+                case port.EndpointsUpdated(servers):
                     self.servers += [s for s in servers if s not in self.servers]
                 case port.Arrived(request):
                     self.attempts[request], self.until[request] = 0, now + request.client_timeout_ms
@@ -38,7 +38,7 @@
         return out
 
     def send(self, request: Request, now: float, roles: set[Role]) -> list[Action]:
-        able = [s for s in self.servers if s.life is Life.UP and s.role in roles]
+        able = [s for s in self.servers if s.status is EndpointStatus.READY and s.role in roles]
         if not able or self.attempts[request] >= self.facts.max_attempts or now >= self.until[request]:
             final: Action = port.Fail(request) if request in self.ran else port.Reject(request, 0.0)
             return [final, port.Release(request), *self.forget(request)]
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -23,7 +23,7 @@
 from ternlane.paper import GatewayPaper
 from ternlane.paper.gateway import ConsulSource
 from ternlane.rules import check_folder
-from ternlane.standin.registry import Listing, Registry
+from ternlane.standin.registry import EndpointList, Registry
 from ternlane.standin.traffic import Traffic, clock_ms
 from ternlane.tenants import KeyLine, Prices, TenantLine, new_key
 from ternlane.tenants.roll import RollPaper
@@ -98,7 +98,7 @@
         self.idents = {e.number: e.ident for e in engines}
         for e in engines:
             self.registry.put(
-                Listing(
+                EndpointList(
                     e.ident,
                     e.host,
                     self.scene.engine_port + e.number,
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -26,7 +26,7 @@
 from ternlane.http1 import Exchange, Pool, serve_connection
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
 from ternlane.paper import ConsulSource, FileSource, GatewayPaper, NodeLine, checked
-from ternlane.port import Life, ListFailed, StartFacts
+from ternlane.port import EndpointStatus, ListFailed, StartFacts
 
 BACKLOG = 4096
 ALTERED = ("door", "nodes", "products", "fleet", "gateways", "zone")  # taken over by a running gateway
@@ -92,8 +92,10 @@
         self.measures.lists.labels("read").inc()
         news = self.book.whole(lines, time.time(), now_ms())
         self.host.listed(news)
-        for life in Life:
-            self.measures.servers.labels(life.name.lower()).set(sum(s.life is life for s in self.book.servers.values()))
+        for status in EndpointStatus:
+            self.measures.servers.labels(status.name.lower()).set(
+                sum(s.status is status for s in self.book.servers.values())
+            )
         if news.servers:
             self.keeping = lines
             self.keep_now.set()
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -20,7 +20,7 @@
 from ternlane.gateway.ticket import Streamed, Failed, Rejected, Ticket
 from ternlane.nodes import Book
 from ternlane.paper import StreamTerms
-from ternlane.port import Role, Life, Server, StartFacts, AttemptOutcome
+from ternlane.port import Role, EndpointStatus, Server, StartFacts, AttemptOutcome
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
@@ -54,9 +54,9 @@
 
     # -- the loop
 
-    def listed(self, news: port.Listed) -> None:
+    def listed(self, news: port.EndpointsUpdated) -> None:
         for server in news.servers:
-            if server.life is Life.GONE:
+            if server.status is EndpointStatus.REMOVED:
                 self.mender.left(server)
         self.tell(news)
 
@@ -364,7 +364,7 @@
             None if end.usage is None else end.usage.completion_tokens,
             now_ms(),
             ticket.deadline_ms,
-            sum(s.life is Life.UP and s.role is not Role.DECODE for s in self.book.servers.values()),
+            sum(s.status is EndpointStatus.READY and s.role is not Role.DECODE for s in self.book.servers.values()),
         )
         self.measures.breaks.labels(fate.name.lower()).inc()
         if fate is Fate.ENDS:
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -7,10 +7,10 @@
 from zlib import crc32
 
 from ternlane.paper import NodeLine
-from ternlane.port import Role, Life, Listed, Server
+from ternlane.port import Role, EndpointStatus, EndpointsUpdated, Server
 
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
-LIVES = {"up": Life.UP, "draining": Life.DRAINING, "gone": Life.GONE}
+STATUSES = {"up": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.REMOVED}
 
 
 @dataclass(slots=True, eq=False)
@@ -29,7 +29,7 @@
         self.servers: dict[str, Server] = {}
         self.places: dict[Server, Place] = {}
 
-    def whole(self, lines: Iterable[NodeLine], wall: float, now: float) -> Listed:
+    def whole(self, lines: Iterable[NodeLine], wall: float, now: float) -> EndpointsUpdated:
         """A whole list: what it leaves out is gone. Only what changed is told."""
         news, named = [], set()
         for line in lines:
@@ -40,7 +40,7 @@
                 continue
             if server is None or server.role is not ROLES[line.role]:  # another duty makes it another server
                 if server is not None:
-                    server.life = Life.GONE
+                    server.status = EndpointStatus.REMOVED
                     news.append(server)
                 server = self.servers[line.id] = Server(
                     line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, mark=crc32(line.id.encode())
@@ -52,17 +52,17 @@
                 line.size,
             )
             server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
-            server.life = LIVES[line.state]
+            server.status = STATUSES[line.state]
             self.places[server] = Place(line.id, line.address, line)
             news.append(server)
         for ident, server in self.servers.items():
-            if ident not in named and server.life is not Life.GONE:
-                server.life = Life.GONE
+            if ident not in named and server.status is not EndpointStatus.REMOVED:
+                server.status = EndpointStatus.REMOVED
                 self.places[server].line = NodeLine(
                     id=ident, address=self.places[server].address, role="both", kv_capacity_tokens=1, state="gone"
                 )
                 news.append(server)
-        return Listed(tuple(news))
+        return EndpointsUpdated(tuple(news))
 
     def lines(self) -> list[NodeLine]:
-        return [self.places[s].line for s in self.servers.values() if s.life is not Life.GONE]
+        return [self.places[s].line for s in self.servers.values() if s.status is not EndpointStatus.REMOVED]
--- a/ternlane/platform/roster.py
+++ b/ternlane/platform/endpoint_registry.py
@@ -10,10 +10,10 @@
 
 from ternlane.deployment import Deployment
 from ternlane.platform.wall_clock import WallClock
-from ternlane.port import Life, Listed, Server
+from ternlane.port import EndpointStatus, EndpointsUpdated, Server
 
 BEHIND_MS = 6000.0  # what discovery has to tell has been told by then, says the page
-LIVES = {"SERVING": Life.UP, "DRAINING": Life.DRAINING, "DELETED": Life.GONE}
+STATUSES = {"SERVING": EndpointStatus.READY, "DRAINING": EndpointStatus.DRAINING, "DELETED": EndpointStatus.REMOVED}
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -27,13 +27,13 @@
     since_ms: float = 0.0
 
 
-class Listing(msgspec.Struct):
+class EndpointList(msgspec.Struct):
     index: int
     endpoints: list[Entry]
     snapshot: bool = False
 
 
-listing_in = msgspec.json.Decoder(Listing)
+listing_in = msgspec.json.Decoder(EndpointList)
 LIST_BYTES = 4 * 2**20
 TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -70,7 +70,7 @@
         return out
 
 
-def read_listing(raw: bytes | msgspec.Raw) -> Listing:
+def read_listing(raw: bytes | msgspec.Raw) -> EndpointList:
     """Raises ValueError for what is no list: it is used whole or not at all."""
     try:
         listing = listing_in.decode(raw)
@@ -79,7 +79,7 @@
     for entry in listing.endpoints:
         host, _, port = entry.address.rpartition(":")
         if (
-            entry.status not in LIVES
+            entry.status not in STATUSES
             or not entry.name
             or (entry.status != "DELETED" and (not host or not port.isdecimal() or int(port) > 65535))
         ):
@@ -88,7 +88,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Spot:
+class Endpoint:
     """A server's name and address, for the sockets and the log alone."""
 
     name: str
@@ -96,7 +96,7 @@
     entry: Entry
 
 
-class Roster:
+class EndpointRegistry:
     """The servers by name. A name is an identity; an address may change. What is gone is forgotten."""
 
     def __init__(self, deployment: Deployment) -> None:
@@ -104,9 +104,9 @@
         self.index, self.behind_since = 0, inf
         self.clock = WallClock()
         self.servers: dict[str, Server] = {}
-        self.spots: dict[Server, Spot] = {}
+        self.endpoints: dict[Server, Endpoint] = {}
 
-    def take(self, listing: Listing, wall_ms: float, now: float) -> Listed:
+    def take(self, listing: EndpointList, wall_ms: float, now: float) -> EndpointsUpdated:
         """What is new. `wall_ms` and `now` are one moment by the two clocks; a start time is turned from one into the
         other once, as it would seem to move otherwise, and by what is known of the wall clock's steps. A list older
         than what is known, as another agent may give that is behind, undoes nothing. Where that goes on for longer than
@@ -115,41 +115,41 @@
         if listing.index < self.index:
             self.behind_since = min(self.behind_since, now)
             if now < self.behind_since + BEHIND_MS:
-                return Listed(())
+                return EndpointsUpdated(())
             self.index, self.behind_since = 0, inf
             raise ValueError(f"lists have begun to count anew, at {listing.index}")
         self.behind_since = inf
         news: list[Server] = []
         for entry in listing.endpoints:
             server = self.servers.get(entry.name)
-            if server is not None and self.spots[server].entry == entry:
+            if server is not None and self.endpoints[server].entry == entry:
                 continue
-            life = LIVES[entry.status]
+            status = STATUSES[entry.status]
             if server is None:
-                if life is Life.GONE:
+                if status is EndpointStatus.REMOVED:
                     continue
                 server = self.servers[entry.name] = self.deployment.server(
                     entry.name, entry.zone, entry.type, entry.group
                 )
-                self.spots[server] = Spot(entry.name, entry.address, entry)
+                self.endpoints[server] = Endpoint(entry.name, entry.address, entry)
                 server.started_ms = self.started(entry, now)
-            spot = self.spots[server]
-            if spot.entry.since_ms != entry.since_ms:
+            endpoint = self.endpoints[server]
+            if endpoint.entry.since_ms != entry.since_ms:
                 server.started_ms = self.started(entry, now)
-            spot.address, spot.entry = entry.address, entry
-            server.size, server.life = entry.weight, life
+            endpoint.address, endpoint.entry = entry.address, entry
+            server.size, server.status = entry.weight, status
             news.append(server)
         if listing.snapshot:
             named = {entry.name for entry in listing.endpoints}
             for name, server in self.servers.items():
                 if name not in named:
-                    server.life = Life.GONE
+                    server.status = EndpointStatus.REMOVED
                     news.append(server)
         for server in news:
-            if server.life is Life.GONE:
-                del self.servers[self.spots.pop(server).name]
+            if server.status is EndpointStatus.REMOVED:
+                del self.servers[self.endpoints.pop(server).name]
         self.index = listing.index
-        return Listed(tuple(news))
+        return EndpointsUpdated(tuple(news))
 
     def started(self, entry: Entry, now: float) -> float:
         """When it started by the monotonic clock; 0 for long ago."""
@@ -158,5 +158,5 @@
     def alter(self, deployment: Deployment) -> None:
         """Other settings: kinds of servers may have other memory."""
         self.deployment = deployment
-        for server, spot in self.spots.items():
-            server.kv_capacity_tokens = deployment.mem.get(spot.entry.type, 0.0)
+        for server, endpoint in self.endpoints.items():
+            server.kv_capacity_tokens = deployment.mem.get(endpoint.entry.type, 0.0)
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -15,9 +15,9 @@
 from ternlane.platform.held_states import HeldStateMonitor
 from ternlane.platform.open_requests import OpenRequest
 from ternlane.platform.request_history import RequestRecord
-from ternlane.platform.roster import Listing, Roster
+from ternlane.platform.endpoint_registry import EndpointList, EndpointRegistry
 from ternlane.platform.ticket import Final, Streamed, Ticket
-from ternlane.port import Life, Server, AttemptOutcome
+from ternlane.port import EndpointStatus, Server, AttemptOutcome
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
@@ -32,7 +32,7 @@
     ) -> None:
         super().__init__(chooser)
         self.deployment, self.engines, self.nursery, self.log = deployment, engines, nursery, log
-        self.roster = Roster(deployment)
+        self.endpoint_registry = EndpointRegistry(deployment)
         self.idents: dict[str, Ticket] = {}
         self.ended: list[Ticket] = []  # to be forgotten once the turn is over
         self.releasing = 0
@@ -61,16 +61,16 @@
                     self.nursery.start_soon(self.release, ticket, ticket.freeing, again)
             case port.Reserve(request, server):
                 ticket = self.tickets.get(request)
-                if ticket is not None and server in self.roster.spots:
+                if ticket is not None and server in self.endpoint_registry.endpoints:
                     self.nursery.start_soon(self.hold, ticket, server)
             case port.Probe(server):
                 self.nursery.start_soon(self.probe, server)
             case port.Log(server, text):
-                spot = self.roster.spots.get(server)
-                self.log.info("server", server=spot.name if spot is not None else "gone", text=text)
+                endpoint = self.endpoint_registry.endpoints.get(server)
+                self.log.info("server", server=endpoint.name if endpoint is not None else "gone", text=text)
 
     def woken(self) -> None:
-        self.roster.clock.observe(time.time() * 1000, now_ms())
+        self.endpoint_registry.clock.observe(time.time() * 1000, now_ms())
         self.engines.pool.sweep()
         for overdue in self.held_states.newly_overdue(now_ms(), self.deployment.facts.release_ms):
             self.counts["held overdue"] += 1
@@ -89,15 +89,15 @@
         self.counts["overdue"] += 1
         super().give_up(ticket, why)
 
-    def listed(self, listing: Listing) -> None:
-        news = self.roster.take(listing, time.time() * 1000, now_ms())
-        self.engines.known([spot.address for spot in self.roster.spots.values()])
+    def listed(self, listing: EndpointList) -> None:
+        news = self.endpoint_registry.take(listing, time.time() * 1000, now_ms())
+        self.engines.known([endpoint.address for endpoint in self.endpoint_registry.endpoints.values()])
         if news.servers:
             self.tell(news)
 
     def alter(self, deployment: Deployment) -> None:
         self.deployment = self.engines.deployment = deployment
-        self.roster.alter(deployment)
+        self.endpoint_registry.alter(deployment)
         self.tell(port.Altered(deployment.facts))
 
     # -- generations
@@ -192,10 +192,10 @@
     # -- legs
 
     def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
-        spot, exchange, now = self.roster.spots.get(server), ticket.exchange, trio.current_time()
+        endpoint, exchange, now = self.endpoint_registry.endpoints.get(server), ticket.exchange, trio.current_time()
         barred = begin_check(server, times.begin_by_ms, lambda: ticket.over or exchange.closed)
         attempt = ticket.attempt = Attempt(
-            spot.address if spot is not None else "",
+            endpoint.address if endpoint is not None else "",
             server.role,
             exchange.method,
             exchange.request.target.decode("latin-1"),
@@ -205,7 +205,7 @@
             times.quiet_ms,
             barred,
         )
-        name = ticket.server_name = spot.name if spot is not None else "gone"
+        name = ticket.server_name = endpoint.name if endpoint is not None else "gone"
         if ticket.trail:
             self.counts[f"retry after {ticket.last_outcome}"] += ticket.last_outcome != AttemptOutcome.PREFILLED.name
         ticket.attempts += 1
@@ -280,7 +280,11 @@
 
     def addresses(self) -> Iterator[str]:
         """Of all servers, one after the other as they are asked for."""
-        return (spot.address for server, spot in self.roster.spots.items() if server.life is not Life.GONE)
+        return (
+            endpoint.address
+            for server, endpoint in self.endpoint_registry.endpoints.items()
+            if server.status is not EndpointStatus.REMOVED
+        )
 
     async def release(self, ticket: Ticket, done: trio.Event, again: bool) -> None:
         within = self.deployment.facts.release_ms
@@ -320,15 +324,15 @@
 
     async def hold(self, ticket: Ticket, server: Server) -> None:
         held = await self.engines.hold(
-            self.roster.spots[server].address, ticket.ident, self.deployment.facts.release_ms
+            self.endpoint_registry.endpoints[server].address, ticket.ident, self.deployment.facts.release_ms
         )
         if not ticket.over:
             self.tell(port.ReservationResult(ticket.request, held))
 
     async def probe(self, server: Server) -> None:
-        outcome, report, spot = AttemptOutcome.CONNECT_FAILED, None, self.roster.spots.get(server)
-        if spot is not None:
-            outcome, report = await self.engines.load(spot.address, self.deployment.facts.connect_ms)
+        outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
+        if endpoint is not None:
+            outcome, report = await self.engines.load(endpoint.address, self.deployment.facts.connect_ms)
         self.tell(port.Checked(server, outcome, report))
 
 
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -52,7 +52,13 @@
         self.polls = PollTimes()
         self.front = Front(self.node, self.polls.unseen_ms, log)
         self.watch = Watch(
-            post.discovery, lambda: self.node.roster.index, self.node.listed, self.list_failed, facts.seed, nursery, log
+            post.discovery,
+            lambda: self.node.endpoint_registry.index,
+            self.node.listed,
+            self.list_failed,
+            facts.seed,
+            nursery,
+            log,
         )
         self.listener: trio.SocketListener
         self.accepting = trio.CancelScope()
@@ -74,7 +80,7 @@
             0
         ]
         trio.lowlevel.add_instrument(self.polls)
-        self.node.roster.index = self.post.known.index
+        self.node.endpoint_registry.index = self.post.known.index
         self.node.listed(self.post.known)
         self.nursery.start_soon(self.node.clock)
         self.watch.start()
@@ -83,7 +89,7 @@
         self.nursery.start_soon(self.accept)
         self.nursery.start_soon(self.report)
         self.front.ready = True
-        self.log.info("serving", listen="%s:%d" % self.post.listen, servers=len(self.node.roster.servers))
+        self.log.info("serving", listen="%s:%d" % self.post.listen, servers=len(self.node.endpoint_registry.servers))
 
     async def accept(self) -> None:
         with self.accepting:
--- a/ternlane/platform/registry.py
+++ b/ternlane/platform/registry.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.http1 import Pool, Unconnected
-from ternlane.platform.roster import BEHIND_MS, Listing, Lists, read_listing
+from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointList, Lists, read_listing
 
 WATCH_PATH = "/registry/instances?stream=1&index={}"
 BEAT_MS = 2000.0  # an empty line at the latest this often, says the page
@@ -45,7 +45,7 @@
         self,
         address: tuple[str, int],
         index: Callable[[], int],
-        heard: Callable[[Listing], None],
+        heard: Callable[[EndpointList], None],
         failed: Callable[[str], None],
         seed: int,
         nursery: trio.Nursery,
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ternlane.deployment import Deployment
-from ternlane.platform.roster import Entry, Listing, read_listing
+from ternlane.platform.endpoint_registry import Entry, EndpointList, read_listing
 
 
 class Unfit(ValueError):
@@ -41,7 +41,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     limits: Limits
-    known: Listing
+    known: EndpointList
     deployment: Deployment
 
 
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -37,12 +37,12 @@
     BOTH = auto()
 
 
-class Life(Enum):
+class EndpointStatus(Enum):
     """A server by the list: to be used, to be given nothing new, or no longer there."""
 
-    UP = auto()
+    READY = auto()
     DRAINING = auto()
-    GONE = auto()
+    REMOVED = auto()
 
 
 class AttemptOutcome(Enum):
@@ -119,7 +119,7 @@
     kv_capacity_tokens: float
     size: float = 1.0
     started_ms: float = 0.0
-    life: Life = Life.UP
+    status: EndpointStatus = EndpointStatus.READY
     mark: int = 0
     seat: Any = None
 
@@ -186,7 +186,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class EndpointsUpdated:
     """News of the servers, whose fields already hold it. A whole list leaves out those that are gone."""
 
     servers: tuple[Server, ...]
@@ -300,7 +300,7 @@
 
 
 Event = (
-    Listed
+    EndpointsUpdated
     | Altered
     | Ending
     | ListFailed
--- a/ternlane/standin/registry.py
+++ b/ternlane/standin/registry.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Listing:
+class EndpointList:
     ident: str
     address: str
     port: int
@@ -53,11 +53,11 @@
     def __init__(self, traffic: Traffic) -> None:
         self.traffic = traffic
         self.index = 10
-        self.listings: dict[str, Listing] = {}
+        self.listings: dict[str, EndpointList] = {}
         self.changed = trio.Event()
         self.failing: str | None = None  # None, "errors", "silence", "garbage" or "partial"
 
-    def put(self, listing: Listing) -> None:
+    def put(self, listing: EndpointList) -> None:
         self.listings[listing.ident] = listing
         self.bump()
 
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -57,7 +57,7 @@
     def barred() -> port.AttemptOutcome | None:
         if client_gone():
             return port.AttemptOutcome.CLIENT_GONE
-        if server.life is not port.Life.UP or trio.current_time() > begin_by:
+        if server.status is not port.EndpointStatus.READY or trio.current_time() > begin_by:
             return port.AttemptOutcome.NOT_STARTED
         return None
 
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -23,8 +23,8 @@
     Reserve,
     AttemptEnded,
     Release,
-    Life,
-    Listed,
+    EndpointStatus,
+    EndpointsUpdated,
     ListFailed,
     Log,
     ReservationResult,
@@ -51,7 +51,11 @@
     "N": AttemptOutcome.CLIENT_GONE,
     "prefilled": AttemptOutcome.PREFILLED,
 }
-LIVES = {"healthy": Life.UP, "cordoned": Life.DRAINING, "deregistered": Life.GONE}
+STATUSES = {
+    "healthy": EndpointStatus.READY,
+    "cordoned": EndpointStatus.DRAINING,
+    "deregistered": EndpointStatus.REMOVED,
+}
 BEAT, DUE = 0, 1
 
 
@@ -97,15 +101,15 @@
                 server = self.servers[sid] = self.deployment.server(sid, zone, flavor, int(cohort))
                 self.server_ids[server] = sid
             server.size, server.started_ms = number(units, 1.0), number(started)
-            server.life = LIVES.get(state, Life.GONE)
+            server.status = STATUSES.get(state, EndpointStatus.REMOVED)
             news.append(server)
         if kind != "Partial":
             named = set(news)
             for server in self.servers.values():
-                if server not in named and server.life is not Life.GONE:
-                    server.life = Life.GONE
+                if server not in named and server.status is not EndpointStatus.REMOVED:
+                    server.status = EndpointStatus.REMOVED
                     news.append(server)
-        return Listed(tuple(news))
+        return EndpointsUpdated(tuple(news))
 
     def report(self, text: str) -> Report | None:
         if text in ("-", ""):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, StartFacts, AttemptOutcome
+from ternlane.port import Role, Effect, Group, EndpointStatus, RequestClass, Server, StartFacts, AttemptOutcome
 
 
 @dataclass
@@ -43,10 +43,10 @@
         said += self.take(*events)
         return [a for a in said if not isinstance(a, (port.Wake, port.Log))]
 
-    def list(self, **lives: Life) -> list[Any]:
-        for name, life in lives.items():
-            self.servers[name].life = life
-        return self.tell(port.Listed(tuple(self.servers.values())))
+    def list(self, **lives: EndpointStatus) -> list[Any]:
+        for name, status in lives.items():
+            self.servers[name].status = status
+        return self.tell(port.EndpointsUpdated(tuple(self.servers.values())))
 
     def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Request:
         facts = (
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -17,7 +17,7 @@
 
 from ternlane import port
 from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, Life, RequestClass, Server, Tenant, AttemptOutcome
+from ternlane.port import Role, Effect, Group, EndpointStatus, RequestClass, Server, Tenant, AttemptOutcome
 from tests import fleet
 from tests.conftest import FACTS
 
@@ -110,7 +110,7 @@
         self.order = 0
         self.open: dict[Any, Any] = {}  # requests without a final answer
         self.out: dict[Any, tuple[Any, Server, Pending]] = {}  # the attempt that is out for each request
-        self.tell(port.Listed(tuple(self.servers)))
+        self.tell(port.EndpointsUpdated(tuple(self.servers)))
 
     # -- what there is
 
@@ -303,19 +303,21 @@
         if draw < 0.35:
             return self.replace_server()
         server = self.rng.choice(self.servers)
-        server.life = self.rng.choice([Life.UP, Life.UP, Life.UP, Life.DRAINING])
+        server.status = self.rng.choice(
+            [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING]
+        )
         if self.rng.random() < 0.3:
             server.started_ms = self.now
-        return [port.Listed((server,))]
+        return [port.EndpointsUpdated((server,))]
 
     def replace_server(self) -> list[Any]:
         number = len(self.servers)
         old = self.rng.choice(self.servers)
-        old.life = Life.GONE
+        old.status = EndpointStatus.REMOVED
         new = self.server(number)
         new.started_ms = self.now
         self.servers.append(new)
-        return [port.Listed((old, new))]
+        return [port.EndpointsUpdated((old, new))]
 
     def reload(self) -> list[Any]:
         kept = self.rng.sample(self.request_classes, 3)
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
 from ternlane import port, turns
-from ternlane.port import Role, Effect, Request, Life, Server, AttemptOutcome
+from ternlane.port import Role, Effect, Request, EndpointStatus, Server, AttemptOutcome
 from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
@@ -41,7 +41,7 @@
         for model in day.models:
             if model.up:
                 self.know(model)
-        self.tell(port.Listed(tuple(self.truth)))
+        self.tell(port.EndpointsUpdated(tuple(self.truth)))
 
     def know(self, model: ModelServer) -> Server:
         server = self.known.get(model)
@@ -50,13 +50,13 @@
             server = Server(model.zone, model.cell, model.role, memory, mark=zlib.crc32(model.name.encode()))
             self.known[model], self.truth[server] = server, model
         server.started_ms = max(0.0, model.started)
-        server.incarnation = Life.DRAINING if model.draining else Life.UP
+        server.incarnation = EndpointStatus.DRAINING if model.draining else EndpointStatus.READY
         return server
 
     def heard_of(self, model: ModelServer) -> None:
         """Discovery has told of a change."""
         if self.alive:
-            self.tell(port.Listed((self.know(model),)))
+            self.tell(port.EndpointsUpdated((self.know(model),)))
 
     def kill(self) -> None:
         self.alive = False
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -12,7 +12,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Caller, Pool
 from ternlane.platform.process import Gateway
-from ternlane.platform.roster import read_listing
+from ternlane.platform.endpoint_registry import read_listing
 from ternlane.platform.settings import Limits, Post
 from ternlane.standin.platform import Discovery, Fleet, ModelServer
 from ternlane.standin.proxy import StallingProxy
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ternlane import port
-from ternlane.port import Effect, Life, Server, AttemptOutcome
+from ternlane.port import Effect, EndpointStatus, Server, AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 
 
@@ -144,7 +144,7 @@
     prefill_server = sent(host.arrive(request)).server
     host.list(
         **{
-            name: Life.GONE
+            name: EndpointStatus.REMOVED
             for name, s in host.servers.items()
             if s.role is port.Role.PREFILL and s is not prefill_server
         }
@@ -178,7 +178,7 @@
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
-    host.list(w0=Life.GONE, w1=Life.DRAINING)
+    host.list(w0=EndpointStatus.REMOVED, w1=EndpointStatus.DRAINING)
     assert kinds(host.arrive(host.request())) == [port.Reject]
 
 
@@ -190,12 +190,12 @@
     request = host.request()
     attempt = sent(host.arrive(request))
     home = request.seat.decode_server.server
-    host.list(**{name: Life.DRAINING for name, s in host.servers.items() if s is home})
+    host.list(**{name: EndpointStatus.DRAINING for name, s in host.servers.items() if s is home})
     assert sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED)).server is not home
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
-        server.life = Life.GONE
-    assert kinds(host.tell(port.Arrived(later), port.Listed(tuple(host.servers.values())))) == [port.Reject]
+        server.status = EndpointStatus.REMOVED
+    assert kinds(host.tell(port.Arrived(later), port.EndpointsUpdated(tuple(host.servers.values())))) == [port.Reject]
 
 
 def test_a_state_read_for_a_client_that_left_is_released(host: FakeHost) -> None:
@@ -478,14 +478,14 @@
     busy, attempt = host.written()
     for turn in range(300):
         new = Server("east", 0, port.Role.PREFILL, 200e3, mark=turn)
-        host.tell(port.Listed((new,)))
-        new.life = Life.GONE
-        host.tell(port.Listed((new,)))
+        host.tell(port.EndpointsUpdated((new,)))
+        new.status = EndpointStatus.REMOVED
+        host.tell(port.EndpointsUpdated((new,)))
         host.router.desk.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
         host.tell(port.Woken(True), after=100.0)
     assert len(board) < 20 and len(host.router.desk.prefix_popularity) <= 4096 + 200
-    attempt.server.life = Life.GONE  # one that still has a leg stays until it has ended
-    host.tell(port.Listed((attempt.server,)))
+    attempt.server.status = EndpointStatus.REMOVED  # one that still has a leg stays until it has ended
+    host.tell(port.EndpointsUpdated((attempt.server,)))
     for _ in range(8):
         host.tell(port.Woken(True), after=100.0)
     assert attempt.server.seat in board
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -14,7 +14,7 @@
 
 from ternlane import port
 from ternlane.choice import CARE, Router
-from ternlane.port import Role, Effect, Request, Group, Life, RequestClass, Server, AttemptOutcome
+from ternlane.port import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
 from tests.conftest import FACTS
 
 REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
@@ -65,7 +65,7 @@
         made = Router(facts)
         self.mine = getattr(self, "mine", {})
         self.mine[nth] = [replace(s, seat=None) for s in self.servers]  # seats are each router's own
-        self.act(nth, made.take(self.now, [port.Listed(tuple(self.mine[nth]))]))
+        self.act(nth, made.take(self.now, [port.EndpointsUpdated(tuple(self.mine[nth]))]))
         return made
 
     def at(self, when: float, nth: int, event: port.Event) -> None:
@@ -127,8 +127,8 @@
     def tell(self, nth: int, servers: tuple[Server, ...]) -> None:
         news = [self.mine[nth][self.servers.index(s)] for s in servers]
         for mine, server in zip(news, servers):
-            mine.started_ms, mine.life = server.started_ms, Life.UP
-        self.act(nth, self.all[nth].take(self.now, [port.Listed(tuple(news))]))
+            mine.started_ms, mine.status = server.started_ms, EndpointStatus.READY
+        self.act(nth, self.all[nth].take(self.now, [port.EndpointsUpdated(tuple(news))]))
 
     def windows(self, server: Server, since: float, span: float) -> list[list[Attempt]]:
         """What it was sent within each `span` that begins with an attempt."""
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -20,17 +20,17 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Pool
 from ternlane.platform import process, registry
-from ternlane.platform.roster import Listing, read_listing
+from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import Limits, Post
-from ternlane.port import Life
+from ternlane.port import EndpointStatus
 from ternlane.standin.platform import Discovery, Gate
 from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, platform, until_ready
 from tests.test_platform_bounds import reload
 
 
-def life(p: Platform, name: str) -> Life:
-    return p.gateway.node.roster.servers[name].life
+def status(p: Platform, name: str) -> EndpointStatus:
+    return p.gateway.node.endpoint_registry.servers[name].status
 
 
 # -- the first list and the first request
@@ -96,7 +96,7 @@
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
 
-        def hear(listing: Listing) -> None:
+        def hear(listing: EndpointList) -> None:
             index[0] = listing.index
             if any(entry.status == "DRAINING" for entry in listing.endpoints):
                 heard.set()
@@ -147,7 +147,7 @@
     async with platform("r0", "w0") as p:
         p.discovery.cut_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert p.discovery.asked == [str(p.discovery.index - 1)] * 2
 
 
@@ -180,7 +180,7 @@
         await until(lambda: len(p.gateway.watch.following) == 1)
         other.gates["watch"].open()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert len(p.discovery.asked) == asked
 
 
@@ -194,7 +194,7 @@
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.move((host, int(number)))
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         await until(lambda: len(p.gateway.watch.following) == 1)
 
 
@@ -211,10 +211,10 @@
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.move((host, int(number)))
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         gate.open()
         p.gateway.node.listed(read_listing(old))  # as it would come from there
-        assert life(p, "w0") is Life.DRAINING
+        assert status(p, "w0") is EndpointStatus.DRAINING
 
 
 # -- reloads
@@ -264,7 +264,7 @@
     async with platform("r0", "w0") as p:
         kinds = TOLD["specifics"] | {"tokens_by_kind": [1000, 3000]}
         reload(p, tmp_path, monkeypatch, TOLD | {"specifics": kinds, "tenants": [{"name": "a"}]})
-        servers, first = p.gateway.node.roster.servers, p.gateway.node.deployment.tenants["a"]
+        servers, first = p.gateway.node.endpoint_registry.servers, p.gateway.node.deployment.tenants["a"]
         assert servers["r0"].kv_capacity_tokens == 1000 and servers["w0"].kv_capacity_tokens == 3000
         reload(p, tmp_path, monkeypatch, TOLD | {"tenants": [{"name": "a"}, {"name": "b"}]})
         assert p.gateway.node.deployment.tenants["a"] is first  # still the same customer
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -70,8 +70,8 @@
         await held.gate.reached.wait()
         await p.add(other)
         p.discovery.put(name, p.servers[name].address, kind, "DRAINING")
-        servers = p.gateway.node.roster.servers
-        await until(lambda: servers[name].life is port.Life.DRAINING and other in servers)
+        servers = p.gateway.node.endpoint_registry.servers
+        await until(lambda: servers[name].status is port.EndpointStatus.DRAINING and other in servers)
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200
@@ -91,7 +91,7 @@
         await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
-        await until(lambda: p.gateway.node.roster.servers["r0"].life is port.Life.DRAINING)
+        await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status is port.EndpointStatus.DRAINING)
         gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "read"] == ["r0", "r1"]
@@ -243,7 +243,7 @@
         p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="4"))
         await gate.reached.wait()
         second = await p.add("w1")
-        await until(lambda: "w1" in p.gateway.node.roster.servers)
+        await until(lambda: "w1" in p.gateway.node.endpoint_registry.servers)
         held = HeldConnects(monkeypatch, second.address)
         gate.open()  # it breaks off: it may have run
         await held.gate.reached.wait()  # a repeat was allowed, and its connection is slow
@@ -277,7 +277,7 @@
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
     request, attempt = host.written(Effect.DEDUPLICATED)
-    host.list(w0=port.Life.DRAINING, w1=port.Life.DRAINING)
+    host.list(w0=port.EndpointStatus.DRAINING, w1=port.EndpointStatus.DRAINING)
     assert answer in kinds(host.end(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
@@ -414,7 +414,7 @@
         await p.add("w1")
         p.servers["w0"].stop()
         p.discovery.put("w0", "", "writer", "DELETED")
-        await until(lambda: set(p.gateway.node.roster.servers) == {"r0", "w1"})
+        await until(lambda: set(p.gateway.node.endpoint_registry.servers) == {"r0", "w1"})
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -15,9 +15,9 @@
 from ternlane.http1 import Pool
 from ternlane.platform import registry
 from ternlane.platform.engines import Engines, Attempt, AttemptResult
-from ternlane.platform.roster import BEHIND_MS, Listing, Lists, Roster, read_listing
+from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointList, Lists, EndpointRegistry, read_listing
 from ternlane.platform.settings import Limits
-from ternlane.port import Role, Life, AttemptOutcome
+from ternlane.port import Role, EndpointStatus, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_world import BODY, TOLD, Platform, platform
 
@@ -47,7 +47,7 @@
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
 
-        def hear(listing: Listing) -> None:
+        def hear(listing: EndpointList) -> None:
             index[0] = listing.index
             if any(e.status == "DRAINING" for e in listing.endpoints):
                 heard.set()
@@ -120,25 +120,31 @@
         p.discovery.indent = 2
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(2):
-            while p.gateway.node.roster.servers["w0"].life is not Life.DRAINING:
+            while p.gateway.node.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
                 await trio.sleep(0.01)
         assert p.gateway.node.counts["watch broke"] == 0
 
 
 def test_a_list_that_comes_late_undoes_nothing_and_a_count_that_begins_anew_is_followed() -> None:
-    roster = Roster(Deployment(1, TOLD))
-    roster.take(read_listing(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
-    roster.take(read_listing(listing(43, False, w0="DRAINING")), 0.0, 10.0)
+    endpoint_registry = EndpointRegistry(Deployment(1, TOLD))
+    endpoint_registry.take(read_listing(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
+    endpoint_registry.take(read_listing(listing(43, False, w0="DRAINING")), 0.0, 10.0)
     old = read_listing(listing(42, True, w0="SERVING", w2="SERVING"))
-    assert not roster.take(old, 0.0, 20.0).servers
-    assert roster.servers["w0"].life is Life.DRAINING and set(roster.servers) == {"w0", "w1"} and roster.index == 43
-    assert roster.take(read_listing(listing(44, False, w0="SERVING")), 0.0, 30.0).servers  # newer: it holds
-    assert not roster.take(read_listing(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
+    assert not endpoint_registry.take(old, 0.0, 20.0).servers
+    assert (
+        endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING
+        and set(endpoint_registry.servers) == {"w0", "w1"}
+        and endpoint_registry.index == 43
+    )
+    assert endpoint_registry.take(read_listing(listing(44, False, w0="SERVING")), 0.0, 30.0).servers  # newer: it holds
+    assert not endpoint_registry.take(read_listing(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
     with pytest.raises(ValueError):  # for longer than an agent may be behind
-        roster.take(read_listing(listing(6, False, w0="DRAINING")), 0.0, 41.0 + BEHIND_MS)
-    assert roster.index == 0  # so all is asked for
-    roster.take(read_listing(listing(6, True, w0="DRAINING")), 0.0, 50.0 + BEHIND_MS)
-    assert roster.servers["w0"].life is Life.DRAINING and set(roster.servers) == {"w0"}
+        endpoint_registry.take(read_listing(listing(6, False, w0="DRAINING")), 0.0, 41.0 + BEHIND_MS)
+    assert endpoint_registry.index == 0  # so all is asked for
+    endpoint_registry.take(read_listing(listing(6, True, w0="DRAINING")), 0.0, 50.0 + BEHIND_MS)
+    assert endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING and set(endpoint_registry.servers) == {
+        "w0"
+    }
 
 
 # -- clients that leave
@@ -212,7 +218,7 @@
         await trio.sleep(0.3)
         assert p.fleet.count("read") == 0 and p.gateway.node.counts["read MOOT"] == 1
         assert not p.gateway.node.chooser.desk.board[  # type: ignore[attr-defined]
-            p.gateway.node.roster.servers["r0"].seat
+            p.gateway.node.endpoint_registry.servers["r0"].seat
         ].shut  # it did nothing wrong
         assert (await p.ask()).status == 200 and opened.count(p.servers["r0"].address) == 1
         await p.settled()
@@ -399,7 +405,7 @@
         await p.discovery.mend()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(registry.TOLD_MS / 1000):
-            while p.gateway.node.roster.servers["w0"].life is not Life.DRAINING:
+            while p.gateway.node.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
                 await trio.sleep(0.02)
         for stream in idle:
             stream.socket.close()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from ternlane.paper import ConsulSource, NodeLine
 from ternlane.paper.gateway import DoorTerms
 from ternlane.port import AttemptOutcome
-from ternlane.standin.registry import Listing, Registry
+from ternlane.standin.registry import EndpointList, Registry
 from ternlane.standin.scripted import Scripted
 from ternlane.standin.traffic import Traffic
 
@@ -371,7 +371,7 @@
 
             nursery.start_soon(drain)
             reply = await w.ask("note", "x" * 1600)
-        drained = next(s for s in w.gateway.book.servers.values() if s.life.name == "DRAINING")
+        drained = next(s for s in w.gateway.book.servers.values() if s.status.name == "DRAINING")
         assert reply.done == 1
         assert w.said("effect")[0]["id"] != w.gateway.book.places[drained].ident
 
@@ -474,7 +474,7 @@
                 while not condition():
                     await trio.sleep(0.005)
 
-        registry.put(Listing("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
+        registry.put(EndpointList("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
         await until(lambda: found and [n.id for n in found[-1]] == ["a"])
         registry.alter("a", state="draining")
         await until(lambda: found[-1][0].state == "draining")
@@ -486,9 +486,9 @@
             assert found[-1] == kept
             registry.failing = None
         registry.restart()
-        registry.put(Listing("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
+        registry.put(EndpointList("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
         await until(lambda: {n.id for n in found[-1]} == {"a", "b"})
-        registry.put(Listing("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))  # one bad entry costs only itself
+        registry.put(EndpointList("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))  # one bad entry costs only itself
         await until(lambda: any("c:" in why for why in failed))
         assert {n.id for n in found[-1]} == {"a", "b"}
         nursery.cancel_scope.cancel()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -17,7 +17,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from ternlane.port import Life
+from ternlane.port import EndpointStatus
 from tests.crossing import Client, Turnstile, client_request, until
 from tests.platform_world import TOLD, Platform, platform
 
@@ -109,21 +109,21 @@
     async def do_go_on(self, server: str, nth: int) -> None:
         cast(Turnstile, self.p.servers[server].gates["request"]).let_through(nth)
 
-    async def put(self, server: str, listed_status: str, life: Life) -> None:
+    async def put(self, server: str, listed_status: str, status: EndpointStatus) -> None:
         kind = "reader" if server[0] == "r" else "writer"
         self.p.discovery.put(server, self.p.servers[server].address, kind, listed_status)
-        await until(lambda: self.p.gateway.node.roster.servers[server].life is life)
+        await until(lambda: self.p.gateway.node.endpoint_registry.servers[server].status is status)
 
     async def do_drain(self, server: str) -> None:
         if server not in self.told_to_leave_alone:
-            await self.put(server, "DRAINING", Life.DRAINING)
+            await self.put(server, "DRAINING", EndpointStatus.DRAINING)
             await trio.testing.wait_all_tasks_blocked()
             self.told_to_leave_alone[server] = self.attempts(server)
 
     async def do_back(self, server: str) -> None:
         if server in self.told_to_leave_alone:
             assert self.attempts(server) == self.told_to_leave_alone.pop(server), server
-            await self.put(server, "SERVING", Life.UP)
+            await self.put(server, "SERVING", EndpointStatus.READY)
 
     async def do_watch_resets(self) -> None:
         for stream in list(self.p.discovery.conns):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -146,9 +146,9 @@
 
 def test_what_an_unheard_prefill_may_leave_is_released_again_while_its_request_queues() -> None:
     host = platform_like()
-    host.list(r0=port.Life.DRAINING)
+    host.list(r0=port.EndpointStatus.DRAINING)
     large = sent(host.arrive(host.request(prompt_tokens=190e3, prefix=None)))
-    host.list(r0=port.Life.UP)
+    host.list(r0=port.EndpointStatus.READY)
     request = host.request(prefix=None)
     first = sent(host.arrive(request))
     assert first.server is not large.server
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 from ternlane import port
 from ternlane.deployment import Deployment
 from ternlane.platform.protocol import load_of, outcome_of
-from ternlane.platform.roster import Roster, read_listing
+from ternlane.platform.endpoint_registry import EndpointRegistry, read_listing
 from ternlane.port import Role, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
@@ -27,7 +27,7 @@
         astuple(p) for p in told.facts.request_classes
     ]
     assert replace(wire.deployment.facts, request_classes=()) == replace(told.facts, request_classes=())
-    roster = Roster(Deployment(7, TOLD))
+    endpoint_registry = EndpointRegistry(Deployment(7, TOLD))
     listing = read_listing(
         json.dumps(
             {
@@ -48,9 +48,9 @@
             }
         ).encode()
     )
-    roster.take(listing, 10_000.0, 5_000.0)
+    endpoint_registry.take(listing, 10_000.0, 5_000.0)
     wire.list_entries("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
-    mine, theirs = roster.servers["s1"], wire.servers["s1"]
+    mine, theirs = endpoint_registry.servers["s1"], wire.servers["s1"]
     for name in ("zone", "cell", "duty", "mem_toks", "size", "started_ms", "life", "mark"):
         assert getattr(mine, name) == getattr(theirs, name), name
     by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
@@ -227,7 +227,7 @@
                 nursery.start_soon(p.ask)
             await trio.sleep(0.2)
             board = p.gateway.node.chooser.desk.board  # type: ignore[attr-defined]
-            names = {s: spot.name for s, spot in p.gateway.node.roster.spots.items()}
+            names = {s: endpoint.name for s, endpoint in p.gateway.node.endpoint_registry.endpoints.items()}
             believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
             assert believed == dict(+p.fleet.open) and sum(believed.values()) >= 8
             pool = p.gateway.node.engines.pool
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -57,12 +57,14 @@
         await p.settled()
         desk.homes.update({f"old{n}": desk.homes[next(iter(desk.homes))] for n in range(3 * FEW**2)})
         with trio.fail_after(3):  # at the module's next looks
-            while len(desk.homes) > 2 * FEW**2 or len(desk.board) > len(node.roster.servers):
+            while len(desk.homes) > 2 * FEW**2 or len(desk.board) > len(node.endpoint_registry.servers):
                 await trio.sleep(0.02)
         front, pool = p.gateway.front, node.engines.pool
         assert not node.tickets and not node.idents and not node.ended and not node.releasing and not desk.waiting
         assert len(node.records) == TRAILS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
-        assert len(node.engines.heard) <= len(node.roster.spots) == len(node.roster.servers) == 3
+        assert (
+            len(node.engines.heard) <= len(node.endpoint_registry.endpoints) == len(node.endpoint_registry.servers) == 3
+        )
         assert all(not e.attempts and not e.booked for e in desk.board)
         assert front.conns == len(front.idle) == 0 and len(pool.open) == len(pool.resting)
         for name in list(p.servers):
@@ -173,14 +175,14 @@
 
 async def test_whole_lists_that_leave_servers_out_and_servers_that_move() -> None:
     async with platform("r0", "w0", "w1") as p:
-        node, server = p.gateway.node, p.gateway.node.roster.servers["w1"]
+        node, server = p.gateway.node, p.gateway.node.endpoint_registry.servers["w1"]
         p.discovery.entries.pop("w0")
         p.discovery.index += 3  # the watch that begins anew finds no such version: it is given the whole list
         p.discovery.log = [{}] * p.discovery.index
         p.discovery.garbage = json.dumps(p.discovery.listing()).encode()
         p.discovery.changed.set()
         with trio.fail_after(2):
-            while "w0" in node.roster.servers:
+            while "w0" in node.endpoint_registry.servers:
                 await trio.sleep(0.01)
         for _ in range(4):
             assert (await p.ask()).status == 200
@@ -189,9 +191,9 @@
         p.servers["w1"].address = ""
         moved = await p.add("w1")  # the same name elsewhere is the same server
         with trio.fail_after(2):
-            while node.roster.spots[server].address != moved.address:
+            while node.endpoint_registry.endpoints[server].address != moved.address:
                 await trio.sleep(0.01)
-        assert node.roster.servers["w1"] is server and (await p.ask()).status == 200
+        assert node.endpoint_registry.servers["w1"] is server and (await p.ask()).status == 200
 
 
 # -- floods and shortages
@@ -353,7 +355,7 @@
         agreed = 0
 
         async def quiet() -> bool:
-            names = {s: spot.name for s, spot in node.roster.spots.items()}
+            names = {s: endpoint.name for s, endpoint in node.endpoint_registry.endpoints.items()}
             believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
             return believed == dict(+p.fleet.open) and len(node.engines.pool.open) == sum(p.fleet.conns.values())
 
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from ternlane.port import Life
+from ternlane.port import EndpointStatus
 from ternlane.standin.platform import Discovery
 from tests.platform_world import platform
 
@@ -16,7 +16,7 @@
 
         async def until(names: set[str]) -> None:
             with trio.fail_after(3):
-                while set(node.roster.servers) != names:
+                while set(node.endpoint_registry.servers) != names:
                     await trio.sleep(0.01)
 
         late = await p.add("w1")
@@ -24,7 +24,9 @@
         p.discovery.garbage = b'{"index":9,"endpoints":[{"name":'
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(3):
-            while len(p.discovery.asked) < 2 or node.roster.servers["w0"].life is not Life.DRAINING:
+            while (
+                len(p.discovery.asked) < 2 or node.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING
+            ):
                 await trio.sleep(0.01)
         for _ in range(4):
             assert (await p.ask()).status == 200
@@ -49,7 +51,7 @@
         p.discovery.silent = False
         await p.add("w1")
         with trio.fail_after(3):
-            while "w1" not in p.gateway.node.roster.servers:
+            while "w1" not in p.gateway.node.endpoint_registry.servers:
                 await trio.sleep(0.01)
 
 
@@ -75,5 +77,5 @@
         assert other.asked == [str(p.discovery.index)]
         other.put("w9", p.servers["w0"].address, "writer")
         with trio.fail_after(2):
-            while "w9" not in p.gateway.node.roster.servers:
+            while "w9" not in p.gateway.node.endpoint_registry.servers:
                 await trio.sleep(0.01)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
 from ternlane.gateway.door import StreamOutlet
 from ternlane.gateway.ticket import Final, Streamed, Ticket
 from ternlane.http1 import event_bytes
-from ternlane.port import Life, Server, AttemptOutcome
+from ternlane.port import EndpointStatus, Server, AttemptOutcome
 from ternlane.recover import Join
 from ternlane.rules import Findings, check
 from ternlane.standin.clients import Clients, Habits, Talk
@@ -111,9 +111,9 @@
     """Rule 3: does not pass on that a server drains."""
 
     def tell(self, event: port.Event) -> None:
-        if isinstance(event, port.Listed):
+        if isinstance(event, port.EndpointsUpdated):
             for server in event.servers:
-                server.life = Life.UP
+                server.status = EndpointStatus.READY
         super().tell(event)
 
 
@@ -121,7 +121,7 @@
     """Rule 4: takes every server for warm."""
 
     def tell(self, event: port.Event) -> None:
-        if isinstance(event, port.Listed):
+        if isinstance(event, port.EndpointsUpdated):
             for server in event.servers:
                 server.started_ms = 0.0
         super().tell(event)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -77,7 +77,7 @@
                 ]
             )
             self.routers.append(Router(facts))
-            self.tell(nth, port.Listed(tuple(self.servers[nth])))
+            self.tell(nth, port.EndpointsUpdated(tuple(self.servers[nth])))
 
     def at(self, when: float, nth: int, event: Any) -> None:
         heapq.heappush(self.due, (when, next(self.order), nth, event))
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -108,7 +108,7 @@
 
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
     for name in ("r0", "r1"):
-        host.list(**{name: port.Life.DRAINING})
+        host.list(**{name: port.EndpointStatus.DRAINING})
     waiting = host.request(client_timeout_ms=9000.0)
     host.router.desk.served = lambda course: True  # type: ignore[method-assign]
     host.arrive(waiting)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -145,7 +145,7 @@
         self.start()
 
     def start(self) -> None:
-        self.store, self.cashier, self.life = Store(self.disk, 500), Cashier(), object()  # type: ignore[arg-type]
+        self.store, self.cashier, self.status = Store(self.disk, 500), Cashier(), object()  # type: ignore[arg-type]
         self.cashier.clock(NOON + self.now / 1000)
         self.store.recover()
         for (name, request_class, period), it in self.store.totals.sums.items():
@@ -154,11 +154,11 @@
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
         got = self.cashier.reserve(self.line, "s", prompt, 100, self.now, NOON + self.now / 1000)
-        return (self.life, got) if isinstance(got, Hold) else None
+        return (self.status, got) if isinstance(got, Hold) else None
 
     @rule(it=consumes(holds), answer=st.integers(0, 100), commit=st.booleans())
     def settle(self, it: object, answer: int, commit: bool) -> None:
-        if not isinstance(it, tuple) or it[0] is not self.life:
+        if not isinstance(it, tuple) or it[0] is not self.status:
             return  # refused, or died with a gateway
         self.n += 1
         hold = it[1]
