--- a/bench/library.py
+++ b/bench/library.py
@@ -112,7 +112,7 @@
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
         request = port.Request(offer.request_classes["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
-        attempt = next(a for a in router.take(now, [port.Arrived(request)]) if isinstance(a, port.StartAttempt))
+        attempt = next(a for a in router.take(now, [port.RequestArrived(request)]) if isinstance(a, port.StartAttempt))
         attempt = next(
             a
             for a in router.take(
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -49,7 +49,7 @@
     return sent.server
 
 
-prefill_server = attempt(router.take(1.0, [port.Arrived(request)]))
+prefill_server = attempt(router.take(1.0, [port.RequestArrived(request)]))
 decode_server = attempt(
     router.take(60.0, [port.AttemptEnded(request, prefill_server, ternlane.AttemptOutcome.PREFILLED, 59.0, False)])
 )
--- a/ternlane/choice.py
+++ b/ternlane/choice.py
@@ -262,29 +262,29 @@
         match note:
             case Standing():
                 self.board[note.engine] = note
-            case port.Arrived(request):
+            case port.RequestArrived(request):
                 self.arrived(request)
             case port.FirstToken(request, _, took) if request.seat.attempt is not None:
                 self.first_token(request.seat, request.seat.attempt, took)
             case port.AttemptEnded():
                 self.stuck = inf
                 self.attempt_ended(note)
-            case port.ClientLeft(request) if request.seat and not request.seat.over:
+            case port.ClientDisconnected(request) if request.seat and not request.seat.over:
                 self.close(request.seat)
             case Onward(course):
                 self.onward(course)
             case Lost(attempt):
                 self.lost(attempt)
-            case port.GoOn(request) if not request.seat.over and request.seat.attempt is None:
+            case port.ResumeStream(request) if not request.seat.over and request.seat.attempt is None:
                 self.onward(request.seat)
             case port.EndpointsUpdated(servers):
                 for server in servers:
                     server.seat = server.seat or Engine(self.router, server)
                     self.lots[server.role].pop(server.seat, None)
                     server.seat.post(News())
-            case port.Checked(server, _, report):
+            case port.ProbeResult(server, _, report):
                 self.checked(server.seat, report)
-            case port.Altered(facts):
+            case port.ConfigChanged(facts):
                 self.router.limits, self.stuck = limits_from(facts), inf
                 self.adopt(facts)
                 kept = set(facts.request_classes)  # what was learnt of those that are no more must not pile up
@@ -294,17 +294,17 @@
                         del table[request_class]
                 for engine in self.board:
                     engine.post(News())
-            case port.Ending(times):
+            case port.ShutdownStarted(times):
                 self.shutdown.begin(self.router.now, times)
                 self.next_due, self.stuck = -inf, inf
-                self.router.out.append(port.Wake(self.shutdown.answers_by, False))
-            case port.ListFailed():
+                self.router.out.append(port.StartTimer(self.shutdown.answers_by, False))
+            case port.EndpointListFailed():
                 self.asked = False
-            case port.ReleaseHeard(request) if request.seat:
+            case port.ReleaseConfirmed(request) if request.seat:
                 request.seat.lease.release_heard()
-            case port.Woken(True):
+            case port.TimerFired(True):
                 self.beat()
-            case port.Woken(False):
+            case port.TimerFired(False):
                 self.release_due()
                 self.answer_before_the_end()
 
@@ -659,7 +659,7 @@
         """Has what may be held released in time, should nothing show by then that the next attempt has arrived."""
         at = course.lease.since + self.limits.guard_ms
         if self.releases.add(course, course.lease, at):
-            self.router.out.append(port.Wake(at, False))
+            self.router.out.append(port.StartTimer(at, False))
 
     def release_due(self) -> None:
         """Releases what was neither taken nor released so far, though a decode attempt may be out for it. A prefill
@@ -671,7 +671,7 @@
             self.router.out.append(port.Release(course.request, why=ReleaseReason.UNCONFIRMED))
         at = self.releases.next_at()
         if at < inf:
-            self.router.out.append(port.Wake(at, False))
+            self.router.out.append(port.StartTimer(at, False))
 
     def close(self, course: Course) -> None:
         course.over = True
@@ -837,10 +837,10 @@
 
     def beat(self) -> None:
         now, out = self.router.now, self.router.out
-        out.append(port.Wake(now + self.limits.beat_ms, True))
+        out.append(port.StartTimer(now + self.limits.beat_ms, True))
         if self.must_ask and not self.asked:
             self.asked = True
-            out.append(port.Follow())
+            out.append(port.WatchEndpoints())
         while self.homes and (
             len(self.homes) > CROWD * FEW**2 or next(iter(self.homes.values())).used < now - HOME_AGE_MS
         ):
@@ -904,7 +904,7 @@
 
     def take(self, now: float, events: list[Event]) -> list[port.Action]:
         """What to do about `events`, in this order. `now` is in ms of any clock that never goes back."""
-        heard = events if self.now > -inf else [port.Woken(True), *events]
+        heard = events if self.now > -inf else [port.TimerFired(True), *events]
         self.now, self.out = now, []
         for event in heard:
             self.desk.post(event)
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -24,7 +24,7 @@
             match event:
                 case port.EndpointsUpdated(servers):
                     self.servers += [s for s in servers if s not in self.servers]
-                case port.Arrived(request):
+                case port.RequestArrived(request):
                     self.attempts[request], self.until[request] = 0, now + request.client_timeout_ms
                     out += self.send(request, now, {Role.PREFILL, Role.BOTH})
                 case port.AttemptEnded(request, server, verdict, _, over):
@@ -33,7 +33,7 @@
                         if over
                         else self.next(request, server, verdict, now)
                     )
-                case port.ClientLeft(request):
+                case port.ClientDisconnected(request):
                     out += [port.CancelAttempt(request), port.Release(request), *self.forget(request)]
         return out
 
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -26,7 +26,7 @@
 from ternlane.http1 import Exchange, Pool, serve_connection
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
 from ternlane.paper import ConsulSource, FileSource, GatewayPaper, NodeLine, checked
-from ternlane.port import EndpointStatus, ListFailed, StartFacts
+from ternlane.port import EndpointStatus, EndpointListFailed, StartFacts
 
 BACKLOG = 4096
 ALTERED = ("door", "nodes", "products", "fleet", "gateways", "zone")  # taken over by a running gateway
@@ -104,7 +104,7 @@
         """The list could not be read; the last one holds."""
         self.measures.lists.labels("failed").inc()
         self.log.warning("node list", why=why)
-        self.host.tell(ListFailed())
+        self.host.tell(EndpointListFailed())
 
     def _last_list(self) -> None:
         """What this gateway knew before it was restarted, until its source says more."""
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -66,13 +66,13 @@
         self.mute.clear()
         self.intake.offer(offer.models, offer.max_tokens)
         self.mender.alter(offer.facts)
-        self.tell(port.Altered(offer.facts))
+        self.tell(port.ConfigChanged(offer.facts))
 
     def carry_further(self, action: port.Action) -> None:
         match action:
             case port.Release(request):
                 self.release_all(self.tickets.get(request))
-            case port.Follow():
+            case port.WatchEndpoints():
                 self.on_follow()
             case port.Log(server, text):
                 self.log.info("server", server=self.book.places[server].ident, text=text)
@@ -106,7 +106,7 @@
             ticket.left = True
             if ticket.attempt is not None and ticket.flowing:
                 ticket.attempt.cancel()  # a stream that nobody reads
-            self.tell(port.ClientLeft(ticket.request))
+            self.tell(port.ClientDisconnected(ticket.request))
             self.close(ticket, "left")
 
     def settle(self, ticket: Ticket, final: Rejected | Failed | Streamed) -> None:
@@ -377,10 +377,10 @@
         """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
         go, late = self.mender.next(now_ms())
         for ticket in go:
-            self.tell(port.GoOn(ticket.request))
+            self.tell(port.ResumeStream(ticket.request))
         for ticket in late:
             self.settle(ticket, Failed(ticket.why or "the stream broke"))
-            self.tell(port.ClientLeft(ticket.request))
+            self.tell(port.ClientDisconnected(ticket.request))
         at = self.mender.due(now_ms())
         if at < self.resume_at:
             self.resume_at = at
@@ -433,7 +433,7 @@
         ):
             self.mute.add(place.ident)
             self.log.warning("load not told", server=place.ident, why="no metrics that can be read at /metrics")
-        self.tell(port.Checked(server, outcome, report))
+        self.tell(port.ProbeResult(server, outcome, report))
 
     async def release(self, ticket: Ticket, server: Server) -> None:
         place = self.book.places[server]
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -98,7 +98,7 @@
     def alter(self, deployment: Deployment) -> None:
         self.deployment = self.engines.deployment = deployment
         self.endpoint_registry.alter(deployment)
-        self.tell(port.Altered(deployment.facts))
+        self.tell(port.ConfigChanged(deployment.facts))
 
     # -- generations
 
@@ -146,7 +146,7 @@
             ):  # it was never a begun attempt
                 ticket.attempt.cancel()
             self.closed(ticket, "left")
-            self.tell(port.ClientLeft(ticket.request))
+            self.tell(port.ClientDisconnected(ticket.request))
 
     def settle(self, ticket: Ticket, final: Final) -> None:
         if ticket.over:
@@ -319,7 +319,7 @@
         self.held_states.ended(ticket.ident, now_ms())
         ticket.note(f"release heard by {heard_by}")
         if not ticket.over:
-            self.tell(port.ReleaseHeard(ticket.request))
+            self.tell(port.ReleaseConfirmed(ticket.request))
         self.log.debug("release heard", gen=ticket.ident, by=heard_by, took_ms=round(took, 1))
 
     async def hold(self, ticket: Ticket, server: Server) -> None:
@@ -333,7 +333,7 @@
         outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
         if endpoint is not None:
             outcome, report = await self.engines.load(endpoint.address, self.deployment.facts.connect_ms)
-        self.tell(port.Checked(server, outcome, report))
+        self.tell(port.ProbeResult(server, outcome, report))
 
 
 @dataclass(slots=True)
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -131,7 +131,7 @@
             answers_all_in_ms=round(times.answers_ms),
             may_be_killed_in_ms=round(times.ends_ms),
         )
-        self.node.tell(port.Ending(times))
+        self.node.tell(port.ShutdownStarted(times))
         self.nursery.start_soon(self.end_reading, times.answers_ms)
         self.nursery.start_soon(self.report_unfinished, times.ends_ms)
         self.front.close_idle(served_only=True)
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Altered:
+class ConfigChanged:
     """Other settings from now on. What was taken in before keeps its product's terms; legs that are out end as they
     began."""
 
@@ -210,19 +210,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
+class ShutdownStarted:
     """This gateway goes, and all that is not over by then is cut off. Told again, the earlier times hold."""
 
     times: ShutdownTimes
 
 
 @dataclass(slots=True, frozen=True)
-class ListFailed:
+class EndpointListFailed:
     """A call for the list, or the subscription to its changes, came to nothing."""
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class RequestArrived:
     """A generation to be answered: by a leg that streams, a Throttle or a Terminate."""
 
     request: Request
@@ -255,14 +255,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GoOn:
+class ResumeStream:
     """It is the turn of a generation whose stream broke; its prompt has grown by what its client has."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class ReleaseHeard:
+class ReleaseConfirmed:
     """A server has confirmed the newest release of what is held for it."""
 
     request: Request
@@ -277,7 +277,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class ProbeResult:
     """The answer to Probe."""
 
     server: Server
@@ -286,14 +286,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClientLeft:
+class ClientDisconnected:
     """Nobody waits for it any more; its leg is called off by the host."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class Woken:
+class TimerFired:
     """A time asked for by Wake has come; `beat` says which of the two kinds."""
 
     beat: bool
@@ -301,18 +301,18 @@
 
 Event = (
     EndpointsUpdated
-    | Altered
-    | Ending
-    | ListFailed
-    | Arrived
+    | ConfigChanged
+    | ShutdownStarted
+    | EndpointListFailed
+    | RequestArrived
     | FirstToken
     | AttemptEnded
-    | GoOn
-    | ReleaseHeard
+    | ResumeStream
+    | ReleaseConfirmed
     | ReservationResult
-    | Checked
-    | ClientLeft
-    | Woken
+    | ProbeResult
+    | ClientDisconnected
+    | TimerFired
 )
 
 
@@ -384,12 +384,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Follow:
+class WatchEndpoints:
     """Asks for the list's changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class StartTimer:
     """Asks for Woken at `at_ms`; each of the two kinds has one time at most, the newest."""
 
     at_ms: float
@@ -404,4 +404,4 @@
     text: str
 
 
-Action = StartAttempt | CancelAttempt | Reject | Fail | Release | Reserve | Probe | Follow | Wake | Log
+Action = StartAttempt | CancelAttempt | Reject | Fail | Release | Reserve | Probe | WatchEndpoints | StartTimer | Log
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -167,7 +167,7 @@
         except Exception as fault:
             self.faulted(fault)
         for event in events:
-            if isinstance(event, port.Woken):  # the next one is asked for by the turn that has failed
+            if isinstance(event, port.TimerFired):  # the next one is asked for by the turn that has failed
                 self.at(now_ms() + FAULT_PAUSE_MS, partial(self.hear, event))
         return []
 
@@ -190,19 +190,19 @@
         self.tickets[ticket.request] = ticket
         if not self.looking:
             self.look_for_overdue()
-        self.tell(port.Arrived(ticket.request))
+        self.tell(port.RequestArrived(ticket.request))
 
     def give_up(self, ticket: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
         if ticket.attempt is not None:
             ticket.attempt.cancel()
         self.settle(ticket, Failed(why))
-        self.tell(port.ClientLeft(ticket.request))
+        self.tell(port.ClientDisconnected(ticket.request))
 
     def carry_out(self, action: port.Action) -> None:
         match action:
-            case port.Wake(at, beat):
-                self.at(at, partial(self.hear, port.Woken(beat)))
+            case port.StartTimer(at, beat):
+                self.at(at, partial(self.hear, port.TimerFired(beat)))
             case port.StartAttempt(request, server):
                 self.send(self.tickets[request], server, action)
             case port.CancelAttempt(request):
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -10,14 +10,14 @@
 from ternlane.deployment import Deployment
 from ternlane.port import (
     Action,
-    Arrived,
+    RequestArrived,
     CancelAttempt,
-    Checked,
-    ClientLeft,
+    ProbeResult,
+    ClientDisconnected,
     Effect,
     Event,
     FirstToken,
-    Follow,
+    WatchEndpoints,
     Request,
     Group,
     Reserve,
@@ -25,7 +25,7 @@
     Release,
     EndpointStatus,
     EndpointsUpdated,
-    ListFailed,
+    EndpointListFailed,
     Log,
     ReservationResult,
     Probe,
@@ -36,8 +36,8 @@
     Fail,
     Reject,
     AttemptOutcome,
-    Wake,
-    Woken,
+    StartTimer,
+    TimerFired,
 )
 
 OUTCOMES = {
@@ -92,7 +92,7 @@
 
     def list_entries(self, kind: str, rows: list[str]) -> Event:
         if kind == "Error":
-            return ListFailed()
+            return EndpointListFailed()
         news: list[Server] = []
         for row in rows:
             _, sid, zone, flavor, cohort, state, units, started = row.split(" ")[:8]
@@ -144,15 +144,15 @@
                 rest[0] if rest else "",
             )
             self.requests[int(corr)], self.request_ids[request] = request, int(corr)
-            return Arrived(request)
+            return RequestArrived(request)
         if what == "DEADLINE_HIT":
-            return Woken(int(part[2]) == BEAT)
+            return TimerFired(int(part[2]) == BEAT)
         if what == "CHECK_RESULT":
             server = self.server(part[3])
             return (
                 None
                 if server is None
-                else Checked(
+                else ProbeResult(
                     server, OUTCOMES.get(part[4], AttemptOutcome.ERROR), self.report(part[5] if len(part) > 5 else "-")
                 )
             )
@@ -164,7 +164,7 @@
         request = known
         if what == "EXPIRED":
             self.closed.add(request)
-            return ClientLeft(request)
+            return ClientDisconnected(request)
         server = self.server(part[4])
         if server is None:
             return None
@@ -211,9 +211,9 @@
                     yield f"RESERVE {number_} {self.request_ids[request]} {self.server_ids[server]}"
                 case Probe(server):
                     yield f"ASK_LOAD {number_} {self.server_ids[server]}"
-                case Follow():
+                case WatchEndpoints():
                     yield f"SUBSCRIBE {number_} 1"
-                case Wake(at, beat):
+                case StartTimer(at, beat):
                     yield f"ARM {number_} {BEAT if beat else DUE} {ms(at)}"
                 case Log(server, text):
                     yield f"SAY_LOG {number_} {self.server_ids[server]} {text}"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,7 +24,7 @@
 
     def take(self, *events: Any) -> list[Any]:
         said = self.router.take(self.now, list(events))
-        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, port.Wake) and not a.beat)])
+        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, port.StartTimer) and not a.beat)])
         return said
 
     def tell(self, *events: Any, after: float = 0.0) -> list[Any]:
@@ -35,13 +35,13 @@
             self.now = max(self.now, min(beat, self.alarm))
             if self.alarm <= beat:
                 self.alarm = inf
-                said += self.take(port.Woken(False))
+                said += self.take(port.TimerFired(False))
             else:
                 beat += 50.0
-                said += self.take(port.Woken(True))
+                said += self.take(port.TimerFired(True))
         self.now = until
         said += self.take(*events)
-        return [a for a in said if not isinstance(a, (port.Wake, port.Log))]
+        return [a for a in said if not isinstance(a, (port.StartTimer, port.Log))]
 
     def list(self, **lives: EndpointStatus) -> list[Any]:
         for name, status in lives.items():
@@ -56,7 +56,7 @@
         return port.Request(self.request_classes[effect], session, **facts)
 
     def arrive(self, request: port.Request, after: float = 0.0) -> list[Any]:
-        return self.tell(port.Arrived(request), after=after)
+        return self.tell(port.RequestArrived(request), after=after)
 
     def end(
         self,
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -30,8 +30,8 @@
     port.Release,
     port.Reserve,
     port.Probe,
-    port.Follow,
-    port.Wake,
+    port.WatchEndpoints,
+    port.StartTimer,
     port.Log,
 )
 
@@ -181,8 +181,8 @@
 
     def carry_out(self, action: Any) -> None:
         match action:
-            case port.Wake(at, beat):
-                self.at(at, lambda: [port.Woken(beat)])
+            case port.StartTimer(at, beat):
+                self.at(at, lambda: [port.TimerFired(beat)])
             case port.StartAttempt(request, server):
                 self.begin(request, server, action)
             case port.CancelAttempt(request):
@@ -191,19 +191,19 @@
                 self.open.pop(request, None)
             case port.Release(request):
                 if self.rng.random() < 0.7:
-                    self.after(self.rng.uniform(1.0, 300.0), lambda: [port.ReleaseHeard(request)])
+                    self.after(self.rng.uniform(1.0, 300.0), lambda: [port.ReleaseConfirmed(request)])
             case port.Reserve(request):
                 held = self.rng.random() < 0.5
                 self.after(self.rng.uniform(1.0, 50.0), lambda: [port.ReservationResult(request, held)])
             case port.Probe(server):
                 self.after(self.rng.uniform(1.0, 80.0), lambda: [self.checked(server)])
-            case port.Follow():
+            case port.WatchEndpoints():
                 if self.rng.random() < 0.3:
-                    self.after(self.rng.uniform(1.0, 500.0), lambda: [port.ListFailed()])
+                    self.after(self.rng.uniform(1.0, 500.0), lambda: [port.EndpointListFailed()])
 
     def checked(self, server: Server) -> Any:
         outcome = self.rng.choice([AttemptOutcome.STREAMED, AttemptOutcome.TIMED_OUT])
-        return port.Checked(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
+        return port.ProbeResult(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
 
     def report(self) -> Any:
         if self.rng.random() < 0.3:
@@ -274,7 +274,7 @@
         if request not in self.open:
             return []
         request.prompt_tokens += self.rng.uniform(1.0, 100.0)
-        return [port.GoOn(request)]
+        return [port.ResumeStream(request)]
 
     # -- what happens by itself
 
@@ -284,13 +284,13 @@
         self.open[request] = None
         if self.rng.random() < 0.08:
             self.after(self.rng.uniform(0.0, 900.0), lambda: self.leave(request))
-        return [port.Arrived(request)]
+        return [port.RequestArrived(request)]
 
     def leave(self, request: Any) -> list[Any]:
         if request not in self.open or (request in self.out and self.out[request][2].begun):
             return []
         del self.open[request]
-        return [port.ClientLeft(request)]
+        return [port.ClientDisconnected(request)]
 
     def disturb(self) -> list[Any]:
         """A change of the list, or of the settings."""
@@ -299,7 +299,7 @@
         if draw < 0.08:
             return self.reload()
         if draw < 0.15:
-            return [port.ListFailed()]
+            return [port.EndpointListFailed()]
         if draw < 0.35:
             return self.replace_server()
         server = self.rng.choice(self.servers)
@@ -329,14 +329,14 @@
             release_ms=self.rng.choice([300.0, 500.0, 900.0]),
             cold_ms=self.rng.choice([4e3, 10e3]),
         )
-        return [port.Altered(self.facts)]
+        return [port.ConfigChanged(self.facts)]
 
 
 def shut_down_at(host: RandomHost, ms: float, grace_ms: float) -> None:
     """Tells the router at that time that its gateway ends; twice, as two signals may come."""
     times = port.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
-    host.after(ms, lambda: [port.Ending(times)])
-    host.after(ms + 100.0, lambda: [port.Ending(replace(times, ends_ms=inf))])
+    host.after(ms, lambda: [port.ShutdownStarted(times)])
+    host.after(ms + 100.0, lambda: [port.ShutdownStarted(replace(times, ends_ms=inf))])
 
 
 def stream_digest(seed: int, shutdown_ms: float | None = None, **facts: Any) -> str:
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -31,7 +31,7 @@
         out: list[port.Action] = []
         for event in events:
             match event:
-                case port.Arrived(request):
+                case port.RequestArrived(request):
                     out.append(self.next(request, Role.PREFILL))
                 case port.AttemptEnded(request, server, outcome, _, over) if not over:
                     if outcome is AttemptOutcome.PREFILLED:
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -99,7 +99,7 @@
         )
         self.requests[request] = client_request
         self.tickets[request] = Ticket(request)
-        self.tell(port.Arrived(request))
+        self.tell(port.RequestArrived(request))
         if client_request.gives_up_ms < inf:
             self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
 
@@ -110,7 +110,7 @@
             return
         client_request.left = True
         del self.requests[request]
-        self.tell(port.ClientLeft(request))
+        self.tell(port.ClientDisconnected(request))
         if request not in self.jobs:
             self.tickets.pop(request, None)
 
@@ -183,7 +183,7 @@
         if model.up and not model.silent and not model.hung and not self.day.cut(self, model):
             self.at(
                 self.day.now + PROBE_MS,
-                lambda: self.tell(port.Checked(server, AttemptOutcome.STREAMED, model.report())),
+                lambda: self.tell(port.ProbeResult(server, AttemptOutcome.STREAMED, model.report())),
             )
 
     def woken(self) -> None:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -195,19 +195,21 @@
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.status = EndpointStatus.REMOVED
-    assert kinds(host.tell(port.Arrived(later), port.EndpointsUpdated(tuple(host.servers.values())))) == [port.Reject]
+    assert kinds(host.tell(port.RequestArrived(later), port.EndpointsUpdated(tuple(host.servers.values())))) == [
+        port.Reject
+    ]
 
 
 def test_a_state_read_for_a_client_that_left_is_released(host: FakeHost) -> None:
     request = host.request()
     attempt = sent(host.arrive(request))
-    assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
+    assert kinds(host.tell(port.ClientDisconnected(request))) == [port.CancelAttempt]
     assert kinds(host.end(request, attempt.server, AttemptOutcome.PREFILLED, over=True)) == [port.Release]
 
 
 def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
     request, attempt = host.written()
-    assert kinds(host.tell(port.ClientLeft(request))) == [port.CancelAttempt]
+    assert kinds(host.tell(port.ClientDisconnected(request))) == [port.CancelAttempt]
     assert kinds(host.end(request, attempt.server, AttemptOutcome.CANCELLED, over=True)) == [port.Release]
 
 
@@ -431,7 +433,7 @@
         attempt = sent(host.arrive(request, after=4000.0))
         patience.append(attempt.timeout_ms)
         host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=attempt.timeout_ms)
-        host.tell(port.ClientLeft(request))
+        host.tell(port.ClientDisconnected(request))
     assert patience[-1] > patience[0]
 
 
@@ -465,7 +467,7 @@
     streams, attempt = host.written()
     prefills = host.request(Effect.SIDE_EFFECTING)
     read = sent(host.arrive(prefills))
-    assert not host.tell(port.Ending(port.ShutdownTimes(500.0, 800.0, 1000.0)))
+    assert not host.tell(port.ShutdownStarted(port.ShutdownTimes(500.0, 800.0, 1000.0)))
     said = host.arrive(host.request(Effect.SIDE_EFFECTING))
     assert kinds(said) == [port.Reject]  # another gateway may do it: nothing has run
     assert sent(host.end(prefills, read.server, AttemptOutcome.PREFILLED)).server.role is port.Role.DECODE
@@ -482,14 +484,14 @@
         new.status = EndpointStatus.REMOVED
         host.tell(port.EndpointsUpdated((new,)))
         host.router.desk.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
-        host.tell(port.Woken(True), after=100.0)
+        host.tell(port.TimerFired(True), after=100.0)
     assert len(board) < 20 and len(host.router.desk.prefix_popularity) <= 4096 + 200
     attempt.server.status = EndpointStatus.REMOVED  # one that still has a leg stays until it has ended
     host.tell(port.EndpointsUpdated((attempt.server,)))
     for _ in range(8):
-        host.tell(port.Woken(True), after=100.0)
+        host.tell(port.TimerFired(True), after=100.0)
     assert attempt.server.seat in board
     host.end(busy, attempt.server, AttemptOutcome.RESET, over=True)
     for _ in range(8):
-        host.tell(port.Woken(True), after=100.0)
+        host.tell(port.TimerFired(True), after=100.0)
     assert attempt.server.seat not in board
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -73,8 +73,8 @@
 
     def act(self, nth: int, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, port.Wake):
-                self.at(action.at_ms, nth, port.Woken(action.beat))
+            if isinstance(action, port.StartTimer):
+                self.at(action.at_ms, nth, port.TimerFired(action.beat))
             elif isinstance(action, port.StartAttempt):
                 request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
@@ -104,7 +104,7 @@
             draw = zlib.crc32(b"arrival %d %f" % (n, self.now))
             request = Request(REQUEST_CLASS, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
             nth = int(self.routers * (draw / 2**32) ** 3) if self.uneven else draw % self.routers
-            self.at(self.now + ms * n / arrivals, nth, port.Arrived(request))
+            self.at(self.now + ms * n / arrivals, nth, port.RequestArrived(request))
         while self.due and self.due[0][0] <= until:
             self.now, _, nth, event = heapq.heappop(self.due)
             if isinstance(event, tuple):
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -258,7 +258,7 @@
     host = build()
     request_class = port.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
     host.request_classes[Effect.DEDUPLICATED] = request_class
-    host.tell(port.Altered(FACTS))
+    host.tell(port.ConfigChanged(FACTS))
     return host
 
 
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -30,7 +30,7 @@
 
 
 def arrivals(events: list[port.Event]) -> int:
-    return sum(isinstance(event, port.Arrived) for event in events)
+    return sum(isinstance(event, port.RequestArrived) for event in events)
 
 
 def make_faulty(p: Platform, instead: Callable[[list[port.Event]], list[port.Action] | None]) -> None:
@@ -127,7 +127,7 @@
     looks: list[bool] = []
 
     def fail_first(events: list[port.Event]) -> None:
-        if any(isinstance(event, port.Woken) for event in events):
+        if any(isinstance(event, port.TimerFired) for event in events):
             looks.append(True)
             if len(looks) == 1:
                 raise KeyError("a fault in the decisions")
@@ -149,7 +149,9 @@
                 raise OSError("a fault in this program")
             settle(ticket, final)
 
-        make_faulty(p, lambda events: [port.Reject(e.request, 0.0) for e in events if isinstance(e, port.Arrived)])
+        make_faulty(
+            p, lambda events: [port.Reject(e.request, 0.0) for e in events if isinstance(e, port.RequestArrived)]
+        )
         node.settle = settle_second  # type: ignore[method-assign]
         statuses: list[int] = []
 
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -195,7 +195,7 @@
     request, attempt = host.written(prefix=None, prefix_tokens=0.0)
     for name in ("w0", "w1"):
         full = port.Report(open_requests=40.0, mem_share=1.0)
-        host.tell(port.Checked(host.servers[name], AttemptOutcome.STREAMED, full))
+        host.tell(port.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
     said = host.arrive(host.request())
     assert port.StartAttempt not in kinds(said)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -121,7 +121,7 @@
     host = platform_like("w2")
     request, attempt = host.written()
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
-    host.tell(port.ReleaseHeard(request))
+    host.tell(port.ReleaseConfirmed(request))
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
     assert sent(said).server.role is port.Role.DECODE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
@@ -160,7 +160,7 @@
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
     host = platform_like(may_cancel=False)
     request, _ = host.written(Effect.SIDE_EFFECTING)
-    host.tell(port.ClientLeft(request))
+    host.tell(port.ClientDisconnected(request))
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -54,7 +54,7 @@
     for name in ("zone", "cell", "duty", "mem_toks", "size", "started_ms", "life", "mark"):
         assert getattr(mine, name) == getattr(theirs, name), name
     by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
-    assert isinstance(by_wire, port.Arrived)
+    assert isinstance(by_wire, port.RequestArrived)
     by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
     for name in ("session", "opening", "opening_toks", "prompt_toks", "max_toks", "patience_ms", "tenant"):
         assert getattr(by_wire.request, name) == getattr(by_socket, name), name
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -30,8 +30,8 @@
         self.heard = 0
 
     def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
-        self.heard += sum(isinstance(e, port.Woken) for e in events)
-        return [port.Wake(now + 5, True)]
+        self.heard += sum(isinstance(e, port.TimerFired) for e in events)
+        return [port.StartTimer(now + 5, True)]
 
 
 class Quiet(Turns[Any]):
@@ -52,7 +52,7 @@
     chooser = Beats()
     turns = Quiet(chooser)
     nursery.start_soon(turns.clock)
-    turns.tell(port.ListFailed())
+    turns.tell(port.EndpointListFailed())
     with trio.fail_after(2):
         while chooser.heard < 5:
             await trio.sleep(0.005)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -85,8 +85,8 @@
     def tell(self, nth: int, event: port.Event) -> None:
         for action in self.routers[nth].take(self.now, [event]):
             match action:
-                case port.Wake(at, beat):
-                    self.at(at, nth, port.Woken(beat))
+                case port.StartTimer(at, beat):
+                    self.at(at, nth, port.TimerFired(beat))
                 case port.StartAttempt(request, server, timeout):
                     self.attempt(nth, request, server, timeout)
                 case port.Reject(request) | port.Fail(request):
@@ -138,7 +138,7 @@
             if isinstance(event, ClientRequest):
                 self.requests.append(event)
                 self.of[event.request] = event
-                self.tell(nth, port.Arrived(event.request))
+                self.tell(nth, port.RequestArrived(event.request))
             elif isinstance(event, tuple):
                 place, tokens, ended = event
                 self.held[place] -= tokens
@@ -186,7 +186,7 @@
     request_class = fleet.request_classes["chat"]
     first = Request(request_class, "a", None, 0.0, 800.0, 400.0, 7000.0)
     fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
-    fleet.tell(0, port.Arrived(first))
+    fleet.tell(0, port.RequestArrived(first))
     home = fleet.routers[0].desk.homes["a"]  # type: ignore[attr-defined]
     fleet.held[fleet.servers[0].index(home.decode_server.server)] = MEMORY_TOKENS
     for _ in range(8):
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -60,7 +60,7 @@
 def test_a_request_that_comes_late_in_a_shutdown_is_rejected_at_once_whatever_is_usual(effect: Effect) -> None:
     host = build()
     learn_short_streams(host, effect)
-    host.tell(port.Ending(TIMES))
+    host.tell(port.ShutdownStarted(TIMES))
     early = host.request(effect)
     assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.StartAttempt]
     late = host.request(effect)
@@ -75,7 +75,7 @@
     """Each attempt has ended before its request is answered: only then it shows whether it may have run."""
     host = build()
     learn_short_streams(host, effect)
-    host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    host.tell(port.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
     streamed, stream = host.written(effect, client_timeout_ms=9000.0)
     host.first(streamed, stream.server)
     decoded, decode = host.written(effect, client_timeout_ms=9000.0)
@@ -97,7 +97,7 @@
     """Of an attempt that is out nothing is known, so what may run only once is failed."""
     host = build(may_cancel=False)
     learn_short_streams(host, effect)
-    host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    host.tell(port.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
     requests = [host.request(effect, client_timeout_ms=9000.0), host.written(effect, client_timeout_ms=9000.0)[0]]
     host.arrive(requests[0])
     said = host.tell(after=500.0)
@@ -112,7 +112,7 @@
     waiting = host.request(client_timeout_ms=9000.0)
     host.router.desk.served = lambda course: True  # type: ignore[method-assign]
     host.arrive(waiting)
-    host.tell(port.Ending(TIMES))
+    host.tell(port.ShutdownStarted(TIMES))
     said = host.tell(after=TIMES.answers_ms)
     assert [type(action) for action in said] == [port.Reject] and not host.router.desk.unanswered
 
@@ -121,7 +121,7 @@
     streamed, attempt = host.written()
     host.first(streamed, attempt.server)
     left, _ = host.written()
-    host.tell(port.ClientLeft(left))
+    host.tell(port.ClientDisconnected(left))
     whole, attempt = host.written()
     host.end(
         whole, attempt.server, AttemptOutcome.STREAMED, over=True
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -184,7 +184,7 @@
 
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
-    assert host.tell(port.Altered(replace(FACTS, max_attempts=1))) == []
+    assert host.tell(port.ConfigChanged(replace(FACTS, max_attempts=1))) == []
     assert kinds(host.end(request, attempt.server, port.AttemptOutcome.OVERLOADED)) == [port.Reject, port.Release]
 
 
@@ -193,7 +193,7 @@
     home = request.seat.prefill_server.server
     host.first(request, attempt.server)
     host.end(request, attempt.server, port.AttemptOutcome.STREAMED, over=True)
-    host.tell(port.Altered(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False)))
+    host.tell(port.ConfigChanged(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False)))
     assert sent(host.arrive(host.request(session="s"))).server is home
 
 
@@ -203,8 +203,8 @@
     asked = [a.server for a in host.arrive(request)]
     assert len(asked) == 2 and all(server.role is port.Role.PREFILL for server in asked)
     busy, idle = asked
-    assert host.tell(port.Checked(busy, port.AttemptOutcome.STREAMED, port.Report(30.0, 0.99))) == []
-    said = host.tell(port.Checked(idle, port.AttemptOutcome.STREAMED, port.Report(0.0, 0.05)))
+    assert host.tell(port.ProbeResult(busy, port.AttemptOutcome.STREAMED, port.Report(30.0, 0.99))) == []
+    said = host.tell(port.ProbeResult(idle, port.AttemptOutcome.STREAMED, port.Report(0.0, 0.05)))
     attempt = next(a for a in said if isinstance(a, port.StartAttempt))
     assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
     assert sent(build().arrive(request)).timeout_ms == 1000.0
