--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -26,7 +26,7 @@
 from ternlane.gateway.host import Host
 from ternlane.gateway.logs import library_log
 from ternlane.gateway.measures import Measures
-from ternlane.gateway.ticket import Outlet, Streamed, Failed, Rejected, Ticket
+from ternlane.gateway.active_request import Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
 from ternlane.paper import GatewayPaper, InlineSource, NodeLine, checked
 from ternlane.port import StartFacts
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.sends, self.gets = trio.open_memory_channel[str](0)  # the writer waits for a slow reader
-        self.ticket: Ticket | None = None
+        self.active_request: ActiveRequest | None = None
         self.usage: dict[str, Any] = {}
         self.finish = ""
 
@@ -71,14 +71,14 @@
         async for text in self.gets:
             if text:
                 yield text
-        assert self.ticket is not None
-        match self.ticket.final:
+        assert self.active_request is not None
+        match self.active_request.final:
             case Streamed(_, finish, usage):
                 self.finish, self.usage = finish, usage
             case Rejected(pause):
                 raise RejectedError(pause)
             case Failed(why):
-                raise FailedError(why, self.ticket.begun)
+                raise FailedError(why, self.active_request.begun)
 
     async def text(self) -> str:
         """The whole text, once it is there. Raises ThrottledError or TerminatedError."""
@@ -131,17 +131,17 @@
         known = self.intake.take(ask, limit if request_timeout_ms is None else min(limit, request_timeout_ms))
         known.request.whole = False  # the caller sees the text as it comes
         stream, ident = Stream(), f"{self.paper.name}-{next(self.count)}"
-        ticket = stream.ticket = Ticket(
+        active_request = stream.active_request = ActiveRequest(
             ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.request)
         )
-        ticket.when_over = stream.sends.close
+        active_request.when_over = stream.sends.close
         try:
-            self.host.arrived(ticket)
+            self.host.arrived(active_request)
             yield stream
         finally:
             stream.gets.close()
-            if ticket.final is None:
-                self.host.client_left(ticket)
+            if active_request.final is None:
+                self.host.client_left(active_request)
 
 
 @asynccontextmanager
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/active_request.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class ActiveRequest:
     """`final` is set once, by the host; the door, which watches for the client's leaving, is then woken."""
 
     ident: str
--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -78,7 +78,7 @@
                     log.error("reload refused", why=str(why))
                 notify("READY=1")
             notify("STOPPING=1")
-            log.info("draining", open=len(gateway.host.tickets))
+            log.info("draining", open=len(gateway.host.active_requests))
             async with trio.open_nursery() as nursery:
 
                 async def at_once() -> None:
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -31,7 +31,7 @@
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.scribe import final_of
 from ternlane.gateway.till import Till
-from ternlane.gateway.ticket import Final, Outlet, Streamed, Failed, Rejected, Ticket
+from ternlane.gateway.active_request import Final, Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
 from ternlane.paper import DoorTerms, GatewayPaper
 from ternlane.port import RequestClass
@@ -227,11 +227,11 @@
         """From the request to its one answer. What is refused here was never taken."""
         since = now_ms()
         begun: str | None = None  # the repeat key whose first request this is: it must be ended
-        ticket: Ticket | None = None
+        active_request: ActiveRequest | None = None
         try:
             tenant = self.tenant(exchange)
             ask = read_chat(exchange.body)
-            if len(self.host.tickets) >= self.terms.open_limit:
+            if len(self.host.active_requests) >= self.terms.open_limit:
                 raise NotTaken(503, "This gateway holds as many generations as it may", "open_limit", 1)
             patience = self.patience(exchange, self.models.get(ask.model))
             after = self.resumes_after(exchange, ask)
@@ -241,22 +241,22 @@
                 if done is not None:
                     return await self.replay(exchange, done, ask, after)
                 begun = key
-            ticket = self.ticket(exchange, ask, tenant, key, patience, since, after)
+            active_request = self.active_request(exchange, ask, tenant, key, patience, since, after)
         except Wrong as bad:
             return await self.refuse(exchange, bad.status, bad.why, bad.code, bad.param)
         except NotTaken as no:
             return await self.refuse(exchange, no.status, no.why, no.code, no.param, no.extra)
         finally:
-            if begun is not None and ticket is None:
+            if begun is not None and active_request is None:
                 self.repeats.end(begun, None, 0, 0.0)
         try:
-            self.host.arrived(ticket)
-            await self.answer(exchange, ticket)
+            self.host.arrived(active_request)
+            await self.answer(exchange, active_request)
         finally:
-            if not ticket.left and ticket.final is None:  # the connection's task was ended from outside
-                self.host.client_left(ticket)
+            if not active_request.left and active_request.final is None:  # the connection's task was ended from outside
+                self.host.client_left(active_request)
             if begun is not None:
-                self.remember(begun, ticket)
+                self.remember(begun, active_request)
 
     def tenant(self, exchange: Exchange) -> TenantLine | None:
         """Who asks; None where the gateway has no tenants. Raises NotTaken."""
@@ -318,7 +318,7 @@
             raise Wrong("Last-Event-ID", "must be the id of an event of this stream")
         return int(said)
 
-    def ticket(
+    def active_request(
         self,
         exchange: Exchange,
         ask: ChatAsk,
@@ -327,7 +327,7 @@
         patience: float,
         since: float,
         after: int,
-    ) -> Ticket:
+    ) -> ActiveRequest:
         """Makes the generation and reserves for it. Raises Wrong, or NotTaken where the budget has no room."""
         owner = tenant.name if tenant is not None else ""
         known = self.intake.take(ask, patience, owner)
@@ -362,7 +362,7 @@
         engine_key = f"{self.birth}-{ident}-{next(self.count)}" if key is None else xxh3_64_hexdigest(key.encode())
         join = self.host.join_for(ask.raw, known.request)
         join.ahead = after
-        return Ticket(
+        return ActiveRequest(
             ident,
             ask,
             known,
@@ -399,28 +399,34 @@
         spent = now_ms() - exchange.arrived * 1000
         return max(0.0, limit - spent - self.paper.door.answer_ms)
 
-    async def answer(self, exchange: Exchange, ticket: Ticket) -> None:
-        if ticket.final is None:
-            with ticket.watch:  # cancelled when the answer is settled
+    async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
+        if active_request.final is None:
+            with active_request.watch:  # cancelled when the answer is settled
                 await exchange.until_left()
-                self.host.client_left(ticket)
-        if ticket.left or ticket.final is None:
+                self.host.client_left(active_request)
+        if active_request.left or active_request.final is None:
             return  # the connection ends without an answer, or without its last chunk
         try:
-            if isinstance(ticket.outlet, StreamOutlet) and ticket.begun:
-                await ticket.outlet.end(ticket.final)
+            if isinstance(active_request.outlet, StreamOutlet) and active_request.begun:
+                await active_request.outlet.end(active_request.final)
             else:
-                await self.whole(exchange, ticket, ticket.final)
+                await self.whole(exchange, active_request, active_request.final)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass  # gone before it took its answer: the answer was given all the same
 
-    async def whole(self, exchange: Exchange, ticket: Ticket, final: Final) -> None:
+    async def whole(self, exchange: Exchange, active_request: ActiveRequest, final: Final) -> None:
         """An answer of which the client has nothing yet."""
-        ident, extra = ("X-Request-Id", ticket.ident), ticket.outlet.extra
+        ident, extra = ("X-Request-Id", active_request.ident), active_request.outlet.extra
         match final:
             case Streamed(text, finish, usage, more):
                 body = answer_body(
-                    f"chatcmpl-{ticket.ident}", int(time.time()), ticket.ask.model, text, finish, usage, more
+                    f"chatcmpl-{active_request.ident}",
+                    int(time.time()),
+                    active_request.ask.model,
+                    text,
+                    finish,
+                    usage,
+                    more,
                 )
                 await exchange.answer(200, [ident, *extra], body)
             case Rejected(pause):
@@ -448,9 +454,9 @@
                 it.taken.key, it.taken.mark, final_of(it), len(it.ended.text), now + it.taken.until - wall
             )
 
-    def remember(self, key: str, ticket: Ticket) -> None:
+    def remember(self, key: str, active_request: ActiveRequest) -> None:
         """Ends the key's first request with what a repeat will hear."""
-        request_class, final = ticket.request.request_class, ticket.for_repeats()
+        request_class, final = active_request.request.request_class, active_request.for_repeats()
         cost = len(final.text) if isinstance(final, Streamed) else 0
         self.repeats.end(key, final, cost, now_ms() + max(request_class.window_ms, request_class.deadline_ms))
         self.repeats.sweep(now_ms())
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -238,7 +238,7 @@
         await trio.sleep(0.05)  # for requests that were under way
         self.door.draining = True
         with trio.move_on_after(self.paper.door.drain_ms / 1000):
-            while self.host.tickets:
+            while self.host.active_requests:
                 await trio.sleep(0.02)
         await self.stop()
 
@@ -262,10 +262,10 @@
     async def stop(self) -> None:
         """Gives up on what is open, releases what is held, and keeps the bills. After `drain` there is nothing left
         to do; a block that ends without it loses nothing either."""
-        for ticket in list(self.host.tickets.values()):
-            self.host.give_up(ticket, "the gateway went down")
+        for active_request in list(self.host.active_requests.values()):
+            self.host.give_up(active_request, "the gateway went down")
         with trio.move_on_after(self.facts.release_ms / 1000 + 0.2):  # for last answers and what is released
-            while self.host.tickets or self.host.releasing or self.door.busy:
+            while self.host.active_requests or self.host.releasing or self.door.busy:
                 await trio.sleep(0.01)
         if self.till is not None:
             await self.till.close()
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -17,7 +17,7 @@
 from ternlane.gateway.facts import Offer
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.scribe import Scribe
-from ternlane.gateway.ticket import Streamed, Failed, Rejected, Ticket
+from ternlane.gateway.active_request import Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
 from ternlane.paper import StreamTerms
 from ternlane.port import Role, EndpointStatus, Server, StartFacts, AttemptOutcome
@@ -26,7 +26,7 @@
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 
-class Host(Turns[Ticket]):
+class Host(Turns[ActiveRequest]):
     def __init__(
         self,
         chooser: Chooser,
@@ -42,14 +42,14 @@
         super().__init__(chooser)
         self.facts, self.transport, self.book, self.intake = facts, transport, book, intake
         self.nursery, self.measures, self.log = nursery, measures, log
-        self.mender: Mender[Ticket] = Mender(streams or StreamTerms(), facts)
+        self.mender: Mender[ActiveRequest] = Mender(streams or StreamTerms(), facts)
         self.resume_at = float("inf")
         self.idents: set[str] = set()
         self.releasing = 0
         self.mute: set[str] = set()  # servers that were asked for their load and did not say
         self.scribe: Scribe | None = None
-        self.on_done: Callable[[Ticket], None] = lambda _: None
-        self.affords: Callable[[Ticket], bool] = lambda _: True
+        self.on_done: Callable[[ActiveRequest], None] = lambda _: None
+        self.affords: Callable[[ActiveRequest], bool] = lambda _: True
         self.on_follow: Callable[[], None] = lambda: None
 
     # -- the loop
@@ -71,13 +71,13 @@
     def carry_further(self, action: port.Action) -> None:
         match action:
             case port.Release(request):
-                self.release_all(self.tickets.get(request))
+                self.release_all(self.active_requests.get(request))
             case port.WatchEndpoints():
                 self.on_follow()
             case port.Log(server, text):
                 self.log.info("server", server=self.book.places[server].ident, text=text)
             case port.Reserve(request, server):
-                self.hold(self.tickets.get(request), server)
+                self.hold(self.active_requests.get(request), server)
             case port.Probe(server):
                 self.nursery.start_soon(self.probe, server)
 
@@ -92,77 +92,83 @@
     def join_for(self, raw: dict[str, Any], request: port.Request) -> Join:
         return self.mender.join(raw, request)
 
-    def arrived(self, ticket: Ticket) -> None:
-        ticket.taken = now_ms()
-        self.idents.add(ticket.ident)
+    def arrived(self, active_request: ActiveRequest) -> None:
+        active_request.taken = now_ms()
+        self.idents.add(active_request.ident)
         if self.scribe is not None:
-            self.scribe.took(ticket)
-        self.taken(ticket)
-        self.measures.open.set(len(self.tickets))
+            self.scribe.took(active_request)
+        self.taken(active_request)
+        self.measures.open.set(len(self.active_requests))
 
-    def client_left(self, ticket: Ticket) -> None:
+    def client_left(self, active_request: ActiveRequest) -> None:
         """The client has gone: nothing is owed any more, and everything held for it is freed."""
-        if ticket.final is None and not ticket.left:
-            ticket.left = True
-            if ticket.attempt is not None and ticket.flowing:
-                ticket.attempt.cancel()  # a stream that nobody reads
-            self.tell(port.ClientDisconnected(ticket.request))
-            self.close(ticket, "left")
-
-    def settle(self, ticket: Ticket, final: Rejected | Failed | Streamed) -> None:
-        if ticket.begun and isinstance(final, Rejected):  # its client has a part: nothing to come back for
-            final = Failed(ticket.why or "nobody could go on with it")
-        if not ticket.settle(final):
+        if active_request.final is None and not active_request.left:
+            active_request.left = True
+            if active_request.attempt is not None and active_request.flowing:
+                active_request.attempt.cancel()  # a stream that nobody reads
+            self.tell(port.ClientDisconnected(active_request.request))
+            self.close(active_request, "left")
+
+    def settle(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
+        if active_request.begun and isinstance(final, Rejected):  # its client has a part: nothing to come back for
+            final = Failed(active_request.why or "nobody could go on with it")
+        if not active_request.settle(final):
             return
-        self.close(ticket, type(final).__name__.lower())
+        self.close(active_request, type(final).__name__.lower())
 
-    def close(self, ticket: Ticket, outcome: str) -> None:
-        took = now_ms() - ticket.since
+    def close(self, active_request: ActiveRequest, outcome: str) -> None:
+        took = now_ms() - active_request.since
         if self.scribe is not None:
-            self.scribe.ended(ticket, outcome)
-        self.measures.outcomes.labels(ticket.ask.model, outcome).inc()
+            self.scribe.ended(active_request, outcome)
+        self.measures.outcomes.labels(active_request.ask.model, outcome).inc()
         self.log.info(
             "generation",
-            gen=ticket.ident,
-            model=ticket.ask.model,
-            session=ticket.known.session,
+            gen=active_request.ident,
+            model=active_request.ask.model,
+            session=active_request.known.session,
             outcome=outcome,
-            legs=ticket.trail,
+            legs=active_request.trail,
             took_ms=round(took, 1),
-            why=ticket.why,
+            why=active_request.why,
         )
-        self.forget(ticket)
+        self.forget(active_request)
 
-    def forget(self, ticket: Ticket) -> None:
+    def forget(self, active_request: ActiveRequest) -> None:
         """A ticket stays until its answer is settled, its last leg has ended and what it held is released."""
-        if ticket.attempt is None and (ticket.final is not None or ticket.left) and not ticket.holders:
-            if self.tickets.pop(ticket.request, None) is not None:
-                self.mender.ended(ticket, ticket.join, isinstance(ticket.final, Streamed))
+        if (
+            active_request.attempt is None
+            and (active_request.final is not None or active_request.left)
+            and not active_request.holders
+        ):
+            if self.active_requests.pop(active_request.request, None) is not None:
+                self.mender.ended(active_request, active_request.join, isinstance(active_request.final, Streamed))
                 if self.resume_at < float("inf"):  # others wait, perhaps for its place
                     self.resume()
-                self.idents.discard(ticket.ident)
-                self.on_done(ticket)
-            self.measures.open.set(len(self.tickets))
+                self.idents.discard(active_request.ident)
+                self.on_done(active_request)
+            self.measures.open.set(len(self.active_requests))
 
     # -- legs
 
-    def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: ActiveRequest, server: Server, times: port.StartAttempt) -> None:
         place = self.book.places[server]
-        number = ticket.attempts
-        ticket.attempts += 1
+        number = active_request.attempts
+        active_request.attempts += 1
         stage = Stage.WHOLE
         if server.role is Role.PREFILL:
             stage = Stage.PREFILL
-            ticket.holders[server] = None  # from now on: a read whose end is not heard may have left its state
-        elif server.role is Role.DECODE and ticket.state is not None:
+            active_request.holders[server] = None  # from now on: a read whose end is not heard may have left its state
+        elif server.role is Role.DECODE and active_request.state is not None:
             stage = Stage.DECODE
-        barred = begin_check(server, times.begin_by_ms, lambda: ticket.left or ticket.final is not None)
-        ticket.attempt = AttemptPlan(place.address, [], b"", times.timeout_ms, times.quiet_ms, times.whole_ms, barred)
-        join, goes_on = ticket.join, ticket.join.resumed and ticket.join.way is Way.GO_ON
+        barred = begin_check(server, times.begin_by_ms, lambda: active_request.left or active_request.final is not None)
+        active_request.attempt = AttemptPlan(
+            place.address, [], b"", times.timeout_ms, times.quiet_ms, times.whole_ms, barred
+        )
+        join, goes_on = active_request.join, active_request.join.resumed and active_request.join.way is Way.GO_ON
         first = None
         if self.scribe is not None:
             first = self.scribe.sends(
-                ticket,
+                active_request,
                 place.ident,
                 place.address,
                 place.line.protocol,
@@ -171,26 +177,30 @@
             )
         self.nursery.start_soon(
             self.run,
-            ticket,
+            active_request,
             server,
             first,
             AttemptRequest(
                 place.ident,
                 place.address,
                 stage,
-                ticket.ident,
+                active_request.ident,
                 number,
-                f"{ticket.key}.{join.attempts}" if goes_on else ticket.key,  # another request than the first: no repeat
-                join.request(ticket.ask.raw),
-                ticket.state,
+                f"{active_request.key}.{join.attempts}"
+                if goes_on
+                else active_request.key,  # another request than the first: no repeat
+                join.request(active_request.ask.raw),
+                active_request.state,
                 join.left(),
-                ticket.attempt,
+                active_request.attempt,
                 place.line.protocol,
                 goes_on,
             ),
         )
 
-    async def run(self, ticket: Ticket, server: Server, first_kept: int | None, ask: AttemptRequest) -> None:
+    async def run(
+        self, active_request: ActiveRequest, server: Server, first_kept: int | None, ask: AttemptRequest
+    ) -> None:
         since, stage, plan, last = now_ms(), ask.stage, ask.plan, 0.0
         longest, explores = plan.quiet_ms, self.mender.rhythm.explores()
 
@@ -202,47 +212,53 @@
                 await pass_piece(text, first, more)
             finally:
                 last = now_ms()  # a client that takes its time is not the engine's silence
-            plan.quiet_ms = self.mender.quiet_ms(ticket.join, server, longest, explores)
+            plan.quiet_ms = self.mender.quiet_ms(active_request.join, server, longest, explores)
 
         async def pass_piece(text: str, first: bool, more: More | None) -> None:
-            if ticket.left or ticket.final is not None:
+            if active_request.left or active_request.final is not None:
                 raise ClientGone
             if first:
-                ticket.flowing = True
-                if ticket.holders and self.scribe is not None:
-                    self.scribe.freed(ticket)
-                ticket.holders.clear()  # the writer has fetched the state
-                if not ticket.begun:
-                    self.measures.first.labels(ticket.ask.model).observe((now_ms() - ticket.since) / 1000)
-                paused = self.mender.first(ticket, now_ms(), ticket.taken)
+                active_request.flowing = True
+                if active_request.holders and self.scribe is not None:
+                    self.scribe.freed(active_request)
+                active_request.holders.clear()  # the writer has fetched the state
+                if not active_request.begun:
+                    self.measures.first.labels(active_request.ask.model).observe(
+                        (now_ms() - active_request.since) / 1000
+                    )
+                paused = self.mender.first(active_request, now_ms(), active_request.taken)
                 if paused is not None:
                     self.measures.resumed.observe(paused / 1000)
                     self.resume()  # its place is free
-                self.tell(port.FirstToken(ticket.request, server, now_ms() - since))
+                self.tell(port.FirstToken(active_request.request, server, now_ms() - since))
             try:
-                new = ticket.join.take(text)
+                new = active_request.join.take(text)
             except Differs:
-                ticket.why = ticket.join.why
+                active_request.why = active_request.join.why
                 return plan.cancel()
-            if ticket.join.stopped:
+            if active_request.join.stopped:
                 return plan.cancel()
-            if not self.affords(ticket):  # its tenant wants streams cut that pass the overdraft
-                ticket.why = "over budget: the overdraft is used up"
+            if not self.affords(active_request):  # its tenant wants streams cut that pass the overdraft
+                active_request.why = "over budget: the overdraft is used up"
                 plan.cancel()
-            head, ticket.begun = not ticket.begun, True
+            head, active_request.begun = not active_request.begun, True
             if more is not None:
-                ticket.beyond.add(more)
-                ticket.join.beyond()
+                active_request.beyond.add(more)
+                active_request.join.beyond()
             elif not new and not head:
                 return  # a repeat's, which the client has
             try:
-                await (ticket.outlet.piece(new, head) if more is None else ticket.outlet.piece(new, head, more))
+                await (
+                    active_request.outlet.piece(new, head)
+                    if more is None
+                    else active_request.outlet.piece(new, head, more)
+                )
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 raise ClientGone from None
 
         if first_kept is not None and not await self.noted(first_kept, plan):
             return self.attempt_ended(
-                ticket,
+                active_request,
                 server,
                 stage,
                 AttemptResult(
@@ -256,11 +272,11 @@
             end = await (self.transport.read(ask) if stage is Stage.PREFILL else self.transport.stream(ask, pass_on))
         except ClientGone:
             end = AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
-            self.client_left(ticket)
+            self.client_left(active_request)
         except Exception as fault:
             self.faulted(fault)
-            end = AttemptResult(AttemptOutcome.ERROR, begun=ticket.flowing, why=repr(fault))
-        self.attempt_ended(ticket, server, stage, end, now_ms() - since, plan)
+            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.flowing, why=repr(fault))
+        self.attempt_ended(active_request, server, stage, end, now_ms() - since, plan)
 
     async def noted(self, number: int, plan: AttemptPlan) -> bool:
         """Waits until the disk has it that this leg goes out; where it hasn't in time, the leg is not sent."""
@@ -275,16 +291,22 @@
         return kept and not plan.cancelled
 
     def attempt_ended(
-        self, ticket: Ticket, server: Server, stage: Stage, end: AttemptResult, took: float, plan: AttemptPlan
+        self,
+        active_request: ActiveRequest,
+        server: Server,
+        stage: Stage,
+        end: AttemptResult,
+        took: float,
+        plan: AttemptPlan,
     ) -> None:
-        ticket.attempt, ticket.flowing = None, False
+        active_request.attempt, active_request.flowing = None, False
         place = self.book.places[server]
-        ticket.trail.append(f"{place.ident} {stage.name} {end.outcome.name}")
+        active_request.trail.append(f"{place.ident} {stage.name} {end.outcome.name}")
         self.measures.attempts.labels(stage.name.lower(), end.outcome.name.lower()).inc()
         self.log.debug(
             "leg",
-            gen=ticket.ident,
-            leg=ticket.attempts - 1,
+            gen=active_request.ident,
+            leg=active_request.attempts - 1,
             server=place.ident,
             stage=stage.name,
             verdict=end.outcome.name,
@@ -295,35 +317,40 @@
         if (
             end.outcome is AttemptOutcome.PREFILLED
             and end.usage is not None
-            and not ticket.join.took_in(end.usage.prompt_tokens, ticket.prompt_said)
+            and not active_request.join.took_in(end.usage.prompt_tokens, active_request.prompt_said)
         ):
             end.outcome, end.why = (
                 AttemptOutcome.ERROR,
                 "it read no more than the prompt, and can't go on with the text",
             )
-        ticket.made.append(made_of(stage, end, ticket.join.attempt_pieces))
+        active_request.made.append(made_of(stage, end, active_request.join.attempt_pieces))
         if end.usage is not None:
-            if not ticket.join.resumed:
-                self.intake.learn_prompt(ticket.known, end.usage.prompt_tokens)
+            if not active_request.join.resumed:
+                self.intake.learn_prompt(active_request.known, end.usage.prompt_tokens)
                 if stage is not Stage.DECODE:
-                    ticket.prompt_said, ticket.kept_said = end.usage.prompt_tokens, ticket.made[-1].kept
-                    self.mender.read(now_ms(), ticket.made[-1].prompt - ticket.made[-1].kept, took)
+                    active_request.prompt_said, active_request.kept_said = (
+                        end.usage.prompt_tokens,
+                        active_request.made[-1].kept,
+                    )
+                    self.mender.read(now_ms(), active_request.made[-1].prompt - active_request.made[-1].kept, took)
             details = end.usage.prompt_tokens_details
             kept = float(details.cached_tokens or 0) if details is not None else 0.0
         if end.outcome is AttemptOutcome.PREFILLED:
-            ticket.state = end.state
+            active_request.state = end.state
         elif end.why:
-            ticket.why = f"{place.ident}: {end.why}"
+            active_request.why = f"{place.ident}: {end.why}"
         broken = False
-        if end.outcome is AttemptOutcome.STREAMED and not ticket.join.ends():
-            self.settle(ticket, Failed(ticket.join.why))
-        elif end.outcome is AttemptOutcome.STREAMED or ticket.join.stopped:
-            self.streamed(ticket, "stop" if ticket.join.stopped else end.finish, end.usage)
+        if end.outcome is AttemptOutcome.STREAMED and not active_request.join.ends():
+            self.settle(active_request, Failed(active_request.join.why))
+        elif end.outcome is AttemptOutcome.STREAMED or active_request.join.stopped:
+            self.streamed(active_request, "stop" if active_request.join.stopped else end.finish, end.usage)
         elif end.begun:
-            broken = not plan.cancelled and not ticket.left and self.broke(ticket, end)
+            broken = not plan.cancelled and not active_request.left and self.broke(active_request, end)
             if not broken:  # its client has part of the answer, and hears that there is no more
-                self.settle(ticket, Failed(ticket.why if plan.cancelled else end.why or "the stream broke"))
-        over = ticket.final is not None or ticket.left
+                self.settle(
+                    active_request, Failed(active_request.why if plan.cancelled else end.why or "the stream broke")
+                )
+        over = active_request.final is not None or active_request.left
         never_ran = (
             AttemptOutcome.OVERLOADED,
             AttemptOutcome.CONNECT_FAILED,
@@ -331,56 +358,60 @@
             AttemptOutcome.NOT_STARTED,
         )
         if end.outcome in never_ran and server.role is Role.PREFILL:
-            ticket.holders.pop(server, None)  # it ran nothing, so it left nothing
+            active_request.holders.pop(server, None)  # it ran nothing, so it left nothing
         self.tell(
-            port.AttemptEnded(ticket.request, server, end.outcome, took, over, kept, end.state_lost, end.report, broken)
+            port.AttemptEnded(
+                active_request.request, server, end.outcome, took, over, kept, end.state_lost, end.report, broken
+            )
         )
-        self.forget(ticket)
+        self.forget(active_request)
         if broken:
             self.resume()
 
-    def streamed(self, ticket: Ticket, finish: str, usage: Usage | None) -> None:
-        join, said = ticket.join, (usage or Usage()).told()
-        self.intake.answered(ticket.known, ticket.beyond.echoed(join.text))
+    def streamed(self, active_request: ActiveRequest, finish: str, usage: Usage | None) -> None:
+        join, said = active_request.join, (usage or Usage()).told()
+        self.intake.answered(active_request.known, active_request.beyond.echoed(join.text))
         self.settle(
-            ticket,
+            active_request,
             Streamed(
                 join.text,
                 finish,
-                join.usage(ticket.prompt_said, ticket.kept_said, said),
-                ticket.beyond.whole() if ticket.beyond else None,
+                join.usage(active_request.prompt_said, active_request.kept_said, said),
+                active_request.beyond.whole() if active_request.beyond else None,
             ),
         )
 
     # -- streams that broke
 
-    def broke(self, ticket: Ticket, end: AttemptResult) -> bool:
+    def broke(self, active_request: ActiveRequest, end: AttemptResult) -> bool:
         """Whether another leg may give the rest; if so it waits for its turn."""
-        ticket.broke_at = len(ticket.made) if ticket.broke_at is None else ticket.broke_at
+        active_request.broke_at = (
+            len(active_request.made) if active_request.broke_at is None else active_request.broke_at
+        )
         fate = self.mender.broke(
-            ticket,
-            ticket.join,
-            ticket.request,
+            active_request,
+            active_request.join,
+            active_request.request,
             None if end.usage is None else end.usage.completion_tokens,
             now_ms(),
-            ticket.deadline_ms,
+            active_request.deadline_ms,
             sum(s.status is EndpointStatus.READY and s.role is not Role.DECODE for s in self.book.servers.values()),
         )
         self.measures.breaks.labels(fate.name.lower()).inc()
         if fate is Fate.ENDS:
-            end.why = f"{end.why or 'the stream broke'}; {ticket.join.why}"
+            end.why = f"{end.why or 'the stream broke'}; {active_request.join.why}"
         elif fate is Fate.WHOLE:
-            self.streamed(ticket, "length", Usage())
+            self.streamed(active_request, "length", Usage())
         return fate is Fate.GOES_ON
 
     def resume(self) -> None:
         """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
         go, late = self.mender.next(now_ms())
-        for ticket in go:
-            self.tell(port.ResumeStream(ticket.request))
-        for ticket in late:
-            self.settle(ticket, Failed(ticket.why or "the stream broke"))
-            self.tell(port.ClientDisconnected(ticket.request))
+        for active_request in go:
+            self.tell(port.ResumeStream(active_request.request))
+        for active_request in late:
+            self.settle(active_request, Failed(active_request.why or "the stream broke"))
+            self.tell(port.ClientDisconnected(active_request.request))
         at = self.mender.due(now_ms())
         if at < self.resume_at:
             self.resume_at = at
@@ -390,33 +421,33 @@
         self.resume_at = float("inf")
         self.resume()
 
-    def release_all(self, ticket: Ticket | None) -> None:
-        if ticket is None:
+    def release_all(self, active_request: ActiveRequest | None) -> None:
+        if active_request is None:
             return
-        ticket.state = None
-        holders, ticket.holders = list(ticket.holders), {}
+        active_request.state = None
+        holders, active_request.holders = list(active_request.holders), {}
         for server in holders:
             self.releasing += 1
-            self.nursery.start_soon(self.release, ticket, server)
-        self.forget(ticket)
+            self.nursery.start_soon(self.release, active_request, server)
+        self.forget(active_request)
 
-    def hold(self, ticket: Ticket | None, server: Server) -> None:
+    def hold(self, active_request: ActiveRequest | None, server: Server) -> None:
         """A place ahead: released like a state, so the server counts as a holder from now on."""
-        if ticket is not None:
-            ticket.holders[server] = None
-            self.nursery.start_soon(self.reserve_ahead, ticket, server)
+        if active_request is not None:
+            active_request.holders[server] = None
+            self.nursery.start_soon(self.reserve_ahead, active_request, server)
 
-    async def reserve_ahead(self, ticket: Ticket, server: Server) -> None:
-        place, request = self.book.places[server], ticket.request
+    async def reserve_ahead(self, active_request: ActiveRequest, server: Server) -> None:
+        place, request = self.book.places[server], active_request.request
         held = await self.transport.hold(
             place.ident,
             place.address,
-            ticket.ident,
+            active_request.ident,
             request.prompt_tokens + request.max_tokens,
             self.facts.release_ms,
             place.line.protocol,
         )
-        if ticket.request in self.tickets and not ticket.left and ticket.final is None:
+        if active_request.request in self.active_requests and not active_request.left and active_request.final is None:
             self.tell(port.ReservationResult(request, held))
 
     async def probe(self, server: Server) -> None:
@@ -435,19 +466,19 @@
             self.log.warning("load not told", server=place.ident, why="no metrics that can be read at /metrics")
         self.tell(port.ProbeResult(server, outcome, report))
 
-    async def release(self, ticket: Ticket, server: Server) -> None:
+    async def release(self, active_request: ActiveRequest, server: Server) -> None:
         place = self.book.places[server]
         try:
             done = await self.transport.release(
-                place.ident, place.address, ticket.ident, self.facts.release_ms, place.line.protocol
+                place.ident, place.address, active_request.ident, self.facts.release_ms, place.line.protocol
             )
         finally:
             self.releasing -= 1
             if self.scribe is not None:
-                self.scribe.freed(ticket)
+                self.scribe.freed(active_request)
         self.measures.releases.labels("confirmed" if done else "unheard").inc()
         if not done:
-            self.log.warning("release unheard", gen=ticket.ident, server=place.ident)
+            self.log.warning("release unheard", gen=active_request.ident, server=place.ident)
 
 
 def made_of(stage: Stage, end: AttemptResult, pieces: int) -> Used:
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.engine import Transport
-from ternlane.gateway.ticket import Final, Streamed, Failed, Ticket
+from ternlane.gateway.active_request import Final, Streamed, Failed, ActiveRequest
 from ternlane.ledger import Disk, Kind, Segmented, Writer
 from ternlane.port import Effect
 from ternlane.recover.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
@@ -39,18 +39,18 @@
 
     # -- what happens
 
-    def took(self, ticket: Ticket) -> None:
-        request_class, now = ticket.request.request_class, time.time() * 1000
-        if not ticket.repeat_key:  # nobody can ask for it again: only what it holds need be known
-            ticket.noted = ""
+    def took(self, active_request: ActiveRequest) -> None:
+        request_class, now = active_request.request.request_class, time.time() * 1000
+        if not active_request.repeat_key:  # nobody can ask for it again: only what it holds need be known
+            active_request.noted = ""
             return
-        ticket.noted = f"{self.birth}.{next(self.count)}"
+        active_request.noted = f"{self.birth}.{next(self.count)}"
         self.writer.add(
             Taken(
-                ticket.noted,
-                ticket.ident,
-                ticket.repeat_key,
-                ticket.mark,
+                active_request.noted,
+                active_request.ident,
+                active_request.repeat_key,
+                active_request.mark,
                 request_class.effect.name,
                 now,
                 now + max(request_class.window_ms, request_class.deadline_ms),
@@ -58,28 +58,34 @@
         )
 
     def sends(
-        self, ticket: Ticket, server: str, address: str, protocol: str, prefills: bool, decodes: bool
+        self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
         """Gives the number to wait for, where the leg must not go out before it is kept."""
-        if not ticket.repeat_key and not prefills:
+        if not active_request.repeat_key and not prefills:
             return None
-        ticket.noted = ticket.noted or f"{self.birth}.{next(self.count)}"
-        number = self.writer.add(Sent(ticket.noted, ticket.ident, server, address, protocol, prefills, decodes))
-        needed = decodes and ticket.repeat_key and ticket.request.request_class.effect is not Effect.IDEMPOTENT
+        active_request.noted = active_request.noted or f"{self.birth}.{next(self.count)}"
+        number = self.writer.add(
+            Sent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
+        )
+        needed = (
+            decodes
+            and active_request.repeat_key
+            and active_request.request.request_class.effect is not Effect.IDEMPOTENT
+        )
         return number if needed else None
 
-    def freed(self, ticket: Ticket) -> None:
-        if ticket.noted:
-            self.writer.add(Freed(ticket.noted))
+    def freed(self, active_request: ActiveRequest) -> None:
+        if active_request.noted:
+            self.writer.add(Freed(active_request.noted))
 
-    def ended(self, ticket: Ticket, outcome: str) -> None:
-        if not ticket.repeat_key:
+    def ended(self, active_request: ActiveRequest, outcome: str) -> None:
+        if not active_request.repeat_key:
             return
-        kept = Ended(ticket.noted, outcome)
-        match ticket.for_repeats():
+        kept = Ended(active_request.noted, outcome)
+        match active_request.for_repeats():
             case Streamed(text, finish, usage, more):
                 kept = Ended(
-                    ticket.noted,
+                    active_request.noted,
                     outcome,
                     True,
                     text,
@@ -88,7 +94,7 @@
                     more=more or {},
                 )
             case Failed(why):
-                kept = Ended(ticket.noted, "terminated", True, why=why)
+                kept = Ended(active_request.noted, "terminated", True, why=why)
         self.writer.add(kept)
 
     # -- after a loss
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -14,7 +14,7 @@
 import trio
 from xxhash import xxh3_64_hexdigest
 
-from ternlane.gateway.ticket import Streamed, Ticket
+from ternlane.gateway.active_request import Streamed, ActiveRequest
 from ternlane.ledger import Disk, Store, Totals, Writer
 from ternlane.ledger.lending import lender_file
 from ternlane.paper import GatewayPaper, PaperError, read_paper
@@ -115,34 +115,34 @@
     def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | RejectReason:
         return self.cashier.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
-    def affords(self, ticket: Ticket) -> bool:
-        return ticket.hold is None or not self.cashier.overrun(ticket.hold, len(ticket.pieces))
+    def affords(self, active_request: ActiveRequest) -> bool:
+        return active_request.hold is None or not self.cashier.overrun(active_request.hold, len(active_request.pieces))
 
-    def done(self, ticket: Ticket) -> None:
+    def done(self, active_request: ActiveRequest) -> None:
         """Every leg has ended: the bill is made out and kept."""
-        if ticket.hold is None:
+        if active_request.hold is None:
             return
-        outcome = "left" if ticket.final is None else type(ticket.final).__name__.lower()
+        outcome = "left" if active_request.final is None else type(active_request.final).__name__.lower()
         billed = bill_for(
-            ticket.made,
-            ticket.begun,
-            isinstance(ticket.final, Streamed),
-            len(ticket.pieces),
-            ticket.hold.prompt,
-            ticket.broke_at,
-            ticket.final.usage["completion_tokens"] if isinstance(ticket.final, Streamed) else 0,
+            active_request.made,
+            active_request.begun,
+            isinstance(active_request.final, Streamed),
+            len(active_request.pieces),
+            active_request.hold.prompt,
+            active_request.broke_at,
+            active_request.final.usage["completion_tokens"] if isinstance(active_request.final, Streamed) else 0,
         )
         self.writer.add(
             self.cashier.settle(
-                ticket.hold,
-                ticket.ident,
+                active_request.hold,
+                active_request.ident,
                 outcome,
                 billed,
-                ticket.attempts,
+                active_request.attempts,
                 now_ms(),
                 time.time(),
-                xxh3_64_hexdigest(ticket.key.encode()),
-                len(ticket.pieces),
+                xxh3_64_hexdigest(active_request.key.encode()),
+                len(active_request.pieces),
             )
         )
 
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/active_request.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class ActiveRequest:
     """A generation at this gateway. `final` is set once; its client's connection, which watches, is then woken."""
 
     ident: str
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -11,7 +11,7 @@
 from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
 from ternlane.platform.node import Node
 from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, Wrong, wish_of
-from ternlane.platform.ticket import Streamed, Ticket
+from ternlane.platform.active_request import Streamed, ActiveRequest
 from ternlane.turns import Failed, Rejected, now_ms
 
 HEAD_BYTES = 16384
@@ -192,8 +192,8 @@
         if wish.ident in node.idents:
             raise Wrong(409, "open_id", "a request with this Request-Id is open")
         if (
-            len(node.tickets) >= self.open_limit
-            or sum(len(t.body) for t in node.tickets.values()) + len(exchange.body) > self.held_bytes
+            len(node.active_requests) >= self.open_limit
+            or sum(len(t.body) for t in node.active_requests.values()) + len(exchange.body) > self.held_bytes
         ):
             node.counts["refused room"] += 1
             await exchange.answer(503, [], said("room", "this gateway holds as much as it may"))
@@ -212,21 +212,21 @@
             max(0.0, patience),
             wish.tenant,
         )
-        ticket = Ticket(wish.ident, request, exchange, exchange.body, now_ms())
+        active_request = ActiveRequest(wish.ident, request, exchange, exchange.body, now_ms())
         exchange.body = b""
-        node.arrived(ticket)
-        await self.answer(exchange, ticket)
+        node.arrived(active_request)
+        await self.answer(exchange, active_request)
 
-    async def answer(self, exchange: Exchange, ticket: Ticket) -> None:
+    async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
         try:
-            if not ticket.over:
-                with ticket.watch:  # cancelled when the answer is settled
+            if not active_request.over:
+                with active_request.watch:  # cancelled when the answer is settled
                     await exchange.until_left()
-                    self.node.client_left(ticket)
+                    self.node.client_left(active_request)
         finally:
-            if not ticket.over:  # ended from outside
-                self.node.client_left(ticket)
-        match ticket.final:
+            if not active_request.over:  # ended from outside
+                self.node.client_left(active_request)
+        match active_request.final:
             case Streamed(whole=True):
                 pass
             case Rejected(pause):
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -16,7 +16,7 @@
 from ternlane.platform.open_requests import OpenRequest
 from ternlane.platform.request_history import RequestRecord
 from ternlane.platform.endpoint_registry import EndpointList, EndpointRegistry
-from ternlane.platform.ticket import Final, Streamed, Ticket
+from ternlane.platform.active_request import Final, Streamed, ActiveRequest
 from ternlane.port import EndpointStatus, Server, AttemptOutcome
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
@@ -24,7 +24,7 @@
 RELEASE_TRIES = 4  # of a release that no server has heard, each given twice the time of the one before
 
 
-class Node(Turns[Ticket]):
+class Node(Turns[ActiveRequest]):
     """Tells the decisions what happens on the sockets, and carries out on them what is decided."""
 
     def __init__(
@@ -33,8 +33,8 @@
         super().__init__(chooser)
         self.deployment, self.engines, self.nursery, self.log = deployment, engines, nursery, log
         self.endpoint_registry = EndpointRegistry(deployment)
-        self.idents: dict[str, Ticket] = {}
-        self.ended: list[Ticket] = []  # to be forgotten once the turn is over
+        self.idents: dict[str, ActiveRequest] = {}
+        self.ended: list[ActiveRequest] = []  # to be forgotten once the turn is over
         self.releasing = 0
         self.counts: Counter[str] = Counter()
         self.records: deque[RequestRecord] = deque(maxlen=TRAILS)
@@ -45,24 +45,24 @@
 
     def turn(self) -> None:
         super().turn()
-        for ticket in self.ended:
-            self.forget(ticket)
+        for active_request in self.ended:
+            self.forget(active_request)
         self.ended.clear()
 
     def carry_further(self, action: port.Action) -> None:
         match action:
             case port.Release(request, again, why):
-                ticket = self.tickets.get(request)
-                if ticket is not None:
+                active_request = self.active_requests.get(request)
+                if active_request is not None:
                     self.releasing += 1
                     self.counts[f"release {why.name}"] += 1
-                    ticket.note(f"release begins: {why.name}")
-                    ticket.freeing = trio.Event()
-                    self.nursery.start_soon(self.release, ticket, ticket.freeing, again)
+                    active_request.note(f"release begins: {why.name}")
+                    active_request.freeing = trio.Event()
+                    self.nursery.start_soon(self.release, active_request, active_request.freeing, again)
             case port.Reserve(request, server):
-                ticket = self.tickets.get(request)
-                if ticket is not None and server in self.endpoint_registry.endpoints:
-                    self.nursery.start_soon(self.hold, ticket, server)
+                active_request = self.active_requests.get(request)
+                if active_request is not None and server in self.endpoint_registry.endpoints:
+                    self.nursery.start_soon(self.hold, active_request, server)
             case port.Probe(server):
                 self.nursery.start_soon(self.probe, server)
             case port.Log(server, text):
@@ -85,9 +85,9 @@
         self.counts["fault"] += 1
         self.log.error("fault", exc_info=fault)
 
-    def give_up(self, ticket: Ticket, why: str) -> None:
+    def give_up(self, active_request: ActiveRequest, why: str) -> None:
         self.counts["overdue"] += 1
-        super().give_up(ticket, why)
+        super().give_up(active_request, why)
 
     def listed(self, listing: EndpointList) -> None:
         news = self.endpoint_registry.take(listing, time.time() * 1000, now_ms())
@@ -102,22 +102,24 @@
 
     # -- generations
 
-    def arrived(self, ticket: Ticket) -> None:
-        self.idents[ticket.ident] = ticket
+    def arrived(self, active_request: ActiveRequest) -> None:
+        self.idents[active_request.ident] = active_request
         self.counts["taken"] += 1
-        ticket.note(f"received, {ticket.request.client_timeout_ms:.0f} ms left{self.after_sigterm(ticket)}")
-        self.taken(ticket)
+        active_request.note(
+            f"received, {active_request.request.client_timeout_ms:.0f} ms left{self.after_sigterm(active_request)}"
+        )
+        self.taken(active_request)
 
-    def after_sigterm_ms(self, ticket: Ticket) -> float | None:
+    def after_sigterm_ms(self, active_request: ActiveRequest) -> float | None:
         """How long after the signal to end the request was received; None where it was received before, or there was
         none."""
-        if self.sigterm_ms is None or ticket.since < self.sigterm_ms:
+        if self.sigterm_ms is None or active_request.since < self.sigterm_ms:
             return None
-        return round(ticket.since - self.sigterm_ms, 1)
+        return round(active_request.since - self.sigterm_ms, 1)
 
-    def after_sigterm(self, ticket: Ticket) -> str:
+    def after_sigterm(self, active_request: ActiveRequest) -> str:
         """The same as the end of a sentence."""
-        after_ms = self.after_sigterm_ms(ticket)
+        after_ms = self.after_sigterm_ms(active_request)
         return "" if after_ms is None else f", {after_ms:.0f} ms after SIGTERM"
 
     def open_requests(self) -> list[OpenRequest]:
@@ -125,154 +127,173 @@
         now = now_ms()
         return [
             OpenRequest(
-                ticket.ident,
-                ticket.phase,
-                round(now - ticket.since, 1),
-                round(ticket.deadline_ms - now, 1),
-                ticket.attempts,
-                ticket.server_name if ticket.attempt is not None else "",
-                self.after_sigterm_ms(ticket),
+                active_request.ident,
+                active_request.phase,
+                round(now - active_request.since, 1),
+                round(active_request.deadline_ms - now, 1),
+                active_request.attempts,
+                active_request.server_name if active_request.attempt is not None else "",
+                self.after_sigterm_ms(active_request),
             )
-            for ticket in self.tickets.values()
-            if not ticket.over
+            for active_request in self.active_requests.values()
+            if not active_request.over
         ]
 
-    def client_left(self, ticket: Ticket) -> None:
+    def client_left(self, active_request: ActiveRequest) -> None:
         """Nothing is owed any more; a stream that nobody reads is given up."""
-        if not ticket.over:
-            ticket.left = True
-            if ticket.attempt is not None and (
-                ticket.flowing or not ticket.attempt.written
+        if not active_request.over:
+            active_request.left = True
+            if active_request.attempt is not None and (
+                active_request.flowing or not active_request.attempt.written
             ):  # it was never a begun attempt
-                ticket.attempt.cancel()
-            self.closed(ticket, "left")
-            self.tell(port.ClientDisconnected(ticket.request))
+                active_request.attempt.cancel()
+            self.closed(active_request, "left")
+            self.tell(port.ClientDisconnected(active_request.request))
 
-    def settle(self, ticket: Ticket, final: Final) -> None:
-        if ticket.over:
+    def settle(self, active_request: ActiveRequest, final: Final) -> None:
+        if active_request.over:
             return
-        ticket.final = final
-        ticket.watch.cancel()
+        active_request.final = final
+        active_request.watch.cancel()
         outcome = type(final).__name__.lower()
         if isinstance(final, Streamed):
             outcome = "streamed" if final.whole else "broken"
         else:
             self.counts[f"{outcome} {final.reject_reason.name}"] += 1
-            ticket.note(f"{outcome}: {final.reject_reason.name}")
-        if now_ms() > ticket.deadline_ms and not ticket.flowing:
+            active_request.note(f"{outcome}: {final.reject_reason.name}")
+        if now_ms() > active_request.deadline_ms and not active_request.flowing:
             self.counts["late"] += 1
-        self.closed(ticket, outcome)
+        self.closed(active_request, outcome)
 
-    def closed(self, ticket: Ticket, outcome: str) -> None:
+    def closed(self, active_request: ActiveRequest, outcome: str) -> None:
         self.counts[outcome] += 1
         # While it shuts down each end of a request is told: who asks later finds no process to ask.
         log = self.log.debug if self.sigterm_ms is None else self.log.info
         log(
             "closed",
-            gen=ticket.ident,
+            gen=active_request.ident,
             outcome=outcome,
-            phase=ticket.phase.value,
-            refusal=getattr(ticket.final, "reject_reason", port.RejectReason.UNKNOWN).name,
-            attempts=ticket.trail,
-            after_sigterm_ms=self.after_sigterm_ms(ticket),
-            took_ms=round(now_ms() - ticket.since, 1),
-            patience_ms=round(ticket.request.client_timeout_ms),
+            phase=active_request.phase.value,
+            refusal=getattr(active_request.final, "reject_reason", port.RejectReason.UNKNOWN).name,
+            attempts=active_request.trail,
+            after_sigterm_ms=self.after_sigterm_ms(active_request),
+            took_ms=round(now_ms() - active_request.since, 1),
+            patience_ms=round(active_request.request.client_timeout_ms),
         )
-        ticket.note(f"closed: {outcome}")
-        self.records.append(RequestRecord(ticket.ident, outcome, ticket.trail, ticket.history))
-        self.ended.append(ticket)
+        active_request.note(f"closed: {outcome}")
+        self.records.append(RequestRecord(active_request.ident, outcome, active_request.trail, active_request.history))
+        self.ended.append(active_request)
 
-    def forget(self, ticket: Ticket) -> None:
+    def forget(self, active_request: ActiveRequest) -> None:
         """It stays until its answer is settled and its last leg has ended."""
-        if ticket.attempt is None and ticket.over:
-            self.tickets.pop(ticket.request, None)
-            if self.idents.get(ticket.ident) is ticket:
-                del self.idents[ticket.ident]
+        if active_request.attempt is None and active_request.over:
+            self.active_requests.pop(active_request.request, None)
+            if self.idents.get(active_request.ident) is active_request:
+                del self.idents[active_request.ident]
 
     # -- legs
 
-    def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
-        endpoint, exchange, now = self.endpoint_registry.endpoints.get(server), ticket.exchange, trio.current_time()
-        barred = begin_check(server, times.begin_by_ms, lambda: ticket.over or exchange.closed)
-        attempt = ticket.attempt = Attempt(
+    def send(self, active_request: ActiveRequest, server: Server, times: port.StartAttempt) -> None:
+        endpoint, exchange, now = (
+            self.endpoint_registry.endpoints.get(server),
+            active_request.exchange,
+            trio.current_time(),
+        )
+        barred = begin_check(server, times.begin_by_ms, lambda: active_request.over or exchange.closed)
+        attempt = active_request.attempt = Attempt(
             endpoint.address if endpoint is not None else "",
             server.role,
             exchange.method,
             exchange.request.target.decode("latin-1"),
-            ticket.ident,
-            ticket.body,
+            active_request.ident,
+            active_request.body,
             now + times.timeout_ms / 1000,
             times.quiet_ms,
             barred,
         )
-        name = ticket.server_name = endpoint.name if endpoint is not None else "gone"
-        if ticket.trail:
-            self.counts[f"retry after {ticket.last_outcome}"] += ticket.last_outcome != AttemptOutcome.PREFILLED.name
-        ticket.attempts += 1
-        ticket.note(f"attempt {ticket.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
-        self.nursery.start_soon(self.run, ticket, server, attempt, name)
-
-    async def run(self, ticket: Ticket, server: Server, attempt: Attempt, name: str) -> None:
+        name = active_request.server_name = endpoint.name if endpoint is not None else "gone"
+        if active_request.trail:
+            self.counts[f"retry after {active_request.last_outcome}"] += (
+                active_request.last_outcome != AttemptOutcome.PREFILLED.name
+            )
+        active_request.attempts += 1
+        active_request.note(f"attempt {active_request.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
+        self.nursery.start_soon(self.run, active_request, server, attempt, name)
+
+    async def run(self, active_request: ActiveRequest, server: Server, attempt: Attempt, name: str) -> None:
         since, end = now_ms(), AttemptResult()
-        if ticket.freeing is not None:  # lest a late DELETE release what this leg has read
+        if active_request.freeing is not None:  # lest a late DELETE release what this leg has read
             attempt.release_wait.deadline = trio.current_time() + self.deployment.facts.connect_ms / 1000
             with attempt.release_wait:
-                await ticket.freeing.wait()
+                await active_request.freeing.wait()
         try:
-            end = await self.engines.run(attempt, Passing(self, ticket, server, since))
+            end = await self.engines.run(attempt, Passing(self, active_request, server, since))
         except ClientGone:
             end = AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
-            self.client_left(ticket)
+            self.client_left(active_request)
         except Exception as why:  # a fault of this program must not take the other generations with it
             self.log.exception("leg")
-            end = AttemptResult(AttemptOutcome.ERROR, begun=ticket.flowing, why=repr(why))
+            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.flowing, why=repr(why))
         if end.outcome is AttemptOutcome.CLIENT_GONE:
-            self.client_left(ticket)
-        if end.outcome is AttemptOutcome.STREAMED and not ticket.over:
+            self.client_left(active_request)
+        if end.outcome is AttemptOutcome.STREAMED and not active_request.over:
             try:
-                await ticket.exchange.end()
+                await active_request.exchange.end()
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                self.client_left(ticket)
-            self.settle(ticket, Streamed(True))
+                self.client_left(active_request)
+            self.settle(active_request, Streamed(True))
         elif end.begun:
-            self.settle(ticket, Streamed(False))
-        self.attempt_ended(ticket, server, name, end, now_ms() - since)
+            self.settle(active_request, Streamed(False))
+        self.attempt_ended(active_request, server, name, end, now_ms() - since)
 
-    def attempt_ended(self, ticket: Ticket, server: Server, name: str, end: AttemptResult, took: float) -> None:
-        attempt, ticket.attempt, ticket.flowing = ticket.attempt, None, False
-        ticket.why = f"{end.outcome.name}: {end.why}" if end.why else ticket.why
+    def attempt_ended(
+        self, active_request: ActiveRequest, server: Server, name: str, end: AttemptResult, took: float
+    ) -> None:
+        attempt, active_request.attempt, active_request.flowing = active_request.attempt, None, False
+        active_request.why = f"{end.outcome.name}: {end.why}" if end.why else active_request.why
         kind = "read" if server.role is port.Role.PREFILL else "write"
-        ticket.trail.append(f"{name} {kind} {end.outcome.name} {took:.0f} ms {end.why}".rstrip())
+        active_request.trail.append(f"{name} {kind} {end.outcome.name} {took:.0f} ms {end.why}".rstrip())
         written = "not written" if attempt is None or attempt.written_at is None else "written"
-        ticket.note(f"attempt {ticket.attempts} ended: {kind} {end.outcome.name}, {written}: {end.why}".rstrip(": "))
+        active_request.note(
+            f"attempt {active_request.attempts} ended: {kind} {end.outcome.name}, {written}: {end.why}".rstrip(": ")
+        )
         if end.outcome is AttemptOutcome.PREFILLED:
-            self.held_states.held(ticket.ident, name, now_ms())
+            self.held_states.held(active_request.ident, name, now_ms())
         elif end.outcome is AttemptOutcome.STREAMED or end.state_lost:
-            self.held_states.ended(ticket.ident, now_ms())
+            self.held_states.ended(active_request.ident, now_ms())
         self.counts[f"{kind} {end.outcome.name}"] += 1
         self.log.debug(
             "attempt",
-            gen=ticket.ident,
+            gen=active_request.ident,
             server=name,
             kind=kind,
             verdict=end.outcome.name,
             took_ms=round(took, 1),
             begun=end.begun,
             kept=end.kept,
-            prompt=ticket.request.prompt_tokens,
+            prompt=active_request.request.prompt_tokens,
             why=end.why,
         )
         self.tell(
             port.AttemptEnded(
-                ticket.request, server, end.outcome, took, ticket.over, end.kept, end.state_lost, end.report
+                active_request.request,
+                server,
+                end.outcome,
+                took,
+                active_request.over,
+                end.kept,
+                end.state_lost,
+                end.report,
             )
         )
-        self.forget(ticket)
+        self.forget(active_request)
 
     def oldest_unanswered_ms(self) -> float:
         """For how long the attempt has waited that was written first of those without a byte of their answer's head."""
         written = [
-            ticket.attempt.written_at for ticket in self.tickets.values() if ticket.attempt and not ticket.flowing
+            active_request.attempt.written_at
+            for active_request in self.active_requests.values()
+            if active_request.attempt and not active_request.flowing
         ]
         return max((trio.current_time() - at for at in written if at is not None), default=0.0) * 1000
 
@@ -286,48 +307,48 @@
             if server.status is not EndpointStatus.REMOVED
         )
 
-    async def release(self, ticket: Ticket, done: trio.Event, again: bool) -> None:
+    async def release(self, active_request: ActiveRequest, done: trio.Event, again: bool) -> None:
         within = self.deployment.facts.release_ms
         try:
-            await self.release_until_heard(ticket, within)
+            await self.release_until_heard(active_request, within)
             done.set()
             if again:
                 await trio.sleep(within / 2000)
-                await self.release_until_heard(ticket, within)
+                await self.release_until_heard(active_request, within)
         except Exception:
             self.log.exception("release")
         finally:
             self.releasing -= 1
             done.set()
 
-    async def release_until_heard(self, ticket: Ticket, within_ms: float) -> None:
+    async def release_until_heard(self, active_request: ActiveRequest, within_ms: float) -> None:
         """Asks servers to release what is held for the request until one has heard it. What nobody has heard within the
         release time is owed all the same: it is said again, a bounded number of times."""
         since = now_ms()
         for nth in range(RELEASE_TRIES):
             # Ever more slowly: servers that are too busy to hear it must not get busier by it.
-            heard_by = await self.engines.release(ticket.ident, self.addresses(), within_ms * 2**nth)
+            heard_by = await self.engines.release(active_request.ident, self.addresses(), within_ms * 2**nth)
             took = now_ms() - since
             if heard_by is not None:
                 break
             self.counts["release unheard"] += 1
-            ticket.note("release unheard")
-            self.log.warning("release unheard", gen=ticket.ident, took_ms=round(took, 1))
+            active_request.note("release unheard")
+            self.log.warning("release unheard", gen=active_request.ident, took_ms=round(took, 1))
         else:
             return
         self.counts["release heard"] += 1
-        self.held_states.ended(ticket.ident, now_ms())
-        ticket.note(f"release heard by {heard_by}")
-        if not ticket.over:
-            self.tell(port.ReleaseConfirmed(ticket.request))
-        self.log.debug("release heard", gen=ticket.ident, by=heard_by, took_ms=round(took, 1))
+        self.held_states.ended(active_request.ident, now_ms())
+        active_request.note(f"release heard by {heard_by}")
+        if not active_request.over:
+            self.tell(port.ReleaseConfirmed(active_request.request))
+        self.log.debug("release heard", gen=active_request.ident, by=heard_by, took_ms=round(took, 1))
 
-    async def hold(self, ticket: Ticket, server: Server) -> None:
+    async def hold(self, active_request: ActiveRequest, server: Server) -> None:
         held = await self.engines.hold(
-            self.endpoint_registry.endpoints[server].address, ticket.ident, self.deployment.facts.release_ms
+            self.endpoint_registry.endpoints[server].address, active_request.ident, self.deployment.facts.release_ms
         )
-        if not ticket.over:
-            self.tell(port.ReservationResult(ticket.request, held))
+        if not active_request.over:
+            self.tell(port.ReservationResult(active_request.request, held))
 
     async def probe(self, server: Server) -> None:
         outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
@@ -341,20 +362,20 @@
     """A stream's way to its client; the decisions hear of its first token."""
 
     node: Node
-    ticket: Ticket
+    active_request: ActiveRequest
     server: Server
     since: float
 
     async def first(self, data: bytes) -> None:
-        if self.ticket.over:
+        if self.active_request.over:
             raise ClientGone
-        self.ticket.flowing, self.ticket.body = True, b""
-        self.ticket.note("first event")
-        self.node.held_states.ended(self.ticket.ident, now_ms())
-        self.node.tell(port.FirstToken(self.ticket.request, self.server, now_ms() - self.since))
-        await self.ticket.first(data)
+        self.active_request.flowing, self.active_request.body = True, b""
+        self.active_request.note("first event")
+        self.node.held_states.ended(self.active_request.ident, now_ms())
+        self.node.tell(port.FirstToken(self.active_request.request, self.server, now_ms() - self.since))
+        await self.active_request.first(data)
 
     async def more(self, data: bytes) -> None:
-        if self.ticket.over:
+        if self.active_request.over:
             raise ClientGone
-        await self.ticket.more(data)
+        await self.active_request.more(data)
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -124,7 +124,7 @@
         self.node.answer_all_by_ms = now + times.ends_ms - LAST_ANSWER_MS
         self.log.info(
             "draining",
-            open=len(self.node.tickets),
+            open=len(self.node.active_requests),
             connections=self.front.conns,
             since_signal_ms=round(since_signal_ms, 1),
             rejects_new_in_ms=round(times.admits_ms),
@@ -145,7 +145,7 @@
         await self.front.accept_the_rest(self.listener, self.nursery, LATE_COMERS_MS)
         self.listener.socket.close()
         await trio.sleep(LATE_COMERS_MS / 4000)
-        while self.node.tickets or self.node.releasing or self.front.conns:
+        while self.node.active_requests or self.node.releasing or self.front.conns:
             self.front.close_idle()  # also those that were still to be read when the loop before looked
             await trio.sleep(END_POLL_MS / 1000)
 
@@ -172,7 +172,7 @@
             longest_held, node.held_states.longest_ms = node.held_states.longest_ms, 0.0
             self.log.info(
                 "report",
-                open=len(node.tickets),
+                open=len(node.active_requests),
                 held=len(node.held_states),
                 oldest_held_ms=round(node.held_states.oldest_ms(now_ms()), 1),
                 longest_held_ms=round(longest_held, 1),
@@ -189,7 +189,9 @@
 
     def trails(self) -> None:
         """Every attempt and transition of the open requests and of the latest others, one line each by id."""
-        records = [RequestRecord(t.ident, "open", t.trail, t.history) for t in self.node.tickets.values() if not t.over]
+        records = [
+            RequestRecord(t.ident, "open", t.trail, t.history) for t in self.node.active_requests.values() if not t.over
+        ]
         for record in [*records, *self.node.records]:
             self.log.info(
                 "trail",
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -127,7 +127,7 @@
 class Turns(ABC, Generic[T]):
     def __init__(self, chooser: Chooser) -> None:
         self.chooser = chooser
-        self.tickets: dict[port.Request, T] = {}
+        self.active_requests: dict[port.Request, T] = {}
         self.heard: list[port.Event] = []
         self.turning = False
         self.looking = False  # for overdue requests
@@ -178,54 +178,56 @@
     def look_for_overdue(self) -> None:
         """Fails the requests that nothing has answered in time, and looks again as long as any is open."""
         now = now_ms()
-        for ticket in list(self.tickets.values()):
-            if ticket.unanswered and (ticket.deadline_ms < now - OVERDUE_MS or now >= self.answer_all_by_ms):
-                self.give_up(ticket, "nothing was decided in time")
-        self.looking = bool(self.tickets)
+        for active_request in list(self.active_requests.values()):
+            if active_request.unanswered and (
+                active_request.deadline_ms < now - OVERDUE_MS or now >= self.answer_all_by_ms
+            ):
+                self.give_up(active_request, "nothing was decided in time")
+        self.looking = bool(self.active_requests)
         if self.looking:
             self.at(now_ms() + OVERDUE_LOOK_MS, self.look_for_overdue)
 
-    def taken(self, ticket: T) -> None:
+    def taken(self, active_request: T) -> None:
         """A request has come: the decisions hear of it, and it gets its answer also where they fail on it."""
-        self.tickets[ticket.request] = ticket
+        self.active_requests[active_request.request] = active_request
         if not self.looking:
             self.look_for_overdue()
-        self.tell(port.RequestArrived(ticket.request))
+        self.tell(port.RequestArrived(active_request.request))
 
-    def give_up(self, ticket: T, why: str) -> None:
+    def give_up(self, active_request: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
-        if ticket.attempt is not None:
-            ticket.attempt.cancel()
-        self.settle(ticket, Failed(why))
-        self.tell(port.ClientDisconnected(ticket.request))
+        if active_request.attempt is not None:
+            active_request.attempt.cancel()
+        self.settle(active_request, Failed(why))
+        self.tell(port.ClientDisconnected(active_request.request))
 
     def carry_out(self, action: port.Action) -> None:
         match action:
             case port.StartTimer(at, beat):
                 self.at(at, partial(self.hear, port.TimerFired(beat)))
             case port.StartAttempt(request, server):
-                self.send(self.tickets[request], server, action)
+                self.send(self.active_requests[request], server, action)
             case port.CancelAttempt(request):
-                ticket = self.tickets.get(request)
-                if ticket is not None and ticket.attempt is not None and not ticket.flowing:
-                    ticket.attempt.cancel()
+                active_request = self.active_requests.get(request)
+                if active_request is not None and active_request.attempt is not None and not active_request.flowing:
+                    active_request.attempt.cancel()
             case port.Reject(request, pause, reject_reason):
-                if request in self.tickets:
-                    self.settle(self.tickets[request], Rejected(pause, reject_reason))
+                if request in self.active_requests:
+                    self.settle(self.active_requests[request], Rejected(pause, reject_reason))
             case port.Fail(request, reject_reason):
-                ticket = self.tickets.get(request)
-                if ticket is not None:
-                    timed_out = bool(ticket.trail) and "TIMED_OUT" in ticket.trail[-1].split()
-                    self.settle(ticket, Failed(ticket.why, timed_out, reject_reason))
+                active_request = self.active_requests.get(request)
+                if active_request is not None:
+                    timed_out = bool(active_request.trail) and "TIMED_OUT" in active_request.trail[-1].split()
+                    self.settle(active_request, Failed(active_request.why, timed_out, reject_reason))
             case _:
                 self.carry_further(action)
 
     @abstractmethod
-    def send(self, ticket: T, server: port.Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: T, server: port.Server, times: port.StartAttempt) -> None:
         """Sends a leg."""
 
     @abstractmethod
-    def settle(self, ticket: T, final: Rejected | Failed) -> None:
+    def settle(self, active_request: T, final: Rejected | Failed) -> None:
         """Gives the one final answer."""
 
     @abstractmethod
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -70,7 +70,7 @@
             else:
                 self.day.again(client_request, "killed")
         self.requests.clear()
-        self.tickets.clear()
+        self.active_requests.clear()
 
     # -- the loop's side
 
@@ -98,7 +98,7 @@
             tenant=client_request.tenant,
         )
         self.requests[request] = client_request
-        self.tickets[request] = Ticket(request)
+        self.active_requests[request] = ActiveRequest(request)
         self.tell(port.RequestArrived(request))
         if client_request.gives_up_ms < inf:
             self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
@@ -112,13 +112,13 @@
         del self.requests[request]
         self.tell(port.ClientDisconnected(request))
         if request not in self.jobs:
-            self.tickets.pop(request, None)
+            self.active_requests.pop(request, None)
 
-    def send(self, ticket: Any, server: Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: Any, server: Server, times: port.StartAttempt) -> None:
         request, now, incarnation = times.request, self.day.now, self.incarnation
         job = Job(self, request, server, self.requests[request], now, now + times.timeout_ms)
         self.jobs[request] = job
-        ticket.attempt = Attempt(self, job)
+        active_request.attempt = Attempt(self, job)
         self.day.sent.append((now, self.truth[server]))
         self.truth[server].take(job)
 
@@ -135,9 +135,9 @@
         model = self.truth[job.server]
         model.leave(job)
         self.jobs.pop(job.request, None)
-        ticket = self.tickets.get(job.request)
-        if ticket is not None:
-            ticket.attempt = None
+        active_request = self.active_requests.get(job.request)
+        if active_request is not None:
+            active_request.attempt = None
         client_request = self.requests.get(job.request)
         over = outcome is AttemptOutcome.STREAMED or job.begun or client_request is None
         if over and outcome is not AttemptOutcome.STREAMED and client_request is not None and job.begun:
@@ -151,18 +151,18 @@
             kept = job.client_request.prompt - job.work * self.day.scene.prefill_tokens_per_ms
         self.tell(port.AttemptEnded(job.request, job.server, outcome, took, over, kept))
         if job.request not in self.requests:
-            self.tickets.pop(job.request, None)
+            self.active_requests.pop(job.request, None)
 
     def first_token(self, job: Job) -> None:
         if job.ended or job.request not in self.requests:
             return
         job.begun = True
         job.client_request.first_token = self.day.now
-        self.tickets[job.request].flowing = True
+        self.active_requests[job.request].flowing = True
         self.tell(port.FirstToken(job.request, job.server, self.day.now - job.since))
 
-    def settle(self, ticket: Any, final: turns.Rejected | turns.Failed) -> None:
-        client_request = self.requests.pop(ticket.request, None)
+    def settle(self, active_request: Any, final: turns.Rejected | turns.Failed) -> None:
+        client_request = self.requests.pop(active_request.request, None)
         if client_request is None:
             return
         if isinstance(final, turns.Rejected):
@@ -191,7 +191,7 @@
 
 
 @dataclass(eq=False)
-class Ticket:
+class ActiveRequest:
     request: Request
     attempt: Any = None
     flowing: bool = False
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -167,7 +167,9 @@
         node = self.gateway.node
 
         def left() -> dict[str, Any]:
-            open_here = {ticket.ident: ticket.history.lines() for ticket in node.tickets.values()}
+            open_here = {
+                active_request.ident: active_request.history.lines() for active_request in node.active_requests.values()
+            }
             held = {ident: self.history_of(ident) for ident in self.fleet.states}
             all_of_it = {
                 "open": open_here,
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -126,10 +126,10 @@
         node, client = p.gateway.node, Client(p.address)
         settle = node.settle
 
-        def at_the_end(ticket: Any, final: Any) -> None:
+        def at_the_end(active_request: Any, final: Any) -> None:
             client.send(b"x" * 100)  # still unread when the connection is ended, in this same turn
-            arrived(ticket.exchange.stream)
-            settle(ticket, final)
+            arrived(active_request.exchange.stream)
+            settle(active_request, final)
 
         node.settle = at_the_end  # type: ignore[method-assign]
         client.send(client_request(p))
@@ -333,7 +333,7 @@
         clients = [Client(p.address) for _ in range(40)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="10"))
-        await until(lambda: len(p.gateway.node.tickets) == 40)
+        await until(lambda: len(p.gateway.node.active_requests) == 40)
         for nth, client in enumerate(clients):
             client.leave(("close", "reset", "half-close")[nth % 3])
         await until(lambda: p.gateway.node.counts["left"] == 40)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -474,7 +474,7 @@
         clients = [Client(p.address) for _ in range(12)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="1.0"))
-        await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.node.tickets) == 12)
+        await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.node.active_requests) == 12)
         with trio.fail_after(4):
             await p.gateway.drain()
         for client in clients:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -66,7 +66,7 @@
         make_faulty(p, lambda events: [] if arrivals(events) else None)
         with trio.fail_after(0.4 + 0.5):
             assert (await p.ask(Request_Timeout="0.4")).status == 502
-        assert not p.gateway.node.tickets
+        assert not p.gateway.node.active_requests
 
 
 async def test_a_request_in_whose_handling_this_program_fails_is_answered_before_the_close(
@@ -109,7 +109,7 @@
         begin = Passing.first
 
         async def late_first(passing: Passing, data: bytes) -> None:
-            node.give_up(passing.ticket, "too late")
+            node.give_up(passing.active_request, "too late")
             await begin(passing, data)
 
         with pytest.MonkeyPatch.context() as patched:
@@ -143,11 +143,11 @@
         node = p.gateway.node
         settle, refused = node.settle, list[Any]()
 
-        def settle_second(ticket: Any, final: Any) -> None:
-            refused.append(ticket)
+        def settle_second(active_request: Any, final: Any) -> None:
+            refused.append(active_request)
             if len(refused) == 1:
                 raise OSError("a fault in this program")
-            settle(ticket, final)
+            settle(active_request, final)
 
         make_faulty(
             p, lambda events: [port.Reject(e.request, 0.0) for e in events if isinstance(e, port.RequestArrived)]
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -60,7 +60,9 @@
             while len(desk.homes) > 2 * FEW**2 or len(desk.board) > len(node.endpoint_registry.servers):
                 await trio.sleep(0.02)
         front, pool = p.gateway.front, node.engines.pool
-        assert not node.tickets and not node.idents and not node.ended and not node.releasing and not desk.waiting
+        assert (
+            not node.active_requests and not node.idents and not node.ended and not node.releasing and not desk.waiting
+        )
         assert len(node.records) == TRAILS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
         assert (
             len(node.engines.heard) <= len(node.endpoint_registry.endpoints) == len(node.endpoint_registry.servers) == 3
@@ -231,7 +233,7 @@
             for _ in range(2):
                 nursery.start_soon(p.ask)
             await trio.sleep(0.1)
-            assert len(node.tickets) == 2
+            assert len(node.active_requests) == 2
             reply = await p.ask()
             assert reply.status == 503 and reply.error is not None and reply.error["code"] == "room"
             front.open_limit = 10
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -38,10 +38,10 @@
     def carry_further(self, action: port.Action) -> None:
         raise AssertionError(action)
 
-    def send(self, ticket: Any, server: port.Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: Any, server: port.Server, times: port.StartAttempt) -> None:
         raise AssertionError(times)
 
-    def settle(self, ticket: Any, final: Any) -> None:
+    def settle(self, active_request: Any, final: Any) -> None:
         raise AssertionError(final)
 
     def woken(self) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import Host
 from ternlane.gateway.door import StreamOutlet
-from ternlane.gateway.ticket import Final, Streamed, Ticket
+from ternlane.gateway.active_request import Final, Streamed, ActiveRequest
 from ternlane.http1 import event_bytes
 from ternlane.port import EndpointStatus, Server, AttemptOutcome
 from ternlane.recover import Join
@@ -39,16 +39,16 @@
 class Mute(Host):
     """Rule 1: never says that a generation is throttled or terminated."""
 
-    def settle(self, ticket: Ticket | None, final: Final) -> None:
+    def settle(self, active_request: ActiveRequest | None, final: Final) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
-            super().settle(ticket, final)
+            super().settle(active_request, final)
 
 
 class Talkative(Host):
     """Rule 1: goes on after the end of each stream."""
 
-    def arrived(self, ticket: Ticket) -> None:
-        outlet = ticket.outlet
+    def arrived(self, active_request: ActiveRequest) -> None:
+        outlet = active_request.outlet
         if isinstance(outlet, StreamOutlet):
             end = outlet.end
 
@@ -58,34 +58,40 @@
                 await end(final)
 
             outlet.end = end_twice  # type: ignore[method-assign]
-        super().arrived(ticket)
+        super().arrived(active_request)
 
 
 class Late(Host):
     """Rule 1: believes that clients have more time than they have."""
 
-    def arrived(self, ticket: Ticket) -> None:
-        ticket.request.client_timeout_ms += 300.0
-        super().arrived(ticket)
+    def arrived(self, active_request: ActiveRequest) -> None:
+        active_request.request.client_timeout_ms += 300.0
+        super().arrived(active_request)
 
 
 class Repeats(Host):
     """Rule 2: takes a broken connection for one that was never made."""
 
     def attempt_ended(
-        self, ticket: Ticket, server: Server, stage: Stage, end: AttemptResult, took: float, plan: AttemptPlan
+        self,
+        active_request: ActiveRequest,
+        server: Server,
+        stage: Stage,
+        end: AttemptResult,
+        took: float,
+        plan: AttemptPlan,
     ) -> None:
         if end.verdict in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not end.begun:
             end.verdict = AttemptOutcome.CONNECT_FAILED
-        super().attempt_ended(ticket, server, stage, end, took, plan)
+        super().attempt_ended(active_request, server, stage, end, took, plan)
 
 
 class Twice(Host):
     """Rule 2: begins a second leg of each generation beside the first."""
 
-    def send(self, ticket: Ticket, server: Server, times: port.StartAttempt) -> None:
-        super().send(ticket, server, times)
-        plan = ticket.attempt
+    def send(self, active_request: ActiveRequest, server: Server, times: port.StartAttempt) -> None:
+        super().send(active_request, server, times)
+        plan = active_request.attempt
         if plan is not None and server.role is port.Role.PREFILL:
             others = [s for s in self.book.servers.values() if s.role is port.Role.PREFILL and s is not server]
             place = self.book.places[others[0]]
@@ -96,10 +102,10 @@
                     place.ident,
                     place.address,
                     Stage.PREFILL,
-                    ticket.ident,
+                    active_request.ident,
                     0,
-                    ticket.key,
-                    ticket.ask.raw,
+                    active_request.key,
+                    active_request.ask.raw,
                     None,
                     1,
                     again,
@@ -130,10 +136,10 @@
 class Keeper(Host):
     """Rule 5: releases nothing."""
 
-    def release_all(self, ticket: Ticket | None) -> None:
-        if ticket is not None:
-            ticket.state, ticket.holders = None, {}
-            self.forget(ticket)
+    def release_all(self, active_request: ActiveRequest | None) -> None:
+        if active_request is not None:
+            active_request.state, active_request.holders = None, {}
+            self.forget(active_request)
 
 
 class Wrongly(Join):
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -138,8 +138,8 @@
         client.send(client_request(p, Request_Class="note", Request_Timeout="1.5"))
         await until(lambda: p.fleet.count("write"))
         make_faulty(p, lambda events: [])
-        ticket = next(iter(p.gateway.node.tickets.values()))
-        ticket.request.client_timeout_ms = 60e3
+        active_request = next(iter(p.gateway.node.active_requests.values()))
+        active_request.request.client_timeout_ms = 60e3
         since = trio.current_time()
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
@@ -157,7 +157,9 @@
             server.lease_way = "silent"
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="9"))
-        await until(lambda: any(ticket.attempts == 3 for ticket in p.gateway.node.tickets.values()))
+        await until(
+            lambda: any(active_request.attempts == 3 for active_request in p.gateway.node.active_requests.values())
+        )
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
         assert answer.startswith(b"HTTP/1.1 503 ") and not p.gateway.node.counts["overdue"]
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -15,7 +15,7 @@
 import trio
 
 from tests.world import BUILD, Reply, World, replace, world
-from ternlane.gateway.ticket import Ticket
+from ternlane.gateway.active_request import ActiveRequest
 from ternlane.ledger import Disk, Store
 from ternlane.ledger.bills import entries_of, reconcile, rows_of
 from ternlane.ledger.lending import lender_file
@@ -182,7 +182,7 @@
         assert w.gateway.till.cashier.meters == {} or w.said("leg") == []
         found = bank.off(w)
         assert not w.said("leg") and not found.unsettled and found.billed.prompt == 0
-        w.gateway.host.tickets.clear()
+        w.gateway.host.active_requests.clear()
 
 
 async def test_one_members_storm_of_repeats_costs_the_others_nothing(tmp_path: Path) -> None:
@@ -287,7 +287,7 @@
             await trio.sleep(0.5)
         found = bank.off(w)
         assert list(found.unsettled.values())[0].answer == 6 and found.off == 0
-        assert isinstance(next(iter(w.gateway.host.tickets.values()), None), Ticket | None)
+        assert isinstance(next(iter(w.gateway.host.active_requests.values()), None), ActiveRequest | None)
 
 
 async def test_what_was_spent_is_known_after_a_restart(tmp_path: Path) -> None:
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -193,7 +193,7 @@
         with pytest.raises(Wrong, match="does not exist"):
             async with routing.request(REQUEST | {"model": "x"}):
                 pass
-        assert not routing.host.tickets and engines["w0"].effects == 1
+        assert not routing.host.active_requests and engines["w0"].effects == 1
 
 
 async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
@@ -221,13 +221,13 @@
             async for _ in stream:
                 break
         with trio.fail_after(1):
-            while routing.host.tickets or engines["w0"].closed < 1:
+            while routing.host.active_requests or engines["w0"].closed < 1:
                 await trio.sleep(0.005)
         with pytest.raises(KeyError):
             async with routing.request(REQUEST):
                 raise KeyError("the caller's own")
         with trio.fail_after(1):
-            while routing.host.tickets or "lib-2" in engines["r0"].states:
+            while routing.host.active_requests or "lib-2" in engines["r0"].states:
                 await trio.sleep(0.005)
 
 
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -191,7 +191,7 @@
         assert (await p.ask(Request_Class=other["profiles"][0]["name"])).status == 200
         await switch(p, first)
         assert (await p.ask(Request_Class=name)).status == 200
-        await until(lambda: not node.tickets)
+        await until(lambda: not node.active_requests)
         kept = set(node.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
         assert {request_class for request_class in desk.prompt} <= kept
--- a/tests/world.py
+++ b/tests/world.py
@@ -138,7 +138,7 @@
 
         def left() -> list[Any]:
             return [
-                *self.gateway.host.tickets.values(),
+                *self.gateway.host.active_requests.values(),
                 *((e.ident, e.states, e.busy) for e in self.engines.values() if e.states or e.busy),
             ]
 
