--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -296,7 +296,7 @@
     """A gateway in this process under cProfile, engines and load outside."""
     from ternlane.days.play import free_ports
     from ternlane.gateway import open_gateway
-    from ternlane.paper import GatewayPaper, read_paper
+    from ternlane.config import GatewayConfig, read_config
 
     port = free_ports(24)
     with tempfile.TemporaryDirectory() as name:
@@ -304,7 +304,7 @@
         address = papers(folder, port)["gateway"]
 
         async def serve() -> None:
-            async with open_gateway(read_paper(folder / "0.json", GatewayPaper)):
+            async with open_gateway(read_config(folder / "0.json", GatewayConfig)):
                 it = await trio.to_thread.run_sync(
                     lambda: subprocess.run(
                         [sys.executable, "-m", "bench.gateway", "--load", address, "--seconds", str(seconds)],
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -14,7 +14,7 @@
 
 from ternlane.emulator import Batch, Blocks, Build, Course, Engine, Fleet, Job, Nature, Seat, What, chain
 from ternlane.emulator.describe import EngineKind
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 
 
 def one_engine(seconds: float, rate: float, seed: int) -> tuple[float, int, float]:
@@ -74,7 +74,7 @@
 
     for path in sorted((Path(__file__).parent.parent / "examples" / "engines").glob("*.json5")):
         since = time.perf_counter()
-        found = fit(read_paper(path, EngineKind))
+        found = fit(read_config(path, EngineKind))
         (a, b), (c, d) = found.worst(False), found.worst(True)
         print(
             f"{path.stem:<14} off at most {a:.1%} and {b:.1%} (median, 99th percentile) at points of the fit, "
--- a/bench/library.py
+++ b/bench/library.py
@@ -24,7 +24,7 @@
 
 import ternlane
 from ternlane.engine import Kept, AttemptRequest, LocalTransport
-from ternlane.paper.gateway import InlineSource
+from ternlane.config.gateway import InlineSource
 
 REQUEST = {"model": "summary", "messages": [{"role": "user", "content": "folder 17 " * 40}], "stream": True}
 
@@ -41,12 +41,12 @@
         pass
 
 
-def paper() -> ternlane.GatewayPaper:
+def config() -> ternlane.GatewayConfig:
     nodes = [
         ternlane.NodeLine(id=i, address="127.0.0.1:9", role="read" if i[0] == "r" else "write", kv_capacity_tokens=1e9)
         for i in ("r0", "r1", "w0", "w1")
     ]
-    return ternlane.GatewayPaper(
+    return ternlane.GatewayConfig(
         name="b",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
@@ -62,7 +62,7 @@
 
 async def in_process(rounds: int) -> list[float]:
     took = []
-    async with ternlane.open_routing(paper(), transport()) as routing:
+    async with ternlane.open_routing(config(), transport()) as routing:
         for _ in range(rounds):
             since = time.perf_counter()
             async with routing.request(REQUEST) as stream:
@@ -73,7 +73,7 @@
 
 def from_a_thread(rounds: int) -> list[float]:
     took = []
-    with ternlane.Blocking(paper(), transport) as routing:
+    with ternlane.Blocking(config(), transport) as routing:
         for _ in range(rounds):
             since = time.perf_counter()
             assert len("".join(routing.request(REQUEST))) == 40
@@ -89,7 +89,7 @@
     from ternlane.http1 import Pool
 
     took, pool, body = [], Pool(1000, 60e3), msgspec.json.encode(REQUEST)
-    async with ternlane.open_gateway(paper(), transport=transport()) as gateway:
+    async with ternlane.open_gateway(config(), transport=transport()) as gateway:
         for _ in range(rounds):
             since = time.perf_counter()
             caller = await pool.take(gateway.address)
@@ -105,7 +105,7 @@
     from ternlane.gateway.facts import offer_of
     from ternlane.nodes import Book
 
-    it = paper()
+    it = config()
     offer = offer_of(it)
     router, book, took = ternlane.Router(offer.facts), Book(), []
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
@@ -139,7 +139,7 @@
     """Routers made, used and discarded; what each leaves behind, by the slope over all of them."""
 
     async def one() -> None:
-        async with ternlane.open_routing(paper(), transport()) as routing:
+        async with ternlane.open_routing(config(), transport()) as routing:
             async with routing.request(REQUEST) as stream:
                 await stream.text()
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -10,7 +10,7 @@
 import time
 import tracemalloc
 
-from ternlane.load import LoadPaper, Sketch, asks
+from ternlane.load import LoadConfig, Sketch, asks
 from ternlane.load.plan import Arrivals, Mix
 
 
@@ -47,7 +47,7 @@
 
 
 def drawn() -> None:
-    told = LoadPaper(
+    told = LoadConfig(
         request_classes=[Mix("summary", turns=2.0, prefixes=50)], seconds=20.0, arrivals=Arrivals(rate=200.0)
     )
     since = time.perf_counter()
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -93,7 +93,7 @@
         pass
 
 
-def paper(**streams: bool) -> ternlane.GatewayPaper:
+def config(**streams: bool) -> ternlane.GatewayConfig:
     nodes = [
         ternlane.NodeLine(
             id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, kv_capacity_tokens=1e9, role="read" if d == "r" else "write"
@@ -103,12 +103,12 @@
         for n in range(4)
     ]
     common = {"slo_ms": 2000.0, "limit_ms": 20_000.0, "max_toks": 400}
-    return ternlane.GatewayPaper(
+    return ternlane.GatewayConfig(
         name="b",
         listen="127.0.0.1:0",
         nodes=ternlane.InlineSource(nodes=nodes),
-        fleet=ternlane.FleetTerms(max_attempts=10),
-        streams=ternlane.StreamTerms(**streams),
+        fleet=ternlane.FleetConfig(max_attempts=10),
+        streams=ternlane.StreamConfig(**streams),
         request_classes=[
             ternlane.RequestClassConfig(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
             ternlane.RequestClassConfig(name="form", effect="deduplicated", group="cell", window_ms=20_000, **common),  # type: ignore[arg-type]
@@ -122,7 +122,7 @@
     names = [f"{d}{c}{n}" for d in "rw" for c in range(3) for n in range(4)]
     engines = {i: Engine(fleet, i, 0.25 if i[0] == "w" else 0.0) for i in names}
     since = time.perf_counter()
-    async with ternlane.open_routing(paper(), LocalTransport(dict(engines))) as routing:
+    async with ternlane.open_routing(config(), LocalTransport(dict(engines))) as routing:
 
         async def one(i: int, model: str) -> None:
             request = {"model": model, "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
@@ -157,7 +157,7 @@
     names = [f"{d}{c}{n}" for d in "rw" for c in range(3) for n in range(4)]
     engines = {i: Engine(fleet, i, 0.0, 240, 0.05, 20_000.0, 4) for i in names}
     pauses: list[float] = []
-    async with ternlane.open_routing(paper(resume=resume), LocalTransport(dict(engines))) as routing:
+    async with ternlane.open_routing(config(resume=resume), LocalTransport(dict(engines))) as routing:
 
         async def one(i: int) -> None:
             request = {"model": "summary", "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncIterator
 
 import ternlane
-from ternlane.paper.gateway import InlineSource
+from ternlane.config.gateway import InlineSource
 
 
 class Engine:
@@ -22,7 +22,7 @@
         pass
 
 
-paper = ternlane.GatewayPaper(
+config = ternlane.GatewayConfig(
     name="script",
     listen="127.0.0.1:0",
     request_classes=[ternlane.RequestClassConfig(name="count", effect="idempotent", slo_ms=500, deadline_ms=2000)],
@@ -39,7 +39,7 @@
     print("".join(routing.request({"model": "count", "messages": [{"role": "user", "content": text}]})))
 
 
-with ternlane.Blocking(paper, lambda: ternlane.LocalTransport({"reader": Engine(), "writer": Engine()})) as routing:
+with ternlane.Blocking(config, lambda: ternlane.LocalTransport({"reader": Engine(), "writer": Engine()})) as routing:
     threads = [threading.Thread(target=count, args=(routing, "one two three " * n)) for n in (1, 2)]
     for thread in threads:
         thread.start()
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -36,8 +36,8 @@
 with tempfile.TemporaryDirectory() as folder:
     daemons = []
     for i in range(3):
-        paper = Path(folder) / f"g{i}.json5"
-        paper.write_text(
+        config = Path(folder) / f"g{i}.json5"
+        config.write_text(
             json.dumps(
                 {
                     "name": f"g{i}",
@@ -49,7 +49,7 @@
                 }
             )
         )
-        daemons.append(subprocess.Popen([sys.executable, "-m", "ternlane", "serve", str(paper), "--log", "error"]))
+        daemons.append(subprocess.Popen([sys.executable, "-m", "ternlane", "serve", str(config), "--log", "error"]))
     try:
         for i in range(3):
             with Client(f"http://127.0.0.1:{first + 2 + i}", retries=8) as client:
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -8,7 +8,7 @@
 
 import ternlane
 from ternlane.engine import AttemptResult
-from ternlane.paper.gateway import InlineSource
+from ternlane.config.gateway import InlineSource
 
 
 class FolderTransport:
@@ -50,7 +50,7 @@
         ternlane.NodeLine(id=name, address="folder:1", role=role, kv_capacity_tokens=1e5)
         for name, role in (("reader", "read"), ("broken", "write"), ("whole", "write"))
     ]
-    paper = ternlane.GatewayPaper(
+    config = ternlane.GatewayConfig(
         name="folder",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
@@ -60,7 +60,7 @@
     )
     with tempfile.TemporaryDirectory() as name:
         transport = FolderTransport(Path(name))
-        async with ternlane.open_routing(paper, transport) as routing:
+        async with ternlane.open_routing(config, transport) as routing:
             for text in ("never odd", "or even"):
                 request = {"model": "mirror", "messages": [{"role": "user", "content": text}]}
                 async with routing.request(request) as stream:
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -52,19 +52,19 @@
     "ClientGone": "engine",
     "Usage": "engine",
     "Wrong": "chat",
-    "GatewayPaper": "paper",
-    "RequestClassConfig": "paper",
-    "FleetTerms": "paper",
-    "NodeLine": "paper",
-    "DoorTerms": "paper",
-    "InlineSource": "paper",
-    "FileSource": "paper",
-    "ConsulSource": "paper",
-    "checked": "paper",
-    "StreamTerms": "paper",
-    "PaperError": "paper",
-    "read_paper": "paper",
-    "read_text": "paper",
+    "GatewayConfig": "config",
+    "RequestClassConfig": "config",
+    "FleetConfig": "config",
+    "NodeLine": "config",
+    "ServerLimits": "config",
+    "InlineSource": "config",
+    "FileSource": "config",
+    "ConsulSource": "config",
+    "checked": "config",
+    "StreamConfig": "config",
+    "ConfigError": "config",
+    "read_config": "config",
+    "read_text": "config",
 }
 
 __all__ = ["__version__", *_PLACES]
@@ -94,19 +94,19 @@
     from ternlane.engine import Usage as Usage
     from ternlane.gateway import Gateway as Gateway
     from ternlane.gateway import open_gateway as open_gateway
-    from ternlane.paper import ConsulSource as ConsulSource
-    from ternlane.paper import DoorTerms as DoorTerms
-    from ternlane.paper import FileSource as FileSource
-    from ternlane.paper import FleetTerms as FleetTerms
-    from ternlane.paper import GatewayPaper as GatewayPaper
-    from ternlane.paper import InlineSource as InlineSource
-    from ternlane.paper import NodeLine as NodeLine
-    from ternlane.paper import PaperError as PaperError
-    from ternlane.paper import RequestClassConfig as RequestClassConfig
-    from ternlane.paper import StreamTerms as StreamTerms
-    from ternlane.paper import checked as checked
-    from ternlane.paper import read_paper as read_paper
-    from ternlane.paper import read_text as read_text
+    from ternlane.config import ConsulSource as ConsulSource
+    from ternlane.config import ServerLimits as ServerLimits
+    from ternlane.config import FileSource as FileSource
+    from ternlane.config import FleetConfig as FleetConfig
+    from ternlane.config import GatewayConfig as GatewayConfig
+    from ternlane.config import InlineSource as InlineSource
+    from ternlane.config import NodeLine as NodeLine
+    from ternlane.config import ConfigError as ConfigError
+    from ternlane.config import RequestClassConfig as RequestClassConfig
+    from ternlane.config import StreamConfig as StreamConfig
+    from ternlane.config import checked as checked
+    from ternlane.config import read_config as read_config
+    from ternlane.config import read_text as read_text
     from ternlane.port import Role as Role
     from ternlane.port import Effect as Effect
     from ternlane.port import Request as Request
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -17,17 +17,17 @@
 
 from ternlane import __version__
 from ternlane.log_output import log_file
-from ternlane.paper import GatewayPaper, PaperError, read_paper
+from ternlane.config import GatewayConfig, ConfigError, read_config
 
 USAGE, DATA, UNAVAILABLE = 64, 65, 69
 T = TypeVar("T")
 
 
-def paper(path: str, into: type[T]) -> T:
+def load_document(path: str, into: type[T]) -> T:
     """Reads a document; a wrong one ends the program with the place and the field."""
     try:
-        return read_paper(path, into)
-    except PaperError as why:
+        return read_config(path, into)
+    except ConfigError as why:
         click.echo(f"ternlane: {why}", err=True)
         sys.exit(DATA)
 
@@ -69,11 +69,11 @@
         module, _, name = chooser.partition(":")
         choose = getattr(importlib.import_module(module), name)
     try:
-        trio.run(partial(run_gateway, file, paper(file, GatewayPaper), choose, pid_file))
+        trio.run(partial(run_gateway, file, load_document(file, GatewayConfig), choose, pid_file))
     except* OSError as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(UNAVAILABLE)
-    except* (Damaged, PaperError) as group:
+    except* (Damaged, ConfigError) as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(DATA)
 
@@ -88,7 +88,7 @@
 def config_check(files: tuple[str, ...]) -> None:
     """Checks documents; says the line and the field of what is wrong."""
     for file in files:
-        paper(file, GatewayPaper)
+        load_document(file, GatewayConfig)
         click.echo(f"{file}: good")
 
 
@@ -115,7 +115,7 @@
     from ternlane.days.play import CantPlay, Player
     from ternlane.days.script import DayScript
 
-    script = paper(file, DayScript)
+    script = load_document(file, DayScript)
     text = Path(file).read_text()
     if seed is not None or without:
         troubles = [t for t in script.troubles if str(t.__struct_config__.tag) not in without]
@@ -140,7 +140,7 @@
     from ternlane.days.script import DayScript
 
     for file in files:
-        script = paper(file, DayScript)
+        script = load_document(file, DayScript)
         click.echo(
             f"{file}: good; {script.gateways} gateways, {len(engines_of(script))} engines, "
             f"{script.rate:g} generations a second for {script.length_s:g} s, seed {script.seed}"
@@ -212,16 +212,16 @@
 
     import msgspec
 
-    from ternlane.tenants.roll import RollPaper
+    from ternlane.tenants.roll import TenantRegistryConfig
 
     path = Path(file)
     with open(path.with_name(path.name + ".lock"), "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        roll = paper(file, RollPaper) if path.exists() else RollPaper()
+        roll = load_document(file, TenantRegistryConfig) if path.exists() else TenantRegistryConfig()
         try:
             roll = change(roll)
             raw = msgspec.json.format(msgspec.json.encode(roll), indent=1)
-            msgspec.json.decode(raw, type=RollPaper)
+            msgspec.json.decode(raw, type=TenantRegistryConfig)
         except (ValueError, KeyError) as why:
             click.echo(f"ternlane: {why.args[0] if why.args else why}", err=True)
             sys.exit(DATA)
@@ -359,9 +359,9 @@
 @ROLL
 def tenant_show(name: str | None, file: str) -> None:
     """Shows tenants with their keys' public parts and budgets."""
-    from ternlane.tenants.roll import RollPaper
+    from ternlane.tenants.roll import TenantRegistryConfig
 
-    for it in paper(file, RollPaper).tenants:
+    for it in load_document(file, TenantRegistryConfig).tenants:
         if name in (None, it.name):
             b = it.budget
             click.echo(
@@ -459,7 +459,7 @@
     """Fits emulated engines to described latency curves and holds them against the points left out of the fit."""
     from ternlane.emulator.describe import EngineKind
 
-    kinds = [paper(file, EngineKind) for file in files]
+    kinds = [load_document(file, EngineKind) for file in files]
     try:
         from ternlane.emulator.fit import fit
     except ImportError as why:
@@ -505,10 +505,10 @@
 
     Times count from when a request was due. Where the tool itself could not keep its schedule it says so, reports
     nothing and ends with 75."""
-    from ternlane.load import LoadPaper
+    from ternlane.load import LoadConfig
     from ternlane.load.run import Load, NotLocal, TooSlow
 
-    told = paper(file, LoadPaper)
+    told = load_document(file, LoadConfig)
     sink = open(out, "w", encoding="utf-8") if out else None
 
     def line(said: dict[str, Any]) -> None:
--- a/ternlane/paper/__init__.py
+++ b/ternlane/config/__init__.py
@@ -1,30 +1,30 @@
 """Documents that people write (JSON5): read, checked, and refused with the line and the field that is wrong."""
 
-from ternlane.paper.gateway import (
+from ternlane.config.gateway import (
     ConsulSource,
-    DoorTerms,
+    ServerLimits,
     FileSource,
-    FleetTerms,
-    GatewayPaper,
+    FleetConfig,
+    GatewayConfig,
     InlineSource,
     NodeLine,
     RequestClassConfig,
-    StreamTerms,
+    StreamConfig,
 )
-from ternlane.paper.reading import PaperError, checked, read_paper, read_text
+from ternlane.config.reading import ConfigError, checked, read_config, read_text
 
 __all__ = [
     "ConsulSource",
-    "DoorTerms",
+    "ServerLimits",
     "FileSource",
-    "FleetTerms",
-    "GatewayPaper",
+    "FleetConfig",
+    "GatewayConfig",
     "InlineSource",
     "NodeLine",
-    "PaperError",
+    "ConfigError",
     "RequestClassConfig",
-    "StreamTerms",
+    "StreamConfig",
     "checked",
-    "read_paper",
+    "read_config",
     "read_text",
 ]
--- a/ternlane/paper/gateway.py
+++ b/ternlane/config/gateway.py
@@ -15,11 +15,11 @@
 Address = Annotated[str, Meta(pattern=r"^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):\d{1,5}$")]
 
 
-class Sheet(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class ConfigDocument(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Unknown keys are refused: a misspelt limit would otherwise be no limit."""
 
 
-class RequestClassConfig(Sheet, frozen=True, kw_only=True):
+class RequestClassConfig(ConfigDocument, frozen=True, kw_only=True):
     """One product: which model names mean it, what may be repeated, what is promised, what it earns."""
 
     name: Name
@@ -40,7 +40,7 @@
             raise ValueError("limit_ms is shorter than slo_ms")
 
 
-class FleetTerms(Sheet, frozen=True, kw_only=True):
+class FleetConfig(ConfigDocument, frozen=True, kw_only=True):
     """What holds of the model servers and of the rules."""
 
     max_attempts: Count = 5
@@ -60,7 +60,7 @@
     holds: bool = False  # engines hold places ahead (our extension)
 
 
-class DoorTerms(Sheet, frozen=True, kw_only=True):
+class ServerLimits(ConfigDocument, frozen=True, kw_only=True):
     """Limits on clients' connections and requests; none of them routes."""
 
     body_bytes: Count = 4 * 2**20
@@ -76,7 +76,7 @@
     session_limit: Count = 200_000  # conversations recognised by their beginning
 
 
-class StreamTerms(Sheet, frozen=True, kw_only=True):
+class StreamConfig(ConfigDocument, frozen=True, kw_only=True):
     """What becomes of streams that break off (docs/streams.md)."""
 
     resume: bool = True
@@ -89,7 +89,7 @@
     keep_all_bytes: Count = 2**27
 
 
-class NodeLine(Sheet, frozen=True, kw_only=True):
+class NodeLine(ConfigDocument, frozen=True, kw_only=True):
     """One model server on a list. `started` is in seconds since 1970, 0: long ago."""
 
     id: Name
@@ -108,14 +108,14 @@
             raise ValueError("a server of the plain chat protocol has duty both")
 
 
-class FileSource(Sheet, frozen=True, kw_only=True, tag="file", tag_field="from"):
+class FileSource(ConfigDocument, frozen=True, kw_only=True, tag="file", tag_field="from"):
     """The node list is a JSON5 file, looked at every `look_ms`."""
 
     path: str
     look_ms: Positive = 500.0
 
 
-class ConsulSource(Sheet, frozen=True, kw_only=True, tag="consul", tag_field="from"):
+class ConsulSource(ConfigDocument, frozen=True, kw_only=True, tag="consul", tag_field="from"):
     """A registry with blocking queries in the published Consul health form."""
 
     address: Address
@@ -124,13 +124,13 @@
     retry_ms: Positive = 500.0
 
 
-class InlineSource(Sheet, frozen=True, kw_only=True, tag="inline", tag_field="from"):
+class InlineSource(ConfigDocument, frozen=True, kw_only=True, tag="inline", tag_field="from"):
     """The node list stands in the document, or is given later by `Routing.nodes`."""
 
     nodes: list[NodeLine]
 
 
-class GatewayPaper(Sheet, frozen=True, kw_only=True):
+class GatewayConfig(ConfigDocument, frozen=True, kw_only=True):
     """The whole document of one gateway."""
 
     name: Name
@@ -149,9 +149,9 @@
     ledger_segments: Count | None = None  # of 16 MB kept beside the sums; None: all, for bills in detail
     lender: str | None = None  # file that all gateways share to lend parts of budgets
     look_ms: Positive = 1000.0  # between two looks at what traffic wants of it
-    fleet: FleetTerms = FleetTerms()
-    door: DoorTerms = DoorTerms()
-    streams: StreamTerms = StreamTerms()
+    fleet: FleetConfig = FleetConfig()
+    door: ServerLimits = ServerLimits()
+    streams: StreamConfig = StreamConfig()
 
     def __post_init__(self) -> None:
         if self.tenants is not None and self.ledger is None:
--- a/ternlane/paper/reading.py
+++ b/ternlane/config/reading.py
@@ -15,7 +15,7 @@
 UNKNOWN = re.compile(r"unknown field `([^`]*)`")
 
 
-class PaperError(ValueError):
+class ConfigError(ValueError):
     """A document that can't be used. `where` is "file:line", `field` its path as `$.a.b[0]`."""
 
     def __init__(self, where: str, field: str, why: str) -> None:
@@ -63,7 +63,7 @@
     except ValueError as why:
         said = str(why)
         line = re.match(r"<string>:(\d+)\s*(.*)", said, re.S)
-        raise PaperError(f"{name}:{line[1]}" if line else name, "", line[2] if line else said) from None
+        raise ConfigError(f"{name}:{line[1]}" if line else name, "", line[2] if line else said) from None
     try:
         return msgspec.convert(raw, into)
     except msgspec.ValidationError as why:
@@ -72,7 +72,7 @@
         near = field
         while near not in lines and near != "$":
             near = re.sub(r"(\.[^.\[]*|\[[^\]]*\])$", "", near) or "$"
-        raise PaperError(f"{name}:{lines.get(near, 1)}", field, said) from None
+        raise ConfigError(f"{name}:{lines.get(near, 1)}", field, said) from None
 
 
 def field_of(why: msgspec.ValidationError) -> tuple[str, str]:
@@ -88,13 +88,13 @@
     try:
         return msgspec.convert(msgspec.to_builtins(made), type(made))
     except msgspec.ValidationError as why:
-        raise PaperError(type(made).__name__, *field_of(why)) from None
+        raise ConfigError(type(made).__name__, *field_of(why)) from None
 
 
-def read_paper(path: Path | str, into: type[T]) -> T:
+def read_config(path: Path | str, into: type[T]) -> T:
     """The JSON5 file as `into`. Raises PaperError with file, line and field."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as why:
-        raise PaperError(str(path), "", f"can't be read: {why}") from None
+        raise ConfigError(str(path), "", f"can't be read: {why}") from None
     return read_text(text, into, str(path))
--- a/ternlane/days/bench.py
+++ b/ternlane/days/bench.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ternlane.days.script import DayScript
-from ternlane.paper import read_text
+from ternlane.config import read_text
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
 ROLES = {"read": "readers", "write": "writers", "both": "mixed"}
--- a/ternlane/days/parts.py
+++ b/ternlane/days/parts.py
@@ -27,7 +27,7 @@
     TenantRush,
     ZoneCut,
 )
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 from ternlane.standin.clients import Clients
 from ternlane.standin.engine import Engine
 from ternlane.standin.front import Front
@@ -51,7 +51,7 @@
         raw = json.loads((folder / "scene.json").read_text())
         return cls(
             folder,
-            read_paper(folder / "day.json5", DayScript),
+            read_config(folder / "day.json5", DayScript),
             raw["begin_ms"],
             raw["engine_port"],
             {k: (v[0], v[1]) for k, v in raw["gateways"].items()},
--- a/ternlane/days/plan.py
+++ b/ternlane/days/plan.py
@@ -20,7 +20,7 @@
     Roll,
     ZoneCut,
 )
-from ternlane.paper import FleetTerms
+from ternlane.config import FleetConfig
 from ternlane.standin.clients import Habits, Talk
 from ternlane.standin.engine import Build
 
@@ -57,7 +57,7 @@
     return f"{net}.{zone + 1}.1"
 
 
-def build_of(kind: Kind, terms: FleetTerms, speed: float) -> Build:
+def build_of(kind: Kind, terms: FleetConfig, speed: float) -> Build:
     return Build(
         slots=kind.slots,
         queue=kind.queue,
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -20,13 +20,13 @@
 from ternlane.days.plan import GATEWAY_NET, Act, acts_of, address_of, engines_of, zones_of
 from ternlane.days.report import report_of, table_of
 from ternlane.days.script import BalancerRoll, DayScript, RegistryFails
-from ternlane.paper import GatewayPaper
-from ternlane.paper.gateway import ConsulSource
+from ternlane.config import GatewayConfig
+from ternlane.config.gateway import ConsulSource
 from ternlane.rules import check_folder
 from ternlane.standin.registry import EndpointList, Registry
 from ternlane.standin.traffic import Traffic, clock_ms
 from ternlane.tenants import KeyLine, Prices, TenantLine, new_key
-from ternlane.tenants.roll import RollPaper
+from ternlane.tenants.roll import TenantRegistryConfig
 
 FIRST_PORT, LAST_PORT = 20000, 31000  # below what the system hands out by itself
 START_MS = 4000.0
@@ -161,7 +161,7 @@
         scene.save()
         self.open_accounts()
         for i, (name, (host, port)) in enumerate(gateways.items()):
-            paper = GatewayPaper(
+            config = GatewayConfig(
                 name=name,
                 listen=f"{host}:{port}",
                 source=host,
@@ -179,7 +179,7 @@
                 look_ms=500.0,
                 lender=str(self.folder / "lender.json") if self.day.tenants and self.day.lent else None,
             )
-            (self.folder / f"{name}.json5").write_bytes(msgspec.json.format(msgspec.json.encode(paper), indent=1))
+            (self.folder / f"{name}.json5").write_bytes(msgspec.json.format(msgspec.json.encode(config), indent=1))
         return scene
 
     def open_accounts(self) -> None:
@@ -203,7 +203,7 @@
                 )
             )
             keys.append((f"t{i:03}", key))
-        (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(RollPaper(tenants=lines)))
+        (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(TenantRegistryConfig(tenants=lines)))
         (self.folder / "keys.json").write_text(json.dumps(keys))
 
     def start(self, name: str, *args: str, door: socket.socket | None = None) -> None:
--- a/ternlane/days/script.py
+++ b/ternlane/days/script.py
@@ -7,23 +7,23 @@
 from msgspec import Meta
 
 from ternlane.tenants.roll import Budget
-from ternlane.paper.gateway import (
+from ternlane.config.gateway import (
     Count,
-    DoorTerms,
-    FleetTerms,
+    ServerLimits,
+    FleetConfig,
     Name,
     NotNegative,
     Part,
     Positive,
     RequestClassConfig,
-    Sheet,
-    StreamTerms,
+    ConfigDocument,
+    StreamConfig,
 )
 
 Span = tuple[float, float]
 
 
-class Kind(Sheet, frozen=True, kw_only=True):
+class Kind(ConfigDocument, frozen=True, kw_only=True):
     """What one kind of engine can do."""
 
     slots: Count = 8
@@ -38,14 +38,14 @@
     speeds: Span = (0.9, 1.1)  # drawn for each engine
 
 
-class Cell(Sheet, frozen=True, kw_only=True):
+class Cell(ConfigDocument, frozen=True, kw_only=True):
     zone: str = "hall"
     prefill_servers: int = 1
     decode_servers: int = 1
     mixed: int = 0
 
 
-class Use(Sheet, frozen=True, kw_only=True):
+class Use(ConfigDocument, frozen=True, kw_only=True):
     """How clients use one product."""
 
     request_class: Name
@@ -61,7 +61,7 @@
     plain_part: Part = 0.1
 
 
-class ClientsLine(Sheet, frozen=True, kw_only=True):
+class ClientsLine(ConfigDocument, frozen=True, kw_only=True):
     try_share: Span = (0.5, 1.0)
     retries: int = 2
     backoff_ms: Span = (50.0, 300.0)
@@ -70,14 +70,14 @@
     leave_ms: Span = (20.0, 600.0)
 
 
-class ListTimes(Sheet, frozen=True, kw_only=True):
+class ListTimes(ConfigDocument, frozen=True, kw_only=True):
     """How late the registry learns of things."""
 
     notice_ms: NotNegative = 300.0  # a drain, or a start
     silent_ms: NotNegative = 1500.0  # a death that nobody announced
 
 
-class Struck(Sheet, frozen=True, kw_only=True):
+class Struck(ConfigDocument, frozen=True, kw_only=True):
     at_s: NotNegative
     for_s: Positive = 10.0
 
@@ -247,7 +247,7 @@
 )
 
 
-class DayScript(Sheet, frozen=True, kw_only=True):
+class DayScript(ConfigDocument, frozen=True, kw_only=True):
     name: Name
     seed: int = 1
     length_s: Positive
@@ -260,9 +260,9 @@
     mixed: Kind = Kind()
     request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
     uses: Annotated[list[Use], Meta(min_length=1)]
-    terms: FleetTerms = FleetTerms()
-    door: DoorTerms = DoorTerms()
-    streams: StreamTerms = StreamTerms()
+    terms: FleetConfig = FleetConfig()
+    door: ServerLimits = ServerLimits()
+    streams: StreamConfig = StreamConfig()
     clients: ClientsLine = ClientsLine()
     lists: ListTimes = ListTimes()
     front_notice_ms: Positive = 1500.0
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -12,7 +12,7 @@
 
 from ternlane.embed.routing import Routing, open_routing
 from ternlane.engine import Transport
-from ternlane.paper import GatewayPaper
+from ternlane.config import GatewayConfig
 
 END = object()
 AHEAD = 64  # pieces that wait for a slow caller; beyond that the writer waits
@@ -25,8 +25,8 @@
     closing it, is a client's leaving. Exceptions of the router's thread come out of the `with` block.
     """
 
-    def __init__(self, paper: GatewayPaper, make_transport: Callable[[], Transport], log: Any = None) -> None:
-        self.paper, self.make_transport, self.log = paper, make_transport, log
+    def __init__(self, config: GatewayConfig, make_transport: Callable[[], Transport], log: Any = None) -> None:
+        self.config, self.make_transport, self.log = config, make_transport, log
         self.ready = threading.Event()
         self.token: trio.lowlevel.TrioToken | None = None
         self.routing: Routing | None = None
@@ -54,7 +54,7 @@
     async def _main(self) -> None:
         self.token = trio.lowlevel.current_trio_token()
         with trio.CancelScope() as self.scope:
-            async with open_routing(self.paper, self.make_transport(), log=self.log) as self.routing:
+            async with open_routing(self.config, self.make_transport(), log=self.log) as self.routing:
                 self.ready.set()
                 await trio.sleep_forever()
 
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -28,7 +28,7 @@
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.active_request import Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
-from ternlane.paper import GatewayPaper, InlineSource, NodeLine, checked
+from ternlane.config import GatewayConfig, InlineSource, NodeLine, checked
 from ternlane.port import StartFacts
 from ternlane.turns import Chooser, now_ms
 
@@ -90,17 +90,17 @@
 
     def __init__(
         self,
-        paper: GatewayPaper,
+        config: GatewayConfig,
         transport: Transport,
         nursery: trio.Nursery,
         chooser: Callable[[StartFacts], Chooser],
         log: Any,
     ) -> None:
-        self.paper, self.count, self.offer, self.book = paper, count(1), offer_of(paper), Book()
+        self.config, self.count, self.offer, self.book = config, count(1), offer_of(config), Book()
         self.facts = self.offer.facts
-        self.intake = Intake(self.offer.models, self.offer.max_tokens, paper.door.session_limit)
+        self.intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
         self.host = Host(
-            chooser(self.facts), self.facts, transport, self.book, self.intake, nursery, Measures(), log, paper.streams
+            chooser(self.facts), self.facts, transport, self.book, self.intake, nursery, Measures(), log, config.streams
         )
 
     def nodes(self, lines: list[NodeLine]) -> None:
@@ -109,15 +109,15 @@
 
         self.host.listed(self.book.whole(lines, time.time(), now_ms()))
 
-    def alter(self, paper: GatewayPaper) -> None:
+    def alter(self, config: GatewayConfig) -> None:
         """Takes over `products`, `fleet`, `gateways`, `zone` and inline nodes of another paper, and back by the same
         call; what was taken in keeps its product's terms. Raises PaperError, and then nothing has changed."""
-        self.paper = checked(paper)
-        self.offer = offer_of(self.paper, self.offer.request_classes)
+        self.config = checked(config)
+        self.offer = offer_of(self.config, self.offer.request_classes)
         self.facts = self.offer.facts
         self.host.alter(self.offer)
-        if isinstance(self.paper.nodes, InlineSource):
-            self.nodes(self.paper.nodes.nodes)
+        if isinstance(self.config.nodes, InlineSource):
+            self.nodes(self.config.nodes.nodes)
 
     @asynccontextmanager
     async def request(
@@ -130,7 +130,7 @@
         limit = request_class.deadline_ms if request_class is not None else 0.0
         known = self.intake.take(ask, limit if request_timeout_ms is None else min(limit, request_timeout_ms))
         known.request.whole = False  # the caller sees the text as it comes
-        stream, ident = Stream(), f"{self.paper.name}-{next(self.count)}"
+        stream, ident = Stream(), f"{self.config.name}-{next(self.count)}"
         active_request = stream.active_request = ActiveRequest(
             ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.request)
         )
@@ -146,15 +146,15 @@
 
 @asynccontextmanager
 async def open_routing(
-    paper: GatewayPaper, transport: Transport, chooser: Callable[[StartFacts], Chooser] = Router, log: Any = None
+    config: GatewayConfig, transport: Transport, chooser: Callable[[StartFacts], Chooser] = Router, log: Any = None
 ) -> AsyncIterator[Routing]:
     """A router without a door. Inline nodes of the paper are listed at once; others by `Routing.nodes`. Raises
     PaperError for settings that no document could hold."""
-    paper = checked(paper)
+    config = checked(config)
     async with trio.open_nursery() as nursery:
-        routing = Routing(paper, transport, nursery, chooser, log or library_log())
-        if isinstance(paper.nodes, InlineSource):
-            routing.nodes(paper.nodes.nodes)
+        routing = Routing(config, transport, nursery, chooser, log or library_log())
+        if isinstance(config.nodes, InlineSource):
+            routing.nodes(config.nodes.nodes)
         nursery.start_soon(routing.host.clock)
         try:
             yield routing
--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -11,7 +11,7 @@
 import structlog
 import trio
 
-from ternlane import GatewayPaper, PaperError, Router, open_gateway, read_paper
+from ternlane import GatewayConfig, ConfigError, Router, open_gateway, read_config
 
 
 def passed_in() -> list[trio.SocketListener] | None:
@@ -57,13 +57,13 @@
 
 
 async def run_gateway(
-    path: str, paper: GatewayPaper, chooser: Callable[..., Any] | None = None, pid_file: str | None = None
+    path: str, config: GatewayConfig, chooser: Callable[..., Any] | None = None, pid_file: str | None = None
 ) -> None:
     """Serves until SIGTERM or SIGINT, then drains; a second one ends it at once. SIGHUP reads the document again and
     takes over what can change without a restart."""
-    log = structlog.get_logger(gateway=paper.name)
+    log = structlog.get_logger(gateway=config.name)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        async with open_gateway(paper, chooser or Router, log, listeners=passed_in()) as gateway:
+        async with open_gateway(config, chooser or Router, log, listeners=passed_in()) as gateway:
             if pid_file is not None:
                 write_pid(Path(pid_file))
             notify(f"READY=1\nSTATUS=serving at {gateway.address}\nMAINPID={os.getpid()}")
@@ -72,9 +72,9 @@
                     break
                 notify("RELOADING=1")
                 try:
-                    changed, kept = gateway.reload(read_paper(path, GatewayPaper))
+                    changed, kept = gateway.reload(read_config(path, GatewayConfig))
                     log.info("reloaded", changed=changed, needs_restart=kept)
-                except PaperError as why:
+                except ConfigError as why:
                     log.error("reload refused", why=str(why))
                 notify("READY=1")
             notify("STOPPING=1")
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -33,7 +33,7 @@
 from ternlane.gateway.till import Till
 from ternlane.gateway.active_request import Final, Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
-from ternlane.paper import DoorTerms, GatewayPaper
+from ternlane.config import ServerLimits, GatewayConfig
 from ternlane.port import RequestClass
 from ternlane.recover import comes_out_the_same
 from ternlane.recover.inflight import Known
@@ -123,7 +123,7 @@
 class Door:
     def __init__(
         self,
-        paper: GatewayPaper,
+        config: GatewayConfig,
         host: Host,
         intake: Intake,
         models: dict[str, RequestClass],
@@ -131,23 +131,23 @@
         log: Any,
         till: Till | None = None,
     ) -> None:
-        self.paper, self.host, self.intake, self.models = paper, host, intake, models
+        self.config, self.host, self.intake, self.models = config, host, intake, models
         self.measures, self.log, self.till = measures, log, till
-        self.terms: DoorTerms = paper.door
+        self.terms: ServerLimits = config.door
         self.names = {request_class: name for name, request_class in reversed(models.items())}
-        self.repeats = Repeats(paper.door.repeat_bytes)
+        self.repeats = Repeats(config.door.repeat_bytes)
         self.count = count(1)
         self.started = int(time.time())
-        self.birth = xxh3_64_hexdigest(f"{paper.name} {time.time_ns()}".encode())[:10]
+        self.birth = xxh3_64_hexdigest(f"{config.name} {time.time_ns()}".encode())[:10]
         self.draining = False
         self.conns = self.busy = 0  # connections, and requests being answered
 
-    def alter(self, paper: GatewayPaper, models: dict[str, RequestClass]) -> None:
+    def alter(self, config: GatewayConfig, models: dict[str, RequestClass]) -> None:
         """New limits, from the next connection on, and other products, from the next request on; the answers kept for
         repeats stay."""
-        self.paper, self.terms, self.models = paper, paper.door, models
+        self.config, self.terms, self.models = config, config.door, models
         self.names = {request_class: name for name, request_class in reversed(models.items())}
-        self.repeats.byte_limit = paper.door.repeat_bytes
+        self.repeats.byte_limit = config.door.repeat_bytes
 
     async def connection(self, stream: trio.SocketStream) -> None:
         """Serves one client's connection."""
@@ -312,7 +312,7 @@
         said = exchange.header(b"last-event-id")
         if not said:
             return 0
-        if not self.paper.streams.ids or not ask.stream:
+        if not self.config.streams.ids or not ask.stream:
             raise NotTaken(409, "Streams can't be taken up again here", "resume_not_offered", param="Last-Event-ID")
         if not said.isascii() or not said.isdecimal() or len(said) > 9:
             raise Wrong("Last-Event-ID", "must be the id of an event of this stream")
@@ -354,7 +354,7 @@
         outlet: Outlet = PlainOutlet()
         if ask.stream:
             outlet = StreamOutlet(
-                exchange, f"chatcmpl-{ident}", ask.model, ask.include_usage, after if self.paper.streams.ids else None
+                exchange, f"chatcmpl-{ident}", ask.model, ask.include_usage, after if self.config.streams.ids else None
             )
         if self.till is not None and hold is not None:
             outlet.extra = self.till.headers(hold)
@@ -397,7 +397,7 @@
                 raise Wrong("X-Ternlane-Time-Limit-Ms", "must be a positive number of milliseconds")
             limit = min(limit, stated)
         spent = now_ms() - exchange.arrived * 1000
-        return max(0.0, limit - spent - self.paper.door.answer_ms)
+        return max(0.0, limit - spent - self.config.door.answer_ms)
 
     async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
         if active_request.final is None:
@@ -469,7 +469,7 @@
         match final:
             case Streamed(text, finish, usage, more) if ask.stream:
                 outlet = StreamOutlet(
-                    exchange, ident, ask.model, ask.include_usage, after if self.paper.streams.ids else None
+                    exchange, ident, ask.model, ask.include_usage, after if self.config.streams.ids else None
                 )
                 outlet.extra = [mark]
                 await outlet.piece(text[after:], True, more)
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -5,7 +5,7 @@
 from dataclasses import astuple, dataclass
 
 from ternlane.chat.intake import EFFECTS, GROUPS
-from ternlane.paper import GatewayPaper
+from ternlane.config import GatewayConfig
 from ternlane.port import RequestClass, StartFacts
 
 STEP_MS = 1.0  # the host hands events over as they come
@@ -22,11 +22,11 @@
     facts: StartFacts
 
 
-def offer_of(paper: GatewayPaper, held: dict[str, RequestClass] | None = None) -> Offer:
+def offer_of(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> Offer:
     """A product of `held` whose terms are the same stays the object that it is, with all that was learnt of it; a
     changed one is another, and what was taken before keeps its own."""
     request_classes: dict[str, RequestClass] = {}
-    for p in paper.request_classes:
+    for p in config.request_classes:
         new = RequestClass(
             EFFECTS[p.effect],
             GROUPS[p.group],
@@ -42,18 +42,18 @@
         request_classes[p.name] = old if old is not None and astuple(old) == astuple(new) else new
     return Offer(
         request_classes,
-        {model: request_classes[p.name] for p in paper.request_classes for model in (p.name, *p.models)},
-        {request_classes[p.name]: p.max_tokens for p in paper.request_classes},
-        facts_of(paper, request_classes),
+        {model: request_classes[p.name] for p in config.request_classes for model in (p.name, *p.models)},
+        {request_classes[p.name]: p.max_tokens for p in config.request_classes},
+        facts_of(config, request_classes),
     )
 
 
-def facts_of(paper: GatewayPaper, request_classes: dict[str, RequestClass]) -> StartFacts:
-    fleet = paper.fleet
+def facts_of(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> StartFacts:
+    fleet = config.fleet
     return StartFacts(
-        seed=paper.seed,
-        gateways=paper.gateways,
-        zone=paper.zone,
+        seed=config.seed,
+        gateways=config.gateways,
+        zone=config.zone,
         request_classes=tuple(request_classes.values()),
         max_attempts=fleet.max_attempts,
         may_cancel=fleet.may_cancel,
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -25,7 +25,7 @@
 from ternlane.gateway.till import Till
 from ternlane.http1 import Exchange, Pool, serve_connection
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
-from ternlane.paper import ConsulSource, FileSource, GatewayPaper, NodeLine, checked
+from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine, checked
 from ternlane.port import EndpointStatus, EndpointListFailed, StartFacts
 
 BACKLOG = 4096
@@ -45,20 +45,20 @@
 
     def __init__(
         self,
-        paper: GatewayPaper,
+        config: GatewayConfig,
         chooser: Callable[[StartFacts], Chooser],
         nursery: trio.Nursery,
         log: Any,
         host_type: type[Host] = Host,
         transport: Transport | None = None,
     ) -> None:
-        self.paper, self.nursery, self.log = paper, nursery, log
-        self.offer = offer_of(paper)
+        self.config, self.nursery, self.log = config, nursery, log
+        self.offer = offer_of(config)
         self.facts = self.offer.facts
         self.measures, self.book = Measures(), Book()
-        self.pool = Pool(paper.fleet.connect_ms, paper.fleet.idle_ms, paper.source)
-        intake = Intake(self.offer.models, self.offer.max_tokens, paper.door.session_limit)
-        self.agent = f"ternlane/{__version__} ({paper.name})"
+        self.pool = Pool(config.fleet.connect_ms, config.fleet.idle_ms, config.source)
+        intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
+        self.agent = f"ternlane/{__version__} ({config.name})"
         self.transport = transport or SocketTransport(self.pool, self.agent)
         self.host = host_type(
             chooser(self.facts),
@@ -69,13 +69,13 @@
             nursery,
             self.measures,
             log,
-            paper.streams,
+            config.streams,
         )
-        self.till = Till(paper, log) if paper.tenants is not None else None
-        self.door = Door(paper, self.host, intake, self.offer.models, self.measures, log, self.till)
+        self.till = Till(config, log) if config.tenants is not None else None
+        self.door = Door(config, self.host, intake, self.offer.models, self.measures, log, self.till)
         if self.till is not None:
             self.host.on_done, self.host.affords = self.till.done, self.till.affords
-        self.scribe = Scribe(Path(paper.journal), log) if paper.journal is not None else None
+        self.scribe = Scribe(Path(config.journal), log) if config.journal is not None else None
         self.host.scribe = self.scribe
         self.listeners: list[trio.SocketListener] = []
         self.handed_over = False
@@ -108,10 +108,10 @@
 
     def _last_list(self) -> None:
         """What this gateway knew before it was restarted, until its source says more."""
-        if self.paper.state is None:
+        if self.config.state is None:
             return
         try:
-            lines = kept(Path(self.paper.state))
+            lines = kept(Path(self.config.state))
         except Torn as why:
             self.log.error("kept node list not used", why=str(why))
             return
@@ -120,20 +120,20 @@
 
     async def _keep_lists(self) -> None:
         """Writes the newest list off the loop; a disk that fails is said aloud and costs nothing else."""
-        while self.paper.state is not None:
+        while self.config.state is not None:
             await self.keep_now.wait()
             self.keep_now = trio.Event()
             lines, self.keeping = self.keeping, None
             try:
                 if lines is not None:
-                    await trio.to_thread.run_sync(keep, Path(self.paper.state), lines)
+                    await trio.to_thread.run_sync(keep, Path(self.config.state), lines)
             except OSError as why:
                 self.log.error("node list not kept", why=str(why))
 
     async def _follow(self) -> None:
         while True:
             with trio.CancelScope() as self.following:
-                match self.paper.nodes:
+                match self.config.nodes:
                     case FileSource() as source:
                         await follow_file(source, self.found, self.list_failed)
                     case ConsulSource() as source:
@@ -148,23 +148,23 @@
         self.door.restore(await self.scribe.take_up(self.transport, self.facts.release_ms))
         self.scribe.ready = True
 
-    def reload(self, paper: GatewayPaper) -> tuple[list[str], list[str]]:
+    def reload(self, config: GatewayConfig) -> tuple[list[str], list[str]]:
         """Takes over what can change while running. Gives the fields that did, and those that wait for a restart."""
-        old, changed, kept_back = self.paper, [], []
-        for field in paper.__struct_fields__:
-            if getattr(old, field) == getattr(paper, field):
+        old, changed, kept_back = self.config, [], []
+        for field in config.__struct_fields__:
+            if getattr(old, field) == getattr(config, field):
                 continue
             if field in ALTERED:
                 changed.append(field)
             else:
                 kept_back.append(field)
-        self.paper = msgspec.structs.replace(old, **{field: getattr(paper, field) for field in changed})
+        self.config = msgspec.structs.replace(old, **{field: getattr(config, field) for field in changed})
         if set(changed) - {"door", "nodes"}:
-            self.offer = offer_of(self.paper, self.offer.request_classes)
+            self.offer = offer_of(self.config, self.offer.request_classes)
             self.facts = self.offer.facts
-            self.pool.connect_ms, self.pool.idle_ms = self.paper.fleet.connect_ms, self.paper.fleet.idle_ms
+            self.pool.connect_ms, self.pool.idle_ms = self.config.fleet.connect_ms, self.config.fleet.idle_ms
             self.host.alter(self.offer)
-        self.door.alter(self.paper, self.offer.models)
+        self.door.alter(self.config, self.offer.models)
         if "nodes" in changed:
             self.following.cancel()  # and followed anew at the new source
         return changed, kept_back
@@ -175,7 +175,7 @@
         self._last_list()
         self.handed_over = True
         if listeners is None:
-            host, port = split(self.paper.listen)
+            host, port = split(self.config.listen)
             listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
             self.handed_over = False
         self.listeners = listeners
@@ -191,10 +191,10 @@
             self.nursery.start_soon(self.scribe.writer.run)
             self.nursery.start_soon(self._take_up)
         self.nursery.start_soon(self._serve)
-        if self.paper.metrics is not None:
-            host, port = split(self.paper.metrics)
+        if self.config.metrics is not None:
+            host, port = split(self.config.metrics)
             await self.nursery.start(partial(trio.serve_tcp, self._metrics, port, host=host))
-        self.log.info("serving", address=self.address, gateway=self.paper.name)
+        self.log.info("serving", address=self.address, gateway=self.config.name)
 
     async def _serve(self) -> None:
         with self.doors:
@@ -237,7 +237,7 @@
             listener.socket.close()
         await trio.sleep(0.05)  # for requests that were under way
         self.door.draining = True
-        with trio.move_on_after(self.paper.door.drain_ms / 1000):
+        with trio.move_on_after(self.config.door.drain_ms / 1000):
             while self.host.active_requests:
                 await trio.sleep(0.02)
         await self.stop()
@@ -275,7 +275,7 @@
 
 @asynccontextmanager
 async def open_gateway(
-    paper: GatewayPaper,
+    config: GatewayConfig,
     chooser: Callable[[StartFacts], Chooser] = Router,
     log: Any = None,
     host_type: type[Host] = Host,
@@ -284,9 +284,9 @@
 ) -> AsyncIterator[Gateway]:
     """Everything lives in a nursery that this block owns. Raises PaperError for settings that no document could hold,
     OSError where its address is taken, Damaged where the ledger is."""
-    paper = checked(paper)
+    config = checked(config)
     async with trio.open_nursery() as nursery:
-        gateway = Gateway(paper, chooser, nursery, log or library_log(), host_type, transport)
+        gateway = Gateway(config, chooser, nursery, log or library_log(), host_type, transport)
         try:
             await gateway._start(listeners)
             yield gateway
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -19,7 +19,7 @@
 from ternlane.gateway.scribe import Scribe
 from ternlane.gateway.active_request import Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
-from ternlane.paper import StreamTerms
+from ternlane.config import StreamConfig
 from ternlane.port import Role, EndpointStatus, Server, StartFacts, AttemptOutcome
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
@@ -37,12 +37,12 @@
         nursery: trio.Nursery,
         measures: Measures,
         log: Any,
-        streams: StreamTerms | None = None,
+        streams: StreamConfig | None = None,
     ) -> None:
         super().__init__(chooser)
         self.facts, self.transport, self.book, self.intake = facts, transport, book, intake
         self.nursery, self.measures, self.log = nursery, measures, log
-        self.mender: Mender[ActiveRequest] = Mender(streams or StreamTerms(), facts)
+        self.mender: Mender[ActiveRequest] = Mender(streams or StreamConfig(), facts)
         self.resume_at = float("inf")
         self.idents: set[str] = set()
         self.releasing = 0
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -17,26 +17,26 @@
 from ternlane.gateway.active_request import Streamed, ActiveRequest
 from ternlane.ledger import Disk, Store, Totals, Writer
 from ternlane.ledger.lending import lender_file
-from ternlane.paper import GatewayPaper, PaperError, read_paper
+from ternlane.config import GatewayConfig, ConfigError, read_config
 from ternlane.tenants import Cashier, Hold, RejectReason, Roll, TenantLine, bill_for
-from ternlane.tenants.roll import Budget, RollPaper
+from ternlane.tenants.roll import Budget, TenantRegistryConfig
 from ternlane.turns import now_ms
 
 LOOK_S = 0.5
 
 
 class Till:
-    def __init__(self, paper: GatewayPaper, log: Any) -> None:
-        assert paper.tenants is not None and paper.ledger is not None
-        self.paper, self.log, self.path = paper, log, Path(paper.tenants)
-        self.roll = Roll(read_paper(self.path, RollPaper))
+    def __init__(self, config: GatewayConfig, log: Any) -> None:
+        assert config.tenants is not None and config.ledger is not None
+        self.config, self.log, self.path = config, log, Path(config.tenants)
+        self.roll = Roll(read_config(self.path, TenantRegistryConfig))
         self.mark = self.stat()
-        self.cashier = Cashier(paper.gateways, paper.name, paper.lender is not None)
+        self.cashier = Cashier(config.gateways, config.name, config.lender is not None)
         self.cashier.clock(time.time())
-        kept = {} if paper.ledger_segments is None else {"keep_segments": paper.ledger_segments}
-        self.store = Store(Disk(Path(paper.ledger)), **kept)
+        kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
+        self.store = Store(Disk(Path(config.ledger)), **kept)
         self.told: dict[tuple[str, str, str], int] = {}
-        self.remember(Store(Disk(Path(paper.ledger))).read_sums())
+        self.remember(Store(Disk(Path(config.ledger))).read_sums())
         self.writer = Writer(self.store, log, on_own=self.remember)
         self.closed = False
 
@@ -60,15 +60,15 @@
             try:
                 if (mark := self.stat()) != self.mark:
                     self.mark = mark
-                    self.roll = Roll(read_paper(self.path, RollPaper))
+                    self.roll = Roll(read_config(self.path, TenantRegistryConfig))
                     self.log.info("tenants read again", tenants=len(self.roll.tenants))
-            except (OSError, PaperError) as why:
+            except (OSError, ConfigError) as why:
                 self.log.error("tenants not read again", why=str(why))
 
     async def borrow(self) -> None:
         """Asks the lender for what traffic showed to be wanted; nobody waits for it."""
-        while self.paper.lender is not None:
-            await trio.sleep(self.paper.look_ms / 1000)
+        while self.config.lender is not None:
+            await trio.sleep(self.config.look_ms / 1000)
             wall = self.cashier.clock(time.time())
             asks = []
             for name in list(self.cashier.borrowers):
@@ -98,9 +98,9 @@
         self, asks: list[tuple[str, float, float, Budget, float]], periods: list[tuple[str, str, str, int]]
     ) -> tuple[list[float], list[float]]:
         """In a thread: one change of the lender's table for all tenants that want something."""
-        with lender_file(Path(str(self.paper.lender)), self.paper.gateways, self.paper.look_ms / 1000) as lender:
+        with lender_file(Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000) as lender:
             got = [
-                lender.ask(name, self.paper.name, want, it.minute or 0, it.most_saved, time.time(), least)
+                lender.ask(name, self.config.name, want, it.minute or 0, it.most_saved, time.time(), least)
                 for name, want, _, it, least in asks
             ]
             return got, [
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -48,7 +48,7 @@
     stream: bool = True
 
 
-class LoadPaper(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LoadConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`at_once`: that many clients, each asking anew when answered (closed loop); else requests come by `arrivals`,
     whatever the answers do. `late_ms`: by how much the tool itself may be late for one request in a hundred. `tenants`:
     keys, and the weight of each."""
@@ -85,9 +85,9 @@
         }
 
 
-def times_of(paper: LoadPaper, rng: random.Random) -> Iterator[float]:
+def times_of(config: LoadConfig, rng: random.Random) -> Iterator[float]:
     """When requests are due, seconds from the start, up to the end of the load."""
-    a = paper.arrivals
+    a = config.arrivals
     if a.kind == "recorded":
         times = recorded(a.recorded_s, a.faster)
     elif a.kind == "bursty":
@@ -98,7 +98,7 @@
     else:
         times = poisson(rng, a.rate)
     for at in times:
-        if at >= paper.seconds:
+        if at >= config.seconds:
             return
         yield at
 
@@ -116,21 +116,21 @@
 class Drawer:
     """Draws sessions; the same seed gives the same ones, whatever the answers do."""
 
-    def __init__(self, paper: LoadPaper, rng: random.Random) -> None:
-        self.paper, self.rng = paper, rng
-        self.shares = list(accumulate(m.share for m in paper.request_classes))
-        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.prefixes))) for m in paper.request_classes]
-        self.tenants = list(accumulate(paper.tenants.values()))
+    def __init__(self, config: LoadConfig, rng: random.Random) -> None:
+        self.config, self.rng = config, rng
+        self.shares = list(accumulate(m.share for m in config.request_classes))
+        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.prefixes))) for m in config.request_classes]
+        self.tenants = list(accumulate(config.tenants.values()))
 
     def ask(self, at_s: float) -> Ask:
         rng = self.rng
         at = bisect(self.shares, rng.random() * self.shares[-1])
-        mix = self.paper.request_classes[min(at, len(self.shares) - 1)]
+        mix = self.config.request_classes[min(at, len(self.shares) - 1)]
         messages: list[dict[str, str]] = []
         if mix.prefixes:
-            sums = self.zipf[self.paper.request_classes.index(mix)]
+            sums = self.zipf[self.config.request_classes.index(mix)]
             which = bisect(sums, rng.random() * sums[-1])
-            own = random.Random(f"{self.paper.seed} {mix.model} {which}")
+            own = random.Random(f"{self.config.seed} {mix.model} {which}")
             messages.append({"role": "system", "content": words(own, mix.prefix_words)})
         turns = 1
         while rng.random() < 1 - 1 / mix.turns:
@@ -139,7 +139,7 @@
         key = ""
         if self.tenants:
             at = bisect(self.tenants, rng.random() * self.tenants[-1])
-            key = list(self.paper.tenants)[min(at, len(self.tenants) - 1)]
+            key = list(self.config.tenants)[min(at, len(self.tenants) - 1)]
         return Ask(
             at_s,
             mix,
@@ -151,9 +151,9 @@
         )
 
 
-def asks(paper: LoadPaper) -> Iterator[Ask]:
+def asks(config: LoadConfig) -> Iterator[Ask]:
     """The first turns of an open loop's sessions, in order of time."""
-    rng = random.Random(f"{paper.seed} when")
-    drawer = Drawer(paper, random.Random(f"{paper.seed} what"))
-    for at in times_of(paper, rng):
+    rng = random.Random(f"{config.seed} when")
+    drawer = Drawer(config, random.Random(f"{config.seed} what"))
+    for at in times_of(config, rng):
         yield drawer.ask(at)
--- a/ternlane/load/run.py
+++ b/ternlane/load/run.py
@@ -20,7 +20,7 @@
 import trio
 
 from ternlane.http1 import Caller, EventReader, Pool, Unconnected
-from ternlane.load.plan import Ask, Drawer, LoadPaper, asks
+from ternlane.load.plan import Ask, Drawer, LoadConfig, asks
 from ternlane.load.sketch import Sketch
 
 
@@ -79,8 +79,10 @@
 class Load:
     """`tell` is given a JSON-ready line for each request as it ends."""
 
-    def __init__(self, paper: LoadPaper, url: str, tell: Callable[[dict[str, Any]], None] = lambda line: None) -> None:
-        self.paper, self.tell = paper, tell
+    def __init__(
+        self, config: LoadConfig, url: str, tell: Callable[[dict[str, Any]], None] = lambda line: None
+    ) -> None:
+        self.config, self.tell = config, tell
         self.address, self.path = address_of(url)
         self.pool = Pool(5000.0, 30e3)
         self.tally = Tally()
@@ -95,35 +97,35 @@
         self.began = trio.current_time()
         try:
             async with trio.open_nursery() as nursery:
-                if self.paper.at_once:
-                    for i in range(self.paper.at_once):
-                        nursery.start_soon(self.client, Drawer(self.paper, random.Random(f"{self.paper.seed} {i}")))
+                if self.config.at_once:
+                    for i in range(self.config.at_once):
+                        nursery.start_soon(self.client, Drawer(self.config, random.Random(f"{self.config.seed} {i}")))
                 else:
                     await self.send_in_time(nursery)
         finally:
             self.pool.close()
         late = self.tally.late
-        if not self.paper.at_once and late.many and late.quantile(0.99) > self.paper.late_ms:
+        if not self.config.at_once and late.many and late.quantile(0.99) > self.config.late_ms:
             raise TooSlow(
                 f"the tool was {late.quantile(0.99):.1f} ms late for one request in a hundred, over "
-                f"{self.paper.late_ms:.1f}: a lower rate, or more machines, are needed"
+                f"{self.config.late_ms:.1f}: a lower rate, or more machines, are needed"
             )
         return self.tally
 
     async def send_in_time(self, nursery: trio.Nursery) -> None:
-        for ask in asks(self.paper):
+        for ask in asks(self.config):
             await trio.sleep_until(self.began + ask.at_s)
             nursery.start_soon(self.session, ask)
 
     async def client(self, drawer: Drawer) -> None:
         """Asks, waits for the answer, and asks again until the time is up."""
-        while self.now_s() < self.paper.seconds:
+        while self.now_s() < self.config.seconds:
             await self.session(drawer.ask(self.now_s()))
 
     async def session(self, ask: Ask) -> None:
         while True:
             text = await self.one(ask)
-            if text is None or not ask.turns_left or self.now_s() >= self.paper.seconds:
+            if text is None or not ask.turns_left or self.now_s() >= self.config.seconds:
                 return
             due = self.now_s() + ask.mix.think_s
             await trio.sleep(ask.mix.think_s)
@@ -144,7 +146,7 @@
         outcome, pieces, first = "unconnected", list[str](), 0.0
         self.open += 1
         try:
-            with trio.move_on_after(self.paper.wait_s) as waits:
+            with trio.move_on_after(self.config.wait_s) as waits:
                 caller = await self.pool.take(self.address)
                 outcome = "broken"
                 outcome, first = await self.heard(caller, ask, pieces)
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -6,7 +6,7 @@
 from typing import Iterable
 from zlib import crc32
 
-from ternlane.paper import NodeLine
+from ternlane.config import NodeLine
 from ternlane.port import Role, EndpointStatus, EndpointsUpdated, Server
 
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
--- a/ternlane/nodes/consul.py
+++ b/ternlane/nodes/consul.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ternlane.paper import NodeLine
+from ternlane.config import NodeLine
 
 
 class Check(msgspec.Struct, rename="pascal"):
--- a/ternlane/nodes/follow.py
+++ b/ternlane/nodes/follow.py
@@ -15,8 +15,8 @@
 
 from ternlane.http1 import Pool, Unconnected
 from ternlane.nodes.consul import nodes_from_health
-from ternlane.paper import ConsulSource, FileSource, NodeLine, PaperError, read_text
-from ternlane.paper.gateway import Sheet
+from ternlane.config import ConsulSource, FileSource, NodeLine, ConfigError, read_text
+from ternlane.config.gateway import ConfigDocument
 
 LIST_LIMIT = 64 * 2**20
 
@@ -24,7 +24,7 @@
 Failed = Callable[[str], None]
 
 
-class NodeFile(Sheet, frozen=True, kw_only=True):
+class NodeFile(ConfigDocument, frozen=True, kw_only=True):
     nodes: list[NodeLine]
 
 
@@ -34,7 +34,7 @@
     seen: set[str] = set()
     for i, line in enumerate(lines):
         if line.id in seen:
-            raise PaperError(name, f"$.nodes[{i}].id", f"{line.id!r} is given twice")
+            raise ConfigError(name, f"$.nodes[{i}].id", f"{line.id!r} is given twice")
         seen.add(line.id)
     return lines
 
@@ -49,7 +49,7 @@
             if mark != last:
                 found(read_nodes(path.read_text(encoding="utf-8"), str(path)))
                 last = mark
-        except (OSError, UnicodeDecodeError, PaperError) as why:
+        except (OSError, UnicodeDecodeError, ConfigError) as why:
             failed(str(why))
         await trio.sleep(source.look_ms / 1000)
 
--- a/ternlane/nodes/kept.py
+++ b/ternlane/nodes/kept.py
@@ -8,7 +8,7 @@
 import msgspec
 from xxhash import xxh3_64_hexdigest
 
-from ternlane.paper import NodeLine
+from ternlane.config import NodeLine
 
 HEAD = b"ternlane-nodes 1 "
 lines_in = msgspec.json.Decoder(list[NodeLine])
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any, Generic, TypeVar
 
-from ternlane.paper import StreamTerms
+from ternlane.config import StreamConfig
 from ternlane.port import Request, StartFacts
 from ternlane.recover.join import Join, Shelf
 from ternlane.recover.pace import Pace
@@ -31,7 +31,7 @@
 class Mender(Generic[T]):
     """`T`: what the host knows a generation by. Times are ms."""
 
-    def __init__(self, terms: StreamTerms, facts: StartFacts) -> None:
+    def __init__(self, terms: StreamConfig, facts: StartFacts) -> None:
         self.terms = terms
         self.shelf = Shelf(terms.keep_tokens, terms.keep_bytes, terms.keep_all_bytes)
         self.rhythm = Rhythm(terms.alarms, facts.seed)
--- a/ternlane/tenants/roll.py
+++ b/ternlane/tenants/roll.py
@@ -8,14 +8,14 @@
 import msgspec
 from msgspec import Meta
 
-from ternlane.paper.gateway import Count, Name, NotNegative, Sheet
+from ternlane.config.gateway import Count, Name, NotNegative, ConfigDocument
 from ternlane.tenants.keys import NOBODY, fits, split_key
 
 Tokens = Annotated[int, Meta(ge=0, le=10**15)]
 Micros = Annotated[int, Meta(ge=0, le=10**9)]
 
 
-class Budget(Sheet, frozen=True, kw_only=True):
+class Budget(ConfigDocument, frozen=True, kw_only=True):
     """What may be spent; None: no limit of that kind. Tokens are prompt and answer tokens together."""
 
     minute: Tokens | None = None  # refilled continuously
@@ -30,7 +30,7 @@
         return (self.minute or 0) if self.burst is None else self.burst
 
 
-class Prices(Sheet, frozen=True, kw_only=True):
+class Prices(ConfigDocument, frozen=True, kw_only=True):
     """Micro-units of money a token: whole numbers, as all money here."""
 
     prompt: Micros = 0
@@ -38,7 +38,7 @@
     answer: Micros = 0
 
 
-class KeyLine(Sheet, frozen=True, kw_only=True):
+class KeyLine(ConfigDocument, frozen=True, kw_only=True):
     name: Name
     salt: str
     hash: str
@@ -46,7 +46,7 @@
     until: NotNegative = 0.0  # seconds since 1970; a retiring key ends then
 
 
-class TenantLine(Sheet, frozen=True, kw_only=True):
+class TenantLine(ConfigDocument, frozen=True, kw_only=True):
     name: Name
     keys: list[KeyLine] = []
     budget: Budget = Budget()
@@ -65,7 +65,7 @@
         return self.prices.get(request_class) or self.prices.get("*") or Prices()
 
 
-class RollPaper(Sheet, frozen=True, kw_only=True):
+class TenantRegistryConfig(ConfigDocument, frozen=True, kw_only=True):
     tenants: list[TenantLine] = []
 
     def __post_init__(self) -> None:
@@ -84,9 +84,9 @@
 class Roll:
     """Finds the tenant of a key. A key that ends does not touch generations that are open."""
 
-    def __init__(self, paper: RollPaper) -> None:
-        self.tenants = {t.name: t for t in paper.tenants}
-        self.keys = {k.name: (k, t) for t in paper.tenants for k in t.keys}
+    def __init__(self, config: TenantRegistryConfig) -> None:
+        self.tenants = {t.name: t for t in config.tenants}
+        self.keys = {k.name: (k, t) for t in config.tenants for k in t.keys}
 
     def whose(self, header: str | None, now_s: float) -> TenantLine:
         """`header` is the Authorization field. Raises Unknown; hashes exactly once on every way."""
@@ -103,6 +103,6 @@
         return tenant
 
 
-def replace_tenant(paper: RollPaper, tenant: TenantLine) -> RollPaper:
-    rest = [t for t in paper.tenants if t.name != tenant.name]
-    return msgspec.structs.replace(paper, tenants=[*rest, tenant])
+def replace_tenant(config: TenantRegistryConfig, tenant: TenantLine) -> TenantRegistryConfig:
+    rest = [t for t in config.tenants if t.name != tenant.name]
+    return msgspec.structs.replace(config, tenants=[*rest, tenant])
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -13,7 +13,7 @@
 from ternlane.chat.prefixes import BLOCK, WholePrefixes, blocks
 from ternlane.http1 import EventReader
 from ternlane.engine import load_of
-from ternlane.paper import GatewayPaper, PaperError, read_text
+from ternlane.config import GatewayConfig, ConfigError, read_text
 from ternlane.port import Effect, Group, RequestClass
 
 
@@ -196,7 +196,7 @@
     ],
 )
 def test_a_wrong_document_is_refused_with_line_and_field(old: str, new: str, line: int, field: str) -> None:
-    read_text(GOOD, GatewayPaper)
-    with pytest.raises(PaperError) as bad:
-        read_text(GOOD.replace(old, new, 1), GatewayPaper, "gate.json5")
+    read_text(GOOD, GatewayConfig)
+    with pytest.raises(ConfigError) as bad:
+        read_text(GOOD.replace(old, new, 1), GatewayConfig, "gate.json5")
     assert (bad.value.where, bad.value.field) == (f"gate.json5:{line}", field)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -18,7 +18,7 @@
 from tests.world import BUILD, replace, world
 from ternlane.days.plan import acts_of, engines_of
 from ternlane.days.script import DayScript
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 
 DAYS = Path(__file__).parent.parent / "days"
 KINDS = {
@@ -62,7 +62,7 @@
 def test_shipped_days_hold_every_kind_of_trouble_and_are_the_same_each_time() -> None:
     seen = set()
     for path in DAYS.glob("*.json5"):
-        day = read_paper(path, DayScript)
+        day = read_config(path, DayScript)
         seen |= {str(t.__struct_config__.tag) for t in day.troubles}
         assert acts_of(day) == acts_of(day) and engines_of(day) == engines_of(day)
     assert seen == KINDS
@@ -251,7 +251,7 @@
     done = run("day", "from-bench", str(tmp_path / "day.json"), "--speed", "2", "--engines", "8")
     assert done.returncode == 0, done.stderr
     (tmp_path / "d.json5").write_text(done.stdout)
-    day = read_paper(tmp_path / "d.json5", DayScript)
+    day = read_config(tmp_path / "d.json5", DayScript)
     assert [(str(t.__struct_config__.tag), t.at_s) for t in day.troubles] == [
         ("crash", 2.0),
         ("zone_cut", 3.0),
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -8,8 +8,8 @@
 import trio
 
 from ternlane import SocketTransport, FailedError, open_routing, port, turns
-from ternlane.paper import GatewayPaper
-from ternlane.paper.gateway import InlineSource
+from ternlane.config import GatewayConfig
+from ternlane.config.gateway import InlineSource
 from ternlane.platform.node import Passing
 from ternlane.standin.platform import Gate
 from ternlane.turns import OVERDUE_MS
@@ -193,14 +193,14 @@
 
 async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
     async with world() as w:
-        paper = GatewayPaper(
+        config = GatewayConfig(
             name="lib",
             listen="127.0.0.1:0",
             request_classes=REQUEST_CLASSES,
             fleet=TERMS,
             nodes=InlineSource(nodes=w.lines()),
         )
-        async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
+        async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
             routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
             with trio.fail_after(3), pytest.raises(FailedError):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 from ternlane.emulator import Build, Course, Engine, Fleet, Job, Link, Nature, Pace, Seat, Told, Transfer, What
 from ternlane.emulator.describe import EngineKind
 from ternlane.emulator.fit import fit
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 
 PACE = Pace(step_ms=5.0, write_ms=0.1, read_ms=0.02, back_ms=0.0)
 BUILD = Build(blocks=400, slots=8, step_tokens=256, queue=20, pace=PACE)
@@ -246,7 +246,7 @@
     told = CliRunner().invoke(main, ["lab", "fit", str(KINDS / "prefill.json5")])
     assert told.exit_code == 0, told.output  # within 5% at medians and 10% at 99th percentiles
     assert told.output.count("held out") == 3
-    strict = read_paper(KINDS / "prefill.json5", EngineKind)
+    strict = read_config(KINDS / "prefill.json5", EngineKind)
     crooked = msgspec.structs.replace(
         strict,
         curve=[  # no pace has shorter steps with more in them
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,8 +15,8 @@
 from tests.world import BUILD, Reply, World, heard, patient, replace, world
 from ternlane.engine.attempt import AttemptPlan, prefill_attempt, stream_attempt
 from ternlane.http1 import Caller, Pool
-from ternlane.paper import ConsulSource, NodeLine
-from ternlane.paper.gateway import DoorTerms
+from ternlane.config import ConsulSource, NodeLine
+from ternlane.config.gateway import ServerLimits
 from ternlane.port import AttemptOutcome
 from ternlane.standin.registry import EndpointList, Registry
 from ternlane.standin.scripted import Scripted
@@ -127,7 +127,7 @@
 
 
 async def test_large_slow_and_broken_requests_are_refused_with_a_reason() -> None:
-    async with world(door=DoorTerms(body_bytes=2000, head_ms=80, body_ms=80)) as w:
+    async with world(door=ServerLimits(body_bytes=2000, head_ms=80, body_ms=80)) as w:
         assert (await w.ask(text="x" * 3000)).status == 413
         for begun, status in (
             (b"POST /v1/chat/completions HTTP/1.1\r\nHo", b"408"),
@@ -431,24 +431,24 @@
                 await trio.sleep(0.01)
         from ternlane.gateway import open_gateway
 
-        paper = replace_paper(w.gateway.paper, nodes=nobody)
-        async with open_gateway(paper) as second:
+        config = replace_paper(w.gateway.config, nodes=nobody)
+        async with open_gateway(config) as second:
             w.gateway, first = second, w.gateway
             assert (await w.ask()).done == 1
             w.gateway = first
         raw = bytearray(Path(kept).read_bytes())
         raw[-9] ^= 1  # torn: recognised, not used, and not fatal
         Path(kept).write_bytes(raw)
-        async with open_gateway(paper) as third:
+        async with open_gateway(config) as third:
             w.gateway = third
             assert (await w.ask()).status == 429
             w.gateway = first
 
 
-def replace_paper(paper: Any, **changes: Any) -> Any:
+def replace_paper(config: Any, **changes: Any) -> Any:
     import msgspec
 
-    return msgspec.structs.replace(paper, **changes)
+    return msgspec.structs.replace(config, **changes)
 
 
 async def test_the_registry_is_followed_through_failures_restarts_and_nonsense() -> None:
@@ -511,7 +511,7 @@
 
 
 async def test_what_outlasts_the_drain_is_terminated() -> None:
-    async with world(build=replace(BUILD, token_ms=400.0), door=DoorTerms(drain_ms=100)) as w:
+    async with world(build=replace(BUILD, token_ms=400.0), door=ServerLimits(drain_ms=100)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -164,8 +164,8 @@
     """The next process, with the journal as a kill at this moment would leave it."""
     copy = folder.with_name(folder.name + "-after")
     shutil.copytree(folder, copy)
-    paper = msgspec.structs.replace(w.gateway.paper, journal=str(copy), listen="127.0.0.1:0")
-    async with open_gateway(paper) as gateway:
+    config = msgspec.structs.replace(w.gateway.config, journal=str(copy), listen="127.0.0.1:0")
+    async with open_gateway(config) as gateway:
         with trio.fail_after(2):
             while not gateway.scribe.ready:  # type: ignore[union-attr]
                 await trio.sleep(0.005)
@@ -284,8 +284,8 @@
         with trio.fail_after(1):
             while not w.gateway.scribe.ready:  # type: ignore[union-attr]
                 await trio.sleep(0.005)
-        paper = msgspec.structs.replace(w.gateway.paper, listen="127.0.0.1:0")
-        async with open_gateway(paper) as second:
+        config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
+        async with open_gateway(config) as second:
             reply = await ask_at(second.address, "note", "k1")
             assert reply.status == 503 and reply.error["code"] == "taking_over"  # type: ignore[index]
             await w.gateway.drain()
@@ -300,14 +300,14 @@
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        paper = msgspec.structs.replace(
-            w.gateway.paper,
+        config = msgspec.structs.replace(
+            w.gateway.config,
             listen=f"127.0.0.1:{port}",
             journal=str(tmp_path / "j"),
             request_classes=patient(20),
             fleet=TERMS,
         )
-        (tmp_path / "g.json5").write_bytes(msgspec.json.encode(paper))
+        (tmp_path / "g.json5").write_bytes(msgspec.json.encode(config))
 
         async def start() -> Any:
             process = await trio.lowlevel.open_process(
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -18,7 +18,7 @@
 import trio
 
 import ternlane
-from tests.test_transports import REQUEST, Local, paper
+from tests.test_transports import REQUEST, Local, config
 from ternlane.engine import LocalTransport
 
 ROOT = Path(__file__).parent.parent
@@ -57,7 +57,7 @@
     made, transport = engines()
     got: list[str] = []
     before = threading.active_count()
-    with ternlane.Blocking(paper("r0", "w0"), lambda: transport) as routing:
+    with ternlane.Blocking(config("r0", "w0"), lambda: transport) as routing:
         threads = [threading.Thread(target=lambda: got.append("".join(routing.request(REQUEST)))) for _ in range(8)]
         for thread in threads:
             thread.start()
@@ -80,7 +80,7 @@
     made, transport = engines()
 
     async def main() -> list[str]:
-        with ternlane.Bridged(paper("r0", "w0"), lambda: transport) as routing:
+        with ternlane.Bridged(config("r0", "w0"), lambda: transport) as routing:
 
             async def one() -> str:
                 return "".join([text async for text in routing.agenerate(REQUEST)])
@@ -106,7 +106,7 @@
     def make() -> LocalTransport:
         raise OSError("no such engines")
 
-    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(paper("r0"), make):
+    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(config("r0"), make):
         pass
 
 
@@ -241,8 +241,8 @@
 async def test_two_routers_in_one_process_do_not_know_each_other() -> None:
     (one, first), (two, second) = engines(), engines()
     async with (
-        ternlane.open_routing(paper("r0", "w0"), first) as a,
-        ternlane.open_routing(paper("r0", "w0", seed=9), second) as b,
+        ternlane.open_routing(config("r0", "w0"), first) as a,
+        ternlane.open_routing(config("r0", "w0", seed=9), second) as b,
     ):
         async with a.request(REQUEST) as stream:
             assert await stream.text()
@@ -261,7 +261,7 @@
     async def once(n: int) -> bool:
         made, transport = engines()
         steps, done = 0, False
-        async with ternlane.open_routing(paper("r0", "w0"), transport) as routing:
+        async with ternlane.open_routing(config("r0", "w0"), transport) as routing:
             with trio.CancelScope() as scope:
 
                 class Count(trio.abc.Instrument):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 
 from tests.world import BUILD, replace, world
 from ternlane.cli import main
-from ternlane.load import LoadPaper, Sketch, asks, times_of
+from ternlane.load import LoadConfig, Sketch, asks, times_of
 from ternlane.load.plan import Arrivals, Mix
 from ternlane.load.run import Load, NotLocal, TooSlow, address_of
 import trio.lowlevel
@@ -49,8 +49,8 @@
         it.merge(Sketch(0.02))
 
 
-def paper(**changes: object) -> LoadPaper:
-    return LoadPaper(request_classes=[Mix("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
+def config(**changes: object) -> LoadConfig:
+    return LoadConfig(request_classes=[Mix("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
     ],
 )
 def test_arrivals_have_the_rate_that_was_asked_for_and_their_shape(arrivals: Arrivals) -> None:
-    told = LoadPaper(request_classes=[Mix("summary")], seconds=200.0, arrivals=arrivals)
+    told = LoadConfig(request_classes=[Mix("summary")], seconds=200.0, arrivals=arrivals)
     times = list(times_of(told, random.Random(3)))
     assert times == sorted(times) and len(times) == pytest.approx(10_000, rel=0.06)
     peak = {"poisson": 0.1, "bursty": 0.5, "diurnal": 0.18}[arrivals.kind]
@@ -73,13 +73,13 @@
         else sum(1 for t in times if 0.2 <= (t % period) / period < 0.3)
     )
     assert high / len(times) == pytest.approx(peak, rel=0.15)
-    recorded = paper(seconds=3.0, arrivals=Arrivals("recorded", recorded_s=[0.0, 2.0, 3.0, 8.0], faster=2.0))
+    recorded = config(seconds=3.0, arrivals=Arrivals("recorded", recorded_s=[0.0, 2.0, 3.0, 8.0], faster=2.0))
     assert list(times_of(recorded, random.Random(1))) == [0.0, 1.0, 1.5]
 
 
 def test_what_is_asked_does_not_hang_on_answers_and_popular_openings_come_by_zipf() -> None:
     mix = Mix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
-    told = LoadPaper(
+    told = LoadConfig(
         request_classes=[mix, Mix("note", share=0.25)],
         seconds=100.0,
         arrivals=Arrivals(rate=40.0),
@@ -98,7 +98,7 @@
 async def test_a_load_is_answered_and_counted_as_the_engines_saw_it() -> None:
     async with world() as w:
         lines: list[dict[str, object]] = []
-        told = LoadPaper(
+        told = LoadConfig(
             request_classes=[Mix("summary", turns=2.0, think_s=0.05, prefixes=2), Mix("note", stream=False)],
             seconds=1.0,
             arrivals=Arrivals(rate=30.0),
@@ -124,9 +124,9 @@
                 engine.trouble.hung = False
 
         w.nursery.start_soon(stall)
-        tally = await Load(paper(seconds=1.2, arrivals=Arrivals(rate=20.0), late_ms=1000.0), w.gateway.address).run()
+        tally = await Load(config(seconds=1.2, arrivals=Arrivals(rate=20.0), late_ms=1000.0), w.gateway.address).run()
         due = sum(tally.outcomes.values())
-        assert due == len(list(asks(paper(seconds=1.2, arrivals=Arrivals(rate=20.0)))))  # none was left out
+        assert due == len(list(asks(config(seconds=1.2, arrivals=Arrivals(rate=20.0)))))  # none was left out
         assert tally.first.many >= tally.outcomes["streamed"] > 0  # each that was answered has its time
         slow = sum(n for at, n in tally.first.counts.items() if tally.first.gamma**at > 300.0)
         assert slow + due - tally.outcomes["streamed"] > due / 4
@@ -142,12 +142,12 @@
 
         w.nursery.start_soon(hog)
         with pytest.raises(TooSlow, match="late for one request in a hundred"):
-            await Load(paper(seconds=0.5, arrivals=Arrivals(rate=100.0), late_ms=5.0), w.gateway.address).run()
+            await Load(config(seconds=0.5, arrivals=Arrivals(rate=100.0), late_ms=5.0), w.gateway.address).run()
 
 
 async def test_clients_of_a_closed_loop_ask_one_at_a_time() -> None:
     async with world() as w:
-        load = Load(paper(seconds=0.4, at_once=3), w.gateway.address)
+        load = Load(config(seconds=0.4, at_once=3), w.gateway.address)
         most = 0
 
         async def watch() -> None:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from tests.test_rules import RULES
-from tests.test_transports import REQUEST, Local, paper
+from tests.test_transports import REQUEST, Local, config
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
-from ternlane.paper import FleetTerms, StreamTerms
+from ternlane.config import FleetConfig, StreamConfig
 from ternlane.port import Effect
 from ternlane.embed import open_routing
 from ternlane.engine import Kept, AttemptRequest, LocalTransport
@@ -28,7 +28,7 @@
 WHOLE = 10**9
 
 
-def terms(**changes: Any) -> FleetTerms:
+def terms(**changes: Any) -> FleetConfig:
     return msgspec.structs.replace(TERMS, max_attempts=12, **changes)
 
 
@@ -229,13 +229,13 @@
 
 
 async def test_what_is_kept_is_bounded_and_what_outgrew_it_ends_honestly() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(keep_bytes=12)) as w:
+    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(keep_bytes=12)) as w:
         break_all(w, 4)
         reply = await w.ask()
         assert reply.done == 0 and "outgrew" in reply.error["message"]  # type: ignore[index]
         await w.settled()
         assert w.gateway.host.mender.shelf.used == 0 and w.gateway.host.mender.shelf.dropped == 1
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(resume=False)) as w:
+    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(resume=False)) as w:
         break_all(w, 4)
         reply = await w.ask()
         assert reply.done == 0 and len(attempts_at(w)) == 1
@@ -483,7 +483,7 @@
         ("r0", "w0", "w0b"),
         build=replace(BUILD, answer_tokens=(30, 30)),
         terms=terms(),
-        streams=StreamTerms(alarms=1e-3),
+        streams=StreamConfig(alarms=1e-3),
     ) as w:
         rhythm, rng = w.gateway.host.mender.rhythm, random.Random(1)
         for _ in range(4000):
@@ -536,7 +536,7 @@
 
 
 async def test_a_stream_is_taken_up_again_where_its_client_had_it() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(ids=True)) as w:
+    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask(temperature=0)
         ids = [int(line[4:]) for line in whole.body.decode().splitlines() if line.startswith("id: ")]
         assert ids[-1] == len(whole.text) and ids == sorted(ids) and len(set(ids)) == 6
@@ -554,7 +554,7 @@
 
 
 async def test_what_may_not_run_again_is_taken_up_only_from_what_is_kept() -> None:
-    async with world(("r0", "w0"), streams=StreamTerms(ids=True)) as w:
+    async with world(("r0", "w0"), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask("note", headers={"Idempotency-Key": "k"})
         rest = await w.ask("note", headers={"Idempotency-Key": "k", "Last-Event-ID": "5"})
         assert rest.text == whole.text[5:] and rest.done == 1 and len(w.said("effect")) == 1
@@ -592,7 +592,7 @@
 async def test_a_client_slower_than_its_writer_holds_the_writer_and_a_loss_is_joined() -> None:
     broke: list[str] = []
     engines = {i: Counted(broke) for i in ("r0", "w0", "w1")}
-    async with open_routing(paper(*engines), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+    async with open_routing(config(*engines), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request({**REQUEST, "model": "summary"}) as stream:
             got: list[str] = []
             async for text in stream:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -28,8 +28,8 @@
 from tests.world import TERMS as SHORT_TERMS
 from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
 from ternlane.http1 import Pool
-from ternlane.paper import GatewayPaper, NodeLine
-from ternlane.paper.gateway import InlineSource
+from ternlane.config import GatewayConfig, NodeLine
+from ternlane.config.gateway import InlineSource
 from ternlane.standin.engine import Engine
 from ternlane.standin.traffic import Traffic
 
@@ -172,8 +172,8 @@
     ]
 
 
-def paper_of(ails: dict[str, str], ports: dict[str, int], listen: str = "127.0.0.1:0") -> GatewayPaper:
-    return GatewayPaper(
+def paper_of(ails: dict[str, str], ports: dict[str, int], listen: str = "127.0.0.1:0") -> GatewayConfig:
+    return GatewayConfig(
         name="s",
         listen=listen,
         request_classes=REQUEST_CLASSES,
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -15,11 +15,11 @@
 import pytest
 import trio
 
-from ternlane import PaperError, open_routing, port
+from ternlane import ConfigError, open_routing, port
 from ternlane.chat import Wrong
 from ternlane.engine import SocketTransport
 from ternlane.engine.protocol import load_told
-from ternlane.paper import GatewayPaper, RequestClassConfig
+from ternlane.config import GatewayConfig, RequestClassConfig
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
 from tests.test_days import gate, wait_for
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
@@ -27,7 +27,7 @@
 SLOW = replace(BUILD, token_ms=25.0, answer_tokens=(16, 16))
 
 
-def other_shape(paper: GatewayPaper) -> GatewayPaper:
+def other_shape(config: GatewayConfig) -> GatewayConfig:
     """Loads told to probes only, no advice, fewer legs, other terms, one product gone and one new."""
     fleet = msgspec.structs.replace(
         TERMS,
@@ -38,10 +38,10 @@
         decode_servers_prefill=True,
         release_ms=250.0,
     )
-    summary, note, _ = paper.request_classes
+    summary, note, _ = config.request_classes
     quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, token_slo_ms=60, deadline_ms=8000)
     return msgspec.structs.replace(
-        paper,
+        config,
         fleet=fleet,
         gateways=5,
         zone="hall",
@@ -57,7 +57,7 @@
 async def test_a_switch_and_the_way_back_lose_nothing_and_repeat_nothing() -> None:
     replies: list[Reply] = []
     async with world(build=SLOW, request_classes=patient(4)) as w:
-        before = w.gateway.paper
+        before = w.gateway.config
 
         async def ask(model: str) -> None:
             replies.append(await w.ask(model))
@@ -103,13 +103,13 @@
         async def ask(model: str) -> None:
             replies[model] = await w.ask(model)
 
-        first = w.gateway.paper.request_classes[0]
+        first = w.gateway.config.request_classes[0]
         for model in ("summary", "note"):
             nursery.start_soon(ask, model)
         await trio.sleep(0.25)
         w.gateway.reload(
             msgspec.structs.replace(
-                w.gateway.paper,
+                w.gateway.config,
                 request_classes=[  # the two have changed places
                     msgspec.structs.replace(first, effect="side-effecting"),
                     msgspec.structs.replace(first, name="note"),
@@ -128,12 +128,12 @@
 
 async def test_a_library_switches_too_and_a_wrong_paper_changes_nothing() -> None:
     async with world() as w:
-        paper = w.gateway.paper
-        async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
+        config = w.gateway.config
+        async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
             async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
-                with pytest.raises(PaperError, match="leg_limit"):
-                    routing.alter(msgspec.structs.replace(paper, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
-                routing.alter(other_shape(paper))
+                with pytest.raises(ConfigError, match="leg_limit"):
+                    routing.alter(msgspec.structs.replace(config, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
+                routing.alter(other_shape(config))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(Wrong, match="does not exist"):
                 async with routing.request({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -30,7 +30,7 @@
 from ternlane.tenants.keys import new_key
 from ternlane.tenants.meter import period_at
 from ternlane.tenants.parts import FLOOR
-from ternlane.tenants.roll import Prices, RollPaper
+from ternlane.tenants.roll import Prices, TenantRegistryConfig
 
 NOON = datetime(2026, 12, 1, 12, tzinfo=ZoneInfo("UTC")).timestamp()
 
@@ -62,7 +62,7 @@
         ("revoked", 0, 5, False),
     ):
         line = KeyLine(name=name, salt=salt, hash=kept, state=state, until=until)  # type: ignore
-        roll = Roll(RollPaper(tenants=[TenantLine(name="noto", keys=[line])]))
+        roll = Roll(TenantRegistryConfig(tenants=[TenantLine(name="noto", keys=[line])]))
         if good:
             assert roll.whose(f"Bearer {key}", now).name == "noto"
         else:
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -20,7 +20,7 @@
 from ternlane.ledger.bills import entries_of, reconcile, rows_of
 from ternlane.ledger.lending import lender_file
 from ternlane.tenants import Budget, KeyLine, Prices, TenantLine, new_key
-from ternlane.tenants.roll import RollPaper
+from ternlane.tenants.roll import TenantRegistryConfig
 
 
 class Bank:
@@ -40,7 +40,7 @@
 
     def write(self, lines: list[TenantLine]) -> None:
         self.lines = lines
-        (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(RollPaper(tenants=lines)))
+        (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(TenantRegistryConfig(tenants=lines)))
 
     async def ask(self, w: World, name: str, model: str = "summary", text: str = "hello", **more: Any) -> Reply:
         headers = {"Authorization": f"Bearer {self.keys[name]}"} | more.pop("headers", {})
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -28,8 +28,8 @@
 )
 from ternlane.engine.attempt import ClientGone
 from ternlane.http1 import Exchange, Pool
-from ternlane.paper import GatewayPaper, NodeLine, PaperError, read_text
-from ternlane.paper.gateway import InlineSource
+from ternlane.config import GatewayConfig, NodeLine, ConfigError, read_text
+from ternlane.config.gateway import InlineSource
 from ternlane.port import AttemptOutcome
 from ternlane.standin.engine import Engine
 
@@ -167,9 +167,9 @@
     ask.plan.cancel()
 
 
-def paper(*idents: str, **more: Any) -> GatewayPaper:
+def config(*idents: str, **more: Any) -> GatewayConfig:
     role = {"r": "read", "w": "write"}
-    return GatewayPaper(
+    return GatewayConfig(
         name="lib",
         listen="127.0.0.1:0",
         request_classes=REQUEST_CLASSES,
@@ -186,7 +186,7 @@
 
 async def test_the_router_alone_routes_by_direct_calls() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
-    async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+    async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
             assert await stream.text() == "0 1 2 3 4 5 "
         assert stream.usage["completion_tokens"] == 6 and stream.finish == "stop"
@@ -198,7 +198,7 @@
 
 async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
     engines = {i: Local() for i in ("r0", "w0", "w1")}
-    async with open_routing(paper("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
+    async with open_routing(config("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
         for local in ("w0", "w1"):
             engines[local].trouble = "broken"
         with pytest.raises(FailedError, match="out of memory") as bad:
@@ -216,7 +216,7 @@
 
 async def test_leaving_early_calls_off_and_releases() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
-    async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+    async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
@@ -234,7 +234,7 @@
 async def test_routers_made_and_discarded_leave_nothing() -> None:
     async def round_trip() -> None:
         engines = {i: Local() for i in ("r0", "w0")}
-        async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore
+        async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore
             async with routing.request(REQUEST) as stream:
                 async for _ in stream:
                     break
@@ -302,22 +302,22 @@
 
 
 def test_a_plain_chat_server_can_not_be_a_reader() -> None:
-    with pytest.raises(PaperError, match="duty both"):
+    with pytest.raises(ConfigError, match="duty both"):
         read_text('{id: "a", address: "h:1", duty: "read", mem_toks: 1, protocol: "chat"}', NodeLine)
 
 
 async def test_typed_settings_meet_the_checks_of_a_document() -> None:
-    good = paper("r0", "w0")
+    good = config("r0", "w0")
     assert ternlane.checked(good) == good
     for changes, field in (
         ({"gateways": 0}, r"\$.gateways"),
-        ({"fleet": ternlane.FleetTerms(connect_ms=-1)}, r"\$.fleet.connect_ms"),
+        ({"fleet": ternlane.FleetConfig(connect_ms=-1)}, r"\$.fleet.connect_ms"),
         ({"name": "has a space"}, r"\$.name"),
     ):
         wrong = msgspec.structs.replace(good, **changes)  # type: ignore[arg-type]
-        with pytest.raises(PaperError, match=field):
+        with pytest.raises(ConfigError, match=field):
             async with ternlane.open_routing(wrong, LocalTransport({})):
                 pass
-        with pytest.raises(PaperError, match=field):
+        with pytest.raises(ConfigError, match=field):
             async with ternlane.open_gateway(wrong, transport=LocalTransport({})):
                 pass
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -20,8 +20,8 @@
 from ternlane.choice import Router
 from ternlane.ledger.store import Store
 from ternlane.nodes import follow_file
-from ternlane.paper import FileSource, NodeLine
-from ternlane.paper.gateway import DoorTerms
+from ternlane.config import FileSource, NodeLine
+from ternlane.config.gateway import ServerLimits
 from ternlane.port import Effect, Group, RequestClass
 from ternlane.tenants import Cashier, Hold, Lender
 from ternlane.tenants.billing import Billed, Used
@@ -30,7 +30,7 @@
 
 
 async def test_one_connection_serves_many_requests_and_an_idle_one_is_closed() -> None:
-    async with world(door=DoorTerms(idle_ms=150)) as w:
+    async with world(door=ServerLimits(idle_ms=150)) as w:
         caller = await w.pool.connect(w.gateway.address)
         for _ in range(3):
             assert (await heard(caller, BODY, {}, "/v1/chat/completions")).done == 1
@@ -89,7 +89,7 @@
         text = (await heard(caller, b"", {}, "/metrics", "GET")).body.decode()
         assert 'ternlane_generations_total{model="summary",outcome="streamed"} 1.0' in text
         assert 'ternlane_legs_total{stage="write",verdict="streamed"} 1.0' in text
-        changed = msgspec.structs.replace(w.gateway.paper, door=DoorTerms(body_bytes=50), seed=5)
+        changed = msgspec.structs.replace(w.gateway.config, door=ServerLimits(body_bytes=50), seed=5)
         assert w.gateway.reload(changed) == (["door"], ["seed"])
         assert (await w.ask(text="x" * 60)).status == 413
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,8 +14,8 @@
 from ternlane.choice import Router
 from ternlane.gateway import Gateway, Host, open_gateway
 from ternlane.http1 import Caller, EventReader, Pool
-from ternlane.paper import FleetTerms, GatewayPaper, NodeLine, RequestClassConfig
-from ternlane.paper.gateway import DoorTerms, InlineSource
+from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
+from ternlane.config.gateway import ServerLimits, InlineSource
 from ternlane.standin.engine import Build, Engine
 from ternlane.standin.traffic import Traffic
 
@@ -44,7 +44,7 @@
     cold_ms=2000,
     cold_from=0.3,
 )
-TERMS = FleetTerms(connect_ms=150, release_ms=300, cold_ms=2000, cold_from=0.3, fall_multiple=3, fall_ms=1000)
+TERMS = FleetConfig(connect_ms=150, release_ms=300, cold_ms=2000, cold_from=0.3, fall_multiple=3, fall_ms=1000)
 
 
 @dataclass
@@ -175,7 +175,7 @@
     build: Build = BUILD,
     host_type: type[Host] = Host,
     chooser: Any = Router,
-    terms: FleetTerms = TERMS,
+    terms: FleetConfig = TERMS,
     request_classes: list[RequestClassConfig] = REQUEST_CLASSES,
     **changes: Any,
 ) -> AsyncIterator[World]:
@@ -183,16 +183,16 @@
         made = World(nursery)
         for ident in engines:
             await made.add(ident, build)
-        paper = GatewayPaper(
+        config = GatewayConfig(
             name="g1",
             listen="127.0.0.1:0",
             request_classes=request_classes,
             fleet=terms,
             nodes=InlineSource(nodes=made.lines()),
-            door=changes.pop("door", DoorTerms(drain_ms=800)),
+            door=changes.pop("door", ServerLimits(drain_ms=800)),
             **changes,
         )
-        async with open_gateway(paper, chooser=chooser, host_type=host_type) as made.gateway:
+        async with open_gateway(config, chooser=chooser, host_type=host_type) as made.gateway:
             await trio.sleep(0.01)
             try:
                 yield made
