--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -328,7 +328,7 @@
 
 @tenant_budget.command("set")
 @click.argument("name")
-@click.option("--product", default="", help="for this product alone, beside the budget for all")
+@click.option("--product", "request_class", default="", help="for this product alone, beside the budget for all")
 @click.option("--minute", type=int, help="tokens a minute")
 @click.option("--burst", type=int)
 @click.option("--per-period", "period", type=int, help="tokens a billing period")
@@ -348,7 +348,9 @@
         old = Budget() if clear else (it.request_classes.get(request_class, Budget()) if request_class else it.budget)
         limits = msgspec.to_builtins(old) | {k: v for k, v in given.items() if v is not None}
         made = msgspec.convert(limits, Budget)
-        changed = {"products": {**it.request_classes, request_class: made}} if request_class else {"budget": made}
+        changed = (
+            {"request_classes": {**it.request_classes, request_class: made}} if request_class else {"budget": made}
+        )
         return replace_tenant(roll, msgspec.structs.replace(it, **changed))
 
     change_roll(file, change)
--- a/ternlane/config/gateway.py
+++ b/ternlane/config/gateway.py
@@ -7,6 +7,8 @@
 import msgspec
 from msgspec import Meta
 
+from ternlane.document_keys import document_key
+
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Part = Annotated[float, Meta(ge=0, le=1)]
@@ -15,7 +17,7 @@
 Address = Annotated[str, Meta(pattern=r"^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):\d{1,5}$")]
 
 
-class ConfigDocument(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class ConfigDocument(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=document_key):
     """Unknown keys are refused: a misspelt limit would otherwise be no limit."""
 
 
--- a/ternlane/emulator/describe.py
+++ b/ternlane/emulator/describe.py
@@ -7,11 +7,13 @@
 import msgspec
 from msgspec import Meta
 
+from ternlane.document_keys import document_key
+
 Positive = Annotated[float, Meta(gt=0)]
 Whole = Annotated[int, Meta(ge=1)]
 
 
-class Point(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class Point(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """Times, ms, while `at_once` sequences run at every moment, each of `prompt` tokens and an answer of `answer`: to
     the first token, and between tokens, each at the median and the 99th percentile. `held_out`: not for the fit."""
 
@@ -23,7 +25,7 @@
     held_out: bool = False
 
 
-class EngineKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class EngineKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """A kind of engine. `memory_toks`: of read state; `step_toks`: that a step may read and write."""
 
     name: str
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -4,7 +4,7 @@
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
-from typing import Any, Callable
+from typing import Any, Callable, ClassVar
 
 import trio
 
@@ -20,6 +20,10 @@
 
 @dataclass(slots=True)
 class Streamed:
+    """The whole answer, as it was forwarded."""
+
+    recorded_as: ClassVar[str] = "streamed"  # the word that the wire, the ledger and the journal have for it
+
     text: str
     finish: str
     usage: dict[str, Any]
@@ -91,7 +95,7 @@
 
     def for_repeats(self) -> Final | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
-        outcome = "left" if self.final is None else type(self.final).__name__.lower()
+        outcome = "left" if self.final is None else self.final.recorded_as
         match kept_for_repeats(self.request.request_class.effect, outcome, self.attempts):
             case Keep.NOTHING:
                 return None
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -20,16 +20,17 @@
 from ternlane.gateway.host import Host
 from ternlane.turns import Chooser, now_ms
 from ternlane.gateway.logs import library_log
-from ternlane.gateway.measures import Measures
+from ternlane.gateway.measures import STATUS_LABELS, Measures
 from ternlane.gateway.scribe import Scribe
 from ternlane.gateway.till import Till
 from ternlane.http1 import Exchange, Pool, serve_connection
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
 from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine, checked
+from ternlane.document_keys import document_key
 from ternlane.port import EndpointStatus, EndpointListFailed, StartFacts
 
 BACKLOG = 4096
-ALTERED = ("door", "nodes", "products", "fleet", "gateways", "zone")  # taken over by a running gateway
+ALTERED = ("door", "nodes", "request_classes", "fleet", "gateways", "zone")  # taken over by a running gateway
 ACCEPT_PAUSE_S = 0.1  # after a connection could not be taken
 ACCEPT_FAILURES = 5  # of these while a listener's queue is emptied at the end
 QUEUE_EMPTY_S = 0.01  # no connection for so long: the queue is empty
@@ -93,7 +94,7 @@
         news = self.book.whole(lines, time.time(), now_ms())
         self.host.listed(news)
         for status in EndpointStatus:
-            self.measures.servers.labels(status.name.lower()).set(
+            self.measures.servers.labels(STATUS_LABELS[status]).set(
                 sum(s.status is status for s in self.book.servers.values())
             )
         if news.servers:
@@ -167,7 +168,7 @@
         self.door.alter(self.config, self.offer.models)
         if "nodes" in changed:
             self.following.cancel()  # and followed anew at the new source
-        return changed, kept_back
+        return [document_key(field) for field in changed], [document_key(field) for field in kept_back]
 
     # -- start and stop
 
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -15,7 +15,7 @@
 from ternlane.chat.beyond import More
 from ternlane.engine import ClientGone, AttemptRequest, AttemptResult, AttemptPlan, Stage, Transport, Usage
 from ternlane.gateway.facts import Offer
-from ternlane.gateway.measures import Measures
+from ternlane.gateway.measures import OUTCOME_LABELS, STAGE_LABELS, Measures
 from ternlane.gateway.scribe import Scribe
 from ternlane.gateway.active_request import Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
@@ -114,7 +114,7 @@
             final = Failed(active_request.why or "nobody could go on with it")
         if not active_request.settle(final):
             return
-        self.close(active_request, type(final).__name__.lower())
+        self.close(active_request, final.recorded_as)
 
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
         took = now_ms() - active_request.since
@@ -302,7 +302,7 @@
         active_request.attempt, active_request.flowing = None, False
         place = self.book.places[server]
         active_request.trail.append(f"{place.ident} {stage.name} {end.outcome.name}")
-        self.measures.attempts.labels(stage.name.lower(), end.outcome.name.lower()).inc()
+        self.measures.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[end.outcome]).inc()
         self.log.debug(
             "leg",
             gen=active_request.ident,
@@ -456,7 +456,7 @@
         outcome, report = await self.transport.load(
             place.ident, place.address, self.facts.connect_ms, place.line.protocol
         )
-        self.measures.probes.labels("told" if report is not None else outcome.name.lower()).inc()
+        self.measures.probes.labels("told" if report is not None else OUTCOME_LABELS[outcome]).inc()
         if (
             report is None
             and outcome in (AttemptOutcome.STREAMED, AttemptOutcome.ERROR)
--- a/ternlane/gateway/measures.py
+++ b/ternlane/gateway/measures.py
@@ -4,6 +4,29 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
+from ternlane.engine.protocol import Stage
+from ternlane.port import AttemptOutcome, EndpointStatus
+
+# Label values of the metrics. Dashboards were built on them: they keep their form whatever the code calls a thing.
+STATUS_LABELS = {
+    EndpointStatus.READY: "up",
+    EndpointStatus.DRAINING: "draining",
+    EndpointStatus.REMOVED: "gone",
+}
+STAGE_LABELS = {Stage.PREFILL: "read", Stage.DECODE: "write", Stage.WHOLE: "whole"}
+OUTCOME_LABELS = {
+    AttemptOutcome.STREAMED: "streamed",
+    AttemptOutcome.ERROR: "error",
+    AttemptOutcome.OVERLOADED: "full",
+    AttemptOutcome.TIMED_OUT: "timed_out",
+    AttemptOutcome.CONNECT_FAILED: "unconnected",
+    AttemptOutcome.RESET: "reset",
+    AttemptOutcome.CANCELLED: "called_off",
+    AttemptOutcome.CLIENT_GONE: "moot",
+    AttemptOutcome.NOT_STARTED: "withheld",
+    AttemptOutcome.PREFILLED: "read",
+}
+
 
 class Measures:
     def __init__(self) -> None:
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -122,7 +122,7 @@
         """Every leg has ended: the bill is made out and kept."""
         if active_request.hold is None:
             return
-        outcome = "left" if active_request.final is None else type(active_request.final).__name__.lower()
+        outcome = "left" if active_request.final is None else active_request.final.recorded_as
         billed = bill_for(
             active_request.made,
             active_request.begun,
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -13,6 +13,8 @@
 import msgspec
 from msgspec import Meta
 
+from ternlane.document_keys import document_key
+
 from ternlane.load.arrivals import Bursty, Diurnal, poisson, recorded, thinned
 
 Positive = Annotated[float, Meta(gt=0)]
@@ -20,7 +22,7 @@
 WORDS = ("folder", "plan", "wall", "stair", "deed", "permit", "north", "cubic", "survey", "line")
 
 
-class Arrivals(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class Arrivals(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """`rate` a second on the mean. Bursty: `times` of it for the first `part` of each `period_s`; diurnal: `swing`."""
 
     kind: Literal["poisson", "bursty", "diurnal", "recorded"] = "poisson"
@@ -33,7 +35,7 @@
     faster: Positive = 1.0
 
 
-class Mix(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class Mix(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """One product's requests. Words of the prompt and tokens of the answer: median, and spread as a part of it."""
 
     model: str
@@ -48,7 +50,7 @@
     stream: bool = True
 
 
-class LoadConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LoadConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """`at_once`: that many clients, each asking anew when answered (closed loop); else requests come by `arrivals`,
     whatever the answers do. `late_ms`: by how much the tool itself may be late for one request in a hundred. `tenants`:
     keys, and the weight of each."""
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import ClassVar
 
 import trio
 
@@ -21,6 +22,8 @@
 class Streamed:
     """`whole`: with its last chunk; else its client's connection is to end without it."""
 
+    recorded_as: ClassVar[str] = "streamed"  # the word that the wire, the ledger and the journal have for it
+
     whole: bool
 
 
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -155,7 +155,7 @@
             return
         active_request.final = final
         active_request.watch.cancel()
-        outcome = type(final).__name__.lower()
+        outcome = final.recorded_as
         if isinstance(final, Streamed):
             outcome = "streamed" if final.whole else "broken"
         else:
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -11,7 +11,7 @@
 from functools import partial
 from heapq import heappop, heappush
 from math import exp, inf
-from typing import Callable, Generic, Protocol, TypeVar
+from typing import Callable, ClassVar, Generic, Protocol, TypeVar
 
 import trio
 
@@ -30,12 +30,20 @@
 
 @dataclass(slots=True)
 class Rejected:
+    """The final answer "not now": nothing has run that a retry would double."""
+
+    recorded_as: ClassVar[str] = "throttled"  # the word that the wire, the ledger and the journal have for it
+
     pause_ms: float
     reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
 
 
 @dataclass(slots=True)
 class Failed:
+    """The final answer "given up": it may have run."""
+
+    recorded_as: ClassVar[str] = "terminated"  # the word that the wire, the ledger and the journal have for it
+
     why: str
     timed_out: bool = False
     reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
