--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -1,7 +1,7 @@
 """Routes by hand: feeds events to the decisions and prints what they ask for. No loop, no sockets."""
 
 import ternlane
-from ternlane import port
+from ternlane.policy import messages
 
 request_class = ternlane.RequestClass(
     ternlane.Effect.IDEMPOTENT, ternlane.Group.ALL, 0.0, 500.0, 40.0, 60.0, 5000.0, 3.0, 0.1
@@ -39,23 +39,25 @@
     )
 }
 router = ternlane.Router(facts)
-router.take(0.0, [port.EndpointsUpdated(tuple(names))])
+router.take(0.0, [messages.EndpointsUpdated(tuple(names))])
 request = ternlane.Request(request_class, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
 
 def attempt(actions: list) -> ternlane.Server:
-    sent = next(a for a in actions if isinstance(a, port.StartAttempt))
+    sent = next(a for a in actions if isinstance(a, messages.StartAttempt))
     print(f"send to {names[sent.server]}, give up after {sent.timeout_ms:.0f} ms")
     return sent.server
 
 
-prefill_server = attempt(router.take(1.0, [port.RequestArrived(request)]))
+prefill_server = attempt(router.take(1.0, [messages.RequestArrived(request)]))
 decode_server = attempt(
-    router.take(60.0, [port.AttemptEnded(request, prefill_server, ternlane.AttemptOutcome.PREFILLED, 59.0, False)])
+    router.take(60.0, [messages.AttemptEnded(request, prefill_server, ternlane.AttemptOutcome.PREFILLED, 59.0, False)])
 )
 other = attempt(
-    router.take(61.0, [port.AttemptEnded(request, decode_server, ternlane.AttemptOutcome.CONNECT_FAILED, 1.0, False)])
+    router.take(
+        61.0, [messages.AttemptEnded(request, decode_server, ternlane.AttemptOutcome.CONNECT_FAILED, 1.0, False)]
+    )
 )
-router.take(90.0, [port.FirstToken(request, other, 29.0)])
-router.take(400.0, [port.AttemptEnded(request, other, ternlane.AttemptOutcome.STREAMED, 339.0, True)])
+router.take(90.0, [messages.FirstToken(request, other, 29.0)])
+router.take(400.0, [messages.AttemptEnded(request, other, ternlane.AttemptOutcome.STREAMED, 339.0, True)])
 print(f"read by {names[prefill_server]}, written by {names[other]}")
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -3,7 +3,7 @@
 What is listed in `__all__` is public; everything else may change without notice. Names are loaded when first used, so
 `ternlane.Router` alone brings no HTTP stack and no trio with it.
 
-    Router, StartFacts, ...   the decisions: feed events, get actions (ternlane.port says which)
+    Router, StartFacts, ...   the decisions: feed events, get actions (ternlane.policy.messages says which)
     open_routing              a router that owns its tasks, over a transport of the caller's
     open_gateway              a whole gateway in a trio nursery
     Blocking, Bridged         the same router for plain threads, and for asyncio
@@ -18,17 +18,17 @@
 __version__ = "0.2.0"
 
 _PLACES = {
-    "Router": "choice",
-    "StartFacts": "port",
-    "RequestClass": "port",
-    "Server": "port",
-    "Request": "port",
-    "Effect": "port",
-    "Group": "port",
-    "Role": "port",
-    "EndpointStatus": "port",
-    "AttemptOutcome": "port",
-    "Report": "port",
+    "Router": "policy.router",
+    "StartFacts": "policy.messages",
+    "RequestClass": "policy.messages",
+    "Server": "policy.messages",
+    "Request": "policy.messages",
+    "Effect": "policy.messages",
+    "Group": "policy.messages",
+    "Role": "policy.messages",
+    "EndpointStatus": "policy.messages",
+    "AttemptOutcome": "policy.messages",
+    "Report": "policy.messages",
     "open_gateway": "gateway",
     "Gateway": "gateway",
     "open_routing": "embed",
@@ -71,7 +71,7 @@
 
 if TYPE_CHECKING:  # the same names for type checkers
     from ternlane.chat import Wrong as Wrong
-    from ternlane.choice import Router as Router
+    from ternlane.policy.router import Router as Router
     from ternlane.embed import Blocking as Blocking
     from ternlane.embed import Bridged as Bridged
     from ternlane.embed import Routing as Routing
@@ -107,16 +107,16 @@
     from ternlane.config import checked as checked
     from ternlane.config import read_config as read_config
     from ternlane.config import read_text as read_text
-    from ternlane.port import Role as Role
-    from ternlane.port import Effect as Effect
-    from ternlane.port import Request as Request
-    from ternlane.port import Group as Group
-    from ternlane.port import EndpointStatus as EndpointStatus
-    from ternlane.port import RequestClass as RequestClass
-    from ternlane.port import Report as Report
-    from ternlane.port import Server as Server
-    from ternlane.port import StartFacts as StartFacts
-    from ternlane.port import AttemptOutcome as AttemptOutcome
+    from ternlane.policy.messages import Role as Role
+    from ternlane.policy.messages import Effect as Effect
+    from ternlane.policy.messages import Request as Request
+    from ternlane.policy.messages import Group as Group
+    from ternlane.policy.messages import EndpointStatus as EndpointStatus
+    from ternlane.policy.messages import RequestClass as RequestClass
+    from ternlane.policy.messages import Report as Report
+    from ternlane.policy.messages import Server as Server
+    from ternlane.policy.messages import StartFacts as StartFacts
+    from ternlane.policy.messages import AttemptOutcome as AttemptOutcome
 
 
 def __getattr__(name: str) -> Any:
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -10,7 +10,7 @@
 from ternlane.chat.prefixes import BLOCK, PrefixIndex, blocks
 from ternlane.chat.request import ChatAsk, Wrong, canonical
 from ternlane.chat.sessions import Sessions, chain
-from ternlane.port import Effect, Request, Group, RequestClass, Tenant
+from ternlane.policy.messages import Effect, Request, Group, RequestClass, Tenant
 
 FIRST_TOKENS_A_BYTE = 0.25  # until engines have said how many there were
 WEIGHT = 1 / 32  # of one more report
--- a/ternlane/chat/repeats.py
+++ b/ternlane/chat/repeats.py
@@ -11,7 +11,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from ternlane.port import Effect
+from ternlane.policy.messages import Effect
 
 OWN_BYTES = 400  # of a record, beside the answer that it keeps
 
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -4,8 +4,18 @@
 
 from itertools import count
 
-from ternlane import port
-from ternlane.port import Action, Role, Effect, Event, Request, EndpointStatus, Server, StartFacts, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.messages import (
+    Action,
+    Role,
+    Effect,
+    Event,
+    Request,
+    EndpointStatus,
+    Server,
+    StartFacts,
+    AttemptOutcome,
+)
 
 
 class RoundRobin:
@@ -22,30 +32,30 @@
         out: list[Action] = []
         for event in events:
             match event:
-                case port.EndpointsUpdated(servers):
+                case messages.EndpointsUpdated(servers):
                     self.servers += [s for s in servers if s not in self.servers]
-                case port.RequestArrived(request):
+                case messages.RequestArrived(request):
                     self.attempts[request], self.until[request] = 0, now + request.client_timeout_ms
                     out += self.send(request, now, {Role.PREFILL, Role.BOTH})
-                case port.AttemptEnded(request, server, verdict, _, over):
+                case messages.AttemptEnded(request, server, verdict, _, over):
                     out += (
-                        [port.Release(request), *self.forget(request)]
+                        [messages.Release(request), *self.forget(request)]
                         if over
                         else self.next(request, server, verdict, now)
                     )
-                case port.ClientDisconnected(request):
-                    out += [port.CancelAttempt(request), port.Release(request), *self.forget(request)]
+                case messages.ClientDisconnected(request):
+                    out += [messages.CancelAttempt(request), messages.Release(request), *self.forget(request)]
         return out
 
     def send(self, request: Request, now: float, roles: set[Role]) -> list[Action]:
         able = [s for s in self.servers if s.status is EndpointStatus.READY and s.role in roles]
         if not able or self.attempts[request] >= self.facts.max_attempts or now >= self.until[request]:
-            final: Action = port.Fail(request) if request in self.ran else port.Reject(request, 0.0)
-            return [final, port.Release(request), *self.forget(request)]
+            final: Action = messages.Fail(request) if request in self.ran else messages.Reject(request, 0.0)
+            return [final, messages.Release(request), *self.forget(request)]
         self.attempts[request] += 1
         left = self.until[request] - now
         return [
-            port.StartAttempt(
+            messages.StartAttempt(
                 request,
                 able[next(self.turn) % len(able)],
                 left,
@@ -56,7 +66,7 @@
 
     def next(self, request: Request, server: Server, verdict: AttemptOutcome, now: float) -> list[Action]:
         if request not in self.attempts:
-            return [port.Release(request)]
+            return [messages.Release(request)]
         if verdict is AttemptOutcome.PREFILLED:
             return self.send(request, now, {Role.DECODE})
         if (
@@ -65,8 +75,8 @@
             and request.request_class.effect is not Effect.IDEMPOTENT
         ):
             self.ran.add(request)
-            return [port.Fail(request), port.Release(request), *self.forget(request)]
-        return [port.Release(request), *self.send(request, now, {Role.PREFILL, Role.BOTH})]
+            return [messages.Fail(request), messages.Release(request), *self.forget(request)]
+        return [messages.Release(request), *self.send(request, now, {Role.PREFILL, Role.BOTH})]
 
     def forget(self, request: Request) -> list[Action]:
         self.attempts.pop(request, None)
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -11,7 +11,7 @@
 from typing import Any, Mapping
 from zlib import crc32
 
-from ternlane.port import Role, Effect, Request, Group, RequestClass, Report, Server, StartFacts, Tenant
+from ternlane.policy.messages import Role, Effect, Request, Group, RequestClass, Report, Server, StartFacts, Tenant
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -20,7 +20,7 @@
 
 from ternlane.chat import ChatAsk, Intake, read_chat
 from ternlane.chat.beyond import More
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.engine import Transport
 from ternlane.gateway.facts import offer_of
 from ternlane.gateway.host import Host
@@ -29,7 +29,7 @@
 from ternlane.gateway.active_request import Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
 from ternlane.config import GatewayConfig, InlineSource, NodeLine, checked
-from ternlane.port import StartFacts
+from ternlane.policy.messages import StartFacts
 from ternlane.turns import Chooser, now_ms
 
 
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -26,7 +26,7 @@
     refusal_of,
 )
 from ternlane.http1 import Caller, EventReader, Pool, Unconnected, keep_open
-from ternlane.port import Report, AttemptOutcome
+from ternlane.policy.messages import Report, AttemptOutcome
 from ternlane.turns import BeginCheck, may_always_begin
 
 ANSWER_LIMIT = 4 * 2**20  # bytes of an engine's plain answer
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -10,7 +10,7 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families
 
-from ternlane.port import Report, AttemptOutcome
+from ternlane.policy.messages import Report, AttemptOutcome
 
 CHAT_PATH = "/v1/chat/completions"
 RELEASE_PATH = "/ternlane/v1/release"
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -26,7 +26,7 @@
 )
 from ternlane.engine.protocol import Stage, Usage, load_told
 from ternlane.http1 import Pool, keep_open
-from ternlane.port import Report, AttemptOutcome
+from ternlane.policy.messages import Report, AttemptOutcome
 
 
 @dataclass(slots=True)
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -11,7 +11,7 @@
 from ternlane.chat import ChatAsk, Keep, Known, kept_for_repeats
 from ternlane.chat.beyond import Beyond, More
 from ternlane.engine import AttemptPlan
-from ternlane.port import Request, Server
+from ternlane.policy.messages import Request, Server
 from ternlane.recover import Join
 from ternlane.tenants.billing import Used
 from ternlane.turns import Failed as Failed
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -34,7 +34,7 @@
 from ternlane.gateway.active_request import Final, Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
 from ternlane.config import ServerLimits, GatewayConfig
-from ternlane.port import RequestClass
+from ternlane.policy.messages import RequestClass
 from ternlane.recover import comes_out_the_same
 from ternlane.recover.inflight import Known
 from ternlane.tenants import Hold, RejectReason, TenantLine, Unknown
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/facts.py
@@ -6,7 +6,7 @@
 
 from ternlane.chat.intake import EFFECTS, GROUPS
 from ternlane.config import GatewayConfig
-from ternlane.port import RequestClass, StartFacts
+from ternlane.policy.messages import RequestClass, StartFacts
 
 STEP_MS = 1.0  # the host hands events over as they come
 
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -13,7 +13,7 @@
 
 from ternlane import __version__
 from ternlane.chat import Intake
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.engine import SocketTransport, Transport
 from ternlane.gateway.door import Door
 from ternlane.gateway.facts import offer_of
@@ -27,7 +27,7 @@
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
 from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine, checked
 from ternlane.document_keys import document_key
-from ternlane.port import EndpointStatus, EndpointListFailed, StartFacts
+from ternlane.policy.messages import EndpointStatus, EndpointListFailed, StartFacts
 
 BACKLOG = 4096
 ALTERED = ("door", "nodes", "request_classes", "fleet", "gateways", "zone")  # taken over by a running gateway
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.chat import Intake
 from ternlane.chat.beyond import More
 from ternlane.engine import ClientGone, AttemptRequest, AttemptResult, AttemptPlan, Stage, Transport, Usage
@@ -20,7 +20,7 @@
 from ternlane.gateway.active_request import Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
 from ternlane.config import StreamConfig
-from ternlane.port import Role, EndpointStatus, Server, StartFacts, AttemptOutcome
+from ternlane.policy.messages import Role, EndpointStatus, Server, StartFacts, AttemptOutcome
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
@@ -54,7 +54,7 @@
 
     # -- the loop
 
-    def listed(self, news: port.EndpointsUpdated) -> None:
+    def listed(self, news: messages.EndpointsUpdated) -> None:
         for server in news.servers:
             if server.status is EndpointStatus.REMOVED:
                 self.mender.left(server)
@@ -66,19 +66,19 @@
         self.mute.clear()
         self.intake.offer(offer.models, offer.max_tokens)
         self.mender.alter(offer.facts)
-        self.tell(port.ConfigChanged(offer.facts))
+        self.tell(messages.ConfigChanged(offer.facts))
 
-    def carry_further(self, action: port.Action) -> None:
+    def carry_further(self, action: messages.Action) -> None:
         match action:
-            case port.Release(request):
+            case messages.Release(request):
                 self.release_all(self.active_requests.get(request))
-            case port.WatchEndpoints():
+            case messages.WatchEndpoints():
                 self.on_follow()
-            case port.Log(server, text):
+            case messages.Log(server, text):
                 self.log.info("server", server=self.book.places[server].ident, text=text)
-            case port.Reserve(request, server):
+            case messages.Reserve(request, server):
                 self.hold(self.active_requests.get(request), server)
-            case port.Probe(server):
+            case messages.Probe(server):
                 self.nursery.start_soon(self.probe, server)
 
     def woken(self) -> None:
@@ -89,7 +89,7 @@
 
     # -- generations
 
-    def join_for(self, raw: dict[str, Any], request: port.Request) -> Join:
+    def join_for(self, raw: dict[str, Any], request: messages.Request) -> Join:
         return self.mender.join(raw, request)
 
     def arrived(self, active_request: ActiveRequest) -> None:
@@ -106,7 +106,7 @@
             active_request.left = True
             if active_request.attempt is not None and active_request.flowing:
                 active_request.attempt.cancel()  # a stream that nobody reads
-            self.tell(port.ClientDisconnected(active_request.request))
+            self.tell(messages.ClientDisconnected(active_request.request))
             self.close(active_request, "left")
 
     def settle(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
@@ -150,7 +150,7 @@
 
     # -- legs
 
-    def send(self, active_request: ActiveRequest, server: Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         place = self.book.places[server]
         number = active_request.attempts
         active_request.attempts += 1
@@ -230,7 +230,7 @@
                 if paused is not None:
                     self.measures.resumed.observe(paused / 1000)
                     self.resume()  # its place is free
-                self.tell(port.FirstToken(active_request.request, server, now_ms() - since))
+                self.tell(messages.FirstToken(active_request.request, server, now_ms() - since))
             try:
                 new = active_request.join.take(text)
             except Differs:
@@ -360,7 +360,7 @@
         if end.outcome in never_ran and server.role is Role.PREFILL:
             active_request.holders.pop(server, None)  # it ran nothing, so it left nothing
         self.tell(
-            port.AttemptEnded(
+            messages.AttemptEnded(
                 active_request.request, server, end.outcome, took, over, kept, end.state_lost, end.report, broken
             )
         )
@@ -408,10 +408,10 @@
         """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
         go, late = self.mender.next(now_ms())
         for active_request in go:
-            self.tell(port.ResumeStream(active_request.request))
+            self.tell(messages.ResumeStream(active_request.request))
         for active_request in late:
             self.settle(active_request, Failed(active_request.why or "the stream broke"))
-            self.tell(port.ClientDisconnected(active_request.request))
+            self.tell(messages.ClientDisconnected(active_request.request))
         at = self.mender.due(now_ms())
         if at < self.resume_at:
             self.resume_at = at
@@ -448,7 +448,7 @@
             place.line.protocol,
         )
         if active_request.request in self.active_requests and not active_request.left and active_request.final is None:
-            self.tell(port.ReservationResult(request, held))
+            self.tell(messages.ReservationResult(request, held))
 
     async def probe(self, server: Server) -> None:
         """Asks an engine for its load; one that does not say is heard all the same, and named in the log once."""
@@ -464,7 +464,7 @@
         ):
             self.mute.add(place.ident)
             self.log.warning("load not told", server=place.ident, why="no metrics that can be read at /metrics")
-        self.tell(port.ProbeResult(server, outcome, report))
+        self.tell(messages.ProbeResult(server, outcome, report))
 
     async def release(self, active_request: ActiveRequest, server: Server) -> None:
         place = self.book.places[server]
--- a/ternlane/gateway/measures.py
+++ b/ternlane/gateway/measures.py
@@ -5,7 +5,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 from ternlane.engine.protocol import Stage
-from ternlane.port import AttemptOutcome, EndpointStatus
+from ternlane.policy.messages import AttemptOutcome, EndpointStatus
 
 # Label values of the metrics. Dashboards were built on them: they keep their form whatever the code calls a thing.
 STATUS_LABELS = {
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/scribe.py
@@ -12,7 +12,7 @@
 from ternlane.engine import Transport
 from ternlane.gateway.active_request import Final, Streamed, Failed, ActiveRequest
 from ternlane.ledger import Disk, Kind, Segmented, Writer
-from ternlane.port import Effect
+from ternlane.policy.messages import Effect
 from ternlane.recover.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
 
 JOURNAL: Kind[Record, InFlight] = Kind("takes", b"TLTAKES1", decode_record, InFlight)
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -7,7 +7,7 @@
 from zlib import crc32
 
 from ternlane.config import NodeLine
-from ternlane.port import Role, EndpointStatus, EndpointsUpdated, Server
+from ternlane.policy.messages import Role, EndpointStatus, EndpointsUpdated, Server
 
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
 STATUSES = {"up": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.REMOVED}
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from ternlane.policy.lease import Lease
-from ternlane.port import Action, Request, Server
+from ternlane.policy.messages import Action, Request, Server
 
 
 class Loop:
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -7,12 +7,12 @@
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.http1 import Exchange
 from ternlane.platform.engines import Attempt
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
-from ternlane.port import Request
+from ternlane.policy.messages import Request
 from ternlane.turns import Failed, Rejected, now_ms
 
 STREAM_HEAD = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-cache"), ("Transfer-Encoding", "chunked")]
@@ -84,7 +84,7 @@
             return Phase.QUEUED
         if not self.attempt.written:
             return Phase.CONNECTING
-        return Phase.PREFILL if self.attempt.role is port.Role.PREFILL else Phase.DECODE
+        return Phase.PREFILL if self.attempt.role is messages.Role.PREFILL else Phase.DECODE
 
     async def first(self, data: bytes) -> None:
         await self.exchange.begin(200, STREAM_HEAD, data)
--- a/ternlane/platform/endpoint_registry.py
+++ b/ternlane/platform/endpoint_registry.py
@@ -10,7 +10,7 @@
 
 from ternlane.deployment import Deployment
 from ternlane.platform.wall_clock import WallClock
-from ternlane.port import EndpointStatus, EndpointsUpdated, Server
+from ternlane.policy.messages import EndpointStatus, EndpointsUpdated, Server
 
 BEHIND_MS = 6000.0  # what discovery has to tell has been told by then, says the page
 STATUSES = {"SERVING": EndpointStatus.READY, "DRAINING": EndpointStatus.DRAINING, "DELETED": EndpointStatus.REMOVED}
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -17,7 +17,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Caller, Pool, Silent, Unconnected, keep_open
 from ternlane.platform.protocol import LEASE_PATH, LOAD, NOT_STARTED, STATS_PATH, Events, kept_of, load_of, outcome_of
-from ternlane.port import Role, Report, AttemptOutcome
+from ternlane.policy.messages import Role, Report, AttemptOutcome
 from ternlane.turns import BeginCheck, may_always_begin
 
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.deployment import Deployment
 from ternlane.platform.engines import ClientGone, Engines, Attempt, AttemptResult
 from ternlane.platform.held_states import HeldStateMonitor
@@ -17,7 +17,7 @@
 from ternlane.platform.request_history import RequestRecord
 from ternlane.platform.endpoint_registry import EndpointList, EndpointRegistry
 from ternlane.platform.active_request import Final, Streamed, ActiveRequest
-from ternlane.port import EndpointStatus, Server, AttemptOutcome
+from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
@@ -49,9 +49,9 @@
             self.forget(active_request)
         self.ended.clear()
 
-    def carry_further(self, action: port.Action) -> None:
+    def carry_further(self, action: messages.Action) -> None:
         match action:
-            case port.Release(request, again, why):
+            case messages.Release(request, again, why):
                 active_request = self.active_requests.get(request)
                 if active_request is not None:
                     self.releasing += 1
@@ -59,13 +59,13 @@
                     active_request.note(f"release begins: {why.name}")
                     active_request.freeing = trio.Event()
                     self.nursery.start_soon(self.release, active_request, active_request.freeing, again)
-            case port.Reserve(request, server):
+            case messages.Reserve(request, server):
                 active_request = self.active_requests.get(request)
                 if active_request is not None and server in self.endpoint_registry.endpoints:
                     self.nursery.start_soon(self.hold, active_request, server)
-            case port.Probe(server):
+            case messages.Probe(server):
                 self.nursery.start_soon(self.probe, server)
-            case port.Log(server, text):
+            case messages.Log(server, text):
                 endpoint = self.endpoint_registry.endpoints.get(server)
                 self.log.info("server", server=endpoint.name if endpoint is not None else "gone", text=text)
 
@@ -98,7 +98,7 @@
     def alter(self, deployment: Deployment) -> None:
         self.deployment = self.engines.deployment = deployment
         self.endpoint_registry.alter(deployment)
-        self.tell(port.ConfigChanged(deployment.facts))
+        self.tell(messages.ConfigChanged(deployment.facts))
 
     # -- generations
 
@@ -148,7 +148,7 @@
             ):  # it was never a begun attempt
                 active_request.attempt.cancel()
             self.closed(active_request, "left")
-            self.tell(port.ClientDisconnected(active_request.request))
+            self.tell(messages.ClientDisconnected(active_request.request))
 
     def settle(self, active_request: ActiveRequest, final: Final) -> None:
         if active_request.over:
@@ -174,7 +174,7 @@
             gen=active_request.ident,
             outcome=outcome,
             phase=active_request.phase.value,
-            refusal=getattr(active_request.final, "reject_reason", port.RejectReason.UNKNOWN).name,
+            refusal=getattr(active_request.final, "reject_reason", messages.RejectReason.UNKNOWN).name,
             attempts=active_request.trail,
             after_sigterm_ms=self.after_sigterm_ms(active_request),
             took_ms=round(now_ms() - active_request.since, 1),
@@ -193,7 +193,7 @@
 
     # -- legs
 
-    def send(self, active_request: ActiveRequest, server: Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         endpoint, exchange, now = (
             self.endpoint_registry.endpoints.get(server),
             active_request.exchange,
@@ -251,7 +251,7 @@
     ) -> None:
         attempt, active_request.attempt, active_request.flowing = active_request.attempt, None, False
         active_request.why = f"{end.outcome.name}: {end.why}" if end.why else active_request.why
-        kind = "read" if server.role is port.Role.PREFILL else "write"
+        kind = "read" if server.role is messages.Role.PREFILL else "write"
         active_request.trail.append(f"{name} {kind} {end.outcome.name} {took:.0f} ms {end.why}".rstrip())
         written = "not written" if attempt is None or attempt.written_at is None else "written"
         active_request.note(
@@ -275,7 +275,7 @@
             why=end.why,
         )
         self.tell(
-            port.AttemptEnded(
+            messages.AttemptEnded(
                 active_request.request,
                 server,
                 end.outcome,
@@ -340,7 +340,7 @@
         self.held_states.ended(active_request.ident, now_ms())
         active_request.note(f"release heard by {heard_by}")
         if not active_request.over:
-            self.tell(port.ReleaseConfirmed(active_request.request))
+            self.tell(messages.ReleaseConfirmed(active_request.request))
         self.log.debug("release heard", gen=active_request.ident, by=heard_by, took_ms=round(took, 1))
 
     async def hold(self, active_request: ActiveRequest, server: Server) -> None:
@@ -348,13 +348,13 @@
             self.endpoint_registry.endpoints[server].address, active_request.ident, self.deployment.facts.release_ms
         )
         if not active_request.over:
-            self.tell(port.ReservationResult(active_request.request, held))
+            self.tell(messages.ReservationResult(active_request.request, held))
 
     async def probe(self, server: Server) -> None:
         outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
         if endpoint is not None:
             outcome, report = await self.engines.load(endpoint.address, self.deployment.facts.connect_ms)
-        self.tell(port.ProbeResult(server, outcome, report))
+        self.tell(messages.ProbeResult(server, outcome, report))
 
 
 @dataclass(slots=True)
@@ -372,7 +372,7 @@
         self.active_request.flowing, self.active_request.body = True, b""
         self.active_request.note("first event")
         self.node.held_states.ended(self.active_request.ident, now_ms())
-        self.node.tell(port.FirstToken(self.active_request.request, self.server, now_ms() - self.since))
+        self.node.tell(messages.FirstToken(self.active_request.request, self.server, now_ms() - self.since))
         await self.active_request.first(data)
 
     async def more(self, data: bytes) -> None:
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -15,8 +15,8 @@
 import structlog
 import trio
 
-from ternlane import port
-from ternlane.choice import Router
+from ternlane.policy import messages
+from ternlane.policy.router import Router
 from ternlane.http1 import Pool
 from ternlane.log_output import log_file
 from ternlane.platform.end_signal import EndSignal
@@ -131,7 +131,7 @@
             answers_all_in_ms=round(times.answers_ms),
             may_be_killed_in_ms=round(times.ends_ms),
         )
-        self.node.tell(port.ShutdownStarted(times))
+        self.node.tell(messages.ShutdownStarted(times))
         self.nursery.start_soon(self.end_reading, times.answers_ms)
         self.nursery.start_soon(self.report_unfinished, times.ends_ms)
         self.front.close_idle(served_only=True)
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ternlane.port import Role, Report, AttemptOutcome
+from ternlane.policy.messages import Role, Report, AttemptOutcome
 from ternlane.deployment import Deployment
 
 CHAT_PATH = "/v1/chat/completions"
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any, Generic, TypeVar
 
-from ternlane.port import AttemptOutcome
+from ternlane.policy.messages import AttemptOutcome
 
 # Part of the release time that is kept for the release itself: the first server asked may be silent, and each further
 # round of servers is asked an eighth of the release time later.
--- a/ternlane/port.py
+++ b/ternlane/policy/messages.py
@@ -1,4 +1,4 @@
-"""The interface between the decisions (choice.py) and whatever hosts them.
+"""The interface between the decisions (policy/router.py) and whatever hosts them.
 
 A host makes one Router from StartFacts, hands it what happened through `Router.take(now, events)` and carries out the
 actions that come back, in their order. Servers, products and generations are objects that host and module share; the
--- a/ternlane/choice.py
+++ b/ternlane/policy/router.py
@@ -1,7 +1,7 @@
 """Every decision of ternlane's router: which pair of servers reads and writes a generation, and what then.
 
 A host makes one Router(StartFacts) for each gateway and calls take(now, events) -> actions; the interface is
-ternlane/port.py, the reasons are in docs/design.md. The Desk and an Engine for each server are actors that
+ternlane/policy/messages.py, the reasons are in docs/design.md. The Desk and an Engine for each server are actors that
 talk by notes in inboxes only. Read first place (the ordinary path), leg_ended, send, finish and release.
 """
 
@@ -14,7 +14,7 @@
 from statistics import median
 from typing import Any, Iterator
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.notes import (
     Actor,
     Beat,
@@ -38,7 +38,7 @@
 from ternlane.policy.failure_rates import FailureRates
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, ReleaseSchedule
 from ternlane.policy.shutdown import ShutdownSchedule
-from ternlane.port import (
+from ternlane.policy.messages import (
     Role,
     Effect,
     Event,
@@ -178,7 +178,7 @@
         if self.router.now >= self.shut_until:
             self.strikes, wait = self.strikes + 1, min(wait * 2**self.strikes, self.limits.cold_ms)
             self.shut_until = self.router.now + wait
-            self.router.out.append(port.Log(self.server, f"ejected for {wait:.0f} ms (time {self.strikes}): {why}"))
+            self.router.out.append(messages.Log(self.server, f"ejected for {wait:.0f} ms (time {self.strikes}): {why}"))
             self.trial, self.done, self.due = True, 0.0, 0.0
 
     def count(self, attempt: Attempt) -> None:
@@ -262,29 +262,29 @@
         match note:
             case Standing():
                 self.board[note.engine] = note
-            case port.RequestArrived(request):
+            case messages.RequestArrived(request):
                 self.arrived(request)
-            case port.FirstToken(request, _, took) if request.seat.attempt is not None:
+            case messages.FirstToken(request, _, took) if request.seat.attempt is not None:
                 self.first_token(request.seat, request.seat.attempt, took)
-            case port.AttemptEnded():
+            case messages.AttemptEnded():
                 self.stuck = inf
                 self.attempt_ended(note)
-            case port.ClientDisconnected(request) if request.seat and not request.seat.over:
+            case messages.ClientDisconnected(request) if request.seat and not request.seat.over:
                 self.close(request.seat)
             case Onward(course):
                 self.onward(course)
             case Lost(attempt):
                 self.lost(attempt)
-            case port.ResumeStream(request) if not request.seat.over and request.seat.attempt is None:
+            case messages.ResumeStream(request) if not request.seat.over and request.seat.attempt is None:
                 self.onward(request.seat)
-            case port.EndpointsUpdated(servers):
+            case messages.EndpointsUpdated(servers):
                 for server in servers:
                     server.seat = server.seat or Engine(self.router, server)
                     self.lots[server.role].pop(server.seat, None)
                     server.seat.post(News())
-            case port.ProbeResult(server, _, report):
+            case messages.ProbeResult(server, _, report):
                 self.checked(server.seat, report)
-            case port.ConfigChanged(facts):
+            case messages.ConfigChanged(facts):
                 self.router.limits, self.stuck = limits_from(facts), inf
                 self.adopt(facts)
                 kept = set(facts.request_classes)  # what was learnt of those that are no more must not pile up
@@ -294,17 +294,17 @@
                         del table[request_class]
                 for engine in self.board:
                     engine.post(News())
-            case port.ShutdownStarted(times):
+            case messages.ShutdownStarted(times):
                 self.shutdown.begin(self.router.now, times)
                 self.next_due, self.stuck = -inf, inf
-                self.router.out.append(port.StartTimer(self.shutdown.answers_by, False))
-            case port.EndpointListFailed():
+                self.router.out.append(messages.StartTimer(self.shutdown.answers_by, False))
+            case messages.EndpointListFailed():
                 self.asked = False
-            case port.ReleaseConfirmed(request) if request.seat:
+            case messages.ReleaseConfirmed(request) if request.seat:
                 request.seat.lease.release_heard()
-            case port.TimerFired(True):
+            case messages.TimerFired(True):
                 self.beat()
-            case port.TimerFired(False):
+            case messages.TimerFired(False):
                 self.release_due()
                 self.answer_before_the_end()
 
@@ -337,10 +337,10 @@
         """Probes it unless its last report is fresh."""
         stale = engine.said is None or self.router.now - engine.said[0] > self.limits.beat_ms
         if stale:
-            self.router.out.append(port.Probe(engine.server))
+            self.router.out.append(messages.Probe(engine.server))
         return stale
 
-    def checked(self, engine: Seat, report: port.Report | None) -> None:
+    def checked(self, engine: Seat, report: messages.Report | None) -> None:
         """A report takes the place of the one in an answer; who waited for it is placed."""
         if report is not None and report.mem_share is not None:
             engine.post(Reported(report.mem_share, report.open_requests))
@@ -572,7 +572,7 @@
             return
         for course in list(self.unanswered):
             if course.attempt is not None and self.may_cancel:
-                self.router.out.append(port.CancelAttempt(course.request))  # it is answered when that has ended
+                self.router.out.append(messages.CancelAttempt(course.request))  # it is answered when that has ended
                 continue
             if course.attempt is not None and course.may_have_run is None:
                 course.may_have_run = course.attempt.sent, course.attempt.engine.server
@@ -636,7 +636,7 @@
         engine.post(Sent(course.attempt))
         quiet = max(self.limits.span_ms, DOUBT * request_class.token_slo_ms)  # a mute stream has broken
         self.router.out.append(
-            port.StartAttempt(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
+            messages.StartAttempt(course.request, engine.server, patience, quiet, whole, self.window_ms(course))
         )
 
     def finish(self, course: Course, why: RejectReason) -> None:
@@ -644,13 +644,15 @@
         request_class, window = course.request.request_class, self.window_ms(course)
         pause = min(self.limits.pause_ms, request_class.slo_ms / 2)
         harmless = window == inf or (request_class.group is Group.ALL and window > pause)
-        self.router.out.append(port.Reject(course.request, pause, why) if harmless else port.Fail(course.request, why))
+        self.router.out.append(
+            messages.Reject(course.request, pause, why) if harmless else messages.Fail(course.request, why)
+        )
         self.close(course)
 
     def release(self, course: Course, why: ReleaseReason = ReleaseReason.REQUEST_OVER) -> None:
         lease = course.lease
         if lease.may_hold:  # also what a read may yet leave behind whose end was not heard: said to the last
-            self.router.out.append(port.Release(course.request, course.over and lease.unheard, why))
+            self.router.out.append(messages.Release(course.request, course.over and lease.unheard, why))
             lease.released(course.over)
         for engine in filter(None, (course.prefill_server, course.decode_server)):
             engine.post(Unbooked(course))
@@ -659,7 +661,7 @@
         """Has what may be held released in time, should nothing show by then that the next attempt has arrived."""
         at = course.lease.since + self.limits.guard_ms
         if self.releases.add(course, course.lease, at):
-            self.router.out.append(port.StartTimer(at, False))
+            self.router.out.append(messages.StartTimer(at, False))
 
     def release_due(self) -> None:
         """Releases what was neither taken nor released so far, though a decode attempt may be out for it. A prefill
@@ -668,10 +670,10 @@
             if course.attempt is not None and not course.attempt.decodes:
                 continue
             course.lease.released_early()
-            self.router.out.append(port.Release(course.request, why=ReleaseReason.UNCONFIRMED))
+            self.router.out.append(messages.Release(course.request, why=ReleaseReason.UNCONFIRMED))
         at = self.releases.next_at()
         if at < inf:
-            self.router.out.append(port.StartTimer(at, False))
+            self.router.out.append(messages.StartTimer(at, False))
 
     def close(self, course: Course) -> None:
         course.over = True
@@ -679,7 +681,7 @@
         if course.attempt is None:
             self.release(course)
         elif self.may_cancel:  # what the leg holds is released when it ends
-            self.router.out.append(port.CancelAttempt(course.request))
+            self.router.out.append(messages.CancelAttempt(course.request))
 
     def effect_allows(self, course: Course, engine: Seat) -> bool:
         """No effect twice: after a leg that may have run, only what its product's effect permits."""
@@ -708,7 +710,7 @@
         self.record(attempt.engine, course.request, AttemptOutcome.PREFILLED, took)  # as good a sign
         attempt.engine.post(StageEnded(attempt, True, self.usual_ms(request_class, "stream")))
 
-    def attempt_ended(self, note: port.AttemptEnded) -> None:
+    def attempt_ended(self, note: messages.AttemptEnded) -> None:
         course: Course = note.request.seat
         attempt, course.attempt = course.attempt, None
         engine: Seat = note.server.seat
@@ -767,7 +769,7 @@
             and attempt.course.attempts + 2 <= self.limits.max_attempts
         ):
             attempt.lost = True
-            self.router.out.append(port.CancelAttempt(attempt.course.request))
+            self.router.out.append(messages.CancelAttempt(attempt.course.request))
 
     def onward(self, course: Course) -> None:
         """The next leg, if the effect allows one: with the state at hand a writer, else a pair anew."""
@@ -783,7 +785,7 @@
         self.release(course, ReleaseReason.BEFORE_NEW_PREFILL)
         self.enter(course)
 
-    def read_took(self, course: Course, attempt: Attempt, note: port.AttemptEnded) -> None:
+    def read_took(self, course: Course, attempt: Attempt, note: messages.AttemptEnded) -> None:
         """One that ran out of time took at least as long; were it not counted, ever more would."""
         request, took, unread = course.request, note.took_ms, course.request.prompt_tokens - note.kept_tokens
         usual = took / max(1.0, request.prompt_tokens / self.prompt.get(request.request_class, request.prompt_tokens))
@@ -837,10 +839,10 @@
 
     def beat(self) -> None:
         now, out = self.router.now, self.router.out
-        out.append(port.StartTimer(now + self.limits.beat_ms, True))
+        out.append(messages.StartTimer(now + self.limits.beat_ms, True))
         if self.must_ask and not self.asked:
             self.asked = True
-            out.append(port.WatchEndpoints())
+            out.append(messages.WatchEndpoints())
         while self.homes and (
             len(self.homes) > CROWD * FEW**2 or next(iter(self.homes.values())).used < now - HOME_AGE_MS
         ):
@@ -899,12 +901,12 @@
     def __init__(self, facts: StartFacts) -> None:
         self.now, self.limits = -inf, limits_from(facts)  # the beat is asked for with the first batch
         self.ready: deque[Actor] = deque()
-        self.out: list[port.Action] = []
+        self.out: list[messages.Action] = []
         self.desk: Desk = Desk(self, facts)
 
-    def take(self, now: float, events: list[Event]) -> list[port.Action]:
+    def take(self, now: float, events: list[Event]) -> list[messages.Action]:
         """What to do about `events`, in this order. `now` is in ms of any clock that never goes back."""
-        heard = events if self.now > -inf else [port.TimerFired(True), *events]
+        heard = events if self.now > -inf else [messages.TimerFired(True), *events]
         self.now, self.out = now, []
         for event in heard:
             self.desk.post(event)
--- a/ternlane/policy/shutdown.py
+++ b/ternlane/policy/shutdown.py
@@ -15,7 +15,7 @@
 from math import inf
 
 from ternlane.policy.lease import RELEASE_RESERVE
-from ternlane.port import ShutdownTimes
+from ternlane.policy.messages import ShutdownTimes
 
 # A gateway may be held up for so long between looking at its clock and acting (users' page): the signal may be seen so
 # much too late, and an answer may leave so much after its time.
--- a/ternlane/recover/inflight.py
+++ b/ternlane/recover/inflight.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ternlane.chat import Keep, kept_for_repeats
-from ternlane.port import Effect
+from ternlane.policy.messages import Effect
 
 MAY_HAVE_RUN = "the gateway was lost while it was out; it may have run"
 
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -9,7 +9,7 @@
 from typing import Any, Generic, TypeVar
 
 from ternlane.config import StreamConfig
-from ternlane.port import Request, StartFacts
+from ternlane.policy.messages import Request, StartFacts
 from ternlane.recover.join import Join, Shelf
 from ternlane.recover.pace import Pace
 from ternlane.recover.rhythm import Rhythm
--- a/ternlane/recover/ways.py
+++ b/ternlane/recover/ways.py
@@ -5,7 +5,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from ternlane.port import Effect
+from ternlane.policy.messages import Effect
 
 GUIDED = ("guided_json", "guided_regex", "guided_choice", "guided_grammar", "structured_outputs")
 
--- a/ternlane/reference.py
+++ b/ternlane/reference.py
@@ -11,7 +11,7 @@
 import msgspec
 
 import ternlane
-from ternlane import port
+from ternlane.policy import messages
 
 PLAIN = ("self", "cls")
 EMPTY = inspect.Parameter.empty
@@ -137,7 +137,7 @@
         silent += [] if own_doc(it) else [name]
         if isinstance(it, type) and not issubclass(it, Enum):
             silent += [f"{name}.{called}" for called, of in methods_of(it) if not one_line(of)]
-    silent += [kind.__name__ for kind in (*get_args(port.Event), *get_args(port.Action)) if not own_doc(kind)]
+    silent += [kind.__name__ for kind in (*get_args(messages.Event), *get_args(messages.Action)) if not own_doc(kind)]
     return silent
 
 
@@ -154,7 +154,10 @@
             at = home
             yield f"## From `ternlane.{home}`\n"
         yield from page_of(name, getattr(ternlane, name))
-    for title, kinds in (("Events, from `ternlane.port`", port.Event), ("Actions, from `ternlane.port`", port.Action)):
+    for title, kinds in (
+        ("Events, from `ternlane.policy.messages`", messages.Event),
+        ("Actions, from `ternlane.policy.messages`", messages.Action),
+    ):
         yield f"## {title}\n"
         for kind in get_args(kinds):
             yield from page_of(kind.__name__, kind)
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -15,13 +15,13 @@
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 
 
 class Chooser(Protocol):
     """What decides: choice.Router, or a baseline to measure against."""
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]: ...
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]: ...
 
 
 def now_ms() -> float:
@@ -35,7 +35,7 @@
     recorded_as: ClassVar[str] = "throttled"  # the word that the wire, the ledger and the journal have for it
 
     pause_ms: float
-    reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
+    reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
 
 
 @dataclass(slots=True)
@@ -46,27 +46,27 @@
 
     why: str
     timed_out: bool = False
-    reject_reason: port.RejectReason = port.RejectReason.UNKNOWN
+    reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
 
 
-BeginCheck = Callable[[], port.AttemptOutcome | None]
+BeginCheck = Callable[[], messages.AttemptOutcome | None]
 
 
-def may_always_begin() -> port.AttemptOutcome | None:
+def may_always_begin() -> messages.AttemptOutcome | None:
     """The check of an attempt that nothing can forbid."""
     return None
 
 
-def begin_check(server: port.Server, begin_by_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
+def begin_check(server: messages.Server, begin_by_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
     """Why an attempt at this server must not begin any more: MOOT, WITHHELD, or None where it may. Between the decision
     and the first byte lie waits for a connection or a release; ask it after them, right before that byte is written."""
     begin_by = trio.current_time() + begin_by_ms / 1000
 
-    def barred() -> port.AttemptOutcome | None:
+    def barred() -> messages.AttemptOutcome | None:
         if client_gone():
-            return port.AttemptOutcome.CLIENT_GONE
-        if server.status is not port.EndpointStatus.READY or trio.current_time() > begin_by:
-            return port.AttemptOutcome.NOT_STARTED
+            return messages.AttemptOutcome.CLIENT_GONE
+        if server.status is not messages.EndpointStatus.READY or trio.current_time() > begin_by:
+            return messages.AttemptOutcome.NOT_STARTED
         return None
 
     return barred
@@ -118,7 +118,7 @@
     def attempt(self) -> Waits | None: ...
 
     @property
-    def request(self) -> port.Request: ...
+    def request(self) -> messages.Request: ...
 
     @property
     def unanswered(self) -> bool:
@@ -135,8 +135,8 @@
 class Turns(ABC, Generic[T]):
     def __init__(self, chooser: Chooser) -> None:
         self.chooser = chooser
-        self.active_requests: dict[port.Request, T] = {}
-        self.heard: list[port.Event] = []
+        self.active_requests: dict[messages.Request, T] = {}
+        self.heard: list[messages.Event] = []
         self.turning = False
         self.looking = False  # for overdue requests
         self.due: list[tuple[float, int, Callable[[], None]]] = []
@@ -146,11 +146,11 @@
         self.answer_all_by_ms = inf  # a shutdown's: whatever was not decided by then is failed
         self.lagged = 0.0, 0.0  # by how much one was passed by lately, and when
 
-    def hear(self, event: port.Event) -> None:
+    def hear(self, event: messages.Event) -> None:
         """For the next turn; the inbox is another list then than when a due time was asked for."""
         self.heard.append(event)
 
-    def tell(self, event: port.Event) -> None:
+    def tell(self, event: messages.Event) -> None:
         self.heard.append(event)
         if not self.turning:
             self.turn()
@@ -168,14 +168,14 @@
         finally:
             self.turning = False
 
-    def decided(self, events: list[port.Event]) -> list[port.Action]:
+    def decided(self, events: list[messages.Event]) -> list[messages.Action]:
         """What the decisions make of these events: nothing, where they fail on them."""
         try:
             return self.chooser.take(now_ms(), events)
         except Exception as fault:
             self.faulted(fault)
         for event in events:
-            if isinstance(event, port.TimerFired):  # the next one is asked for by the turn that has failed
+            if isinstance(event, messages.TimerFired):  # the next one is asked for by the turn that has failed
                 self.at(now_ms() + FAULT_PAUSE_MS, partial(self.hear, event))
         return []
 
@@ -200,29 +200,29 @@
         self.active_requests[active_request.request] = active_request
         if not self.looking:
             self.look_for_overdue()
-        self.tell(port.RequestArrived(active_request.request))
+        self.tell(messages.RequestArrived(active_request.request))
 
     def give_up(self, active_request: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
         if active_request.attempt is not None:
             active_request.attempt.cancel()
         self.settle(active_request, Failed(why))
-        self.tell(port.ClientDisconnected(active_request.request))
+        self.tell(messages.ClientDisconnected(active_request.request))
 
-    def carry_out(self, action: port.Action) -> None:
+    def carry_out(self, action: messages.Action) -> None:
         match action:
-            case port.StartTimer(at, beat):
-                self.at(at, partial(self.hear, port.TimerFired(beat)))
-            case port.StartAttempt(request, server):
+            case messages.StartTimer(at, beat):
+                self.at(at, partial(self.hear, messages.TimerFired(beat)))
+            case messages.StartAttempt(request, server):
                 self.send(self.active_requests[request], server, action)
-            case port.CancelAttempt(request):
+            case messages.CancelAttempt(request):
                 active_request = self.active_requests.get(request)
                 if active_request is not None and active_request.attempt is not None and not active_request.flowing:
                     active_request.attempt.cancel()
-            case port.Reject(request, pause, reject_reason):
+            case messages.Reject(request, pause, reject_reason):
                 if request in self.active_requests:
                     self.settle(self.active_requests[request], Rejected(pause, reject_reason))
-            case port.Fail(request, reject_reason):
+            case messages.Fail(request, reject_reason):
                 active_request = self.active_requests.get(request)
                 if active_request is not None:
                     timed_out = bool(active_request.trail) and "TIMED_OUT" in active_request.trail[-1].split()
@@ -231,7 +231,7 @@
                 self.carry_further(action)
 
     @abstractmethod
-    def send(self, active_request: T, server: port.Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: T, server: messages.Server, times: messages.StartAttempt) -> None:
         """Sends a leg."""
 
     @abstractmethod
@@ -239,7 +239,7 @@
         """Gives the one final answer."""
 
     @abstractmethod
-    def carry_further(self, action: port.Action) -> None:
+    def carry_further(self, action: messages.Action) -> None:
         """What else was decided."""
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 from typing import Any, Iterator
 
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.deployment import Deployment
-from ternlane.port import (
+from ternlane.policy.messages import (
     Action,
     RequestArrived,
     CancelAttempt,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,9 +9,18 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, EndpointStatus, RequestClass, Server, StartFacts, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.router import Router
+from ternlane.policy.messages import (
+    Role,
+    Effect,
+    Group,
+    EndpointStatus,
+    RequestClass,
+    Server,
+    StartFacts,
+    AttemptOutcome,
+)
 
 
 @dataclass
@@ -24,7 +33,7 @@
 
     def take(self, *events: Any) -> list[Any]:
         said = self.router.take(self.now, list(events))
-        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, port.StartTimer) and not a.beat)])
+        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, messages.StartTimer) and not a.beat)])
         return said
 
     def tell(self, *events: Any, after: float = 0.0) -> list[Any]:
@@ -35,52 +44,52 @@
             self.now = max(self.now, min(beat, self.alarm))
             if self.alarm <= beat:
                 self.alarm = inf
-                said += self.take(port.TimerFired(False))
+                said += self.take(messages.TimerFired(False))
             else:
                 beat += 50.0
-                said += self.take(port.TimerFired(True))
+                said += self.take(messages.TimerFired(True))
         self.now = until
         said += self.take(*events)
-        return [a for a in said if not isinstance(a, (port.StartTimer, port.Log))]
+        return [a for a in said if not isinstance(a, (messages.StartTimer, messages.Log))]
 
     def list(self, **lives: EndpointStatus) -> list[Any]:
         for name, status in lives.items():
             self.servers[name].status = status
-        return self.tell(port.EndpointsUpdated(tuple(self.servers.values())))
+        return self.tell(messages.EndpointsUpdated(tuple(self.servers.values())))
 
-    def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Request:
+    def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> messages.Request:
         facts = (
             dict(prefix="o", prefix_tokens=2000.0, prompt_tokens=2400.0, max_tokens=400.0, client_timeout_ms=5000.0)
             | own
         )
-        return port.Request(self.request_classes[effect], session, **facts)
+        return messages.Request(self.request_classes[effect], session, **facts)
 
-    def arrive(self, request: port.Request, after: float = 0.0) -> list[Any]:
-        return self.tell(port.RequestArrived(request), after=after)
+    def arrive(self, request: messages.Request, after: float = 0.0) -> list[Any]:
+        return self.tell(messages.RequestArrived(request), after=after)
 
     def end(
         self,
-        request: port.Request,
+        request: messages.Request,
         server: Server,
         outcome: AttemptOutcome,
         after: float = 100.0,
         over: bool = False,
         **note: Any,
     ) -> list[Any]:
-        return self.tell(port.AttemptEnded(request, server, outcome, after, over, **note), after=after)
+        return self.tell(messages.AttemptEnded(request, server, outcome, after, over, **note), after=after)
 
-    def first(self, request: port.Request, server: Server, after: float = 100.0) -> list[Any]:
-        return self.tell(port.FirstToken(request, server, after), after=after)
+    def first(self, request: messages.Request, server: Server, after: float = 100.0) -> list[Any]:
+        return self.tell(messages.FirstToken(request, server, after), after=after)
 
-    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Request, port.StartAttempt]:
+    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[messages.Request, messages.StartAttempt]:
         """A generation whose state has just been sent on to a writer, and that leg."""
         request = self.request(effect, **own)
         attempt = sent(self.arrive(request))
         return request, sent(self.end(request, attempt.server, AttemptOutcome.PREFILLED))
 
 
-def sent(actions: list[Any]) -> port.StartAttempt:
-    attempts = [a for a in actions if isinstance(a, port.StartAttempt)]
+def sent(actions: list[Any]) -> messages.StartAttempt:
+    attempts = [a for a in actions if isinstance(a, messages.StartAttempt)]
     assert len(attempts) == 1, actions
     return attempts[0]
 
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -15,24 +15,24 @@
 from math import inf
 from typing import Any, Callable
 
-from ternlane import port
-from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, EndpointStatus, RequestClass, Server, Tenant, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.router import Router
+from ternlane.policy.messages import Role, Effect, Group, EndpointStatus, RequestClass, Server, Tenant, AttemptOutcome
 from tests import fleet
 from tests.conftest import FACTS
 
 # The kinds of actions by their number in the canonical form. The order is part of the recorded digests.
 ACTION_KINDS = (
-    port.StartAttempt,
-    port.CancelAttempt,
-    port.Reject,
-    port.Fail,
-    port.Release,
-    port.Reserve,
-    port.Probe,
-    port.WatchEndpoints,
-    port.StartTimer,
-    port.Log,
+    messages.StartAttempt,
+    messages.CancelAttempt,
+    messages.Reject,
+    messages.Fail,
+    messages.Release,
+    messages.Reserve,
+    messages.Probe,
+    messages.WatchEndpoints,
+    messages.StartTimer,
+    messages.Log,
 )
 
 
@@ -110,7 +110,7 @@
         self.order = 0
         self.open: dict[Any, Any] = {}  # requests without a final answer
         self.out: dict[Any, tuple[Any, Server, Pending]] = {}  # the attempt that is out for each request
-        self.tell(port.EndpointsUpdated(tuple(self.servers)))
+        self.tell(messages.EndpointsUpdated(tuple(self.servers)))
 
     # -- what there is
 
@@ -137,7 +137,7 @@
     def request(self) -> Any:
         rng, request_class = self.rng, self.rng.choice(self.request_classes)
         prompt = 2000.0 * rng.lognormvariate(-0.2, 0.8)
-        return port.Request(
+        return messages.Request(
             request_class,
             rng.choice([None, *(f"s{n}" for n in range(12))]),
             rng.choice([None, *(f"o{n}" for n in range(4))]),
@@ -181,34 +181,34 @@
 
     def carry_out(self, action: Any) -> None:
         match action:
-            case port.StartTimer(at, beat):
-                self.at(at, lambda: [port.TimerFired(beat)])
-            case port.StartAttempt(request, server):
+            case messages.StartTimer(at, beat):
+                self.at(at, lambda: [messages.TimerFired(beat)])
+            case messages.StartAttempt(request, server):
                 self.begin(request, server, action)
-            case port.CancelAttempt(request):
+            case messages.CancelAttempt(request):
                 self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, AttemptOutcome.CANCELLED))
-            case port.Reject(request) | port.Fail(request):
+            case messages.Reject(request) | messages.Fail(request):
                 self.open.pop(request, None)
-            case port.Release(request):
+            case messages.Release(request):
                 if self.rng.random() < 0.7:
-                    self.after(self.rng.uniform(1.0, 300.0), lambda: [port.ReleaseConfirmed(request)])
-            case port.Reserve(request):
+                    self.after(self.rng.uniform(1.0, 300.0), lambda: [messages.ReleaseConfirmed(request)])
+            case messages.Reserve(request):
                 held = self.rng.random() < 0.5
-                self.after(self.rng.uniform(1.0, 50.0), lambda: [port.ReservationResult(request, held)])
-            case port.Probe(server):
+                self.after(self.rng.uniform(1.0, 50.0), lambda: [messages.ReservationResult(request, held)])
+            case messages.Probe(server):
                 self.after(self.rng.uniform(1.0, 80.0), lambda: [self.checked(server)])
-            case port.WatchEndpoints():
+            case messages.WatchEndpoints():
                 if self.rng.random() < 0.3:
-                    self.after(self.rng.uniform(1.0, 500.0), lambda: [port.EndpointListFailed()])
+                    self.after(self.rng.uniform(1.0, 500.0), lambda: [messages.EndpointListFailed()])
 
     def checked(self, server: Server) -> Any:
         outcome = self.rng.choice([AttemptOutcome.STREAMED, AttemptOutcome.TIMED_OUT])
-        return port.ProbeResult(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
+        return messages.ProbeResult(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
 
     def report(self) -> Any:
         if self.rng.random() < 0.3:
             return None
-        return port.Report(
+        return messages.Report(
             self.rng.choice([None, float(self.rng.randint(0, 60))]), self.rng.choice([None, self.rng.random()])
         )
 
@@ -248,7 +248,7 @@
         if self.out.get(request, (None,))[0] is not times:
             return []
         self.out[request][2].begun = True
-        return [port.FirstToken(request, server, took)]
+        return [messages.FirstToken(request, server, took)]
 
     def end(self, request: Any, outcome: AttemptOutcome, times: Any = None) -> list[Any]:
         entry = self.out.get(request)
@@ -265,7 +265,7 @@
         kept = request.prompt_tokens * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
         lost = entry[1].role is not Role.PREFILL and outcome is AttemptOutcome.ERROR and self.rng.random() < 0.5
         took = self.rng.uniform(1.0, 900.0)
-        ended = port.AttemptEnded(request, entry[1], outcome, took, over, kept, lost, self.report(), broken)
+        ended = messages.AttemptEnded(request, entry[1], outcome, took, over, kept, lost, self.report(), broken)
         if broken:
             self.after(self.rng.uniform(5.0, 200.0), lambda: self.go_on(request))
         return [ended]
@@ -274,7 +274,7 @@
         if request not in self.open:
             return []
         request.prompt_tokens += self.rng.uniform(1.0, 100.0)
-        return [port.ResumeStream(request)]
+        return [messages.ResumeStream(request)]
 
     # -- what happens by itself
 
@@ -284,13 +284,13 @@
         self.open[request] = None
         if self.rng.random() < 0.08:
             self.after(self.rng.uniform(0.0, 900.0), lambda: self.leave(request))
-        return [port.RequestArrived(request)]
+        return [messages.RequestArrived(request)]
 
     def leave(self, request: Any) -> list[Any]:
         if request not in self.open or (request in self.out and self.out[request][2].begun):
             return []
         del self.open[request]
-        return [port.ClientDisconnected(request)]
+        return [messages.ClientDisconnected(request)]
 
     def disturb(self) -> list[Any]:
         """A change of the list, or of the settings."""
@@ -299,7 +299,7 @@
         if draw < 0.08:
             return self.reload()
         if draw < 0.15:
-            return [port.EndpointListFailed()]
+            return [messages.EndpointListFailed()]
         if draw < 0.35:
             return self.replace_server()
         server = self.rng.choice(self.servers)
@@ -308,7 +308,7 @@
         )
         if self.rng.random() < 0.3:
             server.started_ms = self.now
-        return [port.EndpointsUpdated((server,))]
+        return [messages.EndpointsUpdated((server,))]
 
     def replace_server(self) -> list[Any]:
         number = len(self.servers)
@@ -317,7 +317,7 @@
         new = self.server(number)
         new.started_ms = self.now
         self.servers.append(new)
-        return [port.EndpointsUpdated((old, new))]
+        return [messages.EndpointsUpdated((old, new))]
 
     def reload(self) -> list[Any]:
         kept = self.rng.sample(self.request_classes, 3)
@@ -329,14 +329,14 @@
             release_ms=self.rng.choice([300.0, 500.0, 900.0]),
             cold_ms=self.rng.choice([4e3, 10e3]),
         )
-        return [port.ConfigChanged(self.facts)]
+        return [messages.ConfigChanged(self.facts)]
 
 
 def shut_down_at(host: RandomHost, ms: float, grace_ms: float) -> None:
     """Tells the router at that time that its gateway ends; twice, as two signals may come."""
-    times = port.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
-    host.after(ms, lambda: [port.ShutdownStarted(times)])
-    host.after(ms + 100.0, lambda: [port.ShutdownStarted(replace(times, ends_ms=inf))])
+    times = messages.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
+    host.after(ms, lambda: [messages.ShutdownStarted(times)])
+    host.after(ms + 100.0, lambda: [messages.ShutdownStarted(replace(times, ends_ms=inf))])
 
 
 def stream_digest(seed: int, shutdown_ms: float | None = None, **facts: Any) -> str:
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -7,8 +7,8 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane import port
-from ternlane.port import Role, Effect, Request, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.messages import Role, Effect, Request, AttemptOutcome
 from tests.fleet.scene import ClientRequest, Scene
 from tests.fleet.server import ModelServer
 
@@ -27,13 +27,13 @@
         self.tried: defaultdict[Request, set[ModelServer]] = defaultdict(set)
         self.ran: set[Request] = set()
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
-        out: list[port.Action] = []
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
+        out: list[messages.Action] = []
         for event in events:
             match event:
-                case port.RequestArrived(request):
+                case messages.RequestArrived(request):
                     out.append(self.next(request, Role.PREFILL))
-                case port.AttemptEnded(request, server, outcome, _, over) if not over:
+                case messages.AttemptEnded(request, server, outcome, _, over) if not over:
                     if outcome is AttemptOutcome.PREFILLED:
                         out.append(self.next(request, Role.DECODE))
                         continue
@@ -47,21 +47,21 @@
                     out.append(self.next(request, Role.PREFILL if server.role is Role.PREFILL else Role.DECODE))
         return out
 
-    def next(self, request: Request, role: Role) -> port.Action:
+    def next(self, request: Request, role: Role) -> messages.Action:
         gateway, day = self.gateway, self.day
         client_request = gateway.requests[request]
         left = client_request.came + client_request.patience - day.now
         unsafe = request.request_class.effect is not Effect.IDEMPOTENT and request in self.ran
         if unsafe:
-            return port.Fail(request)
+            return messages.Fail(request)
         able = [m for m in day.models if m.role is role and day.view(m).healthy and m not in self.tried[request]]
         able = [m for m in able if not day.cut(gateway, m)]
         if left <= 0 or self.attempts[request] >= 5 or not able:
-            return port.Reject(request, 200.0)
+            return messages.Reject(request, 200.0)
         self.attempts[request] += 1
         best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
         day.view(best).add(best, client_request)
-        return port.StartAttempt(request, gateway.know(best), min(left, request.request_class.slo_ms), inf, inf)
+        return messages.StartAttempt(request, gateway.know(best), min(left, request.request_class.slo_ms), inf, inf)
 
 
 @dataclass
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -11,8 +11,8 @@
 from math import inf
 from typing import Any, Callable
 
-from ternlane.choice import Router
-from ternlane.port import Role, Effect, Group, RequestClass, Tenant, AttemptOutcome
+from ternlane.policy.router import Router
+from ternlane.policy.messages import Role, Effect, Group, RequestClass, Tenant, AttemptOutcome
 from tests.conftest import FACTS
 from tests.fleet.baseline import LATE_VIEW_MS, LateSeeing, View
 from tests.fleet.gateway import Gateway, virtual_clock
--- a/tests/fleet/faults.py
+++ b/tests/fleet/faults.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any, Callable
 
-from ternlane.port import Role
+from ternlane.policy.messages import Role
 from tests.fleet.day import Day
 from tests.fleet.gateway import Gateway
 from tests.fleet.server import ModelServer
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -8,8 +8,9 @@
 from math import inf
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
-from ternlane import port, turns
-from ternlane.port import Role, Effect, Request, EndpointStatus, Server, AttemptOutcome
+from ternlane import turns
+from ternlane.policy import messages
+from ternlane.policy.messages import Role, Effect, Request, EndpointStatus, Server, AttemptOutcome
 from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
@@ -41,7 +42,7 @@
         for model in day.models:
             if model.up:
                 self.know(model)
-        self.tell(port.EndpointsUpdated(tuple(self.truth)))
+        self.tell(messages.EndpointsUpdated(tuple(self.truth)))
 
     def know(self, model: ModelServer) -> Server:
         server = self.known.get(model)
@@ -56,7 +57,7 @@
     def heard_of(self, model: ModelServer) -> None:
         """Discovery has told of a change."""
         if self.alive:
-            self.tell(port.EndpointsUpdated((self.know(model),)))
+            self.tell(messages.EndpointsUpdated((self.know(model),)))
 
     def kill(self) -> None:
         self.alive = False
@@ -99,7 +100,7 @@
         )
         self.requests[request] = client_request
         self.active_requests[request] = ActiveRequest(request)
-        self.tell(port.RequestArrived(request))
+        self.tell(messages.RequestArrived(request))
         if client_request.gives_up_ms < inf:
             self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
 
@@ -110,11 +111,11 @@
             return
         client_request.left = True
         del self.requests[request]
-        self.tell(port.ClientDisconnected(request))
+        self.tell(messages.ClientDisconnected(request))
         if request not in self.jobs:
             self.active_requests.pop(request, None)
 
-    def send(self, active_request: Any, server: Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: Any, server: Server, times: messages.StartAttempt) -> None:
         request, now, incarnation = times.request, self.day.now, self.incarnation
         job = Job(self, request, server, self.requests[request], now, now + times.timeout_ms)
         self.jobs[request] = job
@@ -149,7 +150,7 @@
         kept = 0.0
         if outcome is AttemptOutcome.PREFILLED:
             kept = job.client_request.prompt - job.work * self.day.scene.prefill_tokens_per_ms
-        self.tell(port.AttemptEnded(job.request, job.server, outcome, took, over, kept))
+        self.tell(messages.AttemptEnded(job.request, job.server, outcome, took, over, kept))
         if job.request not in self.requests:
             self.active_requests.pop(job.request, None)
 
@@ -159,7 +160,7 @@
         job.begun = True
         job.client_request.first_token = self.day.now
         self.active_requests[job.request].flowing = True
-        self.tell(port.FirstToken(job.request, job.server, self.day.now - job.since))
+        self.tell(messages.FirstToken(job.request, job.server, self.day.now - job.since))
 
     def settle(self, active_request: Any, final: turns.Rejected | turns.Failed) -> None:
         client_request = self.requests.pop(active_request.request, None)
@@ -172,8 +173,8 @@
         else:
             client_request.outcomes.append("failed")
 
-    def carry_further(self, action: port.Action) -> None:
-        if isinstance(action, port.Probe):
+    def carry_further(self, action: messages.Action) -> None:
+        if isinstance(action, messages.Probe):
             self.probe(action.server)
 
     def probe(self, server: Server) -> None:
@@ -183,7 +184,7 @@
         if model.up and not model.silent and not model.hung and not self.day.cut(self, model):
             self.at(
                 self.day.now + PROBE_MS,
-                lambda: self.tell(port.ProbeResult(server, AttemptOutcome.STREAMED, model.report())),
+                lambda: self.tell(messages.ProbeResult(server, AttemptOutcome.STREAMED, model.report())),
             )
 
     def woken(self) -> None:
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Request, RequestClass, Server, Tenant
+from ternlane.policy.messages import Request, RequestClass, Server, Tenant
 
 if TYPE_CHECKING:
     from tests.fleet.gateway import Gateway
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Role, Report, AttemptOutcome
+from ternlane.policy.messages import Role, Report, AttemptOutcome
 from tests.fleet.scene import Job, ClientRequest
 
 if TYPE_CHECKING:
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -14,7 +14,7 @@
 from ternlane.http1 import EventReader
 from ternlane.engine import load_of
 from ternlane.config import GatewayConfig, ConfigError, read_text
-from ternlane.port import Effect, Group, RequestClass
+from ternlane.policy.messages import Effect, Group, RequestClass
 
 
 def request_class() -> RequestClass:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.port import Effect, EndpointStatus, Server, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.messages import Effect, EndpointStatus, Server, AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 
 
@@ -35,7 +35,7 @@
     attempt = sent(host.arrive(request))
     said = host.end(request, attempt.server, AttemptOutcome.RESET)
     assert sent(said).server is not attempt.server
-    assert port.Release in kinds(said)  # the read may have gone on unheard and left its state
+    assert messages.Release in kinds(said)  # the read may have gone on unheard and left its state
 
 
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.SIDE_EFFECTING])
@@ -46,12 +46,12 @@
     later = host.request(session="a")
     assert sent(host.arrive(later, after=100.0)).server is first.server  # not overdue yet: it may only be long
     said = host.end(later, first.server, AttemptOutcome.PREFILLED, after=20.0)
-    assert sent(said).server.role is port.Role.DECODE and port.CancelAttempt not in kinds(said)
+    assert sent(said).server.role is messages.Role.DECODE and messages.CancelAttempt not in kinds(said)
     said = host.tell(after=300.0)  # nothing else is sent there, and still it is not waited for to its time limit
-    assert [a.request for a in said if isinstance(a, port.CancelAttempt)] == [mute]
+    assert [a.request for a in said if isinstance(a, messages.CancelAttempt)] == [mute]
     again = sent(host.end(mute, first.server, AttemptOutcome.CANCELLED))
-    assert again.server.role is port.Role.PREFILL and again.server is not first.server
-    assert sent(host.end(mute, again.server, AttemptOutcome.PREFILLED)).server.role is port.Role.DECODE
+    assert again.server.role is messages.Role.PREFILL and again.server is not first.server
+    assert sent(host.end(mute, again.server, AttemptOutcome.PREFILLED)).server.role is messages.Role.DECODE
 
 
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
@@ -73,7 +73,7 @@
     other = host.request(session="a")
     host.end(other, sent(host.arrive(other)).server, AttemptOutcome.PREFILLED)
     host.tell(
-        port.AttemptEnded(other, decode_server, AttemptOutcome.CONNECT_FAILED, 1.0, True)
+        messages.AttemptEnded(other, decode_server, AttemptOutcome.CONNECT_FAILED, 1.0, True)
     )  # shut, and on trial after
     host.tell(after=2000.0)
     found = host.request(session="a")
@@ -87,7 +87,7 @@
     host.first(begun, decode_server)  # streams on for long
     other = host.request(session="a")
     host.end(other, sent(host.arrive(other)).server, AttemptOutcome.PREFILLED)
-    host.tell(port.AttemptEnded(other, decode_server, AttemptOutcome.CONNECT_FAILED, 1.0, True))
+    host.tell(messages.AttemptEnded(other, decode_server, AttemptOutcome.CONNECT_FAILED, 1.0, True))
     host.tell(after=600.0)
     found, second = host.request(session="a"), host.request(session="a")
     prefill_server = sent(host.arrive(found)).server
@@ -101,7 +101,7 @@
     mute, later = host.request(session="a"), host.request(session="a")
     first = sent(host.arrive(mute))
     assert sent(host.arrive(later, after=500.0)).server is first.server
-    assert port.CancelAttempt not in kinds(host.end(later, first.server, AttemptOutcome.PREFILLED, after=50.0))
+    assert messages.CancelAttempt not in kinds(host.end(later, first.server, AttemptOutcome.PREFILLED, after=50.0))
 
 
 def test_a_state_goes_straight_to_another_writer_when_one_is_full(host: FakeHost) -> None:
@@ -114,25 +114,27 @@
     host = build(("w2", "w3"))  # 250 ms to connect, 500 to release: one failed connection leaves time for one more
     request, attempt = host.written()
     second = sent(host.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)).server
-    assert second.role is port.Role.DECODE
+    assert second.role is messages.Role.DECODE
     said = host.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)
-    assert [type(a) for a in said] == [port.Release, port.StartAttempt]
-    assert sent(said).server.role is port.Role.PREFILL
+    assert [type(a) for a in said] == [messages.Release, messages.StartAttempt]
+    assert sent(said).server.role is messages.Role.PREFILL
     other = build(("w2", "w3"), holds_run_on=False)  # where an outcome of any kind begins that time anew
     request, attempt = other.written()
     second = sent(other.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)).server
-    assert sent(other.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)).server.role is port.Role.DECODE
+    assert (
+        sent(other.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)).server.role is messages.Role.DECODE
+    )
     request, attempt = host.written()  # a writer that refuses has answered: the time counts from then
     second = sent(host.end(request, attempt.server, AttemptOutcome.OVERLOADED, after=400.0)).server
-    assert sent(host.end(request, second, AttemptOutcome.OVERLOADED, after=400.0)).server.role is port.Role.DECODE
+    assert sent(host.end(request, second, AttemptOutcome.OVERLOADED, after=400.0)).server.role is messages.Role.DECODE
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.OVERLOADED])
 def test_a_read_that_never_ran_left_nothing_to_release(host: FakeHost, outcome: AttemptOutcome) -> None:
     request = host.request()
     said = host.end(request, sent(host.arrive(request)).server, outcome)
-    assert kinds(said) == [port.StartAttempt]
-    assert port.Release in kinds(host.end(request, sent(said).server, AttemptOutcome.TIMED_OUT))  # it may have run
+    assert kinds(said) == [messages.StartAttempt]
+    assert messages.Release in kinds(host.end(request, sent(said).server, AttemptOutcome.TIMED_OUT))  # it may have run
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.RESET])
@@ -146,19 +148,21 @@
         **{
             name: EndpointStatus.REMOVED
             for name, s in host.servers.items()
-            if s.role is port.Role.PREFILL and s is not prefill_server
+            if s.role is messages.Role.PREFILL and s is not prefill_server
         }
     )
     said = host.end(request, prefill_server, outcome)
-    assert [a.again for a in said if isinstance(a, port.Release)] == [False, True] and port.Reject in kinds(said)
+    assert [a.again for a in said if isinstance(a, messages.Release)] == [False, True] and messages.Reject in kinds(
+        said
+    )
     assert host.tell(after=3000.0) == []
 
 
 def test_a_lost_state_is_read_again(host: FakeHost) -> None:
     request, attempt = host.written()
     said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
-    assert sent(said).server.role is port.Role.PREFILL
-    assert port.Release in kinds(said)  # its reader may only be cut off from that writer
+    assert sent(said).server.role is messages.Role.PREFILL
+    assert messages.Release in kinds(said)  # its reader may only be cut off from that writer
 
 
 @pytest.mark.parametrize(
@@ -166,24 +170,24 @@
 )
 def test_a_side_effect_that_may_have_happened_is_not_tried_again(host: FakeHost, outcome: AttemptOutcome) -> None:
     request, attempt = host.written(Effect.SIDE_EFFECTING)
-    assert kinds(host.end(request, attempt.server, outcome)) == [port.Fail, port.Release]
+    assert kinds(host.end(request, attempt.server, outcome)) == [messages.Fail, messages.Release]
     assert host.tell(after=3000.0) == []
 
 
 def test_a_deduplicated_generation_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
     request, attempt = host.written(Effect.DEDUPLICATED)
-    assert kinds(host.end(request, attempt.server, AttemptOutcome.RESET)) == [port.Release, port.Fail]
+    assert kinds(host.end(request, attempt.server, AttemptOutcome.RESET)) == [messages.Release, messages.Fail]
     request, attempt = host.written(Effect.IDEMPOTENT)
-    assert sent(host.end(request, attempt.server, AttemptOutcome.RESET)).server.role is port.Role.DECODE
+    assert sent(host.end(request, attempt.server, AttemptOutcome.RESET)).server.role is messages.Role.DECODE
 
 
 def test_nobody_to_read_or_write_is_answered_at_once(host: FakeHost) -> None:
     host.list(w0=EndpointStatus.REMOVED, w1=EndpointStatus.DRAINING)
-    assert kinds(host.arrive(host.request())) == [port.Reject]
+    assert kinds(host.arrive(host.request())) == [messages.Reject]
 
 
 def test_no_time_left_is_answered_at_once(host: FakeHost) -> None:
-    assert kinds(host.arrive(host.request(client_timeout_ms=0.0))) == [port.Reject]
+    assert kinds(host.arrive(host.request(client_timeout_ms=0.0))) == [messages.Reject]
 
 
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
@@ -195,22 +199,22 @@
     later = host.request()
     for server in host.servers.values():  # told in this batch, but after the arrival
         server.status = EndpointStatus.REMOVED
-    assert kinds(host.tell(port.RequestArrived(later), port.EndpointsUpdated(tuple(host.servers.values())))) == [
-        port.Reject
-    ]
+    assert kinds(
+        host.tell(messages.RequestArrived(later), messages.EndpointsUpdated(tuple(host.servers.values())))
+    ) == [messages.Reject]
 
 
 def test_a_state_read_for_a_client_that_left_is_released(host: FakeHost) -> None:
     request = host.request()
     attempt = sent(host.arrive(request))
-    assert kinds(host.tell(port.ClientDisconnected(request))) == [port.CancelAttempt]
-    assert kinds(host.end(request, attempt.server, AttemptOutcome.PREFILLED, over=True)) == [port.Release]
+    assert kinds(host.tell(messages.ClientDisconnected(request))) == [messages.CancelAttempt]
+    assert kinds(host.end(request, attempt.server, AttemptOutcome.PREFILLED, over=True)) == [messages.Release]
 
 
 def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
     request, attempt = host.written()
-    assert kinds(host.tell(port.ClientDisconnected(request))) == [port.CancelAttempt]
-    assert kinds(host.end(request, attempt.server, AttemptOutcome.CANCELLED, over=True)) == [port.Release]
+    assert kinds(host.tell(messages.ClientDisconnected(request))) == [messages.CancelAttempt]
+    assert kinds(host.end(request, attempt.server, AttemptOutcome.CANCELLED, over=True)) == [messages.Release]
 
 
 def test_a_restarted_server_gets_its_cold_share_only() -> None:
@@ -242,17 +246,17 @@
 def test_bursts_wait_and_are_thrown_off_before_the_slo_time_is_lost(host: FakeHost) -> None:
     big = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
-    assert port.Reject not in kinds(said)
+    assert messages.Reject not in kinds(said)
     waiting = [g for g in big if g.seat.attempt is None]
     late = host.tell(after=6000.0)
-    assert waiting and {a.request for a in late if isinstance(a, port.Reject)} == set(waiting)
+    assert waiting and {a.request for a in late if isinstance(a, messages.Reject)} == set(waiting)
 
 
 def test_a_generation_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
     crowd = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0) for _ in range(6)]
     for request in crowd:
         host.arrive(request)
-    assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [port.Reject]
+    assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [messages.Reject]
 
 
 def test_a_reader_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
@@ -278,13 +282,13 @@
         server.started_ms = host.now
     host.list()
     host.tell(after=3000.0)
-    assert kinds(host.arrive(host.request())) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request())) == [messages.StartAttempt]
 
 
 def test_one_generation_does_not_fill_a_server_for_a_hundred_gateways() -> None:
     host = build(gateways=130)
     for _ in range(3):  # one's own count times 130 would be several times each server's memory
-        assert kinds(host.arrive(host.request())) == [port.StartAttempt]
+        assert kinds(host.arrive(host.request())) == [messages.StartAttempt]
 
 
 def test_gateways_that_know_nothing_do_not_all_take_the_same_writer() -> None:
@@ -324,15 +328,15 @@
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
 
 
-def serve(host: FakeHost, request: port.Request, ill: Server, outcome: AttemptOutcome | None) -> bool:
+def serve(host: FakeHost, request: messages.Request, ill: Server, outcome: AttemptOutcome | None) -> bool:
     """Plays it to its end, with `verdict` wherever it meets `ill`; was that so?"""
     said, met = host.arrive(request, after=60.0), False
-    while any(isinstance(a, port.StartAttempt) for a in said):
+    while any(isinstance(a, messages.StartAttempt) for a in said):
         attempt = sent(said)
         met = met or attempt.server is ill
         if attempt.server is ill and outcome is not None:
             said = host.end(request, ill, outcome, after=20.0)
-        elif attempt.server.role is port.Role.PREFILL:
+        elif attempt.server.role is messages.Role.PREFILL:
             said = host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0)
         else:
             host.first(request, attempt.server, after=20.0)
@@ -343,7 +347,7 @@
 @pytest.mark.parametrize("name, outcome", [("w0", AttemptOutcome.ERROR), ("r0", AttemptOutcome.OVERLOADED)])
 def test_what_fails_one_product_or_refuses_one_tenant_serves_the_rest(name: str, outcome: AttemptOutcome) -> None:
     host, met = build(gateways=50), {True: 0, False: 0}
-    ill, tenants = host.servers[name], (port.Tenant(), port.Tenant())
+    ill, tenants = host.servers[name], (messages.Tenant(), messages.Tenant())
     for i in range(60):
         struck = bool(i % 2)
         effect = Effect.SIDE_EFFECTING if struck and outcome is AttemptOutcome.ERROR else Effect.IDEMPOTENT
@@ -355,7 +359,7 @@
 def test_what_has_not_failed_leaves_nothing_behind(host: FakeHost) -> None:
     ill = host.servers["w0"]
     for _ in range(30):
-        serve(host, host.request(prefix=None, tenant=port.Tenant()), ill, None)
+        serve(host, host.request(prefix=None, tenant=messages.Tenant()), ill, None)
     assert not host.router.desk.failures  # type: ignore[attr-defined]
     while not serve(host, host.request(prefix=None), ill, AttemptOutcome.ERROR):
         pass
@@ -372,10 +376,10 @@
         attempt = sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=400.0))
         host.first(request, attempt.server, after=100.0)
         host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
-    assert kinds(host.arrive(host.request(client_timeout_ms=600.0))) == [port.Reject]
-    assert kinds(host.arrive(host.request(client_timeout_ms=3000.0))) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request(client_timeout_ms=600.0))) == [messages.Reject]
+    assert kinds(host.arrive(host.request(client_timeout_ms=3000.0))) == [messages.StartAttempt]
     assert kinds(host.arrive(host.request(client_timeout_ms=600.0), after=9000.0)) == [
-        port.StartAttempt
+        messages.StartAttempt
     ]  # is it still so?
 
 
@@ -393,7 +397,9 @@
         return best(course)
 
     desk.best = counted  # type: ignore[attr-defined]
-    host.tell(*(port.AttemptEnded(request, server, AttemptOutcome.CLIENT_GONE, 10.0, True) for request, server in out))
+    host.tell(
+        *(messages.AttemptEnded(request, server, AttemptOutcome.CLIENT_GONE, 10.0, True) for request, server in out)
+    )
     assert len(desk.waiting) == 40 and 1 <= tries <= 3  # type: ignore[attr-defined]
 
 
@@ -401,7 +407,9 @@
     long = host.request(prompt_tokens=250e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0, client_timeout_ms=60e3)
     host.arrive(long)
     assert long.seat.attempt is None
-    assert kinds(host.arrive(host.request(prompt_tokens=200.0, prefix=None, prefix_tokens=0.0))) == [port.StartAttempt]
+    assert kinds(host.arrive(host.request(prompt_tokens=200.0, prefix=None, prefix_tokens=0.0))) == [
+        messages.StartAttempt
+    ]
 
 
 def test_where_connections_fail_the_connected_servers_are_nearer() -> None:
@@ -411,12 +419,12 @@
     for _ in range(30):
         request = host.request(session=f"s{tries}")
         said = host.arrive(request, after=2000.0)
-        while any(isinstance(a, port.StartAttempt) for a in said):
+        while any(isinstance(a, messages.StartAttempt) for a in said):
             attempt = sent(said)
             tries += 1
             if attempt.server not in known:
                 said = host.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)
-            elif attempt.server.role is port.Role.PREFILL:
+            elif attempt.server.role is messages.Role.PREFILL:
                 said = host.end(request, attempt.server, AttemptOutcome.PREFILLED)
             else:
                 host.first(request, attempt.server)
@@ -433,7 +441,7 @@
         attempt = sent(host.arrive(request, after=4000.0))
         patience.append(attempt.timeout_ms)
         host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=attempt.timeout_ms)
-        host.tell(port.ClientDisconnected(request))
+        host.tell(messages.ClientDisconnected(request))
     assert patience[-1] > patience[0]
 
 
@@ -446,7 +454,7 @@
     for _ in range(12):
         request = host.request(prefix=None, prefix_tokens=0.0)
         said = host.arrive(request, after=400.0)
-        assert kinds(said) == [port.StartAttempt]
+        assert kinds(said) == [messages.StartAttempt]
         if sent(said).server is not cold:  # the cold one keeps what it was given
             attempt = sent(host.end(request, host.servers["r1"], AttemptOutcome.PREFILLED, after=50.0))
             host.first(request, attempt.server, after=20.0)
@@ -467,10 +475,10 @@
     streams, attempt = host.written()
     prefills = host.request(Effect.SIDE_EFFECTING)
     read = sent(host.arrive(prefills))
-    assert not host.tell(port.ShutdownStarted(port.ShutdownTimes(500.0, 800.0, 1000.0)))
+    assert not host.tell(messages.ShutdownStarted(messages.ShutdownTimes(500.0, 800.0, 1000.0)))
     said = host.arrive(host.request(Effect.SIDE_EFFECTING))
-    assert kinds(said) == [port.Reject]  # another gateway may do it: nothing has run
-    assert sent(host.end(prefills, read.server, AttemptOutcome.PREFILLED)).server.role is port.Role.DECODE
+    assert kinds(said) == [messages.Reject]  # another gateway may do it: nothing has run
+    assert sent(host.end(prefills, read.server, AttemptOutcome.PREFILLED)).server.role is messages.Role.DECODE
     host.first(streams, attempt.server)
     assert not kinds(host.end(streams, attempt.server, AttemptOutcome.STREAMED, over=True))
 
@@ -479,19 +487,19 @@
     board = host.router.desk.board
     busy, attempt = host.written()
     for turn in range(300):
-        new = Server("east", 0, port.Role.PREFILL, 200e3, mark=turn)
-        host.tell(port.EndpointsUpdated((new,)))
+        new = Server("east", 0, messages.Role.PREFILL, 200e3, mark=turn)
+        host.tell(messages.EndpointsUpdated((new,)))
         new.status = EndpointStatus.REMOVED
-        host.tell(port.EndpointsUpdated((new,)))
+        host.tell(messages.EndpointsUpdated((new,)))
         host.router.desk.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
-        host.tell(port.TimerFired(True), after=100.0)
+        host.tell(messages.TimerFired(True), after=100.0)
     assert len(board) < 20 and len(host.router.desk.prefix_popularity) <= 4096 + 200
     attempt.server.status = EndpointStatus.REMOVED  # one that still has a leg stays until it has ended
-    host.tell(port.EndpointsUpdated((attempt.server,)))
+    host.tell(messages.EndpointsUpdated((attempt.server,)))
     for _ in range(8):
-        host.tell(port.TimerFired(True), after=100.0)
+        host.tell(messages.TimerFired(True), after=100.0)
     assert attempt.server.seat in board
     host.end(busy, attempt.server, AttemptOutcome.RESET, over=True)
     for _ in range(8):
-        host.tell(port.TimerFired(True), after=100.0)
+        host.tell(messages.TimerFired(True), after=100.0)
     assert attempt.server.seat not in board
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import CARE, Router
-from ternlane.port import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.router import CARE, Router
+from ternlane.policy.messages import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
 from tests.conftest import FACTS
 
 REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
@@ -47,7 +47,7 @@
             for n in range(self.peers)
             for role in (Role.PREFILL, Role.DECODE)
         ]
-        self.order, self.due = count(), list[tuple[float, int, int, port.Event | tuple[Server, ...]]]()
+        self.order, self.due = count(), list[tuple[float, int, int, messages.Event | tuple[Server, ...]]]()
         self.all = [self.router(n) for n in range(self.routers)]
 
     def router(self, nth: int) -> Router:
@@ -65,37 +65,39 @@
         made = Router(facts)
         self.mine = getattr(self, "mine", {})
         self.mine[nth] = [replace(s, seat=None) for s in self.servers]  # seats are each router's own
-        self.act(nth, made.take(self.now, [port.EndpointsUpdated(tuple(self.mine[nth]))]))
+        self.act(nth, made.take(self.now, [messages.EndpointsUpdated(tuple(self.mine[nth]))]))
         return made
 
-    def at(self, when: float, nth: int, event: port.Event) -> None:
+    def at(self, when: float, nth: int, event: messages.Event) -> None:
         heapq.heappush(self.due, (when, next(self.order), nth, event))
 
     def act(self, nth: int, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, port.StartTimer):
-                self.at(action.at_ms, nth, port.TimerFired(action.beat))
-            elif isinstance(action, port.StartAttempt):
+            if isinstance(action, messages.StartTimer):
+                self.at(action.at_ms, nth, messages.TimerFired(action.beat))
+            elif isinstance(action, messages.StartAttempt):
                 request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
                 told = server.started_ms == true_server.started_ms
                 self.sent.append(Attempt(self.now, true_server, nth, told))
                 if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
                     self.at(
-                        self.now + 5.0, nth, port.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 5.0, False)
+                        self.now + 5.0,
+                        nth,
+                        messages.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 5.0, False),
                     )
                 elif server.role is Role.PREFILL:
                     self.at(
                         self.now + READ_MS,
                         nth,
-                        port.AttemptEnded(request, server, AttemptOutcome.PREFILLED, READ_MS, False, 300.0),
+                        messages.AttemptEnded(request, server, AttemptOutcome.PREFILLED, READ_MS, False, 300.0),
                     )
                 else:
-                    self.at(self.now + FIRST_MS, nth, port.FirstToken(request, server, FIRST_MS))
+                    self.at(self.now + FIRST_MS, nth, messages.FirstToken(request, server, FIRST_MS))
                     self.at(
                         self.now + STREAM_MS,
                         nth,
-                        port.AttemptEnded(request, server, AttemptOutcome.STREAMED, STREAM_MS, True),
+                        messages.AttemptEnded(request, server, AttemptOutcome.STREAMED, STREAM_MS, True),
                     )
 
     def run(self, ms: float) -> None:
@@ -104,7 +106,7 @@
             draw = zlib.crc32(b"arrival %d %f" % (n, self.now))
             request = Request(REQUEST_CLASS, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
             nth = int(self.routers * (draw / 2**32) ** 3) if self.uneven else draw % self.routers
-            self.at(self.now + ms * n / arrivals, nth, port.RequestArrived(request))
+            self.at(self.now + ms * n / arrivals, nth, messages.RequestArrived(request))
         while self.due and self.due[0][0] <= until:
             self.now, _, nth, event = heapq.heappop(self.due)
             if isinstance(event, tuple):
@@ -128,7 +130,7 @@
         news = [self.mine[nth][self.servers.index(s)] for s in servers]
         for mine, server in zip(news, servers):
             mine.started_ms, mine.status = server.started_ms, EndpointStatus.READY
-        self.act(nth, self.all[nth].take(self.now, [port.EndpointsUpdated(tuple(news))]))
+        self.act(nth, self.all[nth].take(self.now, [messages.EndpointsUpdated(tuple(news))]))
 
     def windows(self, server: Server, since: float, span: float) -> list[list[Attempt]]:
         """What it was sent within each `span` that begins with an attempt."""
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -22,7 +22,7 @@
 from ternlane.platform import process, registry
 from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import Limits, Post
-from ternlane.port import EndpointStatus
+from ternlane.policy.messages import EndpointStatus
 from ternlane.standin.platform import Discovery, Gate
 from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, platform, until_ready
@@ -328,7 +328,7 @@
     "typing_extensions",
     "exceptiongroup",
 }
-MODULES = {"choice", "deployment", "http1", "log_output", "notes", "platform", "policy", "port", "turns"}
+MODULES = {"deployment", "http1", "log_output", "notes", "platform", "policy", "turns"}
 
 
 def test_the_process_imports_no_more_than_it_needs() -> None:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -13,12 +13,12 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.http1 import Caller, Pool, Silent
 from ternlane.http1 import caller as caller_module
 from ternlane.http1.nonblocking import send_now
 from ternlane.platform import engines as engines_module
-from ternlane.port import Effect, Group, AttemptOutcome
+from ternlane.policy.messages import Effect, Group, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
 from tests.crossing import Client, Wrapped, arrived, pair, client_request, until
@@ -71,7 +71,7 @@
         await p.add(other)
         p.discovery.put(name, p.servers[name].address, kind, "DRAINING")
         servers = p.gateway.node.endpoint_registry.servers
-        await until(lambda: servers[name].status is port.EndpointStatus.DRAINING and other in servers)
+        await until(lambda: servers[name].status is messages.EndpointStatus.DRAINING and other in servers)
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200
@@ -91,7 +91,7 @@
         await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
-        await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status is port.EndpointStatus.DRAINING)
+        await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status is messages.EndpointStatus.DRAINING)
         gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "read"] == ["r0", "r1"]
@@ -126,11 +126,11 @@
     host = build(("w2", "w3"))
     request, attempt = host.written(Effect.SIDE_EFFECTING)
     second = sent(host.end(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
-    assert second.server is not attempt.server and second.server.role is port.Role.DECODE
+    assert second.server is not attempt.server and second.server.role is messages.Role.DECODE
     said = host.end(
         request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
     )  # 400 of 500 ms, and 250 to connect
-    assert port.Release in kinds(said) and sent(said).server.role is port.Role.PREFILL
+    assert messages.Release in kinds(said) and sent(said).server.role is messages.Role.PREFILL
     assert not host.router.desk.board[attempt.server.seat].shut
 
 
@@ -256,9 +256,9 @@
 
 def keyed(window_ms: float, group: Group = Group.ALL) -> FakeHost:
     host = build()
-    request_class = port.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
+    request_class = messages.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
     host.request_classes[Effect.DEDUPLICATED] = request_class
-    host.tell(port.ConfigChanged(FACTS))
+    host.tell(messages.ConfigChanged(FACTS))
     return host
 
 
@@ -270,14 +270,14 @@
     assert again.begin_by_ms == pytest.approx(2000.0)
 
 
-@pytest.mark.parametrize("after, answer", [(100.0, port.Reject), (2900.0, port.Fail), (3100.0, port.Fail)])
+@pytest.mark.parametrize("after, answer", [(100.0, messages.Reject), (2900.0, messages.Fail), (3100.0, messages.Fail)])
 def test_a_repeat_by_its_client_is_called_harmless_only_where_it_would_come_within_the_window(
     after: float, answer: type
 ) -> None:
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
     request, attempt = host.written(Effect.DEDUPLICATED)
-    host.list(w0=port.EndpointStatus.DRAINING, w1=port.EndpointStatus.DRAINING)
+    host.list(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
     assert answer in kinds(host.end(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -7,7 +7,8 @@
 import pytest
 import trio
 
-from ternlane import SocketTransport, FailedError, open_routing, port, turns
+from ternlane import SocketTransport, FailedError, open_routing, turns
+from ternlane.policy import messages
 from ternlane.config import GatewayConfig
 from ternlane.config.gateway import InlineSource
 from ternlane.platform.node import Passing
@@ -21,26 +22,26 @@
 class Faulty:
     """A chooser in whose place another one stands for some of the events."""
 
-    def __init__(self, inner: Any, instead: Callable[[list[port.Event]], list[port.Action] | None]) -> None:
+    def __init__(self, inner: Any, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
         self.inner, self.instead = inner, instead
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
         actions = self.instead(events)
         return self.inner.take(now, events) if actions is None else actions
 
 
-def arrivals(events: list[port.Event]) -> int:
-    return sum(isinstance(event, port.RequestArrived) for event in events)
+def arrivals(events: list[messages.Event]) -> int:
+    return sum(isinstance(event, messages.RequestArrived) for event in events)
 
 
-def make_faulty(p: Platform, instead: Callable[[list[port.Event]], list[port.Action] | None]) -> None:
+def make_faulty(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
     p.gateway.node.chooser = Faulty(p.gateway.node.chooser, instead)  # type: ignore[assignment]
 
 
 async def test_a_request_on_which_the_decisions_fail_is_answered_and_takes_no_other_with_it() -> None:
     failed: list[int] = []
 
-    def fail_once(events: list[port.Event]) -> None:
+    def fail_once(events: list[messages.Event]) -> None:
         if arrivals(events) and not failed:
             failed.append(1)
             raise ZeroDivisionError("a fault in the decisions")
@@ -126,8 +127,8 @@
     monkeypatch.setattr(turns, "FAULT_PAUSE_MS", 50.0)
     looks: list[bool] = []
 
-    def fail_first(events: list[port.Event]) -> None:
-        if any(isinstance(event, port.TimerFired) for event in events):
+    def fail_first(events: list[messages.Event]) -> None:
+        if any(isinstance(event, messages.TimerFired) for event in events):
             looks.append(True)
             if len(looks) == 1:
                 raise KeyError("a fault in the decisions")
@@ -150,7 +151,8 @@
             settle(active_request, final)
 
         make_faulty(
-            p, lambda events: [port.Reject(e.request, 0.0) for e in events if isinstance(e, port.RequestArrived)]
+            p,
+            lambda events: [messages.Reject(e.request, 0.0) for e in events if isinstance(e, messages.RequestArrived)],
         )
         node.settle = settle_second  # type: ignore[method-assign]
         statuses: list[int] = []
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -17,7 +17,7 @@
 from ternlane.platform.engines import Engines, Attempt, AttemptResult
 from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointList, Lists, EndpointRegistry, read_listing
 from ternlane.platform.settings import Limits
-from ternlane.port import Role, EndpointStatus, AttemptOutcome
+from ternlane.policy.messages import Role, EndpointStatus, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_world import BODY, TOLD, Platform, platform
 
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.port import AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.messages import AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.fleet import (
     Day,
@@ -108,8 +108,8 @@
     host = build(gateways=200)
     streaming(host, 8)
     host.tell(after=3000.0)
-    assert host.router.desk.fleets[port.Role.DECODE].level > 1.0  # the guess: all of them are full
-    assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
+    assert host.router.desk.fleets[messages.Role.DECODE].level > 1.0  # the guess: all of them are full
+    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def test_reads_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
@@ -117,8 +117,8 @@
     for _ in range(3):
         sent(host.arrive(host.request(prefix=None, prefix_tokens=0.0), after=50.0))
     host.tell(after=300.0)
-    assert host.router.desk.fleets[port.Role.PREFILL].queue_ms > 1000.0  # the guess: longer than the SLO time
-    assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
+    assert host.router.desk.fleets[messages.Role.PREFILL].queue_ms > 1000.0  # the guess: longer than the SLO time
+    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def test_the_guess_counts_once_answers_come_late() -> None:
@@ -129,13 +129,13 @@
     while served < 32:
         request = host.request(prefix=None, prefix_tokens=0.0)
         said = host.arrive(request) + host.tell(after=1000.0)
-        attempts = [action for action in said if isinstance(action, port.StartAttempt)]
+        attempts = [action for action in said if isinstance(action, messages.StartAttempt)]
         if not attempts:
             break
         write = sent(host.end(request, attempts[0].server, AttemptOutcome.PREFILLED, after=10.0))
         host.end(request, write.server, AttemptOutcome.TIMED_OUT, after=500.0, over=True)
         served += 1
-    assert 0 < served < 32 and port.Reject in kinds(said)
+    assert 0 < served < 32 and messages.Reject in kinds(said)
 
 
 def test_an_opening_that_one_gateway_of_many_has_met_once_does_not_pass_for_a_popular_one() -> None:
@@ -155,17 +155,17 @@
     request = host.request(prefix=None, prefix_tokens=0.0)
     attempt = sent(host.arrive(request, after=100.0))
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
-    for further in [action for action in said if isinstance(action, port.StartAttempt)]:
+    for further in [action for action in said if isinstance(action, messages.StartAttempt)]:
         host.end(request, further.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     return said
 
 
 def test_requests_that_are_late_already_give_way_to_others_where_reads_come_late() -> None:
     host = build(gateways=200)
-    assert port.StartAttempt in kinds(late_request(host))  # one slow read is no overload
+    assert messages.StartAttempt in kinds(late_request(host))  # one slow read is no overload
     for _ in range(8):
         last = late_request(host)
-    assert port.StartAttempt not in kinds(last) and port.Reject in kinds(last)
+    assert messages.StartAttempt not in kinds(last) and messages.Reject in kinds(last)
     request = host.request(prefix=None, prefix_tokens=0.0)
     attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
     host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
@@ -174,36 +174,36 @@
         host.end(
             request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
         )
-    assert port.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
+    assert messages.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
 
 
 def test_a_single_late_answer_is_no_overload_also_where_late_answers_earn_nothing() -> None:
     host = build(gateways=200)
     for request_class in host.request_classes.values():
         request_class.late_share = 0.0
-    assert port.StartAttempt in kinds(late_request(host))
+    assert messages.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(prefix=None, prefix_tokens=0.0)
         host.end(
             request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
         )
-    assert port.StartAttempt in kinds(late_request(host))
+    assert messages.StartAttempt in kinds(late_request(host))
 
 
 def test_what_a_server_reports_and_what_is_booked_there_count_without_a_guess() -> None:
     host = build(gateways=200)
     request, attempt = host.written(prefix=None, prefix_tokens=0.0)
     for name in ("w0", "w1"):
-        full = port.Report(open_requests=40.0, mem_share=1.0)
-        host.tell(port.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
+        full = messages.Report(open_requests=40.0, mem_share=1.0)
+        host.tell(messages.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
     said = host.arrive(host.request())
-    assert port.StartAttempt not in kinds(said)
+    assert messages.StartAttempt not in kinds(said)
 
 
 def test_one_gateway_alone_knows_all_of_the_load() -> None:
     host = build(gateways=1)
     for _ in range(2):
         sent(host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0)))
-    assert port.StartAttempt not in kinds(
+    assert messages.StartAttempt not in kinds(
         host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0))
     )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,7 +17,7 @@
 from ternlane.http1 import Caller, Pool
 from ternlane.config import ConsulSource, NodeLine
 from ternlane.config.gateway import ServerLimits
-from ternlane.port import AttemptOutcome
+from ternlane.policy.messages import AttemptOutcome
 from ternlane.standin.registry import EndpointList, Registry
 from ternlane.standin.scripted import Scripted
 from ternlane.standin.traffic import Traffic
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -17,7 +17,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from ternlane.port import EndpointStatus
+from ternlane.policy.messages import EndpointStatus
 from tests.crossing import Client, Turnstile, client_request, until
 from tests.platform_world import TOLD, Platform, platform
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, Lease, ReleaseSchedule
-from ternlane.port import Effect, ReleaseReason, AttemptOutcome
+from ternlane.policy.messages import Effect, ReleaseReason, AttemptOutcome
 from tests.conftest import FACTS, FakeHost, build, kinds, sent
 
 GUARD_MS = (1 - RELEASE_RESERVE) * FACTS.release_ms
@@ -85,7 +85,7 @@
 
 
 def released(said: list[Any]) -> list[ReleaseReason]:
-    return [action.why for action in said if isinstance(action, port.Release)]
+    return [action.why for action in said if isinstance(action, messages.Release)]
 
 
 @pytest.mark.parametrize("effect", list(Effect))
@@ -94,7 +94,7 @@
     host.written(effect)
     assert host.tell(after=GUARD_MS - 1) == []
     said = host.tell(after=1)
-    assert kinds(said) == [port.Release] and released(said) == [ReleaseReason.UNCONFIRMED]
+    assert kinds(said) == [messages.Release] and released(said) == [ReleaseReason.UNCONFIRMED]
     assert host.tell(after=100) == []
 
 
@@ -110,10 +110,10 @@
     request, attempt = host.written()
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=GUARD_MS / 2)
     attempt = sent(said)
-    assert attempt.server.role is port.Role.DECODE and not released(said)  # another may still take it
+    assert attempt.server.role is messages.Role.DECODE and not released(said)  # another may still take it
     assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=50.0)  # nobody has heard the release
-    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is port.Role.PREFILL
+    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is messages.Role.PREFILL
 
 
 def test_a_state_that_survives_a_heard_release_is_handed_on() -> None:
@@ -121,9 +121,9 @@
     host = platform_like("w2")
     request, attempt = host.written()
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
-    host.tell(port.ReleaseConfirmed(request))
+    host.tell(messages.ReleaseConfirmed(request))
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
-    assert sent(said).server.role is port.Role.DECODE and not released(said)
+    assert sent(said).server.role is messages.Role.DECODE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
 
 
@@ -131,7 +131,7 @@
     host = platform_like(max_attempts=3)
     request, attempt = host.written()
     said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
-    assert kinds(said) == [port.Release, port.Reject] and said[-1].why is port.RejectReason.ATTEMPTS_SPENT
+    assert kinds(said) == [messages.Release, messages.Reject] and said[-1].why is messages.RejectReason.ATTEMPTS_SPENT
 
 
 def test_nothing_is_released_while_a_prefill_is_out() -> None:
@@ -146,21 +146,21 @@
 
 def test_what_an_unheard_prefill_may_leave_is_released_again_while_its_request_queues() -> None:
     host = platform_like()
-    host.list(r0=port.EndpointStatus.DRAINING)
+    host.list(r0=messages.EndpointStatus.DRAINING)
     large = sent(host.arrive(host.request(prompt_tokens=190e3, prefix=None)))
-    host.list(r0=port.EndpointStatus.READY)
+    host.list(r0=messages.EndpointStatus.READY)
     request = host.request(prefix=None)
     first = sent(host.arrive(request))
     assert first.server is not large.server
     said = host.end(request, first.server, AttemptOutcome.RESET)
-    assert kinds(said) == [port.Release]  # no prefill server has room
+    assert kinds(said) == [messages.Release]  # no prefill server has room
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
     host = platform_like(may_cancel=False)
     request, _ = host.written(Effect.SIDE_EFFECTING)
-    host.tell(port.ClientDisconnected(request))
+    host.tell(messages.ClientDisconnected(request))
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,11 +8,11 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.deployment import Deployment
 from ternlane.platform.protocol import load_of, outcome_of
 from ternlane.platform.endpoint_registry import EndpointRegistry, read_listing
-from ternlane.port import Role, AttemptOutcome
+from ternlane.policy.messages import Role, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
 from ternlane.wirehost.host import Instance
@@ -54,11 +54,11 @@
     for name in ("zone", "cell", "duty", "mem_toks", "size", "started_ms", "life", "mark"):
         assert getattr(mine, name) == getattr(theirs, name), name
     by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
-    assert isinstance(by_wire, port.RequestArrived)
+    assert isinstance(by_wire, messages.RequestArrived)
     by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
     for name in ("session", "opening", "opening_toks", "prompt_toks", "max_toks", "patience_ms", "tenant"):
         assert getattr(by_wire.request, name) == getattr(by_socket, name), name
-    assert load_of("inflight=7,x0=0.5", Deployment(7, TOLD)) == wire.report("7,0.5") == port.Report(7.0, 0.5)
+    assert load_of("inflight=7,x0=0.5", Deployment(7, TOLD)) == wire.report("7,0.5") == messages.Report(7.0, 0.5)
     assert WireHost().answer(["MARK 1.0"]) == ["YIELD"]
 
 
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -17,7 +17,7 @@
 import pytest
 import trio
 
-from ternlane.choice import FEW
+from ternlane.policy.router import FEW
 from ternlane.platform import process as process_module
 from ternlane.platform.node import TRAILS
 from tests.platform_world import BODY, HEAD, TOLD, Platform, always, once, platform, until_ready
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from ternlane.port import EndpointStatus
+from ternlane.policy.messages import EndpointStatus
 from ternlane.standin.platform import Discovery
 from tests.platform_world import platform
 
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.http1 import Unconnected
 from ternlane.platform.protocol import Events
 from ternlane.standin.platform import DONE, EVENT
@@ -29,16 +29,16 @@
     def __init__(self) -> None:
         self.heard = 0
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
-        self.heard += sum(isinstance(e, port.TimerFired) for e in events)
-        return [port.StartTimer(now + 5, True)]
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
+        self.heard += sum(isinstance(e, messages.TimerFired) for e in events)
+        return [messages.StartTimer(now + 5, True)]
 
 
 class Quiet(Turns[Any]):
-    def carry_further(self, action: port.Action) -> None:
+    def carry_further(self, action: messages.Action) -> None:
         raise AssertionError(action)
 
-    def send(self, active_request: Any, server: port.Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: Any, server: messages.Server, times: messages.StartAttempt) -> None:
         raise AssertionError(times)
 
     def settle(self, active_request: Any, final: Any) -> None:
@@ -52,7 +52,7 @@
     chooser = Beats()
     turns = Quiet(chooser)
     nursery.start_soon(turns.clock)
-    turns.tell(port.EndpointListFailed())
+    turns.tell(messages.EndpointListFailed())
     with trio.fail_after(2):
         while chooser.heard < 5:
             await trio.sleep(0.005)
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -18,7 +18,7 @@
 from tests.test_transports import REQUEST, Local, config
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 from ternlane.config import FleetConfig, StreamConfig
-from ternlane.port import Effect
+from ternlane.policy.messages import Effect
 from ternlane.embed import open_routing
 from ternlane.engine import Kept, AttemptRequest, LocalTransport
 from ternlane.recover import Differs, Join, Pace, Rhythm, Shelf, Way, way_of
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,14 +9,14 @@
 import trio
 
 from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
 from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import Host
 from ternlane.gateway.door import StreamOutlet
 from ternlane.gateway.active_request import Final, Streamed, ActiveRequest
 from ternlane.http1 import event_bytes
-from ternlane.port import EndpointStatus, Server, AttemptOutcome
+from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.recover import Join
 from ternlane.rules import Findings, check
 from ternlane.standin.clients import Clients, Habits, Talk
@@ -89,11 +89,11 @@
 class Twice(Host):
     """Rule 2: begins a second leg of each generation beside the first."""
 
-    def send(self, active_request: ActiveRequest, server: Server, times: port.StartAttempt) -> None:
+    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         super().send(active_request, server, times)
         plan = active_request.attempt
-        if plan is not None and server.role is port.Role.PREFILL:
-            others = [s for s in self.book.servers.values() if s.role is port.Role.PREFILL and s is not server]
+        if plan is not None and server.role is messages.Role.PREFILL:
+            others = [s for s in self.book.servers.values() if s.role is messages.Role.PREFILL and s is not server]
             place = self.book.places[others[0]]
             again = AttemptPlan(place.address, [], b"", 400, 400)
             self.nursery.start_soon(
@@ -116,8 +116,8 @@
 class Undrained(Host):
     """Rule 3: does not pass on that a server drains."""
 
-    def tell(self, event: port.Event) -> None:
-        if isinstance(event, port.EndpointsUpdated):
+    def tell(self, event: messages.Event) -> None:
+        if isinstance(event, messages.EndpointsUpdated):
             for server in event.servers:
                 server.status = EndpointStatus.READY
         super().tell(event)
@@ -126,8 +126,8 @@
 class Careless(Host):
     """Rule 4: takes every server for warm."""
 
-    def tell(self, event: port.Event) -> None:
-        if isinstance(event, port.EndpointsUpdated):
+    def tell(self, event: messages.Event) -> None:
+        if isinstance(event, messages.EndpointsUpdated):
             for server in event.servers:
                 server.started_ms = 0.0
         super().tell(event)
@@ -165,7 +165,7 @@
 
     how = "twice"
 
-    def join_for(self, raw: dict[str, Any], request: port.Request) -> Join:
+    def join_for(self, raw: dict[str, Any], request: messages.Request) -> Join:
         it = super().join_for(raw, request)
         wrong = Wrongly(it.way, it.why, it.shelf, it.max_tokens)
         wrong.how = self.how
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -23,7 +23,7 @@
 import trio.testing
 
 import ternlane
-from ternlane import port
+from ternlane.policy import messages
 from tests.world import BUILD, heard, patient, replace
 from tests.world import TERMS as SHORT_TERMS
 from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
@@ -193,7 +193,7 @@
         super().__init__(facts)
         self.notes, self.start = notes, -1.0
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
         actions = super().take(now, events)
         self.start = now if self.start < 0 else self.start
         self.notes.append(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import Router
+from ternlane.policy import messages
+from ternlane.policy.router import Router
 from ternlane.deployment import Deployment
-from ternlane.port import StartFacts, AttemptOutcome
+from ternlane.policy.messages import StartFacts, AttemptOutcome
 from tests.conftest import FakeHost, build, sent
 from tests.platform_world import TOLD
 
@@ -102,7 +102,7 @@
         request, attempt = host.written(prefix=None, prefix_tokens=0.0)
         host.first(request, attempt.server, after=20.0)
     host.tell(after=2000.0)
-    assert sent(host.arrive(host.request())).server.role is port.Role.PREFILL
+    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def prefill_servers(host: FakeHost, count: int) -> set[str]:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,9 +18,9 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import Router
-from ternlane.port import Role, Effect, Request, Group, RequestClass, Server, AttemptOutcome
+from ternlane.policy import messages
+from ternlane.policy.router import Router
+from ternlane.policy.messages import Role, Effect, Request, Group, RequestClass, Server, AttemptOutcome
 from tests.conftest import FACTS
 
 READ_TOKENS_PER_MS, TOKEN_MS, MEMORY_TOKENS = 8.0, 12.0, 60e3
@@ -77,19 +77,19 @@
                 ]
             )
             self.routers.append(Router(facts))
-            self.tell(nth, port.EndpointsUpdated(tuple(self.servers[nth])))
+            self.tell(nth, messages.EndpointsUpdated(tuple(self.servers[nth])))
 
     def at(self, when: float, nth: int, event: Any) -> None:
         heapq.heappush(self.due, (when, next(self.order), nth, event))
 
-    def tell(self, nth: int, event: port.Event) -> None:
+    def tell(self, nth: int, event: messages.Event) -> None:
         for action in self.routers[nth].take(self.now, [event]):
             match action:
-                case port.StartTimer(at, beat):
-                    self.at(at, nth, port.TimerFired(beat))
-                case port.StartAttempt(request, server, timeout):
+                case messages.StartTimer(at, beat):
+                    self.at(at, nth, messages.TimerFired(beat))
+                case messages.StartAttempt(request, server, timeout):
                     self.attempt(nth, request, server, timeout)
-                case port.Reject(request) | port.Fail(request):
+                case messages.Reject(request) | messages.Fail(request):
                     self.of[request].rejected = True
 
     def attempt(self, nth: int, request: Request, server: Server, timeout: float) -> None:
@@ -99,18 +99,18 @@
             self.busy_until[place] = done
             outcome = AttemptOutcome.PREFILLED if done <= self.now + timeout else AttemptOutcome.TIMED_OUT
             took = min(done - self.now, timeout)
-            self.at(self.now + took, nth, port.AttemptEnded(request, server, outcome, took, False))
+            self.at(self.now + took, nth, messages.AttemptEnded(request, server, outcome, took, False))
             return
         tokens = request.prompt_tokens + request.max_tokens
         if self.held[place] + tokens > MEMORY_TOKENS:
-            self.at(self.now + 1, nth, port.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 1.0, False))
+            self.at(self.now + 1, nth, messages.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 1.0, False))
             return
         self.held[place] += tokens
-        self.at(since + 50, nth, port.FirstToken(request, server, 50.0))
+        self.at(since + 50, nth, messages.FirstToken(request, server, 50.0))
         self.at(
             since + 50 + TOKEN_MS * request.max_tokens / 4,
             nth,
-            (place, tokens, port.AttemptEnded(request, server, AttemptOutcome.STREAMED, 50.0, True)),
+            (place, tokens, messages.AttemptEnded(request, server, AttemptOutcome.STREAMED, 50.0, True)),
         )
 
     def arrivals(self) -> None:
@@ -138,7 +138,7 @@
             if isinstance(event, ClientRequest):
                 self.requests.append(event)
                 self.of[event.request] = event
-                self.tell(nth, port.RequestArrived(event.request))
+                self.tell(nth, messages.RequestArrived(event.request))
             elif isinstance(event, tuple):
                 place, tokens, ended = event
                 self.held[place] -= tokens
@@ -186,7 +186,7 @@
     request_class = fleet.request_classes["chat"]
     first = Request(request_class, "a", None, 0.0, 800.0, 400.0, 7000.0)
     fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
-    fleet.tell(0, port.RequestArrived(first))
+    fleet.tell(0, messages.RequestArrived(first))
     home = fleet.routers[0].desk.homes["a"]  # type: ignore[attr-defined]
     fleet.held[fleet.servers[0].index(home.decode_server.server)] = MEMORY_TOKENS
     for _ in range(8):
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -7,10 +7,10 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.platform.process import ENDS_MS, LONGEST_MS
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
-from ternlane.port import Effect, RejectReason, ShutdownTimes, AttemptOutcome
+from ternlane.policy.messages import Effect, RejectReason, ShutdownTimes, AttemptOutcome
 from ternlane.standin.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.crossing import Client, client_request, until
@@ -45,7 +45,7 @@
 
 
 def finals(actions: list[Any]) -> list[Any]:
-    return [action for action in actions if isinstance(action, (port.Reject, port.Fail))]
+    return [action for action in actions if isinstance(action, (messages.Reject, messages.Fail))]
 
 
 def learn_short_streams(host: FakeHost, effect: Effect) -> None:
@@ -60,12 +60,12 @@
 def test_a_request_that_comes_late_in_a_shutdown_is_rejected_at_once_whatever_is_usual(effect: Effect) -> None:
     host = build()
     learn_short_streams(host, effect)
-    host.tell(port.ShutdownStarted(TIMES))
+    host.tell(messages.ShutdownStarted(TIMES))
     early = host.request(effect)
-    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.StartAttempt]
+    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [messages.StartAttempt]
     late = host.request(effect)
     said = host.arrive(late, after=20.0)
-    assert [type(action) for action in said if action.request is late] == [port.Reject]
+    assert [type(action) for action in said if action.request is late] == [messages.Reject]
     assert said[-1].why is RejectReason.SHUTDOWN and said[-1].pause_ms > 0
     assert late not in host.router.desk.unanswered
 
@@ -75,21 +75,21 @@
     """Each attempt has ended before its request is answered: only then it shows whether it may have run."""
     host = build()
     learn_short_streams(host, effect)
-    host.tell(port.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    host.tell(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
     streamed, stream = host.written(effect, client_timeout_ms=9000.0)
     host.first(streamed, stream.server)
     decoded, decode = host.written(effect, client_timeout_ms=9000.0)
     read = host.request(effect, client_timeout_ms=9000.0)
     prefill = sent(host.arrive(read))
     said = host.tell(after=300.0)
-    cancelled = {action.request for action in said if isinstance(action, port.CancelAttempt)}
+    cancelled = {action.request for action in said if isinstance(action, messages.CancelAttempt)}
     assert cancelled == {decoded, read} and not finals(said)  # the client of the third has a part of it
     after_prefill = finals(host.end(read, prefill.server, AttemptOutcome.CANCELLED, after=1.0))
-    assert kinds(after_prefill) == [port.Reject]  # a prefill has no effect, however it ends
+    assert kinds(after_prefill) == [messages.Reject]  # a prefill has no effect, however it ends
     said = host.end(decoded, decode.server, AttemptOutcome.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [port.Reject if harmless else port.Fail]
-    assert port.Release in kinds(said) and not host.router.desk.unanswered
+    assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail]
+    assert messages.Release in kinds(said) and not host.router.desk.unanswered
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -97,31 +97,31 @@
     """Of an attempt that is out nothing is known, so what may run only once is failed."""
     host = build(may_cancel=False)
     learn_short_streams(host, effect)
-    host.tell(port.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    host.tell(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
     requests = [host.request(effect, client_timeout_ms=9000.0), host.written(effect, client_timeout_ms=9000.0)[0]]
     host.arrive(requests[0])
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [port.Reject if harmless else port.Fail] * 2
-    assert port.CancelAttempt not in kinds(said) and not host.router.desk.unanswered
+    assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail] * 2
+    assert messages.CancelAttempt not in kinds(said) and not host.router.desk.unanswered
 
 
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
     for name in ("r0", "r1"):
-        host.list(**{name: port.EndpointStatus.DRAINING})
+        host.list(**{name: messages.EndpointStatus.DRAINING})
     waiting = host.request(client_timeout_ms=9000.0)
     host.router.desk.served = lambda course: True  # type: ignore[method-assign]
     host.arrive(waiting)
-    host.tell(port.ShutdownStarted(TIMES))
+    host.tell(messages.ShutdownStarted(TIMES))
     said = host.tell(after=TIMES.answers_ms)
-    assert [type(action) for action in said] == [port.Reject] and not host.router.desk.unanswered
+    assert [type(action) for action in said] == [messages.Reject] and not host.router.desk.unanswered
 
 
 def test_nothing_is_kept_of_requests_that_are_over(host: FakeHost) -> None:
     streamed, attempt = host.written()
     host.first(streamed, attempt.server)
     left, _ = host.written()
-    host.tell(port.ClientDisconnected(left))
+    host.tell(messages.ClientDisconnected(left))
     whole, attempt = host.written()
     host.end(
         whole, attempt.server, AttemptOutcome.STREAMED, over=True
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -15,7 +15,8 @@
 import pytest
 import trio
 
-from ternlane import ConfigError, open_routing, port
+from ternlane import ConfigError, open_routing
+from ternlane.policy import messages
 from ternlane.chat import Wrong
 from ternlane.engine import SocketTransport
 from ternlane.engine.protocol import load_told
@@ -184,16 +185,21 @@
 
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
-    assert host.tell(port.ConfigChanged(replace(FACTS, max_attempts=1))) == []
-    assert kinds(host.end(request, attempt.server, port.AttemptOutcome.OVERLOADED)) == [port.Reject, port.Release]
+    assert host.tell(messages.ConfigChanged(replace(FACTS, max_attempts=1))) == []
+    assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
+        messages.Reject,
+        messages.Release,
+    ]
 
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
     request, attempt = host.written(session="s")
     home = request.seat.prefill_server.server
     host.first(request, attempt.server)
-    host.end(request, attempt.server, port.AttemptOutcome.STREAMED, over=True)
-    host.tell(port.ConfigChanged(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False)))
+    host.end(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
+    host.tell(
+        messages.ConfigChanged(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False))
+    )
     assert sent(host.arrive(host.request(session="s"))).server is home
 
 
@@ -201,17 +207,17 @@
     host = build(may_probe=True, told_if_asked=True)
     request = host.request()
     asked = [a.server for a in host.arrive(request)]
-    assert len(asked) == 2 and all(server.role is port.Role.PREFILL for server in asked)
+    assert len(asked) == 2 and all(server.role is messages.Role.PREFILL for server in asked)
     busy, idle = asked
-    assert host.tell(port.ProbeResult(busy, port.AttemptOutcome.STREAMED, port.Report(30.0, 0.99))) == []
-    said = host.tell(port.ProbeResult(idle, port.AttemptOutcome.STREAMED, port.Report(0.0, 0.05)))
-    attempt = next(a for a in said if isinstance(a, port.StartAttempt))
+    assert host.tell(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
+    said = host.tell(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
+    attempt = next(a for a in said if isinstance(a, messages.StartAttempt))
     assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
     assert sent(build().arrive(request)).timeout_ms == 1000.0
     late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
-    assert port.Probe in kinds(said) and port.StartAttempt not in kinds(said)
-    assert port.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
+    assert messages.Probe in kinds(said) and messages.StartAttempt not in kinds(said)
+    assert messages.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
 
 
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
@@ -220,7 +226,7 @@
     request = host.request(client_timeout_ms=patience)
     said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
-    while not any(isinstance(a, (port.StartAttempt, port.Reject)) for a in said):
+    while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
     assert answered <= request.seat.deadline - 0.5 * patience
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -30,7 +30,7 @@
 from ternlane.http1 import Exchange, Pool
 from ternlane.config import GatewayConfig, NodeLine, ConfigError, read_text
 from ternlane.config.gateway import InlineSource
-from ternlane.port import AttemptOutcome
+from ternlane.policy.messages import AttemptOutcome
 from ternlane.standin.engine import Engine
 
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -15,14 +15,14 @@
 from tests.test_chat import ask
 from tests.test_tenants import NOON, FakeDisk, tenant
 from tests.world import BUILD, TERMS, heard, replace, world
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.chat import Intake
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.ledger.store import Store
 from ternlane.nodes import follow_file
 from ternlane.config import FileSource, NodeLine
 from ternlane.config.gateway import ServerLimits
-from ternlane.port import Effect, Group, RequestClass
+from ternlane.policy.messages import Effect, Group, RequestClass
 from ternlane.tenants import Cashier, Hold, Lender
 from ternlane.tenants.billing import Billed, Used
 
@@ -216,15 +216,15 @@
     class Holds(Router):
         """The decisions, with a place held at the home writer beside each read."""
 
-        def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
+        def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
             out = super().take(now, events)
             for action in list(out):
-                if isinstance(action, port.StartAttempt) and action.server.role is port.Role.PREFILL:
-                    out.append(port.Reserve(action.request, action.request.seat.decode_server.server))
-            told.extend(e for e in events if isinstance(e, port.ReservationResult))
+                if isinstance(action, messages.StartAttempt) and action.server.role is messages.Role.PREFILL:
+                    out.append(messages.Reserve(action.request, action.request.seat.decode_server.server))
+            told.extend(e for e in events if isinstance(e, messages.ReservationResult))
             return out
 
-    told: list[port.ReservationResult] = []
+    told: list[messages.ReservationResult] = []
     terms = msgspec.structs.replace(TERMS, holds=True)
     async with world(("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=Holds, terms=terms) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -19,7 +19,7 @@
 from ternlane.platform import process
 from ternlane.platform.protocol import NAME_CHARS
 from ternlane.platform.settings import Limits
-from ternlane.port import Role, Effect
+from ternlane.policy.messages import Role, Effect
 from ternlane.standin.platform import Gate
 from tests.crossing import Client, request, until
 from tests.platform_world import Platform, always, platform
@@ -205,7 +205,7 @@
 # -- where constants come from
 
 ROOT = Path(__file__).parent.parent
-CHECKED = ["platform", "http1", "policy", "turns.py", "deployment.py", "choice.py"]
+CHECKED = ["platform", "http1", "policy", "turns.py", "deployment.py", "notes.py"]
 
 
 def test_the_page_says_of_every_constant_where_it_comes_from() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.gateway import Gateway, Host, open_gateway
 from ternlane.http1 import Caller, EventReader, Pool
 from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
