--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize(
-    "steps, verdict, begun",
+    "steps, outcome, begun",
     [
         ([HEAD, chunked(PIECE), b"40\r\ndata: {", "reset"], AttemptOutcome.RESET, True),
         ([HEAD, chunked(PIECE), "close"], AttemptOutcome.RESET, True),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "verdict, renewed",
+    "outcome, renewed",
     [
         (AttemptOutcome.OVERLOADED, True),  # a running server has answered
         (AttemptOutcome.ERROR, True),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, vouched, duty, verdict, lost",
+    "status, vouched, role, outcome, lost",
     [
         (200, False, Role.DECODE, None, False),
         (202, False, Role.PREFILL, AttemptOutcome.PREFILLED, False),
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,7 +17,7 @@
 import trio
 
 from ternlane.standin.platform import DONE, EVENT, Gate
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, always, platform, until_ready
 from tests.test_platform_bounds import running
 
@@ -86,11 +86,11 @@
     async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
         long_streams(p)
         streaming, refused = Client(p.address), Client(p.address)
-        streaming.send(request(p))
+        streaming.send(client_request(p))
         await streaming.read_until(lambda got: got.find(EVENT))
         gateway.tell()
         await gateway.until(0.1)
-        refused.send(request(p, Request_Timeout="0.05"))
+        refused.send(client_request(p, Request_Timeout="0.05"))
         assert (await refused.answer()).startswith(b"HTTP/1.1 503 ")
         await gateway.kill()
         began, closed, unfinished = map(gateway.lines, ("draining", "closed", "unfinished before the end"))
@@ -104,7 +104,7 @@
 async def test_the_reason_of_every_close_of_a_connection_is_counted() -> None:
     async with platform("r0", "w0") as p:
         served, left, bad, idle = (Client(p.address) for _ in range(4))
-        served.send(request(p))
+        served.send(client_request(p))
         assert (await served.answer()).startswith(b"HTTP/1.1 200 ")
         bad.send(b"nonsense\r\n\r\n")
         assert (await bad.rest()).startswith(b"HTTP/1.1 400 ")
@@ -119,7 +119,7 @@
 
 def late_client(p: Platform, name: str, timeout_s: float = 9.0) -> tuple[Client, bytes]:
     """A client that has written all but the end of its request, and that end."""
-    data = request(p, Request_Class=name, Request_Timeout=str(timeout_s))
+    data = client_request(p, Request_Class=name, Request_Timeout=str(timeout_s))
     client = Client(p.address)
     client.send(data[:-9])
     return client, data[-9:]
@@ -165,7 +165,7 @@
     async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p, serving(p, tmp_path) as gateway:
         clients = {name: Client(p.address) for name in CLASSES}
         for name, client in clients.items():
-            client.send(request(p, Request_Class=name, Request_Timeout="9"))
+            client.send(client_request(p, Request_Class=name, Request_Timeout="9"))
         await until(lambda: p.fleet.count("write") == len(CLASSES))
         gateway.tell()
         await gateway.kill()
@@ -181,7 +181,7 @@
     async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
         p.servers["w0"].events, p.servers["w0"].event_ms = 110, 30.0
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await client.read_until(lambda got: got.find(EVENT))
         gateway.tell()
         assert (await client.rest()).endswith(b"\r\n0\r\n\r\n")
@@ -194,10 +194,10 @@
     async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
         clients = [Client(p.address) for _ in CLASSES]
         for client in clients:
-            client.send(request(p))
+            client.send(client_request(p))
             assert whole(await client.answer())
         await trio.sleep(0.1)  # they rest
-        halves = [request(p, Request_Timeout="9") for _ in clients]
+        halves = [client_request(p, Request_Timeout="9") for _ in clients]
         for client, data in zip(clients, halves):
             client.send(data[:40])
         await trio.sleep(0.1)
@@ -227,7 +227,7 @@
                     except ConnectionRefusedError:
                         await trio.sleep(0.01)
             for name, client in zip(CLASSES, clients):
-                client.send(request(p, Request_Class=name, Request_Timeout="9"))
+                client.send(client_request(p, Request_Class=name, Request_Timeout="9"))
             gateway.tell()
             await gateway.kill()
             answers = [await client.rest() for client in clients]
@@ -265,9 +265,9 @@
 
         async def ask_again() -> None:
             client = Client(p.address)
-            client.send(request(p))
+            client.send(client_request(p))
             assert whole(await client.answer())
-            again = request(p, Request_Timeout="9")
+            again = client_request(p, Request_Timeout="9")
             ident = f"{p.count:016x}"
             with suppress(OSError):
                 client.send(again)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,7 +15,7 @@
 from ternlane.http1 import caller as caller_module
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process as process_module
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform, until_ready
 from tests.test_platform_bounds import running
 from tests.world import world
@@ -77,7 +77,7 @@
         p.gateway.accepting.cancel()
         await trio.testing.wait_all_tasks_blocked()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         failing = FailingAccept(monkeypatch, p.address, [number])
         await p.gateway.front.accept_the_rest(p.gateway.listener, p.nursery, 300.0)
         assert not failing.numbers
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -12,7 +12,7 @@
 import trio
 
 from ternlane.standin.platform import Gate
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.test_crossings_servers import HeldConnects, told
 from tests.platform_world import TOLD, Platform, once, platform
 
@@ -50,7 +50,7 @@
             held.after(p, role)
         else:
             held.address = p.servers["w0" if role == "write" else "r0"].address
-        client.send(request(p))
+        client.send(client_request(p))
         await held.gate.reached.wait()
         before = p.fleet.count(role)
         client.leave(how)
@@ -66,7 +66,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers["r0"].gates["request"] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         gate.open()
         client.leave(how)
@@ -103,7 +103,7 @@
         client = Client(p.address)
         await until(lambda: p.gateway.front.idle)
         await trio.sleep(0.6)  # the decisions' looks have begun
-        client.send(request(p, Request_Timeout="1.5"))
+        client.send(client_request(p, Request_Timeout="1.5"))
         sent_at = trio.current_time()
         stand_still()
         await check_told(p, sent_at, 1.5, attempts=2, lag_s=LATE_S)
@@ -117,7 +117,7 @@
     async with platform("r0", "w0", told=unhurried(connect_timeout=1000.0) | lasting) as p:
         held = HeldConnects(monkeypatch, p.servers[name].address)
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="1.5"))
+        client.send(client_request(p, Request_Timeout="1.5"))
         sent_at = trio.current_time()
 
         async def come_up_late() -> None:
@@ -138,7 +138,7 @@
         for name in ("r0", "r1"):
             p.servers[name].read_ms = 1000 * LATE_S
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="2.0"))
+        client.send(client_request(p, Request_Timeout="2.0"))
         await check_told(p, trio.current_time(), 2.0, attempts=3)
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
@@ -146,7 +146,7 @@
 
 async def test_the_time_of_a_slow_client_counts_from_its_last_byte() -> None:
     async with platform("r0", "w0", told=unhurried()) as p:
-        client, whole = Client(p.address), request(p, Request_Timeout="1.5")
+        client, whole = Client(p.address), client_request(p, Request_Timeout="1.5")
         client.send(whole[:40])
         await trio.sleep(LATE_S)
         client.send(whole[40:])
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -21,7 +21,7 @@
 from ternlane.platform.settings import Limits
 from ternlane.policy.messages import Role, Effect
 from ternlane.standin.platform import Gate
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, always, platform
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
@@ -162,7 +162,7 @@
     profiles = [told["profiles"][0] | {"name": name}]
     async with platform("r0", "w0", told=told | {"profiles": profiles}) as p:
         client = Client(p.address)
-        client.send(request(p, Request_Class="@@").replace(b"@@", raw))
+        client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
         assert NAME_CHARS < 900
@@ -177,7 +177,7 @@
         assert (await p.ask(Request_Class=name)).status == 200
         gate = p.servers["w0"].gates["request"] = Gate()
         client = Client(p.address)
-        client.send(request(p, Request_Class=name))
+        client.send(client_request(p, Request_Class=name))
         await gate.reached.wait()
         mine = set(node.deployment.request_classes.values())
         await switch(p, other)
