--- a/bench/library.py
+++ b/bench/library.py
@@ -102,12 +102,12 @@
 def decisions_alone(rounds: int) -> list[float]:
     """The same four events fed by hand: what choosing costs without any loop."""
     from ternlane import port
-    from ternlane.gateway.facts import offer_of
+    from ternlane.gateway.router_config import offer_of
     from ternlane.nodes import Book
 
     it = config()
     offer = offer_of(it)
-    router, book, took = ternlane.Router(offer.facts), Book(), []
+    router, book, took = ternlane.Router(offer.router_config), Book(), []
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -107,7 +107,7 @@
         rhythm = Rhythm(alarms)
         rhythm.tokens = TOKENS
         rhythm.resumed(RESUME_MS)
-        return (lambda server, seen: rhythm.quiet_ms(server) or 1000.0), rhythm
+        return (lambda server, seen: rhythm.idle_timeout_ms(server) or 1000.0), rhythm
 
     def unlikely(alarms: float) -> tuple[Rule, Rhythm | None]:
         rule, rhythm = learnt(alarms)
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -6,7 +6,7 @@
 request_class = ternlane.RequestClass(
     ternlane.Effect.IDEMPOTENT, ternlane.Group.ALL, 0.0, 500.0, 40.0, 60.0, 5000.0, 3.0, 0.1
 )
-facts = ternlane.StartFacts(
+router_config = ternlane.RouterConfig(
     seed=1,
     gateways=1,
     zone="hall",
@@ -15,30 +15,30 @@
     may_cancel=True,
     may_reserve=False,
     may_probe=False,
-    may_advise=True,
-    must_ask=False,
+    may_send_retry_after=True,
+    must_subscribe=False,
     ask_within_ms=0.0,
     decode_servers_prefill=False,
     reports_mem=False,
-    longest_pause_ms=500.0,
+    max_retry_after_ms=500.0,
     connect_ms=250.0,
     idle_ms=30e3,
     release_ms=500.0,
     drain_grace_ms=250.0,
-    cold_ms=10e3,
-    cold_from=0.3,
+    slow_start_ms=10e3,
+    slow_start_share=0.3,
     fall_multiple=3.0,
     fall_ms=2000.0,
     step_ms=1.0,
 )
 names = {
-    ternlane.Server("hall", cell, role, 200e3, mark=mark): f"{role.name.lower()}-{cell}"
-    for mark, (cell, role) in enumerate(
+    ternlane.Server("hall", cell, role, 200e3, hash_key=hash_key): f"{role.name.lower()}-{cell}"
+    for hash_key, (cell, role) in enumerate(
         ((0, ternlane.Role.PREFILL), (0, ternlane.Role.DECODE), (1, ternlane.Role.PREFILL), (1, ternlane.Role.DECODE)),
         start=7,
     )
 }
-router = ternlane.Router(facts)
+router = ternlane.Router(router_config)
 router.take(0.0, [messages.EndpointsUpdated(tuple(names))])
 request = ternlane.Request(request_class, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -19,7 +19,7 @@
 
 _PLACES = {
     "Router": "policy.router",
-    "StartFacts": "policy.messages",
+    "RouterConfig": "policy.messages",
     "RequestClass": "policy.messages",
     "Server": "policy.messages",
     "Request": "policy.messages",
@@ -115,7 +115,7 @@
     from ternlane.policy.messages import RequestClass as RequestClass
     from ternlane.policy.messages import Report as Report
     from ternlane.policy.messages import Server as Server
-    from ternlane.policy.messages import StartFacts as StartFacts
+    from ternlane.policy.messages import RouterConfig as RouterConfig
     from ternlane.policy.messages import AttemptOutcome as AttemptOutcome
 
 
--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -86,12 +86,12 @@
         base_url: str,
         api_key: str | None = None,
         retries: int = 2,
-        longest_pause_ms: float = 30e3,
+        max_retry_after_ms: float = 30e3,
         timeout_s: float = 600.0,
     ) -> None:
         headers = {"authorization": f"Bearer {api_key}"} if api_key else {}
         self.http = httpx.Client(base_url=base_url.rstrip("/"), headers=headers, timeout=timeout_s)
-        self.retries, self.longest_pause_ms = retries, longest_pause_ms
+        self.retries, self.max_retry_after_ms = retries, max_retry_after_ms
 
     def __enter__(self) -> Client:
         return self
@@ -132,7 +132,7 @@
             harmless = isinstance(error, Rejected) or (isinstance(error, Unconnected) and not error.may_have_run)
             if (
                 attempt == self.retries
-                or pause > self.longest_pause_ms
+                or pause > self.max_retry_after_ms
                 or not (harmless or (idempotent and error.may_have_run))
             ):
                 raise error
--- a/ternlane/config/gateway.py
+++ b/ternlane/config/gateway.py
@@ -33,8 +33,8 @@
     slo_per_1000_tokens_ms: NotNegative = 0.0
     token_slo_ms: Positive = 80.0
     deadline_ms: Positive
-    revenue: NotNegative = 1.0
-    late_share: Part = 0.0
+    priority_weight: NotNegative = 1.0
+    late_value_share: Part = 0.0
     max_tokens: Count = 1024  # of an answer whose request names no maximum
 
     def __post_init__(self) -> None:
@@ -50,11 +50,11 @@
     idle_ms: Positive = 30e3
     release_ms: Positive = 500.0
     drain_grace_ms: NotNegative = 250.0
-    cold_ms: NotNegative = 10e3
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25
+    slow_start_ms: NotNegative = 10e3
+    slow_start_share: Annotated[float, Meta(gt=0, le=1)] = 0.25
     fall_multiple: Positive = 2.5
     fall_ms: Positive = 1000.0
-    longest_pause_ms: NotNegative = 1000.0
+    max_retry_after_ms: NotNegative = 1000.0
     reports_mem: bool = True
     ask_load: bool = False  # engines tell their load when asked (GET /metrics), and in no answer
     may_cancel: bool = True
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -13,7 +13,7 @@
     Request,
     EndpointStatus,
     Server,
-    StartFacts,
+    RouterConfig,
     AttemptOutcome,
 )
 
@@ -21,8 +21,8 @@
 class RoundRobin:
     """Readers in turn, writers in turn; a further leg only where nothing ran or the generation is idempotent."""
 
-    def __init__(self, facts: StartFacts) -> None:
-        self.facts, self.turn = facts, count(facts.seed)
+    def __init__(self, router_config: RouterConfig) -> None:
+        self.router_config, self.turn = router_config, count(router_config.seed)
         self.servers: list[Server] = []
         self.attempts: dict[Request, int] = {}
         self.until: dict[Request, float] = {}
@@ -49,7 +49,7 @@
 
     def send(self, request: Request, now: float, roles: set[Role]) -> list[Action]:
         able = [s for s in self.servers if s.status is EndpointStatus.READY and s.role in roles]
-        if not able or self.attempts[request] >= self.facts.max_attempts or now >= self.until[request]:
+        if not able or self.attempts[request] >= self.router_config.max_attempts or now >= self.until[request]:
             final: Action = messages.Fail(request) if request in self.ran else messages.Reject(request, 0.0)
             return [final, messages.Release(request), *self.forget(request)]
         self.attempts[request] += 1
--- a/ternlane/days/play.py
+++ b/ternlane/days/play.py
@@ -68,9 +68,9 @@
                 "window_ms": p.window_ms,
                 "slo_ms": p.slo_ms,
                 "slo_per_ktok_ms": p.slo_per_1000_tokens_ms,
-                "revenue": p.revenue,
+                "revenue": p.priority_weight,
                 "limit_ms": p.deadline_ms,
-                "late_share": p.late_share,
+                "late_share": p.late_value_share,
             }
             for p in day.request_classes
         },
--- a/ternlane/days/report.py
+++ b/ternlane/days/report.py
@@ -46,7 +46,7 @@
         outcomes = Counter(t["outcome"] for t in mine)
         waits, in_time, late = [], 0, 0
         for task in mine:
-            owners[task.get("tenant", "")][1] += p.revenue
+            owners[task.get("tenant", "")][1] += p.priority_weight
             tries = asks[task["task"]]
             done = next((a for a in tries if finals.get(a["gen"], {}).get("outcome") == "streamed"), None)
             if done is None or done["gen"] not in firsts:
@@ -56,15 +56,17 @@
             slo = p.slo_ms + p.slo_per_1000_tokens_ms * done["toks"] / 1000
             in_time += wait <= slo
             late += wait > slo
-            owners[task.get("tenant", "")][0] += p.revenue if wait <= slo else p.revenue * p.late_share
-        earned = p.revenue * (in_time + p.late_share * late)
+            owners[task.get("tenant", "")][0] += (
+                p.priority_weight if wait <= slo else p.priority_weight * p.late_value_share
+            )
+        earned = p.priority_weight * (in_time + p.late_value_share * late)
         request_classes[name] = {
             "asked": len(mine),
             "outcomes": dict(outcomes),
             "in_time": in_time,
             "late": late,
             "earned": round(earned, 1),
-            "could_earn": round(p.revenue * len(mine), 1),
+            "could_earn": round(p.priority_weight * len(mine), 1),
             "first_token_ms": {q: round(quantile(waits, float(q)), 1) for q in ("0.5", "0.9", "0.99")},
         }
     could = sum(v["could_earn"] for v in request_classes.values())
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -11,7 +11,7 @@
 from typing import Any, Mapping
 from zlib import crc32
 
-from ternlane.policy.messages import Role, Effect, Request, Group, RequestClass, Report, Server, StartFacts, Tenant
+from ternlane.policy.messages import Role, Effect, Request, Group, RequestClass, Report, Server, RouterConfig, Tenant
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
@@ -69,13 +69,13 @@
                 slo_per_1000_tokens_ms=per_1000_tokens[i] / 1000.0 if i < len(per_1000_tokens) else 0.0,
                 token_slo_ms=token_slo[i] if i < len(token_slo) else 0.0,
                 deadline_ms=figure(f"limit_ms {of_class}", p, "deadline", None),
-                revenue=figure(f"revenue {of_class}", p, "worth", 1.0),
-                late_share=figure(f"late_share {of_class}", p, "late_worth", 0.0),
+                priority_weight=figure(f"revenue {of_class}", p, "worth", 1.0),
+                late_value_share=figure(f"late_share {of_class}", p, "late_worth", 0.0),
             )
             old = held.get(p["name"])
             self.request_classes[p["name"]] = old if old is not None and astuple(old) == astuple(new) else new
         self.tenants = {t["name"]: held_tenants.get(t["name"]) or Tenant() for t in told.get("tenants", [])}
-        self.facts = StartFacts(
+        self.router_config = RouterConfig(
             seed=seed,
             gateways=max(1, int(figure("gateways", told, "n_instances", 1))),
             zone=told.get("locality", ""),
@@ -84,22 +84,22 @@
             may_cancel=bool(limits.get("cancel")),
             may_reserve=self.holds_allowed,
             may_probe=self.probes_allowed,
-            may_advise=bool(limits.get("retry_after")),
-            must_ask=told.get("discovery") == "ask",
+            may_send_retry_after=bool(limits.get("retry_after")),
+            must_subscribe=told.get("discovery") == "ask",
             ask_within_ms=figure("ask_within_ms", rules, "ask_within", 0.0),
             decode_servers_prefill=bool(spec.get("read_in_place")),
             reports_mem="x0" in self.columns,
-            longest_pause_ms=figure("longest_pause_ms", limits, "max_retry_after", 0.0),
+            max_retry_after_ms=figure("longest_pause_ms", limits, "max_retry_after", 0.0),
             connect_ms=figure("connect_ms", limits, "connect_timeout", 0.0),
             idle_ms=figure("idle_ms", limits, "conn_idle", 0.0),
             release_ms=figure("release_ms", spec, "release", 0.0),
             drain_grace_ms=figure("drain_grace_ms", rules, "drain_grace", 0.0),
-            cold_ms=figure("cold_ms", rules, "cold", 0.0),
-            cold_from=figure("cold_from", rules, "cold_from", 1.0),
+            slow_start_ms=figure("cold_ms", rules, "cold", 0.0),
+            slow_start_share=figure("cold_from", rules, "cold_from", 1.0),
             fall_multiple=figure("fall_multiple", rules, "overload_factor", 1.0),
             fall_ms=figure("fall_ms", rules, "overload_for", 0.0),
             step_ms=figure("step_ms", told, "step", 1.0),
-            told_if_asked=how == "on_probe",
+            reports_on_probe=how == "on_probe",
             releases_spare_attempts=True,
         )
         for name, request_class in self.request_classes.items():
@@ -107,7 +107,9 @@
                 raise ValueError(f"settings: a figure of class {name!r} is no number, or negative")
 
     def server(self, ident: str, zone: str, kind: str, cell: int) -> Server:
-        return Server(zone, cell, self.role.get(kind, Role.BOTH), self.mem.get(kind, 0.0), mark=crc32(ident.encode()))
+        return Server(
+            zone, cell, self.role.get(kind, Role.BOTH), self.mem.get(kind, 0.0), hash_key=crc32(ident.encode())
+        )
 
     def report(self, said: Mapping[str, float]) -> Report | None:
         """A report by the names of its figures."""
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -22,14 +22,14 @@
 from ternlane.chat.beyond import More
 from ternlane.policy.router import Router
 from ternlane.engine import Transport
-from ternlane.gateway.facts import offer_of
+from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
 from ternlane.gateway.logs import library_log
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.active_request import Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
 from ternlane.config import GatewayConfig, InlineSource, NodeLine, checked
-from ternlane.policy.messages import StartFacts
+from ternlane.policy.messages import RouterConfig
 from ternlane.turns import Chooser, now_ms
 
 
@@ -93,14 +93,22 @@
         config: GatewayConfig,
         transport: Transport,
         nursery: trio.Nursery,
-        chooser: Callable[[StartFacts], Chooser],
+        chooser: Callable[[RouterConfig], Chooser],
         log: Any,
     ) -> None:
         self.config, self.count, self.offer, self.book = config, count(1), offer_of(config), Book()
-        self.facts = self.offer.facts
+        self.router_config = self.offer.router_config
         self.intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
         self.host = Host(
-            chooser(self.facts), self.facts, transport, self.book, self.intake, nursery, Measures(), log, config.streams
+            chooser(self.router_config),
+            self.router_config,
+            transport,
+            self.book,
+            self.intake,
+            nursery,
+            Measures(),
+            log,
+            config.streams,
         )
 
     def nodes(self, lines: list[NodeLine]) -> None:
@@ -114,7 +122,7 @@
         call; what was taken in keeps its product's terms. Raises PaperError, and then nothing has changed."""
         self.config = checked(config)
         self.offer = offer_of(self.config, self.offer.request_classes)
-        self.facts = self.offer.facts
+        self.router_config = self.offer.router_config
         self.host.alter(self.offer)
         if isinstance(self.config.nodes, InlineSource):
             self.nodes(self.config.nodes.nodes)
@@ -146,7 +154,7 @@
 
 @asynccontextmanager
 async def open_routing(
-    config: GatewayConfig, transport: Transport, chooser: Callable[[StartFacts], Chooser] = Router, log: Any = None
+    config: GatewayConfig, transport: Transport, chooser: Callable[[RouterConfig], Chooser] = Router, log: Any = None
 ) -> AsyncIterator[Routing]:
     """A router without a door. Inline nodes of the paper are listed at once; others by `Routing.nodes`. Raises
     PaperError for settings that no document could hold."""
--- a/ternlane/emulator/describe.py
+++ b/ternlane/emulator/describe.py
@@ -35,6 +35,6 @@
     curve: Annotated[list[Point], Meta(min_length=1)]
     block_tokens: Whole = 16
     queue: Whole = 100
-    cold_ms: float = 10e3
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.3
+    slow_start_ms: float = 10e3
+    slow_start_share: Annotated[float, Meta(gt=0, le=1)] = 0.3
     evicts: Literal["lru", "clock"] = "lru"
--- a/ternlane/emulator/engine.py
+++ b/ternlane/emulator/engine.py
@@ -49,8 +49,8 @@
     speed and is warm after `cold_ms`. Reports are made anew each `report_ms`, `lag_ms` late and off by `noise`."""
 
     jitter: float = 0.0
-    cold_ms: float = 10e3
-    cold_from: float = 0.3
+    slow_start_ms: float = 10e3
+    slow_start_share: float = 0.3
     report_ms: float = 200.0
     lag_ms: float = 50.0
     noise: float = 0.05
@@ -172,8 +172,8 @@
     # -- time
 
     def speed(self, now: float) -> float:
-        age = (now - self.started) / max(self.nature.cold_ms, 1e-9)
-        warmth = min(1.0, self.nature.cold_from + (1 - self.nature.cold_from) * age)
+        age = (now - self.started) / max(self.nature.slow_start_ms, 1e-9)
+        warmth = min(1.0, self.nature.slow_start_share + (1 - self.nature.slow_start_share) * age)
         return 0.0 if self.ailment.hung else warmth / self.ailment.slow
 
     def next_at(self) -> float:
--- a/ternlane/emulator/fit.py
+++ b/ternlane/emulator/fit.py
@@ -150,10 +150,10 @@
     found = least_squares(errors, np.array([*at, 0.05]), diff_step=0.03, x_scale=0.1, max_nfev=STEPS)
     build, spread = made(found.x)
     jitter = spread.jitter
-    nature = Nature(jitter=jitter, cold_ms=kind.cold_ms, cold_from=kind.cold_from)
+    nature = Nature(jitter=jitter, slow_start_ms=kind.slow_start_ms, slow_start_share=kind.slow_start_share)
     off: list[tuple[Point, Seen]] = []
     for p in kind.curve:
-        a, b, c, d = play(build, replace(nature, cold_from=1.0), p, seed=2)
+        a, b, c, d = play(build, replace(nature, slow_start_share=1.0), p, seed=2)
         first, between = p.first_ms, p.between_ms
         off.append((p, (a / first[0] - 1, b / first[1] - 1, c / between[0] - 1, d / between[1] - 1)))
     return Fitted(build, nature, off)
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -43,8 +43,8 @@
     headers: list[tuple[str, str]]
     body: bytes
     timeout_ms: float
-    quiet_ms: float
-    whole_ms: float = inf
+    idle_timeout_ms: float
+    total_timeout_ms: float = inf
     barred: BeginCheck = may_always_begin
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     cancelled: bool = False
@@ -125,7 +125,7 @@
 async def stream_attempt(pool: Pool, plan: AttemptPlan, pass_on: PassOn) -> AttemptResult:
     """Has an answer written; `pass_on(text, first)` gets each piece, with a third value where it has
     more than text (chat.More). Raises ClientGone where that breaks."""
-    end, last = AttemptResult(AttemptOutcome.TIMED_OUT), trio.current_time() + plan.whole_ms / 1000
+    end, last = AttemptResult(AttemptOutcome.TIMED_OUT), trio.current_time() + plan.total_timeout_ms / 1000
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -158,7 +158,7 @@
                             plan.scope.deadline = last  # a slow client is not the engine's silence
                             await (pass_on(text or "", first) if more is None else pass_on(text or "", first, more))
                 if end.begun:
-                    plan.scope.deadline = min(last, trio.current_time() + plan.quiet_ms / 1000)
+                    plan.scope.deadline = min(last, trio.current_time() + plan.idle_timeout_ms / 1000)
             if not whole:
                 end.outcome, end.why = AttemptOutcome.RESET, "the stream ended before [DONE]"
                 return
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -190,7 +190,7 @@
 
     async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
         end, plan = AttemptResult(AttemptOutcome.TIMED_OUT), ask.plan
-        last, written = trio.current_time() + plan.whole_ms / 1000, 0
+        last, written = trio.current_time() + plan.total_timeout_ms / 1000, 0
 
         async def run() -> None:
             nonlocal written
@@ -202,7 +202,7 @@
                     first, end.begun, written = not end.begun, True, written + 1
                     plan.scope.deadline = last
                     await pass_on(text, first)
-                    plan.scope.deadline = min(last, trio.current_time() + plan.quiet_ms / 1000)
+                    plan.scope.deadline = min(last, trio.current_time() + plan.idle_timeout_ms / 1000)
                     await trio.lowlevel.checkpoint()
             finally:
                 close = getattr(pieces, "aclose", None)
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -16,7 +16,7 @@
 from ternlane.policy.router import Router
 from ternlane.engine import SocketTransport, Transport
 from ternlane.gateway.door import Door
-from ternlane.gateway.facts import offer_of
+from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
 from ternlane.turns import Chooser, now_ms
 from ternlane.gateway.logs import library_log
@@ -27,7 +27,7 @@
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
 from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine, checked
 from ternlane.document_keys import document_key
-from ternlane.policy.messages import EndpointStatus, EndpointListFailed, StartFacts
+from ternlane.policy.messages import EndpointStatus, EndpointListFailed, RouterConfig
 
 BACKLOG = 4096
 ALTERED = ("door", "nodes", "request_classes", "fleet", "gateways", "zone")  # taken over by a running gateway
@@ -47,7 +47,7 @@
     def __init__(
         self,
         config: GatewayConfig,
-        chooser: Callable[[StartFacts], Chooser],
+        chooser: Callable[[RouterConfig], Chooser],
         nursery: trio.Nursery,
         log: Any,
         host_type: type[Host] = Host,
@@ -55,15 +55,15 @@
     ) -> None:
         self.config, self.nursery, self.log = config, nursery, log
         self.offer = offer_of(config)
-        self.facts = self.offer.facts
+        self.router_config = self.offer.router_config
         self.measures, self.book = Measures(), Book()
         self.pool = Pool(config.fleet.connect_ms, config.fleet.idle_ms, config.source)
         intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
         self.agent = f"ternlane/{__version__} ({config.name})"
         self.transport = transport or SocketTransport(self.pool, self.agent)
         self.host = host_type(
-            chooser(self.facts),
-            self.facts,
+            chooser(self.router_config),
+            self.router_config,
             self.transport,
             self.book,
             intake,
@@ -146,7 +146,7 @@
     async def _take_up(self) -> None:
         """What the process before had in flight when it was lost."""
         assert self.scribe is not None
-        self.door.restore(await self.scribe.take_up(self.transport, self.facts.release_ms))
+        self.door.restore(await self.scribe.take_up(self.transport, self.router_config.release_ms))
         self.scribe.ready = True
 
     def reload(self, config: GatewayConfig) -> tuple[list[str], list[str]]:
@@ -162,7 +162,7 @@
         self.config = msgspec.structs.replace(old, **{field: getattr(config, field) for field in changed})
         if set(changed) - {"door", "nodes"}:
             self.offer = offer_of(self.config, self.offer.request_classes)
-            self.facts = self.offer.facts
+            self.router_config = self.offer.router_config
             self.pool.connect_ms, self.pool.idle_ms = self.config.fleet.connect_ms, self.config.fleet.idle_ms
             self.host.alter(self.offer)
         self.door.alter(self.config, self.offer.models)
@@ -265,7 +265,7 @@
         to do; a block that ends without it loses nothing either."""
         for active_request in list(self.host.active_requests.values()):
             self.host.give_up(active_request, "the gateway went down")
-        with trio.move_on_after(self.facts.release_ms / 1000 + 0.2):  # for last answers and what is released
+        with trio.move_on_after(self.router_config.release_ms / 1000 + 0.2):  # for last answers and what is released
             while self.host.active_requests or self.host.releasing or self.door.busy:
                 await trio.sleep(0.01)
         if self.till is not None:
@@ -277,7 +277,7 @@
 @asynccontextmanager
 async def open_gateway(
     config: GatewayConfig,
-    chooser: Callable[[StartFacts], Chooser] = Router,
+    chooser: Callable[[RouterConfig], Chooser] = Router,
     log: Any = None,
     host_type: type[Host] = Host,
     listeners: list[trio.SocketListener] | None = None,
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -14,13 +14,13 @@
 from ternlane.chat import Intake
 from ternlane.chat.beyond import More
 from ternlane.engine import ClientGone, AttemptRequest, AttemptResult, AttemptPlan, Stage, Transport, Usage
-from ternlane.gateway.facts import Offer
+from ternlane.gateway.router_config import Offer
 from ternlane.gateway.measures import OUTCOME_LABELS, STAGE_LABELS, Measures
 from ternlane.gateway.scribe import Scribe
 from ternlane.gateway.active_request import Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
 from ternlane.config import StreamConfig
-from ternlane.policy.messages import Role, EndpointStatus, Server, StartFacts, AttemptOutcome
+from ternlane.policy.messages import Role, EndpointStatus, Server, RouterConfig, AttemptOutcome
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
@@ -30,7 +30,7 @@
     def __init__(
         self,
         chooser: Chooser,
-        facts: StartFacts,
+        router_config: RouterConfig,
         transport: Transport,
         book: Book,
         intake: Intake,
@@ -40,9 +40,9 @@
         streams: StreamConfig | None = None,
     ) -> None:
         super().__init__(chooser)
-        self.facts, self.transport, self.book, self.intake = facts, transport, book, intake
+        self.router_config, self.transport, self.book, self.intake = router_config, transport, book, intake
         self.nursery, self.measures, self.log = nursery, measures, log
-        self.mender: Mender[ActiveRequest] = Mender(streams or StreamConfig(), facts)
+        self.mender: Mender[ActiveRequest] = Mender(streams or StreamConfig(), router_config)
         self.resume_at = float("inf")
         self.idents: set[str] = set()
         self.releasing = 0
@@ -62,11 +62,11 @@
 
     def alter(self, offer: Offer) -> None:
         """Other settings from now on. Legs that are out end as they began; homes and what was learnt stay."""
-        self.facts = offer.facts
+        self.router_config = offer.router_config
         self.mute.clear()
         self.intake.offer(offer.models, offer.max_tokens)
-        self.mender.alter(offer.facts)
-        self.tell(messages.ConfigChanged(offer.facts))
+        self.mender.alter(offer.router_config)
+        self.tell(messages.ConfigChanged(offer.router_config))
 
     def carry_further(self, action: messages.Action) -> None:
         match action:
@@ -160,9 +160,11 @@
             active_request.holders[server] = None  # from now on: a read whose end is not heard may have left its state
         elif server.role is Role.DECODE and active_request.state is not None:
             stage = Stage.DECODE
-        barred = begin_check(server, times.begin_by_ms, lambda: active_request.left or active_request.final is not None)
+        barred = begin_check(
+            server, times.start_within_ms, lambda: active_request.left or active_request.final is not None
+        )
         active_request.attempt = AttemptPlan(
-            place.address, [], b"", times.timeout_ms, times.quiet_ms, times.whole_ms, barred
+            place.address, [], b"", times.timeout_ms, times.idle_timeout_ms, times.total_timeout_ms, barred
         )
         join, goes_on = active_request.join, active_request.join.resumed and active_request.join.way is Way.GO_ON
         first = None
@@ -202,7 +204,7 @@
         self, active_request: ActiveRequest, server: Server, first_kept: int | None, ask: AttemptRequest
     ) -> None:
         since, stage, plan, last = now_ms(), ask.stage, ask.plan, 0.0
-        longest, explores = plan.quiet_ms, self.mender.rhythm.explores()
+        longest, explores = plan.idle_timeout_ms, self.mender.rhythm.explores()
 
         async def pass_on(text: str, first: bool, more: More | None = None) -> None:
             nonlocal last
@@ -212,7 +214,7 @@
                 await pass_piece(text, first, more)
             finally:
                 last = now_ms()  # a client that takes its time is not the engine's silence
-            plan.quiet_ms = self.mender.quiet_ms(active_request.join, server, longest, explores)
+            plan.idle_timeout_ms = self.mender.idle_timeout_ms(active_request.join, server, longest, explores)
 
         async def pass_piece(text: str, first: bool, more: More | None) -> None:
             if active_request.left or active_request.final is not None:
@@ -283,7 +285,7 @@
         assert self.scribe is not None
         attempts_own, plan.scope = (
             plan.scope,
-            trio.CancelScope(deadline=trio.current_time() + self.facts.connect_ms / 1000),
+            trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000),
         )
         with plan.scope:  # which a call-off ends
             await self.scribe.writer.until_kept(number)
@@ -444,7 +446,7 @@
             place.address,
             active_request.ident,
             request.prompt_tokens + request.max_tokens,
-            self.facts.release_ms,
+            self.router_config.release_ms,
             place.line.protocol,
         )
         if active_request.request in self.active_requests and not active_request.left and active_request.final is None:
@@ -454,7 +456,7 @@
         """Asks an engine for its load; one that does not say is heard all the same, and named in the log once."""
         place = self.book.places[server]
         outcome, report = await self.transport.load(
-            place.ident, place.address, self.facts.connect_ms, place.line.protocol
+            place.ident, place.address, self.router_config.connect_ms, place.line.protocol
         )
         self.measures.probes.labels("told" if report is not None else OUTCOME_LABELS[outcome]).inc()
         if (
@@ -470,7 +472,7 @@
         place = self.book.places[server]
         try:
             done = await self.transport.release(
-                place.ident, place.address, active_request.ident, self.facts.release_ms, place.line.protocol
+                place.ident, place.address, active_request.ident, self.router_config.release_ms, place.line.protocol
             )
         finally:
             self.releasing -= 1
--- a/ternlane/gateway/facts.py
+++ b/ternlane/gateway/router_config.py
@@ -6,7 +6,7 @@
 
 from ternlane.chat.intake import EFFECTS, GROUPS
 from ternlane.config import GatewayConfig
-from ternlane.policy.messages import RequestClass, StartFacts
+from ternlane.policy.messages import RequestClass, RouterConfig
 
 STEP_MS = 1.0  # the host hands events over as they come
 
@@ -19,7 +19,7 @@
     request_classes: dict[str, RequestClass]
     models: dict[str, RequestClass]
     max_tokens: dict[RequestClass, int]
-    facts: StartFacts
+    router_config: RouterConfig
 
 
 def offer_of(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> Offer:
@@ -35,8 +35,8 @@
             p.slo_per_1000_tokens_ms,
             p.token_slo_ms,
             p.deadline_ms,
-            p.revenue,
-            p.late_share,
+            p.priority_weight,
+            p.late_value_share,
         )
         old = (held or {}).get(p.name)
         request_classes[p.name] = old if old is not None and astuple(old) == astuple(new) else new
@@ -48,9 +48,9 @@
     )
 
 
-def facts_of(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> StartFacts:
+def facts_of(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> RouterConfig:
     fleet = config.fleet
-    return StartFacts(
+    return RouterConfig(
         seed=config.seed,
         gateways=config.gateways,
         zone=config.zone,
@@ -59,20 +59,20 @@
         may_cancel=fleet.may_cancel,
         may_reserve=fleet.holds,
         may_probe=fleet.ask_load,
-        may_advise=fleet.longest_pause_ms > 0,
-        must_ask=False,
+        may_send_retry_after=fleet.max_retry_after_ms > 0,
+        must_subscribe=False,
         ask_within_ms=0.0,
         decode_servers_prefill=fleet.decode_servers_prefill,
         reports_mem=fleet.reports_mem,
-        longest_pause_ms=fleet.longest_pause_ms,
+        max_retry_after_ms=fleet.max_retry_after_ms,
         connect_ms=fleet.connect_ms,
         idle_ms=fleet.idle_ms,
         release_ms=fleet.release_ms,
         drain_grace_ms=fleet.drain_grace_ms,
-        cold_ms=fleet.cold_ms,
-        cold_from=fleet.cold_from,
+        slow_start_ms=fleet.slow_start_ms,
+        slow_start_share=fleet.slow_start_share,
         fall_multiple=fleet.fall_multiple,
         fall_ms=fleet.fall_ms,
         step_ms=STEP_MS,
-        told_if_asked=fleet.ask_load,
+        reports_on_probe=fleet.ask_load,
     )
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -43,7 +43,7 @@
                     server.status = EndpointStatus.REMOVED
                     news.append(server)
                 server = self.servers[line.id] = Server(
-                    line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, mark=crc32(line.id.encode())
+                    line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, hash_key=crc32(line.id.encode())
                 )
             server.zone, server.cell, server.kv_capacity_tokens, server.size = (
                 line.zone,
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -60,7 +60,7 @@
     beat_ms: float
     share: float  # gateways that load the servers as much as this one, itself included
     cold_part: float  # of an even share of the generations, that a server just started may be sent
-    cold_ms: float
+    slow_start_ms: float
     retry_ms: float  # first pause after a server could not be reached
     idle_ms: float  # idle connections are closed after this
     max_attempts: int
@@ -166,7 +166,7 @@
 
 
 class Reported(NamedTuple):
-    mem_share: float
+    memory_share: float
     open: float | None  # generations that the server holds
 
 
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -60,7 +60,7 @@
     ident: str
     body: bytes
     last_by: float  # by trio's clock: a read's answer, or a first token, that comes later is not waited for
-    quiet_ms: float
+    idle_timeout_ms: float
     barred: BeginCheck = may_always_begin
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     release_wait: trio.CancelScope = field(default_factory=trio.CancelScope)  # for what was held before
@@ -195,7 +195,7 @@
                 except BROKEN:
                     raise ClientGone from None
                 # Counted from here: a client that takes its bytes slowly is not the server's silence.
-                caller.expect_by(trio.current_time() + attempt.quiet_ms / 1000)
+                caller.expect_by(trio.current_time() + attempt.idle_timeout_ms / 1000)
             elif ready:
                 events.put_back(ready)
         if not events.done:
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -72,7 +72,7 @@
     def woken(self) -> None:
         self.endpoint_registry.clock.observe(time.time() * 1000, now_ms())
         self.engines.pool.sweep()
-        for overdue in self.held_states.newly_overdue(now_ms(), self.deployment.facts.release_ms):
+        for overdue in self.held_states.newly_overdue(now_ms(), self.deployment.router_config.release_ms):
             self.counts["held overdue"] += 1
             self.log.warning(
                 "state held past its release time",
@@ -98,7 +98,7 @@
     def alter(self, deployment: Deployment) -> None:
         self.deployment = self.engines.deployment = deployment
         self.endpoint_registry.alter(deployment)
-        self.tell(messages.ConfigChanged(deployment.facts))
+        self.tell(messages.ConfigChanged(deployment.router_config))
 
     # -- generations
 
@@ -199,7 +199,7 @@
             active_request.exchange,
             trio.current_time(),
         )
-        barred = begin_check(server, times.begin_by_ms, lambda: active_request.over or exchange.closed)
+        barred = begin_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed)
         attempt = active_request.attempt = Attempt(
             endpoint.address if endpoint is not None else "",
             server.role,
@@ -208,7 +208,7 @@
             active_request.ident,
             active_request.body,
             now + times.timeout_ms / 1000,
-            times.quiet_ms,
+            times.idle_timeout_ms,
             barred,
         )
         name = active_request.server_name = endpoint.name if endpoint is not None else "gone"
@@ -223,7 +223,7 @@
     async def run(self, active_request: ActiveRequest, server: Server, attempt: Attempt, name: str) -> None:
         since, end = now_ms(), AttemptResult()
         if active_request.freeing is not None:  # lest a late DELETE release what this leg has read
-            attempt.release_wait.deadline = trio.current_time() + self.deployment.facts.connect_ms / 1000
+            attempt.release_wait.deadline = trio.current_time() + self.deployment.router_config.connect_ms / 1000
             with attempt.release_wait:
                 await active_request.freeing.wait()
         try:
@@ -308,7 +308,7 @@
         )
 
     async def release(self, active_request: ActiveRequest, done: trio.Event, again: bool) -> None:
-        within = self.deployment.facts.release_ms
+        within = self.deployment.router_config.release_ms
         try:
             await self.release_until_heard(active_request, within)
             done.set()
@@ -345,7 +345,9 @@
 
     async def hold(self, active_request: ActiveRequest, server: Server) -> None:
         held = await self.engines.hold(
-            self.endpoint_registry.endpoints[server].address, active_request.ident, self.deployment.facts.release_ms
+            self.endpoint_registry.endpoints[server].address,
+            active_request.ident,
+            self.deployment.router_config.release_ms,
         )
         if not active_request.over:
             self.tell(messages.ReservationResult(active_request.request, held))
@@ -353,7 +355,7 @@
     async def probe(self, server: Server) -> None:
         outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
         if endpoint is not None:
-            outcome, report = await self.engines.load(endpoint.address, self.deployment.facts.connect_ms)
+            outcome, report = await self.engines.load(endpoint.address, self.deployment.router_config.connect_ms)
         self.tell(messages.ProbeResult(server, outcome, report))
 
 
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -46,9 +46,9 @@
 class Gateway:
     def __init__(self, post: Post, nursery: trio.Nursery, log: Any) -> None:
         self.post, self.nursery, self.log = post, nursery, log
-        facts = post.deployment.facts
-        self.pool = Pool(facts.connect_ms, facts.idle_ms)
-        self.node = Node(Router(facts), post.deployment, Engines(self.pool, post.deployment), nursery, log)
+        router_config = post.deployment.router_config
+        self.pool = Pool(router_config.connect_ms, router_config.idle_ms)
+        self.node = Node(Router(router_config), post.deployment, Engines(self.pool, post.deployment), nursery, log)
         self.polls = PollTimes()
         self.front = Front(self.node, self.polls.unseen_ms, log)
         self.watch = Watch(
@@ -56,7 +56,7 @@
             lambda: self.node.endpoint_registry.index,
             self.node.listed,
             self.list_failed,
-            facts.seed,
+            router_config.seed,
             nursery,
             log,
         )
@@ -66,8 +66,8 @@
 
     def apply_limits(self, post: Post) -> None:
         """What connections may take, by the settings in force."""
-        facts, sockets = post.deployment.facts, post.limits.sockets
-        self.pool.set_limits(facts.connect_ms, IDLE_PART * facts.idle_ms, int(sockets * SERVERS))
+        router_config, sockets = post.deployment.router_config, post.limits.sockets
+        self.pool.set_limits(router_config.connect_ms, IDLE_PART * router_config.idle_ms, int(sockets * SERVERS))
         self.front.conn_limit, self.front.open_limit = int(sockets * CLIENTS), int(sockets * OPEN)
         self.front.held_bytes = int(post.limits.memory_mb * 2**20 * BODIES)
 
@@ -118,7 +118,7 @@
         longest_ms = min(
             LONGEST_MS, max(request_class.deadline_ms for request_class in deployment.request_classes.values())
         )
-        times = shutdown_times(longest_ms, ENDS_MS, deployment.facts.release_ms, since_signal_ms)
+        times = shutdown_times(longest_ms, ENDS_MS, deployment.router_config.release_ms, since_signal_ms)
         self.front.draining = True
         self.node.sigterm_ms = now - since_signal_ms
         self.node.answer_all_by_ms = now + times.ends_ms - LAST_ANSWER_MS
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -99,8 +99,8 @@
     slo_per_1000_tokens_ms: float
     token_slo_ms: float
     deadline_ms: float
-    revenue: float
-    late_share: float
+    priority_weight: float
+    late_value_share: float
 
 
 @dataclass(slots=True, eq=False)
@@ -120,7 +120,7 @@
     size: float = 1.0
     started_ms: float = 0.0
     status: EndpointStatus = EndpointStatus.READY
-    mark: int = 0
+    hash_key: int = 0
     seat: Any = None
 
 
@@ -142,7 +142,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StartFacts:
+class RouterConfig:
     """What a Router is told once: the deployment's limits and rights, and how long things take (ms)."""
 
     seed: int
@@ -153,23 +153,23 @@
     may_cancel: bool
     may_reserve: bool
     may_probe: bool
-    may_advise: bool
-    must_ask: bool
+    may_send_retry_after: bool
+    must_subscribe: bool
     ask_within_ms: float
     decode_servers_prefill: bool
     reports_mem: bool
-    longest_pause_ms: float
+    max_retry_after_ms: float
     connect_ms: float
     idle_ms: float
     release_ms: float
     drain_grace_ms: float
-    cold_ms: float
-    cold_from: float
+    slow_start_ms: float
+    slow_start_share: float
     fall_multiple: float
     fall_ms: float
     step_ms: float
-    told_if_asked: bool = False  # model servers report their load to Probe, and in no answer
-    holds_run_on: bool = True  # only an attempt that has reached a running server stops the release time
+    reports_on_probe: bool = False  # model servers report their load to Probe, and in no answer
+    holds_expire_unless_arrived: bool = True  # only an attempt that has reached a running server stops the release time
     # A release leaves alone what an attempt waits for that has arrived, so it may be sent while one is out.
     releases_spare_attempts: bool = False
 
@@ -179,7 +179,7 @@
     """A server's word on its load; None where the figure is not reported."""
 
     open_requests: float | None = None
-    mem_share: float | None = None
+    memory_share: float | None = None
 
 
 # What the host tells.
@@ -197,7 +197,7 @@
     """Other settings from now on. What was taken in before keeps its product's terms; legs that are out end as they
     began."""
 
-    facts: StartFacts
+    router_config: RouterConfig
 
 
 @dataclass(slots=True, frozen=True)
@@ -328,9 +328,9 @@
     request: Request
     server: Server
     timeout_ms: float
-    quiet_ms: float
-    whole_ms: float
-    begin_by_ms: float = inf
+    idle_timeout_ms: float
+    total_timeout_ms: float
+    start_within_ms: float = inf
 
 
 @dataclass(slots=True, frozen=True)
--- a/ternlane/policy/router.py
+++ b/ternlane/policy/router.py
@@ -49,7 +49,7 @@
     RejectReason,
     ReleaseReason,
     Server,
-    StartFacts,
+    RouterConfig,
     AttemptOutcome,
 )
 
@@ -85,23 +85,25 @@
 }
 
 
-def limits_from(facts: StartFacts) -> Limits:
-    slo = min((p.slo_ms for p in facts.request_classes if p.slo_ms), default=1000.0)
+def limits_from(router_config: RouterConfig) -> Limits:
+    slo = min((p.slo_ms for p in router_config.request_classes if p.slo_ms), default=1000.0)
     return Limits(
         slo_ms=slo,
         span_ms=2 * slo,
-        beat_ms=max(facts.step_ms, slo / 20),
-        share=facts.gateways,
-        cold_part=facts.fall_multiple * facts.cold_from * CARE,
-        cold_ms=facts.cold_ms,
-        retry_ms=2 * facts.connect_ms,
-        idle_ms=facts.idle_ms,
-        max_attempts=facts.max_attempts,
-        hand_ms=max(0.0, facts.release_ms - facts.connect_ms) if facts.holds_run_on else inf,
-        guard_ms=(1 - RELEASE_RESERVE) * facts.release_ms
-        if facts.holds_run_on and facts.releases_spare_attempts
+        beat_ms=max(router_config.step_ms, slo / 20),
+        share=router_config.gateways,
+        cold_part=router_config.fall_multiple * router_config.slow_start_share * CARE,
+        slow_start_ms=router_config.slow_start_ms,
+        retry_ms=2 * router_config.connect_ms,
+        idle_ms=router_config.idle_ms,
+        max_attempts=router_config.max_attempts,
+        hand_ms=max(0.0, router_config.release_ms - router_config.connect_ms)
+        if router_config.holds_expire_unless_arrived
         else inf,
-        pause_ms=facts.longest_pause_ms if facts.may_advise else 0.0,
+        guard_ms=(1 - RELEASE_RESERVE) * router_config.release_ms
+        if router_config.holds_expire_unless_arrived and router_config.releases_spare_attempts
+        else inf,
+        pause_ms=router_config.max_retry_after_ms if router_config.may_send_retry_after else 0.0,
     )
 
 
@@ -149,8 +151,8 @@
                 else:
                     self.shut(self.limits.retry_ms, "not reached, or broke off")
                 self.linked_until *= silent
-            case Reported(mem_share, held):
-                self.said = now, mem_share, held
+            case Reported(memory_share, held):
+                self.said = now, memory_share, held
             case Beat():
                 fade = exp((self.beat_at - now) / self.limits.span_ms)
                 self.sent *= fade ** (1 / LOOK)
@@ -161,7 +163,7 @@
                 self.beat_at = now
             case News():
                 start = self.server.started_ms
-                self.cold_until = start + self.limits.cold_ms if start > 0 else 0.0
+                self.cold_until = start + self.limits.slow_start_ms if start > 0 else 0.0
         self.overtaken()
         self.router.desk.post(self.standing())
         if isinstance(note, Onward):
@@ -176,7 +178,7 @@
     def shut(self, wait: float, why: str) -> None:
         """Nothing more for a while, twice as long each time; then one leg at a time."""
         if self.router.now >= self.shut_until:
-            self.strikes, wait = self.strikes + 1, min(wait * 2**self.strikes, self.limits.cold_ms)
+            self.strikes, wait = self.strikes + 1, min(wait * 2**self.strikes, self.limits.slow_start_ms)
             self.shut_until = self.router.now + wait
             self.router.out.append(messages.Log(self.server, f"ejected for {wait:.0f} ms (time {self.strikes}): {why}"))
             self.trial, self.done, self.due = True, 0.0, 0.0
@@ -198,11 +200,11 @@
         )  # a lost one is no load
         ahead = CROWD * queue + self.fleet.trust * (self.fleet.queue_ms * crowding)
         if self.said is not None:  # an old report says less than the mean does
-            at, mem_share, held = self.said
+            at, memory_share, held = self.said
             since = sum(share for when, share in self.booked.values() if when > at - self.limits.beat_ms)
             fresh = exp((at - now) / self.limits.span_ms)
-            known = min(known, 1 - fresh * (mem_share + since))
-            free = min(free, 1 - fresh * (mem_share + since) - (1 - fresh) * used)
+            known = min(known, 1 - fresh * (memory_share + since))
+            free = min(free, 1 - fresh * (memory_share + since) - (1 - fresh) * used)
             if held is not None:
                 ahead = fresh * held * self.fleet.read_ms + (1 - fresh) * ahead
         if self.prefills:
@@ -228,12 +230,12 @@
 
 
 class Desk(Actor):  # sessions' homes, generations' courses
-    def __init__(self, router: Loop, facts: StartFacts) -> None:
+    def __init__(self, router: Loop, router_config: RouterConfig) -> None:
         super().__init__(router)
-        self.adopt(facts)
+        self.adopt(router_config)
         self.asking: list[Course] = []
         self.read_ms, self.asked, self.unmet = 0.0, False, 0.0  # part of new connections that fail
-        self.seed, self.turn, self.beats, self.stuck = facts.seed, 0, 0, inf  # no room for prompts so large
+        self.seed, self.turn, self.beats, self.stuck = router_config.seed, 0, 0, inf  # no room for prompts so large
         self.board: dict[Seat, Standing] = {}
         self.lots: dict[Role, dict[Seat, tuple[float, float]]] = {d: {} for d in Role}  # of cold ones
         self.homes: OrderedDict[str, Home] = OrderedDict()
@@ -254,9 +256,9 @@
         self.late = {role: 0.0 for role in Role}  # part of the answers that came late, or were none
         self.trust = 1.0  # how long reads took, against what the readers' queues were believed to be
 
-    def adopt(self, facts: StartFacts) -> None:
-        self.may_cancel, self.must_ask = facts.may_cancel, facts.must_ask
-        self.told_if_asked = facts.may_probe and facts.told_if_asked
+    def adopt(self, router_config: RouterConfig) -> None:
+        self.may_cancel, self.must_subscribe = router_config.may_cancel, router_config.must_subscribe
+        self.reports_on_probe = router_config.may_probe and router_config.reports_on_probe
 
     def handle(self, note: Any) -> None:
         match note:
@@ -284,10 +286,10 @@
                     server.seat.post(News())
             case messages.ProbeResult(server, _, report):
                 self.checked(server.seat, report)
-            case messages.ConfigChanged(facts):
-                self.router.limits, self.stuck = limits_from(facts), inf
-                self.adopt(facts)
-                kept = set(facts.request_classes)  # what was learnt of those that are no more must not pile up
+            case messages.ConfigChanged(router_config):
+                self.router.limits, self.stuck = limits_from(router_config), inf
+                self.adopt(router_config)
+                kept = set(router_config.request_classes)  # what was learnt of those that are no more must not pile up
                 self.usual = {kind: ms for kind, ms in self.usual.items() if kind[0] in kept}
                 for table in (self.prompt, self.learnt_at, self.told):
                     for request_class in table.keys() - kept:
@@ -322,7 +324,7 @@
         self.prefix_popularity[request.prefix] += request.prefix is not None
         if now >= self.shutdown.admits_until:
             return self.finish(course, RejectReason.SHUTDOWN)
-        if self.told_if_asked and course.deadline > now + CROWD * self.limits.beat_ms:  # or time runs out
+        if self.reports_on_probe and course.deadline > now + CROWD * self.limits.beat_ms:  # or time runs out
             course.agreed = self.agreed(request)
             course.asked = {e for e in course.agreed[: round(CROWD)] if self.ask(e)}
         if course.asked:
@@ -342,8 +344,8 @@
 
     def checked(self, engine: Seat, report: messages.Report | None) -> None:
         """A report takes the place of the one in an answer; who waited for it is placed."""
-        if report is not None and report.mem_share is not None:
-            engine.post(Reported(report.mem_share, report.open_requests))
+        if report is not None and report.memory_share is not None:
+            engine.post(Reported(report.memory_share, report.open_requests))
         for course in [c for c in self.asking if engine in c.asked]:
             course.asked.discard(engine)
             if not course.asked:
@@ -403,7 +405,7 @@
         for w in decode_servers:
             at = w.engine.server
             if w.engine.decodes and not w.engine.prefills:
-                mine = w.free - lost[w.engine] - self.unmet * (not w.linked), draw * at.mark % 2**32, w
+                mine = w.free - lost[w.engine] - self.unmet * (not w.linked), draw * at.hash_key % 2**32, w
                 for near in (at.cell, at.zone, None):
                     if near not in freest or mine[:2] > freest[near][:2]:
                         freest[near] = mine
@@ -454,13 +456,13 @@
         prefill_servers = [e for e, s in self.board.items() if e.prefills and s.listed and self.sound(s)]
         if request.prefix is not None:
             key = zlib.crc32(request.prefix.encode())
-            prefill_servers.sort(key=lambda e: key * (e.server.mark | 1) % 2**32)
+            prefill_servers.sort(key=lambda e: key * (e.server.hash_key | 1) % 2**32)
             part = (max(1, self.prefix_popularity[request.prefix]) - 1) / (
                 self.prefix_popularity.total() + FEW
             )  # but this
             prefill_servers = prefill_servers[: round(CROWD + CROWD * len(prefill_servers) * part)]
         key = zlib.crc32((request.session or "").encode())
-        return sorted(prefill_servers, key=lambda e: key * (e.server.mark | 1) % 2**32)
+        return sorted(prefill_servers, key=lambda e: key * (e.server.hash_key | 1) % 2**32)
 
     def place(self, course: Course) -> None:
         """Home pair if it is calm, else the best calm pair; else the generation waits before its read."""
@@ -488,7 +490,7 @@
         course.prefill_server, course.decode_server = prefill_server, decode_server
         for engine in {prefill_server: None, decode_server: None}:
             engine.post(Booked(course, self.tokens(course, engine)))
-        if self.told_if_asked and decode_server is not prefill_server:  # its report comes while the prompt is read
+        if self.reports_on_probe and decode_server is not prefill_server:  # its report comes while the prompt is read
             self.ask(decode_server)
         self.send(course, prefill_server)
 
@@ -556,7 +558,7 @@
 
     def outweighed(self, course: Course) -> bool:
         """Guards against reads for what is late already, where they make others late that earn more."""
-        least = max(1.5 * GAIN, course.request.request_class.late_share)  # one late read in ten is no overload
+        least = max(1.5 * GAIN, course.request.request_class.late_value_share)  # one late read in ten is no overload
         return self.router.now >= course.slo_at and self.late[Role.PREFILL] > least
 
     def cut_off(self, course: Course) -> bool:
@@ -592,7 +594,7 @@
             return self.finish(course, RejectReason.QUEUED_TOO_LONG)
         self.turn += 1
         latest = self.latest(course)
-        heapq.heappush(self.waiting, (-course.request.request_class.revenue, latest, self.turn, course))
+        heapq.heappush(self.waiting, (-course.request.request_class.priority_weight, latest, self.turn, course))
         self.next_due = min(self.next_due, latest)
         self.least = min(self.least, course.request.prompt_tokens * course.waited)
 
@@ -631,7 +633,7 @@
             engine, course, decodes, now, now, usual, work, work + s.ahead_ms / max(self.trust, GAIN), not s.linked
         )
         if course.attempts < self.limits.max_attempts and (not decodes or request_class.effect is Effect.IDEMPOTENT):
-            slow = 1 / CROWD if decodes else CROWD if self.told_if_asked else 1  # a told one is not mute
+            slow = 1 / CROWD if decodes else CROWD if self.reports_on_probe else 1  # a told one is not mute
             patience = min(patience, max(slow * request_class.slo_ms, 4 * course.attempt.usual_ms))
         engine.post(Sent(course.attempt))
         quiet = max(self.limits.span_ms, DOUBT * request_class.token_slo_ms)  # a mute stream has broken
@@ -714,8 +716,8 @@
         course: Course = note.request.seat
         attempt, course.attempt = course.attempt, None
         engine: Seat = note.server.seat
-        if note.report is not None and note.report.mem_share is not None:
-            engine.post(Reported(note.report.mem_share, note.report.open_requests))
+        if note.report is not None and note.report.memory_share is not None:
+            engine.post(Reported(note.report.memory_share, note.report.open_requests))
         if attempt is None:
             return
         request_class, outcome = course.request.request_class, note.outcome
@@ -814,7 +816,7 @@
             not self.usable(decode_server, course)
             or not self.fit(s, course)
             or self.ill(decode_server, course)
-            or (self.told_if_asked and self.congested(s, course))
+            or (self.reports_on_probe and self.congested(s, course))
         ):
             pair = self.best(course, course.lease.held_at)
             if pair is None and self.usable(decode_server, course) and self.fit(s, course):
@@ -840,7 +842,7 @@
     def beat(self) -> None:
         now, out = self.router.now, self.router.out
         out.append(messages.StartTimer(now + self.limits.beat_ms, True))
-        if self.must_ask and not self.asked:
+        if self.must_subscribe and not self.asked:
             self.asked = True
             out.append(messages.WatchEndpoints())
         while self.homes and (
@@ -876,7 +878,7 @@
         self.lots[role] = {
             s.engine: (
                 i / len(cold),
-                even * (1 + 3 * max(0.0, 1 - (s.cold_until - now) / max(self.limits.cold_ms, 1.0)) ** 2),
+                even * (1 + 3 * max(0.0, 1 - (s.cold_until - now) / max(self.limits.slow_start_ms, 1.0)) ** 2),
             )
             for i, s in enumerate(cold)
         }
@@ -898,11 +900,11 @@
 class Router(Loop):
     """One gateway's decisions, without clock, loop or sockets. Nothing is shared between two of them."""
 
-    def __init__(self, facts: StartFacts) -> None:
-        self.now, self.limits = -inf, limits_from(facts)  # the beat is asked for with the first batch
+    def __init__(self, router_config: RouterConfig) -> None:
+        self.now, self.limits = -inf, limits_from(router_config)  # the beat is asked for with the first batch
         self.ready: deque[Actor] = deque()
         self.out: list[messages.Action] = []
-        self.desk: Desk = Desk(self, facts)
+        self.desk: Desk = Desk(self, router_config)
 
     def take(self, now: float, events: list[Event]) -> list[messages.Action]:
         """What to do about `events`, in this order. `now` is in ms of any clock that never goes back."""
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -9,7 +9,7 @@
 from typing import Any, Generic, TypeVar
 
 from ternlane.config import StreamConfig
-from ternlane.policy.messages import Request, StartFacts
+from ternlane.policy.messages import Request, RouterConfig
 from ternlane.recover.join import Join, Shelf
 from ternlane.recover.pace import Pace
 from ternlane.recover.rhythm import Rhythm
@@ -31,18 +31,18 @@
 class Mender(Generic[T]):
     """`T`: what the host knows a generation by. Times are ms."""
 
-    def __init__(self, terms: StreamConfig, facts: StartFacts) -> None:
+    def __init__(self, terms: StreamConfig, router_config: RouterConfig) -> None:
         self.terms = terms
         self.shelf = Shelf(terms.keep_tokens, terms.keep_bytes, terms.keep_all_bytes)
-        self.rhythm = Rhythm(terms.alarms, facts.seed)
-        longest = max((p.deadline_ms for p in facts.request_classes), default=1000.0)
-        self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, facts.gateways)
+        self.rhythm = Rhythm(terms.alarms, router_config.seed)
+        longest = max((p.deadline_ms for p in router_config.request_classes), default=1000.0)
+        self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, router_config.gateways)
         self.broke_at: dict[T, float] = {}
 
-    def alter(self, facts: StartFacts) -> None:
+    def alter(self, router_config: RouterConfig) -> None:
         """The fleet's figures have changed; what waits keeps its turn."""
-        self.pace.span_ms = max((p.deadline_ms for p in facts.request_classes), default=1000.0) * SPAN_SHARE
-        self.pace.gateways = facts.gateways
+        self.pace.span_ms = max((p.deadline_ms for p in router_config.request_classes), default=1000.0) * SPAN_SHARE
+        self.pace.gateways = router_config.gateways
 
     def join(self, raw: dict[str, Any], request: Request) -> Join:
         way, why = Way.END, "resuming is off"
@@ -67,11 +67,11 @@
         if wait_ms > SAME_MS:
             self.rhythm.heard(server, wait_ms, explored)
 
-    def quiet_ms(self, join: Join, server: Hashable, most: float, explored: bool) -> float:
+    def idle_timeout_ms(self, join: Join, server: Hashable, most: float, explored: bool) -> float:
         """How long the present leg may be silent: `most`, by the decisions, or less where it can be joined on."""
         if join.way is Way.END or explored or not self.terms.alarms:
             return most
-        return min(most, self.rhythm.quiet_ms(server) or most)
+        return min(most, self.rhythm.idle_timeout_ms(server) or most)
 
     def left(self, server: Hashable) -> None:
         """A server is no longer listed."""
@@ -97,7 +97,7 @@
         request.prompt_tokens += again - before
         request.max_tokens = float(join.left())
         self.pace.prefill_servers = prefill_servers
-        self.pace.wait(item, request.prompt_tokens, request.request_class.revenue, float(join.tokens), until)
+        self.pace.wait(item, request.prompt_tokens, request.request_class.priority_weight, float(join.tokens), until)
         return Fate.GOES_ON
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
--- a/ternlane/recover/pace.py
+++ b/ternlane/recover/pace.py
@@ -54,10 +54,10 @@
             speed = tokens / took_ms
             self.speed = speed if not self.speed else self.speed + (speed - self.speed) / 32
 
-    def wait(self, item: T, tokens: float, revenue: float, streamed: float, until: float) -> None:
+    def wait(self, item: T, tokens: float, priority_weight: float, streamed: float, until: float) -> None:
         """Queues what broke. After `until` its client can't be helped any more."""
         self.turn += 1
-        heappush(self.queue, (-revenue, -streamed, self.turn, until, tokens, item))
+        heappush(self.queue, (-priority_weight, -streamed, self.turn, until, tokens, item))
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
         """Which may go on now, and which have waited too long."""
--- a/ternlane/recover/rhythm.py
+++ b/ternlane/recover/rhythm.py
@@ -78,7 +78,7 @@
     def forget(self, server: Hashable) -> None:
         self.paces.pop(server, None)
 
-    def quiet_ms(self, server: Hashable) -> float | None:
+    def idle_timeout_ms(self, server: Hashable) -> float | None:
         """How long a stream of this server may be silent; None while too little is known."""
         pace = self.paces.get(server)
         cost = self.resume_ms or self.first_ms
--- a/ternlane/standin/engine.py
+++ b/ternlane/standin/engine.py
@@ -40,8 +40,8 @@
     token_growth: float = 1.0  # part by which that grows from one stream to all slots
     near_tokens_per_s: float = 300e3  # state to a writer of its own cell
     far_tokens_per_s: float = 100e3
-    cold_ms: float = 10e3
-    cold_from: float = 0.3
+    slow_start_ms: float = 10e3
+    slow_start_share: float = 0.3
     fall_multiple: float = 3.0
     fall_ms: float = 2000.0
     answer_tokens: tuple[int, int] = (8, 40)
@@ -145,8 +145,8 @@
             zone=self.zone,
             cell=self.cell,
             slots=self.build.slots,
-            cold_ms=self.build.cold_ms,
-            cold_from=self.build.cold_from,
+            cold_ms=self.build.slow_start_ms,
+            cold_from=self.build.slow_start_share,
             fall_multiple=self.build.fall_multiple,
             fall_ms=self.build.fall_ms,
         )
@@ -205,8 +205,8 @@
     def warmth(self) -> float:
         if not self.started_ms:
             return 1.0
-        age = (clock_ms() - self.started_ms) / self.build.cold_ms
-        return min(1.0, self.build.cold_from + (1 - self.build.cold_from) * age)
+        age = (clock_ms() - self.started_ms) / self.build.slow_start_ms
+        return min(1.0, self.build.slow_start_share + (1 - self.build.slow_start_share) * age)
 
     def speed(self) -> float:
         t = self.trouble
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -57,10 +57,10 @@
     return None
 
 
-def begin_check(server: messages.Server, begin_by_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
+def begin_check(server: messages.Server, start_within_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
     """Why an attempt at this server must not begin any more: MOOT, WITHHELD, or None where it may. Between the decision
     and the first byte lie waits for a connection or a release; ask it after them, right before that byte is written."""
-    begin_by = trio.current_time() + begin_by_ms / 1000
+    begin_by = trio.current_time() + start_within_ms / 1000
 
     def barred() -> messages.AttemptOutcome | None:
         if client_gone():
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -85,7 +85,7 @@
         self.attempts_ended: dict[Request, int] = {}
         self.closed: set[Request] = set()
         # Here any outcome begins the release time anew, also that of a connection that did not come up.
-        self.router = Router(replace(self.deployment.facts, holds_run_on=False))
+        self.router = Router(replace(self.deployment.router_config, holds_expire_unless_arrived=False))
 
     def server(self, sid: str) -> Server | None:
         return self.servers.get(sid)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
     EndpointStatus,
     RequestClass,
     Server,
-    StartFacts,
+    RouterConfig,
     AttemptOutcome,
 )
 
@@ -58,11 +58,11 @@
         return self.tell(messages.EndpointsUpdated(tuple(self.servers.values())))
 
     def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> messages.Request:
-        facts = (
+        router_config = (
             dict(prefix="o", prefix_tokens=2000.0, prompt_tokens=2400.0, max_tokens=400.0, client_timeout_ms=5000.0)
             | own
         )
-        return messages.Request(self.request_classes[effect], session, **facts)
+        return messages.Request(self.request_classes[effect], session, **router_config)
 
     def arrive(self, request: messages.Request, after: float = 0.0) -> list[Any]:
         return self.tell(messages.RequestArrived(request), after=after)
@@ -98,7 +98,7 @@
     return [type(a) for a in actions]
 
 
-FACTS = StartFacts(
+ROUTER_CONFIG = RouterConfig(
     seed=7,
     gateways=2,
     zone="east",
@@ -107,34 +107,38 @@
     may_cancel=True,
     may_reserve=False,
     may_probe=False,
-    may_advise=True,
-    must_ask=False,
+    may_send_retry_after=True,
+    must_subscribe=False,
     ask_within_ms=10e3,
     decode_servers_prefill=False,
     reports_mem=False,
-    longest_pause_ms=500.0,
+    max_retry_after_ms=500.0,
     connect_ms=250.0,
     idle_ms=30e3,
     release_ms=500.0,
     drain_grace_ms=250.0,
-    cold_ms=10e3,
-    cold_from=0.25,
+    slow_start_ms=10e3,
+    slow_start_share=0.25,
     fall_multiple=2.5,
     fall_ms=2000.0,
     step_ms=4.0,
 )
 
 
-def build(extra: tuple[str, ...] = (), **facts: Any) -> FakeHost:
+def build(extra: tuple[str, ...] = (), **router_config: Any) -> FakeHost:
     request_classes = {e: RequestClass(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
     servers = {
         name: Server(
-            "east", int(name[1]), Role.PREFILL if name[0] == "r" else Role.DECODE, 200e3, mark=zlib.crc32(name.encode())
+            "east",
+            int(name[1]),
+            Role.PREFILL if name[0] == "r" else Role.DECODE,
+            200e3,
+            hash_key=zlib.crc32(name.encode()),
         )
         for name in ("r0", "w0", "r1", "w1", *extra)
     }
     host = FakeHost(
-        Router(replace(FACTS, request_classes=tuple(request_classes.values()), **facts)),
+        Router(replace(ROUTER_CONFIG, request_classes=tuple(request_classes.values()), **router_config)),
         servers,
         request_classes,
         1000.0,
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -19,7 +19,7 @@
 from ternlane.policy.router import Router
 from ternlane.policy.messages import Role, Effect, Group, EndpointStatus, RequestClass, Server, Tenant, AttemptOutcome
 from tests import fleet
-from tests.conftest import FACTS
+from tests.conftest import ROUTER_CONFIG
 
 # The kinds of actions by their number in the canonical form. The order is part of the recorded digests.
 ACTION_KINDS = (
@@ -98,11 +98,11 @@
 class RandomHost:
     """Hands one router a seeded stream of everything that a host may tell it, and answers its actions at random."""
 
-    def __init__(self, seed: int, **facts: Any) -> None:
+    def __init__(self, seed: int, **router_config: Any) -> None:
         self.rng = random.Random(seed)
         self.request_classes = tuple(self.request_class() for _ in range(4))
-        self.facts = replace(FACTS, seed=seed, request_classes=self.request_classes, **facts)
-        self.recorder = Recorder(Router(self.facts))
+        self.router_config = replace(ROUTER_CONFIG, seed=seed, request_classes=self.request_classes, **router_config)
+        self.recorder = Recorder(Router(self.router_config))
         self.tenants = [Tenant(), Tenant(), None]
         self.servers = [self.server(number) for number in range(self.rng.randint(4, 14))]
         self.now = 1000.0
@@ -129,10 +129,10 @@
         )
 
     def server(self, number: int) -> Server:
-        roles = list(Role) if self.facts.decode_servers_prefill else [Role.PREFILL, Role.DECODE]
+        roles = list(Role) if self.router_config.decode_servers_prefill else [Role.PREFILL, Role.DECODE]
         role = roles[number % len(roles)]
-        mark = zlib.crc32(b"server %d" % number)
-        return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), mark=mark)
+        hash_key = zlib.crc32(b"server %d" % number)
+        return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), hash_key=hash_key)
 
     def request(self) -> Any:
         rng, request_class = self.rng, self.rng.choice(self.request_classes)
@@ -216,7 +216,7 @@
         rng = self.rng
         pending = Pending()
         self.out[request] = times, server, pending
-        took = rng.expovariate(1 / (150.0 + 30.0 * (server.mark % 5)))
+        took = rng.expovariate(1 / (150.0 + 30.0 * (server.hash_key % 5)))
         if took >= times.timeout_ms:
             self.after(times.timeout_ms, lambda: self.end(request, AttemptOutcome.TIMED_OUT, times))
             return
@@ -230,7 +230,7 @@
             self.after(took, lambda: self.end(request, outcome, times))
 
     def outcome(self, server: Server) -> AttemptOutcome:
-        fault_share = 0.6 if server.mark % 7 == 0 else 0.12
+        fault_share = 0.6 if server.hash_key % 7 == 0 else 0.12
         if self.rng.random() < fault_share:
             return self.rng.choice(
                 [
@@ -322,14 +322,14 @@
     def reload(self) -> list[Any]:
         kept = self.rng.sample(self.request_classes, 3)
         self.request_classes = (*kept, self.request_class())
-        self.facts = replace(
-            self.facts,
+        self.router_config = replace(
+            self.router_config,
             request_classes=self.request_classes,
             max_attempts=self.rng.randint(2, 6),
             release_ms=self.rng.choice([300.0, 500.0, 900.0]),
-            cold_ms=self.rng.choice([4e3, 10e3]),
+            slow_start_ms=self.rng.choice([4e3, 10e3]),
         )
-        return [messages.ConfigChanged(self.facts)]
+        return [messages.ConfigChanged(self.router_config)]
 
 
 def shut_down_at(host: RandomHost, ms: float, grace_ms: float) -> None:
@@ -339,9 +339,9 @@
     host.after(ms + 100.0, lambda: [messages.ShutdownStarted(replace(times, ends_ms=inf))])
 
 
-def stream_digest(seed: int, shutdown_ms: float | None = None, **facts: Any) -> str:
+def stream_digest(seed: int, shutdown_ms: float | None = None, **router_config: Any) -> str:
     """The actions on a random stream of events."""
-    host = RandomHost(seed, **facts)
+    host = RandomHost(seed, **router_config)
     if shutdown_ms is not None:
         shut_down_at(host, shutdown_ms, grace_ms=300.0)
     return host.play(seconds=20.0)
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -13,7 +13,7 @@
 
 from ternlane.policy.router import Router
 from ternlane.policy.messages import Role, Effect, Group, RequestClass, Tenant, AttemptOutcome
-from tests.conftest import FACTS
+from tests.conftest import ROUTER_CONFIG
 from tests.fleet.baseline import LATE_VIEW_MS, LateSeeing, View
 from tests.fleet.gateway import Gateway, virtual_clock
 from tests.fleet.scene import LATE_SHARE, ClientRequest, Scene
@@ -87,22 +87,22 @@
         if self.kind == "late":
             return LateSeeing(gateway)
         scene = self.scene
-        facts = replace(
-            FACTS,
+        router_config = replace(
+            ROUTER_CONFIG,
             seed=zlib.crc32(b"%d %d %d" % (scene.seed, gateway.number, gateway.incarnation)),
             gateways=scene.gateways,
             zone=gateway.zone,
             request_classes=self.request_classes,
             may_probe=True,
-            reports_mem=scene.told_if_asked,
+            reports_mem=scene.reports_on_probe,
             idle_ms=30e3,
             drain_grace_ms=2000.0,
-            cold_ms=scene.cold_ms,
-            cold_from=scene.cold_from,
+            slow_start_ms=scene.slow_start_ms,
+            slow_start_share=scene.slow_start_share,
             fall_multiple=4.0,
             fall_ms=3000.0,
         )
-        return Router(facts)
+        return Router(router_config)
 
     def cut(self, gateway: Gateway, model: ModelServer) -> bool:
         return (gateway.zone, model.zone) in self.cuts
@@ -157,7 +157,7 @@
                 answer,
                 when,
                 patience,
-                request_class.revenue * (prompt + 4 * answer),
+                request_class.priority_weight * (prompt + 4 * answer),
             )
             if scene.leave_share and rng.random() < scene.leave_share:
                 client_request.gives_up_ms = rng.uniform(50.0, 1000.0)
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -48,7 +48,7 @@
         server = self.known.get(model)
         if server is None:
             memory = self.day.scene.decode_memory if model.role is Role.DECODE else 250e3
-            server = Server(model.zone, model.cell, model.role, memory, mark=zlib.crc32(model.name.encode()))
+            server = Server(model.zone, model.cell, model.role, memory, hash_key=zlib.crc32(model.name.encode()))
             self.known[model], self.truth[server] = server, model
         server.started_ms = max(0.0, model.started)
         server.incarnation = EndpointStatus.DRAINING if model.draining else EndpointStatus.READY
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -41,9 +41,9 @@
     slo_ms: float = 2000.0
     deadline_ms: float = 10000.0
     tries: int = 3
-    cold_ms: float = 10e3
-    cold_from: float = 0.35
-    told_if_asked: bool = False  # model servers answer probes with their load
+    slow_start_ms: float = 10e3
+    slow_start_share: float = 0.35
+    reports_on_probe: bool = False  # model servers answer probes with their load
     notice_ms: float = 0.0  # until the last gateway has heard of a change of the list
     leave_share: float = 0.0  # of the clients, that give up within a second
     burst: float = 1.0  # how much more comes in the second third of the day
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -41,8 +41,8 @@
 
     def warmth(self) -> float:
         scene = self.day.scene
-        age = (self.day.now - self.started) / scene.cold_ms
-        return min(1.0, scene.cold_from + (1 - scene.cold_from) * age)
+        age = (self.day.now - self.started) / scene.slow_start_ms
+        return min(1.0, scene.slow_start_share + (1 - scene.slow_start_share) * age)
 
     # -- what the baseline sees
 
@@ -70,7 +70,7 @@
         """What it says of its load."""
         held = len(self.running) + len(self.waiting)
         share = self.memory / self.day.scene.decode_memory if self.role is Role.DECODE else 0.0
-        return Report(open_requests=float(held), mem_share=share)
+        return Report(open_requests=float(held), memory_share=share)
 
     # -- attempts
 
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -164,7 +164,7 @@
 )
 def test_load_reports_are_read_in_both_forms(said: str, mem: float | None, out: float | None) -> None:
     report = load_of(said)
-    assert report is not None and (report.mem_share, report.open_requests) == (mem, out)
+    assert report is not None and (report.memory_share, report.open_requests) == (mem, out)
 
 
 @pytest.mark.parametrize("said", [None, "", "TEXT a=b", "JSON {", "XML <a/>", "JSON [1]"])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -118,7 +118,7 @@
     said = host.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)
     assert [type(a) for a in said] == [messages.Release, messages.StartAttempt]
     assert sent(said).server.role is messages.Role.PREFILL
-    other = build(("w2", "w3"), holds_run_on=False)  # where an outcome of any kind begins that time anew
+    other = build(("w2", "w3"), holds_expire_unless_arrived=False)  # where an outcome of any kind begins that time anew
     request, attempt = other.written()
     second = sent(other.end(request, attempt.server, AttemptOutcome.CONNECT_FAILED, after=250.0)).server
     assert (
@@ -312,7 +312,7 @@
     first, second = (build(extra=tuple(prefill_servers), seed=seed) for seed in (1, 2))
     for prefix in "abcdef":
         attempts = [sent(h.arrive(h.request(session=prefix, prefix=prefix), after=3000.0)) for h in (first, second)]
-        assert len({attempt.server.mark for attempt in attempts}) == 1
+        assert len({attempt.server.hash_key for attempt in attempts}) == 1
 
 
 def test_a_handful_of_generations_does_not_make_an_opening_popular() -> None:
@@ -324,7 +324,7 @@
             host.arrive(host.request(prefix=f"x{i}"))
         request = host.request(session="s", prefix="shared")
         host.arrive(request)
-        seen.append({engine.server.mark for engine in request.seat.agreed})
+        seen.append({engine.server.hash_key for engine in request.seat.agreed})
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
 
 
@@ -487,7 +487,7 @@
     board = host.router.desk.board
     busy, attempt = host.written()
     for turn in range(300):
-        new = Server("east", 0, messages.Role.PREFILL, 200e3, mark=turn)
+        new = Server("east", 0, messages.Role.PREFILL, 200e3, hash_key=turn)
         host.tell(messages.EndpointsUpdated((new,)))
         new.status = EndpointStatus.REMOVED
         host.tell(messages.EndpointsUpdated((new,)))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,7 +15,7 @@
 from ternlane.policy import messages
 from ternlane.policy.router import CARE, Router
 from ternlane.policy.messages import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
-from tests.conftest import FACTS
+from tests.conftest import ROUTER_CONFIG
 
 REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
 READ_MS, FIRST_MS, STREAM_MS = 120.0, 60.0, 1500.0
@@ -43,7 +43,7 @@
 
     def __post_init__(self) -> None:
         self.servers = [
-            Server("east", n // 2, role, 300e3, mark=zlib.crc32(b"%d %s" % (n, role.name.encode())))
+            Server("east", n // 2, role, 300e3, hash_key=zlib.crc32(b"%d %s" % (n, role.name.encode())))
             for n in range(self.peers)
             for role in (Role.PREFILL, Role.DECODE)
         ]
@@ -51,18 +51,18 @@
         self.all = [self.router(n) for n in range(self.routers)]
 
     def router(self, nth: int) -> Router:
-        facts = replace(
-            FACTS,
+        router_config = replace(
+            ROUTER_CONFIG,
             seed=nth * 7919 + 1,
             gateways=self.routers,
             request_classes=(REQUEST_CLASS,),
             idle_ms=30e3,
             fall_multiple=MULTIPLE,
-            cold_from=COLD_FROM,
-            cold_ms=COLD_MS,
+            slow_start_share=COLD_FROM,
+            slow_start_ms=COLD_MS,
             fall_ms=FALL_MS,
         )
-        made = Router(facts)
+        made = Router(router_config)
         self.mine = getattr(self, "mine", {})
         self.mine[nth] = [replace(s, seat=None) for s in self.servers]  # seats are each router's own
         self.act(nth, made.take(self.now, [messages.EndpointsUpdated(tuple(self.mine[nth]))]))
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -20,7 +20,7 @@
 from ternlane.platform import engines as engines_module
 from ternlane.policy.messages import Effect, Group, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, HEAD, Gate, framed
-from tests.conftest import FACTS, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 from tests.crossing import Client, Wrapped, arrived, pair, client_request, until
 from tests.platform_world import TOLD, Platform, always, once, platform
 from tests.world import TERMS, Reply, world
@@ -258,16 +258,16 @@
     host = build()
     request_class = messages.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
     host.request_classes[Effect.DEDUPLICATED] = request_class
-    host.tell(messages.ConfigChanged(FACTS))
+    host.tell(messages.ConfigChanged(ROUTER_CONFIG))
     return host
 
 
 def test_a_repeat_may_begin_only_while_the_window_lasts() -> None:
     host = keyed(3000.0)
     request, attempt = host.written(Effect.DEDUPLICATED)
-    assert attempt.begin_by_ms == float("inf")  # nothing may have run yet
+    assert attempt.start_within_ms == float("inf")  # nothing may have run yet
     again = sent(host.end(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
-    assert again.begin_by_ms == pytest.approx(2000.0)
+    assert again.start_within_ms == pytest.approx(2000.0)
 
 
 @pytest.mark.parametrize("after, answer", [(100.0, messages.Reject), (2900.0, messages.Fail), (3100.0, messages.Fail)])
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -22,7 +22,7 @@
 DAYS: dict[str, Callable[[], str]] = {
     "quiet day": lambda: day_digest(SMALL),
     "reports on request, clients that leave": lambda: day_digest(
-        fleet.Scene(16, 10, 8, seconds=8.0, seed=2, told_if_asked=True, leave_share=0.1)
+        fleet.Scene(16, 10, 8, seconds=8.0, seed=2, reports_on_probe=True, leave_share=0.1)
     ),
     "overload with a burst": lambda: day_digest(
         fleet.Scene(12, 8, 6, seconds=9.0, seed=3, load=1.2, burst=1.6, tenants=2)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -201,7 +201,7 @@
 
 def test_a_cold_engine_is_slow_and_empty_and_warms() -> None:
     fleet = Fleet(100.0, 100.0)
-    seat = cell(fleet, nature=Nature(cold_ms=1000.0, cold_from=0.25))
+    seat = cell(fleet, nature=Nature(slow_start_ms=1000.0, slow_start_share=0.25))
     keys = [(i, i) for i in range(60)]
     times: list[float] = []
     for at in (0.0, 5000.0, 10_000.0, 15_000.0):
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -270,8 +270,8 @@
         engines.has_answered(server.address)  # the silent ones were heard last
         server.mute = server in servers[:16]
     fleet.states["ab"] = "w19"
-    with trio.move_on_after(deployment.facts.release_ms / 1000):
-        nursery.start_soon(engines.release, "ab", [s.address for s in servers], deployment.facts.release_ms)
+    with trio.move_on_after(deployment.router_config.release_ms / 1000):
+        nursery.start_soon(engines.release, "ab", [s.address for s in servers], deployment.router_config.release_ms)
         while "ab" in fleet.states:
             await trio.sleep(0.005)
     assert "ab" not in fleet.states
@@ -416,6 +416,6 @@
         node, front = p.gateway.node, p.gateway.front
         out = [await node.engines.pool.connect(p.servers["r0"].address) for _ in range(front.open_limit)]
         assert len(out) == len(node.engines.pool.open) == 40
-        assert await node.engines.release("ab", node.addresses(), node.deployment.facts.release_ms)
+        assert await node.engines.release("ab", node.addresses(), node.deployment.router_config.release_ms)
         for caller in out:
             caller.close_now()
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -85,7 +85,7 @@
     prompt_tokens=6000.0,
     answer_tokens=50.0,
     tenants=0,
-    told_if_asked=True,
+    reports_on_probe=True,
 )
 
 
@@ -180,7 +180,7 @@
 def test_a_single_late_answer_is_no_overload_also_where_late_answers_earn_nothing() -> None:
     host = build(gateways=200)
     for request_class in host.request_classes.values():
-        request_class.late_share = 0.0
+        request_class.late_value_share = 0.0
     assert messages.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(prefix=None, prefix_tokens=0.0)
@@ -194,7 +194,7 @@
     host = build(gateways=200)
     request, attempt = host.written(prefix=None, prefix_tokens=0.0)
     for name in ("w0", "w1"):
-        full = messages.Report(open_requests=40.0, mem_share=1.0)
+        full = messages.Report(open_requests=40.0, memory_share=1.0)
         host.tell(messages.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
     said = host.arrive(host.request())
     assert messages.StartAttempt not in kinds(said)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,9 +10,9 @@
 from ternlane.policy import messages
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, Lease, ReleaseSchedule
 from ternlane.policy.messages import Effect, ReleaseReason, AttemptOutcome
-from tests.conftest import FACTS, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 
-GUARD_MS = (1 - RELEASE_RESERVE) * FACTS.release_ms
+GUARD_MS = (1 - RELEASE_RESERVE) * ROUTER_CONFIG.release_ms
 
 
 def decode_ended(outcome: AttemptOutcome) -> AttemptEnd:
@@ -80,8 +80,8 @@
 # -- in the decisions
 
 
-def platform_like(*extra: str, **facts: Any) -> FakeHost:
-    return build(extra, releases_spare_attempts=True, **facts)
+def platform_like(*extra: str, **router_config: Any) -> FakeHost:
+    return build(extra, releases_spare_attempts=True, **router_config)
 
 
 def released(said: list[Any]) -> list[ReleaseReason]:
@@ -102,7 +102,7 @@
     host = platform_like()
     request, attempt = host.written()
     host.first(request, attempt.server)
-    assert not released(host.tell(after=2 * FACTS.release_ms))
+    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
 
 
 def test_an_attempt_that_timed_out_does_not_prolong_the_release_time() -> None:
@@ -141,7 +141,7 @@
     first = sent(host.arrive(request))
     said = host.end(request, first.server, AttemptOutcome.RESET)
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server is not first.server
-    assert not released(host.tell(after=2 * FACTS.release_ms))
+    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
 
 
 def test_what_an_unheard_prefill_may_leave_is_released_again_while_its_request_queues() -> None:
@@ -164,8 +164,10 @@
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
-@pytest.mark.parametrize("facts", [{"releases_spare_attempts": False}, {"holds_run_on": False}])
-def test_where_a_release_would_harm_an_attempt_or_sends_can_not_be_lost_none_is_early(facts: dict[str, bool]) -> None:
-    host = build(**({"releases_spare_attempts": True} | facts))
+@pytest.mark.parametrize("router_config", [{"releases_spare_attempts": False}, {"holds_run_on": False}])
+def test_where_a_release_would_harm_an_attempt_or_sends_can_not_be_lost_none_is_early(
+    router_config: dict[str, bool],
+) -> None:
+    host = build(**({"releases_spare_attempts": True} | router_config))
     host.written()
-    assert not released(host.tell(after=2 * FACTS.release_ms))
+    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,10 +23,10 @@
 
 def test_simulator_and_platform_tell_the_decisions_equal_facts() -> None:
     wire, told = Instance(7, TOLD), Deployment(7, TOLD)
-    assert [astuple(p) for p in wire.deployment.facts.request_classes] == [
-        astuple(p) for p in told.facts.request_classes
+    assert [astuple(p) for p in wire.deployment.router_config.request_classes] == [
+        astuple(p) for p in told.router_config.request_classes
     ]
-    assert replace(wire.deployment.facts, request_classes=()) == replace(told.facts, request_classes=())
+    assert replace(wire.deployment.router_config, request_classes=()) == replace(told.router_config, request_classes=())
     endpoint_registry = EndpointRegistry(Deployment(7, TOLD))
     listing = read_listing(
         json.dumps(
@@ -51,12 +51,12 @@
     endpoint_registry.take(listing, 10_000.0, 5_000.0)
     wire.list_entries("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
     mine, theirs = endpoint_registry.servers["s1"], wire.servers["s1"]
-    for name in ("zone", "cell", "duty", "mem_toks", "size", "started_ms", "life", "mark"):
+    for name in ("zone", "cell", "role", "kv_capacity_tokens", "size", "started_ms", "status", "hash_key"):
         assert getattr(mine, name) == getattr(theirs, name), name
     by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
     assert isinstance(by_wire, messages.RequestArrived)
     by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
-    for name in ("session", "opening", "opening_toks", "prompt_toks", "max_toks", "patience_ms", "tenant"):
+    for name in ("session", "prefix", "prefix_tokens", "prompt_tokens", "max_tokens", "client_timeout_ms", "tenant"):
         assert getattr(by_wire.request, name) == getattr(by_socket, name), name
     assert load_of("inflight=7,x0=0.5", Deployment(7, TOLD)) == wire.report("7,0.5") == messages.Report(7.0, 0.5)
     assert WireHost().answer(["MARK 1.0"]) == ["YIELD"]
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -386,13 +386,13 @@
     pace.prefill_servers = 7
     now, charged, alone, peak, largest = 0.0, 0.0, 0, 0.0, 0
     waiting: dict[int, int] = {}
-    for i, (wait, what, tokens, revenue) in enumerate(steps):
+    for i, (wait, what, tokens, priority_weight) in enumerate(steps):
         now += wait
         if what == "read":
             pace.read(now, tokens, 10.0 + tokens / 5)
         elif what == "break":
             waiting[i], largest = tokens, max(largest, tokens)
-            pace.wait(i, tokens, revenue, 1.0, now + 3000)
+            pace.wait(i, tokens, priority_weight, 1.0, now + 3000)
         elif pace.out:
             pace.landed(next(iter(pace.out)))
         out_before, level = len(pace.out), pace.level
@@ -415,13 +415,13 @@
 def test_what_earns_most_and_has_streamed_most_goes_first_and_the_late_are_named() -> None:
     pace: Pace[str] = Pace(0.5, 1000.0)
     pace.out["busy"] = None
-    for name, revenue, streamed, until in (
+    for name, priority_weight, streamed, until in (
         ("low", 1, 9, 99.0),
         ("short", 3, 1, 99.0),
         ("long", 3, 8, 99.0),
         ("late", 9, 9, 5.0),
     ):
-        pace.wait(name, 10, revenue, streamed, until)
+        pace.wait(name, 10, priority_weight, streamed, until)
     pace.wait("left", 10, 9, 9, 99.0)
     pace.gone("left")  # its client has left: nothing is read for it
     assert pace.next(6.0) == ([], ["late"])
@@ -443,20 +443,20 @@
         rng, it = random.Random(5), Rhythm(1e-3)
         it.tokens = 30
         it.resumed(20.0)
-        assert it.quiet_ms("w0") is None  # nothing is known yet
+        assert it.idle_timeout_ms("w0") is None  # nothing is known yet
         paces = {f"w{i}": 5.0 * (i + 1) for i in range(6)}
         alarms = 0
         for n in range(60_000):
             name = rng.choice(list(paces))
-            wait, limit = waits_of(rng, paces[name], pauses), it.quiet_ms(name)
+            wait, limit = waits_of(rng, paces[name], pauses), it.idle_timeout_ms(name)
             explored = n % 30 < 2
             if limit is not None and wait > limit and n > 20_000 and not explored:
                 alarms += 1
                 continue  # given up: how long it would have been is never known
             it.heard(name, wait, explored)
         assert alarms <= 40_000 / 30 * 1e-3 * 6 + 2
-        quiet[pauses] = it.quiet_ms("w3") or 0.0
-        assert quiet[pauses] > (it.quiet_ms("w0") or 0.0)  # each server by its own pace
+        quiet[pauses] = it.idle_timeout_ms("w3") or 0.0
+        assert quiet[pauses] > (it.idle_timeout_ms("w0") or 0.0)  # each server by its own pace
     assert 20 <= quiet[0.0] < 20 * 12 and quiet[0.01] > 1.5 * quiet[0.0]
 
 
@@ -465,17 +465,17 @@
     it.resumed(400.0)
     for _ in range(5000):
         it.heard("w0", waits_of(rng, 10.0, 0.0))
-    assert it.quiet_ms("w0") == 400.0
+    assert it.idle_timeout_ms("w0") == 400.0
     it.resume_ms = 0.0
     it.first(300.0)  # until a resume was seen, a first token is what one is taken to cost
-    assert it.quiet_ms("w0") == 300.0
+    assert it.idle_timeout_ms("w0") == 300.0
     it.resume_ms = 1.0
-    before = it.quiet_ms("w0") or 0.0
+    before = it.idle_timeout_ms("w0") or 0.0
     for _ in range(60):  # all writers are four times slower from now on
         it.heard("w0", waits_of(rng, 40.0, 0.0))
-    assert (it.quiet_ms("w0") or 0.0) > 3 * before
+    assert (it.idle_timeout_ms("w0") or 0.0) > 3 * before
     it.forget("w0")
-    assert it.quiet_ms("w0") is None
+    assert it.idle_timeout_ms("w0") is None
 
 
 async def test_a_stalled_stream_goes_on_long_before_the_silence_that_was_allowed() -> None:
@@ -496,7 +496,9 @@
         since = trio.current_time()
         reply = await w.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and trio.current_time() - since < 0.8
-        assert w.gateway.host.facts.request_classes[0].deadline_ms / 2 == 1000  # the silence that the decisions allow
+        assert (
+            w.gateway.host.router_config.request_classes[0].deadline_ms / 2 == 1000
+        )  # the silence that the decisions allow
 
 
 # -- what an answer has besides its text
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -254,12 +254,12 @@
         slots=8,
         token_ms=8.0,
         answer_tokens=(12, 12),
-        cold_from=0.05,
-        cold_ms=4000,
+        slow_start_share=0.05,
+        slow_start_ms=4000,
         fall_multiple=1.0,
         fall_ms=500,
     )
-    terms = replace_paper(cold_from=0.05, cold_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
+    terms = replace_paper(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
     async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
             w.engines[ident].build = BUILD
@@ -285,15 +285,15 @@
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
         BUILD,
-        cold_ms=3000,
-        cold_from=0.15,
+        slow_start_ms=3000,
+        slow_start_share=0.15,
         fall_multiple=1.2,
         fall_ms=500,
         slots=4,
         token_ms=12.0,
         answer_tokens=(20, 20),
     )
-    terms = replace_paper(cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
+    terms = replace_paper(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -189,8 +189,8 @@
 class Noted(ternlane.Router):
     """The decisions, with every event and action written down with its time."""
 
-    def __init__(self, facts: ternlane.StartFacts, notes: list[str]) -> None:
-        super().__init__(facts)
+    def __init__(self, router_config: ternlane.RouterConfig, notes: list[str]) -> None:
+        super().__init__(router_config)
         self.notes, self.start = notes, -1.0
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
@@ -236,7 +236,7 @@
                 int(ident[1]),
                 "127.0.0.1",
                 0,
-                replace(BUILD, cold_ms=2000),
+                replace(BUILD, slow_start_ms=2000),
                 traffic,
                 1,
             )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from ternlane.policy import messages
 from ternlane.policy.router import Router
 from ternlane.deployment import Deployment
-from ternlane.policy.messages import StartFacts, AttemptOutcome
+from ternlane.policy.messages import RouterConfig, AttemptOutcome
 from tests.conftest import FakeHost, build, sent
 from tests.platform_world import TOLD
 
@@ -48,7 +48,7 @@
 
 
 def test_every_figure_has_its_place_here() -> None:
-    figures = {f.name for f in fields(StartFacts) if f.type in ("int", "float")}
+    figures = {f.name for f in fields(RouterConfig) if f.type in ("int", "float")}
     assert figures - {"seed"} == set(PLACES)
 
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("name", PLACES)
 @pytest.mark.parametrize("value", [ABSENT, None])
 def test_a_figure_that_is_missing_has_a_default(name: str, value: Any) -> None:
-    Router(Deployment(1, settings(name, value)).facts)
+    Router(Deployment(1, settings(name, value)).router_config)
 
 
 @pytest.mark.parametrize("key", ["key_ttl", "aim", "deadline", "worth", "late_worth"])
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("count, taken", [(ABSENT, 1), (0, 1), (1, 1), (200, 200), (5000, 5000)])
 def test_no_count_of_gateways_and_a_count_of_none_are_one(count: Any, taken: int) -> None:
-    assert Deployment(1, settings("gateways", count)).facts.gateways == taken
+    assert Deployment(1, settings("gateways", count)).router_config.gateways == taken
 
 
 @pytest.mark.parametrize("gateways", [1, 200, 5000])
@@ -122,8 +122,8 @@
 
 
 def test_where_the_settings_allow_a_cold_server_nothing_it_is_sent_nothing() -> None:
-    assert prefill_servers(build(gateways=200, fall_multiple=0.0, cold_ms=60e3), 60) == {"r1"}
+    assert prefill_servers(build(gateways=200, fall_multiple=0.0, slow_start_ms=60e3), 60) == {"r1"}
 
 
 def test_where_the_settings_know_no_slow_start_a_new_server_is_used_at_once() -> None:
-    assert "r0" in prefill_servers(build(gateways=200, cold_ms=0.0), 60)
+    assert "r0" in prefill_servers(build(gateways=200, slow_start_ms=0.0), 60)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -21,7 +21,7 @@
 from ternlane.policy import messages
 from ternlane.policy.router import Router
 from ternlane.policy.messages import Role, Effect, Request, Group, RequestClass, Server, AttemptOutcome
-from tests.conftest import FACTS
+from tests.conftest import ROUTER_CONFIG
 
 READ_TOKENS_PER_MS, TOKEN_MS, MEMORY_TOKENS = 8.0, 12.0, 60e3
 DAY_MS = 40e3
@@ -61,22 +61,22 @@
         self.of: dict[Request, ClientRequest] = {}
         self.routers, self.servers = list[Router](), list[list[Server]]()
         for nth in range(self.gateways):
-            facts = replace(
-                FACTS,
+            router_config = replace(
+                ROUTER_CONFIG,
                 seed=self.seed + nth,
                 gateways=self.gateways,
                 request_classes=tuple(self.request_classes.values()),
                 idle_ms=30e3,
-                cold_ms=0.0,
+                slow_start_ms=0.0,
             )
             self.servers.append(
                 [
-                    Server("east", n, role, MEMORY_TOKENS, mark=zlib.crc32(b"%d%d" % (n, role.value)))
+                    Server("east", n, role, MEMORY_TOKENS, hash_key=zlib.crc32(b"%d%d" % (n, role.value)))
                     for n in range(self.pairs)
                     for role in (Role.PREFILL, Role.DECODE)
                 ]
             )
-            self.routers.append(Router(facts))
+            self.routers.append(Router(router_config))
             self.tell(nth, messages.EndpointsUpdated(tuple(self.servers[nth])))
 
     def at(self, when: float, nth: int, event: Any) -> None:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -21,7 +21,7 @@
 from ternlane.engine import SocketTransport
 from ternlane.engine.protocol import load_told
 from ternlane.config import GatewayConfig, RequestClassConfig
-from tests.conftest import FACTS, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 from tests.test_days import gate, wait_for
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 
@@ -34,7 +34,7 @@
         TERMS,
         ask_load=True,
         reports_mem=False,
-        longest_pause_ms=0.0,
+        max_retry_after_ms=0.0,
         max_attempts=4,
         decode_servers_prefill=True,
         release_ms=250.0,
@@ -185,7 +185,7 @@
 
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
-    assert host.tell(messages.ConfigChanged(replace(FACTS, max_attempts=1))) == []
+    assert host.tell(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
     assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
         messages.Reject,
         messages.Release,
@@ -198,13 +198,15 @@
     host.first(request, attempt.server)
     host.end(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
     host.tell(
-        messages.ConfigChanged(replace(FACTS, gateways=50, max_attempts=4, longest_pause_ms=0.0, may_advise=False))
+        messages.ConfigChanged(
+            replace(ROUTER_CONFIG, gateways=50, max_attempts=4, max_retry_after_ms=0.0, may_send_retry_after=False)
+        )
     )
     assert sent(host.arrive(host.request(session="s"))).server is home
 
 
 def test_load_is_asked_for_before_a_pair_is_chosen_and_nobody_waits_long_for_it() -> None:
-    host = build(may_probe=True, told_if_asked=True)
+    host = build(may_probe=True, reports_on_probe=True)
     request = host.request()
     asked = [a.server for a in host.arrive(request)]
     assert len(asked) == 2 and all(server.role is messages.Role.PREFILL for server in asked)
@@ -222,7 +224,7 @@
 
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
 def test_nobody_waits_for_loads_beyond_its_clients_patience(patience: float) -> None:
-    host = build(may_probe=True, told_if_asked=True)
+    host = build(may_probe=True, reports_on_probe=True)
     request = host.request(client_timeout_ms=patience)
     said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
@@ -244,4 +246,4 @@
 )
 def test_metrics_that_say_nothing_are_no_report(text: str, report: tuple[float, float | None] | None) -> None:
     said = load_told(text)
-    assert (None if said is None else (said.open_requests, said.mem_share)) == report
+    assert (None if said is None else (said.open_requests, said.memory_share)) == report
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -86,20 +86,26 @@
 async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
     told, raw = settings(name), site(name)
     async with platform("r0", "w0", told=told, limits=Limits(sockets=500, memory_mb=100)) as p:
-        facts, pool, front = p.gateway.node.deployment.facts, p.gateway.pool, p.gateway.front
+        router_config, pool, front = p.gateway.node.deployment.router_config, p.gateway.pool, p.gateway.front
         connection = raw["tier"][0]["conn"]
-        assert facts.release_ms == raw["fam"]["release_ms"] and facts.max_attempts == raw["allow"]["max_attempts"]
-        assert facts.drain_grace_ms == raw["rules"]["drain_grace_ms"]
+        assert (
+            router_config.release_ms == raw["fam"]["release_ms"]
+            and router_config.max_attempts == raw["allow"]["max_attempts"]
+        )
+        assert router_config.drain_grace_ms == raw["rules"]["drain_grace_ms"]
         assert pool.connect_ms == connection["connect_timeout_ms"] and pool.limit == 225
         assert pool.idle_ms == pytest.approx(900.0 * connection["idle_s"]) and pool.wear.span_ms == pool.idle_ms
         assert (front.conn_limit, front.open_limit) == (225, 200) and front.held_bytes == int(20 * 2**20)
         limits = p.gateway.node.chooser.limits  # type: ignore[attr-defined]
         assert limits.slo_ms == min(one["aim_ms"] for one in raw["class"])
-        assert limits.retry_ms == 2 * connection["connect_timeout_ms"] and limits.max_attempts == facts.max_attempts
+        assert (
+            limits.retry_ms == 2 * connection["connect_timeout_ms"]
+            and limits.max_attempts == router_config.max_attempts
+        )
         assert limits.pause_ms == raw["clients"]["max_retry_after_ms"]
-        assert limits.cold_part / raw["rules"]["fall_multiple"] == pytest.approx(0.6 * facts.cold_from)
-        assert facts.may_probe == raw["allow"]["probes"]
-        assert facts.told_if_asked == (raw["tier"][0]["report"]["how"] == "probe")
+        assert limits.cold_part / raw["rules"]["fall_multiple"] == pytest.approx(0.6 * router_config.slow_start_share)
+        assert router_config.may_probe == raw["allow"]["probes"]
+        assert router_config.reports_on_probe == (raw["tier"][0]["report"]["how"] == "probe")
 
 
 @pytest.mark.parametrize("name", NAMES)
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,8 +20,12 @@
 from ternlane.standin.traffic import Traffic
 
 REQUEST_CLASSES = [
-    RequestClassConfig(name="summary", effect="idempotent", slo_ms=400, token_slo_ms=60, deadline_ms=2000, revenue=3),
-    RequestClassConfig(name="note", effect="side-effecting", slo_ms=400, token_slo_ms=60, deadline_ms=1500, revenue=2),
+    RequestClassConfig(
+        name="summary", effect="idempotent", slo_ms=400, token_slo_ms=60, deadline_ms=2000, priority_weight=3
+    ),
+    RequestClassConfig(
+        name="note", effect="side-effecting", slo_ms=400, token_slo_ms=60, deadline_ms=1500, priority_weight=2
+    ),
     RequestClassConfig(
         name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, token_slo_ms=60, deadline_ms=1500
     ),
@@ -41,10 +45,12 @@
     token_ms=3.0,
     token_growth=0.0,
     answer_tokens=(6, 6),
-    cold_ms=2000,
-    cold_from=0.3,
+    slow_start_ms=2000,
+    slow_start_share=0.3,
+)
+TERMS = FleetConfig(
+    connect_ms=150, release_ms=300, slow_start_ms=2000, slow_start_share=0.3, fall_multiple=3, fall_ms=1000
 )
-TERMS = FleetConfig(connect_ms=150, release_ms=300, cold_ms=2000, cold_from=0.3, fall_multiple=3, fall_ms=1000)
 
 
 @dataclass
