--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -93,7 +93,7 @@
 class DeltaIn(msgspec.Struct):
     content: str | None = None
     tool_calls: list[dict[str, Any]] | None = None
-    reject_reason: str | None = None
+    refusal: str | None = None
     reasoning_content: str | None = None
     reasoning: str | None = None
 
@@ -107,7 +107,7 @@
         """What it has besides text, as chat.Beyond puts it together; None for nothing."""
         delta, out = self.delta, {}
         if delta is not None and (
-            delta.tool_calls or delta.reject_reason or delta.reasoning_content or delta.reasoning
+            delta.tool_calls or delta.refusal or delta.reasoning_content or delta.reasoning
         ):
             out["delta"] = {
                 k: v for k in ("tool_calls", "refusal", "reasoning_content", "reasoning") if (v := getattr(delta, k))
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -51,7 +51,7 @@
             server = Server(model.zone, model.cell, model.role, memory, hash_key=zlib.crc32(model.name.encode()))
             self.known[model], self.truth[server] = server, model
         server.started_ms = max(0.0, model.started)
-        server.incarnation = EndpointStatus.DRAINING if model.draining else EndpointStatus.READY
+        server.status = EndpointStatus.DRAINING if model.draining else EndpointStatus.READY
         return server
 
     def heard_of(self, model: ModelServer) -> None:
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -44,13 +44,13 @@
 
 VARIANTS: dict[str, dict[str, Any]] = {
     "usual": {},
-    "no cancelling, no advice": {"may_call_off": False, "may_advise": False},
-    "reports on request": {"may_probe": True, "reports_mem": True, "told_if_asked": True},
+    "no cancelling, no advice": {"may_cancel": False, "may_send_retry_after": False},
+    "reports on request": {"may_probe": True, "reports_mem": True, "reports_on_probe": True},
     "releases spare attempts": {"releases_spare_attempts": True},
-    "one role": {"writers_read": True, "must_ask": True},
-    "state does not expire": {"holds_run_on": False, "leg_limit": 3},
+    "one role": {"decode_servers_prefill": True, "must_subscribe": True},
+    "state does not expire": {"holds_expire_unless_arrived": False, "max_attempts": 3},
     "shutdown": {"shutdown_ms": 12e3, "releases_spare_attempts": True},
-    "shutdown without cancelling": {"shutdown_ms": 12e3, "may_call_off": False},
+    "shutdown without cancelling": {"shutdown_ms": 12e3, "may_cancel": False},
 }
 STREAM_SEEDS = range(6)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -164,7 +164,7 @@
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
-@pytest.mark.parametrize("router_config", [{"releases_spare_attempts": False}, {"holds_run_on": False}])
+@pytest.mark.parametrize("router_config", [{"releases_spare_attempts": False}, {"holds_expire_unless_arrived": False}])
 def test_where_a_release_would_harm_an_attempt_or_sends_can_not_be_lost_none_is_early(
     router_config: dict[str, bool],
 ) -> None:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -32,7 +32,7 @@
 
 def test_decisions_alone_bring_no_http_stack_and_all_names_are_there() -> None:
     heavy = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
-    said = python("import sys, ternlane\nternlane.Router, ternlane.StartFacts\nprint(*sys.modules)")
+    said = python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
     assert not heavy & set(said.split())
     for name in ternlane.__all__:
         assert getattr(ternlane, name) is not None
@@ -113,8 +113,8 @@
 def test_an_interpreter_that_ends_with_a_router_open_ends() -> None:
     code = (
         "from tests.test_library import *\n_, t = engines()\n"
-        "r = ternlane.Blocking(paper('r0', 'w0'), lambda: t).__enter__()\n"
-        "print(''.join(r.generation(REQUEST)).strip()[-1])"
+        "r = ternlane.Blocking(config('r0', 'w0'), lambda: t).__enter__()\n"
+        "print(''.join(r.request(REQUEST)).strip()[-1])"
     )
     assert python(code).split()[-1] == "5"
 
@@ -190,8 +190,8 @@
     said = python(
         "import os\nfrom tests.test_library import *\nternlane.Blocking, ternlane.open_gateway\n"
         "pid = os.fork()\n_, t = engines()\n"
-        "with ternlane.Blocking(paper('r0', 'w0'), lambda: t) as r:\n"
-        "    text = ''.join(r.generation(REQUEST)).strip()\n"
+        "with ternlane.Blocking(config('r0', 'w0'), lambda: t) as r:\n"
+        "    text = ''.join(r.request(REQUEST)).strip()\n"
         "os.write(1, (text[-1] + chr(10)).encode())\n"
         "pid and os.waitpid(pid, 0)\n"
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -81,8 +81,8 @@
         took: float,
         plan: AttemptPlan,
     ) -> None:
-        if end.verdict in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not end.begun:
-            end.verdict = AttemptOutcome.CONNECT_FAILED
+        if end.outcome in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not end.begun:
+            end.outcome = AttemptOutcome.CONNECT_FAILED
         super().attempt_ended(active_request, server, stage, end, took, plan)
 
 
