--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -32,16 +32,16 @@
 QUICK = Build(
     slots=4000,
     queue=4000,
-    mem_toks=1e9,
-    read_tok_s=1e7,
-    tok_ms=0.0,
-    tok_grow=0.0,
-    near_tok_s=1e9,
-    far_tok_s=1e9,
-    answer_toks=(8, 8),
+    kv_capacity_tokens=1e9,
+    prefill_tokens_per_s=1e7,
+    token_ms=0.0,
+    token_growth=0.0,
+    near_tokens_per_s=1e9,
+    far_tokens_per_s=1e9,
+    answer_tokens=(8, 8),
 )
-PRODUCTS = [{"name": "summary", "effect": "idempotent", "slo_ms": 2000, "limit_ms": 10000, "revenue": 3}]
-TOKS = 8
+REQUEST_CLASSES = [{"name": "summary", "effect": "idempotent", "slo_ms": 2000, "limit_ms": 10000, "revenue": 3}]
+TOKENS = 8
 VARIANTS: dict[str, dict[str, Any]] = {
     "gateway": {},
     "streams not joined": {"streams": {"resume": False}},
@@ -50,12 +50,12 @@
 }
 
 
-def body(i: int, toks: int = TOKS) -> dict[str, Any]:
+def body(i: int, tokens: int = TOKENS) -> dict[str, Any]:
     messages = [
         {"role": "system", "content": "the shared rules of the bonus " * 40},
         {"role": "user", "content": f"folder {i} " * 20},
     ]
-    return {"model": "summary", "stream": True, "messages": messages, "max_tokens": toks}
+    return {"model": "summary", "stream": True, "messages": messages, "max_tokens": tokens}
 
 
 async def engines(port: int, count: int, index: int) -> None:
@@ -75,16 +75,16 @@
             nursery.start_soon(engine.run, nursery)
 
 
-async def direct(pool: Pool, reader: str, writer: str, i: int) -> list[float]:
+async def direct(pool: Pool, prefill_server: str, decode_server: str, i: int) -> list[float]:
     """Reads and writes straight at the engines; times of the token events, ms since the ask."""
     since, raw = time.perf_counter(), body(i)
     head = [("Content-Type", "application/json"), ("X-Request-Id", f"d{i}.0")]
-    caller = await pool.take(reader)
+    caller = await pool.take(prefill_server)
     await caller.ask("POST", "/v1/chat/completions", head, read_body(raw))
     state = msgspec.json.decode(await caller.body(1 << 20))["kv_transfer_params"]
     pool.give_back(caller)
-    caller = await pool.take(writer)
-    await caller.ask("POST", "/v1/chat/completions", head, write_body(raw, state, TOKS))
+    caller = await pool.take(decode_server)
+    await caller.ask("POST", "/v1/chat/completions", head, write_body(raw, state, TOKENS))
     return await events(pool, caller, since)
 
 
@@ -97,9 +97,9 @@
 
 
 async def events(pool: Pool, caller: Caller, since: float) -> list[float]:
-    reader, at = EventReader(), []
+    prefill_server, at = EventReader(), []
     async for chunk in caller.chunks():
-        for data in reader.feed(chunk):
+        for data in prefill_server.feed(chunk):
             if '"content"' in data:
                 at.append((time.perf_counter() - since) * 1000)
     pool.give_back(caller)
@@ -141,7 +141,7 @@
         nonlocal done
         i = k
         while trio.current_time() < end:
-            assert len(await through(pool, address, i)) == TOKS
+            assert len(await through(pool, address, i)) == TOKENS
             done, i = done + 1, i + width
 
     async with trio.open_nursery() as nursery:
@@ -202,7 +202,7 @@
                 {
                     "name": f"b{k}",
                     "listen": address,
-                    "products": PRODUCTS,
+                    "products": REQUEST_CLASSES,
                     "nodes": {"from": "inline", "nodes": nodes},
                     **{key: str(folder / value) if key == "journal" else value for key, value in more.items()},
                 }
@@ -257,7 +257,12 @@
                     await ready(a)
                 pool = Pool(2000, 60e3)
                 ways: dict[str, Any] = {n: partial(through, address=a) for n, a in address.items()}
-                ways = {"straight": partial(direct, reader=f"127.0.0.1:{port}", writer=f"127.0.0.1:{port + 1}"), **ways}
+                ways = {
+                    "straight": partial(
+                        direct, prefill_server=f"127.0.0.1:{port}", decode_server=f"127.0.0.1:{port + 1}"
+                    ),
+                    **ways,
+                }
                 got = await one_by_one(pool, ways, told.rounds)
                 print(
                     f"{'one at a time, ms':<20}{'first token':>12}{'added':>8}{'p99':>8}{'last token':>12}{'added':>8}"
@@ -274,7 +279,7 @@
             trio.run(measure)
             print(
                 f"\n{'at full load':<20}{'a second':>12}{'of a core':>12}{'a core-second':>15}   "
-                f"({TOKS} tokens each, two load processes x {told.width})"
+                f"({TOKENS} tokens each, two load processes x {told.width})"
             )
             runs: dict[str, list[tuple[float, float]]] = {n: [] for n in serving}
             for _ in range(told.turns):  # in turns, as the machine's moods change
@@ -291,7 +296,7 @@
     """A gateway in this process under cProfile, engines and load outside."""
     from ternlane.days.play import free_ports
     from ternlane.gateway import open_gateway
-    from ternlane.paper import GatewayPaper, read_paper
+    from ternlane.config import GatewayConfig, read_config
 
     port = free_ports(24)
     with tempfile.TemporaryDirectory() as name:
@@ -299,7 +304,7 @@
         address = papers(folder, port)["gateway"]
 
         async def serve() -> None:
-            async with open_gateway(read_paper(folder / "0.json", GatewayPaper)):
+            async with open_gateway(read_config(folder / "0.json", GatewayConfig)):
                 it = await trio.to_thread.run_sync(
                     lambda: subprocess.run(
                         [sys.executable, "-m", "bench.gateway", "--load", address, "--seconds", str(seconds)],
--- a/bench/library.py
+++ b/bench/library.py
@@ -23,17 +23,17 @@
 import trio
 
 import ternlane
-from ternlane.engine import Kept, LegAsk, LocalTransport
-from ternlane.paper.gateway import InlineSource
+from ternlane.engine import Kept, AttemptRequest, LocalTransport
+from ternlane.config.gateway import InlineSource
 
 REQUEST = {"model": "summary", "messages": [{"role": "user", "content": "folder 17 " * 40}], "stream": True}
 
 
 class Quick:
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         return Kept({}, 100)
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         for _ in range(8):
             yield "word "
 
@@ -41,16 +41,18 @@
         pass
 
 
-def paper() -> ternlane.GatewayPaper:
+def config() -> ternlane.GatewayConfig:
     nodes = [
-        ternlane.NodeLine(id=i, address="127.0.0.1:9", duty="read" if i[0] == "r" else "write", mem_toks=1e9)
+        ternlane.NodeLine(id=i, address="127.0.0.1:9", role="read" if i[0] == "r" else "write", kv_capacity_tokens=1e9)
         for i in ("r0", "r1", "w0", "w1")
     ]
-    return ternlane.GatewayPaper(
+    return ternlane.GatewayConfig(
         name="b",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
-        products=[ternlane.ProductTerms(name="summary", effect="idempotent", slo_ms=2000, limit_ms=10000)],
+        request_classes=[
+            ternlane.RequestClassConfig(name="summary", effect="idempotent", slo_ms=2000, deadline_ms=10000)
+        ],
     )
 
 
@@ -60,10 +62,10 @@
 
 async def in_process(rounds: int) -> list[float]:
     took = []
-    async with ternlane.open_routing(paper(), transport()) as routing:
+    async with ternlane.open_routing(config(), transport()) as routing:
         for _ in range(rounds):
             since = time.perf_counter()
-            async with routing.generation(REQUEST) as stream:
+            async with routing.request(REQUEST) as stream:
                 assert len(await stream.text()) == 40
             took.append((time.perf_counter() - since) * 1000)
     return took
@@ -71,10 +73,10 @@
 
 def from_a_thread(rounds: int) -> list[float]:
     took = []
-    with ternlane.Blocking(paper(), transport) as routing:
+    with ternlane.Blocking(config(), transport) as routing:
         for _ in range(rounds):
             since = time.perf_counter()
-            assert len("".join(routing.generation(REQUEST))) == 40
+            assert len("".join(routing.request(REQUEST))) == 40
             took.append((time.perf_counter() - since) * 1000)
     return took
 
@@ -87,7 +89,7 @@
     from ternlane.http1 import Pool
 
     took, pool, body = [], Pool(1000, 60e3), msgspec.json.encode(REQUEST)
-    async with ternlane.open_gateway(paper(), transport=transport()) as gateway:
+    async with ternlane.open_gateway(config(), transport=transport()) as gateway:
         for _ in range(rounds):
             since = time.perf_counter()
             caller = await pool.take(gateway.address)
@@ -100,24 +102,26 @@
 def decisions_alone(rounds: int) -> list[float]:
     """The same four events fed by hand: what choosing costs without any loop."""
     from ternlane import port
-    from ternlane.gateway.facts import offer_of
+    from ternlane.gateway.router_config import offer_of
     from ternlane.nodes import Book
 
-    it = paper()
+    it = config()
     offer = offer_of(it)
-    router, book, took = ternlane.Router(offer.facts), Book(), []
+    router, book, took = ternlane.Router(offer.router_config), Book(), []
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
-        gen = port.Generation(offer.products["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
-        leg = next(a for a in router.take(now, [port.Arrived(gen)]) if isinstance(a, port.SendLeg))
-        leg = next(
+        request = port.Request(offer.request_classes["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
+        attempt = next(a for a in router.take(now, [port.RequestArrived(request)]) if isinstance(a, port.StartAttempt))
+        attempt = next(
             a
-            for a in router.take(now + 1, [port.LegEnded(gen, leg.server, port.Verdict.READ, 1.0, False)])
-            if isinstance(a, port.SendLeg)
+            for a in router.take(
+                now + 1, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.PREFILLED, 1.0, False)]
+            )
+            if isinstance(a, port.StartAttempt)
         )
-        router.take(now + 1.5, [port.FirstTok(gen, leg.server, 0.5)])
-        router.take(now + 2, [port.LegEnded(gen, leg.server, port.Verdict.STREAMED, 1.0, True)])
+        router.take(now + 1.5, [port.FirstToken(request, attempt.server, 0.5)])
+        router.take(now + 2, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.STREAMED, 1.0, True)])
         took.append((time.perf_counter() - since) * 1000)
     return took
 
@@ -135,8 +139,8 @@
     """Routers made, used and discarded; what each leaves behind, by the slope over all of them."""
 
     async def one() -> None:
-        async with ternlane.open_routing(paper(), transport()) as routing:
-            async with routing.generation(REQUEST) as stream:
+        async with ternlane.open_routing(config(), transport()) as routing:
+            async with routing.request(REQUEST) as stream:
                 await stream.text()
 
     def look() -> dict[str, float]:
@@ -194,7 +198,7 @@
         "library, from a thread": from_a_thread,
         "door, over loopback": lambda n: trio.run(over_loopback, n),
     }
-    print(f"{'a generation, ms':<26}{'median':>8}{'p99':>8}")
+    print(f"{'a request, ms':<26}{'median':>8}{'p99':>8}")
     for name, way in ways.items():
         took = way(told.rounds)[told.rounds // 10 :]
         print(f"{name:<26}{statistics.median(took):>8.3f}{statistics.quantiles(took, n=100)[98]:>8.3f}")
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -21,7 +21,7 @@
 from trio.testing import MockClock
 
 import ternlane
-from ternlane.engine import Kept, LegAsk, LocalTransport, Refuses, Unreached
+from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
 
 
 class Fleet:
@@ -29,7 +29,7 @@
         self.rng = random.Random(seed)
         self.effects: dict[str, list[str]] = defaultdict(list)  # by key, the cells where it took effect
         self.seen: dict[tuple[str, str], None] = {}  # cell and key: where repeats are dropped
-        self.reads: list[tuple[float, int, bool]] = []  # when, tokens, anew?
+        self.prefills: list[tuple[float, int, bool]] = []  # when, tokens, anew?
 
 
 class Engine:
@@ -40,24 +40,28 @@
         fleet: Fleet,
         ident: str,
         faults: float,
-        toks: int = 8,
-        tok_s: float = 0.0,
-        read_tok_s: float = 1e9,
+        tokens: int = 8,
+        tokens_per_s: float = 0.0,
+        prefill_tokens_per_s: float = 1e9,
         slots: int = 10_000,
     ) -> None:
-        self.fleet, self.ident, self.faults, self.toks, self.tok_s = fleet, ident, faults, toks, tok_s
-        self.read_tok_s, self.dead, self.busy = read_tok_s, trio.CancelScope(), trio.CapacityLimiter(slots)
+        self.fleet, self.ident, self.faults, self.tokens, self.tokens_per_s = fleet, ident, faults, tokens, tokens_per_s
+        self.prefill_tokens_per_s, self.dead, self.busy = (
+            prefill_tokens_per_s,
+            trio.CancelScope(),
+            trio.CapacityLimiter(slots),
+        )
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
-        toks = 100 + done
+        tokens = 100 + done
         async with self.busy:
-            if self.read_tok_s < 1e9:
-                await trio.sleep(toks / self.read_tok_s)
-        self.fleet.reads.append((trio.current_time(), toks, ask.goes_on))
-        return Kept({}, toks)
+            if self.prefill_tokens_per_s < 1e9:
+                await trio.sleep(tokens / self.prefill_tokens_per_s)
+        self.fleet.prefills.append((trio.current_time(), tokens, ask.goes_on))
+        return Kept({}, tokens)
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         fate = self.fleet.rng.random() / max(self.faults, 1e-9)
         if self.dead.cancel_called or fate < 0.2:
             raise Unreached("refused")
@@ -72,14 +76,14 @@
         if fate < 0.6:
             raise RuntimeError("after its effect")
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
-        for i in range(done, self.toks):
+        for i in range(done, self.tokens):
             if fate < 1 and i == done + int(fate * 10) % 5:
                 raise RuntimeError("midway")
-            if self.tok_s:
+            if self.tokens_per_s:
                 gone = False
-                with trio.move_on_after(self.tok_s):
+                with trio.move_on_after(self.tokens_per_s):
                     while not self.dead.cancel_called:
-                        await trio.sleep(self.tok_s / 4)
+                        await trio.sleep(self.tokens_per_s / 4)
                     gone = True
                 if gone:
                     raise RuntimeError("the writer died")
@@ -89,26 +93,26 @@
         pass
 
 
-def paper(**streams: bool) -> ternlane.GatewayPaper:
+def config(**streams: bool) -> ternlane.GatewayConfig:
     nodes = [
         ternlane.NodeLine(
-            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, mem_toks=1e9, duty="read" if d == "r" else "write"
+            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, kv_capacity_tokens=1e9, role="read" if d == "r" else "write"
         )
         for d in "rw"
         for c in range(3)
         for n in range(4)
     ]
     common = {"slo_ms": 2000.0, "limit_ms": 20_000.0, "max_toks": 400}
-    return ternlane.GatewayPaper(
+    return ternlane.GatewayConfig(
         name="b",
         listen="127.0.0.1:0",
         nodes=ternlane.InlineSource(nodes=nodes),
-        fleet=ternlane.FleetTerms(leg_limit=10),
-        streams=ternlane.StreamTerms(**streams),
-        products=[
-            ternlane.ProductTerms(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
-            ternlane.ProductTerms(name="form", effect="deduplicated", group="cell", window_ms=20_000, **common),  # type: ignore[arg-type]
-            ternlane.ProductTerms(name="note", effect="side-effecting", **common),  # type: ignore[arg-type]
+        fleet=ternlane.FleetConfig(max_attempts=10),
+        streams=ternlane.StreamConfig(**streams),
+        request_classes=[
+            ternlane.RequestClassConfig(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
+            ternlane.RequestClassConfig(name="form", effect="deduplicated", group="cell", window_ms=20_000, **common),  # type: ignore[arg-type]
+            ternlane.RequestClassConfig(name="note", effect="side-effecting", **common),  # type: ignore[arg-type]
         ],
     )
 
@@ -118,19 +122,19 @@
     names = [f"{d}{c}{n}" for d in "rw" for c in range(3) for n in range(4)]
     engines = {i: Engine(fleet, i, 0.25 if i[0] == "w" else 0.0) for i in names}
     since = time.perf_counter()
-    async with ternlane.open_routing(paper(), LocalTransport(dict(engines))) as routing:
+    async with ternlane.open_routing(config(), LocalTransport(dict(engines))) as routing:
 
         async def one(i: int, model: str) -> None:
             request = {"model": model, "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
             try:
-                async with routing.generation(request, key=f"{model}-{i}") as stream:
+                async with routing.request(request, key=f"{model}-{i}") as stream:
                     text = await stream.text()
                 outcomes[f"{model} streamed"] += 1
                 assert text == "".join(f"w{k} " for k in range(8)), text
-            except ternlane.ThrottledError:
+            except ternlane.RejectedError:
                 outcomes[f"{model} throttled"] += 1
                 assert model == "summary" or not fleet.effects.get(f"{model}-{i}"), "throttled although it ran"
-            except ternlane.TerminatedError:
+            except ternlane.FailedError:
                 outcomes[f"{model} terminated"] += 1
 
         for begin in range(0, many, 50):
@@ -153,12 +157,12 @@
     names = [f"{d}{c}{n}" for d in "rw" for c in range(3) for n in range(4)]
     engines = {i: Engine(fleet, i, 0.0, 240, 0.05, 20_000.0, 4) for i in names}
     pauses: list[float] = []
-    async with ternlane.open_routing(paper(resume=resume), LocalTransport(dict(engines))) as routing:
+    async with ternlane.open_routing(config(resume=resume), LocalTransport(dict(engines))) as routing:
 
         async def one(i: int) -> None:
             request = {"model": "summary", "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
             try:
-                async with routing.generation(request) as stream:
+                async with routing.request(request) as stream:
                     last, longest, text = 0.0, 0.0, ""
                     async for piece in stream:
                         now = trio.current_time()
@@ -166,8 +170,8 @@
                 whole = text == "".join(f"w{k} " for k in range(240))
                 outcomes["whole" if whole else "WRONG"] += 1
                 pauses.append(longest * 1000)
-            except (ternlane.ThrottledError, ternlane.TerminatedError) as why:
-                outcomes["in part" if isinstance(why, ternlane.TerminatedError) and why.begun else "not begun"] += 1
+            except (ternlane.RejectedError, ternlane.FailedError) as why:
+                outcomes["in part" if isinstance(why, ternlane.FailedError) and why.begun else "not begun"] += 1
 
         async with trio.open_nursery() as nursery:
             for i in range(streams):
@@ -178,8 +182,8 @@
             for ident in struck:
                 engines[ident].dead.cancel()
             at = trio.current_time()
-    anew = [(t - at, n) for t, n, again in fleet.reads if again]
-    first = sum(n for t, n, again in fleet.reads if not again)
+    anew = [(t - at, n) for t, n, again in fleet.prefills if again]
+    first = sum(n for t, n, again in fleet.prefills if not again)
     rates = Counter(int(t * 4) for t, _ in anew)
     print(
         f"{streams} streams, {len(struck)} of 12 writers go at once, resume {resume}: {dict(outcomes)}; read first "
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -4,17 +4,17 @@
 from collections.abc import AsyncIterator
 
 import ternlane
-from ternlane.paper.gateway import InlineSource
+from ternlane.config.gateway import InlineSource
 
 
 class Engine:
     """Reads and writes by calling whatever model this process holds; here it counts words."""
 
-    async def read(self, ask: ternlane.LegAsk) -> ternlane.Kept:
+    async def read(self, ask: ternlane.AttemptRequest) -> ternlane.Kept:
         text = ask.raw["messages"][-1]["content"]
-        return ternlane.Kept({"words": len(text.split())}, prompt_toks=len(text) // 4)
+        return ternlane.Kept({"words": len(text.split())}, prompt_tokens=len(text) // 4)
 
-    async def write(self, ask: ternlane.LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: ternlane.AttemptRequest) -> AsyncIterator[str]:
         for piece in ("there ", "are ", str(ask.state["words"]), " words"):
             yield piece
 
@@ -22,24 +22,24 @@
         pass
 
 
-paper = ternlane.GatewayPaper(
+config = ternlane.GatewayConfig(
     name="script",
     listen="127.0.0.1:0",
-    products=[ternlane.ProductTerms(name="count", effect="idempotent", slo_ms=500, limit_ms=2000)],
+    request_classes=[ternlane.RequestClassConfig(name="count", effect="idempotent", slo_ms=500, deadline_ms=2000)],
     nodes=InlineSource(
         nodes=[
-            ternlane.NodeLine(id="reader", address="here:1", duty="read", mem_toks=1e5),
-            ternlane.NodeLine(id="writer", address="here:2", duty="write", mem_toks=1e5),
+            ternlane.NodeLine(id="reader", address="here:1", role="read", kv_capacity_tokens=1e5),
+            ternlane.NodeLine(id="writer", address="here:2", role="write", kv_capacity_tokens=1e5),
         ]
     ),
 )
 
 
 def count(routing: ternlane.Blocking, text: str) -> None:
-    print("".join(routing.generation({"model": "count", "messages": [{"role": "user", "content": text}]})))
+    print("".join(routing.request({"model": "count", "messages": [{"role": "user", "content": text}]})))
 
 
-with ternlane.Blocking(paper, lambda: ternlane.LocalTransport({"reader": Engine(), "writer": Engine()})) as routing:
+with ternlane.Blocking(config, lambda: ternlane.LocalTransport({"reader": Engine(), "writer": Engine()})) as routing:
     threads = [threading.Thread(target=count, args=(routing, "one two three " * n)) for n in (1, 2)]
     for thread in threads:
         thread.start()
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -7,8 +7,8 @@
 import trio
 
 import ternlane
-from ternlane.engine import LegEnd
-from ternlane.paper.gateway import InlineSource
+from ternlane.engine import AttemptResult
+from ternlane.config.gateway import InlineSource
 
 
 class FolderTransport:
@@ -17,25 +17,25 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.asked = folder, list[str]()
 
-    async def read(self, ask: ternlane.LegAsk) -> LegEnd:
+    async def read(self, ask: ternlane.AttemptRequest) -> AttemptResult:
         self.asked.append(ask.server)
         path = self.folder / ask.ident
         path.write_text(ask.raw["messages"][-1]["content"])
-        return LegEnd(ternlane.Verdict.READ, state={"path": str(path)})
+        return AttemptResult(ternlane.AttemptOutcome.PREFILLED, state={"path": str(path)})
 
-    async def stream(self, ask: ternlane.LegAsk, pass_on) -> LegEnd:
+    async def stream(self, ask: ternlane.AttemptRequest, pass_on) -> AttemptResult:
         self.asked.append(ask.server)
         if ask.server == "broken":
-            return LegEnd(ternlane.Verdict.UNCONNECTED, why="no such folder")
+            return AttemptResult(ternlane.AttemptOutcome.CONNECT_FAILED, why="no such folder")
         for i, word in enumerate(Path(ask.state["path"]).read_text().split()):
             await pass_on(word[::-1] + " ", i == 0)
-        return LegEnd(ternlane.Verdict.STREAMED, begun=True)
+        return AttemptResult(ternlane.AttemptOutcome.STREAMED, begun=True)
 
     async def release(self, server, address, ident, within_ms, protocol="disaggregated") -> bool:
         (self.folder / ident).unlink(missing_ok=True)
         return True
 
-    async def hold(self, server, address, ident, toks, within_ms, protocol="disaggregated") -> bool:
+    async def hold(self, server, address, ident, tokens, within_ms, protocol="disaggregated") -> bool:
         return False
 
     def sweep(self) -> None:
@@ -47,21 +47,23 @@
 
 async def main() -> None:
     nodes = [
-        ternlane.NodeLine(id=name, address="folder:1", duty=duty, mem_toks=1e5)
-        for name, duty in (("reader", "read"), ("broken", "write"), ("whole", "write"))
+        ternlane.NodeLine(id=name, address="folder:1", role=role, kv_capacity_tokens=1e5)
+        for name, role in (("reader", "read"), ("broken", "write"), ("whole", "write"))
     ]
-    paper = ternlane.GatewayPaper(
+    config = ternlane.GatewayConfig(
         name="folder",
         listen="127.0.0.1:0",
         nodes=InlineSource(nodes=nodes),
-        products=[ternlane.ProductTerms(name="mirror", effect="side-effecting", slo_ms=500, limit_ms=2000)],
+        request_classes=[
+            ternlane.RequestClassConfig(name="mirror", effect="side-effecting", slo_ms=500, deadline_ms=2000)
+        ],
     )
     with tempfile.TemporaryDirectory() as name:
         transport = FolderTransport(Path(name))
-        async with ternlane.open_routing(paper, transport) as routing:
+        async with ternlane.open_routing(config, transport) as routing:
             for text in ("never odd", "or even"):
                 request = {"model": "mirror", "messages": [{"role": "user", "content": text}]}
-                async with routing.generation(request) as stream:
+                async with routing.request(request) as stream:
                     print(await stream.text())
         print("legs went to", ", ".join(transport.asked))
 
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -3,7 +3,7 @@
 What is listed in `__all__` is public; everything else may change without notice. Names are loaded when first used, so
 `ternlane.Router` alone brings no HTTP stack and no trio with it.
 
-    Router, StartFacts, ...   the decisions: feed events, get actions (ternlane.port says which)
+    Router, StartFacts, ...   the decisions: feed events, get actions (ternlane.policy.messages says which)
     open_routing              a router that owns its tasks, over a transport of the caller's
     open_gateway              a whole gateway in a trio nursery
     Blocking, Bridged         the same router for plain threads, and for asyncio
@@ -18,72 +18,72 @@
 __version__ = "0.2.0"
 
 _PLACES = {
-    "Router": "choice",
-    "StartFacts": "port",
-    "Product": "port",
-    "Server": "port",
-    "Generation": "port",
-    "Effect": "port",
-    "Group": "port",
-    "Duty": "port",
-    "Life": "port",
-    "Verdict": "port",
-    "Report": "port",
+    "Router": "policy.router",
+    "RouterConfig": "policy.messages",
+    "RequestClass": "policy.messages",
+    "Server": "policy.messages",
+    "Request": "policy.messages",
+    "Effect": "policy.messages",
+    "Group": "policy.messages",
+    "Role": "policy.messages",
+    "EndpointStatus": "policy.messages",
+    "AttemptOutcome": "policy.messages",
+    "Report": "policy.messages",
     "open_gateway": "gateway",
     "Gateway": "gateway",
     "open_routing": "embed",
     "Routing": "embed",
     "Stream": "embed",
-    "ThrottledError": "embed",
-    "TerminatedError": "embed",
+    "RejectedError": "embed",
+    "FailedError": "embed",
     "Blocking": "embed",
     "Bridged": "embed",
     "Transport": "engine",
     "SocketTransport": "engine",
     "LocalTransport": "engine",
     "LocalEngine": "engine",
-    "LegAsk": "engine",
+    "AttemptRequest": "engine",
     "Kept": "engine",
     "Refuses": "engine",
     "Unreached": "engine",
     "Stage": "engine",
-    "LegEnd": "engine",
-    "LegPlan": "engine",
+    "AttemptResult": "engine",
+    "AttemptPlan": "engine",
     "ClientGone": "engine",
     "Usage": "engine",
     "Wrong": "chat",
-    "GatewayPaper": "paper",
-    "ProductTerms": "paper",
-    "FleetTerms": "paper",
-    "NodeLine": "paper",
-    "DoorTerms": "paper",
-    "InlineSource": "paper",
-    "FileSource": "paper",
-    "ConsulSource": "paper",
-    "checked": "paper",
-    "StreamTerms": "paper",
-    "PaperError": "paper",
-    "read_paper": "paper",
-    "read_text": "paper",
+    "GatewayConfig": "config",
+    "RequestClassConfig": "config",
+    "FleetConfig": "config",
+    "NodeLine": "config",
+    "ServerLimits": "config",
+    "InlineSource": "config",
+    "FileSource": "config",
+    "ConsulSource": "config",
+    "checked": "config",
+    "StreamConfig": "config",
+    "ConfigError": "config",
+    "read_config": "config",
+    "read_text": "config",
 }
 
 __all__ = ["__version__", *_PLACES]
 
 if TYPE_CHECKING:  # the same names for type checkers
     from ternlane.chat import Wrong as Wrong
-    from ternlane.choice import Router as Router
+    from ternlane.policy.router import Router as Router
     from ternlane.embed import Blocking as Blocking
     from ternlane.embed import Bridged as Bridged
     from ternlane.embed import Routing as Routing
     from ternlane.embed import Stream as Stream
-    from ternlane.embed import TerminatedError as TerminatedError
-    from ternlane.embed import ThrottledError as ThrottledError
+    from ternlane.embed import FailedError as FailedError
+    from ternlane.embed import RejectedError as RejectedError
     from ternlane.embed import open_routing as open_routing
     from ternlane.engine import ClientGone as ClientGone
     from ternlane.engine import Kept as Kept
-    from ternlane.engine import LegAsk as LegAsk
-    from ternlane.engine import LegEnd as LegEnd
-    from ternlane.engine import LegPlan as LegPlan
+    from ternlane.engine import AttemptRequest as AttemptRequest
+    from ternlane.engine import AttemptResult as AttemptResult
+    from ternlane.engine import AttemptPlan as AttemptPlan
     from ternlane.engine import LocalEngine as LocalEngine
     from ternlane.engine import LocalTransport as LocalTransport
     from ternlane.engine import Refuses as Refuses
@@ -94,29 +94,29 @@
     from ternlane.engine import Usage as Usage
     from ternlane.gateway import Gateway as Gateway
     from ternlane.gateway import open_gateway as open_gateway
-    from ternlane.paper import ConsulSource as ConsulSource
-    from ternlane.paper import DoorTerms as DoorTerms
-    from ternlane.paper import FileSource as FileSource
-    from ternlane.paper import FleetTerms as FleetTerms
-    from ternlane.paper import GatewayPaper as GatewayPaper
-    from ternlane.paper import InlineSource as InlineSource
-    from ternlane.paper import NodeLine as NodeLine
-    from ternlane.paper import PaperError as PaperError
-    from ternlane.paper import ProductTerms as ProductTerms
-    from ternlane.paper import StreamTerms as StreamTerms
-    from ternlane.paper import checked as checked
-    from ternlane.paper import read_paper as read_paper
-    from ternlane.paper import read_text as read_text
-    from ternlane.port import Duty as Duty
-    from ternlane.port import Effect as Effect
-    from ternlane.port import Generation as Generation
-    from ternlane.port import Group as Group
-    from ternlane.port import Life as Life
-    from ternlane.port import Product as Product
-    from ternlane.port import Report as Report
-    from ternlane.port import Server as Server
-    from ternlane.port import StartFacts as StartFacts
-    from ternlane.port import Verdict as Verdict
+    from ternlane.config import ConsulSource as ConsulSource
+    from ternlane.config import ServerLimits as ServerLimits
+    from ternlane.config import FileSource as FileSource
+    from ternlane.config import FleetConfig as FleetConfig
+    from ternlane.config import GatewayConfig as GatewayConfig
+    from ternlane.config import InlineSource as InlineSource
+    from ternlane.config import NodeLine as NodeLine
+    from ternlane.config import ConfigError as ConfigError
+    from ternlane.config import RequestClassConfig as RequestClassConfig
+    from ternlane.config import StreamConfig as StreamConfig
+    from ternlane.config import checked as checked
+    from ternlane.config import read_config as read_config
+    from ternlane.config import read_text as read_text
+    from ternlane.policy.messages import Role as Role
+    from ternlane.policy.messages import Effect as Effect
+    from ternlane.policy.messages import Request as Request
+    from ternlane.policy.messages import Group as Group
+    from ternlane.policy.messages import EndpointStatus as EndpointStatus
+    from ternlane.policy.messages import RequestClass as RequestClass
+    from ternlane.policy.messages import Report as Report
+    from ternlane.policy.messages import Server as Server
+    from ternlane.policy.messages import RouterConfig as RouterConfig
+    from ternlane.policy.messages import AttemptOutcome as AttemptOutcome
 
 
 def __getattr__(name: str) -> Any:
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -17,17 +17,17 @@
 
 from ternlane import __version__
 from ternlane.log_output import log_file
-from ternlane.paper import GatewayPaper, PaperError, read_paper
+from ternlane.config import GatewayConfig, ConfigError, read_config
 
 USAGE, DATA, UNAVAILABLE = 64, 65, 69
 T = TypeVar("T")
 
 
-def paper(path: str, into: type[T]) -> T:
+def load_document(path: str, into: type[T]) -> T:
     """Reads a document; a wrong one ends the program with the place and the field."""
     try:
-        return read_paper(path, into)
-    except PaperError as why:
+        return read_config(path, into)
+    except ConfigError as why:
         click.echo(f"ternlane: {why}", err=True)
         sys.exit(DATA)
 
@@ -69,11 +69,11 @@
         module, _, name = chooser.partition(":")
         choose = getattr(importlib.import_module(module), name)
     try:
-        trio.run(partial(run_gateway, file, paper(file, GatewayPaper), choose, pid_file))
+        trio.run(partial(run_gateway, file, load_document(file, GatewayConfig), choose, pid_file))
     except* OSError as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(UNAVAILABLE)
-    except* (Damaged, PaperError) as group:
+    except* (Damaged, ConfigError) as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(DATA)
 
@@ -88,7 +88,7 @@
 def config_check(files: tuple[str, ...]) -> None:
     """Checks documents; says the line and the field of what is wrong."""
     for file in files:
-        paper(file, GatewayPaper)
+        load_document(file, GatewayConfig)
         click.echo(f"{file}: good")
 
 
@@ -115,7 +115,7 @@
     from ternlane.days.play import CantPlay, Player
     from ternlane.days.script import DayScript
 
-    script = paper(file, DayScript)
+    script = load_document(file, DayScript)
     text = Path(file).read_text()
     if seed is not None or without:
         troubles = [t for t in script.troubles if str(t.__struct_config__.tag) not in without]
@@ -140,7 +140,7 @@
     from ternlane.days.script import DayScript
 
     for file in files:
-        script = paper(file, DayScript)
+        script = load_document(file, DayScript)
         click.echo(
             f"{file}: good; {script.gateways} gateways, {len(engines_of(script))} engines, "
             f"{script.rate:g} generations a second for {script.length_s:g} s, seed {script.seed}"
@@ -193,7 +193,7 @@
     findings = check_folder(Path(folder))
     click.echo("judged: " + ", ".join(f"{v} {k}" for k, v in findings.counted.items()))
     for found in findings.broken:
-        click.echo(f"rule {found.rule}  {found.gen}  {found.why}")
+        click.echo(f"rule {found.rule}  {found.request}  {found.why}")
         for line in found.lines if lines else ():
             click.echo(f"    {json.dumps(line)}")
     click.echo("all five kept" if findings.kept else f"{len(findings.broken)} times broken")
@@ -212,16 +212,16 @@
 
     import msgspec
 
-    from ternlane.tenants.roll import RollPaper
+    from ternlane.tenants.roll import TenantRegistryConfig
 
     path = Path(file)
     with open(path.with_name(path.name + ".lock"), "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        roll = paper(file, RollPaper) if path.exists() else RollPaper()
+        roll = load_document(file, TenantRegistryConfig) if path.exists() else TenantRegistryConfig()
         try:
             roll = change(roll)
             raw = msgspec.json.format(msgspec.json.encode(roll), indent=1)
-            msgspec.json.decode(raw, type=RollPaper)
+            msgspec.json.decode(raw, type=TenantRegistryConfig)
         except (ValueError, KeyError) as why:
             click.echo(f"ternlane: {why.args[0] if why.args else why}", err=True)
             sys.exit(DATA)
@@ -328,7 +328,7 @@
 
 @tenant_budget.command("set")
 @click.argument("name")
-@click.option("--product", default="", help="for this product alone, beside the budget for all")
+@click.option("--product", "request_class", default="", help="for this product alone, beside the budget for all")
 @click.option("--minute", type=int, help="tokens a minute")
 @click.option("--burst", type=int)
 @click.option("--per-period", "period", type=int, help="tokens a billing period")
@@ -337,7 +337,7 @@
 @click.option("--cut/--no-cut", default=None, help="end streams that pass the overdraft")
 @click.option("--clear", is_flag=True, help="forget what was set before")
 @ROLL
-def budget_set(name: str, product: str, clear: bool, file: str, **given: Any) -> None:
+def budget_set(name: str, request_class: str, clear: bool, file: str, **given: Any) -> None:
     """Changes the limits that are named; gateways take it over within a second, open generations keep theirs."""
     import msgspec
 
@@ -345,10 +345,12 @@
 
     def change(roll: Any) -> Any:
         it = tenant_of(roll, name)
-        old = Budget() if clear else (it.products.get(product, Budget()) if product else it.budget)
+        old = Budget() if clear else (it.request_classes.get(request_class, Budget()) if request_class else it.budget)
         limits = msgspec.to_builtins(old) | {k: v for k, v in given.items() if v is not None}
         made = msgspec.convert(limits, Budget)
-        changed = {"products": {**it.products, product: made}} if product else {"budget": made}
+        changed = (
+            {"request_classes": {**it.request_classes, request_class: made}} if request_class else {"budget": made}
+        )
         return replace_tenant(roll, msgspec.structs.replace(it, **changed))
 
     change_roll(file, change)
@@ -359,17 +361,17 @@
 @ROLL
 def tenant_show(name: str | None, file: str) -> None:
     """Shows tenants with their keys' public parts and budgets."""
-    from ternlane.tenants.roll import RollPaper
+    from ternlane.tenants.roll import TenantRegistryConfig
 
-    for it in paper(file, RollPaper).tenants:
+    for it in load_document(file, TenantRegistryConfig).tenants:
         if name in (None, it.name):
             b = it.budget
             click.echo(
                 f"{it.name}  period {it.period} {it.zone}  minute {b.minute} burst {b.burst} period {b.period} "
                 f"at once {b.at_once} overdraft {b.overdraft}"
             )
-            for product, own in it.products.items():
-                click.echo(f"  {product}: minute {own.minute} period {own.period} at once {own.at_once}")
+            for request_class, own in it.request_classes.items():
+                click.echo(f"  {request_class}: minute {own.minute} period {own.period} at once {own.at_once}")
             for key in it.keys:
                 click.echo(f"  key {key.name} {key.state}" + (f" until {key.until:.0f}" if key.until else ""))
 
@@ -428,14 +430,14 @@
     found = reconcile(entries_of([Path(p) for p in ctx.obj]), lines)
     for what, it in (("engines made", found.made), ("billed", found.billed), ("house", found.house)):
         click.echo(f"{what:<16}{it.prompt:>12} prompt{it.answer:>12} answer")
-    for gen, (made, told) in sorted(found.differing.items()):
+    for request, (made, told) in sorted(found.differing.items()):
         click.echo(
-            f"differs    {gen}  made {made.prompt} + {made.answer}, billed and house {told.prompt} + {told.answer}"
+            f"differs    {request}  made {made.prompt} + {made.answer}, billed and house {told.prompt} + {told.answer}"
         )
-    for gen, made in sorted(found.unsettled.items()):
-        click.echo(f"unsettled  {gen}  made {made.prompt} + {made.answer}")
-    for gen in found.doubled:
-        click.echo(f"doubled    {gen}")
+    for request, made in sorted(found.unsettled.items()):
+        click.echo(f"unsettled  {request}  made {made.prompt} + {made.answer}")
+    for request in found.doubled:
+        click.echo(f"doubled    {request}")
     click.echo(f"off by {found.off:.3%}")
     sys.exit(0 if found.off <= within and not found.doubled else 1)
 
@@ -459,7 +461,7 @@
     """Fits emulated engines to described latency curves and holds them against the points left out of the fit."""
     from ternlane.emulator.describe import EngineKind
 
-    kinds = [paper(file, EngineKind) for file in files]
+    kinds = [load_document(file, EngineKind) for file in files]
     try:
         from ternlane.emulator.fit import fit
     except ImportError as why:
@@ -475,7 +477,7 @@
         pace = found.build.pace
         click.echo(
             f"{kind.name}: a step {pace.step_ms:.3f} ms, {pace.write_ms:.4f} a writer, {pace.read_ms:.4f} a "
-            f"token read beyond {pace.free_toks}, {pace.back_ms:.4f} a thousand looked back at; spread "
+            f"token read beyond {pace.free_tokens}, {pace.back_ms:.4f} a thousand looked back at; spread "
             f"{found.nature.jitter:.1%}"
         )
         click.echo("  at once  prompt  answer       first token    between tokens   off: median, 99th percentile")
@@ -505,10 +507,10 @@
 
     Times count from when a request was due. Where the tool itself could not keep its schedule it says so, reports
     nothing and ends with 75."""
-    from ternlane.load import LoadPaper
+    from ternlane.load import LoadConfig
     from ternlane.load.run import Load, NotLocal, TooSlow
 
-    told = paper(file, LoadPaper)
+    told = load_document(file, LoadConfig)
     sink = open(out, "w", encoding="utf-8") if out else None
 
     def line(said: dict[str, Any]) -> None:
--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -43,11 +43,11 @@
     """Wrong as it stands: 400, 401, 404, 409, 413, 422."""
 
 
-class Throttled(ClientError):
+class Rejected(ClientError):
     """Nothing ran; `retry_after_ms` is when to come back."""
 
 
-class Terminated(ClientError):
+class Failed(ClientError):
     """Given up, or broken off: it may have run."""
 
 
@@ -63,9 +63,9 @@
     why = info.get("message") or f"HTTP {response.status_code}"
     told: dict[str, Any] = {"status": response.status_code, "code": info.get("code"), "param": info.get("param")}
     if response.status_code in (429, 503):
-        return Throttled(why, retry_after_ms=return_ms(response.headers), **told)
+        return Rejected(why, retry_after_ms=return_ms(response.headers), **told)
     if response.status_code >= 500:
-        return Terminated(why, may_have_run=True, **told)
+        return Failed(why, may_have_run=True, **told)
     return RequestError(why, **told)
 
 
@@ -86,12 +86,12 @@
         base_url: str,
         api_key: str | None = None,
         retries: int = 2,
-        longest_pause_ms: float = 30e3,
+        max_retry_after_ms: float = 30e3,
         timeout_s: float = 600.0,
     ) -> None:
         headers = {"authorization": f"Bearer {api_key}"} if api_key else {}
         self.http = httpx.Client(base_url=base_url.rstrip("/"), headers=headers, timeout=timeout_s)
-        self.retries, self.longest_pause_ms = retries, longest_pause_ms
+        self.retries, self.max_retry_after_ms = retries, max_retry_after_ms
 
     def __enter__(self) -> Client:
         return self
@@ -101,13 +101,13 @@
 
     @contextmanager
     def answer(
-        self, request: dict[str, Any], stream: bool, key: str | None, idempotent: bool, time_limit_ms: float | None
+        self, request: dict[str, Any], stream: bool, key: str | None, idempotent: bool, request_timeout_ms: float | None
     ) -> Iterator[httpx.Response]:
         """A response with status 200, repeated as far as that does no harm."""
         body = {**request, "stream": stream} | ({"stream_options": {"include_usage": True}} if stream else {})
         headers = {"idempotency-key": key} if key else {}
-        if time_limit_ms:
-            headers["x-ternlane-time-limit-ms"] = f"{time_limit_ms:.1f}"
+        if request_timeout_ms:
+            headers["x-ternlane-time-limit-ms"] = f"{request_timeout_ms:.1f}"
         for attempt in range(self.retries + 1):
             pause = 100.0 * 2**attempt
             try:
@@ -129,10 +129,10 @@
                 response.close()
                 error = failure(response)
                 pause = error.retry_after_ms if error.retry_after_ms is not None else pause
-            harmless = isinstance(error, Throttled) or (isinstance(error, Unconnected) and not error.may_have_run)
+            harmless = isinstance(error, Rejected) or (isinstance(error, Unconnected) and not error.may_have_run)
             if (
                 attempt == self.retries
-                or pause > self.longest_pause_ms
+                or pause > self.max_retry_after_ms
                 or not (harmless or (idempotent and error.may_have_run))
             ):
                 raise error
@@ -143,11 +143,11 @@
         request: dict[str, Any],
         key: str | None = None,
         idempotent: bool = False,
-        time_limit_ms: float | None = None,
+        request_timeout_ms: float | None = None,
     ) -> Iterator[str]:
         """The text, piece by piece. Leaving the loop and closing the iterator ends the generation at the gateway."""
         begun = done = False
-        with self.answer(request, True, key, idempotent, time_limit_ms) as response:
+        with self.answer(request, True, key, idempotent, request_timeout_ms) as response:
             try:
                 for line in response.iter_lines():
                     if not line.startswith("data:"):
@@ -158,7 +158,7 @@
                         continue
                     said = json.loads(data)
                     if "error" in said:
-                        raise Terminated(said["error"]["message"], may_have_run=True, begun=begun)
+                        raise Failed(said["error"]["message"], may_have_run=True, begun=begun)
                     for choice in said["choices"]:
                         text = choice["delta"].get("content")
                         if text:
@@ -174,10 +174,10 @@
         request: dict[str, Any],
         key: str | None = None,
         idempotent: bool = False,
-        time_limit_ms: float | None = None,
+        request_timeout_ms: float | None = None,
     ) -> dict[str, Any]:
         """The whole answer: text, finish, usage."""
-        with self.answer(request, False, key, idempotent, time_limit_ms) as response:
+        with self.answer(request, False, key, idempotent, request_timeout_ms) as response:
             said = json.loads(response.read())
         choice = said["choices"][0]
         return {"text": choice["message"]["content"], "finish": choice["finish_reason"], "usage": said["usage"]}
--- a/ternlane/paper/gateway.py
+++ b/ternlane/config/gateway.py
@@ -7,6 +7,8 @@
 import msgspec
 from msgspec import Meta
 
+from ternlane.document_keys import document_key
+
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Part = Annotated[float, Meta(ge=0, le=1)]
@@ -15,11 +17,11 @@
 Address = Annotated[str, Meta(pattern=r"^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):\d{1,5}$")]
 
 
-class Sheet(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class ConfigDocument(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=document_key):
     """Unknown keys are refused: a misspelt limit would otherwise be no limit."""
 
 
-class ProductTerms(Sheet, frozen=True, kw_only=True):
+class RequestClassConfig(ConfigDocument, frozen=True, kw_only=True):
     """One product: which model names mean it, what may be repeated, what is promised, what it earns."""
 
     name: Name
@@ -28,39 +30,39 @@
     group: Literal["all", "zone", "cell"] = "cell"
     window_ms: NotNegative = 0.0
     slo_ms: Positive
-    slo_per_ktok_ms: NotNegative = 0.0
-    tok_slo_ms: Positive = 80.0
-    limit_ms: Positive
-    revenue: NotNegative = 1.0
-    late_share: Part = 0.0
-    max_toks: Count = 1024  # of an answer whose request names no maximum
+    slo_per_1000_tokens_ms: NotNegative = 0.0
+    token_slo_ms: Positive = 80.0
+    deadline_ms: Positive
+    priority_weight: NotNegative = 1.0
+    late_value_share: Part = 0.0
+    max_tokens: Count = 1024  # of an answer whose request names no maximum
 
     def __post_init__(self) -> None:
-        if self.limit_ms < self.slo_ms:
+        if self.deadline_ms < self.slo_ms:
             raise ValueError("limit_ms is shorter than slo_ms")
 
 
-class FleetTerms(Sheet, frozen=True, kw_only=True):
+class FleetConfig(ConfigDocument, frozen=True, kw_only=True):
     """What holds of the model servers and of the rules."""
 
-    leg_limit: Count = 5
+    max_attempts: Count = 5
     connect_ms: Positive = 250.0
     idle_ms: Positive = 30e3
     release_ms: Positive = 500.0
     drain_grace_ms: NotNegative = 250.0
-    cold_ms: NotNegative = 10e3
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25
+    slow_start_ms: NotNegative = 10e3
+    slow_start_share: Annotated[float, Meta(gt=0, le=1)] = 0.25
     fall_multiple: Positive = 2.5
     fall_ms: Positive = 1000.0
-    longest_pause_ms: NotNegative = 1000.0
+    max_retry_after_ms: NotNegative = 1000.0
     reports_mem: bool = True
     ask_load: bool = False  # engines tell their load when asked (GET /metrics), and in no answer
-    may_call_off: bool = True
-    writers_read: bool = False
+    may_cancel: bool = True
+    decode_servers_prefill: bool = False
     holds: bool = False  # engines hold places ahead (our extension)
 
 
-class DoorTerms(Sheet, frozen=True, kw_only=True):
+class ServerLimits(ConfigDocument, frozen=True, kw_only=True):
     """Limits on clients' connections and requests; none of them routes."""
 
     body_bytes: Count = 4 * 2**20
@@ -76,7 +78,7 @@
     session_limit: Count = 200_000  # conversations recognised by their beginning
 
 
-class StreamTerms(Sheet, frozen=True, kw_only=True):
+class StreamConfig(ConfigDocument, frozen=True, kw_only=True):
     """What becomes of streams that break off (docs/streams.md)."""
 
     resume: bool = True
@@ -84,38 +86,38 @@
     continues: bool = True  # engines know continue_final_message; else whole runs are repeated, compared and skipped
     alarms: Annotated[float, Meta(ge=0, le=1)] = 1e-3  # part of streams wrongly given up as stalled; 0: none are
     share: Annotated[float, Meta(ge=0, le=1)] = 0.25  # of the readers' work that may go to reading anew
-    keep_toks: Count = 32_768  # of one answer, kept for a loss
+    keep_tokens: Count = 32_768  # of one answer, kept for a loss
     keep_bytes: Count = 2**18
     keep_all_bytes: Count = 2**27
 
 
-class NodeLine(Sheet, frozen=True, kw_only=True):
+class NodeLine(ConfigDocument, frozen=True, kw_only=True):
     """One model server on a list. `started` is in seconds since 1970, 0: long ago."""
 
     id: Name
     address: Address
     zone: str = "-"
     cell: int = 0
-    duty: Literal["read", "write", "both"]
-    mem_toks: Positive
+    role: Literal["read", "write", "both"]
+    kv_capacity_tokens: Positive
     size: Positive = 1.0
     state: Literal["up", "draining", "gone"] = "up"
     started: NotNegative = 0.0
     protocol: Literal["disaggregated", "chat"] = "disaggregated"  # chat: any server of the public chat API
 
     def __post_init__(self) -> None:
-        if self.protocol == "chat" and self.duty != "both":
+        if self.protocol == "chat" and self.role != "both":
             raise ValueError("a server of the plain chat protocol has duty both")
 
 
-class FileSource(Sheet, frozen=True, kw_only=True, tag="file", tag_field="from"):
+class FileSource(ConfigDocument, frozen=True, kw_only=True, tag="file", tag_field="from"):
     """The node list is a JSON5 file, looked at every `look_ms`."""
 
     path: str
     look_ms: Positive = 500.0
 
 
-class ConsulSource(Sheet, frozen=True, kw_only=True, tag="consul", tag_field="from"):
+class ConsulSource(ConfigDocument, frozen=True, kw_only=True, tag="consul", tag_field="from"):
     """A registry with blocking queries in the published Consul health form."""
 
     address: Address
@@ -124,13 +126,13 @@
     retry_ms: Positive = 500.0
 
 
-class InlineSource(Sheet, frozen=True, kw_only=True, tag="inline", tag_field="from"):
+class InlineSource(ConfigDocument, frozen=True, kw_only=True, tag="inline", tag_field="from"):
     """The node list stands in the document, or is given later by `Routing.nodes`."""
 
     nodes: list[NodeLine]
 
 
-class GatewayPaper(Sheet, frozen=True, kw_only=True):
+class GatewayConfig(ConfigDocument, frozen=True, kw_only=True):
     """The whole document of one gateway."""
 
     name: Name
@@ -141,7 +143,7 @@
     gateways: Count = 1  # how many share the fleet
     seed: int = 0
     state: str | None = None  # file that keeps the last node list over a restart
-    products: Annotated[list[ProductTerms], Meta(min_length=1)]
+    request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
     nodes: FileSource | ConsulSource | InlineSource
     tenants: str | None = None  # file of tenants; without it everybody is served
     journal: str | None = None  # folder of what is in flight, for a restart after a loss
@@ -149,16 +151,16 @@
     ledger_segments: Count | None = None  # of 16 MB kept beside the sums; None: all, for bills in detail
     lender: str | None = None  # file that all gateways share to lend parts of budgets
     look_ms: Positive = 1000.0  # between two looks at what traffic wants of it
-    fleet: FleetTerms = FleetTerms()
-    door: DoorTerms = DoorTerms()
-    streams: StreamTerms = StreamTerms()
+    fleet: FleetConfig = FleetConfig()
+    door: ServerLimits = ServerLimits()
+    streams: StreamConfig = StreamConfig()
 
     def __post_init__(self) -> None:
         if self.tenants is not None and self.ledger is None:
             raise ValueError("tenants need a ledger, where their bills are kept")
         seen: set[str] = set()
-        for product in self.products:
-            for model in (product.name, *product.models):
+        for request_class in self.request_classes:
+            for model in (request_class.name, *request_class.models):
                 if model in seen:
                     raise ValueError(f"model name {model!r} is given twice")
                 seen.add(model)
--- a/ternlane/days/baseline.py
+++ b/ternlane/days/baseline.py
@@ -4,64 +4,82 @@
 
 from itertools import count
 
-from ternlane import port
-from ternlane.port import Action, Duty, Effect, Event, Generation, Life, Server, StartFacts, Verdict
+from ternlane.policy import messages
+from ternlane.policy.messages import (
+    Action,
+    Role,
+    Effect,
+    Event,
+    Request,
+    EndpointStatus,
+    Server,
+    RouterConfig,
+    AttemptOutcome,
+)
 
 
 class RoundRobin:
     """Readers in turn, writers in turn; a further leg only where nothing ran or the generation is idempotent."""
 
-    def __init__(self, facts: StartFacts) -> None:
-        self.facts, self.turn = facts, count(facts.seed)
+    def __init__(self, router_config: RouterConfig) -> None:
+        self.router_config, self.turn = router_config, count(router_config.seed)
         self.servers: list[Server] = []
-        self.legs: dict[Generation, int] = {}
-        self.until: dict[Generation, float] = {}
-        self.ran: set[Generation] = set()
+        self.attempts: dict[Request, int] = {}
+        self.until: dict[Request, float] = {}
+        self.ran: set[Request] = set()
 
     def take(self, now: float, events: list[Event]) -> list[Action]:
         out: list[Action] = []
         for event in events:
             match event:
-                case port.Listed(servers):
+                case messages.EndpointsUpdated(servers):
                     self.servers += [s for s in servers if s not in self.servers]
-                case port.Arrived(gen):
-                    self.legs[gen], self.until[gen] = 0, now + gen.patience_ms
-                    out += self.send(gen, now, {Duty.READ, Duty.BOTH})
-                case port.LegEnded(gen, server, verdict, _, over):
-                    out += [port.Release(gen), *self.forget(gen)] if over else self.next(gen, server, verdict, now)
-                case port.ClientLeft(gen):
-                    out += [port.CallOff(gen), port.Release(gen), *self.forget(gen)]
+                case messages.RequestArrived(request):
+                    self.attempts[request], self.until[request] = 0, now + request.client_timeout_ms
+                    out += self.send(request, now, {Role.PREFILL, Role.BOTH})
+                case messages.AttemptEnded(request, server, verdict, _, over):
+                    out += (
+                        [messages.Release(request), *self.forget(request)]
+                        if over
+                        else self.next(request, server, verdict, now)
+                    )
+                case messages.ClientDisconnected(request):
+                    out += [messages.CancelAttempt(request), messages.Release(request), *self.forget(request)]
         return out
 
-    def send(self, gen: Generation, now: float, duties: set[Duty]) -> list[Action]:
-        able = [s for s in self.servers if s.life is Life.UP and s.duty in duties]
-        if not able or self.legs[gen] >= self.facts.leg_limit or now >= self.until[gen]:
-            final: Action = port.Terminate(gen) if gen in self.ran else port.Throttle(gen, 0.0)
-            return [final, port.Release(gen), *self.forget(gen)]
-        self.legs[gen] += 1
-        left = self.until[gen] - now
+    def send(self, request: Request, now: float, roles: set[Role]) -> list[Action]:
+        able = [s for s in self.servers if s.status is EndpointStatus.READY and s.role in roles]
+        if not able or self.attempts[request] >= self.router_config.max_attempts or now >= self.until[request]:
+            final: Action = messages.Fail(request) if request in self.ran else messages.Reject(request, 0.0)
+            return [final, messages.Release(request), *self.forget(request)]
+        self.attempts[request] += 1
+        left = self.until[request] - now
         return [
-            port.SendLeg(
-                gen, able[next(self.turn) % len(able)], left, gen.patience_ms / 2, left if gen.whole else float("inf")
+            messages.StartAttempt(
+                request,
+                able[next(self.turn) % len(able)],
+                left,
+                request.client_timeout_ms / 2,
+                left if request.whole else float("inf"),
             )
         ]
 
-    def next(self, gen: Generation, server: Server, verdict: Verdict, now: float) -> list[Action]:
-        if gen not in self.legs:
-            return [port.Release(gen)]
-        if verdict is Verdict.READ:
-            return self.send(gen, now, {Duty.WRITE})
+    def next(self, request: Request, server: Server, verdict: AttemptOutcome, now: float) -> list[Action]:
+        if request not in self.attempts:
+            return [messages.Release(request)]
+        if verdict is AttemptOutcome.PREFILLED:
+            return self.send(request, now, {Role.DECODE})
         if (
-            server.duty is not Duty.READ
-            and verdict not in (Verdict.FULL, Verdict.UNCONNECTED)
-            and gen.product.effect is not Effect.IDEMPOTENT
+            server.role is not Role.PREFILL
+            and verdict not in (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED)
+            and request.request_class.effect is not Effect.IDEMPOTENT
         ):
-            self.ran.add(gen)
-            return [port.Terminate(gen), port.Release(gen), *self.forget(gen)]
-        return [port.Release(gen), *self.send(gen, now, {Duty.READ, Duty.BOTH})]
+            self.ran.add(request)
+            return [messages.Fail(request), messages.Release(request), *self.forget(request)]
+        return [messages.Release(request), *self.send(request, now, {Role.PREFILL, Role.BOTH})]
 
-    def forget(self, gen: Generation) -> list[Action]:
-        self.legs.pop(gen, None)
-        self.until.pop(gen, None)
-        self.ran.discard(gen)
+    def forget(self, request: Request) -> list[Action]:
+        self.attempts.pop(request, None)
+        self.until.pop(request, None)
+        self.ran.discard(request)
         return []
--- a/ternlane/days/parts.py
+++ b/ternlane/days/parts.py
@@ -27,7 +27,7 @@
     TenantRush,
     ZoneCut,
 )
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 from ternlane.standin.clients import Clients
 from ternlane.standin.engine import Engine
 from ternlane.standin.front import Front
@@ -51,7 +51,7 @@
         raw = json.loads((folder / "scene.json").read_text())
         return cls(
             folder,
-            read_paper(folder / "day.json5", DayScript),
+            read_config(folder / "day.json5", DayScript),
             raw["begin_ms"],
             raw["engine_port"],
             {k: (v[0], v[1]) for k, v in raw["gateways"].items()},
@@ -133,7 +133,7 @@
     engines = {
         n: Engine(
             e.ident,
-            e.duty,
+            e.role,
             e.zone,
             e.cell,
             e.host,
@@ -179,13 +179,13 @@
     match act.trouble:
         case Burst(times=times):
             w.rate = times if on else 1.0
-        case HeavyTail(share=share, times=times, product=product):
-            w.long_part, w.long_times, w.long_product = (share, times, product) if on else (0.0, 1.0, "")
+        case HeavyTail(share=share, times=times, request_class=request_class):
+            w.long_part, w.long_times, w.long_request_class = (share, times, request_class) if on else (0.0, 1.0, "")
         case TenantRush(share=share):
             w.rush_part = share if on else 0.0
-        case HotKey(share=share, keys=keys, toks=toks):
-            w.hot_part, w.hot_keys, w.hot_toks, w.hot_seed = (
-                (share, keys, toks, w.hot_seed + 1) if on else (0.0, 1, toks, w.hot_seed)
+        case HotKey(share=share, keys=keys, tokens=tokens):
+            w.hot_part, w.hot_keys, w.hot_tokens, w.hot_seed = (
+                (share, keys, tokens, w.hot_seed + 1) if on else (0.0, 1, tokens, w.hot_seed)
             )
 
 
--- a/ternlane/days/plan.py
+++ b/ternlane/days/plan.py
@@ -20,7 +20,7 @@
     Roll,
     ZoneCut,
 )
-from ternlane.paper import FleetTerms
+from ternlane.config import FleetConfig
 from ternlane.standin.clients import Habits, Talk
 from ternlane.standin.engine import Build
 
@@ -31,7 +31,7 @@
 class EngineLine:
     number: int
     ident: str
-    duty: str
+    role: str
     zone: str
     cell: int
     host: str
@@ -57,21 +57,21 @@
     return f"{net}.{zone + 1}.1"
 
 
-def build_of(kind: Kind, terms: FleetTerms, speed: float) -> Build:
+def build_of(kind: Kind, terms: FleetConfig, speed: float) -> Build:
     return Build(
         slots=kind.slots,
         queue=kind.queue,
-        mem_toks=kind.mem_toks,
-        read_tok_s=kind.read_tok_s * speed,
-        tok_ms=kind.tok_ms / speed,
-        tok_grow=kind.tok_grow,
-        near_tok_s=kind.near_tok_s,
-        far_tok_s=kind.far_tok_s,
-        cold_ms=terms.cold_ms,
-        cold_from=terms.cold_from,
+        kv_capacity_tokens=kind.kv_capacity_tokens,
+        prefill_tokens_per_s=kind.prefill_tokens_per_s * speed,
+        token_ms=kind.token_ms / speed,
+        token_growth=kind.token_growth,
+        near_tokens_per_s=kind.near_tokens_per_s,
+        far_tokens_per_s=kind.far_tokens_per_s,
+        slow_start_ms=terms.slow_start_ms,
+        slow_start_share=terms.slow_start_share,
         fall_multiple=terms.fall_multiple,
         fall_ms=terms.fall_ms,
-        answer_toks=kind.answer_toks,
+        answer_tokens=kind.answer_tokens,
     )
 
 
@@ -79,9 +79,9 @@
     rng, zones = random.Random(f"{day.seed} engines"), zones_of(day)
     out: list[EngineLine] = []
     for number, cell in enumerate(day.cells):
-        for duty, kind, many in (
-            ("read", day.reader, cell.readers),
-            ("write", day.writer, cell.writers),
+        for role, kind, many in (
+            ("read", day.prefill_server, cell.prefill_servers),
+            ("write", day.decode_server, cell.decode_servers),
             ("both", day.mixed, cell.mixed),
         ):
             for _ in range(many):
@@ -90,8 +90,8 @@
                 out.append(
                     EngineLine(
                         len(out),
-                        f"{duty}-{len(out)}",
-                        duty,
+                        f"{role}-{len(out)}",
+                        role,
                         cell.zone,
                         number,
                         address_of(ENGINE_NET, zones.index(cell.zone)),
@@ -102,19 +102,19 @@
 
 
 def talks_of(day: DayScript) -> list[Talk]:
-    terms = {p.name: p for p in day.products}
+    terms = {p.name: p for p in day.request_classes}
     return [
         Talk(
-            u.product,
-            terms[u.product].effect,
+            u.request_class,
+            terms[u.request_class].effect,
             u.share,
-            terms[u.product].limit_ms,
+            terms[u.request_class].deadline_ms,
             u.turns,
             u.adds,
-            u.openings,
-            u.opening_toks,
-            u.opening_part,
-            u.max_toks,
+            u.prefixes,
+            u.prefix_tokens,
+            u.prefix_share,
+            u.max_tokens,
             u.think_ms,
             u.key_part,
             u.plain_part,
@@ -136,13 +136,13 @@
 def struck(day: DayScript, trouble: OnServers, rng: random.Random, engines: list[EngineLine]) -> tuple[int, ...]:
     if trouble.on is not None:
         return tuple(trouble.on)
-    among = [e for e in engines if trouble.duty in ("any", e.duty)]
-    if isinstance(trouble, MassRestart) and trouble.duty == "any":  # those struck are of one kind
-        duty = rng.choice(sorted({e.duty for e in among}))
+    among = [e for e in engines if trouble.role in ("any", e.role)]
+    if isinstance(trouble, MassRestart) and trouble.role == "any":  # those struck are of one kind
+        role = rng.choice(sorted({e.role for e in among}))
         return drawn(
             rng,
-            [e.number for e in among if e.duty == duty],
-            min(1.0, trouble.part * len(among) / max(1, sum(e.duty == duty for e in among))),
+            [e.number for e in among if e.role == role],
+            min(1.0, trouble.part * len(among) / max(1, sum(e.role == role for e in among))),
         )
     return drawn(rng, [e.number for e in among], trouble.part)
 
--- a/ternlane/days/report.py
+++ b/ternlane/days/report.py
@@ -23,7 +23,7 @@
     lines = read_lines(sorted(folder.glob("*.jsonl")))
     asks: dict[str, list[dict[str, Any]]] = defaultdict(list)
     firsts, finals, tasks = {}, {}, {}
-    legs, verdicts = 0, Counter[str]()
+    attempts, verdicts = 0, Counter[str]()
     for line in lines:
         match line["k"]:
             case "ask":
@@ -35,39 +35,41 @@
             case "task":
                 tasks[line["task"]] = line
             case "leg":
-                legs += 1
+                attempts += 1
             case "leg_end":
                 verdicts[f"{line['how'].split(' ')[0]}"] += 1
-    terms = {p.name: p for p in day.products}
-    products: dict[str, dict[str, Any]] = {}
+    terms = {p.name: p for p in day.request_classes}
+    request_classes: dict[str, dict[str, Any]] = {}
     owners: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])  # earned in time, could be earned
     for name, p in terms.items():
         mine = [t for t in tasks.values() if t["product"] == name]
         outcomes = Counter(t["outcome"] for t in mine)
         waits, in_time, late = [], 0, 0
         for task in mine:
-            owners[task.get("tenant", "")][1] += p.revenue
+            owners[task.get("tenant", "")][1] += p.priority_weight
             tries = asks[task["task"]]
             done = next((a for a in tries if finals.get(a["gen"], {}).get("outcome") == "streamed"), None)
             if done is None or done["gen"] not in firsts:
                 continue
             wait = firsts[done["gen"]] - tries[0]["t"]
             waits.append(wait)
-            slo = p.slo_ms + p.slo_per_ktok_ms * done["toks"] / 1000
+            slo = p.slo_ms + p.slo_per_1000_tokens_ms * done["toks"] / 1000
             in_time += wait <= slo
             late += wait > slo
-            owners[task.get("tenant", "")][0] += p.revenue if wait <= slo else p.revenue * p.late_share
-        earned = p.revenue * (in_time + p.late_share * late)
-        products[name] = {
+            owners[task.get("tenant", "")][0] += (
+                p.priority_weight if wait <= slo else p.priority_weight * p.late_value_share
+            )
+        earned = p.priority_weight * (in_time + p.late_value_share * late)
+        request_classes[name] = {
             "asked": len(mine),
             "outcomes": dict(outcomes),
             "in_time": in_time,
             "late": late,
             "earned": round(earned, 1),
-            "could_earn": round(p.revenue * len(mine), 1),
+            "could_earn": round(p.priority_weight * len(mine), 1),
             "first_token_ms": {q: round(quantile(waits, float(q)), 1) for q in ("0.5", "0.9", "0.99")},
         }
-    could = sum(v["could_earn"] for v in products.values())
+    could = sum(v["could_earn"] for v in request_classes.values())
     span = max((a["t"] for v in asks.values() for a in v), default=0) - min(
         (a["t"] for v in asks.values() for a in v), default=0
     )
@@ -78,17 +80,17 @@
         "generations": len(tasks),
         "tries": sum(map(len, asks.values())),
         "per_second": round(len(tasks) / max(span / 1000, 1e-9), 1),
-        "revenue_in_time": round(sum(v["earned"] for v in products.values()) / could, 4) if could else 0.0,
+        "revenue_in_time": round(sum(v["earned"] for v in request_classes.values()) / could, 4) if could else 0.0,
         **({"accounts": accounts_of(folder, day, lines, span / 1000, owners)} if day.tenants else {}),
         "streams": streams_of(lines),
-        "products": products,
-        "legs": legs,
-        "legs_each": round(legs / max(1, len(finals)), 3),
+        "products": request_classes,
+        "legs": attempts,
+        "legs_each": round(attempts / max(1, len(finals)), 3),
         "legs_ended": dict(verdicts),
         "troubles": sorted({str(t.__struct_config__.tag) for t in day.troubles}),
         "judged": findings.counted,
         "rules_kept": findings.kept,
-        "broken": [{"rule": f.rule, "gen": f.gen, "why": f.why, "lines": f.lines} for f in findings.broken[:200]],
+        "broken": [{"rule": f.rule, "gen": f.request, "why": f.why, "lines": f.lines} for f in findings.broken[:200]],
     }
 
 
@@ -116,10 +118,10 @@
             case "final":
                 finals[line["gen"]] = line
 
-    def cause(leg: dict[str, Any]) -> str:
+    def cause(attempt: dict[str, Any]) -> str:
         """By the engine's own lines: its process ended, it broke off, or the gateway did."""
-        end = ends.get((leg["id"], leg["gen"], leg["n"]))
-        if end is None or any(abs(t - end["t"]) < NEAR_MS for t in downs[leg["id"]]):
+        end = ends.get((attempt["id"], attempt["gen"], attempt["n"]))
+        if end is None or any(abs(t - end["t"]) < NEAR_MS for t in downs[attempt["id"]]):
             return "process died"
         if any(since - NEAR_MS <= end["t"] <= until + NEAR_MS for since, until in cuts):
             return "zone cut"
@@ -130,11 +132,13 @@
     pauses: dict[str, list[float]] = defaultdict(list)
     far: dict[str, Counter[str]] = defaultdict(Counter)
     gaps: dict[str, list[float]] = {"unbroken": [], "joined": []}
-    for gen, ask in asks.items():
-        final, legs = finals.get(gen), said.get(gen, [])
+    for request, ask in asks.items():
+        final, attempts = finals.get(request), said.get(request, [])
         if final is None or final["outcome"] == "left":
             continue
-        broken = [v for v in legs if v["text"] and ends.get((v["id"], gen, v["n"]), {"how": ""})["how"] != "streamed"]
+        broken = [
+            v for v in attempts if v["text"] and ends.get((v["id"], request, v["n"]), {"how": ""})["how"] != "streamed"
+        ]
         if broken:
             outcome = {"streamed": "whole", "broken": "gateway lost"}.get(final["outcome"], "in part")
             kinds[ask["effect"]][outcome] += 1
--- a/ternlane/days/script.py
+++ b/ternlane/days/script.py
@@ -7,61 +7,61 @@
 from msgspec import Meta
 
 from ternlane.tenants.roll import Budget
-from ternlane.paper.gateway import (
+from ternlane.config.gateway import (
     Count,
-    DoorTerms,
-    FleetTerms,
+    ServerLimits,
+    FleetConfig,
     Name,
     NotNegative,
     Part,
     Positive,
-    ProductTerms,
-    Sheet,
-    StreamTerms,
+    RequestClassConfig,
+    ConfigDocument,
+    StreamConfig,
 )
 
 Span = tuple[float, float]
 
 
-class Kind(Sheet, frozen=True, kw_only=True):
+class Kind(ConfigDocument, frozen=True, kw_only=True):
     """What one kind of engine can do."""
 
     slots: Count = 8
     queue: int = 40
-    mem_toks: Positive = 200e3
-    read_tok_s: Positive = 20e3
-    tok_ms: Positive = 10.0
-    tok_grow: NotNegative = 1.0
-    near_tok_s: Positive = 300e3
-    far_tok_s: Positive = 100e3
-    answer_toks: tuple[int, int] = (8, 40)
+    kv_capacity_tokens: Positive = 200e3
+    prefill_tokens_per_s: Positive = 20e3
+    token_ms: Positive = 10.0
+    token_growth: NotNegative = 1.0
+    near_tokens_per_s: Positive = 300e3
+    far_tokens_per_s: Positive = 100e3
+    answer_tokens: tuple[int, int] = (8, 40)
     speeds: Span = (0.9, 1.1)  # drawn for each engine
 
 
-class Cell(Sheet, frozen=True, kw_only=True):
+class Cell(ConfigDocument, frozen=True, kw_only=True):
     zone: str = "hall"
-    readers: int = 1
-    writers: int = 1
+    prefill_servers: int = 1
+    decode_servers: int = 1
     mixed: int = 0
 
 
-class Use(Sheet, frozen=True, kw_only=True):
+class Use(ConfigDocument, frozen=True, kw_only=True):
     """How clients use one product."""
 
-    product: Name
+    request_class: Name
     share: Positive = 1.0
     turns: Span = (1.0, 2.0)
     adds: Span = (100.0, 400.0)
-    openings: Count = 8
-    opening_toks: Span = (500.0, 2000.0)
-    opening_part: Part = 0.8
-    max_toks: Count = 400
+    prefixes: Count = 8
+    prefix_tokens: Span = (500.0, 2000.0)
+    prefix_share: Part = 0.8
+    max_tokens: Count = 400
     think_ms: Positive = 300.0
     key_part: Part = 0.5
     plain_part: Part = 0.1
 
 
-class ClientsLine(Sheet, frozen=True, kw_only=True):
+class ClientsLine(ConfigDocument, frozen=True, kw_only=True):
     try_share: Span = (0.5, 1.0)
     retries: int = 2
     backoff_ms: Span = (50.0, 300.0)
@@ -70,14 +70,14 @@
     leave_ms: Span = (20.0, 600.0)
 
 
-class ListTimes(Sheet, frozen=True, kw_only=True):
+class ListTimes(ConfigDocument, frozen=True, kw_only=True):
     """How late the registry learns of things."""
 
     notice_ms: NotNegative = 300.0  # a drain, or a start
     silent_ms: NotNegative = 1500.0  # a death that nobody announced
 
 
-class Struck(Sheet, frozen=True, kw_only=True):
+class Struck(ConfigDocument, frozen=True, kw_only=True):
     at_s: NotNegative
     for_s: Positive = 10.0
 
@@ -93,7 +93,7 @@
 
     share: Part = 0.02
     times: Positive = 10.0
-    product: str = ""
+    request_class: str = ""
 
 
 class HotKey(Struck, frozen=True, kw_only=True, tag="hot_key", tag_field="kind"):
@@ -101,7 +101,7 @@
 
     share: Part = 0.2
     keys: Count = 1
-    toks: Positive = 3000.0
+    tokens: Positive = 3000.0
 
 
 class OnServers(Struck, frozen=True, kw_only=True):
@@ -109,7 +109,7 @@
 
     part: Part = 0.2
     on: list[int] | None = None
-    duty: Literal["any", "read", "write", "both"] = "any"
+    role: Literal["any", "read", "write", "both"] = "any"
 
 
 class TenantRush(Struck, frozen=True, kw_only=True, tag="tenant_rush", tag_field="kind"):
@@ -247,7 +247,7 @@
 )
 
 
-class DayScript(Sheet, frozen=True, kw_only=True):
+class DayScript(ConfigDocument, frozen=True, kw_only=True):
     name: Name
     seed: int = 1
     length_s: Positive
@@ -255,14 +255,14 @@
     load: Annotated[tuple[Span, ...], Meta(min_length=1)] = ((0.0, 1.0),)  # second, times the rate; straight lines
     gateways: Count = 2
     cells: Annotated[list[Cell], Meta(min_length=1)]
-    reader: Kind = Kind()
-    writer: Kind = Kind()
+    prefill_server: Kind = Kind()
+    decode_server: Kind = Kind()
     mixed: Kind = Kind()
-    products: Annotated[list[ProductTerms], Meta(min_length=1)]
+    request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
     uses: Annotated[list[Use], Meta(min_length=1)]
-    terms: FleetTerms = FleetTerms()
-    door: DoorTerms = DoorTerms()
-    streams: StreamTerms = StreamTerms()
+    terms: FleetConfig = FleetConfig()
+    door: ServerLimits = ServerLimits()
+    streams: StreamConfig = StreamConfig()
     clients: ClientsLine = ClientsLine()
     lists: ListTimes = ListTimes()
     front_notice_ms: Positive = 1500.0
@@ -272,12 +272,12 @@
     troubles: list[AnyTrouble] = []
 
     def __post_init__(self) -> None:
-        names = {p.name for p in self.products}
+        names = {p.name for p in self.request_classes}
         for i, use in enumerate(self.uses):
-            if use.product not in names:
-                raise ValueError(f"uses[{i}].product {use.product!r} is not among the products")
+            if use.request_class not in names:
+                raise ValueError(f"uses[{i}].product {use.request_class!r} is not among the products")
         zones = {c.zone for c in self.cells}
-        engines = sum(c.readers + c.writers + c.mixed for c in self.cells)
+        engines = sum(c.prefill_servers + c.decode_servers + c.mixed for c in self.cells)
         for i, trouble in enumerate(self.troubles):
             if isinstance(trouble, ZoneCut) and trouble.zone not in zones:
                 raise ValueError(f"troubles[{i}].zone {trouble.zone!r} has no cell")
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -11,11 +11,11 @@
 from typing import Any, Mapping
 from zlib import crc32
 
-from ternlane.port import Duty, Effect, Generation, Group, Product, Report, Server, StartFacts, Tenant
+from ternlane.policy.messages import Role, Effect, Request, Group, RequestClass, Report, Server, RouterConfig, Tenant
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-DUTIES = {"read": Duty.READ, "write": Duty.WRITE, "both": Duty.BOTH}
+ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
 
 
 def figure(name: str, section: Mapping[str, Any], key: str, default: float | None) -> float:
@@ -38,13 +38,16 @@
         self.told = told
         try:
             self._read(
-                seed, told, before.products if before is not None else {}, before.tenants if before is not None else {}
+                seed,
+                told,
+                before.request_classes if before is not None else {},
+                before.tenants if before is not None else {},
             )
         except (KeyError, TypeError, AttributeError) as why:
             raise ValueError(f"settings: {type(why).__name__}: {why}") from None
 
     def _read(
-        self, seed: int, told: Mapping[str, Any], held: Mapping[str, Product], held_tenants: Mapping[str, Tenant]
+        self, seed: int, told: Mapping[str, Any], held: Mapping[str, RequestClass], held_tenants: Mapping[str, Tenant]
     ) -> None:
         limits, rules, spec = told.get("limits", {}), told.get("invariants", {}), told.get("specifics", {})
         report = told.get("report", {})
@@ -52,75 +55,84 @@
         self.columns: list[str] = report.get("columns", []) if how != "off" else []
         self.probes_allowed, self.holds_allowed = bool(limits.get("probes")), bool(spec.get("holds_allowed"))
         kinds = told.get("kinds", [])
-        self.duty = {k: DUTIES.get(d, Duty.BOTH) for k, d in zip(kinds, spec.get("duty_by_kind", []))}
-        self.mem = {k: float(toks) for k, toks in zip(kinds, spec.get("tokens_by_kind", []))}
-        per_ktok, tok_slo = spec.get("aim_us_per_1000_prompt_tokens", []), spec.get("token_aim", [])
-        self.products: dict[str, Product] = {}
+        self.role = {k: ROLES.get(d, Role.BOTH) for k, d in zip(kinds, spec.get("duty_by_kind", []))}
+        self.mem = {k: float(tokens) for k, tokens in zip(kinds, spec.get("tokens_by_kind", []))}
+        per_1000_tokens, token_slo = spec.get("aim_us_per_1000_prompt_tokens", []), spec.get("token_aim", [])
+        self.request_classes: dict[str, RequestClass] = {}
         for i, p in enumerate(told.get("profiles", [])):
             of_class = f"of class {p['name']!r}"
-            new = Product(
+            new = RequestClass(
                 effect=EFFECTS.get(p.get("semantics", ""), Effect.SIDE_EFFECTING),
                 group=GROUPS.get(p.get("group", ""), Group.CELL),
                 window_ms=figure(f"window_ms {of_class}", p, "key_ttl", 0.0),
                 slo_ms=figure(f"slo_ms {of_class}", p, "aim", None),
-                slo_per_ktok_ms=per_ktok[i] / 1000.0 if i < len(per_ktok) else 0.0,
-                tok_slo_ms=tok_slo[i] if i < len(tok_slo) else 0.0,
-                limit_ms=figure(f"limit_ms {of_class}", p, "deadline", None),
-                revenue=figure(f"revenue {of_class}", p, "worth", 1.0),
-                late_share=figure(f"late_share {of_class}", p, "late_worth", 0.0),
+                slo_per_1000_tokens_ms=per_1000_tokens[i] / 1000.0 if i < len(per_1000_tokens) else 0.0,
+                token_slo_ms=token_slo[i] if i < len(token_slo) else 0.0,
+                deadline_ms=figure(f"deadline_ms {of_class}", p, "deadline", None),
+                priority_weight=figure(f"priority_weight {of_class}", p, "worth", 1.0),
+                late_value_share=figure(f"late_value_share {of_class}", p, "late_worth", 0.0),
             )
             old = held.get(p["name"])
-            self.products[p["name"]] = old if old is not None and astuple(old) == astuple(new) else new
+            self.request_classes[p["name"]] = old if old is not None and astuple(old) == astuple(new) else new
         self.tenants = {t["name"]: held_tenants.get(t["name"]) or Tenant() for t in told.get("tenants", [])}
-        self.facts = StartFacts(
+        self.router_config = RouterConfig(
             seed=seed,
             gateways=max(1, int(figure("gateways", told, "n_instances", 1))),
             zone=told.get("locality", ""),
-            products=tuple(self.products.values()),
-            leg_limit=int(figure("leg_limit", limits, "most_tries", 1)),
-            may_call_off=bool(limits.get("cancel")),
-            may_hold_ahead=self.holds_allowed,
+            request_classes=tuple(self.request_classes.values()),
+            max_attempts=int(figure("max_attempts", limits, "most_tries", 1)),
+            may_cancel=bool(limits.get("cancel")),
+            may_reserve=self.holds_allowed,
             may_probe=self.probes_allowed,
-            may_advise=bool(limits.get("retry_after")),
-            must_ask=told.get("discovery") == "ask",
+            may_send_retry_after=bool(limits.get("retry_after")),
+            must_subscribe=told.get("discovery") == "ask",
             ask_within_ms=figure("ask_within_ms", rules, "ask_within", 0.0),
-            writers_read=bool(spec.get("read_in_place")),
+            decode_servers_prefill=bool(spec.get("read_in_place")),
             reports_mem="x0" in self.columns,
-            longest_pause_ms=figure("longest_pause_ms", limits, "max_retry_after", 0.0),
+            max_retry_after_ms=figure("max_retry_after_ms", limits, "max_retry_after", 0.0),
             connect_ms=figure("connect_ms", limits, "connect_timeout", 0.0),
             idle_ms=figure("idle_ms", limits, "conn_idle", 0.0),
             release_ms=figure("release_ms", spec, "release", 0.0),
             drain_grace_ms=figure("drain_grace_ms", rules, "drain_grace", 0.0),
-            cold_ms=figure("cold_ms", rules, "cold", 0.0),
-            cold_from=figure("cold_from", rules, "cold_from", 1.0),
+            slow_start_ms=figure("slow_start_ms", rules, "cold", 0.0),
+            slow_start_share=figure("slow_start_share", rules, "cold_from", 1.0),
             fall_multiple=figure("fall_multiple", rules, "overload_factor", 1.0),
             fall_ms=figure("fall_ms", rules, "overload_for", 0.0),
             step_ms=figure("step_ms", told, "step", 1.0),
-            told_if_asked=how == "on_probe",
+            reports_on_probe=how == "on_probe",
             releases_spare_attempts=True,
         )
-        for name, product in self.products.items():
-            if not all(isinstance(v, (int, float)) and 0 <= v < inf for v in astuple(product)[2:]):
+        for name, request_class in self.request_classes.items():
+            if not all(isinstance(v, (int, float)) and 0 <= v < inf for v in astuple(request_class)[2:]):
                 raise ValueError(f"settings: a figure of class {name!r} is no number, or negative")
 
     def server(self, ident: str, zone: str, kind: str, cell: int) -> Server:
-        return Server(zone, cell, self.duty.get(kind, Duty.BOTH), self.mem.get(kind, 0.0), mark=crc32(ident.encode()))
+        return Server(
+            zone, cell, self.role.get(kind, Role.BOTH), self.mem.get(kind, 0.0), hash_key=crc32(ident.encode())
+        )
 
     def report(self, said: Mapping[str, float]) -> Report | None:
         """A report by the names of its figures."""
         return Report(said.get("outstanding"), said.get("x0")) if said and self.columns else None
 
-    def generation(
+    def request(
         self,
-        product: Product,
+        request_class: RequestClass,
         session: str | None,
-        opening: str | None,
-        opening_toks: float,
-        prompt_toks: float,
-        max_toks: float,
-        patience_ms: float,
+        prefix: str | None,
+        prefix_tokens: float,
+        prompt_tokens: float,
+        max_tokens: float,
+        client_timeout_ms: float,
         tenant: str = "",
-    ) -> Generation:
-        return Generation(
-            product, session, opening, opening_toks, prompt_toks, max_toks, patience_ms, tenant=self.tenants.get(tenant)
+    ) -> Request:
+        return Request(
+            request_class,
+            session,
+            prefix,
+            prefix_tokens,
+            prompt_tokens,
+            max_tokens,
+            client_timeout_ms,
+            tenant=self.tenants.get(tenant),
         )
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -12,7 +12,7 @@
 
 from ternlane.embed.routing import Routing, open_routing
 from ternlane.engine import Transport
-from ternlane.paper import GatewayPaper
+from ternlane.config import GatewayConfig
 
 END = object()
 AHEAD = 64  # pieces that wait for a slow caller; beyond that the writer waits
@@ -25,8 +25,8 @@
     closing it, is a client's leaving. Exceptions of the router's thread come out of the `with` block.
     """
 
-    def __init__(self, paper: GatewayPaper, make_transport: Callable[[], Transport], log: Any = None) -> None:
-        self.paper, self.make_transport, self.log = paper, make_transport, log
+    def __init__(self, config: GatewayConfig, make_transport: Callable[[], Transport], log: Any = None) -> None:
+        self.config, self.make_transport, self.log = config, make_transport, log
         self.ready = threading.Event()
         self.token: trio.lowlevel.TrioToken | None = None
         self.routing: Routing | None = None
@@ -54,11 +54,11 @@
     async def _main(self) -> None:
         self.token = trio.lowlevel.current_trio_token()
         with trio.CancelScope() as self.scope:
-            async with open_routing(self.paper, self.make_transport(), log=self.log) as self.routing:
+            async with open_routing(self.config, self.make_transport(), log=self.log) as self.routing:
                 self.ready.set()
                 await trio.sleep_forever()
 
-    def generation(self, request: dict[str, Any], time_limit_ms: float | None = None) -> Iterator[str]:
+    def request(self, body: dict[str, Any], request_timeout_ms: float | None = None) -> Iterator[str]:
         """The text as it comes. Raises Wrong before anything is sent, ThrottledError or TerminatedError at the end."""
         token = self.token
         if token is None:
@@ -80,7 +80,7 @@
             end: Any = END
             try:
                 with scope:
-                    async with self.routing.generation(request, time_limit_ms) as stream:
+                    async with self.routing.request(body, request_timeout_ms) as stream:
                         async for text in stream:
                             await put(text)
             except Exception as why:
@@ -128,9 +128,9 @@
     """The same for asyncio callers: `async for text in routing.agenerate({...})`. Each wait takes a thread of the
     loop's pool for as long as it lasts, so the pool's size bounds how many may be asked at once."""
 
-    async def agenerate(self, request: dict[str, Any], time_limit_ms: float | None = None) -> AsyncIterator[str]:
+    async def agenerate(self, body: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
         """`generation` for an asyncio task. Cancelling the task is a client's leaving."""
-        loop, pieces = asyncio.get_running_loop(), self.generation(request, time_limit_ms)
+        loop, pieces = asyncio.get_running_loop(), self.request(body, request_timeout_ms)
         pending: asyncio.Future[Any] | None = None
         try:
             while True:
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -20,20 +20,20 @@
 
 from ternlane.chat import ChatAsk, Intake, read_chat
 from ternlane.chat.beyond import More
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.engine import Transport
-from ternlane.gateway.facts import offer_of
+from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
 from ternlane.gateway.logs import library_log
 from ternlane.gateway.measures import Measures
-from ternlane.gateway.ticket import Outlet, Streamed, Terminated, Throttled, Ticket
+from ternlane.gateway.active_request import Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.nodes import Book
-from ternlane.paper import GatewayPaper, InlineSource, NodeLine, checked
-from ternlane.port import StartFacts
+from ternlane.config import GatewayConfig, InlineSource, NodeLine, checked
+from ternlane.policy.messages import RouterConfig
 from ternlane.turns import Chooser, now_ms
 
 
-class ThrottledError(Exception):
+class RejectedError(Exception):
     """Nothing ran, or a new try does no harm; best after `pause_ms`."""
 
     def __init__(self, pause_ms: float) -> None:
@@ -41,7 +41,7 @@
         self.pause_ms = pause_ms
 
 
-class TerminatedError(Exception):
+class FailedError(Exception):
     """Given up; it may have run. `begun`: part of the text had come."""
 
     def __init__(self, why: str, begun: bool) -> None:
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.sends, self.gets = trio.open_memory_channel[str](0)  # the writer waits for a slow reader
-        self.ticket: Ticket | None = None
+        self.active_request: ActiveRequest | None = None
         self.usage: dict[str, Any] = {}
         self.finish = ""
 
@@ -71,14 +71,14 @@
         async for text in self.gets:
             if text:
                 yield text
-        assert self.ticket is not None
-        match self.ticket.final:
+        assert self.active_request is not None
+        match self.active_request.final:
             case Streamed(_, finish, usage):
                 self.finish, self.usage = finish, usage
-            case Throttled(pause):
-                raise ThrottledError(pause)
-            case Terminated(why):
-                raise TerminatedError(why, self.ticket.begun)
+            case Rejected(pause):
+                raise RejectedError(pause)
+            case Failed(why):
+                raise FailedError(why, self.active_request.begun)
 
     async def text(self) -> str:
         """The whole text, once it is there. Raises ThrottledError or TerminatedError."""
@@ -90,17 +90,25 @@
 
     def __init__(
         self,
-        paper: GatewayPaper,
+        config: GatewayConfig,
         transport: Transport,
         nursery: trio.Nursery,
-        chooser: Callable[[StartFacts], Chooser],
+        chooser: Callable[[RouterConfig], Chooser],
         log: Any,
     ) -> None:
-        self.paper, self.count, self.offer, self.book = paper, count(1), offer_of(paper), Book()
-        self.facts = self.offer.facts
-        self.intake = Intake(self.offer.models, self.offer.max_toks, paper.door.session_limit)
+        self.config, self.count, self.offer, self.book = config, count(1), offer_of(config), Book()
+        self.router_config = self.offer.router_config
+        self.intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
         self.host = Host(
-            chooser(self.facts), self.facts, transport, self.book, self.intake, nursery, Measures(), log, paper.streams
+            chooser(self.router_config),
+            self.router_config,
+            transport,
+            self.book,
+            self.intake,
+            nursery,
+            Measures(),
+            log,
+            config.streams,
         )
 
     def nodes(self, lines: list[NodeLine]) -> None:
@@ -109,52 +117,52 @@
 
         self.host.listed(self.book.whole(lines, time.time(), now_ms()))
 
-    def alter(self, paper: GatewayPaper) -> None:
+    def alter(self, config: GatewayConfig) -> None:
         """Takes over `products`, `fleet`, `gateways`, `zone` and inline nodes of another paper, and back by the same
         call; what was taken in keeps its product's terms. Raises PaperError, and then nothing has changed."""
-        self.paper = checked(paper)
-        self.offer = offer_of(self.paper, self.offer.products)
-        self.facts = self.offer.facts
+        self.config = checked(config)
+        self.offer = offer_of(self.config, self.offer.request_classes)
+        self.router_config = self.offer.router_config
         self.host.alter(self.offer)
-        if isinstance(self.paper.nodes, InlineSource):
-            self.nodes(self.paper.nodes.nodes)
+        if isinstance(self.config.nodes, InlineSource):
+            self.nodes(self.config.nodes.nodes)
 
     @asynccontextmanager
-    async def generation(
-        self, request: dict[str, Any] | ChatAsk, time_limit_ms: float | None = None, key: str | None = None
+    async def request(
+        self, body: dict[str, Any] | ChatAsk, request_timeout_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
         """`request` as the chat API has it; `time_limit_ms` at most the product's own; `key` under which engines drop
         repeats. Raises Wrong, which names the field, before anything is sent."""
-        ask = request if isinstance(request, ChatAsk) else read_chat(msgspec.json.encode(request))
-        product = self.intake.models.get(ask.model)
-        limit = product.limit_ms if product is not None else 0.0
-        known = self.intake.take(ask, limit if time_limit_ms is None else min(limit, time_limit_ms))
-        known.gen.whole = False  # the caller sees the text as it comes
-        stream, ident = Stream(), f"{self.paper.name}-{next(self.count)}"
-        ticket = stream.ticket = Ticket(
-            ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.gen)
+        ask = body if isinstance(body, ChatAsk) else read_chat(msgspec.json.encode(body))
+        request_class = self.intake.models.get(ask.model)
+        limit = request_class.deadline_ms if request_class is not None else 0.0
+        known = self.intake.take(ask, limit if request_timeout_ms is None else min(limit, request_timeout_ms))
+        known.request.whole = False  # the caller sees the text as it comes
+        stream, ident = Stream(), f"{self.config.name}-{next(self.count)}"
+        active_request = stream.active_request = ActiveRequest(
+            ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.request)
         )
-        ticket.when_over = stream.sends.close
+        active_request.when_over = stream.sends.close
         try:
-            self.host.arrived(ticket)
+            self.host.arrived(active_request)
             yield stream
         finally:
             stream.gets.close()
-            if ticket.final is None:
-                self.host.client_left(ticket)
+            if active_request.final is None:
+                self.host.client_left(active_request)
 
 
 @asynccontextmanager
 async def open_routing(
-    paper: GatewayPaper, transport: Transport, chooser: Callable[[StartFacts], Chooser] = Router, log: Any = None
+    config: GatewayConfig, transport: Transport, chooser: Callable[[RouterConfig], Chooser] = Router, log: Any = None
 ) -> AsyncIterator[Routing]:
     """A router without a door. Inline nodes of the paper are listed at once; others by `Routing.nodes`. Raises
     PaperError for settings that no document could hold."""
-    paper = checked(paper)
+    config = checked(config)
     async with trio.open_nursery() as nursery:
-        routing = Routing(paper, transport, nursery, chooser, log or library_log())
-        if isinstance(paper.nodes, InlineSource):
-            routing.nodes(paper.nodes.nodes)
+        routing = Routing(config, transport, nursery, chooser, log or library_log())
+        if isinstance(config.nodes, InlineSource):
+            routing.nodes(config.nodes.nodes)
         nursery.start_soon(routing.host.clock)
         try:
             yield routing
--- a/ternlane/emulator/describe.py
+++ b/ternlane/emulator/describe.py
@@ -7,11 +7,13 @@
 import msgspec
 from msgspec import Meta
 
+from ternlane.document_keys import document_key
+
 Positive = Annotated[float, Meta(gt=0)]
 Whole = Annotated[int, Meta(ge=1)]
 
 
-class Point(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class Point(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """Times, ms, while `at_once` sequences run at every moment, each of `prompt` tokens and an answer of `answer`: to
     the first token, and between tokens, each at the median and the 99th percentile. `held_out`: not for the fit."""
 
@@ -23,16 +25,16 @@
     held_out: bool = False
 
 
-class EngineKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class EngineKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """A kind of engine. `memory_toks`: of read state; `step_toks`: that a step may read and write."""
 
     name: str
-    memory_toks: Whole
+    memory_tokens: Whole
     slots: Whole
-    step_toks: Whole
+    step_tokens: Whole
     curve: Annotated[list[Point], Meta(min_length=1)]
-    block_toks: Whole = 16
+    block_tokens: Whole = 16
     queue: Whole = 100
-    cold_ms: float = 10e3
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.3
+    slow_start_ms: float = 10e3
+    slow_start_share: Annotated[float, Meta(gt=0, le=1)] = 0.3
     evicts: Literal["lru", "clock"] = "lru"
--- a/ternlane/emulator/fit.py
+++ b/ternlane/emulator/fit.py
@@ -47,7 +47,12 @@
 
 def build_of(kind: EngineKind, pace: Pace) -> Build:
     return Build(
-        max(1, kind.memory_toks // kind.block_toks), kind.block_toks, kind.slots, kind.step_toks, kind.queue, pace
+        max(1, kind.memory_tokens // kind.block_tokens),
+        kind.block_tokens,
+        kind.slots,
+        kind.step_tokens,
+        kind.queue,
+        pace,
     )
 
 
@@ -90,17 +95,17 @@
 
 def shape(kind: EngineKind, point: Point, free: int) -> list[list[float]]:
     """The four figures as sums of step_ms, write_ms, read_ms and back_ms, if steps went by the book."""
-    writers = min(point.at_once, kind.slots) - 1
-    back = writers * (point.prompt + point.answer / 2) / 1000
-    room = max(1, kind.step_toks - writers)
+    decode_servers = min(point.at_once, kind.slots) - 1
+    back = decode_servers * (point.prompt + point.answer / 2) / 1000
+    room = max(1, kind.step_tokens - decode_servers)
     chunks = [min(room, point.prompt - at) for at in range(0, point.prompt, room)]
-    charged = [max(0, chunk + writers - free) if free else chunk for chunk in chunks]
-    steps, idle = len(chunks), float(max(0, writers + 1 - free) if free else 0)
-    first = [steps + 0.5, (steps + 0.5) * writers, sum(charged) + 0.5 * idle, (steps + 0.5) * back]
-    late = [steps + 1.0, (steps + 1.0) * writers, sum(charged) + charged[0] / 2, (steps + 1.0) * back]
-    plain = [1.0, writers + 1.0, idle, back]
-    busy = [1.0, writers + 1.0, float(charged[0]), back]
-    reading = writers * steps / point.answer  # part of the steps in which another's prompt is read
+    charged = [max(0, chunk + decode_servers - free) if free else chunk for chunk in chunks]
+    steps, idle = len(chunks), float(max(0, decode_servers + 1 - free) if free else 0)
+    first = [steps + 0.5, (steps + 0.5) * decode_servers, sum(charged) + 0.5 * idle, (steps + 0.5) * back]
+    late = [steps + 1.0, (steps + 1.0) * decode_servers, sum(charged) + charged[0] / 2, (steps + 1.0) * back]
+    plain = [1.0, decode_servers + 1.0, idle, back]
+    busy = [1.0, decode_servers + 1.0, float(charged[0]), back]
+    reading = decode_servers * steps / point.answer  # part of the steps in which another's prompt is read
     return [first, late, busy if reading > 0.5 else plain, busy if reading > 0.01 else plain]
 
 
@@ -126,7 +131,7 @@
                 tried[free] = error, pace, correction
 
     for part in FREE:
-        rounds(round(part * kind.step_toks), np.ones(len(given)))
+        rounds(round(part * kind.step_tokens), np.ones(len(given)))
     free = min(tried, key=lambda f: tried[f][0])
     start = tried[free][1]
 
@@ -145,10 +150,10 @@
     found = least_squares(errors, np.array([*at, 0.05]), diff_step=0.03, x_scale=0.1, max_nfev=STEPS)
     build, spread = made(found.x)
     jitter = spread.jitter
-    nature = Nature(jitter=jitter, cold_ms=kind.cold_ms, cold_from=kind.cold_from)
+    nature = Nature(jitter=jitter, slow_start_ms=kind.slow_start_ms, slow_start_share=kind.slow_start_share)
     off: list[tuple[Point, Seen]] = []
     for p in kind.curve:
-        a, b, c, d = play(build, replace(nature, cold_from=1.0), p, seed=2)
+        a, b, c, d = play(build, replace(nature, slow_start_share=1.0), p, seed=2)
         first, between = p.first_ms, p.between_ms
         off.append((p, (a / first[0] - 1, b / first[1] - 1, c / between[0] - 1, d / between[1] - 1)))
     return Fitted(build, nature, off)
--- a/ternlane/emulator/fleet.py
+++ b/ternlane/emulator/fleet.py
@@ -109,7 +109,7 @@
         if move is not None:
             self.claimed.discard(move.held)
         if move is not None and move.link is not None and move.transfer is not None:
-            move.link.call_off(now, move.transfer)
+            move.link.cancel(now, move.transfer)
             self.watch(move.link)
 
     def die(self, now: float, seat: Seat) -> list[Job]:
@@ -159,8 +159,8 @@
             return
         near = move.source.cell == move.target.cell
         move.link = move.source.port if near else self.cells[move.source.cell]
-        toks = told.job.course.prompt * (1.0 if move.source.zone == move.target.zone else self.zone_slower)
-        move.transfer = move.link.begin(told.at, toks, move)
+        tokens = told.job.course.prompt * (1.0 if move.source.zone == move.target.zone else self.zone_slower)
+        move.transfer = move.link.begin(told.at, tokens, move)
         self.watch(move.link)
 
     def arrived(self, at: float, transfer: Transfer) -> None:
--- a/ternlane/engine/leg.py
+++ b/ternlane/engine/attempt.py
@@ -26,7 +26,7 @@
     refusal_of,
 )
 from ternlane.http1 import Caller, EventReader, Pool, Unconnected, keep_open
-from ternlane.port import Report, Verdict
+from ternlane.policy.messages import Report, AttemptOutcome
 from ternlane.turns import BeginCheck, may_always_begin
 
 ANSWER_LIMIT = 4 * 2**20  # bytes of an engine's plain answer
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class LegPlan:
+class AttemptPlan:
     """Where to, under which names, and for how long (ms; `quiet_ms` between the events of a begun stream, `whole_ms`
     from the send to its end)."""
 
@@ -43,23 +43,23 @@
     headers: list[tuple[str, str]]
     body: bytes
     timeout_ms: float
-    quiet_ms: float
-    whole_ms: float = inf
+    idle_timeout_ms: float
+    total_timeout_ms: float = inf
     barred: BeginCheck = may_always_begin
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    called_off: bool = False
+    cancelled: bool = False
 
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Ends the wait at once; the leg ends as CALLED_OFF."""
-        self.called_off = True
+        self.cancelled = True
         self.scope.cancel()
 
 
 @dataclass(slots=True)
-class LegEnd:
+class AttemptResult:
     """How a leg ended. `begun`: its first token had come; `state` is a reader's, to hand on."""
 
-    verdict: Verdict
+    outcome: AttemptOutcome
     begun: bool = False
     why: str = ""
     state: dict[str, Any] | None = None
@@ -78,12 +78,12 @@
 class Barred(Exception):
     """The leg must not begin any more."""
 
-    def __init__(self, verdict: Verdict) -> None:
+    def __init__(self, outcome: AttemptOutcome) -> None:
         super().__init__("the client left, the server drains, or the time to begin is over")
-        self.verdict = verdict
+        self.outcome = outcome
 
 
-async def take(pool: Pool, plan: LegPlan) -> Caller:
+async def take(pool: Pool, plan: AttemptPlan) -> Caller:
     """A connection on which the leg may begin; that is asked again after the wait for it. Raises Barred and
     Unconnected."""
     caller = await pool.take(plan.address)
@@ -98,9 +98,9 @@
     """The client's side broke while the answer was passed on; says nothing of the engine."""
 
 
-async def read_leg(pool: Pool, plan: LegPlan) -> LegEnd:
+async def prefill_attempt(pool: Pool, plan: AttemptPlan) -> AttemptResult:
     """Has a prompt read. Never raises but for an outer cancellation."""
-    end = LegEnd(Verdict.TIMED_OUT)
+    end = AttemptResult(AttemptOutcome.TIMED_OUT)
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -115,17 +115,17 @@
             return
         answer: ReadAnswer = read_answer.decode(body)
         if answer.kv_transfer_params is None:
-            end.verdict, end.why = Verdict.ERROR, "no kv_transfer_params in a reader's answer"
+            end.outcome, end.why = AttemptOutcome.ERROR, "no kv_transfer_params in a reader's answer"
             return
-        end.verdict, end.state, end.usage = Verdict.READ, answer.kv_transfer_params, answer.usage
+        end.outcome, end.state, end.usage = AttemptOutcome.PREFILLED, answer.kv_transfer_params, answer.usage
 
     return await ended(plan, end, run)
 
 
-async def stream_leg(pool: Pool, plan: LegPlan, pass_on: PassOn) -> LegEnd:
+async def stream_attempt(pool: Pool, plan: AttemptPlan, pass_on: PassOn) -> AttemptResult:
     """Has an answer written; `pass_on(text, first)` gets each piece, with a third value where it has
     more than text (chat.More). Raises ClientGone where that breaks."""
-    end, last = LegEnd(Verdict.TIMED_OUT), trio.current_time() + plan.whole_ms / 1000
+    end, last = AttemptResult(AttemptOutcome.TIMED_OUT), trio.current_time() + plan.total_timeout_ms / 1000
 
     async def run() -> None:
         caller = await take(pool, plan)
@@ -144,7 +144,7 @@
                         continue
                     said = chunk_in.decode(data)
                     if said.error is not None:
-                        end.verdict, end.why = Verdict.ERROR, f"the engine says: {str(said.error)[:200]}"
+                        end.outcome, end.why = AttemptOutcome.ERROR, f"the engine says: {str(said.error)[:200]}"
                         return
                     if said.usage is not None:
                         end.usage = said.usage
@@ -158,14 +158,14 @@
                             plan.scope.deadline = last  # a slow client is not the engine's silence
                             await (pass_on(text or "", first) if more is None else pass_on(text or "", first, more))
                 if end.begun:
-                    plan.scope.deadline = min(last, trio.current_time() + plan.quiet_ms / 1000)
+                    plan.scope.deadline = min(last, trio.current_time() + plan.idle_timeout_ms / 1000)
             if not whole:
-                end.verdict, end.why = Verdict.RESET, "the stream ended before [DONE]"
+                end.outcome, end.why = AttemptOutcome.RESET, "the stream ended before [DONE]"
                 return
             if not end.begun:  # an answer of no tokens has begun with its end
                 end.begun = True
                 await pass_on("", True)
-            end.verdict = Verdict.STREAMED
+            end.outcome = AttemptOutcome.STREAMED
         finally:
             if whole:
                 pool.give_back(caller)
@@ -175,36 +175,36 @@
     return await ended(plan, end, run)
 
 
-def refused(head: h11.Response, end: LegEnd) -> bool:
+def refused(head: h11.Response, end: AttemptResult) -> bool:
     said = {name: value.decode("latin-1") for name, value in head.headers if name in (LOAD, NOT_RUN)}
     end.report = load_of(said.get(LOAD))
     if head.status_code == 200:
         return False
-    refusal = refusal_of(head.status_code, said.get(NOT_RUN))
-    end.verdict, end.state_lost = refusal.verdict, refusal.state_lost
+    reject_reason = refusal_of(head.status_code, said.get(NOT_RUN))
+    end.outcome, end.state_lost = reject_reason.outcome, reject_reason.state_lost
     end.why = f"status {head.status_code} {said.get(NOT_RUN, '')}".strip()
     return True
 
 
-async def ended(plan: LegPlan, end: LegEnd, run: Callable[[], Awaitable[None]]) -> LegEnd:
+async def ended(plan: AttemptPlan, end: AttemptResult, run: Callable[[], Awaitable[None]]) -> AttemptResult:
     plan.scope.deadline = min(plan.scope.deadline, trio.current_time() + plan.timeout_ms / 1000)
     try:
         with plan.scope:
             await run()
     except Barred as why:
-        end.verdict, end.why = why.verdict, str(why)
+        end.outcome, end.why = why.outcome, str(why)
     except Unconnected as why:
-        end.verdict, end.why = Verdict.UNCONNECTED, str(why)
+        end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
     except BROKEN as why:
-        end.verdict, end.why = Verdict.RESET, repr(why)
+        end.outcome, end.why = AttemptOutcome.RESET, repr(why)
     except h11.RemoteProtocolError as why:  # a torn answer is a broken connection, a wrong one an error
-        end.verdict = Verdict.RESET if "closed" in str(why) else Verdict.ERROR
+        end.outcome = AttemptOutcome.RESET if "closed" in str(why) else AttemptOutcome.ERROR
         end.why = str(why)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as why:
-        end.verdict, end.why = Verdict.ERROR, f"not understood: {why}"
+        end.outcome, end.why = AttemptOutcome.ERROR, f"not understood: {why}"
     if plan.scope.cancelled_caught:
-        end.verdict = Verdict.CALLED_OFF if plan.called_off else Verdict.TIMED_OUT
-        if end.begun and not plan.called_off:
+        end.outcome = AttemptOutcome.CANCELLED if plan.cancelled else AttemptOutcome.TIMED_OUT
+        if end.begun and not plan.cancelled:
             end.why = end.why or "silent or too slow within the stream"
     return end
 
@@ -237,34 +237,36 @@
 
 async def once(
     pool: Pool, address: str, method: str, path: str, headers: list[tuple[str, str]], body: bytes, within_ms: float
-) -> tuple[Verdict, bytes]:
+) -> tuple[AttemptOutcome, bytes]:
     """Asks an engine for something small. One try: the answer's body, or how it failed."""
-    caller, failed = None, Verdict.TIMED_OUT
+    caller, failed = None, AttemptOutcome.TIMED_OUT
     with trio.move_on_after(within_ms / 1000):
         try:
             caller = await pool.take(address)
             head = await caller.ask(method, path, headers, body)
             answer = await caller.body(ANSWER_LIMIT)
             pool.give_back(caller)
-            return (Verdict.STREAMED, answer) if head.status_code in (200, 204) else (Verdict.ERROR, b"")
+            return (AttemptOutcome.STREAMED, answer) if head.status_code in (200, 204) else (AttemptOutcome.ERROR, b"")
         except Unconnected:
-            return Verdict.UNCONNECTED, b""
+            return AttemptOutcome.CONNECT_FAILED, b""
         except (h11.RemoteProtocolError, *BROKEN):
-            failed = Verdict.RESET
+            failed = AttemptOutcome.RESET
     if caller is not None:
         caller.close_now()
     return failed, b""
 
 
-async def load(pool: Pool, address: str, headers: list[tuple[str, str]], within_ms: float) -> tuple[Verdict, str]:
+async def load(
+    pool: Pool, address: str, headers: list[tuple[str, str]], within_ms: float
+) -> tuple[AttemptOutcome, str]:
     """Asks an engine for its metrics: the text, or how it failed."""
-    verdict, answer = await once(pool, address, "GET", LOAD_PATH, headers, b"", within_ms)
-    return verdict, answer.decode(errors="replace")
+    outcome, answer = await once(pool, address, "GET", LOAD_PATH, headers, b"", within_ms)
+    return outcome, answer.decode(errors="replace")
 
 
 async def hold(
-    pool: Pool, address: str, ident: str, toks: float, headers: list[tuple[str, str]], within_ms: float
+    pool: Pool, address: str, ident: str, tokens: float, headers: list[tuple[str, str]], within_ms: float
 ) -> bool:
     """Asks a writer to hold a slot and memory for a generation. A place that is not free at once is none."""
-    body = msgspec.json.encode({"request_id": ident, "tokens": toks})
-    return (await once(pool, address, "POST", HOLD_PATH, headers, body, within_ms))[0] is Verdict.STREAMED
+    body = msgspec.json.encode({"request_id": ident, "tokens": tokens})
+    return (await once(pool, address, "POST", HOLD_PATH, headers, body, within_ms))[0] is AttemptOutcome.STREAMED
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -10,7 +10,7 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families
 
-from ternlane.port import Report, Verdict
+from ternlane.policy.messages import Report, AttemptOutcome
 
 CHAT_PATH = "/v1/chat/completions"
 RELEASE_PATH = "/ternlane/v1/release"
@@ -25,8 +25,8 @@
 class Stage(Enum):
     """Which part of a generation a leg asks for."""
 
-    READ = auto()
-    WRITE = auto()
+    PREFILL = auto()
+    DECODE = auto()
     WHOLE = auto()  # a mixed server reads and writes in one leg
 
 
@@ -48,16 +48,16 @@
     return msgspec.json.encode(body)
 
 
-def write_body(raw: dict[str, Any], state: dict[str, Any], max_toks: int) -> bytes:
+def write_body(raw: dict[str, Any], state: dict[str, Any], max_tokens: int) -> bytes:
     """To a writer: the reader's parameters come back with do_remote_prefill."""
-    body = whole(raw, max_toks)
+    body = whole(raw, max_tokens)
     body["kv_transfer_params"] = {**state, "do_remote_decode": False, "do_remote_prefill": True}
     return msgspec.json.encode(body)
 
 
-def whole(raw: dict[str, Any], max_toks: int) -> dict[str, Any]:
+def whole(raw: dict[str, Any], max_tokens: int) -> dict[str, Any]:
     body = {k: v for k, v in raw.items() if k not in ("max_completion_tokens", "kv_transfer_params")}
-    body.update(stream=True, max_tokens=max_toks, stream_options={"include_usage": True})
+    body.update(stream=True, max_tokens=max_tokens, stream_options={"include_usage": True})
     return body
 
 
@@ -106,7 +106,9 @@
     def more(self) -> dict[str, Any] | None:
         """What it has besides text, as chat.Beyond puts it together; None for nothing."""
         delta, out = self.delta, {}
-        if delta is not None and (delta.tool_calls or delta.refusal or delta.reasoning_content or delta.reasoning):
+        if delta is not None and (
+            delta.tool_calls or delta.refusal or delta.reasoning_content or delta.reasoning
+        ):
             out["delta"] = {
                 k: v for k in ("tool_calls", "refusal", "reasoning_content", "reasoning") if (v := getattr(delta, k))
             }
@@ -126,18 +128,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
-    verdict: Verdict
+class RejectReason:
+    outcome: AttemptOutcome
     state_lost: bool = False
 
 
-def refusal_of(status: int, not_run: str | None) -> Refusal:
+def refusal_of(status: int, not_run: str | None) -> RejectReason:
     """What an answer without success proves. A 429 is a refusal by its meaning; other codes only with our header."""
     if not_run == "no-state":
-        return Refusal(Verdict.FULL, state_lost=True)
+        return RejectReason(AttemptOutcome.OVERLOADED, state_lost=True)
     if not_run is not None or status == 429:
-        return Refusal(Verdict.FULL)
-    return Refusal(Verdict.ERROR)
+        return RejectReason(AttemptOutcome.OVERLOADED)
+    return RejectReason(AttemptOutcome.ERROR)
 
 
 def load_told(text: str) -> Report | None:
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -13,14 +13,24 @@
 import trio
 
 from ternlane.engine.kinds import KINDS
-from ternlane.engine.leg import ClientGone, LegEnd, LegPlan, PassOn, hold, load, read_leg, release, stream_leg
+from ternlane.engine.attempt import (
+    ClientGone,
+    AttemptResult,
+    AttemptPlan,
+    PassOn,
+    hold,
+    load,
+    prefill_attempt,
+    release,
+    stream_attempt,
+)
 from ternlane.engine.protocol import Stage, Usage, load_told
 from ternlane.http1 import Pool, keep_open
-from ternlane.port import Report, Verdict
+from ternlane.policy.messages import Report, AttemptOutcome
 
 
 @dataclass(slots=True)
-class LegAsk:
+class AttemptRequest:
     """One leg: to which server, which stage, what is asked, and for how long (`plan`)."""
 
     server: str  # its id
@@ -31,8 +41,8 @@
     key: str  # under which an engine drops repeats
     raw: dict[str, Any]  # the client's request
     state: dict[str, Any] | None
-    max_toks: int
-    plan: LegPlan
+    max_tokens: int
+    plan: AttemptPlan
     protocol: str = "disaggregated"
     goes_on: bool = False  # `raw` ends with what the client has of the answer, to be continued from there
 
@@ -40,10 +50,10 @@
 class Transport(Protocol):
     """How legs reach model servers. An implementation never raises for what a server does: it says so in a LegEnd."""
 
-    async def read(self, ask: LegAsk) -> LegEnd:
+    async def read(self, ask: AttemptRequest) -> AttemptResult:
         """Has a prompt read and its state kept. Never raises but for an outer cancellation."""
 
-    async def stream(self, ask: LegAsk, pass_on: PassOn) -> LegEnd:
+    async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
         """Has an answer written; each piece goes to `pass_on`. Raises ClientGone where that does."""
 
     async def release(
@@ -52,15 +62,15 @@
         """Releases what a server holds for a generation; true once it has confirmed."""
 
     async def hold(
-        self, server: str, address: str, ident: str, toks: float, within_ms: float, protocol: str = "disaggregated"
+        self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
         """Holds a place ahead at a writer, if one is free at once."""
 
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
-    ) -> tuple[Verdict, Report | None]:
+    ) -> tuple[AttemptOutcome, Report | None]:
         """Asks a server how loaded it is, outside any generation; None where it does not say, as here."""
-        return Verdict.ERROR, None
+        return AttemptOutcome.ERROR, None
 
     def sweep(self) -> None:
         """Called now and then: a time to close what lay idle."""
@@ -79,24 +89,24 @@
     def __init__(self, pool: Pool, agent: str) -> None:
         self.pool, self.agent = pool, agent
 
-    def _fill(self, ask: LegAsk) -> LegPlan:
+    def _fill(self, ask: AttemptRequest) -> AttemptPlan:
         """Raises Unable where the server's protocol has no words for it."""
         if ask.goes_on and not KINDS[ask.protocol].goes_on:
             raise Unable("it can't go on with a text")
         ask.plan.headers, ask.plan.body = KINDS[ask.protocol].request(ask, self.agent)
         return ask.plan
 
-    async def read(self, ask: LegAsk) -> LegEnd:
+    async def read(self, ask: AttemptRequest) -> AttemptResult:
         try:
-            return await read_leg(self.pool, self._fill(ask))
+            return await prefill_attempt(self.pool, self._fill(ask))
         except Unable as why:
-            return LegEnd(Verdict.FULL, why=str(why))
+            return AttemptResult(AttemptOutcome.OVERLOADED, why=str(why))
 
-    async def stream(self, ask: LegAsk, pass_on: PassOn) -> LegEnd:
+    async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
         try:
-            return await stream_leg(self.pool, self._fill(ask), pass_on)
+            return await stream_attempt(self.pool, self._fill(ask), pass_on)
         except Unable as why:
-            return LegEnd(Verdict.FULL, why=str(why))
+            return AttemptResult(AttemptOutcome.OVERLOADED, why=str(why))
 
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
@@ -106,17 +116,17 @@
         return await release(self.pool, address, ident, [("User-Agent", self.agent)], within_ms)
 
     async def hold(
-        self, server: str, address: str, ident: str, toks: float, within_ms: float, protocol: str = "disaggregated"
+        self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
         return KINDS[protocol].holds_states and await hold(
-            self.pool, address, ident, toks, [("User-Agent", self.agent)], within_ms
+            self.pool, address, ident, tokens, [("User-Agent", self.agent)], within_ms
         )
 
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
-    ) -> tuple[Verdict, Report | None]:
-        verdict, text = await load(self.pool, address, [("User-Agent", self.agent)], within_ms)
-        return verdict, load_told(text) if verdict is Verdict.STREAMED else None
+    ) -> tuple[AttemptOutcome, Report | None]:
+        outcome, text = await load(self.pool, address, [("User-Agent", self.agent)], within_ms)
+        return outcome, load_told(text) if outcome is AttemptOutcome.STREAMED else None
 
     def sweep(self) -> None:
         self.pool.sweep()
@@ -142,19 +152,19 @@
     """What a local engine gives for a prompt it has read: a state to hand on, and how much it had to read."""
 
     state: dict[str, Any]
-    prompt_toks: int
-    kept_toks: int = 0
+    prompt_tokens: int
+    kept_tokens: int = 0
     report: Report | None = None
 
 
 class LocalEngine(Protocol):
     """A model server in the same process: three calls, no bytes. Errors of its own mean that it may have run."""
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         """Reads the prompt of `ask.raw` and keeps its state until written or released. Where `ask.goes_on` its last
         message is the beginning of the answer, and counts as read."""
 
-    def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         """Writes the answer from `ask.state`, or from the prompt where that is None; a piece counts as a token.
         Where `ask.goes_on`, only what comes after the last message."""
 
@@ -168,19 +178,19 @@
     def __init__(self, engines: dict[str, LocalEngine]) -> None:
         self.engines = engines
 
-    async def read(self, ask: LegAsk) -> LegEnd:
-        end = LegEnd(Verdict.TIMED_OUT)
+    async def read(self, ask: AttemptRequest) -> AttemptResult:
+        end = AttemptResult(AttemptOutcome.TIMED_OUT)
 
         async def run() -> None:
             got = await self._engine(ask).read(ask)
-            end.verdict, end.state, end.report = Verdict.READ, got.state, got.report
-            end.usage = Usage(got.prompt_toks, 0, got.prompt_toks)
+            end.outcome, end.state, end.report = AttemptOutcome.PREFILLED, got.state, got.report
+            end.usage = Usage(got.prompt_tokens, 0, got.prompt_tokens)
 
         return await self._ended(ask, end, run)
 
-    async def stream(self, ask: LegAsk, pass_on: PassOn) -> LegEnd:
-        end, plan = LegEnd(Verdict.TIMED_OUT), ask.plan
-        last, written = trio.current_time() + plan.whole_ms / 1000, 0
+    async def stream(self, ask: AttemptRequest, pass_on: PassOn) -> AttemptResult:
+        end, plan = AttemptResult(AttemptOutcome.TIMED_OUT), ask.plan
+        last, written = trio.current_time() + plan.total_timeout_ms / 1000, 0
 
         async def run() -> None:
             nonlocal written
@@ -192,7 +202,7 @@
                     first, end.begun, written = not end.begun, True, written + 1
                     plan.scope.deadline = last
                     await pass_on(text, first)
-                    plan.scope.deadline = min(last, trio.current_time() + plan.quiet_ms / 1000)
+                    plan.scope.deadline = min(last, trio.current_time() + plan.idle_timeout_ms / 1000)
                     await trio.lowlevel.checkpoint()
             finally:
                 close = getattr(pieces, "aclose", None)
@@ -202,34 +212,34 @@
             if not end.begun:
                 end.begun = True
                 await pass_on("", True)
-            end.verdict, end.usage = Verdict.STREAMED, Usage(0, written, written)
+            end.outcome, end.usage = AttemptOutcome.STREAMED, Usage(0, written, written)
 
         return await self._ended(ask, end, run)
 
-    def _engine(self, ask: LegAsk) -> LocalEngine:
+    def _engine(self, ask: AttemptRequest) -> LocalEngine:
         try:
             return self.engines[ask.server]
         except KeyError:
             raise Unreached(f"no engine {ask.server!r}") from None
 
     @staticmethod
-    async def _ended(ask: LegAsk, end: LegEnd, run: Callable[[], Awaitable[None]]) -> LegEnd:
+    async def _ended(ask: AttemptRequest, end: AttemptResult, run: Callable[[], Awaitable[None]]) -> AttemptResult:
         plan = ask.plan
         plan.scope.deadline = min(plan.scope.deadline, trio.current_time() + plan.timeout_ms / 1000)
         try:
             with plan.scope:
                 await run()
         except Refuses as why:
-            end.verdict, end.state_lost, end.why = Verdict.FULL, why.state_lost, str(why)
+            end.outcome, end.state_lost, end.why = AttemptOutcome.OVERLOADED, why.state_lost, str(why)
         except Unreached as why:
-            end.verdict, end.why = Verdict.UNCONNECTED, str(why)
+            end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
         except ClientGone:
             raise
         except Exception as why:  # the engine is the caller's code: whatever it raises, it may have run
-            end.verdict, end.why = Verdict.ERROR, repr(why)
+            end.outcome, end.why = AttemptOutcome.ERROR, repr(why)
         if plan.scope.cancelled_caught:
-            end.verdict = Verdict.CALLED_OFF if plan.called_off else Verdict.TIMED_OUT
-            if end.begun and not plan.called_off:
+            end.outcome = AttemptOutcome.CANCELLED if plan.cancelled else AttemptOutcome.TIMED_OUT
+            if end.begun and not plan.cancelled:
                 end.why = "silent or too slow within the stream"
         return end
 
@@ -246,7 +256,7 @@
         return engine is not None and not scope.cancelled_caught
 
     async def hold(
-        self, server: str, address: str, ident: str, toks: float, within_ms: float, protocol: str = "disaggregated"
+        self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
         return False  # an engine in this process has no place to hold ahead
 
--- a/ternlane/gateway/ticket.py
+++ b/ternlane/gateway/active_request.py
@@ -4,29 +4,33 @@
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
-from typing import Any, Callable
+from typing import Any, Callable, ClassVar
 
 import trio
 
 from ternlane.chat import ChatAsk, Keep, Known, kept_for_repeats
 from ternlane.chat.beyond import Beyond, More
-from ternlane.engine import LegPlan
-from ternlane.port import Generation, Server
+from ternlane.engine import AttemptPlan
+from ternlane.policy.messages import Request, Server
 from ternlane.recover import Join
 from ternlane.tenants.billing import Used
-from ternlane.turns import Terminated as Terminated
-from ternlane.turns import Throttled as Throttled
+from ternlane.turns import Failed as Failed
+from ternlane.turns import Rejected as Rejected
 
 
 @dataclass(slots=True)
 class Streamed:
+    """The whole answer, as it was forwarded."""
+
+    recorded_as: ClassVar[str] = "streamed"  # the word that the wire, the ledger and the journal have for it
+
     text: str
     finish: str
     usage: dict[str, Any]
     more: More | None = None  # besides the text
 
 
-Final = Throttled | Terminated | Streamed
+Final = Rejected | Failed | Streamed
 
 
 class Outlet(ABC):
@@ -40,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class ActiveRequest:
     """`final` is set once, by the host; the door, which watches for the client's leaving, is then woken."""
 
     ident: str
@@ -65,8 +69,8 @@
     prompt_said: int = 0  # tokens of the prompt, by the first engine that said
     kept_said: int = 0  # of them found kept
     broke_at: int | None = None  # legs in `made` when its stream broke first
-    leg: LegPlan | None = None
-    legs: int = 0
+    attempt: AttemptPlan | None = None
+    attempts: int = 0
     trail: list[str] = field(default_factory=list)  # server and verdict of each leg
     why: str = ""
     beyond: Beyond = field(default_factory=Beyond)  # its text apart
@@ -74,8 +78,8 @@
     holders: dict[Server, None] = field(default_factory=dict)  # servers that may hold a state for it
 
     @property
-    def gen(self) -> Generation:
-        return self.known.gen
+    def request(self) -> Request:
+        return self.known.request
 
     @property
     def unanswered(self) -> bool:
@@ -83,7 +87,7 @@
 
     @property
     def deadline_ms(self) -> float:
-        return self.taken + self.gen.patience_ms
+        return self.taken + self.request.client_timeout_ms
 
     @property
     def pieces(self) -> list[str]:
@@ -91,12 +95,12 @@
 
     def for_repeats(self) -> Final | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
-        outcome = "left" if self.final is None else type(self.final).__name__.lower()
-        match kept_for_repeats(self.gen.product.effect, outcome, self.legs):
+        outcome = "left" if self.final is None else self.final.recorded_as
+        match kept_for_repeats(self.request.request_class.effect, outcome, self.attempts):
             case Keep.NOTHING:
                 return None
             case Keep.UNSURE:
-                return Terminated("the first client left; it may have run")
+                return Failed("the first client left; it may have run")
         return self.final
 
     def settle(self, final: Final) -> bool:
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/door.py
@@ -31,13 +31,13 @@
 from ternlane.gateway.measures import Measures
 from ternlane.gateway.scribe import final_of
 from ternlane.gateway.till import Till
-from ternlane.gateway.ticket import Final, Outlet, Streamed, Terminated, Throttled, Ticket
+from ternlane.gateway.active_request import Final, Outlet, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
-from ternlane.paper import DoorTerms, GatewayPaper
-from ternlane.port import Product
+from ternlane.config import ServerLimits, GatewayConfig
+from ternlane.policy.messages import RequestClass
 from ternlane.recover import comes_out_the_same
 from ternlane.recover.inflight import Known
-from ternlane.tenants import Hold, Refusal, TenantLine, Unknown
+from ternlane.tenants import Hold, RejectReason, TenantLine, Unknown
 from ternlane.tenants.cashier import wait_s
 from ternlane.turns import now_ms
 
@@ -67,7 +67,7 @@
         self.extra = [*(extra or []), *([] if after_s is None else [("Retry-After", str(after_s))])]
 
 
-def over_budget(no: Refusal) -> NotTaken:
+def over_budget(no: RejectReason) -> NotTaken:
     """Refused before any leg: a throttle, which promises that nothing ran."""
     why = {
         "minute": "tokens a minute",
@@ -109,7 +109,7 @@
                 out += event_bytes(usage_chunk(self.ident, self.created, self.model, final.usage))
             await self.exchange.end(out + event_bytes(b"[DONE]"))
         else:  # the error event takes the place of [DONE]
-            why = final.why if isinstance(final, Terminated) else "throttled"
+            why = final.why if isinstance(final, Failed) else "throttled"
             await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
 
 
@@ -123,31 +123,31 @@
 class Door:
     def __init__(
         self,
-        paper: GatewayPaper,
+        config: GatewayConfig,
         host: Host,
         intake: Intake,
-        models: dict[str, Product],
+        models: dict[str, RequestClass],
         measures: Measures,
         log: Any,
         till: Till | None = None,
     ) -> None:
-        self.paper, self.host, self.intake, self.models = paper, host, intake, models
+        self.config, self.host, self.intake, self.models = config, host, intake, models
         self.measures, self.log, self.till = measures, log, till
-        self.terms: DoorTerms = paper.door
-        self.names = {product: name for name, product in reversed(models.items())}
-        self.repeats = Repeats(paper.door.repeat_bytes)
+        self.terms: ServerLimits = config.door
+        self.names = {request_class: name for name, request_class in reversed(models.items())}
+        self.repeats = Repeats(config.door.repeat_bytes)
         self.count = count(1)
         self.started = int(time.time())
-        self.birth = xxh3_64_hexdigest(f"{paper.name} {time.time_ns()}".encode())[:10]
+        self.birth = xxh3_64_hexdigest(f"{config.name} {time.time_ns()}".encode())[:10]
         self.draining = False
         self.conns = self.busy = 0  # connections, and requests being answered
 
-    def alter(self, paper: GatewayPaper, models: dict[str, Product]) -> None:
+    def alter(self, config: GatewayConfig, models: dict[str, RequestClass]) -> None:
         """New limits, from the next connection on, and other products, from the next request on; the answers kept for
         repeats stay."""
-        self.paper, self.terms, self.models = paper, paper.door, models
-        self.names = {product: name for name, product in reversed(models.items())}
-        self.repeats.byte_limit = paper.door.repeat_bytes
+        self.config, self.terms, self.models = config, config.door, models
+        self.names = {request_class: name for name, request_class in reversed(models.items())}
+        self.repeats.byte_limit = config.door.repeat_bytes
 
     async def connection(self, stream: trio.SocketStream) -> None:
         """Serves one client's connection."""
@@ -168,7 +168,7 @@
                 body_ms=self.terms.body_ms,
                 idle_ms=self.terms.idle_ms,
                 send_ms=self.terms.send_ms,
-                refusal=self.refusal,
+                reject_reason=self.reject_reason,
                 draining=lambda: self.draining,
             )
         except Exception:  # a fault of this program must not take the other connections with it
@@ -177,7 +177,7 @@
             self.conns -= 1
             self.measures.conns.set(self.conns)
 
-    def refusal(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
+    def reject_reason(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
         self.measures.refused.labels(bad.code).inc()
         return error_body(bad.status, bad.why, bad.code), "application/json"
 
@@ -227,11 +227,11 @@
         """From the request to its one answer. What is refused here was never taken."""
         since = now_ms()
         begun: str | None = None  # the repeat key whose first request this is: it must be ended
-        ticket: Ticket | None = None
+        active_request: ActiveRequest | None = None
         try:
             tenant = self.tenant(exchange)
             ask = read_chat(exchange.body)
-            if len(self.host.tickets) >= self.terms.open_limit:
+            if len(self.host.active_requests) >= self.terms.open_limit:
                 raise NotTaken(503, "This gateway holds as many generations as it may", "open_limit", 1)
             patience = self.patience(exchange, self.models.get(ask.model))
             after = self.resumes_after(exchange, ask)
@@ -241,22 +241,22 @@
                 if done is not None:
                     return await self.replay(exchange, done, ask, after)
                 begun = key
-            ticket = self.ticket(exchange, ask, tenant, key, patience, since, after)
+            active_request = self.active_request(exchange, ask, tenant, key, patience, since, after)
         except Wrong as bad:
             return await self.refuse(exchange, bad.status, bad.why, bad.code, bad.param)
         except NotTaken as no:
             return await self.refuse(exchange, no.status, no.why, no.code, no.param, no.extra)
         finally:
-            if begun is not None and ticket is None:
+            if begun is not None and active_request is None:
                 self.repeats.end(begun, None, 0, 0.0)
         try:
-            self.host.arrived(ticket)
-            await self.answer(exchange, ticket)
+            self.host.arrived(active_request)
+            await self.answer(exchange, active_request)
         finally:
-            if not ticket.left and ticket.final is None:  # the connection's task was ended from outside
-                self.host.client_left(ticket)
+            if not active_request.left and active_request.final is None:  # the connection's task was ended from outside
+                self.host.client_left(active_request)
             if begun is not None:
-                self.remember(begun, ticket)
+                self.remember(begun, active_request)
 
     def tenant(self, exchange: Exchange) -> TenantLine | None:
         """Who asks; None where the gateway has no tenants. Raises NotTaken."""
@@ -312,13 +312,13 @@
         said = exchange.header(b"last-event-id")
         if not said:
             return 0
-        if not self.paper.streams.ids or not ask.stream:
+        if not self.config.streams.ids or not ask.stream:
             raise NotTaken(409, "Streams can't be taken up again here", "resume_not_offered", param="Last-Event-ID")
         if not said.isascii() or not said.isdecimal() or len(said) > 9:
             raise Wrong("Last-Event-ID", "must be the id of an event of this stream")
         return int(said)
 
-    def ticket(
+    def active_request(
         self,
         exchange: Exchange,
         ask: ChatAsk,
@@ -327,11 +327,11 @@
         patience: float,
         since: float,
         after: int,
-    ) -> Ticket:
+    ) -> ActiveRequest:
         """Makes the generation and reserves for it. Raises Wrong, or NotTaken where the budget has no room."""
         owner = tenant.name if tenant is not None else ""
         known = self.intake.take(ask, patience, owner)
-        if after and not comes_out_the_same(ask.raw, known.gen.product.effect):
+        if after and not comes_out_the_same(ask.raw, known.request.request_class.effect):
             raise NotTaken(
                 409,
                 "The rest of this answer can't be had: it is not kept, and another run must not be, or "
@@ -342,24 +342,27 @@
         hold: Hold | None = None
         if self.till is not None and tenant is not None:
             got = self.till.reserve(
-                tenant, self.names[known.gen.product], known.gen.prompt_toks, int(known.gen.max_toks)
+                tenant,
+                self.names[known.request.request_class],
+                known.request.prompt_tokens,
+                int(known.request.max_tokens),
             )
-            if isinstance(got, Refusal):
+            if isinstance(got, RejectReason):
                 raise over_budget(got)
             hold = got
         ident = self.ident(exchange, owner)
         outlet: Outlet = PlainOutlet()
         if ask.stream:
             outlet = StreamOutlet(
-                exchange, f"chatcmpl-{ident}", ask.model, ask.include_usage, after if self.paper.streams.ids else None
+                exchange, f"chatcmpl-{ident}", ask.model, ask.include_usage, after if self.config.streams.ids else None
             )
         if self.till is not None and hold is not None:
             outlet.extra = self.till.headers(hold)
         # Engines drop repeats by this key; a key of the gateway's own can't meet another gateway's.
         engine_key = f"{self.birth}-{ident}-{next(self.count)}" if key is None else xxh3_64_hexdigest(key.encode())
-        join = self.host.join_for(ask.raw, known.gen)
+        join = self.host.join_for(ask.raw, known.request)
         join.ahead = after
-        return Ticket(
+        return ActiveRequest(
             ident,
             ask,
             known,
@@ -381,9 +384,9 @@
             ident = f"{self.birth}-{next(self.count)}"
         return ident
 
-    def patience(self, exchange: Exchange, product: Product | None) -> float:
+    def patience(self, exchange: Exchange, request_class: RequestClass | None) -> float:
         """The client's time limit where it states a shorter one, less what the answer's way back may take."""
-        limit = product.limit_ms if product is not None else 0.0
+        limit = request_class.deadline_ms if request_class is not None else 0.0
         said = exchange.header(TIME_LIMIT)
         if said is not None:
             try:
@@ -394,33 +397,39 @@
                 raise Wrong("X-Ternlane-Time-Limit-Ms", "must be a positive number of milliseconds")
             limit = min(limit, stated)
         spent = now_ms() - exchange.arrived * 1000
-        return max(0.0, limit - spent - self.paper.door.answer_ms)
+        return max(0.0, limit - spent - self.config.door.answer_ms)
 
-    async def answer(self, exchange: Exchange, ticket: Ticket) -> None:
-        if ticket.final is None:
-            with ticket.watch:  # cancelled when the answer is settled
+    async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
+        if active_request.final is None:
+            with active_request.watch:  # cancelled when the answer is settled
                 await exchange.until_left()
-                self.host.client_left(ticket)
-        if ticket.left or ticket.final is None:
+                self.host.client_left(active_request)
+        if active_request.left or active_request.final is None:
             return  # the connection ends without an answer, or without its last chunk
         try:
-            if isinstance(ticket.outlet, StreamOutlet) and ticket.begun:
-                await ticket.outlet.end(ticket.final)
+            if isinstance(active_request.outlet, StreamOutlet) and active_request.begun:
+                await active_request.outlet.end(active_request.final)
             else:
-                await self.whole(exchange, ticket, ticket.final)
+                await self.whole(exchange, active_request, active_request.final)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass  # gone before it took its answer: the answer was given all the same
 
-    async def whole(self, exchange: Exchange, ticket: Ticket, final: Final) -> None:
+    async def whole(self, exchange: Exchange, active_request: ActiveRequest, final: Final) -> None:
         """An answer of which the client has nothing yet."""
-        ident, extra = ("X-Request-Id", ticket.ident), ticket.outlet.extra
+        ident, extra = ("X-Request-Id", active_request.ident), active_request.outlet.extra
         match final:
             case Streamed(text, finish, usage, more):
                 body = answer_body(
-                    f"chatcmpl-{ticket.ident}", int(time.time()), ticket.ask.model, text, finish, usage, more
+                    f"chatcmpl-{active_request.ident}",
+                    int(time.time()),
+                    active_request.ask.model,
+                    text,
+                    finish,
+                    usage,
+                    more,
                 )
                 await exchange.answer(200, [ident, *extra], body)
-            case Throttled(pause):
+            case Rejected(pause):
                 seconds = max(1, -(-int(pause) // 1000))
                 await exchange.answer(
                     429,
@@ -429,7 +438,7 @@
                         429, "The model servers are busy; nothing has run and a new try does no harm", "throttled"
                     ),
                 )
-            case Terminated(why, timed_out):
+            case Failed(why, timed_out):
                 status = 504 if timed_out else 502
                 await exchange.answer(
                     status,
@@ -445,11 +454,11 @@
                 it.taken.key, it.taken.mark, final_of(it), len(it.ended.text), now + it.taken.until - wall
             )
 
-    def remember(self, key: str, ticket: Ticket) -> None:
+    def remember(self, key: str, active_request: ActiveRequest) -> None:
         """Ends the key's first request with what a repeat will hear."""
-        product, final = ticket.gen.product, ticket.for_repeats()
+        request_class, final = active_request.request.request_class, active_request.for_repeats()
         cost = len(final.text) if isinstance(final, Streamed) else 0
-        self.repeats.end(key, final, cost, now_ms() + max(product.window_ms, product.limit_ms))
+        self.repeats.end(key, final, cost, now_ms() + max(request_class.window_ms, request_class.deadline_ms))
         self.repeats.sweep(now_ms())
 
     async def replay(self, exchange: Exchange, final: Final, ask: ChatAsk, after: int) -> None:
@@ -460,7 +469,7 @@
         match final:
             case Streamed(text, finish, usage, more) if ask.stream:
                 outlet = StreamOutlet(
-                    exchange, ident, ask.model, ask.include_usage, after if self.paper.streams.ids else None
+                    exchange, ident, ask.model, ask.include_usage, after if self.config.streams.ids else None
                 )
                 outlet.extra = [mark]
                 await outlet.piece(text[after:], True, more)
@@ -470,7 +479,7 @@
                     200, [mark], answer_body(ident, int(time.time()), ask.model, text, finish, usage, more)
                 )
             case _:
-                why = final.why if isinstance(final, Terminated) else ""
+                why = final.why if isinstance(final, Failed) else ""
                 await exchange.answer(
                     502, [mark, ("x-should-retry", "false")], error_body(502, f"Terminated: {why}", "terminated")
                 )
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -13,23 +13,24 @@
 
 from ternlane import __version__
 from ternlane.chat import Intake
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.engine import SocketTransport, Transport
 from ternlane.gateway.door import Door
-from ternlane.gateway.facts import offer_of
+from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
 from ternlane.turns import Chooser, now_ms
 from ternlane.gateway.logs import library_log
-from ternlane.gateway.measures import Measures
+from ternlane.gateway.measures import STATUS_LABELS, Measures
 from ternlane.gateway.scribe import Scribe
 from ternlane.gateway.till import Till
 from ternlane.http1 import Exchange, Pool, serve_connection
 from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
-from ternlane.paper import ConsulSource, FileSource, GatewayPaper, NodeLine, checked
-from ternlane.port import Life, ListFailed, StartFacts
+from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine, checked
+from ternlane.document_keys import document_key
+from ternlane.policy.messages import EndpointStatus, EndpointListFailed, RouterConfig
 
 BACKLOG = 4096
-ALTERED = ("door", "nodes", "products", "fleet", "gateways", "zone")  # taken over by a running gateway
+ALTERED = ("door", "nodes", "request_classes", "fleet", "gateways", "zone")  # taken over by a running gateway
 ACCEPT_PAUSE_S = 0.1  # after a connection could not be taken
 ACCEPT_FAILURES = 5  # of these while a listener's queue is emptied at the end
 QUEUE_EMPTY_S = 0.01  # no connection for so long: the queue is empty
@@ -45,37 +46,37 @@
 
     def __init__(
         self,
-        paper: GatewayPaper,
-        chooser: Callable[[StartFacts], Chooser],
+        config: GatewayConfig,
+        chooser: Callable[[RouterConfig], Chooser],
         nursery: trio.Nursery,
         log: Any,
         host_type: type[Host] = Host,
         transport: Transport | None = None,
     ) -> None:
-        self.paper, self.nursery, self.log = paper, nursery, log
-        self.offer = offer_of(paper)
-        self.facts = self.offer.facts
+        self.config, self.nursery, self.log = config, nursery, log
+        self.offer = offer_of(config)
+        self.router_config = self.offer.router_config
         self.measures, self.book = Measures(), Book()
-        self.pool = Pool(paper.fleet.connect_ms, paper.fleet.idle_ms, paper.source)
-        intake = Intake(self.offer.models, self.offer.max_toks, paper.door.session_limit)
-        self.agent = f"ternlane/{__version__} ({paper.name})"
+        self.pool = Pool(config.fleet.connect_ms, config.fleet.idle_ms, config.source)
+        intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
+        self.agent = f"ternlane/{__version__} ({config.name})"
         self.transport = transport or SocketTransport(self.pool, self.agent)
         self.host = host_type(
-            chooser(self.facts),
-            self.facts,
+            chooser(self.router_config),
+            self.router_config,
             self.transport,
             self.book,
             intake,
             nursery,
             self.measures,
             log,
-            paper.streams,
+            config.streams,
         )
-        self.till = Till(paper, log) if paper.tenants is not None else None
-        self.door = Door(paper, self.host, intake, self.offer.models, self.measures, log, self.till)
+        self.till = Till(config, log) if config.tenants is not None else None
+        self.door = Door(config, self.host, intake, self.offer.models, self.measures, log, self.till)
         if self.till is not None:
             self.host.on_done, self.host.affords = self.till.done, self.till.affords
-        self.scribe = Scribe(Path(paper.journal), log) if paper.journal is not None else None
+        self.scribe = Scribe(Path(config.journal), log) if config.journal is not None else None
         self.host.scribe = self.scribe
         self.listeners: list[trio.SocketListener] = []
         self.handed_over = False
@@ -92,8 +93,10 @@
         self.measures.lists.labels("read").inc()
         news = self.book.whole(lines, time.time(), now_ms())
         self.host.listed(news)
-        for life in Life:
-            self.measures.servers.labels(life.name.lower()).set(sum(s.life is life for s in self.book.servers.values()))
+        for status in EndpointStatus:
+            self.measures.servers.labels(STATUS_LABELS[status]).set(
+                sum(s.status is status for s in self.book.servers.values())
+            )
         if news.servers:
             self.keeping = lines
             self.keep_now.set()
@@ -102,14 +105,14 @@
         """The list could not be read; the last one holds."""
         self.measures.lists.labels("failed").inc()
         self.log.warning("node list", why=why)
-        self.host.tell(ListFailed())
+        self.host.tell(EndpointListFailed())
 
     def _last_list(self) -> None:
         """What this gateway knew before it was restarted, until its source says more."""
-        if self.paper.state is None:
+        if self.config.state is None:
             return
         try:
-            lines = kept(Path(self.paper.state))
+            lines = kept(Path(self.config.state))
         except Torn as why:
             self.log.error("kept node list not used", why=str(why))
             return
@@ -118,20 +121,20 @@
 
     async def _keep_lists(self) -> None:
         """Writes the newest list off the loop; a disk that fails is said aloud and costs nothing else."""
-        while self.paper.state is not None:
+        while self.config.state is not None:
             await self.keep_now.wait()
             self.keep_now = trio.Event()
             lines, self.keeping = self.keeping, None
             try:
                 if lines is not None:
-                    await trio.to_thread.run_sync(keep, Path(self.paper.state), lines)
+                    await trio.to_thread.run_sync(keep, Path(self.config.state), lines)
             except OSError as why:
                 self.log.error("node list not kept", why=str(why))
 
     async def _follow(self) -> None:
         while True:
             with trio.CancelScope() as self.following:
-                match self.paper.nodes:
+                match self.config.nodes:
                     case FileSource() as source:
                         await follow_file(source, self.found, self.list_failed)
                     case ConsulSource() as source:
@@ -143,29 +146,29 @@
     async def _take_up(self) -> None:
         """What the process before had in flight when it was lost."""
         assert self.scribe is not None
-        self.door.restore(await self.scribe.take_up(self.transport, self.facts.release_ms))
+        self.door.restore(await self.scribe.take_up(self.transport, self.router_config.release_ms))
         self.scribe.ready = True
 
-    def reload(self, paper: GatewayPaper) -> tuple[list[str], list[str]]:
+    def reload(self, config: GatewayConfig) -> tuple[list[str], list[str]]:
         """Takes over what can change while running. Gives the fields that did, and those that wait for a restart."""
-        old, changed, kept_back = self.paper, [], []
-        for field in paper.__struct_fields__:
-            if getattr(old, field) == getattr(paper, field):
+        old, changed, kept_back = self.config, [], []
+        for field in config.__struct_fields__:
+            if getattr(old, field) == getattr(config, field):
                 continue
             if field in ALTERED:
                 changed.append(field)
             else:
                 kept_back.append(field)
-        self.paper = msgspec.structs.replace(old, **{field: getattr(paper, field) for field in changed})
+        self.config = msgspec.structs.replace(old, **{field: getattr(config, field) for field in changed})
         if set(changed) - {"door", "nodes"}:
-            self.offer = offer_of(self.paper, self.offer.products)
-            self.facts = self.offer.facts
-            self.pool.connect_ms, self.pool.idle_ms = self.paper.fleet.connect_ms, self.paper.fleet.idle_ms
+            self.offer = offer_of(self.config, self.offer.request_classes)
+            self.router_config = self.offer.router_config
+            self.pool.connect_ms, self.pool.idle_ms = self.config.fleet.connect_ms, self.config.fleet.idle_ms
             self.host.alter(self.offer)
-        self.door.alter(self.paper, self.offer.models)
+        self.door.alter(self.config, self.offer.models)
         if "nodes" in changed:
             self.following.cancel()  # and followed anew at the new source
-        return changed, kept_back
+        return [document_key(field) for field in changed], [document_key(field) for field in kept_back]
 
     # -- start and stop
 
@@ -173,7 +176,7 @@
         self._last_list()
         self.handed_over = True
         if listeners is None:
-            host, port = split(self.paper.listen)
+            host, port = split(self.config.listen)
             listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
             self.handed_over = False
         self.listeners = listeners
@@ -189,10 +192,10 @@
             self.nursery.start_soon(self.scribe.writer.run)
             self.nursery.start_soon(self._take_up)
         self.nursery.start_soon(self._serve)
-        if self.paper.metrics is not None:
-            host, port = split(self.paper.metrics)
+        if self.config.metrics is not None:
+            host, port = split(self.config.metrics)
             await self.nursery.start(partial(trio.serve_tcp, self._metrics, port, host=host))
-        self.log.info("serving", address=self.address, gateway=self.paper.name)
+        self.log.info("serving", address=self.address, gateway=self.config.name)
 
     async def _serve(self) -> None:
         with self.doors:
@@ -235,8 +238,8 @@
             listener.socket.close()
         await trio.sleep(0.05)  # for requests that were under way
         self.door.draining = True
-        with trio.move_on_after(self.paper.door.drain_ms / 1000):
-            while self.host.tickets:
+        with trio.move_on_after(self.config.door.drain_ms / 1000):
+            while self.host.active_requests:
                 await trio.sleep(0.02)
         await self.stop()
 
@@ -260,10 +263,10 @@
     async def stop(self) -> None:
         """Gives up on what is open, releases what is held, and keeps the bills. After `drain` there is nothing left
         to do; a block that ends without it loses nothing either."""
-        for ticket in list(self.host.tickets.values()):
-            self.host.give_up(ticket, "the gateway went down")
-        with trio.move_on_after(self.facts.release_ms / 1000 + 0.2):  # for last answers and what is released
-            while self.host.tickets or self.host.releasing or self.door.busy:
+        for active_request in list(self.host.active_requests.values()):
+            self.host.give_up(active_request, "the gateway went down")
+        with trio.move_on_after(self.router_config.release_ms / 1000 + 0.2):  # for last answers and what is released
+            while self.host.active_requests or self.host.releasing or self.door.busy:
                 await trio.sleep(0.01)
         if self.till is not None:
             await self.till.close()
@@ -273,8 +276,8 @@
 
 @asynccontextmanager
 async def open_gateway(
-    paper: GatewayPaper,
-    chooser: Callable[[StartFacts], Chooser] = Router,
+    config: GatewayConfig,
+    chooser: Callable[[RouterConfig], Chooser] = Router,
     log: Any = None,
     host_type: type[Host] = Host,
     listeners: list[trio.SocketListener] | None = None,
@@ -282,9 +285,9 @@
 ) -> AsyncIterator[Gateway]:
     """Everything lives in a nursery that this block owns. Raises PaperError for settings that no document could hold,
     OSError where its address is taken, Damaged where the ledger is."""
-    paper = checked(paper)
+    config = checked(config)
     async with trio.open_nursery() as nursery:
-        gateway = Gateway(paper, chooser, nursery, log or library_log(), host_type, transport)
+        gateway = Gateway(config, chooser, nursery, log or library_log(), host_type, transport)
         try:
             await gateway._start(listeners)
             yield gateway
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/till.py
@@ -14,39 +14,39 @@
 import trio
 from xxhash import xxh3_64_hexdigest
 
-from ternlane.gateway.ticket import Streamed, Ticket
+from ternlane.gateway.active_request import Streamed, ActiveRequest
 from ternlane.ledger import Disk, Store, Totals, Writer
 from ternlane.ledger.lending import lender_file
-from ternlane.paper import GatewayPaper, PaperError, read_paper
-from ternlane.tenants import Cashier, Hold, Refusal, Roll, TenantLine, bill_for
-from ternlane.tenants.roll import Budget, RollPaper
+from ternlane.config import GatewayConfig, ConfigError, read_config
+from ternlane.tenants import Cashier, Hold, RejectReason, Roll, TenantLine, bill_for
+from ternlane.tenants.roll import Budget, TenantRegistryConfig
 from ternlane.turns import now_ms
 
 LOOK_S = 0.5
 
 
 class Till:
-    def __init__(self, paper: GatewayPaper, log: Any) -> None:
-        assert paper.tenants is not None and paper.ledger is not None
-        self.paper, self.log, self.path = paper, log, Path(paper.tenants)
-        self.roll = Roll(read_paper(self.path, RollPaper))
+    def __init__(self, config: GatewayConfig, log: Any) -> None:
+        assert config.tenants is not None and config.ledger is not None
+        self.config, self.log, self.path = config, log, Path(config.tenants)
+        self.roll = Roll(read_config(self.path, TenantRegistryConfig))
         self.mark = self.stat()
-        self.cashier = Cashier(paper.gateways, paper.name, paper.lender is not None)
+        self.cashier = Cashier(config.gateways, config.name, config.lender is not None)
         self.cashier.clock(time.time())
-        kept = {} if paper.ledger_segments is None else {"keep_segments": paper.ledger_segments}
-        self.store = Store(Disk(Path(paper.ledger)), **kept)
+        kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
+        self.store = Store(Disk(Path(config.ledger)), **kept)
         self.told: dict[tuple[str, str, str], int] = {}
-        self.remember(Store(Disk(Path(paper.ledger))).read_sums())
+        self.remember(Store(Disk(Path(config.ledger))).read_sums())
         self.writer = Writer(self.store, log, on_own=self.remember)
         self.closed = False
 
     def remember(self, totals: Totals) -> None:
         """Tells the cashier what the ledger holds beyond what it was told before."""
         for key, it in totals.sums.items():
-            toks = it.bill.prompt + it.bill.answer
-            if toks > self.told.get(key, 0):
-                self.cashier.remember(*key, toks - self.told.get(key, 0))
-                self.told[key] = toks
+            tokens = it.bill.prompt + it.bill.answer
+            if tokens > self.told.get(key, 0):
+                self.cashier.remember(*key, tokens - self.told.get(key, 0))
+                self.told[key] = tokens
 
     def stat(self) -> tuple[int, int, int]:
         it = os.stat(self.path)
@@ -60,15 +60,15 @@
             try:
                 if (mark := self.stat()) != self.mark:
                     self.mark = mark
-                    self.roll = Roll(read_paper(self.path, RollPaper))
+                    self.roll = Roll(read_config(self.path, TenantRegistryConfig))
                     self.log.info("tenants read again", tenants=len(self.roll.tenants))
-            except (OSError, PaperError) as why:
+            except (OSError, ConfigError) as why:
                 self.log.error("tenants not read again", why=str(why))
 
     async def borrow(self) -> None:
         """Asks the lender for what traffic showed to be wanted; nobody waits for it."""
-        while self.paper.lender is not None:
-            await trio.sleep(self.paper.look_ms / 1000)
+        while self.config.lender is not None:
+            await trio.sleep(self.config.look_ms / 1000)
             wall = self.cashier.clock(time.time())
             asks = []
             for name in list(self.cashier.borrowers):
@@ -85,12 +85,12 @@
             except OSError as why:  # what was to be given back is lost: the bucket refills all the same
                 self.log.warning("lender not reached", why=str(why))
                 continue
-            for (name, _, target, _, _), toks in zip(asks, got, strict=True):
+            for (name, _, target, _, _), tokens in zip(asks, got, strict=True):
                 meter = self.cashier.meters.get((name, ""))
-                if meter is not None and toks > 0:
-                    meter.draw(toks, target)
-            for (name, product, period, _), chunk in zip(periods, chunks, strict=True):
-                meter = self.cashier.meters.get((name, product))
+                if meter is not None and tokens > 0:
+                    meter.draw(tokens, target)
+            for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
+                meter = self.cashier.meters.get((name, request_class))
                 if meter is not None and meter.period is not None and meter.period.name == period:
                     meter.allowed += chunk
 
@@ -98,48 +98,51 @@
         self, asks: list[tuple[str, float, float, Budget, float]], periods: list[tuple[str, str, str, int]]
     ) -> tuple[list[float], list[float]]:
         """In a thread: one change of the lender's table for all tenants that want something."""
-        with lender_file(Path(str(self.paper.lender)), self.paper.gateways, self.paper.look_ms / 1000) as lender:
+        with lender_file(Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000) as lender:
             got = [
-                lender.ask(name, self.paper.name, want, it.minute or 0, it.most_saved, time.time(), least)
+                lender.ask(name, self.config.name, want, it.minute or 0, it.most_saved, time.time(), least)
                 for name, want, _, it, least in asks
             ]
-            return got, [lender.draw(f"{name}/{product}", period, budget) for name, product, period, budget in periods]
+            return got, [
+                lender.draw(f"{name}/{request_class}", period, budget)
+                for name, request_class, period, budget in periods
+            ]
 
     def whose(self, authorization: str | None) -> TenantLine:
         """Raises tenants.Unknown."""
         return self.roll.whose(authorization, time.time())
 
-    def reserve(self, tenant: TenantLine, product: str, prompt: float, most: int) -> Hold | Refusal:
-        return self.cashier.reserve(tenant, product, int(prompt), most, now_ms(), time.time())
+    def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | RejectReason:
+        return self.cashier.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
-    def affords(self, ticket: Ticket) -> bool:
-        return ticket.hold is None or not self.cashier.overrun(ticket.hold, len(ticket.pieces))
+    def affords(self, active_request: ActiveRequest) -> bool:
+        return active_request.hold is None or not self.cashier.overrun(active_request.hold, len(active_request.pieces))
 
-    def done(self, ticket: Ticket) -> None:
+    def done(self, active_request: ActiveRequest) -> None:
         """Every leg has ended: the bill is made out and kept."""
-        if ticket.hold is None:
+        if active_request.hold is None:
             return
-        outcome = "left" if ticket.final is None else type(ticket.final).__name__.lower()
+        outcome = "left" if active_request.final is None else active_request.final.recorded_as
         billed = bill_for(
-            ticket.made,
-            ticket.begun,
-            isinstance(ticket.final, Streamed),
-            len(ticket.pieces),
-            ticket.hold.prompt,
-            ticket.broke_at,
-            ticket.final.usage["completion_tokens"] if isinstance(ticket.final, Streamed) else 0,
+            active_request.made,
+            active_request.begun,
+            isinstance(active_request.final, Streamed),
+            len(active_request.pieces),
+            active_request.hold.prompt,
+            active_request.broke_at,
+            active_request.final.usage["completion_tokens"] if isinstance(active_request.final, Streamed) else 0,
         )
         self.writer.add(
             self.cashier.settle(
-                ticket.hold,
-                ticket.ident,
+                active_request.hold,
+                active_request.ident,
                 outcome,
                 billed,
-                ticket.legs,
+                active_request.attempts,
                 now_ms(),
                 time.time(),
-                xxh3_64_hexdigest(ticket.key.encode()),
-                len(ticket.pieces),
+                xxh3_64_hexdigest(active_request.key.encode()),
+                len(active_request.pieces),
             )
         )
 
--- a/ternlane/nodes/book.py
+++ b/ternlane/nodes/book.py
@@ -6,11 +6,11 @@
 from typing import Iterable
 from zlib import crc32
 
-from ternlane.paper import NodeLine
-from ternlane.port import Duty, Life, Listed, Server
+from ternlane.config import NodeLine
+from ternlane.policy.messages import Role, EndpointStatus, EndpointsUpdated, Server
 
-DUTIES = {"read": Duty.READ, "write": Duty.WRITE, "both": Duty.BOTH}
-LIVES = {"up": Life.UP, "draining": Life.DRAINING, "gone": Life.GONE}
+ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
+STATUSES = {"up": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.REMOVED}
 
 
 @dataclass(slots=True, eq=False)
@@ -29,7 +29,7 @@
         self.servers: dict[str, Server] = {}
         self.places: dict[Server, Place] = {}
 
-    def whole(self, lines: Iterable[NodeLine], wall: float, now: float) -> Listed:
+    def whole(self, lines: Iterable[NodeLine], wall: float, now: float) -> EndpointsUpdated:
         """A whole list: what it leaves out is gone. Only what changed is told."""
         news, named = [], set()
         for line in lines:
@@ -38,26 +38,31 @@
             place = None if server is None else self.places[server]
             if server is not None and place is not None and place.line == line:
                 continue
-            if server is None or server.duty is not DUTIES[line.duty]:  # another duty makes it another server
+            if server is None or server.role is not ROLES[line.role]:  # another duty makes it another server
                 if server is not None:
-                    server.life = Life.GONE
+                    server.status = EndpointStatus.REMOVED
                     news.append(server)
                 server = self.servers[line.id] = Server(
-                    line.zone, line.cell, DUTIES[line.duty], line.mem_toks, mark=crc32(line.id.encode())
+                    line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, hash_key=crc32(line.id.encode())
                 )
-            server.zone, server.cell, server.mem_toks, server.size = line.zone, line.cell, line.mem_toks, line.size
+            server.zone, server.cell, server.kv_capacity_tokens, server.size = (
+                line.zone,
+                line.cell,
+                line.kv_capacity_tokens,
+                line.size,
+            )
             server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
-            server.life = LIVES[line.state]
+            server.status = STATUSES[line.state]
             self.places[server] = Place(line.id, line.address, line)
             news.append(server)
         for ident, server in self.servers.items():
-            if ident not in named and server.life is not Life.GONE:
-                server.life = Life.GONE
+            if ident not in named and server.status is not EndpointStatus.REMOVED:
+                server.status = EndpointStatus.REMOVED
                 self.places[server].line = NodeLine(
-                    id=ident, address=self.places[server].address, duty="both", mem_toks=1, state="gone"
+                    id=ident, address=self.places[server].address, role="both", kv_capacity_tokens=1, state="gone"
                 )
                 news.append(server)
-        return Listed(tuple(news))
+        return EndpointsUpdated(tuple(news))
 
     def lines(self) -> list[NodeLine]:
-        return [self.places[s].line for s in self.servers.values() if s.life is not Life.GONE]
+        return [self.places[s].line for s in self.servers.values() if s.status is not EndpointStatus.REMOVED]
--- a/ternlane/notes.py
+++ b/ternlane/notes.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from ternlane.policy.lease import Lease
-from ternlane.port import Action, Generation, Server
+from ternlane.policy.messages import Action, Request, Server
 
 
 class Loop:
@@ -44,10 +44,10 @@
     """The actor of one model server, as the others know it."""
 
     server: Server
-    reads: bool
-    writes: bool
+    prefills: bool
+    decodes: bool
     said: tuple[float, float, float | None] | None  # its last report: when, memory share, generations held
-    legs: dict[Leg, None]
+    attempts: dict[Attempt, None]
     booked: dict[Course, tuple[float, float]]
     shut_until: float  # it is sent nothing before, then one leg at a time until it has proved itself
 
@@ -60,20 +60,20 @@
     beat_ms: float
     share: float  # gateways that load the servers as much as this one, itself included
     cold_part: float  # of an even share of the generations, that a server just started may be sent
-    cold_ms: float
+    slow_start_ms: float
     retry_ms: float  # first pause after a server could not be reached
     idle_ms: float  # idle connections are closed after this
-    leg_limit: int
+    max_attempts: int
     pause_ms: float  # the longest return time a client heeds; 0 where none may be given
     hand_ms: float  # how long after its read a state may still be sent to a writer that must be reached first
     guard_ms: float  # how long after its prefill a state is released while an attempt for it is out unanswered
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
+class Attempt:
     engine: Seat
     course: Course
-    writes: bool
+    decodes: bool
     sent: float
     since: float  # start of the present stage: read, open (until the first token) or stream
     usual_ms: float  # what its peers take for that stage
@@ -88,14 +88,14 @@
 class Course:
     """One generation on its way."""
 
-    gen: Generation
+    request: Request
     slo_at: float
-    limit_at: float
+    deadline: float
     lot: float = 0.0  # its draw, from nought to one, for servers that take only some
-    reader: Seat | None = None
-    writer: Seat | None = None
-    leg: Leg | None = None
-    legs: int = 0
+    prefill_server: Seat | None = None
+    decode_server: Seat | None = None
+    attempt: Attempt | None = None
+    attempts: int = 0
     lease: Lease[Seat] = field(default_factory=Lease)  # what may be held for it
     may_have_run: tuple[float, Server] | None = None
     waited: bool = False  # no pair was found for it yet
@@ -106,8 +106,8 @@
 
 
 class Home(NamedTuple):
-    reader: Seat
-    writer: Seat
+    prefill_server: Seat
+    decode_server: Seat
     used: float
 
 
@@ -142,7 +142,7 @@
     """A generation is to be read or written here."""
 
     course: Course
-    toks: float
+    tokens: float
 
 
 class Unbooked(NamedTuple):
@@ -150,11 +150,11 @@
 
 
 class Sent(NamedTuple):
-    leg: Leg
+    attempt: Attempt
 
 
 class StageEnded(NamedTuple):
-    leg: Leg
+    attempt: Attempt
     good: bool | None  # None: how it ended tells nothing of the server
     next_usual_ms: float | None  # None: the leg has ended with this stage
 
@@ -166,7 +166,7 @@
 
 
 class Reported(NamedTuple):
-    mem_share: float
+    memory_share: float
     open: float | None  # generations that the server holds
 
 
@@ -185,7 +185,7 @@
 class Lost(NamedTuple):
     """A read that was sent later to the same server has ended before this one."""
 
-    leg: Leg
+    attempt: Attempt
 
 
 class Onward(NamedTuple):
--- a/ternlane/platform/ticket.py
+++ b/ternlane/platform/active_request.py
@@ -3,16 +3,17 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import ClassVar
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.http1 import Exchange
-from ternlane.platform.engines import Leg
+from ternlane.platform.engines import Attempt
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
-from ternlane.port import Generation
-from ternlane.turns import Terminated, Throttled, now_ms
+from ternlane.policy.messages import Request
+from ternlane.turns import Failed, Rejected, now_ms
 
 STREAM_HEAD = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-cache"), ("Transfer-Encoding", "chunked")]
 
@@ -21,27 +22,29 @@
 class Streamed:
     """`whole`: with its last chunk; else its client's connection is to end without it."""
 
+    recorded_as: ClassVar[str] = "streamed"  # the word that the wire, the ledger and the journal have for it
+
     whole: bool
 
 
-Final = Throttled | Terminated | Streamed
+Final = Rejected | Failed | Streamed
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class ActiveRequest:
     """A generation at this gateway. `final` is set once; its client's connection, which watches, is then woken."""
 
     ident: str
-    gen: Generation
+    request: Request
     exchange: Exchange
     body: bytes
     since: float
     final: Final | None = None
     left: bool = False
     flowing: bool = False
-    leg: Leg | None = None
+    attempt: Attempt | None = None
     server_name: str = ""  # of the newest attempt
-    legs: int = 0
+    attempts: int = 0
     why: str = ""
     trail: list[str] = field(default_factory=list)
     freeing: trio.Event | None = None  # set once what was held before is released
@@ -64,24 +67,24 @@
         return not self.over and not self.flowing
 
     @property
-    def last_verdict(self) -> str:
+    def last_outcome(self) -> str:
         """How its last attempt ended, "" before one has."""
         return self.trail[-1].split()[2] if self.trail else ""
 
     @property
     def deadline_ms(self) -> float:
-        return self.since + self.gen.patience_ms
+        return self.since + self.request.client_timeout_ms
 
     @property
     def phase(self) -> Phase:
         """How far it has come."""
         if self.flowing:
             return Phase.STREAMING
-        if self.leg is None:
+        if self.attempt is None:
             return Phase.QUEUED
-        if not self.leg.written:
+        if not self.attempt.written:
             return Phase.CONNECTING
-        return Phase.PREFILL if self.leg.duty is port.Duty.READ else Phase.DECODE
+        return Phase.PREFILL if self.attempt.role is messages.Role.PREFILL else Phase.DECODE
 
     async def first(self, data: bytes) -> None:
         await self.exchange.begin(200, STREAM_HEAD, data)
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -11,8 +11,8 @@
 from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
 from ternlane.platform.node import Node
 from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, Wrong, wish_of
-from ternlane.platform.ticket import Streamed, Ticket
-from ternlane.turns import Terminated, Throttled, now_ms
+from ternlane.platform.active_request import Streamed, ActiveRequest
+from ternlane.turns import Failed, Rejected, now_ms
 
 HEAD_BYTES = 16384
 # Who connects and sends no request is owed an end within 3 s of connecting (users' page); the rest is for the way.
@@ -113,7 +113,7 @@
             stream,
             self.handle,
             self.limits,
-            refusal=self.refusal,
+            reject_reason=self.reject_reason,
             draining=lambda: self.draining,
             on_idle=self.idle_changed,
             on_close=self.closed,
@@ -162,7 +162,7 @@
         for connection in list(self.open):
             connection.stop_reading()
 
-    def refusal(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
+    def reject_reason(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
         self.node.counts[f"refused {bad.code}"] += 1
         return said(bad.code, bad.why), "application/json"
 
@@ -170,7 +170,7 @@
         route = exchange.method, exchange.path
         try:
             if route == ("POST", CHAT_PATH):
-                await self.generation(exchange)
+                await self.request(exchange)
             elif route == ("GET", READY_PATH):
                 status = 200 if self.ready and not self.draining else 503
                 await exchange.answer(status, [], b"ready\n" if status == 200 else b"not ready\n", "text/plain")
@@ -181,7 +181,7 @@
         except Wrong as bad:
             raise BadRequest(bad.status, bad.why, bad.code) from None
 
-    async def generation(self, exchange: Exchange) -> None:
+    async def request(self, exchange: Exchange) -> None:
         headers: dict[bytes, str] = {}
         for name, value in exchange.request.headers:
             if name in headers and name.startswith((b"request-", b"affinity-")):
@@ -192,47 +192,47 @@
         if wish.ident in node.idents:
             raise Wrong(409, "open_id", "a request with this Request-Id is open")
         if (
-            len(node.tickets) >= self.open_limit
-            or sum(len(t.body) for t in node.tickets.values()) + len(exchange.body) > self.held_bytes
+            len(node.active_requests) >= self.open_limit
+            or sum(len(t.body) for t in node.active_requests.values()) + len(exchange.body) > self.held_bytes
         ):
             node.counts["refused room"] += 1
             await exchange.answer(503, [], said("room", "this gateway holds as much as it may"))
             return
-        product = node.deployment.products[wish.product]
+        request_class = node.deployment.request_classes[wish.request_class]
         # Counted from the request's last byte, as the users' page does: a slow client's time has only begun, and one
         # that came while this loop was busy has lost some of it already.
-        patience = (wish.patience_ms or product.limit_ms) - self.unseen_ms() - node.lag_ms()
-        gen = node.deployment.generation(
-            product,
+        patience = (wish.client_timeout_ms or request_class.deadline_ms) - self.unseen_ms() - node.lag_ms()
+        request = node.deployment.request(
+            request_class,
             wish.session,
-            wish.opening,
-            wish.opening_toks,
-            wish.prompt_toks,
-            wish.max_toks,
+            wish.prefix,
+            wish.prefix_tokens,
+            wish.prompt_tokens,
+            wish.max_tokens,
             max(0.0, patience),
             wish.tenant,
         )
-        ticket = Ticket(wish.ident, gen, exchange, exchange.body, now_ms())
+        active_request = ActiveRequest(wish.ident, request, exchange, exchange.body, now_ms())
         exchange.body = b""
-        node.arrived(ticket)
-        await self.answer(exchange, ticket)
+        node.arrived(active_request)
+        await self.answer(exchange, active_request)
 
-    async def answer(self, exchange: Exchange, ticket: Ticket) -> None:
+    async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
         try:
-            if not ticket.over:
-                with ticket.watch:  # cancelled when the answer is settled
+            if not active_request.over:
+                with active_request.watch:  # cancelled when the answer is settled
                     await exchange.until_left()
-                    self.node.client_left(ticket)
+                    self.node.client_left(active_request)
         finally:
-            if not ticket.over:  # ended from outside
-                self.node.client_left(ticket)
-        match ticket.final:
+            if not active_request.over:  # ended from outside
+                self.node.client_left(active_request)
+        match active_request.final:
             case Streamed(whole=True):
                 pass
-            case Throttled(pause):
+            case Rejected(pause):
                 head = [("Retry-After", f"{pause / 1000:.3f}")] if pause > 0 else []
                 await exchange.answer(503, head, said("throttled", "nothing has run; a new try does no harm"))
-            case Terminated(why):
+            case Failed(why):
                 await exchange.answer(502, [], said("terminated", why or "no server could finish it"))
             case _:  # it left, or its stream broke: the connection ends without the last chunk
                 pass
