--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -9,22 +9,22 @@
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.deployment import Deployment
-from ternlane.platform.engines import ClientGone, Engines, Leg, LegEnd
+from ternlane.platform.engines import ClientGone, Engines, Attempt, AttemptResult
 from ternlane.platform.held_states import HeldStateMonitor
 from ternlane.platform.open_requests import OpenRequest
 from ternlane.platform.request_history import RequestRecord
-from ternlane.platform.roster import Listing, Roster
-from ternlane.platform.ticket import Final, Streamed, Ticket
-from ternlane.port import Life, Server, Verdict
+from ternlane.platform.endpoint_registry import EndpointList, EndpointRegistry
+from ternlane.platform.active_request import Final, Streamed, ActiveRequest
+from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
 RELEASE_TRIES = 4  # of a release that no server has heard, each given twice the time of the one before
 
 
-class Node(Turns[Ticket]):
+class Node(Turns[ActiveRequest]):
     """Tells the decisions what happens on the sockets, and carries out on them what is decided."""
 
     def __init__(
@@ -32,9 +32,9 @@
     ) -> None:
         super().__init__(chooser)
         self.deployment, self.engines, self.nursery, self.log = deployment, engines, nursery, log
-        self.roster = Roster(deployment)
-        self.idents: dict[str, Ticket] = {}
-        self.ended: list[Ticket] = []  # to be forgotten once the turn is over
+        self.endpoint_registry = EndpointRegistry(deployment)
+        self.idents: dict[str, ActiveRequest] = {}
+        self.ended: list[ActiveRequest] = []  # to be forgotten once the turn is over
         self.releasing = 0
         self.counts: Counter[str] = Counter()
         self.records: deque[RequestRecord] = deque(maxlen=TRAILS)
@@ -45,34 +45,34 @@
 
     def turn(self) -> None:
         super().turn()
-        for ticket in self.ended:
-            self.forget(ticket)
+        for active_request in self.ended:
+            self.forget(active_request)
         self.ended.clear()
 
-    def carry_further(self, action: port.Action) -> None:
+    def carry_further(self, action: messages.Action) -> None:
         match action:
-            case port.Release(gen, again, why):
-                ticket = self.tickets.get(gen)
-                if ticket is not None:
+            case messages.Release(request, again, why):
+                active_request = self.active_requests.get(request)
+                if active_request is not None:
                     self.releasing += 1
                     self.counts[f"release {why.name}"] += 1
-                    ticket.note(f"release begins: {why.name}")
-                    ticket.freeing = trio.Event()
-                    self.nursery.start_soon(self.release, ticket, ticket.freeing, again)
-            case port.HoldAhead(gen, server):
-                ticket = self.tickets.get(gen)
-                if ticket is not None and server in self.roster.spots:
-                    self.nursery.start_soon(self.hold, ticket, server)
-            case port.Probe(server):
+                    active_request.note(f"release begins: {why.name}")
+                    active_request.freeing = trio.Event()
+                    self.nursery.start_soon(self.release, active_request, active_request.freeing, again)
+            case messages.Reserve(request, server):
+                active_request = self.active_requests.get(request)
+                if active_request is not None and server in self.endpoint_registry.endpoints:
+                    self.nursery.start_soon(self.hold, active_request, server)
+            case messages.Probe(server):
                 self.nursery.start_soon(self.probe, server)
-            case port.Log(server, text):
-                spot = self.roster.spots.get(server)
-                self.log.info("server", server=spot.name if spot is not None else "gone", text=text)
+            case messages.Log(server, text):
+                endpoint = self.endpoint_registry.endpoints.get(server)
+                self.log.info("server", server=endpoint.name if endpoint is not None else "gone", text=text)
 
     def woken(self) -> None:
-        self.roster.clock.observe(time.time() * 1000, now_ms())
+        self.endpoint_registry.clock.observe(time.time() * 1000, now_ms())
         self.engines.pool.sweep()
-        for overdue in self.held_states.newly_overdue(now_ms(), self.deployment.facts.release_ms):
+        for overdue in self.held_states.newly_overdue(now_ms(), self.deployment.router_config.release_ms):
             self.counts["held overdue"] += 1
             self.log.warning(
                 "state held past its release time",
@@ -85,39 +85,41 @@
         self.counts["fault"] += 1
         self.log.error("fault", exc_info=fault)
 
-    def give_up(self, ticket: Ticket, why: str) -> None:
+    def give_up(self, active_request: ActiveRequest, why: str) -> None:
         self.counts["overdue"] += 1
-        super().give_up(ticket, why)
+        super().give_up(active_request, why)
 
-    def listed(self, listing: Listing) -> None:
-        news = self.roster.take(listing, time.time() * 1000, now_ms())
-        self.engines.known([spot.address for spot in self.roster.spots.values()])
+    def listed(self, listing: EndpointList) -> None:
+        news = self.endpoint_registry.take(listing, time.time() * 1000, now_ms())
+        self.engines.known([endpoint.address for endpoint in self.endpoint_registry.endpoints.values()])
         if news.servers:
             self.tell(news)
 
     def alter(self, deployment: Deployment) -> None:
         self.deployment = self.engines.deployment = deployment
-        self.roster.alter(deployment)
-        self.tell(port.Altered(deployment.facts))
+        self.endpoint_registry.alter(deployment)
+        self.tell(messages.ConfigChanged(deployment.router_config))
 
     # -- generations
 
-    def arrived(self, ticket: Ticket) -> None:
-        self.idents[ticket.ident] = ticket
+    def arrived(self, active_request: ActiveRequest) -> None:
+        self.idents[active_request.ident] = active_request
         self.counts["taken"] += 1
-        ticket.note(f"received, {ticket.gen.patience_ms:.0f} ms left{self.after_sigterm(ticket)}")
-        self.taken(ticket)
+        active_request.note(
+            f"received, {active_request.request.client_timeout_ms:.0f} ms left{self.after_sigterm(active_request)}"
+        )
+        self.taken(active_request)
 
-    def after_sigterm_ms(self, ticket: Ticket) -> float | None:
+    def after_sigterm_ms(self, active_request: ActiveRequest) -> float | None:
         """How long after the signal to end the request was received; None where it was received before, or there was
         none."""
-        if self.sigterm_ms is None or ticket.since < self.sigterm_ms:
+        if self.sigterm_ms is None or active_request.since < self.sigterm_ms:
             return None
-        return round(ticket.since - self.sigterm_ms, 1)
+        return round(active_request.since - self.sigterm_ms, 1)
 
-    def after_sigterm(self, ticket: Ticket) -> str:
+    def after_sigterm(self, active_request: ActiveRequest) -> str:
         """The same as the end of a sentence."""
-        after_ms = self.after_sigterm_ms(ticket)
+        after_ms = self.after_sigterm_ms(active_request)
         return "" if after_ms is None else f", {after_ms:.0f} ms after SIGTERM"
 
     def open_requests(self) -> list[OpenRequest]:
@@ -125,205 +127,236 @@
         now = now_ms()
         return [
             OpenRequest(
-                ticket.ident,
-                ticket.phase,
-                round(now - ticket.since, 1),
-                round(ticket.deadline_ms - now, 1),
-                ticket.legs,
-                ticket.server_name if ticket.leg is not None else "",
-                self.after_sigterm_ms(ticket),
+                active_request.ident,
+                active_request.phase,
+                round(now - active_request.since, 1),
+                round(active_request.deadline_ms - now, 1),
+                active_request.attempts,
+                active_request.server_name if active_request.attempt is not None else "",
+                self.after_sigterm_ms(active_request),
             )
-            for ticket in self.tickets.values()
-            if not ticket.over
+            for active_request in self.active_requests.values()
+            if not active_request.over
         ]
 
-    def client_left(self, ticket: Ticket) -> None:
+    def client_left(self, active_request: ActiveRequest) -> None:
         """Nothing is owed any more; a stream that nobody reads is given up."""
-        if not ticket.over:
-            ticket.left = True
-            if ticket.leg is not None and (ticket.flowing or not ticket.leg.written):  # it was never a begun attempt
-                ticket.leg.call_off()
-            self.closed(ticket, "left")
-            self.tell(port.ClientLeft(ticket.gen))
-
-    def settle(self, ticket: Ticket, final: Final) -> None:
-        if ticket.over:
+        if not active_request.over:
+            active_request.left = True
+            if active_request.attempt is not None and (
+                active_request.flowing or not active_request.attempt.written
+            ):  # it was never a begun attempt
+                active_request.attempt.cancel()
+            self.closed(active_request, "left")
+            self.tell(messages.ClientDisconnected(active_request.request))
+
+    def settle(self, active_request: ActiveRequest, final: Final) -> None:
+        if active_request.over:
             return
-        ticket.final = final
-        ticket.watch.cancel()
-        outcome = type(final).__name__.lower()
+        active_request.final = final
+        active_request.watch.cancel()
+        outcome = final.recorded_as
         if isinstance(final, Streamed):
             outcome = "streamed" if final.whole else "broken"
         else:
-            self.counts[f"{outcome} {final.refusal.name}"] += 1
-            ticket.note(f"{outcome}: {final.refusal.name}")
-        if now_ms() > ticket.deadline_ms and not ticket.flowing:
+            self.counts[f"{outcome} {final.reject_reason.name}"] += 1
+            active_request.note(f"{outcome}: {final.reject_reason.name}")
+        if now_ms() > active_request.deadline_ms and not active_request.flowing:
             self.counts["late"] += 1
-        self.closed(ticket, outcome)
+        self.closed(active_request, outcome)
 
-    def closed(self, ticket: Ticket, outcome: str) -> None:
+    def closed(self, active_request: ActiveRequest, outcome: str) -> None:
         self.counts[outcome] += 1
         # While it shuts down each end of a request is told: who asks later finds no process to ask.
         log = self.log.debug if self.sigterm_ms is None else self.log.info
         log(
             "closed",
-            gen=ticket.ident,
+            gen=active_request.ident,
             outcome=outcome,
-            phase=ticket.phase.value,
-            refusal=getattr(ticket.final, "refusal", port.Refusal.UNKNOWN).name,
-            attempts=ticket.trail,
-            after_sigterm_ms=self.after_sigterm_ms(ticket),
-            took_ms=round(now_ms() - ticket.since, 1),
-            patience_ms=round(ticket.gen.patience_ms),
+            phase=active_request.phase.value,
+            refusal=getattr(active_request.final, "reject_reason", messages.RejectReason.UNKNOWN).name,
+            attempts=active_request.trail,
+            after_sigterm_ms=self.after_sigterm_ms(active_request),
+            took_ms=round(now_ms() - active_request.since, 1),
+            patience_ms=round(active_request.request.client_timeout_ms),
         )
-        ticket.note(f"closed: {outcome}")
-        self.records.append(RequestRecord(ticket.ident, outcome, ticket.trail, ticket.history))
-        self.ended.append(ticket)
+        active_request.note(f"closed: {outcome}")
+        self.records.append(RequestRecord(active_request.ident, outcome, active_request.trail, active_request.history))
+        self.ended.append(active_request)
 
-    def forget(self, ticket: Ticket) -> None:
+    def forget(self, active_request: ActiveRequest) -> None:
         """It stays until its answer is settled and its last leg has ended."""
-        if ticket.leg is None and ticket.over:
-            self.tickets.pop(ticket.gen, None)
-            if self.idents.get(ticket.ident) is ticket:
-                del self.idents[ticket.ident]
+        if active_request.attempt is None and active_request.over:
+            self.active_requests.pop(active_request.request, None)
+            if self.idents.get(active_request.ident) is active_request:
+                del self.idents[active_request.ident]
 
     # -- legs
 
-    def send(self, ticket: Ticket, server: Server, times: port.SendLeg) -> None:
-        spot, exchange, now = self.roster.spots.get(server), ticket.exchange, trio.current_time()
-        barred = begin_check(server, times.begin_by_ms, lambda: ticket.over or exchange.closed)
-        leg = ticket.leg = Leg(
-            spot.address if spot is not None else "",
-            server.duty,
+    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
+        endpoint, exchange, now = (
+            self.endpoint_registry.endpoints.get(server),
+            active_request.exchange,
+            trio.current_time(),
+        )
+        barred = begin_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed)
+        attempt = active_request.attempt = Attempt(
+            endpoint.address if endpoint is not None else "",
+            server.role,
             exchange.method,
             exchange.request.target.decode("latin-1"),
-            ticket.ident,
-            ticket.body,
+            active_request.ident,
+            active_request.body,
             now + times.timeout_ms / 1000,
-            times.quiet_ms,
+            times.idle_timeout_ms,
             barred,
         )
-        name = ticket.server_name = spot.name if spot is not None else "gone"
-        if ticket.trail:
-            self.counts[f"retry after {ticket.last_verdict}"] += ticket.last_verdict != Verdict.READ.name
-        ticket.legs += 1
-        ticket.note(f"attempt {ticket.legs} to {name} decided, {times.timeout_ms:.0f} ms for it")
-        self.nursery.start_soon(self.run, ticket, server, leg, name)
-
-    async def run(self, ticket: Ticket, server: Server, leg: Leg, name: str) -> None:
-        since, end = now_ms(), LegEnd()
-        if ticket.freeing is not None:  # lest a late DELETE release what this leg has read
-            leg.release_wait.deadline = trio.current_time() + self.deployment.facts.connect_ms / 1000
-            with leg.release_wait:
-                await ticket.freeing.wait()
+        name = active_request.server_name = endpoint.name if endpoint is not None else "gone"
+        if active_request.trail:
+            self.counts[f"retry after {active_request.last_outcome}"] += (
+                active_request.last_outcome != AttemptOutcome.PREFILLED.name
+            )
+        active_request.attempts += 1
+        active_request.note(f"attempt {active_request.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
+        self.nursery.start_soon(self.run, active_request, server, attempt, name)
+
+    async def run(self, active_request: ActiveRequest, server: Server, attempt: Attempt, name: str) -> None:
+        since, end = now_ms(), AttemptResult()
+        if active_request.freeing is not None:  # lest a late DELETE release what this leg has read
+            attempt.release_wait.deadline = trio.current_time() + self.deployment.router_config.connect_ms / 1000
+            with attempt.release_wait:
+                await active_request.freeing.wait()
         try:
-            end = await self.engines.run(leg, Passing(self, ticket, server, since))
+            end = await self.engines.run(attempt, Passing(self, active_request, server, since))
         except ClientGone:
-            end = LegEnd(Verdict.CALLED_OFF, begun=True, why="the client left")
-            self.client_left(ticket)
+            end = AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
+            self.client_left(active_request)
         except Exception as why:  # a fault of this program must not take the other generations with it
             self.log.exception("leg")
-            end = LegEnd(Verdict.ERROR, begun=ticket.flowing, why=repr(why))
-        if end.verdict is Verdict.MOOT:
-            self.client_left(ticket)
-        if end.verdict is Verdict.STREAMED and not ticket.over:
+            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.flowing, why=repr(why))
+        if end.outcome is AttemptOutcome.CLIENT_GONE:
+            self.client_left(active_request)
+        if end.outcome is AttemptOutcome.STREAMED and not active_request.over:
             try:
-                await ticket.exchange.end()
+                await active_request.exchange.end()
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                self.client_left(ticket)
-            self.settle(ticket, Streamed(True))
+                self.client_left(active_request)
+            self.settle(active_request, Streamed(True))
         elif end.begun:
-            self.settle(ticket, Streamed(False))
-        self.leg_ended(ticket, server, name, end, now_ms() - since)
-
-    def leg_ended(self, ticket: Ticket, server: Server, name: str, end: LegEnd, took: float) -> None:
-        leg, ticket.leg, ticket.flowing = ticket.leg, None, False
-        ticket.why = f"{end.verdict.name}: {end.why}" if end.why else ticket.why
-        kind = "read" if server.duty is port.Duty.READ else "write"
-        ticket.trail.append(f"{name} {kind} {end.verdict.name} {took:.0f} ms {end.why}".rstrip())
-        written = "not written" if leg is None or leg.written_at is None else "written"
-        ticket.note(f"attempt {ticket.legs} ended: {kind} {end.verdict.name}, {written}: {end.why}".rstrip(": "))
-        if end.verdict is Verdict.READ:
-            self.held_states.held(ticket.ident, name, now_ms())
-        elif end.verdict is Verdict.STREAMED or end.state_lost:
-            self.held_states.ended(ticket.ident, now_ms())
-        self.counts[f"{kind} {end.verdict.name}"] += 1
+            self.settle(active_request, Streamed(False))
+        self.attempt_ended(active_request, server, name, end, now_ms() - since)
+
+    def attempt_ended(
+        self, active_request: ActiveRequest, server: Server, name: str, end: AttemptResult, took: float
+    ) -> None:
+        attempt, active_request.attempt, active_request.flowing = active_request.attempt, None, False
+        active_request.why = f"{end.outcome.name}: {end.why}" if end.why else active_request.why
+        kind = "read" if server.role is messages.Role.PREFILL else "write"
+        active_request.trail.append(f"{name} {kind} {end.outcome.name} {took:.0f} ms {end.why}".rstrip())
+        written = "not written" if attempt is None or attempt.written_at is None else "written"
+        active_request.note(
+            f"attempt {active_request.attempts} ended: {kind} {end.outcome.name}, {written}: {end.why}".rstrip(": ")
+        )
+        if end.outcome is AttemptOutcome.PREFILLED:
+            self.held_states.held(active_request.ident, name, now_ms())
+        elif end.outcome is AttemptOutcome.STREAMED or end.state_lost:
+            self.held_states.ended(active_request.ident, now_ms())
+        self.counts[f"{kind} {end.outcome.name}"] += 1
         self.log.debug(
             "attempt",
-            gen=ticket.ident,
+            gen=active_request.ident,
             server=name,
             kind=kind,
-            verdict=end.verdict.name,
+            verdict=end.outcome.name,
             took_ms=round(took, 1),
             begun=end.begun,
             kept=end.kept,
-            prompt=ticket.gen.prompt_toks,
+            prompt=active_request.request.prompt_tokens,
             why=end.why,
         )
         self.tell(
-            port.LegEnded(ticket.gen, server, end.verdict, took, ticket.over, end.kept, end.state_lost, end.report)
+            messages.AttemptEnded(
+                active_request.request,
+                server,
+                end.outcome,
+                took,
+                active_request.over,
+                end.kept,
+                end.state_lost,
+                end.report,
+            )
         )
-        self.forget(ticket)
+        self.forget(active_request)
 
     def oldest_unanswered_ms(self) -> float:
         """For how long the attempt has waited that was written first of those without a byte of their answer's head."""
-        written = [ticket.leg.written_at for ticket in self.tickets.values() if ticket.leg and not ticket.flowing]
+        written = [
+            active_request.attempt.written_at
+            for active_request in self.active_requests.values()
+            if active_request.attempt and not active_request.flowing
+        ]
         return max((trio.current_time() - at for at in written if at is not None), default=0.0) * 1000
 
     # -- what is held
 
     def addresses(self) -> Iterator[str]:
         """Of all servers, one after the other as they are asked for."""
-        return (spot.address for server, spot in self.roster.spots.items() if server.life is not Life.GONE)
+        return (
+            endpoint.address
+            for server, endpoint in self.endpoint_registry.endpoints.items()
+            if server.status is not EndpointStatus.REMOVED
+        )
 
-    async def release(self, ticket: Ticket, done: trio.Event, again: bool) -> None:
-        within = self.deployment.facts.release_ms
+    async def release(self, active_request: ActiveRequest, done: trio.Event, again: bool) -> None:
+        within = self.deployment.router_config.release_ms
         try:
-            await self.release_until_heard(ticket, within)
+            await self.release_until_heard(active_request, within)
             done.set()
             if again:
                 await trio.sleep(within / 2000)
-                await self.release_until_heard(ticket, within)
+                await self.release_until_heard(active_request, within)
         except Exception:
             self.log.exception("release")
         finally:
             self.releasing -= 1
             done.set()
 
-    async def release_until_heard(self, ticket: Ticket, within_ms: float) -> None:
+    async def release_until_heard(self, active_request: ActiveRequest, within_ms: float) -> None:
         """Asks servers to release what is held for the request until one has heard it. What nobody has heard within the
         release time is owed all the same: it is said again, a bounded number of times."""
         since = now_ms()
         for nth in range(RELEASE_TRIES):
             # Ever more slowly: servers that are too busy to hear it must not get busier by it.
-            heard_by = await self.engines.release(ticket.ident, self.addresses(), within_ms * 2**nth)
+            heard_by = await self.engines.release(active_request.ident, self.addresses(), within_ms * 2**nth)
             took = now_ms() - since
             if heard_by is not None:
                 break
             self.counts["release unheard"] += 1
-            ticket.note("release unheard")
-            self.log.warning("release unheard", gen=ticket.ident, took_ms=round(took, 1))
+            active_request.note("release unheard")
+            self.log.warning("release unheard", gen=active_request.ident, took_ms=round(took, 1))
         else:
             return
         self.counts["release heard"] += 1
-        self.held_states.ended(ticket.ident, now_ms())
-        ticket.note(f"release heard by {heard_by}")
-        if not ticket.over:
-            self.tell(port.ReleaseHeard(ticket.gen))
-        self.log.debug("release heard", gen=ticket.ident, by=heard_by, took_ms=round(took, 1))
+        self.held_states.ended(active_request.ident, now_ms())
+        active_request.note(f"release heard by {heard_by}")
+        if not active_request.over:
+            self.tell(messages.ReleaseConfirmed(active_request.request))
+        self.log.debug("release heard", gen=active_request.ident, by=heard_by, took_ms=round(took, 1))
 
-    async def hold(self, ticket: Ticket, server: Server) -> None:
+    async def hold(self, active_request: ActiveRequest, server: Server) -> None:
         held = await self.engines.hold(
-            self.roster.spots[server].address, ticket.ident, self.deployment.facts.release_ms
+            self.endpoint_registry.endpoints[server].address,
+            active_request.ident,
+            self.deployment.router_config.release_ms,
         )
-        if not ticket.over:
-            self.tell(port.PlaceHeld(ticket.gen, held))
+        if not active_request.over:
+            self.tell(messages.ReservationResult(active_request.request, held))
 
     async def probe(self, server: Server) -> None:
-        verdict, report, spot = Verdict.UNCONNECTED, None, self.roster.spots.get(server)
-        if spot is not None:
-            verdict, report = await self.engines.load(spot.address, self.deployment.facts.connect_ms)
-        self.tell(port.Checked(server, verdict, report))
+        outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
+        if endpoint is not None:
+            outcome, report = await self.engines.load(endpoint.address, self.deployment.router_config.connect_ms)
+        self.tell(messages.ProbeResult(server, outcome, report))
 
 
 @dataclass(slots=True)
@@ -331,20 +364,20 @@
     """A stream's way to its client; the decisions hear of its first token."""
 
     node: Node
-    ticket: Ticket
+    active_request: ActiveRequest
     server: Server
     since: float
 
     async def first(self, data: bytes) -> None:
-        if self.ticket.over:
+        if self.active_request.over:
             raise ClientGone
-        self.ticket.flowing, self.ticket.body = True, b""
-        self.ticket.note("first event")
-        self.node.held_states.ended(self.ticket.ident, now_ms())
-        self.node.tell(port.FirstTok(self.ticket.gen, self.server, now_ms() - self.since))
-        await self.ticket.first(data)
+        self.active_request.flowing, self.active_request.body = True, b""
+        self.active_request.note("first event")
+        self.node.held_states.ended(self.active_request.ident, now_ms())
+        self.node.tell(messages.FirstToken(self.active_request.request, self.server, now_ms() - self.since))
+        await self.active_request.first(data)
 
     async def more(self, data: bytes) -> None:
-        if self.ticket.over:
+        if self.active_request.over:
             raise ClientGone
-        await self.ticket.more(data)
+        await self.active_request.more(data)
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -15,8 +15,8 @@
 import structlog
 import trio
 
-from ternlane import port
-from ternlane.choice import Router
+from ternlane.policy import messages
+from ternlane.policy.router import Router
 from ternlane.http1 import Pool
 from ternlane.log_output import log_file
 from ternlane.platform.end_signal import EndSignal
@@ -46,13 +46,19 @@
 class Gateway:
     def __init__(self, post: Post, nursery: trio.Nursery, log: Any) -> None:
         self.post, self.nursery, self.log = post, nursery, log
-        facts = post.deployment.facts
-        self.pool = Pool(facts.connect_ms, facts.idle_ms)
-        self.node = Node(Router(facts), post.deployment, Engines(self.pool, post.deployment), nursery, log)
+        router_config = post.deployment.router_config
+        self.pool = Pool(router_config.connect_ms, router_config.idle_ms)
+        self.node = Node(Router(router_config), post.deployment, Engines(self.pool, post.deployment), nursery, log)
         self.polls = PollTimes()
         self.front = Front(self.node, self.polls.unseen_ms, log)
         self.watch = Watch(
-            post.discovery, lambda: self.node.roster.index, self.node.listed, self.list_failed, facts.seed, nursery, log
+            post.discovery,
+            lambda: self.node.endpoint_registry.index,
+            self.node.listed,
+            self.list_failed,
+            router_config.seed,
+            nursery,
+            log,
         )
         self.listener: trio.SocketListener
         self.accepting = trio.CancelScope()
@@ -60,8 +66,8 @@
 
     def apply_limits(self, post: Post) -> None:
         """What connections may take, by the settings in force."""
-        facts, sockets = post.deployment.facts, post.limits.sockets
-        self.pool.set_limits(facts.connect_ms, IDLE_PART * facts.idle_ms, int(sockets * SERVERS))
+        router_config, sockets = post.deployment.router_config, post.limits.sockets
+        self.pool.set_limits(router_config.connect_ms, IDLE_PART * router_config.idle_ms, int(sockets * SERVERS))
         self.front.conn_limit, self.front.open_limit = int(sockets * CLIENTS), int(sockets * OPEN)
         self.front.held_bytes = int(post.limits.memory_mb * 2**20 * BODIES)
 
@@ -74,7 +80,7 @@
             0
         ]
         trio.lowlevel.add_instrument(self.polls)
-        self.node.roster.index = self.post.known.index
+        self.node.endpoint_registry.index = self.post.known.index
         self.node.listed(self.post.known)
         self.nursery.start_soon(self.node.clock)
         self.watch.start()
@@ -83,7 +89,7 @@
         self.nursery.start_soon(self.accept)
         self.nursery.start_soon(self.report)
         self.front.ready = True
-        self.log.info("serving", listen="%s:%d" % self.post.listen, servers=len(self.node.roster.servers))
+        self.log.info("serving", listen="%s:%d" % self.post.listen, servers=len(self.node.endpoint_registry.servers))
 
     async def accept(self) -> None:
         with self.accepting:
@@ -109,21 +115,23 @@
         """From here on each connection ends with its next answer. Those that have been served and rest close at once:
         a request that came later might be cut off without an answer."""
         deployment, now = self.node.deployment, now_ms()
-        longest_ms = min(LONGEST_MS, max(product.limit_ms for product in deployment.products.values()))
-        times = shutdown_times(longest_ms, ENDS_MS, deployment.facts.release_ms, since_signal_ms)
+        longest_ms = min(
+            LONGEST_MS, max(request_class.deadline_ms for request_class in deployment.request_classes.values())
+        )
+        times = shutdown_times(longest_ms, ENDS_MS, deployment.router_config.release_ms, since_signal_ms)
         self.front.draining = True
         self.node.sigterm_ms = now - since_signal_ms
         self.node.answer_all_by_ms = now + times.ends_ms - LAST_ANSWER_MS
         self.log.info(
             "draining",
-            open=len(self.node.tickets),
+            open=len(self.node.active_requests),
             connections=self.front.conns,
             since_signal_ms=round(since_signal_ms, 1),
             rejects_new_in_ms=round(times.admits_ms),
             answers_all_in_ms=round(times.answers_ms),
             may_be_killed_in_ms=round(times.ends_ms),
         )
-        self.node.tell(port.Ending(times))
+        self.node.tell(messages.ShutdownStarted(times))
         self.nursery.start_soon(self.end_reading, times.answers_ms)
         self.nursery.start_soon(self.report_unfinished, times.ends_ms)
         self.front.close_idle(served_only=True)
@@ -137,7 +145,7 @@
         await self.front.accept_the_rest(self.listener, self.nursery, LATE_COMERS_MS)
         self.listener.socket.close()
         await trio.sleep(LATE_COMERS_MS / 4000)
-        while self.node.tickets or self.node.releasing or self.front.conns:
+        while self.node.active_requests or self.node.releasing or self.front.conns:
             self.front.close_idle()  # also those that were still to be read when the loop before looked
             await trio.sleep(END_POLL_MS / 1000)
 
@@ -164,7 +172,7 @@
             longest_held, node.held_states.longest_ms = node.held_states.longest_ms, 0.0
             self.log.info(
                 "report",
-                open=len(node.tickets),
+                open=len(node.active_requests),
                 held=len(node.held_states),
                 oldest_held_ms=round(node.held_states.oldest_ms(now_ms()), 1),
                 longest_held_ms=round(longest_held, 1),
@@ -181,7 +189,9 @@
 
     def trails(self) -> None:
         """Every attempt and transition of the open requests and of the latest others, one line each by id."""
-        records = [RequestRecord(t.ident, "open", t.trail, t.history) for t in self.node.tickets.values() if not t.over]
+        records = [
+            RequestRecord(t.ident, "open", t.trail, t.history) for t in self.node.active_requests.values() if not t.over
+        ]
         for record in [*records, *self.node.records]:
             self.log.info(
                 "trail",
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ternlane.port import Duty, Report, Verdict
+from ternlane.policy.messages import Role, Report, AttemptOutcome
 from ternlane.deployment import Deployment
 
 CHAT_PATH = "/v1/chat/completions"
@@ -45,21 +45,21 @@
 class Outcome:
     """What the head of an answer proves. Neither verdict nor lost state: a stream follows."""
 
-    verdict: Verdict | None
+    outcome: AttemptOutcome | None
     state_lost: bool = False
 
 
-def outcome_of(status: int, not_started: bool, duty: Duty) -> Outcome:
+def outcome_of(status: int, not_started: bool, role: Role) -> Outcome:
     """A status that vouches for nothing may have run."""
-    if status == 200 and duty is not Duty.READ:
+    if status == 200 and role is not Role.PREFILL:
         return Outcome(None)
-    if status == 202 and duty is not Duty.WRITE:
-        return Outcome(Verdict.READ)
+    if status == 202 and role is not Role.DECODE:
+        return Outcome(AttemptOutcome.PREFILLED)
     if status in (503, 504) and not_started:
-        return Outcome(Verdict.FULL)
+        return Outcome(AttemptOutcome.OVERLOADED)
     if status == 410 and not_started:
-        return Outcome(Verdict.FULL, state_lost=True)
-    return Outcome(Verdict.ERROR)
+        return Outcome(AttemptOutcome.OVERLOADED, state_lost=True)
+    return Outcome(AttemptOutcome.ERROR)
 
 
 def load_of(said: str | None, deployment: Deployment) -> Report | None:
@@ -173,13 +173,13 @@
     """What a client's head asks for."""
 
     ident: str
-    product: str
+    request_class: str
     session: str | None
-    opening: str | None
-    opening_toks: float
-    prompt_toks: float
-    max_toks: float
-    patience_ms: float | None
+    prefix: str | None
+    prefix_tokens: float
+    prompt_tokens: float
+    max_tokens: float
+    client_timeout_ms: float | None
     tenant: str
 
 
@@ -189,7 +189,7 @@
     if not IDENT.fullmatch(ident):
         raise Wrong(400, "bad_id", "Request-Id must be sixteen hex digits")
     name = headers.get(b"request-class", "")
-    if name not in deployment.products:
+    if name not in deployment.request_classes:
         raise Wrong(400, "bad_class", "Request-Class names no class that is served here")
     patience = None
     if b"request-timeout" in headers:
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ternlane.deployment import Deployment
-from ternlane.platform.roster import Entry, Listing, read_listing
+from ternlane.platform.endpoint_registry import Entry, EndpointList, read_listing
 
 
 class Unfit(ValueError):
@@ -41,7 +41,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     limits: Limits
-    known: Listing
+    known: EndpointList
     deployment: Deployment
 
 
@@ -70,7 +70,7 @@
         known = read_listing(raw.known)
     except ValueError as why:
         raise Unfit(f"{path}: {why}") from None
-    if not deployment.products:
+    if not deployment.request_classes:
         raise Unfit(f"{path}: settings: no profiles")
     if not (raw.limits.sockets >= 64 and raw.limits.memory_mb > 0):
         raise Unfit(f"{path}: limits: no gateway can run with these")
--- a/ternlane/port.py
+++ b/ternlane/policy/messages.py
@@ -1,4 +1,4 @@
-"""The interface between the decisions (choice.py) and whatever hosts them.
+"""The interface between the decisions (policy/router.py) and whatever hosts them.
 
 A host makes one Router from StartFacts, hands it what happened through `Router.take(now, events)` and carries out the
 actions that come back, in their order. Servers, products and generations are objects that host and module share; the
@@ -29,40 +29,40 @@
     CELL = auto()
 
 
-class Duty(Enum):
+class Role(Enum):
     """What a server is for: prompts (prefill), answers (decode), or whole generations."""
 
-    READ = auto()
-    WRITE = auto()
+    PREFILL = auto()
+    DECODE = auto()
     BOTH = auto()
 
 
-class Life(Enum):
+class EndpointStatus(Enum):
     """A server by the list: to be used, to be given nothing new, or no longer there."""
 
-    UP = auto()
+    READY = auto()
     DRAINING = auto()
-    GONE = auto()
+    REMOVED = auto()
 
 
-class Verdict(Enum):
+class AttemptOutcome(Enum):
     """How a leg or a probe ended. FULL and UNCONNECTED: it ran nothing; MOOT: its client had left; WITHHELD: it did not
     begin, as its server began to drain or `SendLeg.begin_by_ms` passed; CALLED_OFF: by CallOff; READ: the prompt is
     kept; ERROR, TIMED_OUT, RESET: it may have run."""
 
     STREAMED = auto()
     ERROR = auto()
-    FULL = auto()
+    OVERLOADED = auto()
     TIMED_OUT = auto()
-    UNCONNECTED = auto()
+    CONNECT_FAILED = auto()
     RESET = auto()
-    CALLED_OFF = auto()
-    MOOT = auto()
-    WITHHELD = auto()
-    READ = auto()
+    CANCELLED = auto()
+    CLIENT_GONE = auto()
+    NOT_STARTED = auto()
+    PREFILLED = auto()
 
 
-class Refusal(Enum):
+class RejectReason(Enum):
     """Why a request is given its final answer without having been served; for logs and metrics."""
 
     ATTEMPTS_SPENT = auto()  # no attempt or no time is left
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Product:
+class RequestClass:
     """What is known of a kind of generation. Its first token is due `slo_ms` + `slo_per_ktok_ms` for each thousand
     tokens of the prompt, the others each `tok_slo_ms` after; all of it within `limit_ms`. In time it earns `revenue`,
     late `late_share` of it. Servers of `group` drop repeats for `window_ms`, where the effect is DEDUPLICATED."""
@@ -96,11 +96,11 @@
     group: Group
     window_ms: float
     slo_ms: float
-    slo_per_ktok_ms: float
-    tok_slo_ms: float
-    limit_ms: float
-    revenue: float
-    late_share: float
+    slo_per_1000_tokens_ms: float
+    token_slo_ms: float
+    deadline_ms: float
+    priority_weight: float
+    late_value_share: float
 
 
 @dataclass(slots=True, eq=False)
@@ -115,61 +115,61 @@
 
     zone: str
     cell: int
-    duty: Duty
-    mem_toks: float
+    role: Role
+    kv_capacity_tokens: float
     size: float = 1.0
     started_ms: float = 0.0
-    life: Life = Life.UP
-    mark: int = 0
+    status: EndpointStatus = EndpointStatus.READY
+    hash_key: int = 0
     seat: Any = None
 
 
 @dataclass(slots=True, eq=False)
-class Generation:
+class Request:
     """A request to be routed. `session`: turns of one conversation; `opening`: a beginning of `opening_toks` tokens
     that others share; `patience_ms`: until its client gives up; `whole`: it hears nothing before all of it is there."""
 
-    product: Product
+    request_class: RequestClass
     session: str | None
-    opening: str | None
-    opening_toks: float
-    prompt_toks: float
-    max_toks: float
-    patience_ms: float
+    prefix: str | None
+    prefix_tokens: float
+    prompt_tokens: float
+    max_tokens: float
+    client_timeout_ms: float
     whole: bool = False
     seat: Any = None
     tenant: Tenant | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class StartFacts:
+class RouterConfig:
     """What a Router is told once: the deployment's limits and rights, and how long things take (ms)."""
 
     seed: int
     gateways: int
     zone: str
-    products: tuple[Product, ...]
-    leg_limit: int
-    may_call_off: bool
-    may_hold_ahead: bool
+    request_classes: tuple[RequestClass, ...]
+    max_attempts: int
+    may_cancel: bool
+    may_reserve: bool
     may_probe: bool
-    may_advise: bool
-    must_ask: bool
+    may_send_retry_after: bool
+    must_subscribe: bool
     ask_within_ms: float
-    writers_read: bool
+    decode_servers_prefill: bool
     reports_mem: bool
-    longest_pause_ms: float
+    max_retry_after_ms: float
     connect_ms: float
     idle_ms: float
     release_ms: float
     drain_grace_ms: float
-    cold_ms: float
-    cold_from: float
+    slow_start_ms: float
+    slow_start_share: float
     fall_multiple: float
     fall_ms: float
     step_ms: float
-    told_if_asked: bool = False  # model servers report their load to Probe, and in no answer
-    holds_run_on: bool = True  # only an attempt that has reached a running server stops the release time
+    reports_on_probe: bool = False  # model servers report their load to Probe, and in no answer
+    holds_expire_unless_arrived: bool = True  # only an attempt that has reached a running server stops the release time
     # A release leaves alone what an attempt waits for that has arrived, so it may be sent while one is out.
     releases_spare_attempts: bool = False
 
@@ -178,26 +178,26 @@
 class Report:
     """A server's word on its load; None where the figure is not reported."""
 
-    open_gens: float | None = None
-    mem_share: float | None = None
+    open_requests: float | None = None
+    memory_share: float | None = None
 
 
 # What the host tells.
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class EndpointsUpdated:
     """News of the servers, whose fields already hold it. A whole list leaves out those that are gone."""
 
     servers: tuple[Server, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Altered:
+class ConfigChanged:
     """Other settings from now on. What was taken in before keeps its product's terms; legs that are out end as they
     began."""
 
-    facts: StartFacts
+    router_config: RouterConfig
 
 
 @dataclass(slots=True, frozen=True)
@@ -210,109 +210,109 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
+class ShutdownStarted:
     """This gateway goes, and all that is not over by then is cut off. Told again, the earlier times hold."""
 
     times: ShutdownTimes
 
 
 @dataclass(slots=True, frozen=True)
-class ListFailed:
+class EndpointListFailed:
     """A call for the list, or the subscription to its changes, came to nothing."""
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class RequestArrived:
     """A generation to be answered: by a leg that streams, a Throttle or a Terminate."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class FirstTok:
+class FirstToken:
     """The leg's first token has come, `took_ms` after it was sent."""
 
-    gen: Generation
+    request: Request
     server: Server
     took_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class LegEnded:
+class AttemptEnded:
     """`over`: the client has its final answer by this leg. `kept_toks`: so much of the prompt need not be read anew;
     `state_lost`: a writer found nothing to go on with. `broken`: its client has a part of the answer, and another leg
     may give the rest once GoOn says so."""
 
-    gen: Generation
+    request: Request
     server: Server
-    verdict: Verdict
+    outcome: AttemptOutcome
     took_ms: float
     over: bool
-    kept_toks: float = 0.0
+    kept_tokens: float = 0.0
     state_lost: bool = False
     report: Report | None = None
     broken: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class GoOn:
+class ResumeStream:
     """It is the turn of a generation whose stream broke; its prompt has grown by what its client has."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class ReleaseHeard:
+class ReleaseConfirmed:
     """A server has confirmed the newest release of what is held for it."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class PlaceHeld:
+class ReservationResult:
     """The answer to HoldAhead."""
 
-    gen: Generation
+    request: Request
     held: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class ProbeResult:
     """The answer to Probe."""
 
     server: Server
-    verdict: Verdict
+    outcome: AttemptOutcome
     report: Report | None
 
 
 @dataclass(slots=True, frozen=True)
-class ClientLeft:
+class ClientDisconnected:
     """Nobody waits for it any more; its leg is called off by the host."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class Woken:
+class TimerFired:
     """A time asked for by Wake has come; `beat` says which of the two kinds."""
 
     beat: bool
 
 
 Event = (
-    Listed
-    | Altered
-    | Ending
-    | ListFailed
-    | Arrived
-    | FirstTok
-    | LegEnded
-    | GoOn
-    | ReleaseHeard
-    | PlaceHeld
-    | Checked
-    | ClientLeft
-    | Woken
+    EndpointsUpdated
+    | ConfigChanged
+    | ShutdownStarted
+    | EndpointListFailed
+    | RequestArrived
+    | FirstToken
+    | AttemptEnded
+    | ResumeStream
+    | ReleaseConfirmed
+    | ReservationResult
+    | ProbeResult
+    | ClientDisconnected
+    | TimerFired
 )
 
 
@@ -320,41 +320,41 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SendLeg:
+class StartAttempt:
     """`timeout_ms` runs until the first token; after it, a stream that is silent for `quiet_ms` has broken, and one
     that is not over after `whole_ms`, counted from the send, comes too late for its client. Nothing of it may be sent
     later than `begin_by_ms` from now, as no one drops the repeat of a generation any more."""
 
-    gen: Generation
+    request: Request
     server: Server
     timeout_ms: float
-    quiet_ms: float
-    whole_ms: float
-    begin_by_ms: float = inf
+    idle_timeout_ms: float
+    total_timeout_ms: float
+    start_within_ms: float = inf
 
 
 @dataclass(slots=True, frozen=True)
-class CallOff:
+class CancelAttempt:
     """Stops the wait for the generation's leg that is out."""
 
-    gen: Generation
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class Throttle:
+class Reject:
     """The final answer "not now": nothing ran that a new try would double. Best after `pause_ms`."""
 
-    gen: Generation
+    request: Request
     pause_ms: float
-    why: Refusal = Refusal.UNKNOWN
+    why: RejectReason = RejectReason.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
-class Terminate:
+class Fail:
     """The final answer "given up": it may have run."""
 
-    gen: Generation
-    why: Refusal = Refusal.UNKNOWN
+    request: Request
+    why: RejectReason = RejectReason.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
@@ -363,16 +363,16 @@
     once more within the release time, as a read that ended unheard may yet leave a state, and nothing else is to
     come."""
 
-    gen: Generation
+    request: Request
     again: bool = False
     why: ReleaseReason = ReleaseReason.UNKNOWN
 
 
 @dataclass(slots=True, frozen=True)
-class HoldAhead:
+class Reserve:
     """Asks a writer to keep a place free for it."""
 
-    gen: Generation
+    request: Request
     server: Server
 
 
@@ -384,12 +384,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Follow:
+class WatchEndpoints:
     """Asks for the list's changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class StartTimer:
     """Asks for Woken at `at_ms`; each of the two kinds has one time at most, the newest."""
 
     at_ms: float
@@ -404,4 +404,4 @@
     text: str
 
 
-Action = SendLeg | CallOff | Throttle | Terminate | Release | HoldAhead | Probe | Follow | Wake | Log
+Action = StartAttempt | CancelAttempt | Reject | Fail | Release | Reserve | Probe | WatchEndpoints | StartTimer | Log
--- a/ternlane/recover/mender.py
+++ b/ternlane/recover/mender.py
@@ -8,8 +8,8 @@
 from math import inf
 from typing import Any, Generic, TypeVar
 
-from ternlane.paper import StreamTerms
-from ternlane.port import Generation, StartFacts
+from ternlane.config import StreamConfig
+from ternlane.policy.messages import Request, RouterConfig
 from ternlane.recover.join import Join, Shelf
 from ternlane.recover.pace import Pace
 from ternlane.recover.rhythm import Rhythm
@@ -31,24 +31,24 @@
 class Mender(Generic[T]):
     """`T`: what the host knows a generation by. Times are ms."""
 
-    def __init__(self, terms: StreamTerms, facts: StartFacts) -> None:
+    def __init__(self, terms: StreamConfig, router_config: RouterConfig) -> None:
         self.terms = terms
-        self.shelf = Shelf(terms.keep_toks, terms.keep_bytes, terms.keep_all_bytes)
-        self.rhythm = Rhythm(terms.alarms, facts.seed)
-        longest = max((p.limit_ms for p in facts.products), default=1000.0)
-        self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, facts.gateways)
+        self.shelf = Shelf(terms.keep_tokens, terms.keep_bytes, terms.keep_all_bytes)
+        self.rhythm = Rhythm(terms.alarms, router_config.seed)
+        longest = max((p.deadline_ms for p in router_config.request_classes), default=1000.0)
+        self.pace: Pace[T] = Pace(terms.share, longest * SPAN_SHARE, router_config.gateways)
         self.broke_at: dict[T, float] = {}
 
-    def alter(self, facts: StartFacts) -> None:
+    def alter(self, router_config: RouterConfig) -> None:
         """The fleet's figures have changed; what waits keeps its turn."""
-        self.pace.span_ms = max((p.limit_ms for p in facts.products), default=1000.0) * SPAN_SHARE
-        self.pace.gateways = facts.gateways
+        self.pace.span_ms = max((p.deadline_ms for p in router_config.request_classes), default=1000.0) * SPAN_SHARE
+        self.pace.gateways = router_config.gateways
 
-    def join(self, raw: dict[str, Any], gen: Generation) -> Join:
+    def join(self, raw: dict[str, Any], request: Request) -> Join:
         way, why = Way.END, "resuming is off"
         if self.terms.resume:
-            way, why = way_of(raw, gen.product.effect, self.terms.continues)
-        return Join(way, why, self.shelf, int(gen.max_toks), raw.get("stop"))
+            way, why = way_of(raw, request.request_class.effect, self.terms.continues)
+        return Join(way, why, self.shelf, int(request.max_tokens), raw.get("stop"))
 
     # -- a leg streams
 
@@ -67,37 +67,37 @@
         if wait_ms > SAME_MS:
             self.rhythm.heard(server, wait_ms, explored)
 
-    def quiet_ms(self, join: Join, server: Hashable, most: float, explored: bool) -> float:
+    def idle_timeout_ms(self, join: Join, server: Hashable, most: float, explored: bool) -> float:
         """How long the present leg may be silent: `most`, by the decisions, or less where it can be joined on."""
         if join.way is Way.END or explored or not self.terms.alarms:
             return most
-        return min(most, self.rhythm.quiet_ms(server) or most)
+        return min(most, self.rhythm.idle_timeout_ms(server) or most)
 
     def left(self, server: Hashable) -> None:
         """A server is no longer listed."""
         self.rhythm.forget(server)
 
-    def read(self, now: float, toks: float, took_ms: float) -> None:
-        self.pace.read(now, toks, took_ms)
+    def read(self, now: float, tokens: float, took_ms: float) -> None:
+        self.pace.read(now, tokens, took_ms)
 
     # -- a leg broke
 
     def broke(
-        self, item: T, join: Join, gen: Generation, made: int | None, now: float, until: float, readers: int
+        self, item: T, join: Join, request: Request, made: int | None, now: float, until: float, prefill_servers: int
     ) -> Fate:
         """`made`: tokens of the leg by its engine's word; `until`: the client's time limit; `readers` to be asked.
         A generation that goes on grows by what is there."""
-        before = join.toks
+        before = join.tokens
         again = join.broke(made)
         if again is None:
             return Fate.ENDS
         if join.left() <= 0:  # lost between its last token and its end
             return Fate.WHOLE
         self.broke_at[item] = now
-        gen.prompt_toks += again - before
-        gen.max_toks = float(join.left())
-        self.pace.readers = readers
-        self.pace.wait(item, gen.prompt_toks, gen.product.revenue, float(join.toks), until)
+        request.prompt_tokens += again - before
+        request.max_tokens = float(join.left())
+        self.pace.prefill_servers = prefill_servers
+        self.pace.wait(item, request.prompt_tokens, request.request_class.priority_weight, float(join.tokens), until)
         return Fate.GOES_ON
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
--- a/ternlane/standin/clients.py
+++ b/ternlane/standin/clients.py
@@ -14,7 +14,7 @@
 from ternlane.http1 import Caller, EventReader, Pool, Unconnected
 from ternlane.standin.traffic import Traffic, clock_ms
 
-TOK_BYTES = 4
+TOKEN_BYTES = 4
 LISTENS_ON_MS = 300.0  # after its time is up, so that an answer that comes late is seen to be late
 GONE = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError)
 
@@ -23,16 +23,16 @@
 class Talk:
     """How one product is used."""
 
-    product: str
+    request_class: str
     effect: str
     share: float
-    limit_ms: float
+    deadline_ms: float
     turns: tuple[float, float] = (1.0, 2.0)
     adds: tuple[float, float] = (100.0, 400.0)  # tokens a turn
-    openings: int = 8
-    opening_toks: tuple[float, float] = (500.0, 2000.0)
-    opening_part: float = 0.8
-    max_toks: int = 400
+    prefixes: int = 8
+    prefix_tokens: tuple[float, float] = (500.0, 2000.0)
+    prefix_share: float = 0.8
+    max_tokens: int = 400
     think_ms: float = 300.0
     key_part: float = 0.5  # sessions that name themselves by prompt_cache_key
     plain_part: float = 0.1  # of generations that are not streamed
@@ -55,9 +55,9 @@
     rate: float = 1.0
     long_part: float = 0.0
     long_times: float = 1.0
-    long_product: str = ""
+    long_request_class: str = ""
     hot_part: float = 0.0
-    hot_toks: float = 3000.0
+    hot_tokens: float = 3000.0
     hot_keys: int = 1
     hot_seed: int = 0
     rush_part: float = 0.0
@@ -89,9 +89,9 @@
     gap_ms: float = 0.0  # the longest pause within its stream
 
 
-def words(rng: random.Random, toks: float) -> str:
+def words(rng: random.Random, tokens: float) -> str:
     """Text of about so many tokens that nobody else sends."""
-    n = max(1, int(toks))
+    n = max(1, int(tokens))
     return "".join(f"{rng.getrandbits(12):03x} " for _ in range(n))
 
 
@@ -112,31 +112,31 @@
         self.weather = Weather()
         self.count = self.open = 0
         self.tally: dict[str, int] = {}
-        self.opening_texts: dict[tuple[str, int, int], str] = {}
+        self.prefix_texts: dict[tuple[str, int, int], str] = {}
         self.tenants: list[tuple[str, str]] = []  # the first are the largest
 
-    def opening(self, talk: Talk) -> str:
+    def prefix(self, talk: Talk) -> str:
         """A text that sessions share; which are popular falls off as 1/rank."""
         w = self.weather
         if self.rng.random() < w.hot_part:
             key = "hot", self.rng.randrange(w.hot_keys), w.hot_seed
-            toks = w.hot_toks
+            tokens = w.hot_tokens
         else:
-            ranks = [1 / (i + 1) for i in range(talk.openings)]
-            key = talk.product, self.rng.choices(range(talk.openings), ranks)[0], 0
-            low, high = talk.opening_toks
-            toks = low + (high - low) * (zlib.crc32(repr(key).encode()) % 1000) / 1000
-        if key not in self.opening_texts:
-            self.opening_texts[key] = words(random.Random(repr(key)), toks)
-        return self.opening_texts[key]
+            ranks = [1 / (i + 1) for i in range(talk.prefixes)]
+            key = talk.request_class, self.rng.choices(range(talk.prefixes), ranks)[0], 0
+            low, high = talk.prefix_tokens
+            tokens = low + (high - low) * (zlib.crc32(repr(key).encode()) % 1000) / 1000
+        if key not in self.prefix_texts:
+            self.prefix_texts[key] = words(random.Random(repr(key)), tokens)
+        return self.prefix_texts[key]
 
     def session(self) -> Session:
         self.count += 1
         talk = self.rng.choices(self.talks, [t.share for t in self.talks])[0]
         ident = f"{self.name}-{self.count}"
         messages = []
-        if self.rng.random() < talk.opening_part:
-            messages.append({"role": "system", "content": self.opening(talk)})
+        if self.rng.random() < talk.prefix_share:
+            messages.append({"role": "system", "content": self.prefix(talk)})
         low, high = talk.turns
         turns = low + (high - low) * self.rng.random()
         left = int(turns) + (self.rng.random() < turns % 1)
@@ -174,22 +174,24 @@
         """One generation with the client's own repeats."""
         talk, w = session.talk, self.weather
         low, high = talk.adds
-        toks = low + (high - low) * self.rng.random()
-        if w.long_part and w.long_product in ("", talk.product) and self.rng.random() < w.long_part:
-            toks *= w.long_times
-        session.messages.append({"role": "user", "content": words(self.rng, toks)})
+        tokens = low + (high - low) * self.rng.random()
+        if w.long_part and w.long_request_class in ("", talk.request_class) and self.rng.random() < w.long_part:
+            tokens *= w.long_times
+        session.messages.append({"role": "user", "content": words(self.rng, tokens)})
         task, begun, tries = f"{session.ident}.{session.said}", clock_ms(), 0
         self.open += 1
         while True:
             low, high = self.habits.try_share
-            limit = min(talk.limit_ms * (low + (high - low) * self.rng.random()), begun + talk.limit_ms - clock_ms())
+            limit = min(
+                talk.deadline_ms * (low + (high - low) * self.rng.random()), begun + talk.deadline_ms - clock_ms()
+            )
             heard = await self.attempt(session, task, tries, limit)
             tries += 1
             pause = self.pause(heard)
             if (
                 tries > self.habits.retries
                 or not self.may_retry(talk, heard)
-                or clock_ms() + pause > begun + talk.limit_ms - 50
+                or clock_ms() + pause > begun + talk.deadline_ms - 50
             ):
                 break
             await trio.sleep(pause / 1000)
@@ -199,7 +201,7 @@
         self.traffic.line(
             "task",
             task=f"{owner}:{task}" if owner else task,
-            product=talk.product,
+            product=talk.request_class,
             tenant=owner,
             outcome=heard.outcome,
             tries=tries,
@@ -218,18 +220,18 @@
             return heard.pause_ms
         return low + (high - low) * self.rng.random()
 
-    async def attempt(self, session: Session, task: str, number: int, limit_ms: float) -> Heard:
-        talk, gen = session.talk, f"{task}.{number}"
-        name = gen  # as gateway and engines have it
+    async def attempt(self, session: Session, task: str, number: int, deadline_ms: float) -> Heard:
+        talk, request = session.talk, f"{task}.{number}"
+        name = request  # as gateway and engines have it
         if session.tenant is not None:
-            gen = f"{session.tenant[0]}:{gen}"
+            request = f"{session.tenant[0]}:{request}"
             task = f"{session.tenant[0]}:{task}"
         stream = self.rng.random() >= talk.plain_part
         body: dict[str, Any] = {
-            "model": talk.product,
+            "model": talk.request_class,
             "messages": session.messages,
             "stream": stream,
-            "max_tokens": talk.max_toks,
+            "max_tokens": talk.max_tokens,
             "user": session.user,
             "temperature": 0,
         }
@@ -240,7 +242,7 @@
         headers = [
             ("Content-Type", "application/json"),
             ("X-Request-Id", name),
-            ("X-Ternlane-Time-Limit-Ms", f"{limit_ms:.1f}"),
+            ("X-Ternlane-Time-Limit-Ms", f"{deadline_ms:.1f}"),
             ("Connection", "close"),
         ]
         if session.tenant is not None:
@@ -249,8 +251,8 @@
             headers.append(("Idempotency-Key", task))
         leave = self.rng.random() < self.habits.leave_part
         low, high = self.habits.leave_ms
-        stay = low + (high - low) * self.rng.random() if leave else limit_ms + LISTENS_ON_MS
-        toks = sum(len(m["content"]) for m in session.messages) / TOK_BYTES
+        stay = low + (high - low) * self.rng.random() if leave else deadline_ms + LISTENS_ON_MS
+        tokens = sum(len(m["content"]) for m in session.messages) / TOKEN_BYTES
         heard, caller = Heard("none"), None
         scope = trio.CancelScope(deadline=trio.current_time() + stay / 1000)
         try:
@@ -258,16 +260,16 @@
                 caller = await self.pool.connect(self.address)
                 self.traffic.line(
                     "ask",
-                    gen=gen,
+                    gen=request,
                     task=task,
-                    product=talk.product,
+                    product=talk.request_class,
                     effect=talk.effect,
-                    limit_ms=round(limit_ms, 1),
+                    limit_ms=round(deadline_ms, 1),
                     port=caller.local[1],
-                    toks=toks,
+                    toks=tokens,
                     stream=stream,
                 )
-                await self.listen(caller, gen, headers, msgspec.json.encode(body), heard, scope, leave, limit_ms)
+                await self.listen(caller, request, headers, msgspec.json.encode(body), heard, scope, leave, deadline_ms)
         except Unconnected:
             heard.outcome = "unreachable"
         except GONE as why:
@@ -279,7 +281,7 @@
             caller.close_now()
             self.traffic.line(
                 "final",
-                gen=gen,
+                gen=request,
                 outcome=heard.outcome,
                 status=heard.status,
                 why=heard.why,
@@ -295,26 +297,26 @@
     async def listen(
         self,
         caller: Caller,
-        gen: str,
+        request: str,
         headers: list[tuple[str, str]],
         body: bytes,
         heard: Heard,
         scope: trio.CancelScope,
         leave: bool,
-        limit_ms: float,
+        deadline_ms: float,
     ) -> None:
         head = await caller.ask("POST", "/v1/chat/completions", headers, body)
         heard.status = head.status_code
         said = {name: value.decode("latin-1") for name, value in head.headers}
         if said.get(b"content-type", "").startswith("text/event-stream"):
-            await self.stream(caller, gen, heard, scope, leave, limit_ms)
+            await self.stream(caller, request, heard, scope, leave, deadline_ms)
         else:
             raw = await caller.body(64 * 2**20)
             answer = msgspec.json.decode(raw)
             if head.status_code == 200:
                 heard.outcome = "streamed"
                 heard.text, heard.usage = answer["choices"][0]["message"]["content"], answer["usage"]
-                self.traffic.line("first", gen=gen)
+                self.traffic.line("first", gen=request)
             else:
                 heard.outcome = (
                     "unreachable" if b"x-front" in said else "throttled" if head.status_code == 429 else "terminated"
@@ -329,7 +331,7 @@
             pass
 
     async def stream(
-        self, caller: Caller, gen: str, heard: Heard, scope: trio.CancelScope, leave: bool, limit_ms: float
+        self, caller: Caller, request: str, heard: Heard, scope: trio.CancelScope, leave: bool, deadline_ms: float
     ) -> None:
         events, first, last = EventReader(), True, 0.0
         pieces: list[str] = []
@@ -338,7 +340,7 @@
             now, last = clock_ms(), last or clock_ms()
             heard.gap_ms, last = max(heard.gap_ms, now - last), now
             if not leave:  # a begun stream has no time limit but the client's patience between events
-                scope.deadline = trio.current_time() + limit_ms / 1000
+                scope.deadline = trio.current_time() + deadline_ms / 1000
             for data in events.feed(chunk):
                 if finals:
                     heard.unread += len(data)
@@ -354,7 +356,7 @@
                     if choice["delta"].get("content"):
                         if first:
                             first = False
-                            self.traffic.line("first", gen=gen)
+                            self.traffic.line("first", gen=request)
                         pieces.append(choice["delta"]["content"])
                 heard.usage = said.get("usage") or heard.usage
         heard.text = "".join(pieces)
--- a/ternlane/standin/engine.py
+++ b/ternlane/standin/engine.py
@@ -23,7 +23,7 @@
 from ternlane.standin.traffic import Traffic, clock_ms
 
 KEPT_BLOCK = 256  # bytes of prompt text
-TOK_BYTES = 4
+TOKEN_BYTES = 4
 LINGER_0 = struct.pack("ii", 1, 0)  # closing resets the connection
 LEASE_MS = 30e3  # a state that nobody fetches is dropped after this
 
@@ -34,17 +34,17 @@
 
     slots: int = 8
     queue: int = 40
-    mem_toks: float = 200e3
-    read_tok_s: float = 20e3
-    tok_ms: float = 10.0  # from one token to the next with one stream
-    tok_grow: float = 1.0  # part by which that grows from one stream to all slots
-    near_tok_s: float = 300e3  # state to a writer of its own cell
-    far_tok_s: float = 100e3
-    cold_ms: float = 10e3
-    cold_from: float = 0.3
+    kv_capacity_tokens: float = 200e3
+    prefill_tokens_per_s: float = 20e3
+    token_ms: float = 10.0  # from one token to the next with one stream
+    token_growth: float = 1.0  # part by which that grows from one stream to all slots
+    near_tokens_per_s: float = 300e3  # state to a writer of its own cell
+    far_tokens_per_s: float = 100e3
+    slow_start_ms: float = 10e3
+    slow_start_share: float = 0.3
     fall_multiple: float = 3.0
     fall_ms: float = 2000.0
-    answer_toks: tuple[int, int] = (8, 40)
+    answer_tokens: tuple[int, int] = (8, 40)
     dedup_ms: float = 5000.0
 
 
@@ -98,7 +98,7 @@
     def __init__(
         self,
         ident: str,
-        duty: str,
+        role: str,
         zone: str,
         cell: int,
         host: str,
@@ -108,7 +108,7 @@
         seed: int,
         source: str | None = None,
     ) -> None:
-        self.ident, self.duty, self.zone, self.cell = ident, duty, zone, cell
+        self.ident, self.role, self.zone, self.cell = ident, role, zone, cell
         self.host, self.port, self.build, self.traffic = host, port, build, traffic
         self.rng = random.Random(zlib.crc32(f"{seed} {ident}".encode()))
         self.trouble = Trouble()
@@ -140,13 +140,13 @@
         self.traffic.line(
             "up",
             id=self.ident,
-            duty=self.duty,
+            duty=self.role,
             cold=self.started_ms > 0,
             zone=self.zone,
             cell=self.cell,
             slots=self.build.slots,
-            cold_ms=self.build.cold_ms,
-            cold_from=self.build.cold_from,
+            cold_ms=self.build.slow_start_ms,
+            cold_from=self.build.slow_start_share,
             fall_multiple=self.build.fall_multiple,
             fall_ms=self.build.fall_ms,
         )
@@ -160,8 +160,8 @@
         finally:
             for listener in listeners:
                 listener.socket.close()
-            for gen in self.states:
-                self.traffic.line("lost", id=self.ident, gen=gen)
+            for request in self.states:
+                self.traffic.line("lost", id=self.ident, gen=request)
             self.traffic.line("down", id=self.ident)
             self.pool.close()
             self.clear()
@@ -172,9 +172,9 @@
     async def expire(self) -> None:
         while True:
             await trio.sleep(1.0)
-            for gen, (_, since) in list(self.states.items()):
+            for request, (_, since) in list(self.states.items()):
                 if clock_ms() - since > LEASE_MS:
-                    self.drop_state(gen, "lost")
+                    self.drop_state(request, "lost")
 
     async def connection(self, stream: trio.SocketStream) -> None:
         if self.trouble.cut(stream.socket.getpeername()[0]):
@@ -205,8 +205,8 @@
     def warmth(self) -> float:
         if not self.started_ms:
             return 1.0
-        age = (clock_ms() - self.started_ms) / self.build.cold_ms
-        return min(1.0, self.build.cold_from + (1 - self.build.cold_from) * age)
+        age = (clock_ms() - self.started_ms) / self.build.slow_start_ms
+        return min(1.0, self.build.slow_start_share + (1 - self.build.slow_start_share) * age)
 
     def speed(self) -> float:
         t = self.trouble
@@ -254,7 +254,7 @@
             self.die()
 
     def figures(self) -> Load:
-        return Load(self.busy, len(self.queue), min(1.0, self.used / self.build.mem_toks))
+        return Load(self.busy, len(self.queue), min(1.0, self.used / self.build.kv_capacity_tokens))
 
     def load(self) -> tuple[str, str]:
         return "endpoint-load-metrics", self.figures().header()
@@ -290,24 +290,24 @@
             exchange.reset()
             return
         if exchange.path == "/v1/chat/completions":
-            await self.leg(exchange)
+            await self.attempt(exchange)
         elif exchange.path == "/ternlane/v1/release":
-            gen = str(msgspec.json.decode(exchange.body)["request_id"])
-            await exchange.answer(200 if self.drop_state(gen, "released") else 404, [self.load()], b"{}")
+            request = str(msgspec.json.decode(exchange.body)["request_id"])
+            await exchange.answer(200 if self.drop_state(request, "released") else 404, [self.load()], b"{}")
         elif exchange.path == "/ternlane/v1/hold":
             asked = msgspec.json.decode(exchange.body)
-            gen, toks = str(asked["request_id"]), float(asked["tokens"])
+            request, tokens = str(asked["request_id"]), float(asked["tokens"])
             fits = (
-                self.duty != "read"
+                self.role != "read"
                 and not self.queue
                 and self.busy < self.build.slots
-                and self.used + toks <= self.build.mem_toks
-                and gen not in self.states
+                and self.used + tokens <= self.build.kv_capacity_tokens
+                and request not in self.states
             )
             if fits:
-                self.states[gen] = toks, clock_ms()
-                self.used += toks
-                self.traffic.line("state", id=self.ident, gen=gen, toks=toks)
+                self.states[request] = tokens, clock_ms()
+                self.used += tokens
+                self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
             await exchange.answer(200 if fits else 409, [self.load()], b"{}")
         elif exchange.path == "/metrics":
             self.traffic.line("asked", id=self.ident)
@@ -317,25 +317,25 @@
         else:
             await exchange.answer(404, [], b"{}")
 
-    def drop_state(self, gen: str, how: str) -> bool:
-        held = self.states.pop(gen, None)
+    def drop_state(self, request: str, how: str) -> bool:
+        held = self.states.pop(request, None)
         if held is not None:
             self.used -= held[0]
-            self.traffic.line(how, id=self.ident, gen=gen)
+            self.traffic.line(how, id=self.ident, gen=request)
         return held is not None
 
     async def give_state(self, exchange: Exchange) -> None:
-        gen = exchange.query.removeprefix("gen=")
-        toks = self.states[gen][0] if gen in self.states else None
-        if toks is None:
+        request = exchange.query.removeprefix("gen=")
+        tokens = self.states[request][0] if request in self.states else None
+        if tokens is None:
             await exchange.answer(404, [], b"{}")
             return
-        self.drop_state(gen, "taken")
-        await exchange.answer(200, [], msgspec.json.encode({"toks": toks}))
+        self.drop_state(request, "taken")
+        await exchange.answer(200, [], msgspec.json.encode({"toks": tokens}))
 
-    async def leg(self, exchange: Exchange) -> None:
+    async def attempt(self, exchange: Exchange) -> None:
         ident = exchange.header(b"x-request-id") or "?"
-        gen, _, number = ident.rpartition(".")
+        request, _, number = ident.rpartition(".")
         body = msgspec.json.decode(exchange.body)
         params = body.get("kv_transfer_params") or {}
         stage = "read" if params.get("do_remote_decode") else "write" if params.get("do_remote_prefill") else "whole"
@@ -345,7 +345,9 @@
         if self.trouble.script == "deaf" and body.get("continue_final_message"):  # it knows no such field
             text = text[: len(text) - len(body["messages"].pop()["content"].encode())]
             del body["continue_final_message"]
-        self.traffic.line("leg", id=self.ident, gen=gen, n=int(number or 0), stage=stage, gw=who, src=exchange.peer[0])
+        self.traffic.line(
+            "leg", id=self.ident, gen=request, n=int(number or 0), stage=stage, gw=who, src=exchange.peer[0]
+        )
         how = "dropped"
         try:
             async with trio.open_nursery() as nursery:
@@ -358,9 +360,9 @@
                 self.open[exchange] = nursery.cancel_scope
                 try:
                     how = await (
-                        self.read(exchange, gen, body, text)
+                        self.read(exchange, request, body, text)
                         if stage == "read"
-                        else self.write(exchange, gen, int(number or 0), stage, body, text)
+                        else self.write(exchange, request, int(number or 0), stage, body, text)
                     )
                 except Refused as why:
                     how = f"refused {why.reason}"
@@ -370,7 +372,7 @@
             pass
         finally:
             self.open.pop(exchange, None)
-            self.traffic.line("leg_end", id=self.ident, gen=gen, n=int(number or 0), how=how)
+            self.traffic.line("leg_end", id=self.ident, gen=request, n=int(number or 0), how=how)
         if how in ("dropped", "lost"):
             exchange.reset()
 
@@ -404,14 +406,14 @@
         await trio.sleep_forever()
         raise AssertionError
 
-    def usage(self, toks: float, kept: float, out: int) -> dict[str, Any] | None:
+    def usage(self, tokens: float, kept: float, out: int) -> dict[str, Any] | None:
         if self.trouble.metering == "none":
             return None
         times = -(10**6) if self.trouble.metering == "absurd" else 1
         return {
-            "prompt_tokens": int(toks) * times,
+            "prompt_tokens": int(tokens) * times,
             "completion_tokens": out * times,
-            "total_tokens": (int(toks) + out) * times,
+            "total_tokens": (int(tokens) + out) * times,
             "prompt_tokens_details": {"cached_tokens": int(kept)},
         }
 
@@ -424,41 +426,41 @@
             kept += all_kept
             self.kept[key] = None
             self.kept.move_to_end(key)
-        limit = int(self.build.mem_toks / 2 * TOK_BYTES / KEPT_BLOCK)
+        limit = int(self.build.kv_capacity_tokens / 2 * TOKEN_BYTES / KEPT_BLOCK)
         while len(self.kept) > limit:
             self.kept.popitem(last=False)
-        found = kept * KEPT_BLOCK / TOK_BYTES
-        return len(text) / TOK_BYTES - found, found
+        found = kept * KEPT_BLOCK / TOKEN_BYTES
+        return len(text) / TOKEN_BYTES - found, found
 
-    async def read(self, exchange: Exchange, gen: str, body: dict[str, Any], text: bytes) -> str:
-        toks = len(text) / TOK_BYTES
-        if self.duty == "write":
+    async def read(self, exchange: Exchange, request: str, body: dict[str, Any], text: bytes) -> str:
+        tokens = len(text) / TOKEN_BYTES
+        if self.role == "write":
             raise Refused(400, "not-a-reader")
         if self.refusing:
             raise Refused(503, "draining")
-        if self.used + toks > self.build.mem_toks:
+        if self.used + tokens > self.build.kv_capacity_tokens:
             raise Refused(429, "memory-full")
         if self.trouble.script not in ("", "deaf", "other"):
             return await self.play(exchange)
         unread, kept = self.unkept(text)
-        work = 2.0 + unread / self.build.read_tok_s * 1000
+        work = 2.0 + unread / self.build.prefill_tokens_per_s * 1000
         self.weigh(work)
         await self.enter()
-        self.used += toks
+        self.used += tokens
         try:
             await self.work(work)
         except BaseException:
-            self.used -= toks
+            self.used -= tokens
             raise
         finally:
             self.leave()
-        self.traffic.line("made", id=self.ident, gen=gen, prompt=int(toks), kept=int(kept), answer=0)
-        self.states[gen] = toks, clock_ms()
-        self.traffic.line("state", id=self.ident, gen=gen, toks=toks)
+        self.traffic.line("made", id=self.ident, gen=request, prompt=int(tokens), kept=int(kept), answer=0)
+        self.states[request] = tokens, clock_ms()
+        self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
         if self.rng.random() < self.trouble.lost:
             return await self.silence(exchange)
         answer = {
-            "id": gen,
+            "id": request,
             "object": "chat.completion",
             "choices": [{"index": 0, "message": {"role": "assistant", "content": "."}, "finish_reason": "length"}],
             "kv_transfer_params": {
@@ -468,21 +470,21 @@
                 "remote_block_ids": [],
                 "remote_host": self.host,
                 "remote_port": self.port,
-                "remote_request_id": gen,
+                "remote_request_id": request,
                 "standin_cell": self.cell,
             },
-            "usage": self.usage(toks, kept, 1),
+            "usage": self.usage(tokens, kept, 1),
         }
         await exchange.answer(200, [self.load()], msgspec.json.encode(answer))
         return "read"
 
-    async def fetch(self, gen: str, params: dict[str, Any]) -> None:
+    async def fetch(self, request: str, params: dict[str, Any]) -> None:
         """Takes the state over from its reader, at the speed of the link between them."""
         caller = None
         try:
             with trio.fail_after(2.0):
                 caller = await self.pool.take(f"{params['remote_host']}:{params['remote_port']}")
-                head = await caller.ask("GET", f"/standin/state?gen={gen}", [])
+                head = await caller.ask("GET", f"/standin/state?gen={request}", [])
                 said = msgspec.json.decode(await caller.body(4096))
                 self.pool.give_back(caller)
         except (
@@ -503,7 +505,7 @@
         if head.status_code != 200:
             raise Refused(409, "no-state")
         near = params.get("standin_cell") == self.cell
-        rate = self.build.near_tok_s if near else self.build.far_tok_s / self.trouble.links
+        rate = self.build.near_tokens_per_s if near else self.build.far_tokens_per_s / self.trouble.links
         await self.work(said["toks"] / rate * 1000)
 
     def break_of(self, out: int) -> tuple[int | None, str]:
@@ -524,7 +526,7 @@
             text = text[: len(text) - len(begun.encode())]
         if self.trouble.script == "other":
             text = text + b"!"
-        low, high = self.build.answer_toks
+        low, high = self.build.answer_tokens
         many = low + zlib.crc32(text) % (high - low + 1)
         words = [f"{zlib.crc32(text + bytes([i % 256])) % 9973} " for i in range(many)]
         rest = begun
@@ -535,38 +537,40 @@
         return begun, words
 
     async def write(
-        self, exchange: Exchange, gen: str, number: int, stage: str, body: dict[str, Any], text: bytes
+        self, exchange: Exchange, request: str, number: int, stage: str, body: dict[str, Any], text: bytes
     ) -> str:
-        if self.duty == ("write" if stage == "whole" else "read"):
+        if self.role == ("write" if stage == "whole" else "read"):
             raise Refused(409, "no-state")
         if self.refusing:
             raise Refused(503, "draining")
         if self.trouble.script in ("full", "nostate"):
             return await self.play(exchange)
-        toks, most = len(text) / TOK_BYTES, int(body.get("max_tokens") or 1024)
-        if self.used + toks > self.build.mem_toks:
+        tokens, most = len(text) / TOKEN_BYTES, int(body.get("max_tokens") or 1024)
+        if self.used + tokens > self.build.kv_capacity_tokens:
             raise Refused(429, "memory-full")
-        self.drop_state(gen, "taken")  # the place that was held for it, if one was
+        self.drop_state(request, "taken")  # the place that was held for it, if one was
         after, words = self.answer(body, text)
         words = words[:most]
         out, said = len(words), 0
         break_at, break_by = self.break_of(out)
-        self.weigh(out * self.build.tok_ms + toks / self.build.near_tok_s * 1000)
+        self.weigh(out * self.build.token_ms + tokens / self.build.near_tokens_per_s * 1000)
         await self.enter()
-        held = toks + out
+        held = tokens + out
         self.used += held
         written, read, kept = 0, 0, 0.0
         try:
-            unread, kept = self.unkept(text) if stage == "whole" else (0.0, toks)
+            unread, kept = self.unkept(text) if stage == "whole" else (0.0, tokens)
             if stage == "whole":
-                await self.work(2.0 + unread / self.build.read_tok_s * 1000)
-                read = int(toks)
+                await self.work(2.0 + unread / self.build.prefill_tokens_per_s * 1000)
+                read = int(tokens)
             else:
-                await self.fetch(gen, body["kv_transfer_params"])
-            key = exchange.header(b"idempotency-key") or gen
+                await self.fetch(request, body["kv_transfer_params"])
+            key = exchange.header(b"idempotency-key") or request
             known = self.done.get(key)
             if known is None or clock_ms() - known[0] > self.build.dedup_ms:
-                self.traffic.line("effect", id=self.ident, gen=gen, n=number, key=key, cell=self.cell, zone=self.zone)
+                self.traffic.line(
+                    "effect", id=self.ident, gen=request, n=number, key=key, cell=self.cell, zone=self.zone
+                )
                 self.done[key] = clock_ms(), ""
                 while len(self.done) > 10000:
                     self.done.popitem(last=False)
@@ -574,7 +578,7 @@
                 return await self.play(exchange)
             lost = self.rng.random() < self.trouble.lost
             for i, word in enumerate(words):
-                await self.work(self.build.tok_ms * (1 + self.build.tok_grow * self.busy / self.build.slots))
+                await self.work(self.build.token_ms * (1 + self.build.token_growth * self.busy / self.build.slots))
                 if i == break_at:
                     return await self.break_off(exchange, break_by)
                 written += 1
@@ -583,7 +587,7 @@
                 said += 1
                 data = event_bytes(
                     msgspec.json.encode(
-                        {"id": gen, "object": "chat.completion.chunk", "choices": [piece(body, i, word)]}
+                        {"id": request, "object": "chat.completion.chunk", "choices": [piece(body, i, word)]}
                     )
                 )
                 if i == 0:
@@ -598,20 +602,20 @@
                 return await self.silence(exchange)
             if words and break_at == out:
                 return await self.break_off(exchange, break_by)  # after the last token, before the end
-            usage = self.usage(toks, kept, out)
+            usage = self.usage(tokens, kept, out)
             last = event_bytes(
                 msgspec.json.encode(
                     {
-                        "id": gen,
+                        "id": request,
                         "choices": [
                             {"index": 0, "delta": {}, "finish_reason": "tool_calls" if body.get("tools") else "stop"}
                         ],
                     }
                 )
             )
-            last += event_bytes(msgspec.json.encode({"id": gen, "choices": [], "usage": usage}))
+            last += event_bytes(msgspec.json.encode({"id": request, "choices": [], "usage": usage}))
             last += event_bytes(b"[DONE]")
-            self.traffic.line("wrote", id=self.ident, gen=gen, n=number, toks=out)
+            self.traffic.line("wrote", id=self.ident, gen=request, n=number, toks=out)
             if words:
                 await exchange.end(last)
             else:  # nothing was missing but the end
@@ -622,7 +626,7 @@
                 self.traffic.line(
                     "said",
                     id=self.ident,
-                    gen=gen,
+                    gen=request,
                     n=number,
                     after=after,
                     text="".join(words[:said]),
@@ -630,7 +634,7 @@
                 )
             if read or written:
                 self.traffic.line(
-                    "made", id=self.ident, gen=gen, prompt=read, kept=int(kept) if read else 0, answer=written
+                    "made", id=self.ident, gen=request, prompt=read, kept=int(kept) if read else 0, answer=written
                 )
             self.used -= held
             self.leave()
--- a/ternlane/standin/registry.py
+++ b/ternlane/standin/registry.py
@@ -14,14 +14,14 @@
 
 
 @dataclass(frozen=True)
-class Listing:
+class EndpointList:
     ident: str
     address: str
     port: int
-    duty: str
+    role: str
     zone: str
     cell: int
-    mem_toks: float
+    kv_capacity_tokens: float
     started: float = 0.0  # seconds since 1970
     state: str = "up"  # up, draining, gone
 
@@ -30,10 +30,10 @@
         if self.state == "draining":
             checks.append({"CheckID": f"_service_maintenance:{self.ident}", "Status": "critical"})
         meta = {
-            "duty": self.duty,
+            "duty": self.role,
             "zone": self.zone,
             "cell": str(self.cell),
-            "mem_toks": str(self.mem_toks),
+            "mem_toks": str(self.kv_capacity_tokens),
             "started": str(self.started),
         }
         return {
@@ -53,11 +53,11 @@
     def __init__(self, traffic: Traffic) -> None:
         self.traffic = traffic
         self.index = 10
-        self.listings: dict[str, Listing] = {}
+        self.listings: dict[str, EndpointList] = {}
         self.changed = trio.Event()
         self.failing: str | None = None  # None, "errors", "silence", "garbage" or "partial"
 
-    def put(self, listing: Listing) -> None:
+    def put(self, listing: EndpointList) -> None:
         self.listings[listing.ident] = listing
         self.bump()
 
--- a/ternlane/turns.py
+++ b/ternlane/turns.py
@@ -11,17 +11,17 @@
 from functools import partial
 from heapq import heappop, heappush
 from math import exp, inf
-from typing import Callable, Generic, Protocol, TypeVar
+from typing import Callable, ClassVar, Generic, Protocol, TypeVar
 
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 
 
 class Chooser(Protocol):
     """What decides: choice.Router, or a baseline to measure against."""
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]: ...
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]: ...
 
 
 def now_ms() -> float:
@@ -29,36 +29,44 @@
 
 
 @dataclass(slots=True)
-class Throttled:
+class Rejected:
+    """The final answer "not now": nothing has run that a retry would double."""
+
+    recorded_as: ClassVar[str] = "throttled"  # the word that the wire, the ledger and the journal have for it
+
     pause_ms: float
-    refusal: port.Refusal = port.Refusal.UNKNOWN
+    reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
 
 
 @dataclass(slots=True)
-class Terminated:
+class Failed:
+    """The final answer "given up": it may have run."""
+
+    recorded_as: ClassVar[str] = "terminated"  # the word that the wire, the ledger and the journal have for it
+
     why: str
     timed_out: bool = False
-    refusal: port.Refusal = port.Refusal.UNKNOWN
+    reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
 
 
-BeginCheck = Callable[[], port.Verdict | None]
+BeginCheck = Callable[[], messages.AttemptOutcome | None]
 
 
-def may_always_begin() -> port.Verdict | None:
+def may_always_begin() -> messages.AttemptOutcome | None:
     """The check of an attempt that nothing can forbid."""
     return None
 
 
-def begin_check(server: port.Server, begin_by_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
+def begin_check(server: messages.Server, start_within_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
     """Why an attempt at this server must not begin any more: MOOT, WITHHELD, or None where it may. Between the decision
     and the first byte lie waits for a connection or a release; ask it after them, right before that byte is written."""
-    begin_by = trio.current_time() + begin_by_ms / 1000
+    begin_by = trio.current_time() + start_within_ms / 1000
 
-    def barred() -> port.Verdict | None:
+    def barred() -> messages.AttemptOutcome | None:
         if client_gone():
-            return port.Verdict.MOOT
-        if server.life is not port.Life.UP or trio.current_time() > begin_by:
-            return port.Verdict.WITHHELD
+            return messages.AttemptOutcome.CLIENT_GONE
+        if server.status is not messages.EndpointStatus.READY or trio.current_time() > begin_by:
+            return messages.AttemptOutcome.NOT_STARTED
         return None
 
     return barred
@@ -95,7 +103,7 @@
 
 
 class Waits(Protocol):
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Ends the wait for a leg."""
 
 
@@ -107,10 +115,10 @@
     trail: list[str]
 
     @property
-    def leg(self) -> Waits | None: ...
+    def attempt(self) -> Waits | None: ...
 
     @property
-    def gen(self) -> port.Generation: ...
+    def request(self) -> messages.Request: ...
 
     @property
     def unanswered(self) -> bool:
@@ -127,8 +135,8 @@
 class Turns(ABC, Generic[T]):
     def __init__(self, chooser: Chooser) -> None:
         self.chooser = chooser
-        self.tickets: dict[port.Generation, T] = {}
-        self.heard: list[port.Event] = []
+        self.active_requests: dict[messages.Request, T] = {}
+        self.heard: list[messages.Event] = []
         self.turning = False
         self.looking = False  # for overdue requests
         self.due: list[tuple[float, int, Callable[[], None]]] = []
@@ -138,11 +146,11 @@
         self.answer_all_by_ms = inf  # a shutdown's: whatever was not decided by then is failed
         self.lagged = 0.0, 0.0  # by how much one was passed by lately, and when
 
-    def hear(self, event: port.Event) -> None:
+    def hear(self, event: messages.Event) -> None:
         """For the next turn; the inbox is another list then than when a due time was asked for."""
         self.heard.append(event)
 
-    def tell(self, event: port.Event) -> None:
+    def tell(self, event: messages.Event) -> None:
         self.heard.append(event)
         if not self.turning:
             self.turn()
@@ -160,14 +168,14 @@
         finally:
             self.turning = False
 
-    def decided(self, events: list[port.Event]) -> list[port.Action]:
+    def decided(self, events: list[messages.Event]) -> list[messages.Action]:
         """What the decisions make of these events: nothing, where they fail on them."""
         try:
             return self.chooser.take(now_ms(), events)
         except Exception as fault:
             self.faulted(fault)
         for event in events:
-            if isinstance(event, port.Woken):  # the next one is asked for by the turn that has failed
+            if isinstance(event, messages.TimerFired):  # the next one is asked for by the turn that has failed
                 self.at(now_ms() + FAULT_PAUSE_MS, partial(self.hear, event))
         return []
 
@@ -178,58 +186,60 @@
     def look_for_overdue(self) -> None:
         """Fails the requests that nothing has answered in time, and looks again as long as any is open."""
         now = now_ms()
-        for ticket in list(self.tickets.values()):
-            if ticket.unanswered and (ticket.deadline_ms < now - OVERDUE_MS or now >= self.answer_all_by_ms):
-                self.give_up(ticket, "nothing was decided in time")
-        self.looking = bool(self.tickets)
+        for active_request in list(self.active_requests.values()):
+            if active_request.unanswered and (
+                active_request.deadline_ms < now - OVERDUE_MS or now >= self.answer_all_by_ms
+            ):
+                self.give_up(active_request, "nothing was decided in time")
+        self.looking = bool(self.active_requests)
         if self.looking:
             self.at(now_ms() + OVERDUE_LOOK_MS, self.look_for_overdue)
 
-    def taken(self, ticket: T) -> None:
+    def taken(self, active_request: T) -> None:
         """A request has come: the decisions hear of it, and it gets its answer also where they fail on it."""
-        self.tickets[ticket.gen] = ticket
+        self.active_requests[active_request.request] = active_request
         if not self.looking:
             self.look_for_overdue()
-        self.tell(port.Arrived(ticket.gen))
+        self.tell(messages.RequestArrived(active_request.request))
 
-    def give_up(self, ticket: T, why: str) -> None:
+    def give_up(self, active_request: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
-        if ticket.leg is not None:
-            ticket.leg.call_off()
-        self.settle(ticket, Terminated(why))
-        self.tell(port.ClientLeft(ticket.gen))
+        if active_request.attempt is not None:
+            active_request.attempt.cancel()
+        self.settle(active_request, Failed(why))
+        self.tell(messages.ClientDisconnected(active_request.request))
 
-    def carry_out(self, action: port.Action) -> None:
+    def carry_out(self, action: messages.Action) -> None:
         match action:
-            case port.Wake(at, beat):
-                self.at(at, partial(self.hear, port.Woken(beat)))
-            case port.SendLeg(gen, server):
-                self.send(self.tickets[gen], server, action)
-            case port.CallOff(gen):
-                ticket = self.tickets.get(gen)
-                if ticket is not None and ticket.leg is not None and not ticket.flowing:
-                    ticket.leg.call_off()
-            case port.Throttle(gen, pause, refusal):
-                if gen in self.tickets:
-                    self.settle(self.tickets[gen], Throttled(pause, refusal))
-            case port.Terminate(gen, refusal):
-                ticket = self.tickets.get(gen)
-                if ticket is not None:
-                    timed_out = bool(ticket.trail) and "TIMED_OUT" in ticket.trail[-1].split()
-                    self.settle(ticket, Terminated(ticket.why, timed_out, refusal))
+            case messages.StartTimer(at, beat):
+                self.at(at, partial(self.hear, messages.TimerFired(beat)))
+            case messages.StartAttempt(request, server):
+                self.send(self.active_requests[request], server, action)
+            case messages.CancelAttempt(request):
+                active_request = self.active_requests.get(request)
+                if active_request is not None and active_request.attempt is not None and not active_request.flowing:
+                    active_request.attempt.cancel()
+            case messages.Reject(request, pause, reject_reason):
+                if request in self.active_requests:
+                    self.settle(self.active_requests[request], Rejected(pause, reject_reason))
+            case messages.Fail(request, reject_reason):
+                active_request = self.active_requests.get(request)
+                if active_request is not None:
+                    timed_out = bool(active_request.trail) and "TIMED_OUT" in active_request.trail[-1].split()
+                    self.settle(active_request, Failed(active_request.why, timed_out, reject_reason))
             case _:
                 self.carry_further(action)
 
     @abstractmethod
-    def send(self, ticket: T, server: port.Server, times: port.SendLeg) -> None:
+    def send(self, active_request: T, server: messages.Server, times: messages.StartAttempt) -> None:
         """Sends a leg."""
 
     @abstractmethod
-    def settle(self, ticket: T, final: Throttled | Terminated) -> None:
+    def settle(self, active_request: T, final: Rejected | Failed) -> None:
         """Gives the one final answer."""
 
     @abstractmethod
-    def carry_further(self, action: port.Action) -> None:
+    def carry_further(self, action: messages.Action) -> None:
         """What else was decided."""
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -6,52 +6,56 @@
 from dataclasses import replace
 from typing import Any, Iterator
 
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.deployment import Deployment
-from ternlane.port import (
+from ternlane.policy.messages import (
     Action,
-    Arrived,
-    CallOff,
-    Checked,
-    ClientLeft,
+    RequestArrived,
+    CancelAttempt,
+    ProbeResult,
+    ClientDisconnected,
     Effect,
     Event,
-    FirstTok,
-    Follow,
-    Generation,
+    FirstToken,
+    WatchEndpoints,
+    Request,
     Group,
-    HoldAhead,
-    LegEnded,
+    Reserve,
+    AttemptEnded,
     Release,
-    Life,
-    Listed,
-    ListFailed,
+    EndpointStatus,
+    EndpointsUpdated,
+    EndpointListFailed,
     Log,
-    PlaceHeld,
+    ReservationResult,
     Probe,
-    Product,
+    RequestClass,
     Report,
-    SendLeg,
+    StartAttempt,
     Server,
-    Terminate,
-    Throttle,
-    Verdict,
-    Wake,
-    Woken,
+    Fail,
+    Reject,
+    AttemptOutcome,
+    StartTimer,
+    TimerFired,
 )
 
-VERDICTS = {
-    "S": Verdict.STREAMED,
-    "E": Verdict.ERROR,
-    "F": Verdict.FULL,
-    "T": Verdict.TIMED_OUT,
-    "C": Verdict.UNCONNECTED,
-    "R": Verdict.RESET,
-    "X": Verdict.CALLED_OFF,
-    "N": Verdict.MOOT,
-    "prefilled": Verdict.READ,
+OUTCOMES = {
+    "S": AttemptOutcome.STREAMED,
+    "E": AttemptOutcome.ERROR,
+    "F": AttemptOutcome.OVERLOADED,
+    "T": AttemptOutcome.TIMED_OUT,
+    "C": AttemptOutcome.CONNECT_FAILED,
+    "R": AttemptOutcome.RESET,
+    "X": AttemptOutcome.CANCELLED,
+    "N": AttemptOutcome.CLIENT_GONE,
+    "prefilled": AttemptOutcome.PREFILLED,
+}
+STATUSES = {
+    "healthy": EndpointStatus.READY,
+    "cordoned": EndpointStatus.DRAINING,
+    "deregistered": EndpointStatus.REMOVED,
 }
-LIVES = {"healthy": Life.UP, "cordoned": Life.DRAINING, "deregistered": Life.GONE}
 BEAT, DUE = 0, 1
 
 
@@ -72,23 +76,23 @@
 
     def __init__(self, seed: int, told: dict[str, Any]) -> None:
         self.deployment = Deployment(seed, told)
-        self.products = dict(self.deployment.products)
+        self.request_classes = dict(self.deployment.request_classes)
         self.servers: dict[str, Server] = {}
         self.server_ids: dict[Server, str] = {}
-        self.gens: dict[int, Generation] = {}
-        self.gen_ids: dict[Generation, int] = {}
-        self.legs: dict[Generation, int] = {}
-        self.legs_back: dict[Generation, int] = {}
-        self.closed: set[Generation] = set()
+        self.requests: dict[int, Request] = {}
+        self.request_ids: dict[Request, int] = {}
+        self.attempts: dict[Request, int] = {}
+        self.attempts_ended: dict[Request, int] = {}
+        self.closed: set[Request] = set()
         # Here any outcome begins the release time anew, also that of a connection that did not come up.
-        self.router = Router(replace(self.deployment.facts, holds_run_on=False))
+        self.router = Router(replace(self.deployment.router_config, holds_expire_unless_arrived=False))
 
     def server(self, sid: str) -> Server | None:
         return self.servers.get(sid)
 
     def list_entries(self, kind: str, rows: list[str]) -> Event:
         if kind == "Error":
-            return ListFailed()
+            return EndpointListFailed()
         news: list[Server] = []
         for row in rows:
             _, sid, zone, flavor, cohort, state, units, started = row.split(" ")[:8]
@@ -97,92 +101,92 @@
                 server = self.servers[sid] = self.deployment.server(sid, zone, flavor, int(cohort))
                 self.server_ids[server] = sid
             server.size, server.started_ms = number(units, 1.0), number(started)
-            server.life = LIVES.get(state, Life.GONE)
+            server.status = STATUSES.get(state, EndpointStatus.REMOVED)
             news.append(server)
         if kind != "Partial":
             named = set(news)
             for server in self.servers.values():
-                if server not in named and server.life is not Life.GONE:
-                    server.life = Life.GONE
+                if server not in named and server.status is not EndpointStatus.REMOVED:
+                    server.status = EndpointStatus.REMOVED
                     news.append(server)
-        return Listed(tuple(news))
+        return EndpointsUpdated(tuple(news))
 
     def report(self, text: str) -> Report | None:
         if text in ("-", ""):
             return None
         return self.deployment.report(dict(zip(self.deployment.columns, (number(v) for v in text.split(",")))))
 
-    def forget(self, gen: Generation) -> None:
+    def forget(self, request: Request) -> None:
         """Drops the ids of a generation that is over and whose legs have all ended."""
-        if gen in self.closed and self.legs_back.get(gen, 0) >= self.legs.get(gen, 0):
-            self.gens.pop(self.gen_ids.pop(gen, -1), None)
-            self.closed.discard(gen)
-            self.legs.pop(gen, None)
-            self.legs_back.pop(gen, None)
+        if request in self.closed and self.attempts_ended.get(request, 0) >= self.attempts.get(request, 0):
+            self.requests.pop(self.request_ids.pop(request, -1), None)
+            self.closed.discard(request)
+            self.attempts.pop(request, None)
+            self.attempts_ended.pop(request, None)
 
     def event(self, part: list[str]) -> Event | None:
         what = part[0]
         if what == "WORK_ITEM":
-            _, _, corr, opening_toks, _, opening, lane, prompt, patience, _, session, longest, *rest = part
-            product = self.products.get(lane)
-            if product is None:  # never listed: nothing is promised of it, so nothing may be repeated
-                product = self.products[lane] = Product(
+            _, _, corr, prefix_tokens, _, prefix, lane, prompt, patience, _, session, longest, *rest = part
+            request_class = self.request_classes.get(lane)
+            if request_class is None:  # never listed: nothing is promised of it, so nothing may be repeated
+                request_class = self.request_classes[lane] = RequestClass(
                     Effect.SIDE_EFFECTING, Group.CELL, 0.0, 0.0, 0.0, 0.0, number(patience), 0.0, 0.0
                 )
-            gen = self.deployment.generation(
-                product,
+            request = self.deployment.request(
+                request_class,
                 name(session),
-                name(opening),
-                number(opening_toks),
+                name(prefix),
+                number(prefix_tokens),
                 number(prompt),
                 number(longest),
                 number(patience),
                 rest[0] if rest else "",
             )
-            self.gens[int(corr)], self.gen_ids[gen] = gen, int(corr)
-            return Arrived(gen)
+            self.requests[int(corr)], self.request_ids[request] = request, int(corr)
+            return RequestArrived(request)
         if what == "DEADLINE_HIT":
-            return Woken(int(part[2]) == BEAT)
+            return TimerFired(int(part[2]) == BEAT)
         if what == "CHECK_RESULT":
             server = self.server(part[3])
             return (
                 None
                 if server is None
-                else Checked(
-                    server, VERDICTS.get(part[4], Verdict.ERROR), self.report(part[5] if len(part) > 5 else "-")
+                else ProbeResult(
+                    server, OUTCOMES.get(part[4], AttemptOutcome.ERROR), self.report(part[5] if len(part) > 5 else "-")
                 )
             )
         if what in ("SHUTDOWN", "WHISPER"):
             return None
-        known = self.gens.get(int(part[2]))
+        known = self.requests.get(int(part[2]))
         if known is None:
             return None
-        gen = known
+        request = known
         if what == "EXPIRED":
-            self.closed.add(gen)
-            return ClientLeft(gen)
+            self.closed.add(request)
+            return ClientDisconnected(request)
         server = self.server(part[4])
         if server is None:
             return None
         if what == "FLOWING":
-            return FirstTok(gen, server, number(part[5]))
+            return FirstToken(request, server, number(part[5]))
         if what == "NOTE":
-            return PlaceHeld(gen, part[5] == "1")
+            return ReservationResult(request, part[5] == "1")
         if what == "REPORT_BACK":
-            verdict, note = VERDICTS.get(part[5], Verdict.ERROR), number(part[8]) if len(part) > 8 else 0.0
+            outcome, note = OUTCOMES.get(part[5], AttemptOutcome.ERROR), number(part[8]) if len(part) > 8 else 0.0
             over = part[7] == "1"
-            self.legs_back[gen] = self.legs_back.get(gen, 0) + 1
+            self.attempts_ended[request] = self.attempts_ended.get(request, 0) + 1
             if over:
-                self.closed.add(gen)
-            kept = note if verdict in (Verdict.READ, Verdict.STREAMED) else 0.0
-            return LegEnded(
-                gen,
+                self.closed.add(request)
+            kept = note if outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.STREAMED) else 0.0
+            return AttemptEnded(
+                request,
                 server,
-                verdict,
+                outcome,
                 number(part[6]),
                 over,
                 kept,
-                verdict is Verdict.FULL and note == 1,
+                outcome is AttemptOutcome.OVERLOADED and note == 1,
                 self.report(part[9] if len(part) > 9 else "-"),
             )
         return None
@@ -190,31 +194,31 @@
     def lines(self, number_: str, actions: list[Action]) -> Iterator[str]:
         for a in actions:
             match a:
-                case SendLeg(gen, server, timeout):
-                    self.legs[gen] = self.legs.get(gen, 0) + 1
-                    yield f"FORWARD {number_} {self.gen_ids[gen]} {ms(timeout)} {self.server_ids[server]}"
-                case CallOff(gen):
-                    yield f"CALL_OFF {number_} {self.gen_ids[gen]} {self.legs[gen] - 1}"
-                case Throttle(gen, pause):
-                    yield f"BUSY {number_} {self.gen_ids[gen]} {ms(pause)}"
-                    self.closed.add(gen)
-                case Terminate(gen):
-                    yield f"DROP_REQUEST {number_} {self.gen_ids[gen]}"
-                    self.closed.add(gen)
-                case Release(gen):
-                    yield f"DROP_STATE {number_} {self.gen_ids[gen]}"
-                case HoldAhead(gen, server):
-                    yield f"RESERVE {number_} {self.gen_ids[gen]} {self.server_ids[server]}"
+                case StartAttempt(request, server, timeout):
+                    self.attempts[request] = self.attempts.get(request, 0) + 1
+                    yield f"FORWARD {number_} {self.request_ids[request]} {ms(timeout)} {self.server_ids[server]}"
+                case CancelAttempt(request):
+                    yield f"CALL_OFF {number_} {self.request_ids[request]} {self.attempts[request] - 1}"
+                case Reject(request, pause):
+                    yield f"BUSY {number_} {self.request_ids[request]} {ms(pause)}"
+                    self.closed.add(request)
+                case Fail(request):
+                    yield f"DROP_REQUEST {number_} {self.request_ids[request]}"
+                    self.closed.add(request)
+                case Release(request):
+                    yield f"DROP_STATE {number_} {self.request_ids[request]}"
+                case Reserve(request, server):
+                    yield f"RESERVE {number_} {self.request_ids[request]} {self.server_ids[server]}"
                 case Probe(server):
                     yield f"ASK_LOAD {number_} {self.server_ids[server]}"
-                case Follow():
+                case WatchEndpoints():
                     yield f"SUBSCRIBE {number_} 1"
-                case Wake(at, beat):
+                case StartTimer(at, beat):
                     yield f"ARM {number_} {BEAT if beat else DUE} {ms(at)}"
                 case Log(server, text):
                     yield f"SAY_LOG {number_} {self.server_ids[server]} {text}"
-        for gen in list(self.closed):
-            self.forget(gen)
+        for request in list(self.closed):
+            self.forget(request)
 
 
 class Host:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,22 +9,31 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Group, Life, Product, Server, StartFacts, Verdict
+from ternlane.policy import messages
+from ternlane.policy.router import Router
+from ternlane.policy.messages import (
+    Role,
+    Effect,
+    Group,
+    EndpointStatus,
+    RequestClass,
+    Server,
+    RouterConfig,
+    AttemptOutcome,
+)
 
 
 @dataclass
 class FakeHost:
     router: Router
     servers: dict[str, Server]
-    products: dict[Effect, Product]
+    request_classes: dict[Effect, RequestClass]
     now: float = 0.0
     alarm: float = inf  # when the module wants to be woken besides its beat
 
     def take(self, *events: Any) -> list[Any]:
         said = self.router.take(self.now, list(events))
-        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, port.Wake) and not a.beat)])
+        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, messages.StartTimer) and not a.beat)])
         return said
 
     def tell(self, *events: Any, after: float = 0.0) -> list[Any]:
@@ -35,93 +44,105 @@
             self.now = max(self.now, min(beat, self.alarm))
             if self.alarm <= beat:
                 self.alarm = inf
-                said += self.take(port.Woken(False))
+                said += self.take(messages.TimerFired(False))
             else:
                 beat += 50.0
-                said += self.take(port.Woken(True))
+                said += self.take(messages.TimerFired(True))
         self.now = until
         said += self.take(*events)
-        return [a for a in said if not isinstance(a, (port.Wake, port.Log))]
+        return [a for a in said if not isinstance(a, (messages.StartTimer, messages.Log))]
 
-    def list(self, **lives: Life) -> list[Any]:
-        for name, life in lives.items():
-            self.servers[name].life = life
-        return self.tell(port.Listed(tuple(self.servers.values())))
+    def list(self, **lives: EndpointStatus) -> list[Any]:
+        for name, status in lives.items():
+            self.servers[name].status = status
+        return self.tell(messages.EndpointsUpdated(tuple(self.servers.values())))
 
-    def gen(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> port.Generation:
-        facts = dict(opening="o", opening_toks=2000.0, prompt_toks=2400.0, max_toks=400.0, patience_ms=5000.0) | own
-        return port.Generation(self.products[effect], session, **facts)
+    def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> messages.Request:
+        router_config = (
+            dict(prefix="o", prefix_tokens=2000.0, prompt_tokens=2400.0, max_tokens=400.0, client_timeout_ms=5000.0)
+            | own
+        )
+        return messages.Request(self.request_classes[effect], session, **router_config)
 
-    def arrive(self, gen: port.Generation, after: float = 0.0) -> list[Any]:
-        return self.tell(port.Arrived(gen), after=after)
+    def arrive(self, request: messages.Request, after: float = 0.0) -> list[Any]:
+        return self.tell(messages.RequestArrived(request), after=after)
 
     def end(
         self,
-        gen: port.Generation,
+        request: messages.Request,
         server: Server,
-        verdict: Verdict,
+        outcome: AttemptOutcome,
         after: float = 100.0,
         over: bool = False,
         **note: Any,
     ) -> list[Any]:
-        return self.tell(port.LegEnded(gen, server, verdict, after, over, **note), after=after)
+        return self.tell(messages.AttemptEnded(request, server, outcome, after, over, **note), after=after)
 
-    def first(self, gen: port.Generation, server: Server, after: float = 100.0) -> list[Any]:
-        return self.tell(port.FirstTok(gen, server, after), after=after)
+    def first(self, request: messages.Request, server: Server, after: float = 100.0) -> list[Any]:
+        return self.tell(messages.FirstToken(request, server, after), after=after)
 
-    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[port.Generation, port.SendLeg]:
+    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[messages.Request, messages.StartAttempt]:
         """A generation whose state has just been sent on to a writer, and that leg."""
-        gen = self.gen(effect, **own)
-        leg = sent(self.arrive(gen))
-        return gen, sent(self.end(gen, leg.server, Verdict.READ))
+        request = self.request(effect, **own)
+        attempt = sent(self.arrive(request))
+        return request, sent(self.end(request, attempt.server, AttemptOutcome.PREFILLED))
 
 
-def sent(actions: list[Any]) -> port.SendLeg:
-    legs = [a for a in actions if isinstance(a, port.SendLeg)]
-    assert len(legs) == 1, actions
-    return legs[0]
+def sent(actions: list[Any]) -> messages.StartAttempt:
+    attempts = [a for a in actions if isinstance(a, messages.StartAttempt)]
+    assert len(attempts) == 1, actions
+    return attempts[0]
 
 
 def kinds(actions: list[Any]) -> list[type]:
     return [type(a) for a in actions]
 
 
-FACTS = StartFacts(
+ROUTER_CONFIG = RouterConfig(
     seed=7,
     gateways=2,
     zone="east",
-    products=(),
-    leg_limit=5,
-    may_call_off=True,
-    may_hold_ahead=False,
+    request_classes=(),
+    max_attempts=5,
+    may_cancel=True,
+    may_reserve=False,
     may_probe=False,
-    may_advise=True,
-    must_ask=False,
+    may_send_retry_after=True,
+    must_subscribe=False,
     ask_within_ms=10e3,
-    writers_read=False,
+    decode_servers_prefill=False,
     reports_mem=False,
-    longest_pause_ms=500.0,
+    max_retry_after_ms=500.0,
     connect_ms=250.0,
     idle_ms=30e3,
     release_ms=500.0,
     drain_grace_ms=250.0,
-    cold_ms=10e3,
-    cold_from=0.25,
+    slow_start_ms=10e3,
+    slow_start_share=0.25,
     fall_multiple=2.5,
     fall_ms=2000.0,
     step_ms=4.0,
 )
 
 
-def build(extra: tuple[str, ...] = (), **facts: Any) -> FakeHost:
-    products = {e: Product(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
+def build(extra: tuple[str, ...] = (), **router_config: Any) -> FakeHost:
+    request_classes = {e: RequestClass(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
     servers = {
         name: Server(
-            "east", int(name[1]), Duty.READ if name[0] == "r" else Duty.WRITE, 200e3, mark=zlib.crc32(name.encode())
+            "east",
+            int(name[1]),
+            Role.PREFILL if name[0] == "r" else Role.DECODE,
+            200e3,
+            hash_key=zlib.crc32(name.encode()),
         )
         for name in ("r0", "w0", "r1", "w1", *extra)
     }
-    host = FakeHost(Router(replace(FACTS, products=tuple(products.values()), **facts)), servers, products, 1000.0)
+    host = FakeHost(
+        Router(replace(ROUTER_CONFIG, request_classes=tuple(request_classes.values()), **router_config)),
+        servers,
+        request_classes,
+        1000.0,
+    )
     host.list()
     return host
 
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -15,24 +15,24 @@
 from math import inf
 from typing import Any, Callable
 
-from ternlane import port
-from ternlane.choice import Router
-from ternlane.port import Duty, Effect, Group, Life, Product, Server, Tenant, Verdict
+from ternlane.policy import messages
+from ternlane.policy.router import Router
+from ternlane.policy.messages import Role, Effect, Group, EndpointStatus, RequestClass, Server, Tenant, AttemptOutcome
 from tests import fleet
-from tests.conftest import FACTS
+from tests.conftest import ROUTER_CONFIG
 
 # The kinds of actions by their number in the canonical form. The order is part of the recorded digests.
 ACTION_KINDS = (
-    port.SendLeg,
-    port.CallOff,
-    port.Throttle,
-    port.Terminate,
-    port.Release,
-    port.HoldAhead,
-    port.Probe,
-    port.Follow,
-    port.Wake,
-    port.Log,
+    messages.StartAttempt,
+    messages.CancelAttempt,
+    messages.Reject,
+    messages.Fail,
+    messages.Release,
+    messages.Reserve,
+    messages.Probe,
+    messages.WatchEndpoints,
+    messages.StartTimer,
+    messages.Log,
 )
 
 
@@ -98,11 +98,11 @@
 class RandomHost:
     """Hands one router a seeded stream of everything that a host may tell it, and answers its actions at random."""
 
-    def __init__(self, seed: int, **facts: Any) -> None:
+    def __init__(self, seed: int, **router_config: Any) -> None:
         self.rng = random.Random(seed)
-        self.products = tuple(self.product() for _ in range(4))
-        self.facts = replace(FACTS, seed=seed, products=self.products, **facts)
-        self.recorder = Recorder(Router(self.facts))
+        self.request_classes = tuple(self.request_class() for _ in range(4))
+        self.router_config = replace(ROUTER_CONFIG, seed=seed, request_classes=self.request_classes, **router_config)
+        self.recorder = Recorder(Router(self.router_config))
         self.tenants = [Tenant(), Tenant(), None]
         self.servers = [self.server(number) for number in range(self.rng.randint(4, 14))]
         self.now = 1000.0
@@ -110,13 +110,13 @@
         self.order = 0
         self.open: dict[Any, Any] = {}  # requests without a final answer
         self.out: dict[Any, tuple[Any, Server, Pending]] = {}  # the attempt that is out for each request
-        self.tell(port.Listed(tuple(self.servers)))
+        self.tell(messages.EndpointsUpdated(tuple(self.servers)))
 
     # -- what there is
 
-    def product(self) -> Product:
+    def request_class(self) -> RequestClass:
         rng = self.rng
-        return Product(
+        return RequestClass(
             rng.choice(list(Effect)),
             rng.choice(list(Group)),
             rng.uniform(200.0, 5000.0),
@@ -129,22 +129,22 @@
         )
 
     def server(self, number: int) -> Server:
-        roles = list(Duty) if self.facts.writers_read else [Duty.READ, Duty.WRITE]
+        roles = list(Role) if self.router_config.decode_servers_prefill else [Role.PREFILL, Role.DECODE]
         role = roles[number % len(roles)]
-        mark = zlib.crc32(b"server %d" % number)
-        return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), mark=mark)
+        hash_key = zlib.crc32(b"server %d" % number)
+        return Server(f"zone-{number % 3}", number // 2, role, self.rng.uniform(5e3, 2e5), hash_key=hash_key)
 
     def request(self) -> Any:
-        rng, product = self.rng, self.rng.choice(self.products)
+        rng, request_class = self.rng, self.rng.choice(self.request_classes)
         prompt = 2000.0 * rng.lognormvariate(-0.2, 0.8)
-        return port.Generation(
-            product,
+        return messages.Request(
+            request_class,
             rng.choice([None, *(f"s{n}" for n in range(12))]),
             rng.choice([None, *(f"o{n}" for n in range(4))]),
             prompt * rng.uniform(0.0, 0.9),
             prompt,
             rng.uniform(20.0, 900.0),
-            product.limit_ms * rng.uniform(0.2, 1.0),
+            request_class.deadline_ms * rng.uniform(0.2, 1.0),
             rng.random() < 0.1,
             tenant=rng.choice(self.tenants),
         )
@@ -181,34 +181,34 @@
 
     def carry_out(self, action: Any) -> None:
         match action:
-            case port.Wake(at, beat):
-                self.at(at, lambda: [port.Woken(beat)])
-            case port.SendLeg(request, server):
+            case messages.StartTimer(at, beat):
+                self.at(at, lambda: [messages.TimerFired(beat)])
+            case messages.StartAttempt(request, server):
                 self.begin(request, server, action)
-            case port.CallOff(request):
-                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, Verdict.CALLED_OFF))
-            case port.Throttle(request) | port.Terminate(request):
+            case messages.CancelAttempt(request):
+                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, AttemptOutcome.CANCELLED))
+            case messages.Reject(request) | messages.Fail(request):
                 self.open.pop(request, None)
-            case port.Release(request):
+            case messages.Release(request):
                 if self.rng.random() < 0.7:
-                    self.after(self.rng.uniform(1.0, 300.0), lambda: [port.ReleaseHeard(request)])
-            case port.HoldAhead(request):
+                    self.after(self.rng.uniform(1.0, 300.0), lambda: [messages.ReleaseConfirmed(request)])
+            case messages.Reserve(request):
                 held = self.rng.random() < 0.5
-                self.after(self.rng.uniform(1.0, 50.0), lambda: [port.PlaceHeld(request, held)])
-            case port.Probe(server):
+                self.after(self.rng.uniform(1.0, 50.0), lambda: [messages.ReservationResult(request, held)])
+            case messages.Probe(server):
                 self.after(self.rng.uniform(1.0, 80.0), lambda: [self.checked(server)])
-            case port.Follow():
+            case messages.WatchEndpoints():
                 if self.rng.random() < 0.3:
-                    self.after(self.rng.uniform(1.0, 500.0), lambda: [port.ListFailed()])
+                    self.after(self.rng.uniform(1.0, 500.0), lambda: [messages.EndpointListFailed()])
 
     def checked(self, server: Server) -> Any:
-        verdict = self.rng.choice([Verdict.STREAMED, Verdict.TIMED_OUT])
-        return port.Checked(server, verdict, self.report() if verdict is Verdict.STREAMED else None)
+        outcome = self.rng.choice([AttemptOutcome.STREAMED, AttemptOutcome.TIMED_OUT])
+        return messages.ProbeResult(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
 
     def report(self) -> Any:
         if self.rng.random() < 0.3:
             return None
-        return port.Report(
+        return messages.Report(
             self.rng.choice([None, float(self.rng.randint(0, 60))]), self.rng.choice([None, self.rng.random()])
         )
 
@@ -216,56 +216,56 @@
         rng = self.rng
         pending = Pending()
         self.out[request] = times, server, pending
-        took = rng.expovariate(1 / (150.0 + 30.0 * (server.mark % 5)))
+        took = rng.expovariate(1 / (150.0 + 30.0 * (server.hash_key % 5)))
         if took >= times.timeout_ms:
-            self.after(times.timeout_ms, lambda: self.end(request, Verdict.TIMED_OUT, times))
+            self.after(times.timeout_ms, lambda: self.end(request, AttemptOutcome.TIMED_OUT, times))
             return
-        verdict = self.outcome(server)
-        if verdict is Verdict.STREAMED:
+        outcome = self.outcome(server)
+        if outcome is AttemptOutcome.STREAMED:
             self.after(took, lambda: self.first_token(request, server, took, times))
             finish = took + rng.expovariate(1 / 800.0)
-            ending = Verdict.RESET if rng.random() < 0.08 else Verdict.STREAMED
+            ending = AttemptOutcome.RESET if rng.random() < 0.08 else AttemptOutcome.STREAMED
             self.after(finish, lambda: self.end(request, ending, times))
         else:
-            self.after(took, lambda: self.end(request, verdict, times))
+            self.after(took, lambda: self.end(request, outcome, times))
 
-    def outcome(self, server: Server) -> Verdict:
-        fault_share = 0.6 if server.mark % 7 == 0 else 0.12
+    def outcome(self, server: Server) -> AttemptOutcome:
+        fault_share = 0.6 if server.hash_key % 7 == 0 else 0.12
         if self.rng.random() < fault_share:
             return self.rng.choice(
                 [
-                    Verdict.ERROR,
-                    Verdict.FULL,
-                    Verdict.UNCONNECTED,
-                    Verdict.RESET,
-                    Verdict.WITHHELD,
-                    Verdict.TIMED_OUT,
+                    AttemptOutcome.ERROR,
+                    AttemptOutcome.OVERLOADED,
+                    AttemptOutcome.CONNECT_FAILED,
+                    AttemptOutcome.RESET,
+                    AttemptOutcome.NOT_STARTED,
+                    AttemptOutcome.TIMED_OUT,
                 ]
             )
-        return Verdict.READ if server.duty is Duty.READ else Verdict.STREAMED
+        return AttemptOutcome.PREFILLED if server.role is Role.PREFILL else AttemptOutcome.STREAMED
 
     def first_token(self, request: Any, server: Server, took: float, times: Any) -> list[Any]:
         if self.out.get(request, (None,))[0] is not times:
             return []
         self.out[request][2].begun = True
-        return [port.FirstTok(request, server, took)]
+        return [messages.FirstToken(request, server, took)]
 
-    def end(self, request: Any, verdict: Verdict, times: Any = None) -> list[Any]:
+    def end(self, request: Any, outcome: AttemptOutcome, times: Any = None) -> list[Any]:
         entry = self.out.get(request)
         if entry is None or (times is not None and entry[0] is not times):
             return []
-        if verdict is Verdict.CALLED_OFF and entry[2].begun:
+        if outcome is AttemptOutcome.CANCELLED and entry[2].begun:
             return []
         del self.out[request]
         gone = request not in self.open
-        over = verdict is Verdict.STREAMED or gone
+        over = outcome is AttemptOutcome.STREAMED or gone
         broken = entry[2].begun and not over
         if over:
             self.open.pop(request, None)
-        kept = request.prompt_toks * self.rng.random() if verdict is Verdict.READ else 0.0
-        lost = entry[1].duty is not Duty.READ and verdict is Verdict.ERROR and self.rng.random() < 0.5
+        kept = request.prompt_tokens * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
+        lost = entry[1].role is not Role.PREFILL and outcome is AttemptOutcome.ERROR and self.rng.random() < 0.5
         took = self.rng.uniform(1.0, 900.0)
-        ended = port.LegEnded(request, entry[1], verdict, took, over, kept, lost, self.report(), broken)
+        ended = messages.AttemptEnded(request, entry[1], outcome, took, over, kept, lost, self.report(), broken)
         if broken:
             self.after(self.rng.uniform(5.0, 200.0), lambda: self.go_on(request))
         return [ended]
@@ -273,8 +273,8 @@
     def go_on(self, request: Any) -> list[Any]:
         if request not in self.open:
             return []
-        request.prompt_toks += self.rng.uniform(1.0, 100.0)
-        return [port.GoOn(request)]
+        request.prompt_tokens += self.rng.uniform(1.0, 100.0)
+        return [messages.ResumeStream(request)]
 
     # -- what happens by itself
 
@@ -284,13 +284,13 @@
         self.open[request] = None
         if self.rng.random() < 0.08:
             self.after(self.rng.uniform(0.0, 900.0), lambda: self.leave(request))
-        return [port.Arrived(request)]
+        return [messages.RequestArrived(request)]
 
     def leave(self, request: Any) -> list[Any]:
         if request not in self.open or (request in self.out and self.out[request][2].begun):
             return []
         del self.open[request]
-        return [port.ClientLeft(request)]
+        return [messages.ClientDisconnected(request)]
 
     def disturb(self) -> list[Any]:
         """A change of the list, or of the settings."""
@@ -299,47 +299,49 @@
         if draw < 0.08:
             return self.reload()
         if draw < 0.15:
-            return [port.ListFailed()]
+            return [messages.EndpointListFailed()]
         if draw < 0.35:
             return self.replace_server()
         server = self.rng.choice(self.servers)
-        server.life = self.rng.choice([Life.UP, Life.UP, Life.UP, Life.DRAINING])
+        server.status = self.rng.choice(
+            [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING]
+        )
         if self.rng.random() < 0.3:
             server.started_ms = self.now
-        return [port.Listed((server,))]
+        return [messages.EndpointsUpdated((server,))]
 
     def replace_server(self) -> list[Any]:
         number = len(self.servers)
         old = self.rng.choice(self.servers)
-        old.life = Life.GONE
+        old.status = EndpointStatus.REMOVED
         new = self.server(number)
         new.started_ms = self.now
         self.servers.append(new)
-        return [port.Listed((old, new))]
+        return [messages.EndpointsUpdated((old, new))]
 
     def reload(self) -> list[Any]:
-        kept = self.rng.sample(self.products, 3)
-        self.products = (*kept, self.product())
-        self.facts = replace(
-            self.facts,
-            products=self.products,
-            leg_limit=self.rng.randint(2, 6),
+        kept = self.rng.sample(self.request_classes, 3)
+        self.request_classes = (*kept, self.request_class())
+        self.router_config = replace(
+            self.router_config,
+            request_classes=self.request_classes,
+            max_attempts=self.rng.randint(2, 6),
             release_ms=self.rng.choice([300.0, 500.0, 900.0]),
-            cold_ms=self.rng.choice([4e3, 10e3]),
+            slow_start_ms=self.rng.choice([4e3, 10e3]),
         )
-        return [port.Altered(self.facts)]
+        return [messages.ConfigChanged(self.router_config)]
 
 
 def shut_down_at(host: RandomHost, ms: float, grace_ms: float) -> None:
     """Tells the router at that time that its gateway ends; twice, as two signals may come."""
-    times = port.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
-    host.after(ms, lambda: [port.Ending(times)])
-    host.after(ms + 100.0, lambda: [port.Ending(replace(times, ends_ms=inf))])
+    times = messages.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
+    host.after(ms, lambda: [messages.ShutdownStarted(times)])
+    host.after(ms + 100.0, lambda: [messages.ShutdownStarted(replace(times, ends_ms=inf))])
 
 
-def stream_digest(seed: int, shutdown_ms: float | None = None, **facts: Any) -> str:
+def stream_digest(seed: int, shutdown_ms: float | None = None, **router_config: Any) -> str:
     """The actions on a random stream of events."""
-    host = RandomHost(seed, **facts)
+    host = RandomHost(seed, **router_config)
     if shutdown_ms is not None:
         shut_down_at(host, shutdown_ms, grace_ms=300.0)
     return host.play(seconds=20.0)
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -7,9 +7,9 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane import port
-from ternlane.port import Duty, Effect, Generation, Verdict
-from tests.fleet.scene import Request, Scene
+from ternlane.policy import messages
+from ternlane.policy.messages import Role, Effect, Request, AttemptOutcome
+from tests.fleet.scene import ClientRequest, Scene
 from tests.fleet.server import ModelServer
 
 if TYPE_CHECKING:
@@ -23,42 +23,45 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway, self.day = gateway, gateway.day
-        self.attempts: defaultdict[Generation, int] = defaultdict(int)
-        self.tried: defaultdict[Generation, set[ModelServer]] = defaultdict(set)
-        self.ran: set[Generation] = set()
+        self.attempts: defaultdict[Request, int] = defaultdict(int)
+        self.tried: defaultdict[Request, set[ModelServer]] = defaultdict(set)
+        self.ran: set[Request] = set()
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
-        out: list[port.Action] = []
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
+        out: list[messages.Action] = []
         for event in events:
             match event:
-                case port.Arrived(gen):
-                    out.append(self.next(gen, Duty.READ))
-                case port.LegEnded(gen, server, verdict, _, over) if not over:
-                    if verdict is Verdict.READ:
-                        out.append(self.next(gen, Duty.WRITE))
+                case messages.RequestArrived(request):
+                    out.append(self.next(request, Role.PREFILL))
+                case messages.AttemptEnded(request, server, outcome, _, over) if not over:
+                    if outcome is AttemptOutcome.PREFILLED:
+                        out.append(self.next(request, Role.DECODE))
                         continue
                     model = self.gateway.truth[server]
-                    self.tried[gen].add(model)
-                    if server.duty is Duty.WRITE and verdict not in (Verdict.UNCONNECTED, Verdict.FULL):
-                        self.ran.add(gen)
-                    out.append(self.next(gen, Duty.READ if server.duty is Duty.READ else Duty.WRITE))
+                    self.tried[request].add(model)
+                    if server.role is Role.DECODE and outcome not in (
+                        AttemptOutcome.CONNECT_FAILED,
+                        AttemptOutcome.OVERLOADED,
+                    ):
+                        self.ran.add(request)
+                    out.append(self.next(request, Role.PREFILL if server.role is Role.PREFILL else Role.DECODE))
         return out
 
-    def next(self, gen: Generation, duty: Duty) -> port.Action:
+    def next(self, request: Request, role: Role) -> messages.Action:
         gateway, day = self.gateway, self.day
-        request = gateway.requests[gen]
-        left = request.came + request.patience - day.now
-        unsafe = gen.product.effect is not Effect.IDEMPOTENT and gen in self.ran
+        client_request = gateway.requests[request]
+        left = client_request.came + client_request.patience - day.now
+        unsafe = request.request_class.effect is not Effect.IDEMPOTENT and request in self.ran
         if unsafe:
-            return port.Terminate(gen)
-        able = [m for m in day.models if m.duty is duty and day.view(m).healthy and m not in self.tried[gen]]
+            return messages.Fail(request)
+        able = [m for m in day.models if m.role is role and day.view(m).healthy and m not in self.tried[request]]
         able = [m for m in able if not day.cut(gateway, m)]
-        if left <= 0 or self.attempts[gen] >= 5 or not able:
-            return port.Throttle(gen, 200.0)
-        self.attempts[gen] += 1
-        best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, request), m.number))
-        day.view(best).add(best, request)
-        return port.SendLeg(gen, gateway.know(best), min(left, gen.product.slo_ms), inf, inf)
+        if left <= 0 or self.attempts[request] >= 5 or not able:
+            return messages.Reject(request, 200.0)
+        self.attempts[request] += 1
+        best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
+        day.view(best).add(best, client_request)
+        return messages.StartAttempt(request, gateway.know(best), min(left, request.request_class.slo_ms), inf, inf)
 
 
 @dataclass
@@ -66,14 +69,14 @@
     healthy: bool
     load: float
     warmth: float
-    duty: Duty
+    role: Role
     scene: Scene
 
-    def cost(self, model: ModelServer, request: Request) -> float:
+    def cost(self, model: ModelServer, client_request: ClientRequest) -> float:
         """What the request adds to the load: less work where its text is kept."""
-        if self.duty is Duty.READ:
-            return model.unread(request) / self.scene.reader_tokens_per_ms / self.warmth
-        return (request.prompt + request.answer) / self.scene.writer_memory / self.warmth
+        if self.role is Role.PREFILL:
+            return model.unread(client_request) / self.scene.prefill_tokens_per_ms / self.warmth
+        return (client_request.prompt + client_request.answer) / self.scene.decode_memory / self.warmth
 
-    def add(self, model: ModelServer, request: Request) -> None:
-        self.load += self.cost(model, request)
+    def add(self, model: ModelServer, client_request: ClientRequest) -> None:
+        self.load += self.cost(model, client_request)
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -8,9 +8,10 @@
 from math import inf
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
-from ternlane import port, turns
-from ternlane.port import Duty, Effect, Generation, Life, Server, Verdict
-from tests.fleet.scene import Job, Request
+from ternlane import turns
+from ternlane.policy import messages
+from ternlane.policy.messages import Role, Effect, Request, EndpointStatus, Server, AttemptOutcome
+from tests.fleet.scene import Job, ClientRequest
 from tests.fleet.server import ModelServer
 
 PROBE_MS = 2.0
@@ -26,37 +27,37 @@
         self.day, self.number = day, number
         self.zone = f"zone-{number % day.scene.zones}"
         self.alive = True
-        self.life = 0
+        self.incarnation = 0
         self.begin()
 
     def begin(self) -> None:
         """A process that has just started, with the list as discovery has it."""
         day = self.day
-        self.life += 1
+        self.incarnation += 1
         super().__init__(day.chooser(self))
-        self.requests: dict[Generation, Request] = {}
-        self.jobs: dict[Generation, Job] = {}
+        self.requests: dict[Request, ClientRequest] = {}
+        self.jobs: dict[Request, Job] = {}
         self.truth: dict[Server, ModelServer] = {}
         self.known: dict[ModelServer, Server] = {}
         for model in day.models:
             if model.up:
                 self.know(model)
-        self.tell(port.Listed(tuple(self.truth)))
+        self.tell(messages.EndpointsUpdated(tuple(self.truth)))
 
     def know(self, model: ModelServer) -> Server:
         server = self.known.get(model)
         if server is None:
-            memory = self.day.scene.writer_memory if model.duty is Duty.WRITE else 250e3
-            server = Server(model.zone, model.cell, model.duty, memory, mark=zlib.crc32(model.name.encode()))
+            memory = self.day.scene.decode_memory if model.role is Role.DECODE else 250e3
+            server = Server(model.zone, model.cell, model.role, memory, hash_key=zlib.crc32(model.name.encode()))
             self.known[model], self.truth[server] = server, model
         server.started_ms = max(0.0, model.started)
-        server.life = Life.DRAINING if model.draining else Life.UP
+        server.status = EndpointStatus.DRAINING if model.draining else EndpointStatus.READY
         return server
 
     def heard_of(self, model: ModelServer) -> None:
         """Discovery has told of a change."""
         if self.alive:
-            self.tell(port.Listed((self.know(model),)))
+            self.tell(messages.EndpointsUpdated((self.know(model),)))
 
     def kill(self) -> None:
         self.alive = False
@@ -64,116 +65,116 @@
         for job in jobs:
             job.ended = True
             self.truth[job.server].leave(job)
-        for request in list(self.requests.values()):
-            if request.first_token < inf:
-                request.broken = True
+        for client_request in list(self.requests.values()):
+            if client_request.first_token < inf:
+                client_request.broken = True
             else:
-                self.day.again(request, "killed")
+                self.day.again(client_request, "killed")
         self.requests.clear()
-        self.tickets.clear()
+        self.active_requests.clear()
 
     # -- the loop's side
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        life = self.life
+        incarnation = self.incarnation
 
         def due() -> None:
-            if self.alive and life == self.life:
+            if self.alive and incarnation == self.incarnation:
                 call()
                 if self.heard and not self.turning:
                     self.turn()
 
         self.day.at(when_ms, due)
 
-    def arrive(self, request: Request) -> None:
-        left = request.came + request.patience - self.day.now
-        gen = Generation(
-            request.product,
-            request.session,
-            request.opening,
-            request.prompt * 0.5,
-            request.prompt,
-            4 * request.answer,
+    def arrive(self, client_request: ClientRequest) -> None:
+        left = client_request.came + client_request.patience - self.day.now
+        request = Request(
+            client_request.request_class,
+            client_request.session,
+            client_request.prefix,
+            client_request.prompt * 0.5,
+            client_request.prompt,
+            4 * client_request.answer,
             left,
-            tenant=request.tenant,
+            tenant=client_request.tenant,
         )
-        self.requests[gen] = request
-        self.tickets[gen] = Ticket(gen)
-        self.tell(port.Arrived(gen))
-        if request.gives_up_ms < inf:
-            self.at(self.day.now + request.gives_up_ms, lambda: self.leave(gen))
+        self.requests[request] = client_request
+        self.active_requests[request] = ActiveRequest(request)
+        self.tell(messages.RequestArrived(request))
+        if client_request.gives_up_ms < inf:
+            self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
 
-    def leave(self, gen: Generation) -> None:
+    def leave(self, request: Request) -> None:
         """Its client has closed the connection, unless its answer has begun."""
-        request = self.requests.get(gen)
-        if request is None or request.first_token < inf:
+        client_request = self.requests.get(request)
+        if client_request is None or client_request.first_token < inf:
             return
-        request.left = True
-        del self.requests[gen]
-        self.tell(port.ClientLeft(gen))
-        if gen not in self.jobs:
-            self.tickets.pop(gen, None)
-
-    def send(self, ticket: Any, server: Server, times: port.SendLeg) -> None:
-        gen, now, life = times.gen, self.day.now, self.life
-        job = Job(self, gen, server, self.requests[gen], now, now + times.timeout_ms)
-        self.jobs[gen] = job
-        ticket.leg = Attempt(self, job)
+        client_request.left = True
+        del self.requests[request]
+        self.tell(messages.ClientDisconnected(request))
+        if request not in self.jobs:
+            self.active_requests.pop(request, None)
+
+    def send(self, active_request: Any, server: Server, times: messages.StartAttempt) -> None:
+        request, now, incarnation = times.request, self.day.now, self.incarnation
+        job = Job(self, request, server, self.requests[request], now, now + times.timeout_ms)
+        self.jobs[request] = job
+        active_request.attempt = Attempt(self, job)
         self.day.sent.append((now, self.truth[server]))
         self.truth[server].take(job)
 
         def timeout() -> None:
-            if self.alive and life == self.life and not job.begun:
-                self.ended(job, Verdict.TIMED_OUT)
+            if self.alive and incarnation == self.incarnation and not job.begun:
+                self.ended(job, AttemptOutcome.TIMED_OUT)
 
         self.day.at(job.timeout_at, timeout)
 
-    def ended(self, job: Job, verdict: Verdict) -> None:
+    def ended(self, job: Job, outcome: AttemptOutcome) -> None:
         if job.ended or not self.alive:
             return
         job.ended = True
         model = self.truth[job.server]
         model.leave(job)
-        self.jobs.pop(job.gen, None)
-        ticket = self.tickets.get(job.gen)
-        if ticket is not None:
-            ticket.leg = None
-        request = self.requests.get(job.gen)
-        over = verdict is Verdict.STREAMED or job.begun or request is None
-        if over and verdict is not Verdict.STREAMED and request is not None and job.begun:
-            request.broken = True
+        self.jobs.pop(job.request, None)
+        active_request = self.active_requests.get(job.request)
+        if active_request is not None:
+            active_request.attempt = None
+        client_request = self.requests.get(job.request)
+        over = outcome is AttemptOutcome.STREAMED or job.begun or client_request is None
+        if over and outcome is not AttemptOutcome.STREAMED and client_request is not None and job.begun:
+            client_request.broken = True
         if over:
-            self.requests.pop(job.gen, None)
-        self.day.verdicts[model.duty, verdict] += 1
+            self.requests.pop(job.request, None)
+        self.day.attempt_outcomes[model.role, outcome] += 1
         took = self.day.now - job.since
         kept = 0.0
-        if verdict is Verdict.READ:
-            kept = job.request.prompt - job.work * self.day.scene.reader_tokens_per_ms
-        self.tell(port.LegEnded(job.gen, job.server, verdict, took, over, kept))
-        if job.gen not in self.requests:
-            self.tickets.pop(job.gen, None)
+        if outcome is AttemptOutcome.PREFILLED:
+            kept = job.client_request.prompt - job.work * self.day.scene.prefill_tokens_per_ms
+        self.tell(messages.AttemptEnded(job.request, job.server, outcome, took, over, kept))
+        if job.request not in self.requests:
+            self.active_requests.pop(job.request, None)
 
     def first_token(self, job: Job) -> None:
-        if job.ended or job.gen not in self.requests:
+        if job.ended or job.request not in self.requests:
             return
         job.begun = True
-        job.request.first_token = self.day.now
-        self.tickets[job.gen].flowing = True
-        self.tell(port.FirstTok(job.gen, job.server, self.day.now - job.since))
+        job.client_request.first_token = self.day.now
+        self.active_requests[job.request].flowing = True
+        self.tell(messages.FirstToken(job.request, job.server, self.day.now - job.since))
 
-    def settle(self, ticket: Any, final: turns.Throttled | turns.Terminated) -> None:
-        request = self.requests.pop(ticket.gen, None)
-        if request is None:
+    def settle(self, active_request: Any, final: turns.Rejected | turns.Failed) -> None:
+        client_request = self.requests.pop(active_request.request, None)
+        if client_request is None:
             return
-        if isinstance(final, turns.Throttled):
-            self.day.again(request, "rejected", final.pause_ms)
-        elif request.product.effect is Effect.IDEMPOTENT:
-            self.day.again(request, "failed")
+        if isinstance(final, turns.Rejected):
+            self.day.again(client_request, "rejected", final.pause_ms)
+        elif client_request.request_class.effect is Effect.IDEMPOTENT:
+            self.day.again(client_request, "failed")
         else:
-            request.outcomes.append("failed")
+            client_request.outcomes.append("failed")
 
-    def carry_further(self, action: port.Action) -> None:
-        if isinstance(action, port.Probe):
+    def carry_further(self, action: messages.Action) -> None:
+        if isinstance(action, messages.Probe):
             self.probe(action.server)
 
     def probe(self, server: Server) -> None:
@@ -181,16 +182,19 @@
         model = self.truth[server]
         self.day.probes += 1
         if model.up and not model.silent and not model.hung and not self.day.cut(self, model):
-            self.at(self.day.now + PROBE_MS, lambda: self.tell(port.Checked(server, Verdict.STREAMED, model.report())))
+            self.at(
+                self.day.now + PROBE_MS,
+                lambda: self.tell(messages.ProbeResult(server, AttemptOutcome.STREAMED, model.report())),
+            )
 
     def woken(self) -> None:
         pass
 
 
 @dataclass(eq=False)
-class Ticket:
-    gen: Generation
-    leg: Any = None
+class ActiveRequest:
+    request: Request
+    attempt: Any = None
     flowing: bool = False
     why: str = ""
     trail: list[str] = field(default_factory=list)
@@ -201,8 +205,8 @@
     gateway: Gateway
     job: Job
 
-    def call_off(self) -> None:
-        self.gateway.day.after(0.0, lambda: self.gateway.ended(self.job, Verdict.CALLED_OFF))
+    def cancel(self) -> None:
+        self.gateway.day.after(0.0, lambda: self.gateway.ended(self.job, AttemptOutcome.CANCELLED))
 
 
 @contextmanager
--- a/tests/fleet/scene.py
+++ b/tests/fleet/scene.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Generation, Product, Server, Tenant
+from ternlane.policy.messages import Request, RequestClass, Server, Tenant
 
 if TYPE_CHECKING:
     from tests.fleet.gateway import Gateway
@@ -19,44 +19,44 @@
     """What a day is like. `load` is the share of the prefill servers' capacity that the requests ask for."""
 
     gateways: int = 200
-    readers: int = 36
-    writers: int = 24
+    prefill_servers: int = 36
+    decode_servers: int = 24
     zones: int = 1
     load: float = 0.6
     seconds: float = 20.0
     seed: int = 1
     unevenness: float = 0.8  # sigma of the log-normal weights of the gateways
-    reader_tokens_per_ms: float = 21.0
-    reader_slots: int = 8
-    reader_queue: int = 45
-    writer_slots: int = 90
-    writer_queue: int = 28
-    writer_memory: float = 200e3
+    prefill_tokens_per_ms: float = 21.0
+    prefill_slots: int = 8
+    prefill_queue: int = 45
+    decode_slots: int = 90
+    decode_queue: int = 28
+    decode_memory: float = 200e3
     tenants: int = 0
     unsafe_share: float = 0.5
     prompt_tokens: float = 1800.0
     kept_share: float = 0.6  # of a prompt that a reader holds which read its session or opening before
     answer_tokens: float = 150.0
-    openings: int = 12  # beginnings that sessions share, drawn by Zipf's law
+    prefixes: int = 12  # beginnings that sessions share, drawn by Zipf's law
     slo_ms: float = 2000.0
-    limit_ms: float = 10000.0
+    deadline_ms: float = 10000.0
     tries: int = 3
-    cold_ms: float = 10e3
-    cold_from: float = 0.35
-    told_if_asked: bool = False  # model servers answer probes with their load
+    slow_start_ms: float = 10e3
+    slow_start_share: float = 0.35
+    reports_on_probe: bool = False  # model servers answer probes with their load
     notice_ms: float = 0.0  # until the last gateway has heard of a change of the list
     leave_share: float = 0.0  # of the clients, that give up within a second
     burst: float = 1.0  # how much more comes in the second third of the day
 
 
 @dataclass(eq=False)
-class Request:
+class ClientRequest:
     """What one client wants; its tries are counted as one."""
 
-    product: Product
+    request_class: RequestClass
     tenant: Tenant | None
     session: str
-    opening: str
+    prefix: str
     prompt: float
     answer: float
     came: float
@@ -72,7 +72,7 @@
     def served(self) -> float:
         if self.broken or self.first_token == inf:
             return 0.0
-        late = self.first_token > self.came + self.product.slo_ms
+        late = self.first_token > self.came + self.request_class.slo_ms
         return self.value * (LATE_SHARE if late else 1.0)
 
 
@@ -81,9 +81,9 @@
     """One attempt at one model server. `done` is told its end."""
 
     gateway: Gateway
-    gen: Generation
-    server: Server
     request: Request
+    server: Server
+    client_request: ClientRequest
     since: float
     timeout_at: float
     ended: bool = False
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -6,8 +6,8 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ternlane.port import Duty, Report, Verdict
-from tests.fleet.scene import Job, Request
+from ternlane.policy.messages import Role, Report, AttemptOutcome
+from tests.fleet.scene import Job, ClientRequest
 
 if TYPE_CHECKING:
     from tests.fleet.day import Day
@@ -24,11 +24,11 @@
 class ModelServer:
     """What a model server truly does, whatever the gateways believe."""
 
-    def __init__(self, day: Day, number: int, duty: Duty) -> None:
-        self.day, self.number, self.duty = day, number, duty
+    def __init__(self, day: Day, number: int, role: Role) -> None:
+        self.day, self.number, self.role = day, number, role
         self.cell = number // CELL_SIZE
         self.zone = f"zone-{self.cell % day.scene.zones}"
-        self.name = f"{duty.name}-{number}"
+        self.name = f"{role.name}-{number}"
         self.up, self.silent, self.hung, self.bad, self.resetting = True, False, False, 0.0, 0.0
         self.draining = False
         self.slow = 1.0
@@ -41,8 +41,8 @@
 
     def warmth(self) -> float:
         scene = self.day.scene
-        age = (self.day.now - self.started) / scene.cold_ms
-        return min(1.0, scene.cold_from + (1 - scene.cold_from) * age)
+        age = (self.day.now - self.started) / scene.slow_start_ms
+        return min(1.0, scene.slow_start_share + (1 - scene.slow_start_share) * age)
 
     # -- what the baseline sees
 
@@ -51,15 +51,15 @@
 
     def fullness(self) -> float:
         scene = self.day.scene
-        ahead = sum(j.request.prompt + j.request.answer for j in self.waiting)
+        ahead = sum(j.client_request.prompt + j.client_request.answer for j in self.waiting)
         return max(
-            (self.memory + ahead) / scene.writer_memory, (len(self.running) + len(self.waiting)) / scene.writer_slots
+            (self.memory + ahead) / scene.decode_memory, (len(self.running) + len(self.waiting)) / scene.decode_slots
         )
 
-    def unread(self, request: Request) -> float:
+    def unread(self, client_request: ClientRequest) -> float:
         """The tokens of its prompt that are not kept here."""
-        kept = {request.session, request.opening} & self.kept
-        return request.prompt * ((1 - self.day.scene.kept_share) if kept else 1.0)
+        kept = {client_request.session, client_request.prefix} & self.kept
+        return client_request.prompt * ((1 - self.day.scene.kept_share) if kept else 1.0)
 
     def healthy(self) -> bool:
         return (
@@ -69,35 +69,35 @@
     def report(self) -> Report:
         """What it says of its load."""
         held = len(self.running) + len(self.waiting)
-        share = self.memory / self.day.scene.writer_memory if self.duty is Duty.WRITE else 0.0
-        return Report(open_gens=float(held), mem_share=share)
+        share = self.memory / self.day.scene.decode_memory if self.role is Role.DECODE else 0.0
+        return Report(open_requests=float(held), memory_share=share)
 
     # -- attempts
 
     def take(self, job: Job) -> None:
         day, scene = self.day, self.day.scene
         if not self.up:
-            return day.after(1.0, lambda: job.gateway.ended(job, Verdict.UNCONNECTED))
+            return day.after(1.0, lambda: job.gateway.ended(job, AttemptOutcome.CONNECT_FAILED))
         if day.cut(job.gateway, self) or self.silent:
             linked = self.connected[job.gateway] > 0
             if linked:
                 return  # an open connection that stays silent
-            return day.after(CONNECT_MS, lambda: job.gateway.ended(job, Verdict.UNCONNECTED))
+            return day.after(CONNECT_MS, lambda: job.gateway.ended(job, AttemptOutcome.CONNECT_FAILED))
         if day.rng.random() < self.resetting:
-            return day.after(5.0, lambda: job.gateway.ended(job, Verdict.RESET))
+            return day.after(5.0, lambda: job.gateway.ended(job, AttemptOutcome.RESET))
         self.connected[job.gateway] += 1
         if day.rng.random() < self.bad:
-            return day.after(8.0, lambda: job.gateway.ended(job, Verdict.ERROR))
-        limit = scene.reader_queue if self.duty is Duty.READ else scene.writer_queue
+            return day.after(8.0, lambda: job.gateway.ended(job, AttemptOutcome.ERROR))
+        limit = scene.prefill_queue if self.role is Role.PREFILL else scene.decode_queue
         if len(self.waiting) >= limit:
-            return day.after(CONFIRM_MS, lambda: job.gateway.ended(job, Verdict.FULL))
-        job.work = self.unread(job.request) / scene.reader_tokens_per_ms if self.duty is Duty.READ else 0.0
+            return day.after(CONFIRM_MS, lambda: job.gateway.ended(job, AttemptOutcome.OVERLOADED))
+        job.work = self.unread(job.client_request) / scene.prefill_tokens_per_ms if self.role is Role.PREFILL else 0.0
         self.waiting.append(job)
         self.go_on()
 
     def go_on(self) -> None:
         while self.waiting and not self.hung and self.up:
-            if self.duty is Duty.READ:
+            if self.role is Role.PREFILL:
                 if self.running:
                     return
                 job = self.waiting.popleft()
@@ -106,24 +106,24 @@
                 self.day.after(took, lambda job=job: self.read(job))
             else:
                 job = self.waiting[0]
-                need = job.request.prompt + job.request.answer
-                if len(self.running) >= self.day.scene.writer_slots * self.warmth():
+                need = job.client_request.prompt + job.client_request.answer
+                if len(self.running) >= self.day.scene.decode_slots * self.warmth():
                     return
-                if self.running and self.memory + need > self.day.scene.writer_memory:
+                if self.running and self.memory + need > self.day.scene.decode_memory:
                     return
                 self.waiting.popleft()
                 self.running.append(job)
                 self.memory += need
-                took = (FIRST_TOKEN_MS + job.request.prompt / TRANSFER_TOKENS_PER_MS) * self.slow / self.warmth()
+                took = (FIRST_TOKEN_MS + job.client_request.prompt / TRANSFER_TOKENS_PER_MS) * self.slow / self.warmth()
                 self.day.after(took, lambda job=job: self.first(job))
 
     def read(self, job: Job) -> None:
         if job not in self.running or self.hung:
             return
         self.running.remove(job)
-        self.kept |= {job.request.session, job.request.opening}
+        self.kept |= {job.client_request.session, job.client_request.prefix}
         if not self.silent and not self.day.cut(job.gateway, self):
-            job.gateway.ended(job, Verdict.READ)
+            job.gateway.ended(job, AttemptOutcome.PREFILLED)
         self.go_on()
 
     def first(self, job: Job) -> None:
@@ -131,8 +131,8 @@
             return
         if not self.silent and not self.day.cut(job.gateway, self):
             job.gateway.first_token(job)
-        crowd = 1 + len(self.running) / self.day.scene.writer_slots
-        took = job.request.answer * TOKEN_MS * crowd * self.slow / self.warmth()
+        crowd = 1 + len(self.running) / self.day.scene.decode_slots
+        took = job.client_request.answer * TOKEN_MS * crowd * self.slow / self.warmth()
         self.day.after(took, lambda: self.written(job))
 
     def written(self, job: Job) -> None:
@@ -140,14 +140,14 @@
             return
         self.leave(job)
         if not self.silent and not self.day.cut(job.gateway, self):
-            job.gateway.ended(job, Verdict.STREAMED)
+            job.gateway.ended(job, AttemptOutcome.STREAMED)
 
     def leave(self, job: Job) -> None:
         """The attempt is cancelled or over."""
         if job in self.running:
             self.running.remove(job)
-            if self.duty is not Duty.READ:
-                self.memory -= job.request.prompt + job.request.answer
+            if self.role is not Role.PREFILL:
+                self.memory -= job.client_request.prompt + job.client_request.answer
             self.go_on()
         elif job in self.waiting:
             self.waiting.remove(job)
@@ -162,7 +162,7 @@
         self.kept.clear()
         self.connected.clear()
         for job in lost:
-            job.gateway.ended(job, Verdict.RESET)
+            job.gateway.ended(job, AttemptOutcome.RESET)
 
     def start(self) -> None:
         self.up, self.hung, self.silent, self.started = True, False, False, self.day.now
@@ -178,9 +178,9 @@
 
 def spread_cells(models: list[ModelServer]) -> None:
     """Each cell has about the same mix of both duties."""
-    by_duty: defaultdict[Duty, int] = defaultdict(int)
+    by_role: defaultdict[Role, int] = defaultdict(int)
     cells = max(1, len(models) // CELL_SIZE)
     for model in models:
-        model.cell = by_duty[model.duty] % cells
+        model.cell = by_role[model.role] % cells
         model.zone = f"zone-{model.cell % model.day.scene.zones}"
-        by_duty[model.duty] += 1
+        by_role[model.role] += 1
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -12,7 +12,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Caller, Pool
 from ternlane.platform.process import Gateway
-from ternlane.platform.roster import read_listing
+from ternlane.platform.endpoint_registry import read_listing
 from ternlane.platform.settings import Limits, Post
 from ternlane.standin.platform import Discovery, Fleet, ModelServer
 from ternlane.standin.proxy import StallingProxy
@@ -85,7 +85,7 @@
 
     def list(self, server: ModelServer, address: str) -> None:
         """Puts it on the list of servers at this address, its own or that of a proxy before it."""
-        self.discovery.put(server.name, address, "reader" if server.duty == "read" else "writer")
+        self.discovery.put(server.name, address, "reader" if server.role == "read" else "writer")
 
     async def add_behind_proxy(self, name: str, **more: Any) -> StallingProxy:
         """Adds a server that is reached by way of a proxy alone."""
@@ -167,7 +167,9 @@
         node = self.gateway.node
 
         def left() -> dict[str, Any]:
-            open_here = {ticket.ident: ticket.history.lines() for ticket in node.tickets.values()}
+            open_here = {
+                active_request.ident: active_request.history.lines() for active_request in node.active_requests.values()
+            }
             held = {ident: self.history_of(ident) for ident in self.fleet.states}
             all_of_it = {
                 "open": open_here,
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -9,16 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ternlane.chat import Busy, Differs, Done, Fresh, Intake, Openings, Repeats, Sessions, read_chat
-from ternlane.chat.openings import BLOCK, WholePrefixes, blocks
+from ternlane.chat import Busy, Differs, Done, Fresh, Intake, PrefixIndex, Repeats, Sessions, read_chat
+from ternlane.chat.prefixes import BLOCK, WholePrefixes, blocks
 from ternlane.http1 import EventReader
 from ternlane.engine import load_of
-from ternlane.paper import GatewayPaper, PaperError, read_text
-from ternlane.port import Effect, Group, Product
+from ternlane.config import GatewayConfig, ConfigError, read_text
+from ternlane.policy.messages import Effect, Group, RequestClass
 
 
-def product() -> Product:
-    return Product(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
+def request_class() -> RequestClass:
+    return RequestClass(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
 
 
 def ask(*contents: str, user: str = "u", key: str | None = None) -> object:
@@ -31,7 +31,7 @@
 
 
 def intake(limit: int = 1000) -> Intake:
-    p = product()
+    p = request_class()
     return Intake({"m": p}, {p: 100}, limit)
 
 
@@ -56,10 +56,10 @@
 
 def test_an_opening_is_what_another_session_began_with() -> None:
     known, shared = intake(), "the rules of the bonus " * 60
-    gens = [known.take(ask(shared + c * 600), 1000).gen for c in "abc"]  # type: ignore[arg-type]
-    assert gens[0].opening is None and gens[1].opening == gens[2].opening is not None
-    assert 0 < gens[2].opening_toks <= gens[2].prompt_toks
-    assert abs(gens[2].opening_toks * 4 - len(shared)) <= BLOCK + 8
+    requests = [known.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
+    assert requests[0].prefix is None and requests[1].prefix == requests[2].prefix is not None
+    assert 0 < requests[2].prefix_tokens <= requests[2].prompt_tokens
+    assert abs(requests[2].prefix_tokens * 4 - len(shared)) <= BLOCK + 8
 
 
 def test_token_counts_follow_what_engines_report_and_absurd_ones_do_not_count() -> None:
@@ -69,7 +69,7 @@
         known.learn_prompt(it, 500)
     for absurd in (-3, 0, 10**9):
         known.learn_prompt(it, absurd)
-    assert known.take(ask("w" * 1000), 1000).gen.prompt_toks == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
+    assert known.take(ask("w" * 1000), 1000).request.prompt_tokens == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
 
 
 def test_known_ends_of_conversations_are_bounded() -> None:
@@ -85,7 +85,7 @@
 @settings(max_examples=150, deadline=None)
 @given(runs)
 def test_the_tree_says_the_same_as_a_dict_of_all_beginnings(met: list[tuple[int, list[int]]]) -> None:
-    tree, plain = Openings(10**6), WholePrefixes(10**6)
+    tree, plain = PrefixIndex(10**6), WholePrefixes(10**6)
     for session, run in met:
         assert tree.meet(array("Q", run), session) == plain.meet(array("Q", run), session)
     assert tree.held == sum(len(n.run) for n in tree.walk())
@@ -94,7 +94,7 @@
 @settings(max_examples=80, deadline=None)
 @given(runs, st.integers(1, 12))
 def test_the_tree_keeps_its_bound_and_its_order(met: list[tuple[int, list[int]]], limit: int) -> None:
-    tree = Openings(limit)
+    tree = PrefixIndex(limit)
     for session, run in met:
         tree.meet(array("Q", run), session)
         assert tree.held <= max(limit, 0) and tree.nodes == sum(1 for _ in tree.walk()) - 1
@@ -140,12 +140,12 @@
 )
 def test_events_are_read_however_their_bytes_are_cut(said: list[str], end: str, rng: random.Random) -> None:
     raw = "".join("".join(f"data: {line}{end}" for line in s.split("\n")) + end for s in said).encode()
-    reader, got = EventReader(), []
+    prefill_server, got = EventReader(), []
     while raw:
         n = rng.randint(1, 4)
-        got += reader.feed(raw[:n])
+        got += prefill_server.feed(raw[:n])
         raw = raw[n:]
-    got += reader.feed(b"\n") if end == "\r" else []  # a CR alone ends a line once it is no CRLF
+    got += prefill_server.feed(b"\n") if end == "\r" else []  # a CR alone ends a line once it is no CRLF
     assert got == said
 
 
@@ -164,7 +164,7 @@
 )
 def test_load_reports_are_read_in_both_forms(said: str, mem: float | None, out: float | None) -> None:
     report = load_of(said)
-    assert report is not None and (report.mem_share, report.open_gens) == (mem, out)
+    assert report is not None and (report.memory_share, report.open_requests) == (mem, out)
 
 
 @pytest.mark.parametrize("said", [None, "", "TEXT a=b", "JSON {", "XML <a/>", "JSON [1]"])
@@ -196,7 +196,7 @@
     ],
 )
 def test_a_wrong_document_is_refused_with_line_and_field(old: str, new: str, line: int, field: str) -> None:
-    read_text(GOOD, GatewayPaper)
-    with pytest.raises(PaperError) as bad:
-        read_text(GOOD.replace(old, new, 1), GatewayPaper, "gate.json5")
+    read_text(GOOD, GatewayConfig)
+    with pytest.raises(ConfigError) as bad:
+        read_text(GOOD.replace(old, new, 1), GatewayConfig, "gate.json5")
     assert (bad.value.where, bad.value.field) == (f"gate.json5:{line}", field)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,7 +15,7 @@
 import trio
 
 from tests.world import BUILD, World, replace, world
-from ternlane.client import Client, RequestError, Terminated, Throttled, Unconnected
+from ternlane.client import Client, RequestError, Failed, Rejected, Unconnected
 from ternlane.standin.scripted import Scripted
 
 JS = Path(__file__).parent.parent / "clients" / "js"
@@ -40,7 +40,7 @@
     "scene, effects", [("served", 2), ("aborted", 1), ("throttled", 1), ("lost", 1), ("keyed", 1), ("unreached", 0)]
 )
 async def test_the_javascript_client(scene: str, effects: int) -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=10.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=10.0)) as w:
         if scene == "throttled":
             w.gateway.found([])
 
@@ -76,7 +76,7 @@
 
 
 async def test_the_python_client_streams_comes_back_and_leaves() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=10.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=10.0)) as w:
 
         def talk() -> None:
             with Client(f"http://{w.gateway.address}") as client:
@@ -106,8 +106,8 @@
         def back() -> None:
             with Client(f"http://{w.gateway.address}", retries=5) as client:
                 assert client.complete(REQUEST)["text"]
-            with Client(f"http://{w.gateway.address}", retries=0) as client, pytest.raises(Throttled) as no:
-                client.complete(REQUEST, time_limit_ms=1)
+            with Client(f"http://{w.gateway.address}", retries=0) as client, pytest.raises(Rejected) as no:
+                client.complete(REQUEST, request_timeout_ms=1)
             assert no.value.retry_after_ms is not None
 
         await trio.to_thread.run_sync(back)
@@ -119,7 +119,7 @@
             w.engines[ident].trouble.lost = 1.0
 
         def lost() -> None:
-            with Client(f"http://{w.gateway.address}", retries=3) as client, pytest.raises(Terminated) as why:
+            with Client(f"http://{w.gateway.address}", retries=3) as client, pytest.raises(Failed) as why:
                 client.complete(REQUEST)
             assert why.value.may_have_run
             with Client("http://127.0.0.1:9", retries=1) as nobody, pytest.raises(Unconnected) as refused:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import CARE, Router
-from ternlane.port import Duty, Effect, Generation, Group, Life, Product, Server, Verdict
-from tests.conftest import FACTS
+from ternlane.policy import messages
+from ternlane.policy.router import CARE, Router
+from ternlane.policy.messages import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
+from tests.conftest import ROUTER_CONFIG
 
-PRODUCT = Product(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
+REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
 READ_MS, FIRST_MS, STREAM_MS = 120.0, 60.0, 1500.0
 WARM_MS, COLD_MS, FALL_MS, MULTIPLE, COLD_FROM = 20e3, 10e3, 3000.0, 4.0, 0.31
 
@@ -43,58 +43,70 @@
 
     def __post_init__(self) -> None:
         self.servers = [
-            Server("east", n // 2, duty, 300e3, mark=zlib.crc32(b"%d %s" % (n, duty.name.encode())))
+            Server("east", n // 2, role, 300e3, hash_key=zlib.crc32(b"%d %s" % (n, role.name.encode())))
             for n in range(self.peers)
-            for duty in (Duty.READ, Duty.WRITE)
+            for role in (Role.PREFILL, Role.DECODE)
         ]
-        self.order, self.due = count(), list[tuple[float, int, int, port.Event | tuple[Server, ...]]]()
+        self.order, self.due = count(), list[tuple[float, int, int, messages.Event | tuple[Server, ...]]]()
         self.all = [self.router(n) for n in range(self.routers)]
 
     def router(self, nth: int) -> Router:
-        facts = replace(
-            FACTS,
+        router_config = replace(
+            ROUTER_CONFIG,
             seed=nth * 7919 + 1,
             gateways=self.routers,
-            products=(PRODUCT,),
+            request_classes=(REQUEST_CLASS,),
             idle_ms=30e3,
             fall_multiple=MULTIPLE,
-            cold_from=COLD_FROM,
-            cold_ms=COLD_MS,
+            slow_start_share=COLD_FROM,
+            slow_start_ms=COLD_MS,
             fall_ms=FALL_MS,
         )
-        made = Router(facts)
+        made = Router(router_config)
         self.mine = getattr(self, "mine", {})
         self.mine[nth] = [replace(s, seat=None) for s in self.servers]  # seats are each router's own
-        self.act(nth, made.take(self.now, [port.Listed(tuple(self.mine[nth]))]))
+        self.act(nth, made.take(self.now, [messages.EndpointsUpdated(tuple(self.mine[nth]))]))
         return made
 
-    def at(self, when: float, nth: int, event: port.Event) -> None:
+    def at(self, when: float, nth: int, event: messages.Event) -> None:
         heapq.heappush(self.due, (when, next(self.order), nth, event))
 
     def act(self, nth: int, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, port.Wake):
-                self.at(action.at_ms, nth, port.Woken(action.beat))
-            elif isinstance(action, port.SendLeg):
-                gen, server = action.gen, action.server
+            if isinstance(action, messages.StartTimer):
+                self.at(action.at_ms, nth, messages.TimerFired(action.beat))
+            elif isinstance(action, messages.StartAttempt):
+                request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
                 told = server.started_ms == true_server.started_ms
                 self.sent.append(Attempt(self.now, true_server, nth, told))
                 if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
-                    self.at(self.now + 5.0, nth, port.LegEnded(gen, server, Verdict.FULL, 5.0, False))
-                elif server.duty is Duty.READ:
-                    self.at(self.now + READ_MS, nth, port.LegEnded(gen, server, Verdict.READ, READ_MS, False, 300.0))
+                    self.at(
+                        self.now + 5.0,
+                        nth,
+                        messages.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 5.0, False),
+                    )
+                elif server.role is Role.PREFILL:
+                    self.at(
+                        self.now + READ_MS,
+                        nth,
+                        messages.AttemptEnded(request, server, AttemptOutcome.PREFILLED, READ_MS, False, 300.0),
+                    )
                 else:
-                    self.at(self.now + FIRST_MS, nth, port.FirstTok(gen, server, FIRST_MS))
-                    self.at(self.now + STREAM_MS, nth, port.LegEnded(gen, server, Verdict.STREAMED, STREAM_MS, True))
+                    self.at(self.now + FIRST_MS, nth, messages.FirstToken(request, server, FIRST_MS))
+                    self.at(
+                        self.now + STREAM_MS,
+                        nth,
+                        messages.AttemptEnded(request, server, AttemptOutcome.STREAMED, STREAM_MS, True),
+                    )
 
     def run(self, ms: float) -> None:
         until, arrivals = self.now + ms, int(ms / 1000 * self.rate)
         for n in range(arrivals):
             draw = zlib.crc32(b"arrival %d %f" % (n, self.now))
-            gen = Generation(PRODUCT, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
+            request = Request(REQUEST_CLASS, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
             nth = int(self.routers * (draw / 2**32) ** 3) if self.uneven else draw % self.routers
-            self.at(self.now + ms * n / arrivals, nth, port.Arrived(gen))
+            self.at(self.now + ms * n / arrivals, nth, messages.RequestArrived(request))
         while self.due and self.due[0][0] <= until:
             self.now, _, nth, event = heapq.heappop(self.due)
             if isinstance(event, tuple):
@@ -117,8 +129,8 @@
     def tell(self, nth: int, servers: tuple[Server, ...]) -> None:
         news = [self.mine[nth][self.servers.index(s)] for s in servers]
         for mine, server in zip(news, servers):
-            mine.started_ms, mine.life = server.started_ms, Life.UP
-        self.act(nth, self.all[nth].take(self.now, [port.Listed(tuple(news))]))
+            mine.started_ms, mine.status = server.started_ms, EndpointStatus.READY
+        self.act(nth, self.all[nth].take(self.now, [messages.EndpointsUpdated(tuple(news))]))
 
     def windows(self, server: Server, since: float, span: float) -> list[list[Attempt]]:
         """What it was sent within each `span` that begins with an attempt."""
@@ -130,10 +142,10 @@
         return max((len(window) for window in self.windows(server, since, span)), default=0)
 
 
-def capacity(fleet: Fleet, since: float) -> dict[Duty, float]:
+def capacity(fleet: Fleet, since: float) -> dict[Role, float]:
     """What a warm server of each duty took each ms: no more than it could do."""
-    took = Counter(a.server.duty for a in fleet.sent if a.at >= since)
-    return {duty: n / fleet.peers / (fleet.now - since) for duty, n in took.items()}
+    took = Counter(a.server.role for a in fleet.sent if a.at >= since)
+    return {role: n / fleet.peers / (fleet.now - since) for role, n in took.items()}
 
 
 def allowed(calls: float) -> float:
@@ -148,11 +160,11 @@
     fleet = Fleet(routers, rate, uneven=True)
     fleet.run(WARM_MS)
     rates = capacity(fleet, WARM_MS / 2)
-    cold = [s for duty in (Duty.READ, Duty.WRITE) for s in [s for s in fleet.servers if s.duty is duty][:3]]
+    cold = [s for role in (Role.PREFILL, Role.DECODE) for s in [s for s in fleet.servers if s.role is role][:3]]
     start = fleet.now
     fleet.restart(*cold)
     fleet.run(FALL_MS)
-    budget = MULTIPLE * COLD_FROM * rates[Duty.READ] * FALL_MS
+    budget = MULTIPLE * COLD_FROM * rates[Role.PREFILL] * FALL_MS
     got = {server: fleet.most(server, start, FALL_MS) for server in cold}
     assert max(got.values()) <= allowed(budget), (sorted(got.values()), budget)
 
@@ -163,19 +175,19 @@
     fleet = Fleet(routers, rate=120.0)
     fleet.run(WARM_MS)
     rates = capacity(fleet, WARM_MS / 2)
-    cold = [s for duty in (Duty.READ, Duty.WRITE) for s in [s for s in fleet.servers if s.duty is duty][:together]]
+    cold = [s for role in (Role.PREFILL, Role.DECODE) for s in [s for s in fleet.servers if s.role is role][:together]]
     start = fleet.now
     fleet.restart(*cold)
     fleet.run(FALL_MS)
-    got, budget = {}, MULTIPLE * COLD_FROM * rates[Duty.READ] * FALL_MS
+    got, budget = {}, MULTIPLE * COLD_FROM * rates[Role.PREFILL] * FALL_MS
     for server in cold:  # at its very coldest
         got[server] = fleet.most(server, start, FALL_MS)
-        assert got[server] <= allowed(budget), (server.duty, got[server], budget)
+        assert got[server] <= allowed(budget), (server.role, got[server], budget)
     least = budget / 4 if together == fleet.peers else 1  # where they are needed each part is spent, also below one
     assert min(got.values()) >= least, (sorted(got.values()), budget)
     fleet.run(COLD_MS - FALL_MS)
     for server in cold:  # never more than a warm one of its size could be pushed over by
-        budget = MULTIPLE * rates[server.duty] * FALL_MS
+        budget = MULTIPLE * rates[server.role] * FALL_MS
         assert fleet.most(server, start, FALL_MS) <= allowed(budget)
 
 
@@ -184,7 +196,7 @@
     """They know nothing but the list; and three times the usual requests come."""
     fleet = Fleet(routers, rate=120.0)
     fleet.run(WARM_MS)
-    budget = MULTIPLE * COLD_FROM * capacity(fleet, WARM_MS / 2)[Duty.READ] * FALL_MS
+    budget = MULTIPLE * COLD_FROM * capacity(fleet, WARM_MS / 2)[Role.PREFILL] * FALL_MS
     cold = fleet.servers[:2]
     for server in cold:
         server.started_ms = fleet.now
@@ -203,7 +215,7 @@
     been told. What those sent keeps to the budget by itself, further attempts and hand-overs counted."""
     fleet = Fleet(routers, rate=120.0, turned_away=turned_away)
     fleet.run(WARM_MS)
-    ran = capacity(fleet, WARM_MS / 2)[Duty.READ] * (1 - turned_away)
+    ran = capacity(fleet, WARM_MS / 2)[Role.PREFILL] * (1 - turned_away)
     budget = MULTIPLE * COLD_FROM * ran * FALL_MS
     cold = fleet.servers[:4]
     start = fleet.now
@@ -212,7 +224,7 @@
     for server in cold:
         for window in fleet.windows(server, start, FALL_MS):
             told = sum(attempt.told for attempt in window)
-            assert told <= allowed(budget), (server.duty, told, len(window), budget)
+            assert told <= allowed(budget), (server.role, told, len(window), budget)
             assert len(window) <= allowed(budget) or told <= len(window) * 2 / 3
 
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -20,17 +20,17 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Pool
 from ternlane.platform import process, registry
-from ternlane.platform.roster import Listing, read_listing
+from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import Limits, Post
-from ternlane.port import Life
+from ternlane.policy.messages import EndpointStatus
 from ternlane.standin.platform import Discovery, Gate
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, platform, until_ready
 from tests.test_platform_bounds import reload
 
 
-def life(p: Platform, name: str) -> Life:
-    return p.gateway.node.roster.servers[name].life
+def status(p: Platform, name: str) -> EndpointStatus:
+    return p.gateway.node.endpoint_registry.servers[name].status
 
 
 # -- the first list and the first request
@@ -55,7 +55,7 @@
         assert not gateway.front.ready  # also not asked whether it is: it takes no connection yet
         p.address = "127.0.0.1:%d" % gateway.listener.socket.getsockname()[1]
         client = Client(p.address)
-        client.send(request(p))  # waits in the listener's queue
+        client.send(client_request(p))  # waits in the listener's queue
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert gateway.front.ready and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
@@ -96,7 +96,7 @@
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
 
-        def hear(listing: Listing) -> None:
+        def hear(listing: EndpointList) -> None:
             index[0] = listing.index
             if any(entry.status == "DRAINING" for entry in listing.endpoints):
                 heard.set()
@@ -147,7 +147,7 @@
     async with platform("r0", "w0") as p:
         p.discovery.cut_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert p.discovery.asked == [str(p.discovery.index - 1)] * 2
 
 
@@ -180,7 +180,7 @@
         await until(lambda: len(p.gateway.watch.following) == 1)
         other.gates["watch"].open()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert len(p.discovery.asked) == asked
 
 
@@ -194,7 +194,7 @@
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.move((host, int(number)))
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         await until(lambda: len(p.gateway.watch.following) == 1)
 
 
@@ -211,10 +211,10 @@
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.move((host, int(number)))
-        await until(lambda: life(p, "w0") is Life.DRAINING)
+        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         gate.open()
         p.gateway.node.listed(read_listing(old))  # as it would come from there
-        assert life(p, "w0") is Life.DRAINING
+        assert status(p, "w0") is EndpointStatus.DRAINING
 
 
 # -- reloads
@@ -264,11 +264,11 @@
     async with platform("r0", "w0") as p:
         kinds = TOLD["specifics"] | {"tokens_by_kind": [1000, 3000]}
         reload(p, tmp_path, monkeypatch, TOLD | {"specifics": kinds, "tenants": [{"name": "a"}]})
-        servers, first = p.gateway.node.roster.servers, p.gateway.node.deployment.tenants["a"]
-        assert servers["r0"].mem_toks == 1000 and servers["w0"].mem_toks == 3000
+        servers, first = p.gateway.node.endpoint_registry.servers, p.gateway.node.deployment.tenants["a"]
+        assert servers["r0"].kv_capacity_tokens == 1000 and servers["w0"].kv_capacity_tokens == 3000
         reload(p, tmp_path, monkeypatch, TOLD | {"tenants": [{"name": "a"}, {"name": "b"}]})
         assert p.gateway.node.deployment.tenants["a"] is first  # still the same customer
-        assert servers["r0"].mem_toks == 200000 and len(p.gateway.node.deployment.tenants) == 2
+        assert servers["r0"].kv_capacity_tokens == 200000 and len(p.gateway.node.deployment.tenants) == 2
 
 
 async def test_nothing_that_was_learnt_under_other_terms_shows_under_new_ones(
@@ -278,16 +278,16 @@
         node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
         for _ in range(3):
             assert (await p.ask()).status == 200
-        old = node.deployment.products["summary"]
+        old = node.deployment.request_classes["summary"]
         assert old in desk.prompt
         other = [profile | {"aim": 700.0} for profile in TOLD["profiles"]]
         reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
-        new = node.deployment.products["summary"]
+        new = node.deployment.request_classes["summary"]
         tables = desk.prompt, desk.learnt_at, desk.told
-        assert new is not old and not any(product in table for product in (old, new) for table in tables)
+        assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
         assert desk.usual_ms(new, "read") == 700.0 / 8  # as if nothing had been met yet
         reload(p, tmp_path, monkeypatch, TOLD)  # and back: its terms are new ones again
-        assert desk.usual_ms(node.deployment.products["summary"], "read") == 500.0 / 8
+        assert desk.usual_ms(node.deployment.request_classes["summary"], "read") == 500.0 / 8
         assert (await p.ask()).status == 200
         await p.settled()
 
@@ -298,7 +298,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["request"] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         other = [profile | {"name": profile["name"] + "-2"} for profile in TOLD["profiles"]]
         reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
@@ -328,7 +328,7 @@
     "typing_extensions",
     "exceptiongroup",
 }
-MODULES = {"choice", "deployment", "http1", "log_output", "notes", "platform", "policy", "port", "turns"}
+MODULES = {"deployment", "http1", "log_output", "notes", "platform", "policy", "turns"}
 
 
 def test_the_process_imports_no_more_than_it_needs() -> None:
@@ -378,7 +378,7 @@
                 await until_ready(p)
                 used_s = processor_s(process_.pid)
                 client = Client(p.address)
-                client.send(request(p)[:40])
+                client.send(client_request(p)[:40])
             finally:
                 process_.send_signal(signal.SIGKILL)  # with a connection accepted, and half a request on it
                 await process_.wait()
