--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -13,15 +13,15 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.http1 import Caller, Pool, Silent
 from ternlane.http1 import caller as caller_module
 from ternlane.http1.nonblocking import send_now
 from ternlane.platform import engines as engines_module
-from ternlane.port import Effect, Group, Verdict
+from ternlane.policy.messages import Effect, Group, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, HEAD, Gate, framed
-from tests.conftest import FACTS, FakeHost, build, kinds, sent
-from tests.crossing import Client, Wrapped, arrived, pair, request, until
+from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
+from tests.crossing import Client, Wrapped, arrived, pair, client_request, until
 from tests.platform_world import TOLD, Platform, always, once, platform
 from tests.world import TERMS, Reply, world
 
@@ -49,10 +49,10 @@
 
         monkeypatch.setattr(caller_module, "reach", slow)
 
-    def after(self, p: Platform, duty: str) -> None:
+    def after(self, p: Platform, role: str) -> None:
         """Holds the connections to servers of this duty once one of them has been asked."""
-        addresses = {server.address for server in p.servers.values() if server.duty == duty}
-        self.holds = lambda address: address in addresses and p.fleet.count(duty) > 0
+        addresses = {server.address for server in p.servers.values() if server.role == role}
+        self.holds = lambda address: address in addresses and p.fleet.count(role) > 0
 
 
 # -- draining x send
@@ -70,8 +70,8 @@
         await held.gate.reached.wait()
         await p.add(other)
         p.discovery.put(name, p.servers[name].address, kind, "DRAINING")
-        servers = p.gateway.node.roster.servers
-        await until(lambda: servers[name].life is port.Life.DRAINING and other in servers)
+        servers = p.gateway.node.endpoint_registry.servers
+        await until(lambda: servers[name].status is messages.EndpointStatus.DRAINING and other in servers)
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200
@@ -91,7 +91,7 @@
         await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
-        await until(lambda: p.gateway.node.roster.servers["r0"].life is port.Life.DRAINING)
+        await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status is messages.EndpointStatus.DRAINING)
         gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "read"] == ["r0", "r1"]
@@ -124,12 +124,14 @@
 
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
     host = build(("w2", "w3"))
-    gen, leg = host.written(Effect.SIDE_EFFECTING)
-    second = sent(host.end(gen, leg.server, Verdict.WITHHELD, after=200.0))
-    assert second.server is not leg.server and second.server.duty is port.Duty.WRITE
-    said = host.end(gen, second.server, Verdict.WITHHELD, after=200.0)  # 400 of 500 ms, and 250 to connect
-    assert port.Release in kinds(said) and sent(said).server.duty is port.Duty.READ
-    assert not host.router.desk.board[leg.server.seat].shut
+    request, attempt = host.written(Effect.SIDE_EFFECTING)
+    second = sent(host.end(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
+    assert second.server is not attempt.server and second.server.role is messages.Role.DECODE
+    said = host.end(
+        request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
+    )  # 400 of 500 ms, and 250 to connect
+    assert messages.Release in kinds(said) and sent(said).server.role is messages.Role.PREFILL
+    assert not host.router.desk.board[attempt.server.seat].shut
 
 
 # -- the time that is left
@@ -241,7 +243,7 @@
         p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="4"))
         await gate.reached.wait()
         second = await p.add("w1")
-        await until(lambda: "w1" in p.gateway.node.roster.servers)
+        await until(lambda: "w1" in p.gateway.node.endpoint_registry.servers)
         held = HeldConnects(monkeypatch, second.address)
         gate.open()  # it breaks off: it may have run
         await held.gate.reached.wait()  # a repeat was allowed, and its connection is slow
@@ -254,29 +256,29 @@
 
 def keyed(window_ms: float, group: Group = Group.ALL) -> FakeHost:
     host = build()
-    product = port.Product(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
-    host.products[Effect.DEDUPLICATED] = product
-    host.tell(port.Altered(FACTS))
+    request_class = messages.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
+    host.request_classes[Effect.DEDUPLICATED] = request_class
+    host.tell(messages.ConfigChanged(ROUTER_CONFIG))
     return host
 
 
 def test_a_repeat_may_begin_only_while_the_window_lasts() -> None:
     host = keyed(3000.0)
-    gen, leg = host.written(Effect.DEDUPLICATED)
-    assert leg.begin_by_ms == float("inf")  # nothing may have run yet
-    again = sent(host.end(gen, leg.server, Verdict.RESET, after=1000.0))
-    assert again.begin_by_ms == pytest.approx(2000.0)
+    request, attempt = host.written(Effect.DEDUPLICATED)
+    assert attempt.start_within_ms == float("inf")  # nothing may have run yet
+    again = sent(host.end(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
+    assert again.start_within_ms == pytest.approx(2000.0)
 
 
-@pytest.mark.parametrize("after, answer", [(100.0, port.Throttle), (2900.0, port.Terminate), (3100.0, port.Terminate)])
+@pytest.mark.parametrize("after, answer", [(100.0, messages.Reject), (2900.0, messages.Fail), (3100.0, messages.Fail)])
 def test_a_repeat_by_its_client_is_called_harmless_only_where_it_would_come_within_the_window(
     after: float, answer: type
 ) -> None:
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
-    gen, leg = host.written(Effect.DEDUPLICATED)
-    host.list(w0=port.Life.DRAINING, w1=port.Life.DRAINING)
-    assert answer in kinds(host.end(gen, leg.server, Verdict.RESET, after=after))
+    request, attempt = host.written(Effect.DEDUPLICATED)
+    host.list(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
+    assert answer in kinds(host.end(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
 # -- second answers, kept connections
@@ -305,9 +307,9 @@
     assert 20 <= engines_module.REST_MS <= 100
 
 
-@pytest.mark.parametrize("product, status", [("summary", 200), ("note", 502)])
+@pytest.mark.parametrize("request_class, status", [("summary", 200), ("note", 502)])
 async def test_a_kept_connection_that_its_server_closes_as_it_is_used_is_a_reset(
-    product: str, status: int, monkeypatch: pytest.MonkeyPatch
+    request_class: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
     monkeypatch.setattr(engines_module, "REST_MS", 0.0)
@@ -329,9 +331,9 @@
 
         monkeypatch.setattr(Caller, "dead", property(well))
         before = p.fleet.count("write")
-        reply = await p.ask(Request_Class=product, Request_Timeout="15")
+        reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
-        assert p.fleet.count("write") - before == (1 if product == "summary" else 0)
+        assert p.fleet.count("write") - before == (1 if request_class == "summary" else 0)
         await p.settled()
 
 
@@ -364,7 +366,7 @@
 
         monkeypatch.setattr(caller_module, "send", half)
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         client.leave("close")
         await until(lambda: p.gateway.node.counts["left"])
@@ -412,7 +414,7 @@
         await p.add("w1")
         p.servers["w0"].stop()
         p.discovery.put("w0", "", "writer", "DELETED")
-        await until(lambda: set(p.gateway.node.roster.servers) == {"r0", "w1"})
+        await until(lambda: set(p.gateway.node.endpoint_registry.servers) == {"r0", "w1"})
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
@@ -457,7 +459,7 @@
     async with platform("r0", "w0") as p:
         gate = p.servers[server].gates[point] = Gate()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         p.gateway.begin_drain()
         gate.open()
@@ -471,8 +473,8 @@
     async with platform("r0", "w0", r0=always("silent")) as p:
         clients = [Client(p.address) for _ in range(12)]
         for client in clients:
-            client.send(request(p, Request_Timeout="1.0"))
-        await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.node.tickets) == 12)
+            client.send(client_request(p, Request_Timeout="1.0"))
+        await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.node.active_requests) == 12)
         with trio.fail_after(4):
             await p.gateway.drain()
         for client in clients:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -18,7 +18,7 @@
 from tests.world import BUILD, replace, world
 from ternlane.days.plan import acts_of, engines_of
 from ternlane.days.script import DayScript
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 
 DAYS = Path(__file__).parent.parent / "days"
 KINDS = {
@@ -62,7 +62,7 @@
 def test_shipped_days_hold_every_kind_of_trouble_and_are_the_same_each_time() -> None:
     seen = set()
     for path in DAYS.glob("*.json5"):
-        day = read_paper(path, DayScript)
+        day = read_config(path, DayScript)
         seen |= {str(t.__struct_config__.tag) for t in day.troubles}
         assert acts_of(day) == acts_of(day) and engines_of(day) == engines_of(day)
     assert seen == KINDS
@@ -140,7 +140,7 @@
 
 
 async def test_the_published_openai_client_is_served() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=10.0, answer_toks=(12, 12))) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=10.0, answer_tokens=(12, 12))) as w:
         base = f"http://{w.gateway.address}/v1"
         messages: Any = [{"role": "user", "content": "tell me"}]
 
@@ -251,14 +251,16 @@
     done = run("day", "from-bench", str(tmp_path / "day.json"), "--speed", "2", "--engines", "8")
     assert done.returncode == 0, done.stderr
     (tmp_path / "d.json5").write_text(done.stdout)
-    day = read_paper(tmp_path / "d.json5", DayScript)
+    day = read_config(tmp_path / "d.json5", DayScript)
     assert [(str(t.__struct_config__.tag), t.at_s) for t in day.troubles] == [
         ("crash", 2.0),
         ("zone_cut", 3.0),
         ("preempt", 3.5),
     ]
-    assert [p.effect for p in day.products] == ["idempotent", "side-effecting"] and day.products[0].slo_ms == 500
-    assert sorted(e.duty for e in engines_of(day)) == ["read"] * 4 + ["write"] * 4
+    assert [p.effect for p in day.request_classes] == ["idempotent", "side-effecting"] and day.request_classes[
+        0
+    ].slo_ms == 500
+    assert sorted(e.role for e in engines_of(day)) == ["read"] * 4 + ["write"] * 4
     assert sum(a.what == "drain" for a in acts_of(day)) == 2
     (tmp_path / "day.json").write_text('{"family": "web"}')
     assert run("day", "from-bench", str(tmp_path / "day.json")).returncode == 65
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -17,12 +17,12 @@
 from tests.decision_digests import day_digest, stream_digest
 
 RECORDED = Path(__file__).parent / "data" / "decision_digests.json"
-SMALL = fleet.Scene(gateways=16, readers=12, writers=8, seconds=8.0, tenants=3, zones=2)
+SMALL = fleet.Scene(gateways=16, prefill_servers=12, decode_servers=8, seconds=8.0, tenants=3, zones=2)
 
 DAYS: dict[str, Callable[[], str]] = {
     "quiet day": lambda: day_digest(SMALL),
     "reports on request, clients that leave": lambda: day_digest(
-        fleet.Scene(16, 10, 8, seconds=8.0, seed=2, told_if_asked=True, leave_share=0.1)
+        fleet.Scene(16, 10, 8, seconds=8.0, seed=2, reports_on_probe=True, leave_share=0.1)
     ),
     "overload with a burst": lambda: day_digest(
         fleet.Scene(12, 8, 6, seconds=9.0, seed=3, load=1.2, burst=1.6, tenants=2)
@@ -44,13 +44,13 @@
 
 VARIANTS: dict[str, dict[str, Any]] = {
     "usual": {},
-    "no cancelling, no advice": {"may_call_off": False, "may_advise": False},
-    "reports on request": {"may_probe": True, "reports_mem": True, "told_if_asked": True},
+    "no cancelling, no advice": {"may_cancel": False, "may_send_retry_after": False},
+    "reports on request": {"may_probe": True, "reports_mem": True, "reports_on_probe": True},
     "releases spare attempts": {"releases_spare_attempts": True},
-    "one role": {"writers_read": True, "must_ask": True},
-    "state does not expire": {"holds_run_on": False, "leg_limit": 3},
+    "one role": {"decode_servers_prefill": True, "must_subscribe": True},
+    "state does not expire": {"holds_expire_unless_arrived": False, "max_attempts": 3},
     "shutdown": {"shutdown_ms": 12e3, "releases_spare_attempts": True},
-    "shutdown without cancelling": {"shutdown_ms": 12e3, "may_call_off": False},
+    "shutdown without cancelling": {"shutdown_ms": 12e3, "may_cancel": False},
 }
 STREAM_SEEDS = range(6)
 
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -7,40 +7,41 @@
 import pytest
 import trio
 
-from ternlane import SocketTransport, TerminatedError, open_routing, port, turns
-from ternlane.paper import GatewayPaper
-from ternlane.paper.gateway import InlineSource
+from ternlane import SocketTransport, FailedError, open_routing, turns
+from ternlane.policy import messages
+from ternlane.config import GatewayConfig
+from ternlane.config.gateway import InlineSource
 from ternlane.platform.node import Passing
 from ternlane.standin.platform import Gate
 from ternlane.turns import OVERDUE_MS
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform
-from tests.world import PRODUCTS, TERMS, world
+from tests.world import REQUEST_CLASSES, TERMS, world
 
 
 class Faulty:
     """A chooser in whose place another one stands for some of the events."""
 
-    def __init__(self, inner: Any, instead: Callable[[list[port.Event]], list[port.Action] | None]) -> None:
+    def __init__(self, inner: Any, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
         self.inner, self.instead = inner, instead
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
         actions = self.instead(events)
         return self.inner.take(now, events) if actions is None else actions
 
 
-def arrivals(events: list[port.Event]) -> int:
-    return sum(isinstance(event, port.Arrived) for event in events)
+def arrivals(events: list[messages.Event]) -> int:
+    return sum(isinstance(event, messages.RequestArrived) for event in events)
 
 
-def make_faulty(p: Platform, instead: Callable[[list[port.Event]], list[port.Action] | None]) -> None:
+def make_faulty(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
     p.gateway.node.chooser = Faulty(p.gateway.node.chooser, instead)  # type: ignore[assignment]
 
 
 async def test_a_request_on_which_the_decisions_fail_is_answered_and_takes_no_other_with_it() -> None:
     failed: list[int] = []
 
-    def fail_once(events: list[port.Event]) -> None:
+    def fail_once(events: list[messages.Event]) -> None:
         if arrivals(events) and not failed:
             failed.append(1)
             raise ZeroDivisionError("a fault in the decisions")
@@ -66,7 +67,7 @@
         make_faulty(p, lambda events: [] if arrivals(events) else None)
         with trio.fail_after(0.4 + 0.5):
             assert (await p.ask(Request_Timeout="0.4")).status == 502
-        assert not p.gateway.node.tickets
+        assert not p.gateway.node.active_requests
 
 
 async def test_a_request_in_whose_handling_this_program_fails_is_answered_before_the_close(
@@ -80,7 +81,7 @@
         with monkeypatch.context() as patched:
             patched.setattr(p.gateway.node, "arrived", fail)
             client = Client(p.address)
-            client.send(request(p))
+            client.send(client_request(p))
             client.send(b"GET /behind")  # unread bytes do not take the answer with them
             said = await client.rest()
         assert said.startswith(b"HTTP/1.1 500 ") and not client.reset
@@ -93,7 +94,7 @@
     async with platform("r0", "w0") as p:
         p.servers["w0"].gates["event"] = gate
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="0.3"))
+        client.send(client_request(p, Request_Timeout="0.3"))
         await gate.reached.wait()
         await trio.sleep(0.3 + OVERDUE_MS / 1000 + 0.2)
         gate.open()
@@ -109,13 +110,13 @@
         begin = Passing.first
 
         async def late_first(passing: Passing, data: bytes) -> None:
-            node.give_up(passing.ticket, "too late")
+            node.give_up(passing.active_request, "too late")
             await begin(passing, data)
 
         with pytest.MonkeyPatch.context() as patched:
             patched.setattr(Passing, "first", late_first)
             client = Client(p.address)
-            client.send(request(p))
+            client.send(client_request(p))
             said = await client.answer()
         assert said.startswith(b"HTTP/1.1 502 ") and said.count(b"HTTP/1.1 ") == 1 and node.counts["overdue"] == 1
         assert (await p.ask()).status == 200
@@ -126,8 +127,8 @@
     monkeypatch.setattr(turns, "FAULT_PAUSE_MS", 50.0)
     looks: list[bool] = []
 
-    def fail_first(events: list[port.Event]) -> None:
-        if any(isinstance(event, port.Woken) for event in events):
+    def fail_first(events: list[messages.Event]) -> None:
+        if any(isinstance(event, messages.TimerFired) for event in events):
             looks.append(True)
             if len(looks) == 1:
                 raise KeyError("a fault in the decisions")
@@ -143,13 +144,16 @@
         node = p.gateway.node
         settle, refused = node.settle, list[Any]()
 
-        def settle_second(ticket: Any, final: Any) -> None:
-            refused.append(ticket)
+        def settle_second(active_request: Any, final: Any) -> None:
+            refused.append(active_request)
             if len(refused) == 1:
                 raise OSError("a fault in this program")
-            settle(ticket, final)
+            settle(active_request, final)
 
-        make_faulty(p, lambda events: [port.Throttle(e.gen, 0.0) for e in events if isinstance(e, port.Arrived)])
+        make_faulty(
+            p,
+            lambda events: [messages.Reject(e.request, 0.0) for e in events if isinstance(e, messages.RequestArrived)],
+        )
         node.settle = settle_second  # type: ignore[method-assign]
         statuses: list[int] = []
 
@@ -191,12 +195,16 @@
 
 async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
     async with world() as w:
-        paper = GatewayPaper(
-            name="lib", listen="127.0.0.1:0", products=PRODUCTS, fleet=TERMS, nodes=InlineSource(nodes=w.lines())
+        config = GatewayConfig(
+            name="lib",
+            listen="127.0.0.1:0",
+            request_classes=REQUEST_CLASSES,
+            fleet=TERMS,
+            nodes=InlineSource(nodes=w.lines()),
         )
-        async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
+        async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
             routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
-            with trio.fail_after(3), pytest.raises(TerminatedError):
-                async with routing.generation(asked, time_limit_ms=400) as stream:
+            with trio.fail_after(3), pytest.raises(FailedError):
+                async with routing.request(asked, request_timeout_ms=400) as stream:
                     await stream.text()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,10 +16,10 @@
 from ternlane.emulator import Build, Course, Engine, Fleet, Job, Link, Nature, Pace, Seat, Told, Transfer, What
 from ternlane.emulator.describe import EngineKind
 from ternlane.emulator.fit import fit
-from ternlane.paper import read_paper
+from ternlane.config import read_config
 
 PACE = Pace(step_ms=5.0, write_ms=0.1, read_ms=0.02, back_ms=0.0)
-BUILD = Build(blocks=400, slots=8, step_toks=256, queue=20, pace=PACE)
+BUILD = Build(blocks=400, slots=8, step_tokens=256, queue=20, pace=PACE)
 
 
 def slowly(sizes: list[tuple[float, float]], rate: float) -> list[float]:
@@ -44,21 +44,23 @@
 def test_transfers_share_a_link_evenly_and_none_is_lost(told: list[tuple[int, int]], rate: int) -> None:
     sizes = sorted((float(a), float(b)) for a, b in told)
     link, ends, jobs = Link(float(rate)), dict[int, float](), list[Transfer]()
-    for i, (at, toks) in enumerate(sizes):
+    for i, (at, tokens) in enumerate(sizes):
         for when, it in link.ended(at):
             ends[it.job] = when  # type: ignore[index]
-        jobs.append(link.begin(at, toks, i))
+        jobs.append(link.begin(at, tokens, i))
     for when, it in link.ended(1e9):
         ends[it.job] = when  # type: ignore[index]
     assert [ends[i] for i in range(len(sizes))] == pytest.approx(slowly(sizes, float(rate)), abs=1e-6)
-    assert link.carried == pytest.approx(sum(toks for _, toks in sizes)) and link.many == 0 and link.next_at() == inf
+    assert (
+        link.carried == pytest.approx(sum(tokens for _, tokens in sizes)) and link.many == 0 and link.next_at() == inf
+    )
 
 
 def test_a_transfer_called_off_gives_its_share_to_the_others_and_a_clock_that_jumps_back_moves_nothing() -> None:
     link = Link(10.0)
     gone, stays = link.begin(0.0, 1000.0, "a"), link.begin(0.0, 1000.0, "b")
-    link.call_off(100.0, gone)  # each has 500 by now
-    link.call_off(100.0, gone)
+    link.cancel(100.0, gone)  # each has 500 by now
+    link.cancel(100.0, gone)
     link.forward(20.0)
     assert link.ended(149.0) == [] and link.ended(150.0) == [(150.0, stays)]
     link.begin(200.0, 100.0, "c")
@@ -89,32 +91,32 @@
 
 def test_a_state_is_read_moved_and_written_and_the_readers_memory_released() -> None:
     fleet = Fleet(port_rate=200.0, link_rate=100.0)
-    reader, near, far = cell(fleet), cell(fleet), cell(fleet, zone="b", at=1)
+    prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, zone="b", at=1)
     ends: list[float] = []
     for target in (near, far):
         held, job = Job(Course(1000, 0)), Job(Course(1000, 20))
-        assert fleet.read(fleet.now, reader, held)
-        assert counted(run(fleet), What.READ) == {held: 1} and reader.engine.memory.used == 63
+        assert fleet.read(fleet.now, prefill_server, held)
+        assert counted(run(fleet), What.READ) == {held: 1} and prefill_server.engine.memory.used == 63
         since = fleet.now
-        assert fleet.write(since, target, job, reader, held)
-        assert not fleet.write(since, near, Job(Course(1000, 5)), reader, held)  # it is promised already
+        assert fleet.write(since, target, job, prefill_server, held)
+        assert not fleet.write(since, near, Job(Course(1000, 5)), prefill_server, held)  # it is promised already
         told = run(fleet)
         assert counted(told, What.TOKEN) == {job: 20} and counted(told, What.DONE) == {job: 1}
-        assert reader.engine.memory.used == target.engine.memory.used == 0
+        assert prefill_server.engine.memory.used == target.engine.memory.used == 0
         ends.append(next(t.at for _, t in told if t.what is What.TOKEN) - since)
     assert ends[0] == pytest.approx(5.0 + 5.1, abs=0.2) and ends[1] == pytest.approx(20.0 + 5.1, abs=0.2)
 
 
 def test_a_cells_link_that_is_full_slows_all_that_leave_it_and_nothing_else() -> None:
     fleet = Fleet(port_rate=1000.0, link_rate=100.0)
-    reader, near, far = cell(fleet), cell(fleet), cell(fleet, at=1)
+    prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, at=1)
     helds, jobs = [Job(Course(500, 0)) for _ in range(6)], [Job(Course(500, 1)) for _ in range(6)]
     for held in helds:
-        assert fleet.read(0.0, reader, held)
+        assert fleet.read(0.0, prefill_server, held)
     run(fleet)
     since = fleet.now
     for i, (held, job) in enumerate(zip(helds, jobs)):
-        assert fleet.write(since, near if i == 5 else far, job, reader, held)
+        assert fleet.write(since, near if i == 5 else far, job, prefill_server, held)
     first = {t.job: t.at - since for _, t in run(fleet) if t.what is What.TOKEN}
     assert first[jobs[5]] < 7.0 and all(25.0 < first[job] < 37.0 for job in jobs[:5])
 
@@ -123,8 +125,11 @@
 @settings(max_examples=80, deadline=None, phases=(Phase.explicit, Phase.generate))
 def test_whatever_is_cancelled_cut_or_lost_memory_comes_back_and_tokens_add_up(data: st.DataObject) -> None:
     fleet = Fleet(port_rate=200.0, link_rate=60.0)
-    small = Build(blocks=40, slots=4, step_toks=64, queue=6, pace=PACE)
-    readers, writers = [cell(fleet, small, at=i) for i in range(2)], [cell(fleet, small, at=i) for i in range(2)]
+    small = Build(blocks=40, slots=4, step_tokens=64, queue=6, pace=PACE)
+    prefill_servers, decode_servers = (
+        [cell(fleet, small, at=i) for i in range(2)],
+        [cell(fleet, small, at=i) for i in range(2)],
+    )
     helds: dict[Job, Seat] = {}
     jobs: dict[Job, Seat] = {}
     stopped: set[Job] = set()
@@ -133,11 +138,13 @@
         now = fleet.now + data.draw(st.integers(0, 30))
         told += fleet.advance(now)
         what = data.draw(st.sampled_from(["read", "write", "cancel", "die", "cut", "place", "release", "hang"]))
-        seat = data.draw(st.sampled_from(writers if what in ("write", "place") else readers + writers))
+        seat = data.draw(
+            st.sampled_from(decode_servers if what in ("write", "place") else prefill_servers + decode_servers)
+        )
         if what == "read":
             job = Job(Course(data.draw(st.integers(1, 300)), 0))
-            if fleet.read(now, data.draw(st.sampled_from(readers)), job):
-                helds[job] = next(s for s in readers if job.course in s.engine.jobs or job in s.engine.states)
+            if fleet.read(now, data.draw(st.sampled_from(prefill_servers)), job):
+                helds[job] = next(s for s in prefill_servers if job.course in s.engine.jobs or job in s.engine.states)
         elif what == "write" and helds:
             held = data.draw(st.sampled_from(list(helds)))
             job = Job(Course(held.course.prompt, data.draw(st.integers(0, 40))))
@@ -162,7 +169,7 @@
         elif what == "hang":
             seat.engine.ailment.hung = not seat.engine.ailment.hung
             fleet.alter(now, seat)
-    for seat in readers + writers:
+    for seat in prefill_servers + decode_servers:
         seat.engine.ailment.hung = False
         seat.engine.take(0.0)
         fleet.alter(fleet.now, seat)
@@ -176,7 +183,7 @@
         for held, seat in helds.items():
             fleet.release(fleet.now, seat, held)
         run(fleet)
-    for seat in readers + writers:
+    for seat in prefill_servers + decode_servers:
         memory = seat.engine.memory
         assert memory.used == 0 and memory.room == memory.total and not seat.engine.jobs and not seat.engine.batch.queue
     assert not fleet.moves and not fleet.claimed
@@ -194,7 +201,7 @@
 
 def test_a_cold_engine_is_slow_and_empty_and_warms() -> None:
     fleet = Fleet(100.0, 100.0)
-    seat = cell(fleet, nature=Nature(cold_ms=1000.0, cold_from=0.25))
+    seat = cell(fleet, nature=Nature(slow_start_ms=1000.0, slow_start_share=0.25))
     keys = [(i, i) for i in range(60)]
     times: list[float] = []
     for at in (0.0, 5000.0, 10_000.0, 15_000.0):
@@ -239,7 +246,7 @@
     told = CliRunner().invoke(main, ["lab", "fit", str(KINDS / "prefill.json5")])
     assert told.exit_code == 0, told.output  # within 5% at medians and 10% at 99th percentiles
     assert told.output.count("held out") == 3
-    strict = read_paper(KINDS / "prefill.json5", EngineKind)
+    strict = read_config(KINDS / "prefill.json5", EngineKind)
     crooked = msgspec.structs.replace(
         strict,
         curve=[  # no pace has shorter steps with more in them
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -14,10 +14,10 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import Pool
 from ternlane.platform import registry
-from ternlane.platform.engines import Engines, Leg, LegEnd
-from ternlane.platform.roster import BEHIND_MS, Listing, Lists, Roster, read_listing
+from ternlane.platform.engines import Engines, Attempt, AttemptResult
+from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointList, Lists, EndpointRegistry, read_listing
 from ternlane.platform.settings import Limits
-from ternlane.port import Duty, Life, Verdict
+from ternlane.policy.messages import Role, EndpointStatus, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_world import BODY, TOLD, Platform, platform
 
@@ -47,7 +47,7 @@
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
 
-        def hear(listing: Listing) -> None:
+        def hear(listing: EndpointList) -> None:
             index[0] = listing.index
             if any(e.status == "DRAINING" for e in listing.endpoints):
                 heard.set()
@@ -102,9 +102,9 @@
         end = data.draw(st.sampled_from([b"\n", b"\r\n", b"\n\n \n"]))
         text += json.dumps(one, indent=indent).encode() + end
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
-    reader, out = Lists(), list[bytes]()
+    prefill_server, out = Lists(), list[bytes]()
     for begin, end_at in zip([0, *cuts], [*cuts, len(text)]):
-        out += reader.feed(text[begin:end_at])
+        out += prefill_server.feed(text[begin:end_at])
     assert [json.loads(raw) for raw in out] == lists
     assert [read_listing(raw).index for raw in out] == [1, 2, 3]
 
@@ -120,25 +120,31 @@
         p.discovery.indent = 2
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(2):
-            while p.gateway.node.roster.servers["w0"].life is not Life.DRAINING:
+            while p.gateway.node.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
                 await trio.sleep(0.01)
         assert p.gateway.node.counts["watch broke"] == 0
 
 
 def test_a_list_that_comes_late_undoes_nothing_and_a_count_that_begins_anew_is_followed() -> None:
-    roster = Roster(Deployment(1, TOLD))
-    roster.take(read_listing(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
-    roster.take(read_listing(listing(43, False, w0="DRAINING")), 0.0, 10.0)
+    endpoint_registry = EndpointRegistry(Deployment(1, TOLD))
+    endpoint_registry.take(read_listing(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
+    endpoint_registry.take(read_listing(listing(43, False, w0="DRAINING")), 0.0, 10.0)
     old = read_listing(listing(42, True, w0="SERVING", w2="SERVING"))
-    assert not roster.take(old, 0.0, 20.0).servers
-    assert roster.servers["w0"].life is Life.DRAINING and set(roster.servers) == {"w0", "w1"} and roster.index == 43
-    assert roster.take(read_listing(listing(44, False, w0="SERVING")), 0.0, 30.0).servers  # newer: it holds
-    assert not roster.take(read_listing(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
+    assert not endpoint_registry.take(old, 0.0, 20.0).servers
+    assert (
+        endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING
+        and set(endpoint_registry.servers) == {"w0", "w1"}
+        and endpoint_registry.index == 43
+    )
+    assert endpoint_registry.take(read_listing(listing(44, False, w0="SERVING")), 0.0, 30.0).servers  # newer: it holds
+    assert not endpoint_registry.take(read_listing(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
     with pytest.raises(ValueError):  # for longer than an agent may be behind
-        roster.take(read_listing(listing(6, False, w0="DRAINING")), 0.0, 41.0 + BEHIND_MS)
-    assert roster.index == 0  # so all is asked for
-    roster.take(read_listing(listing(6, True, w0="DRAINING")), 0.0, 50.0 + BEHIND_MS)
-    assert roster.servers["w0"].life is Life.DRAINING and set(roster.servers) == {"w0"}
+        endpoint_registry.take(read_listing(listing(6, False, w0="DRAINING")), 0.0, 41.0 + BEHIND_MS)
+    assert endpoint_registry.index == 0  # so all is asked for
+    endpoint_registry.take(read_listing(listing(6, True, w0="DRAINING")), 0.0, 50.0 + BEHIND_MS)
+    assert endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING and set(endpoint_registry.servers) == {
+        "w0"
+    }
 
 
 # -- clients that leave
@@ -212,7 +218,7 @@
         await trio.sleep(0.3)
         assert p.fleet.count("read") == 0 and p.gateway.node.counts["read MOOT"] == 1
         assert not p.gateway.node.chooser.desk.board[  # type: ignore[attr-defined]
-            p.gateway.node.roster.servers["r0"].seat
+            p.gateway.node.endpoint_registry.servers["r0"].seat
         ].shut  # it did nothing wrong
         assert (await p.ask()).status == 200 and opened.count(p.servers["r0"].address) == 1
         await p.settled()
@@ -264,8 +270,8 @@
         engines.has_answered(server.address)  # the silent ones were heard last
         server.mute = server in servers[:16]
     fleet.states["ab"] = "w19"
-    with trio.move_on_after(deployment.facts.release_ms / 1000):
-        nursery.start_soon(engines.release, "ab", [s.address for s in servers], deployment.facts.release_ms)
+    with trio.move_on_after(deployment.router_config.release_ms / 1000):
+        nursery.start_soon(engines.release, "ab", [s.address for s in servers], deployment.router_config.release_ms)
         while "ab" in fleet.states:
             await trio.sleep(0.005)
     assert "ab" not in fleet.states
@@ -277,10 +283,10 @@
     well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
     for server in (well, away):
         await server.start()
-        assert (await engines.ask(server.address, "GET", "/stats", 500.0))[0] is Verdict.STREAMED
+        assert (await engines.ask(server.address, "GET", "/stats", 500.0))[0] is AttemptOutcome.STREAMED
     away.stop()
     engines.pool.forget(away.address)
-    assert (await engines.ask(away.address, "GET", "/stats", 500.0))[0] is Verdict.UNCONNECTED
+    assert (await engines.ask(away.address, "GET", "/stats", 500.0))[0] is AttemptOutcome.CONNECT_FAILED
     assert engines.by_last_answer([away.address, well.address], 2) == [well.address, away.address]
     assert engines.by_last_answer([away.address, well.address], 1) == [well.address]
 
@@ -310,7 +316,7 @@
 @pytest.mark.parametrize("struck", [False, True])
 async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
     """The time-out strikes while the event is already there, so it does not keep the task from going on."""
-    leg, outlet = Leg("a:1", Duty.WRITE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
+    attempt, outlet = Attempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
 
     class Stub:
         def expect_by(self, when: float) -> None:
@@ -318,14 +324,14 @@
 
         async def chunks(self) -> AsyncIterator[bytes]:
             if struck:
-                leg.scope.cancel()
+                attempt.scope.cancel()
             yield EVENT
             await trio.lowlevel.checkpoint()
             yield DONE
 
-    end = LegEnd()
-    with leg.scope:
-        await Engines(Pool(1.0, 1.0), Deployment(1, TOLD)).stream(leg, Stub(), outlet, end)  # type: ignore[arg-type]
+    end = AttemptResult()
+    with attempt.scope:
+        await Engines(Pool(1.0, 1.0), Deployment(1, TOLD)).stream(attempt, Stub(), outlet, end)  # type: ignore[arg-type]
     assert (end.begun, len(outlet.got)) == ((False, 0) if struck else (True, 2))
 
 
@@ -399,7 +405,7 @@
         await p.discovery.mend()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(registry.TOLD_MS / 1000):
-            while p.gateway.node.roster.servers["w0"].life is not Life.DRAINING:
+            while p.gateway.node.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
                 await trio.sleep(0.02)
         for stream in idle:
             stream.socket.close()
@@ -410,6 +416,6 @@
         node, front = p.gateway.node, p.gateway.front
         out = [await node.engines.pool.connect(p.servers["r0"].address) for _ in range(front.open_limit)]
         assert len(out) == len(node.engines.pool.open) == 40
-        assert await node.engines.release("ab", node.addresses(), node.deployment.facts.release_ms)
+        assert await node.engines.release("ab", node.addresses(), node.deployment.router_config.release_ms)
         for caller in out:
             caller.close_now()
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.port import Verdict
+from ternlane.policy import messages
+from ternlane.policy.messages import AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.fleet import (
     Day,
@@ -30,7 +30,7 @@
 FLOORS = {"day": 1 / 2, "class": 1 / 2, "third": 1 / 5, "tenant": 1 / 3}
 CALM_LOSS = 0.1
 LITTLE = 0.3  # where the baseline itself serves less, a class has no floor
-FLEET = Scene(gateways=200, readers=24, writers=16, seconds=10.0, tenants=3)
+FLEET = Scene(gateways=200, prefill_servers=24, decode_servers=16, seconds=10.0, tenants=3)
 UNEVEN = replace(FLEET, unevenness=1.2, seconds=15.0)
 
 
@@ -74,10 +74,10 @@
 
 MANY_TEXTS = replace(
     FLEET,
-    readers=60,
-    writers=24,
-    writer_memory=600e3,
-    openings=600,
+    prefill_servers=60,
+    decode_servers=24,
+    decode_memory=600e3,
+    prefixes=600,
     kept_share=0.8,
     load=0.7,
     seconds=9.0,
@@ -85,7 +85,7 @@
     prompt_tokens=6000.0,
     answer_tokens=50.0,
     tenants=0,
-    told_if_asked=True,
+    reports_on_probe=True,
 )
 
 
@@ -100,104 +100,110 @@
 def streaming(host: FakeHost, count: int) -> None:
     """So many streams are open, each begun at once."""
     for _ in range(count):
-        gen, attempt = host.written(opening=None, opening_toks=0.0)
-        host.first(gen, attempt.server, after=20.0)
+        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
+        host.first(request, attempt.server, after=20.0)
 
 
 def test_open_streams_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
     host = build(gateways=200)
     streaming(host, 8)
     host.tell(after=3000.0)
-    assert host.router.desk.fleets[port.Duty.WRITE].level > 1.0  # the guess: all of them are full
-    assert sent(host.arrive(host.gen())).server.duty is port.Duty.READ
+    assert host.router.desk.fleets[messages.Role.DECODE].level > 1.0  # the guess: all of them are full
+    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def test_reads_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
     host = build(gateways=200)
     for _ in range(3):
-        sent(host.arrive(host.gen(opening=None, opening_toks=0.0), after=50.0))
+        sent(host.arrive(host.request(prefix=None, prefix_tokens=0.0), after=50.0))
     host.tell(after=300.0)
-    assert host.router.desk.fleets[port.Duty.READ].queue_ms > 1000.0  # the guess: longer than the SLO time
-    assert sent(host.arrive(host.gen())).server.duty is port.Duty.READ
+    assert host.router.desk.fleets[messages.Role.PREFILL].queue_ms > 1000.0  # the guess: longer than the SLO time
+    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def test_the_guess_counts_once_answers_come_late() -> None:
     """Overload is real then, and what would be late is refused at once."""
-    host = build(gateways=200, leg_limit=2)
+    host = build(gateways=200, max_attempts=2)
     streaming(host, 8)
     served = 0
     while served < 32:
-        gen = host.gen(opening=None, opening_toks=0.0)
-        said = host.arrive(gen) + host.tell(after=1000.0)
-        attempts = [action for action in said if isinstance(action, port.SendLeg)]
+        request = host.request(prefix=None, prefix_tokens=0.0)
+        said = host.arrive(request) + host.tell(after=1000.0)
+        attempts = [action for action in said if isinstance(action, messages.StartAttempt)]
         if not attempts:
             break
-        write = sent(host.end(gen, attempts[0].server, Verdict.READ, after=10.0))
-        host.end(gen, write.server, Verdict.TIMED_OUT, after=500.0, over=True)
+        write = sent(host.end(request, attempts[0].server, AttemptOutcome.PREFILLED, after=10.0))
+        host.end(request, write.server, AttemptOutcome.TIMED_OUT, after=500.0, over=True)
         served += 1
-    assert 0 < served < 32 and port.Throttle in kinds(said)
+    assert 0 < served < 32 and messages.Reject in kinds(said)
 
 
 def test_an_opening_that_one_gateway_of_many_has_met_once_does_not_pass_for_a_popular_one() -> None:
     """The request at hand tells nothing of how many others share its text, which would be read at many servers."""
     host = build(extra=tuple(f"r{n}" for n in range(2, 90)), gateways=200)
-    gen = host.gen(opening="new")
-    host.arrive(gen)
-    assert len(gen.seat.agreed) == 2
+    request = host.request(prefix="new")
+    host.arrive(request)
+    assert len(request.seat.agreed) == 2
     for _ in range(20):
-        gen = host.gen(opening="new")
-        host.arrive(gen)
-    assert len(gen.seat.agreed) > 20  # it is popular by now
+        request = host.request(prefix="new")
+        host.arrive(request)
+    assert len(request.seat.agreed) > 20  # it is popular by now
 
 
 def late_request(host: FakeHost) -> list[Any]:
     """What is done about a request whose read has taken all of its SLO time."""
-    gen = host.gen(opening=None, opening_toks=0.0)
-    attempt = sent(host.arrive(gen, after=100.0))
-    said = host.end(gen, attempt.server, Verdict.TIMED_OUT, after=1200.0)
-    for further in [action for action in said if isinstance(action, port.SendLeg)]:
-        host.end(gen, further.server, Verdict.READ, after=20.0, over=True)
+    request = host.request(prefix=None, prefix_tokens=0.0)
+    attempt = sent(host.arrive(request, after=100.0))
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
+    for further in [action for action in said if isinstance(action, messages.StartAttempt)]:
+        host.end(request, further.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     return said
 
 
 def test_requests_that_are_late_already_give_way_to_others_where_reads_come_late() -> None:
     host = build(gateways=200)
-    assert port.SendLeg in kinds(late_request(host))  # one slow read is no overload
+    assert messages.StartAttempt in kinds(late_request(host))  # one slow read is no overload
     for _ in range(8):
         last = late_request(host)
-    assert port.SendLeg not in kinds(last) and port.Throttle in kinds(last)
-    gen = host.gen(opening=None, opening_toks=0.0)
-    attempt = sent(host.arrive(gen, after=3000.0))  # what is still in time goes on
-    host.end(gen, attempt.server, Verdict.READ, after=20.0, over=True)
+    assert messages.StartAttempt not in kinds(last) and messages.Reject in kinds(last)
+    request = host.request(prefix=None, prefix_tokens=0.0)
+    attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
+    host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     for _ in range(32):
-        gen = host.gen(opening=None, opening_toks=0.0)
-        host.end(gen, sent(host.arrive(gen, after=100.0)).server, Verdict.READ, after=20.0, over=True)
-    assert port.SendLeg in kinds(late_request(host))  # and once reads come in time again, so do they
+        request = host.request(prefix=None, prefix_tokens=0.0)
+        host.end(
+            request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
+        )
+    assert messages.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
 
 
 def test_a_single_late_answer_is_no_overload_also_where_late_answers_earn_nothing() -> None:
     host = build(gateways=200)
-    for product in host.products.values():
-        product.late_share = 0.0
-    assert port.SendLeg in kinds(late_request(host))
+    for request_class in host.request_classes.values():
+        request_class.late_value_share = 0.0
+    assert messages.StartAttempt in kinds(late_request(host))
     for _ in range(16):  # in time again
-        gen = host.gen(opening=None, opening_toks=0.0)
-        host.end(gen, sent(host.arrive(gen, after=100.0)).server, Verdict.READ, after=20.0, over=True)
-    assert port.SendLeg in kinds(late_request(host))
+        request = host.request(prefix=None, prefix_tokens=0.0)
+        host.end(
+            request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
+        )
+    assert messages.StartAttempt in kinds(late_request(host))
 
 
 def test_what_a_server_reports_and_what_is_booked_there_count_without_a_guess() -> None:
     host = build(gateways=200)
-    gen, attempt = host.written(opening=None, opening_toks=0.0)
+    request, attempt = host.written(prefix=None, prefix_tokens=0.0)
     for name in ("w0", "w1"):
-        full = port.Report(open_gens=40.0, mem_share=1.0)
-        host.tell(port.Checked(host.servers[name], Verdict.STREAMED, full))
-    said = host.arrive(host.gen())
-    assert port.SendLeg not in kinds(said)
+        full = messages.Report(open_requests=40.0, memory_share=1.0)
+        host.tell(messages.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
+    said = host.arrive(host.request())
+    assert messages.StartAttempt not in kinds(said)
 
 
 def test_one_gateway_alone_knows_all_of_the_load() -> None:
     host = build(gateways=1)
     for _ in range(2):
-        sent(host.arrive(host.gen(prompt_toks=180e3, opening=None, opening_toks=0.0)))
-    assert port.SendLeg not in kinds(host.arrive(host.gen(prompt_toks=180e3, opening=None, opening_toks=0.0)))
+        sent(host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0)))
+    assert messages.StartAttempt not in kinds(
+        host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0))
+    )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,16 +13,16 @@
 import trio
 
 from tests.world import BUILD, Reply, World, heard, patient, replace, world
-from ternlane.engine.leg import LegPlan, read_leg, stream_leg
+from ternlane.engine.attempt import AttemptPlan, prefill_attempt, stream_attempt
 from ternlane.http1 import Caller, Pool
-from ternlane.paper import ConsulSource, NodeLine
-from ternlane.paper.gateway import DoorTerms
-from ternlane.port import Verdict
-from ternlane.standin.registry import Listing, Registry
+from ternlane.config import ConsulSource, NodeLine
+from ternlane.config.gateway import ServerLimits
+from ternlane.policy.messages import AttemptOutcome
+from ternlane.standin.registry import EndpointList, Registry
 from ternlane.standin.scripted import Scripted
 from ternlane.standin.traffic import Traffic
 
-SLOW = replace(BUILD, tok_ms=80.0, answer_toks=(8, 8))
+SLOW = replace(BUILD, token_ms=80.0, answer_tokens=(8, 8))
 
 
 async def test_a_chat_is_read_and_written_and_streamed() -> None:
@@ -89,7 +89,7 @@
 
 
 async def test_a_client_gone_before_the_first_event_leaves_no_state_behind() -> None:
-    async with world(build=replace(BUILD, read_tok_s=2000.0)) as w:
+    async with world(build=replace(BUILD, prefill_tokens_per_s=2000.0)) as w:
         await leave(w, 100, text="x" * 1600)  # 200 ms to read
         await trio.sleep(0.15)
         await w.settled()
@@ -97,7 +97,7 @@
 
 
 async def test_a_client_gone_while_its_generation_waits_costs_nothing() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, mem_toks=3000.0, tok_ms=60.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, kv_capacity_tokens=3000.0, token_ms=60.0)) as w:
         async with trio.open_nursery() as nursery:
             for _ in range(2):
                 nursery.start_soon(w.ask, "summary", "y" * 4000)
@@ -127,7 +127,7 @@
 
 
 async def test_large_slow_and_broken_requests_are_refused_with_a_reason() -> None:
-    async with world(door=DoorTerms(body_bytes=2000, head_ms=80, body_ms=80)) as w:
+    async with world(door=ServerLimits(body_bytes=2000, head_ms=80, body_ms=80)) as w:
         assert (await w.ask(text="x" * 3000)).status == 413
         for begun, status in (
             (b"POST /v1/chat/completions HTTP/1.1\r\nHo", b"408"),
@@ -171,7 +171,7 @@
 
 
 async def test_a_shorter_time_limit_of_the_client_holds() -> None:
-    async with world(build=replace(BUILD, read_tok_s=100.0)) as w:
+    async with world(build=replace(BUILD, prefill_tokens_per_s=100.0)) as w:
         since = trio.current_time()
         reply = await w.ask(text="x" * 400, headers={"X-Ternlane-Time-Limit-Ms": "300"})
         assert reply.status in (429, 504) and trio.current_time() - since < 0.3
@@ -181,7 +181,7 @@
 
 
 async def test_a_writer_that_stalls_after_its_first_event_ends_in_an_error_event() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=30.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=30.0)) as w:
 
         async def hang() -> None:
             while not w.said("effect"):
@@ -200,7 +200,7 @@
 @pytest.mark.parametrize("model, served", [("summary", True), ("note", False), ("form", True)])
 async def test_a_writer_that_dies_before_the_first_event(model: str, served: bool) -> None:
     """An idempotent generation goes elsewhere, a deduplicated one within its cell, a side-effecting one nowhere."""
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=150.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=150.0)) as w:
 
         async def kill() -> None:
             while not w.said("effect"):
@@ -216,7 +216,7 @@
 
 
 async def test_a_deduplicated_generation_does_not_leave_its_cell() -> None:
-    async with world(("r0", "r1", "w0", "w1"), build=replace(BUILD, tok_ms=150.0)) as w:
+    async with world(("r0", "r1", "w0", "w1"), build=replace(BUILD, token_ms=150.0)) as w:
 
         async def kill() -> None:
             while not w.said("effect"):
@@ -229,7 +229,7 @@
 
 
 async def test_a_writer_that_dies_midway_ends_in_an_error_event() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=40.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=40.0)) as w:
 
         async def kill() -> None:
             while not w.said("effect"):
@@ -293,10 +293,10 @@
             s.setblocking(False)
             s.connect_ex(deaf.getsockname())
         pool = Pool(120, 1000)
-        plan = LegPlan("127.0.0.1:%d" % deaf.getsockname()[1], [], b"{}", 5000, 100)
+        plan = AttemptPlan("127.0.0.1:%d" % deaf.getsockname()[1], [], b"{}", 5000, 100)
         since = trio.current_time()
-        end = await read_leg(pool, plan)
-        assert end.verdict is Verdict.UNCONNECTED and trio.current_time() - since < 0.4
+        end = await prefill_attempt(pool, plan)
+        assert end.outcome is AttemptOutcome.CONNECT_FAILED and trio.current_time() - since < 0.4
         for s in fill:
             s.close()
 
@@ -310,27 +310,31 @@
 
 
 @pytest.mark.parametrize(
-    "steps, verdict, begun",
+    "steps, outcome, begun",
     [
-        ([HEAD, chunked(PIECE), b"40\r\ndata: {", "reset"], Verdict.RESET, True),
-        ([HEAD, chunked(PIECE), "close"], Verdict.RESET, True),
-        ([HEAD, chunked(PIECE) + b"0\r\n\r\n"], Verdict.RESET, True),
-        ([HEAD, chunked(b"data: {not json}\n\n")], Verdict.ERROR, False),
-        ([HEAD, chunked(PIECE), chunked(b"data: \xff\xfe\n\n")], Verdict.ERROR, True),
-        ([HEAD, chunked(b'data: {"error":{"message":"out of memory"}}\n\n')], Verdict.ERROR, False),
-        ([HEAD, b"zz\r\nrubbish"], Verdict.ERROR, False),
-        ([b"HTTP/1.1 200 OK\r\nbad header\r\n\r\n"], Verdict.ERROR, False),
-        ([b"SSH-2.0-OpenSSH\r\n\r\n"], Verdict.ERROR, False),
-        ([b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"], Verdict.ERROR, False),
-        ([b"HTTP/1.1 503 Busy\r\nx-ternlane-not-run: draining\r\nContent-Length: 0\r\n\r\n"], Verdict.FULL, False),
-        ([b"HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n"], Verdict.FULL, False),
-        (["reset"], Verdict.RESET, False),
-        (["hold"], Verdict.TIMED_OUT, False),
-        ([HEAD, chunked(PIECE), "hold"], Verdict.TIMED_OUT, True),
-        ([HEAD, chunked(b"data: [DONE]\n\n") + b"0\r\n\r\n"], Verdict.STREAMED, True),
+        ([HEAD, chunked(PIECE), b"40\r\ndata: {", "reset"], AttemptOutcome.RESET, True),
+        ([HEAD, chunked(PIECE), "close"], AttemptOutcome.RESET, True),
+        ([HEAD, chunked(PIECE) + b"0\r\n\r\n"], AttemptOutcome.RESET, True),
+        ([HEAD, chunked(b"data: {not json}\n\n")], AttemptOutcome.ERROR, False),
+        ([HEAD, chunked(PIECE), chunked(b"data: \xff\xfe\n\n")], AttemptOutcome.ERROR, True),
+        ([HEAD, chunked(b'data: {"error":{"message":"out of memory"}}\n\n')], AttemptOutcome.ERROR, False),
+        ([HEAD, b"zz\r\nrubbish"], AttemptOutcome.ERROR, False),
+        ([b"HTTP/1.1 200 OK\r\nbad header\r\n\r\n"], AttemptOutcome.ERROR, False),
+        ([b"SSH-2.0-OpenSSH\r\n\r\n"], AttemptOutcome.ERROR, False),
+        ([b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"], AttemptOutcome.ERROR, False),
+        (
+            [b"HTTP/1.1 503 Busy\r\nx-ternlane-not-run: draining\r\nContent-Length: 0\r\n\r\n"],
+            AttemptOutcome.OVERLOADED,
+            False,
+        ),
+        ([b"HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n"], AttemptOutcome.OVERLOADED, False),
+        (["reset"], AttemptOutcome.RESET, False),
+        (["hold"], AttemptOutcome.TIMED_OUT, False),
+        ([HEAD, chunked(PIECE), "hold"], AttemptOutcome.TIMED_OUT, True),
+        ([HEAD, chunked(b"data: [DONE]\n\n") + b"0\r\n\r\n"], AttemptOutcome.STREAMED, True),
     ],
 )
-async def test_what_the_end_of_a_leg_proves(steps: list[Any], verdict: Verdict, begun: bool) -> None:
+async def test_what_the_end_of_a_leg_proves(steps: list[Any], outcome: AttemptOutcome, begun: bool) -> None:
     async with trio.open_nursery() as nursery:
         peer, pool, got = Scripted(steps), Pool(200, 1000), []
         await peer.run(nursery)
@@ -339,8 +343,8 @@
             got.append(text)
 
         with trio.fail_after(2):
-            end = await stream_leg(pool, LegPlan(peer.address, [], b"{}", 150, 150), pass_on)
-        assert (end.verdict, end.begun) == (verdict, begun)
+            end = await stream_attempt(pool, AttemptPlan(peer.address, [], b"{}", 150, 150), pass_on)
+        assert (end.outcome, end.begun) == (outcome, begun)
         pool.close()
         nursery.cancel_scope.cancel()
 
@@ -350,24 +354,24 @@
     async with trio.open_nursery() as nursery:
         peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
-        end = await read_leg(Pool(200, 1000), LegPlan(peer.address, [], b"{}", 500, 100))
-        assert end.verdict is Verdict.ERROR and end.state is None
+        end = await prefill_attempt(Pool(200, 1000), AttemptPlan(peer.address, [], b"{}", 500, 100))
+        assert end.outcome is AttemptOutcome.ERROR and end.state is None
         nursery.cancel_scope.cancel()
 
 
 async def test_nothing_goes_to_a_server_that_drains_and_a_state_that_waits_is_handed_elsewhere() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, read_tok_s=4000.0)) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=4000.0)) as w:
         async with trio.open_nursery() as nursery:
 
             async def drain() -> None:
                 while not w.said("leg"):
                     await trio.sleep(0.005)
-                home = next(iter(w.gateway.host.tickets)).seat.writer.server
+                home = next(iter(w.gateway.host.active_requests)).seat.decode_server.server
                 w.list(**{w.gateway.book.places[home].ident: "draining"})
 
             nursery.start_soon(drain)
             reply = await w.ask("note", "x" * 1600)
-        drained = next(s for s in w.gateway.book.servers.values() if s.life.name == "DRAINING")
+        drained = next(s for s in w.gateway.book.servers.values() if s.status.name == "DRAINING")
         assert reply.done == 1
         assert w.said("effect")[0]["id"] != w.gateway.book.places[drained].ident
 
@@ -383,7 +387,7 @@
 
 
 async def test_repeats_under_one_key_run_once() -> None:
-    async with world(build=replace(BUILD, tok_ms=30.0)) as w:
+    async with world(build=replace(BUILD, token_ms=30.0)) as w:
         key = {"Idempotency-Key": "folder-17"}
         async with trio.open_nursery() as nursery:
             got: list[Any] = []
@@ -394,12 +398,12 @@
             nursery.start_soon(first)
             await trio.sleep(0.06)
             assert (await w.ask("note", headers=key)).status == 409
-        legs = len(w.said("leg"))
+        attempts = len(w.said("leg"))
         again = await w.ask("note", headers=key)
         assert again.text == got[0].text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
         assert (await w.ask("note", text="other", headers=key)).status == 422
         assert (await w.ask("note", headers=key)).done == 1  # a refused one has not unsettled the first
-        assert len(w.said("effect")) == 1 and len(w.said("leg")) == legs
+        assert len(w.said("effect")) == 1 and len(w.said("leg")) == attempts
 
 
 async def test_an_effect_that_may_have_happened_is_remembered_under_its_key() -> None:
@@ -427,24 +431,24 @@
                 await trio.sleep(0.01)
         from ternlane.gateway import open_gateway
 
-        paper = replace_paper(w.gateway.paper, nodes=nobody)
-        async with open_gateway(paper) as second:
+        config = replace_paper(w.gateway.config, nodes=nobody)
+        async with open_gateway(config) as second:
             w.gateway, first = second, w.gateway
             assert (await w.ask()).done == 1
             w.gateway = first
         raw = bytearray(Path(kept).read_bytes())
         raw[-9] ^= 1  # torn: recognised, not used, and not fatal
         Path(kept).write_bytes(raw)
-        async with open_gateway(paper) as third:
+        async with open_gateway(config) as third:
             w.gateway = third
             assert (await w.ask()).status == 429
             w.gateway = first
 
 
-def replace_paper(paper: Any, **changes: Any) -> Any:
+def replace_paper(config: Any, **changes: Any) -> Any:
     import msgspec
 
-    return msgspec.structs.replace(paper, **changes)
+    return msgspec.structs.replace(config, **changes)
 
 
 async def test_the_registry_is_followed_through_failures_restarts_and_nonsense() -> None:
@@ -470,7 +474,7 @@
                 while not condition():
                     await trio.sleep(0.005)
 
-        registry.put(Listing("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
+        registry.put(EndpointList("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
         await until(lambda: found and [n.id for n in found[-1]] == ["a"])
         registry.alter("a", state="draining")
         await until(lambda: found[-1][0].state == "draining")
@@ -482,16 +486,16 @@
             assert found[-1] == kept
             registry.failing = None
         registry.restart()
-        registry.put(Listing("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
+        registry.put(EndpointList("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
         await until(lambda: {n.id for n in found[-1]} == {"a", "b"})
-        registry.put(Listing("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))  # one bad entry costs only itself
+        registry.put(EndpointList("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))  # one bad entry costs only itself
         await until(lambda: any("c:" in why for why in failed))
         assert {n.id for n in found[-1]} == {"a", "b"}
         nursery.cancel_scope.cancel()
 
 
 async def test_a_gateway_that_drains_finishes_what_it_holds() -> None:
-    async with world(build=replace(BUILD, tok_ms=40.0)) as w:
+    async with world(build=replace(BUILD, token_ms=40.0)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
@@ -507,7 +511,7 @@
 
 
 async def test_what_outlasts_the_drain_is_terminated() -> None:
-    async with world(build=replace(BUILD, tok_ms=400.0), door=DoorTerms(drain_ms=100)) as w:
+    async with world(build=replace(BUILD, token_ms=400.0), door=ServerLimits(drain_ms=100)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
@@ -552,10 +556,10 @@
 
 @pytest.mark.parametrize("model", ["summary", "note"])
 async def test_a_read_whose_answer_is_lost_is_told_by_a_later_one(model: str) -> None:
-    async with world(products=patient(8)) as w, trio.open_nursery() as nursery:
+    async with world(request_classes=patient(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
-        reader = w.engines[w.said("leg", stage="read")[0]["id"]]
-        reader.trouble.script = "silent"
+        prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
+        prefill_server.trouble.script = "silent"
         replies: list[Reply] = []
 
         async def mute() -> None:
@@ -563,15 +567,15 @@
 
         nursery.start_soon(mute)
         with trio.fail_after(3):  # under the 3.2 s for which it would be waited
-            while len(w.said("leg", stage="read", id=reader.ident)) < 2:
+            while len(w.said("leg", stage="read", id=prefill_server.ident)) < 2:
                 await trio.sleep(0.001)
-            gen = w.said("leg", stage="read")[-1]["gen"]
-            reader.trouble.script = ""
+            request = w.said("leg", stage="read")[-1]["gen"]
+            prefill_server.trouble.script = ""
             while not replies:
                 await w.ask(text="the same")
-        reads = [line["id"] for line in w.said("leg", stage="read", gen=gen)]
-        assert len(reads) == 2 and reads[0] == reader.ident != reads[1]
-        assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=gen)) == 1
+        prefills = [line["id"] for line in w.said("leg", stage="read", gen=request)]
+        assert len(prefills) == 2 and prefills[0] == prefill_server.ident != prefills[1]
+        assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=request)) == 1
         await w.settled()
 
 
@@ -580,9 +584,9 @@
         heard: list[str] = []
         for ident in ("r0", "r0b"):  # each hears the first word of it too early
 
-            def too_early(gen: str, how: str, ident: str = ident, real: Any = w.engines[ident].drop_state) -> bool:
+            def too_early(request: str, how: str, ident: str = ident, real: Any = w.engines[ident].drop_state) -> bool:
                 heard.append(ident)
-                return heard.count(ident) > 1 and bool(real(gen, how))
+                return heard.count(ident) > 1 and bool(real(request, how))
 
             monkeypatch.setattr(w.engines[ident], "drop_state", too_early)
             w.engines[ident].trouble.lost = 1.0
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -58,8 +58,8 @@
     """What is recovered, against the records that it was recovered from, gone through one by one."""
     taken = {r.ident: r for r in records if isinstance(r, Taken)}
     ended = {r.ident: r for r in records if isinstance(r, Ended)}
-    ran = {r.ident for r in records if isinstance(r, Sent) and r.writes}
-    held = {r.ident for r in records if isinstance(r, Sent) and r.reads} - {
+    ran = {r.ident for r in records if isinstance(r, Sent) and r.decodes}
+    held = {r.ident for r in records if isinstance(r, Sent) and r.prefills} - {
         r.ident for r in records if isinstance(r, Freed)
     }
     answers = {v.taken.ident: v.ended for v in found.answers(NOW)}
@@ -164,8 +164,8 @@
     """The next process, with the journal as a kill at this moment would leave it."""
     copy = folder.with_name(folder.name + "-after")
     shutil.copytree(folder, copy)
-    paper = msgspec.structs.replace(w.gateway.paper, journal=str(copy), listen="127.0.0.1:0")
-    async with open_gateway(paper) as gateway:
+    config = msgspec.structs.replace(w.gateway.config, journal=str(copy), listen="127.0.0.1:0")
+    async with open_gateway(config) as gateway:
         with trio.fail_after(2):
             while not gateway.scribe.ready:  # type: ignore[union-attr]
                 await trio.sleep(0.005)
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("model", ["note", "form", "summary"])
 async def test_a_repeat_after_the_loss_hears_that_it_may_have_run(model: str, tmp_path: Path) -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=60.0), journal=str(tmp_path / "j")) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         replies: list[Reply] = []
 
         async def first() -> None:
@@ -209,7 +209,7 @@
 
 
 async def test_gateway_and_writer_lost_together_double_nothing(tmp_path: Path) -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=60.0), journal=str(tmp_path / "j")) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
         with trio.fail_after(2):
             while not w.said("effect"):
@@ -284,8 +284,8 @@
         with trio.fail_after(1):
             while not w.gateway.scribe.ready:  # type: ignore[union-attr]
                 await trio.sleep(0.005)
-        paper = msgspec.structs.replace(w.gateway.paper, listen="127.0.0.1:0")
-        async with open_gateway(paper) as second:
+        config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
+        async with open_gateway(config) as second:
             reply = await ask_at(second.address, "note", "k1")
             assert reply.status == 503 and reply.error["code"] == "taking_over"  # type: ignore[index]
             await w.gateway.drain()
@@ -296,14 +296,18 @@
 
 
 async def test_a_daemon_killed_outright_doubles_nothing(tmp_path: Path) -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, tok_ms=60.0)) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0)) as w:
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        paper = msgspec.structs.replace(
-            w.gateway.paper, listen=f"127.0.0.1:{port}", journal=str(tmp_path / "j"), products=patient(20), fleet=TERMS
+        config = msgspec.structs.replace(
+            w.gateway.config,
+            listen=f"127.0.0.1:{port}",
+            journal=str(tmp_path / "j"),
+            request_classes=patient(20),
+            fleet=TERMS,
         )
-        (tmp_path / "g.json5").write_bytes(msgspec.json.encode(paper))
+        (tmp_path / "g.json5").write_bytes(msgspec.json.encode(config))
 
         async def start() -> Any:
             process = await trio.lowlevel.open_process(
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -17,8 +17,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from ternlane.port import Life
-from tests.crossing import Client, Turnstile, request, until
+from ternlane.policy.messages import EndpointStatus
+from tests.crossing import Client, Turnstile, client_request, until
 from tests.platform_world import TOLD, Platform, platform
 
 PATIENT = TOLD | {
@@ -47,7 +47,7 @@
 
     client: Client
     ident: str
-    product: str
+    request_class: str
     rest: bytes = b""  # of the request, not sent yet
     left: bool = False
     answer: bytes = b""
@@ -73,18 +73,18 @@
         await cast(Any, getattr(self, "do_" + step[0].replace(" ", "_")))(*step[1:])
         await trio.testing.wait_all_tasks_blocked()
 
-    async def do_ask(self, product: str) -> Asked | None:
+    async def do_ask(self, request_class: str) -> Asked | None:
         if self.ending:
             return None
-        whole = request(self.p, Request_Class=product, Request_Timeout="15")
-        one = Asked(Client(self.p.address), f"{self.p.count:016x}", product)
+        whole = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
+        one = Asked(Client(self.p.address), f"{self.p.count:016x}", request_class)
         one.client.send(whole)
         self.asked.append(one)
         return one
 
     async def do_half(self, at: int) -> None:
         if not self.ending:
-            whole = request(self.p, Request_Timeout="15")
+            whole = client_request(self.p, Request_Timeout="15")
             one = Asked(Client(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
             one.client.send(whole[:at])
             self.asked.append(one)
@@ -109,21 +109,21 @@
     async def do_go_on(self, server: str, nth: int) -> None:
         cast(Turnstile, self.p.servers[server].gates["request"]).let_through(nth)
 
-    async def put(self, server: str, status: str, life: Life) -> None:
+    async def put(self, server: str, listed_status: str, status: EndpointStatus) -> None:
         kind = "reader" if server[0] == "r" else "writer"
-        self.p.discovery.put(server, self.p.servers[server].address, kind, status)
-        await until(lambda: self.p.gateway.node.roster.servers[server].life is life)
+        self.p.discovery.put(server, self.p.servers[server].address, kind, listed_status)
+        await until(lambda: self.p.gateway.node.endpoint_registry.servers[server].status is status)
 
     async def do_drain(self, server: str) -> None:
         if server not in self.told_to_leave_alone:
-            await self.put(server, "DRAINING", Life.DRAINING)
+            await self.put(server, "DRAINING", EndpointStatus.DRAINING)
             await trio.testing.wait_all_tasks_blocked()
             self.told_to_leave_alone[server] = self.attempts(server)
 
     async def do_back(self, server: str) -> None:
         if server in self.told_to_leave_alone:
             assert self.attempts(server) == self.told_to_leave_alone.pop(server), server
-            await self.put(server, "SERVING", Life.UP)
+            await self.put(server, "SERVING", EndpointStatus.READY)
 
     async def do_watch_resets(self) -> None:
         for stream in list(self.p.discovery.conns):
@@ -153,21 +153,21 @@
             if one.left:
                 assert self.attempts_for(one.ident) == self.attempts_when_left[one.ident], one.ident
                 continue
-            status = one.answer[9:12]
-            assert status in (b"200", b"502", b"503"), one.answer
-            if one.product == "note":
-                assert one.ident not in self.p.fleet.repeated and (status != b"503" or not ran[one.ident])
+            listed_status = one.answer[9:12]
+            assert listed_status in (b"200", b"502", b"503"), one.answer
+            if one.request_class == "note":
+                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not ran[one.ident])
         for server, before in self.told_to_leave_alone.items():
             assert self.attempts(server) == before, server
 
 
-async def play(steps: list[tuple[Any, ...]], reads: list[str], writes: list[str]) -> None:
+async def play(steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]) -> None:
     """Plays the steps; `reads` and `writes` are the ways in which the first attempts of each kind go."""
-    ways = {"read": list(reads), "write": list(writes)}
+    ways = {"read": list(prefills), "write": list(decodes)}
     async with platform(*SERVERS, told=PATIENT) as p:
         for server in p.servers.values():
             server.gates["request"] = cast(Any, Turnstile())
-            server.script = lambda _, left=ways[server.duty]: left.pop() if left else ""  # type: ignore[misc]
+            server.script = lambda _, left=ways[server.role]: left.pop() if left else ""  # type: ignore[misc]
         playing = Play(p)
         for step in steps:
             await playing.step(step)
@@ -180,7 +180,9 @@
     st.lists(st.sampled_from(WAYS), max_size=3),
     st.lists(st.sampled_from(WAYS), max_size=4),
 )
-@example(steps=[("ask", "note")], reads=[], writes=["opening_cut", "opening_cut"])
-@example(steps=[("half", 40), ("displace",), ("shutdown",)], reads=[], writes=[])
-def test_no_order_of_events_breaks_a_rule(steps: list[tuple[Any, ...]], reads: list[str], writes: list[str]) -> None:
-    trio.run(play, steps, reads, writes)
+@example(steps=[("ask", "note")], prefills=[], decodes=["opening_cut", "opening_cut"])
+@example(steps=[("half", 40), ("displace",), ("shutdown",)], prefills=[], decodes=[])
+def test_no_order_of_events_breaks_a_rule(
+    steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]
+) -> None:
+    trio.run(play, steps, prefills, decodes)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,54 +7,54 @@
 
 import pytest
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, Lease, ReleaseSchedule
-from ternlane.port import Effect, ReleaseReason, Verdict
-from tests.conftest import FACTS, FakeHost, build, kinds, sent
+from ternlane.policy.messages import Effect, ReleaseReason, AttemptOutcome
+from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 
-GUARD_MS = (1 - RELEASE_RESERVE) * FACTS.release_ms
+GUARD_MS = (1 - RELEASE_RESERVE) * ROUTER_CONFIG.release_ms
 
 
-def decode_ended(verdict: Verdict) -> AttemptEnd:
-    return AttemptEnd(verdict, prefills=False, state_lost=False)
+def decode_ended(outcome: AttemptOutcome) -> AttemptEnd:
+    return AttemptEnd(outcome, prefills=False, state_lost=False)
 
 
 def prefilled(at: float = 100.0) -> Lease[str]:
     lease: Lease[str] = Lease()
     lease.attempt_begins()
-    lease.attempt_ended(AttemptEnd(Verdict.READ, prefills=True, state_lost=False), "p0", at)
+    lease.attempt_ended(AttemptEnd(AttemptOutcome.PREFILLED, prefills=True, state_lost=False), "p0", at)
     return lease
 
 
 @pytest.mark.parametrize(
-    "verdict, renewed",
+    "outcome, renewed",
     [
-        (Verdict.FULL, True),  # a running server has answered
-        (Verdict.ERROR, True),
-        (Verdict.TIMED_OUT, False),  # nothing shows that it has arrived
-        (Verdict.RESET, False),
-        (Verdict.CALLED_OFF, False),
-        (Verdict.UNCONNECTED, False),
-        (Verdict.WITHHELD, False),
+        (AttemptOutcome.OVERLOADED, True),  # a running server has answered
+        (AttemptOutcome.ERROR, True),
+        (AttemptOutcome.TIMED_OUT, False),  # nothing shows that it has arrived
+        (AttemptOutcome.RESET, False),
+        (AttemptOutcome.CANCELLED, False),
+        (AttemptOutcome.CONNECT_FAILED, False),
+        (AttemptOutcome.NOT_STARTED, False),
     ],
 )
-def test_only_an_answer_begins_the_release_time_anew(verdict: Verdict, renewed: bool) -> None:
+def test_only_an_answer_begins_the_release_time_anew(outcome: AttemptOutcome, renewed: bool) -> None:
     lease = prefilled(at=100.0)
     lease.attempt_begins()
-    lease.attempt_ended(decode_ended(verdict), "d0", 300.0)
+    lease.attempt_ended(decode_ended(outcome), "d0", 300.0)
     assert lease.since == (300.0 if renewed else 100.0) and lease.held_at == "p0" and lease.may_hold
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.RESET])
-def test_what_outlasts_a_confirmed_release_was_kept_for_an_attempt_that_had_arrived(verdict: Verdict) -> None:
+@pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET])
+def test_what_outlasts_a_confirmed_release_was_kept_for_an_attempt_that_had_arrived(outcome: AttemptOutcome) -> None:
     lease = prefilled()
     lease.attempt_begins()
     lease.released_early()
     lease.release_heard()
-    lease.attempt_ended(decode_ended(verdict), "d0", 900.0)
+    lease.attempt_ended(decode_ended(outcome), "d0", 900.0)
     assert lease.since == 900.0 and lease.held_at == "p0"
     lease.attempt_begins()  # what was heard for one attempt says nothing of the next
-    lease.attempt_ended(decode_ended(verdict), "d1", 1000.0)
+    lease.attempt_ended(decode_ended(outcome), "d1", 1000.0)
     assert lease.since == 900.0
 
 
@@ -63,7 +63,7 @@
     lease.release_heard()
     lease.attempt_begins()
     lease.release_heard()  # of an earlier release
-    lease.attempt_ended(decode_ended(Verdict.TIMED_OUT), "d0", 900.0)
+    lease.attempt_ended(decode_ended(AttemptOutcome.TIMED_OUT), "d0", 900.0)
     assert lease.since == 100.0
 
 
@@ -80,12 +80,12 @@
 # -- in the decisions
 
 
-def platform_like(*extra: str, **facts: Any) -> FakeHost:
-    return build(extra, releases_spare_attempts=True, **facts)
+def platform_like(*extra: str, **router_config: Any) -> FakeHost:
+    return build(extra, releases_spare_attempts=True, **router_config)
 
 
 def released(said: list[Any]) -> list[ReleaseReason]:
-    return [action.why for action in said if isinstance(action, port.Release)]
+    return [action.why for action in said if isinstance(action, messages.Release)]
 
 
 @pytest.mark.parametrize("effect", list(Effect))
@@ -94,78 +94,80 @@
     host.written(effect)
     assert host.tell(after=GUARD_MS - 1) == []
     said = host.tell(after=1)
-    assert kinds(said) == [port.Release] and released(said) == [ReleaseReason.UNCONFIRMED]
+    assert kinds(said) == [messages.Release] and released(said) == [ReleaseReason.UNCONFIRMED]
     assert host.tell(after=100) == []
 
 
 def test_a_state_that_a_decode_attempt_has_taken_is_not_released() -> None:
     host = platform_like()
-    gen, leg = host.written()
-    host.first(gen, leg.server)
-    assert not released(host.tell(after=2 * FACTS.release_ms))
+    request, attempt = host.written()
+    host.first(request, attempt.server)
+    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
 
 
 def test_an_attempt_that_timed_out_does_not_prolong_the_release_time() -> None:
     host = platform_like("w2", "w3")
-    gen, leg = host.written()
-    said = host.end(gen, leg.server, Verdict.TIMED_OUT, after=GUARD_MS / 2)
-    leg = sent(said)
-    assert leg.server.duty is port.Duty.WRITE and not released(said)  # another may still take it
+    request, attempt = host.written()
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=GUARD_MS / 2)
+    attempt = sent(said)
+    assert attempt.server.role is messages.Role.DECODE and not released(said)  # another may still take it
     assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
-    said = host.end(gen, leg.server, Verdict.TIMED_OUT, after=50.0)  # nobody has heard the release
-    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.duty is port.Duty.READ
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=50.0)  # nobody has heard the release
+    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is messages.Role.PREFILL
 
 
 def test_a_state_that_survives_a_heard_release_is_handed_on() -> None:
     """The servers kept it for the attempt, if that had arrived and was merely slow."""
     host = platform_like("w2")
-    gen, leg = host.written()
+    request, attempt = host.written()
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
-    host.tell(port.ReleaseHeard(gen))
-    said = host.end(gen, leg.server, Verdict.TIMED_OUT, after=250.0)
-    assert sent(said).server.duty is port.Duty.WRITE and not released(said)
+    host.tell(messages.ReleaseConfirmed(request))
+    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
+    assert sent(said).server.role is messages.Role.DECODE and not released(said)
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
 
 
 def test_no_prefill_begins_that_would_be_the_last_attempt() -> None:
-    host = platform_like(leg_limit=3)
-    gen, leg = host.written()
-    said = host.end(gen, leg.server, Verdict.FULL, state_lost=True)
-    assert kinds(said) == [port.Release, port.Throttle] and said[-1].why is port.Refusal.ATTEMPTS_SPENT
+    host = platform_like(max_attempts=3)
+    request, attempt = host.written()
+    said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
+    assert kinds(said) == [messages.Release, messages.Reject] and said[-1].why is messages.RejectReason.ATTEMPTS_SPENT
 
 
 def test_nothing_is_released_while_a_prefill_is_out() -> None:
     """It would take with it what that prefill is about to leave."""
     host = platform_like()
-    gen = host.gen()
-    first = sent(host.arrive(gen))
-    said = host.end(gen, first.server, Verdict.RESET)
+    request = host.request()
+    first = sent(host.arrive(request))
+    said = host.end(request, first.server, AttemptOutcome.RESET)
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server is not first.server
-    assert not released(host.tell(after=2 * FACTS.release_ms))
+    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
 
 
 def test_what_an_unheard_prefill_may_leave_is_released_again_while_its_request_queues() -> None:
     host = platform_like()
-    host.list(r0=port.Life.DRAINING)
-    large = sent(host.arrive(host.gen(prompt_toks=190e3, opening=None)))
-    host.list(r0=port.Life.UP)
-    gen = host.gen(opening=None)
-    first = sent(host.arrive(gen))
+    host.list(r0=messages.EndpointStatus.DRAINING)
+    large = sent(host.arrive(host.request(prompt_tokens=190e3, prefix=None)))
+    host.list(r0=messages.EndpointStatus.READY)
+    request = host.request(prefix=None)
+    first = sent(host.arrive(request))
     assert first.server is not large.server
-    said = host.end(gen, first.server, Verdict.RESET)
-    assert kinds(said) == [port.Release]  # no prefill server has room
+    said = host.end(request, first.server, AttemptOutcome.RESET)
+    assert kinds(said) == [messages.Release]  # no prefill server has room
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
-    host = platform_like(may_call_off=False)
-    gen, _ = host.written(Effect.SIDE_EFFECTING)
-    host.tell(port.ClientLeft(gen))
+    host = platform_like(may_cancel=False)
+    request, _ = host.written(Effect.SIDE_EFFECTING)
+    host.tell(messages.ClientDisconnected(request))
     assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
 
 
-@pytest.mark.parametrize("facts", [{"releases_spare_attempts": False}, {"holds_run_on": False}])
-def test_where_a_release_would_harm_an_attempt_or_sends_can_not_be_lost_none_is_early(facts: dict[str, bool]) -> None:
-    host = build(**({"releases_spare_attempts": True} | facts))
+@pytest.mark.parametrize("router_config", [{"releases_spare_attempts": False}, {"holds_expire_unless_arrived": False}])
+def test_where_a_release_would_harm_an_attempt_or_sends_can_not_be_lost_none_is_early(
+    router_config: dict[str, bool],
+) -> None:
+    host = build(**({"releases_spare_attempts": True} | router_config))
     host.written()
-    assert not released(host.tell(after=2 * FACTS.release_ms))
+    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -18,7 +18,7 @@
 import trio
 
 import ternlane
-from tests.test_transports import REQUEST, Local, paper
+from tests.test_transports import REQUEST, Local, config
 from ternlane.engine import LocalTransport
 
 ROOT = Path(__file__).parent.parent
@@ -32,7 +32,7 @@
 
 def test_decisions_alone_bring_no_http_stack_and_all_names_are_there() -> None:
     heavy = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
-    said = python("import sys, ternlane\nternlane.Router, ternlane.StartFacts\nprint(*sys.modules)")
+    said = python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
     assert not heavy & set(said.split())
     for name in ternlane.__all__:
         assert getattr(ternlane, name) is not None
@@ -57,30 +57,30 @@
     made, transport = engines()
     got: list[str] = []
     before = threading.active_count()
-    with ternlane.Blocking(paper("r0", "w0"), lambda: transport) as routing:
-        threads = [threading.Thread(target=lambda: got.append("".join(routing.generation(REQUEST)))) for _ in range(8)]
+    with ternlane.Blocking(config("r0", "w0"), lambda: transport) as routing:
+        threads = [threading.Thread(target=lambda: got.append("".join(routing.request(REQUEST)))) for _ in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(5)
-        early = routing.generation(REQUEST)
+        early = routing.request(REQUEST)
         assert next(early) == "0 "
         early.close()  # type: ignore[attr-defined]
         with pytest.raises(ternlane.Wrong):
-            list(routing.generation(REQUEST | {"model": "x"}))
+            list(routing.request(REQUEST | {"model": "x"}))
         made["w0"].trouble = "broken"
-        with pytest.raises(ternlane.TerminatedError):
-            list(routing.generation(REQUEST))
+        with pytest.raises(ternlane.FailedError):
+            list(routing.request(REQUEST))
     assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
     with pytest.raises(RuntimeError, match="has ended"):
-        list(routing.generation(REQUEST))
+        list(routing.request(REQUEST))
 
 
 def test_asyncio_callers_are_served_and_may_cancel() -> None:
     made, transport = engines()
 
     async def main() -> list[str]:
-        with ternlane.Bridged(paper("r0", "w0"), lambda: transport) as routing:
+        with ternlane.Bridged(config("r0", "w0"), lambda: transport) as routing:
 
             async def one() -> str:
                 return "".join([text async for text in routing.agenerate(REQUEST)])
@@ -106,15 +106,15 @@
     def make() -> LocalTransport:
         raise OSError("no such engines")
 
-    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(paper("r0"), make):
+    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(config("r0"), make):
         pass
 
 
 def test_an_interpreter_that_ends_with_a_router_open_ends() -> None:
     code = (
         "from tests.test_library import *\n_, t = engines()\n"
-        "r = ternlane.Blocking(paper('r0', 'w0'), lambda: t).__enter__()\n"
-        "print(''.join(r.generation(REQUEST)).strip()[-1])"
+        "r = ternlane.Blocking(config('r0', 'w0'), lambda: t).__enter__()\n"
+        "print(''.join(r.request(REQUEST)).strip()[-1])"
     )
     assert python(code).split()[-1] == "5"
 
@@ -190,8 +190,8 @@
     said = python(
         "import os\nfrom tests.test_library import *\nternlane.Blocking, ternlane.open_gateway\n"
         "pid = os.fork()\n_, t = engines()\n"
-        "with ternlane.Blocking(paper('r0', 'w0'), lambda: t) as r:\n"
-        "    text = ''.join(r.generation(REQUEST)).strip()\n"
+        "with ternlane.Blocking(config('r0', 'w0'), lambda: t) as r:\n"
+        "    text = ''.join(r.request(REQUEST)).strip()\n"
         "os.write(1, (text[-1] + chr(10)).encode())\n"
         "pid and os.waitpid(pid, 0)\n"
     )
@@ -241,17 +241,17 @@
 async def test_two_routers_in_one_process_do_not_know_each_other() -> None:
     (one, first), (two, second) = engines(), engines()
     async with (
-        ternlane.open_routing(paper("r0", "w0"), first) as a,
-        ternlane.open_routing(paper("r0", "w0", seed=9), second) as b,
+        ternlane.open_routing(config("r0", "w0"), first) as a,
+        ternlane.open_routing(config("r0", "w0", seed=9), second) as b,
     ):
-        async with a.generation(REQUEST) as stream:
+        async with a.request(REQUEST) as stream:
             assert await stream.text()
-        assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.host.tickets
+        assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.host.active_requests
         two["r0"].trouble = "hung"
         with trio.move_on_after(0.05):
-            async with b.generation(REQUEST) as stream:
+            async with b.request(REQUEST) as stream:
                 await stream.text()
-        async with a.generation(REQUEST) as stream:
+        async with a.request(REQUEST) as stream:
             assert await stream.text()
 
 
@@ -261,7 +261,7 @@
     async def once(n: int) -> bool:
         made, transport = engines()
         steps, done = 0, False
-        async with ternlane.open_routing(paper("r0", "w0"), transport) as routing:
+        async with ternlane.open_routing(config("r0", "w0"), transport) as routing:
             with trio.CancelScope() as scope:
 
                 class Count(trio.abc.Instrument):
@@ -274,13 +274,13 @@
                 counter = Count()
                 trio.lowlevel.add_instrument(counter)
                 try:
-                    async with routing.generation(REQUEST) as stream:
+                    async with routing.request(REQUEST) as stream:
                         await stream.text()
                         done = True
                 finally:
                     trio.lowlevel.remove_instrument(counter)
             with trio.fail_after(1):
-                while routing.host.tickets or routing.host.releasing:
+                while routing.host.active_requests or routing.host.releasing:
                     await trio.sleep(0.002)
             assert made["w0"].effects <= 1 and made["w0"].closed == made["w0"].effects
             assert made["w0"].effects or not made["r0"].states
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,11 +8,11 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.deployment import Deployment
 from ternlane.platform.protocol import load_of, outcome_of
-from ternlane.platform.roster import Roster, read_listing
-from ternlane.port import Duty, Verdict
+from ternlane.platform.endpoint_registry import EndpointRegistry, read_listing
+from ternlane.policy.messages import Role, AttemptOutcome
 from ternlane.standin.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
 from ternlane.wirehost.host import Instance
@@ -23,9 +23,11 @@
 
 def test_simulator_and_platform_tell_the_decisions_equal_facts() -> None:
     wire, told = Instance(7, TOLD), Deployment(7, TOLD)
-    assert [astuple(p) for p in wire.deployment.facts.products] == [astuple(p) for p in told.facts.products]
-    assert replace(wire.deployment.facts, products=()) == replace(told.facts, products=())
-    roster = Roster(Deployment(7, TOLD))
+    assert [astuple(p) for p in wire.deployment.router_config.request_classes] == [
+        astuple(p) for p in told.router_config.request_classes
+    ]
+    assert replace(wire.deployment.router_config, request_classes=()) == replace(told.router_config, request_classes=())
+    endpoint_registry = EndpointRegistry(Deployment(7, TOLD))
     listing = read_listing(
         json.dumps(
             {
@@ -46,17 +48,17 @@
             }
         ).encode()
     )
-    roster.take(listing, 10_000.0, 5_000.0)
+    endpoint_registry.take(listing, 10_000.0, 5_000.0)
     wire.list_entries("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
-    mine, theirs = roster.servers["s1"], wire.servers["s1"]
-    for name in ("zone", "cell", "duty", "mem_toks", "size", "started_ms", "life", "mark"):
+    mine, theirs = endpoint_registry.servers["s1"], wire.servers["s1"]
+    for name in ("zone", "cell", "role", "kv_capacity_tokens", "size", "started_ms", "status", "hash_key"):
         assert getattr(mine, name) == getattr(theirs, name), name
     by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
-    assert isinstance(by_wire, port.Arrived)
-    by_socket = told.generation(told.products["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
-    for name in ("session", "opening", "opening_toks", "prompt_toks", "max_toks", "patience_ms", "tenant"):
-        assert getattr(by_wire.gen, name) == getattr(by_socket, name), name
-    assert load_of("inflight=7,x0=0.5", Deployment(7, TOLD)) == wire.report("7,0.5") == port.Report(7.0, 0.5)
+    assert isinstance(by_wire, messages.RequestArrived)
+    by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
+    for name in ("session", "prefix", "prefix_tokens", "prompt_tokens", "max_tokens", "client_timeout_ms", "tenant"):
+        assert getattr(by_wire.request, name) == getattr(by_socket, name), name
+    assert load_of("inflight=7,x0=0.5", Deployment(7, TOLD)) == wire.report("7,0.5") == messages.Report(7.0, 0.5)
     assert WireHost().answer(["MARK 1.0"]) == ["YIELD"]
 
 
@@ -64,26 +66,28 @@
 
 
 @pytest.mark.parametrize(
-    "status, vouched, duty, verdict, lost",
+    "status, vouched, role, outcome, lost",
     [
-        (200, False, Duty.WRITE, None, False),
-        (202, False, Duty.READ, Verdict.READ, False),
-        (200, False, Duty.READ, Verdict.ERROR, False),
-        (202, False, Duty.WRITE, Verdict.ERROR, False),
-        (500, False, Duty.WRITE, Verdict.ERROR, False),
-        (500, True, Duty.WRITE, Verdict.ERROR, False),
-        (503, True, Duty.READ, Verdict.FULL, False),
-        (504, True, Duty.WRITE, Verdict.FULL, False),
-        (503, False, Duty.WRITE, Verdict.ERROR, False),
-        (504, False, Duty.WRITE, Verdict.ERROR, False),
-        (410, True, Duty.WRITE, Verdict.FULL, True),
-        (410, False, Duty.WRITE, Verdict.ERROR, False),
-        (429, False, Duty.WRITE, Verdict.ERROR, False),
-        (404, False, Duty.READ, Verdict.ERROR, False),
+        (200, False, Role.DECODE, None, False),
+        (202, False, Role.PREFILL, AttemptOutcome.PREFILLED, False),
+        (200, False, Role.PREFILL, AttemptOutcome.ERROR, False),
+        (202, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (500, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (500, True, Role.DECODE, AttemptOutcome.ERROR, False),
+        (503, True, Role.PREFILL, AttemptOutcome.OVERLOADED, False),
+        (504, True, Role.DECODE, AttemptOutcome.OVERLOADED, False),
+        (503, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (504, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (410, True, Role.DECODE, AttemptOutcome.OVERLOADED, True),
+        (410, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (429, False, Role.DECODE, AttemptOutcome.ERROR, False),
+        (404, False, Role.PREFILL, AttemptOutcome.ERROR, False),
     ],
 )
-def test_what_a_status_proves(status: int, vouched: bool, duty: Duty, verdict: Verdict | None, lost: bool) -> None:
-    assert (outcome_of(status, vouched, duty).verdict, outcome_of(status, vouched, duty).state_lost) == (verdict, lost)
+def test_what_a_status_proves(
+    status: int, vouched: bool, role: Role, outcome: AttemptOutcome | None, lost: bool
+) -> None:
+    assert (outcome_of(status, vouched, role).outcome, outcome_of(status, vouched, role).state_lost) == (outcome, lost)
 
 
 async def test_a_generation_is_read_written_and_passed_on_unchanged() -> None:
@@ -223,10 +227,10 @@
                 nursery.start_soon(p.ask)
             await trio.sleep(0.2)
             board = p.gateway.node.chooser.desk.board  # type: ignore[attr-defined]
-            names = {s: spot.name for s, spot in p.gateway.node.roster.spots.items()}
-            believed = {names[e.server]: len(e.legs) for e in board if e.legs}
+            names = {s: endpoint.name for s, endpoint in p.gateway.node.endpoint_registry.endpoints.items()}
+            believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
             assert believed == dict(+p.fleet.open) and sum(believed.values()) >= 8
             pool = p.gateway.node.engines.pool
             assert len(pool.open) == sum(p.fleet.conns.values())
         await p.settled()
-        assert all(not e.legs and not e.booked for e in board)
+        assert all(not e.attempts and not e.booked for e in board)
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -17,7 +17,7 @@
 import pytest
 import trio
 
-from ternlane.choice import FEW
+from ternlane.policy.router import FEW
 from ternlane.platform import process as process_module
 from ternlane.platform.node import TRAILS
 from tests.platform_world import BODY, HEAD, TOLD, Platform, always, once, platform, until_ready
@@ -57,13 +57,17 @@
         await p.settled()
         desk.homes.update({f"old{n}": desk.homes[next(iter(desk.homes))] for n in range(3 * FEW**2)})
         with trio.fail_after(3):  # at the module's next looks
-            while len(desk.homes) > 2 * FEW**2 or len(desk.board) > len(node.roster.servers):
+            while len(desk.homes) > 2 * FEW**2 or len(desk.board) > len(node.endpoint_registry.servers):
                 await trio.sleep(0.02)
         front, pool = p.gateway.front, node.engines.pool
-        assert not node.tickets and not node.idents and not node.ended and not node.releasing and not desk.waiting
-        assert len(node.records) == TRAILS and sum(desk.asked_for.values()) <= 2 * FEW**2
-        assert len(node.engines.heard) <= len(node.roster.spots) == len(node.roster.servers) == 3
-        assert all(not e.legs and not e.booked for e in desk.board)
+        assert (
+            not node.active_requests and not node.idents and not node.ended and not node.releasing and not desk.waiting
+        )
+        assert len(node.records) == TRAILS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
+        assert (
+            len(node.engines.heard) <= len(node.endpoint_registry.endpoints) == len(node.endpoint_registry.servers) == 3
+        )
+        assert all(not e.attempts and not e.booked for e in desk.board)
         assert front.conns == len(front.idle) == 0 and len(pool.open) == len(pool.resting)
         for name in list(p.servers):
             p.discovery.put(name, "", "writer", "DELETED")
@@ -99,8 +103,8 @@
         for last in "aab":
             info = f"prefix={'p' * 3000}{last},prompt_len=20,prefix_len=8"
             assert (await p.ask(Affinity_Key="k" * 9000 + last, Request_Info=info)).status == 200
-        assert len(desk.homes) == len(desk.asked_for) == 2
-        assert all(len(name) == 64 for name in [*desk.homes, *desk.asked_for])
+        assert len(desk.homes) == len(desk.prefix_popularity) == 2
+        assert all(len(name) == 64 for name in [*desk.homes, *desk.prefix_popularity])
 
 
 async def test_what_was_learnt_of_products_that_a_reload_took_away_is_forgotten(
@@ -173,14 +177,14 @@
 
 async def test_whole_lists_that_leave_servers_out_and_servers_that_move() -> None:
     async with platform("r0", "w0", "w1") as p:
-        node, server = p.gateway.node, p.gateway.node.roster.servers["w1"]
+        node, server = p.gateway.node, p.gateway.node.endpoint_registry.servers["w1"]
         p.discovery.entries.pop("w0")
         p.discovery.index += 3  # the watch that begins anew finds no such version: it is given the whole list
         p.discovery.log = [{}] * p.discovery.index
         p.discovery.garbage = json.dumps(p.discovery.listing()).encode()
         p.discovery.changed.set()
         with trio.fail_after(2):
-            while "w0" in node.roster.servers:
+            while "w0" in node.endpoint_registry.servers:
                 await trio.sleep(0.01)
         for _ in range(4):
             assert (await p.ask()).status == 200
@@ -189,9 +193,9 @@
         p.servers["w1"].address = ""
         moved = await p.add("w1")  # the same name elsewhere is the same server
         with trio.fail_after(2):
-            while node.roster.spots[server].address != moved.address:
+            while node.endpoint_registry.endpoints[server].address != moved.address:
                 await trio.sleep(0.01)
-        assert node.roster.servers["w1"] is server and (await p.ask()).status == 200
+        assert node.endpoint_registry.servers["w1"] is server and (await p.ask()).status == 200
 
 
 # -- floods and shortages
@@ -229,7 +233,7 @@
             for _ in range(2):
                 nursery.start_soon(p.ask)
             await trio.sleep(0.1)
-            assert len(node.tickets) == 2
+            assert len(node.active_requests) == 2
             reply = await p.ask()
             assert reply.status == 503 and reply.error is not None and reply.error["code"] == "room"
             front.open_limit = 10
@@ -353,8 +357,8 @@
         agreed = 0
 
         async def quiet() -> bool:
-            names = {s: spot.name for s, spot in node.roster.spots.items()}
-            believed = {names[e.server]: len(e.legs) for e in board if e.legs}
+            names = {s: endpoint.name for s, endpoint in node.endpoint_registry.endpoints.items()}
+            believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
             return believed == dict(+p.fleet.open) and len(node.engines.pool.open) == sum(p.fleet.conns.values())
 
         async with trio.open_nursery() as nursery:
@@ -367,7 +371,7 @@
                 agreed += await quiet()
         assert agreed == 8
         await p.settled()
-        assert await quiet() and all(not e.legs and not e.booked for e in board)
+        assert await quiet() and all(not e.attempts and not e.booked for e in board)
 
 
 # -- the process
@@ -416,7 +420,11 @@
                 await trio.sleep(0.02)
         line = next(json.loads(raw) for raw in log.read_text().splitlines() if '"trail"' in raw)
         assert line["gen"] == "00000000000000aa" and line["outcome"] == "streamed"
-        assert [leg.split()[1:3] for leg in line["legs"]] == [["read", "FULL"], ["read", "READ"], ["write", "STREAMED"]]
+        assert [attempt.split()[1:3] for attempt in line["legs"]] == [
+            ["read", "FULL"],
+            ["read", "READ"],
+            ["write", "STREAMED"],
+        ]
 
 
 async def test_nothing_is_held_when_the_process_has_ended(tmp_path: Path) -> None:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 
 from tests.test_rules import RULES
-from tests.test_transports import REQUEST, Local, paper
+from tests.test_transports import REQUEST, Local, config
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
-from ternlane.paper import FleetTerms, StreamTerms
-from ternlane.port import Effect
+from ternlane.config import FleetConfig, StreamConfig
+from ternlane.policy.messages import Effect
 from ternlane.embed import open_routing
-from ternlane.engine import Kept, LegAsk, LocalTransport
+from ternlane.engine import Kept, AttemptRequest, LocalTransport
 from ternlane.recover import Differs, Join, Pace, Rhythm, Shelf, Way, way_of
 from ternlane.rules import check
 from ternlane.tenants import Used, bill_for
@@ -28,8 +28,8 @@
 WHOLE = 10**9
 
 
-def terms(**changes: Any) -> FleetTerms:
-    return msgspec.structs.replace(TERMS, leg_limit=12, **changes)
+def terms(**changes: Any) -> FleetConfig:
+    return msgspec.structs.replace(TERMS, max_attempts=12, **changes)
 
 
 def usage_of(reply: Reply) -> dict[str, Any]:
@@ -58,7 +58,7 @@
             engine.trouble.script = script
 
 
-def legs_at(w: World, stage: str = "write") -> list[str]:
+def attempts_at(w: World, stage: str = "write") -> list[str]:
     return [v["id"] for v in w.said("leg", stage=stage)]
 
 
@@ -72,8 +72,8 @@
         assert reply.done == 1 and reply.error is None and reply.text == whole.text
         ids = {json.loads(e)["id"] for e in reply.events if e != "[DONE]"}
         assert len(ids) == 1 and usage_of(reply) == usage_of(whole)
-        writers = legs_at(w)
-        assert len(writers) == 2 and writers[0] != writers[1]
+        decode_servers = attempts_at(w)
+        assert len(decode_servers) == 2 and decode_servers[0] != decode_servers[1]
         await w.settled()
 
 
@@ -93,7 +93,7 @@
         break_all(w, 2)
         reply = await w.ask(stream_options={"include_usage": True})
         assert reply.text == whole.text and reply.done == 1  # 2 + 2 + 2 pieces, and then only its end
-        assert usage_of(reply)["completion_tokens"] == 6 and len(set(legs_at(w))) >= 3
+        assert usage_of(reply)["completion_tokens"] == 6 and len(set(attempts_at(w))) >= 3
         await w.settled()
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 1)
@@ -127,10 +127,10 @@
         reply = await w.ask(model)
         if model == "note":
             assert len(w.said("effect")) == 1 and reply.done == 0 and reply.error is not None
-            assert len(legs_at(w)) == 1
+            assert len(attempts_at(w)) == 1
         else:
             assert reply.text == whole.text and reply.done == 1
-            assert len({v["key"] for v in w.said("effect")}) == 1 and len({i[1] for i in legs_at(w)}) == 1
+            assert len({v["key"] for v in w.said("effect")}) == 1 and len({i[1] for i in attempts_at(w)}) == 1
         await w.settled()
 
 
@@ -163,7 +163,7 @@
         break_all(w, 3)
         w.nursery.start_soon(others, w)
         reply = await w.ask(stream_options={"include_usage": True}, **more)
-        assert reply.done == joined and (reply.text == whole.text) == joined and len(legs_at(w)) == 1 + joined
+        assert reply.done == joined and (reply.text == whole.text) == joined and len(attempts_at(w)) == 1 + joined
         assert not joined or usage_of(reply) == usage_of(whole)
         await w.settled()
 
@@ -180,7 +180,7 @@
 
 
 async def test_a_client_that_leaves_during_a_resume_leaves_nothing() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, read_tok_s=50.0), terms=terms()) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=50.0), terms=terms()) as w:
         break_all(w, 2)
         with trio.move_on_after(5):
             async with trio.open_nursery() as nursery:
@@ -193,7 +193,7 @@
                 nursery.start_soon(leave)
                 await w.ask()
         await w.settled()
-        assert len(legs_at(w)) == 1
+        assert len(attempts_at(w)) == 1
 
 
 async def test_a_time_limit_within_a_resume_is_kept() -> None:
@@ -215,7 +215,7 @@
 
 async def test_a_gateway_that_drains_lets_resumes_end() -> None:
     whole = await unbroken()
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, tok_ms=20.0), terms=terms()) as w:
+    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=20.0), terms=terms()) as w:
         break_all(w, 4)
 
         async def drain() -> None:
@@ -229,24 +229,24 @@
 
 
 async def test_what_is_kept_is_bounded_and_what_outgrew_it_ends_honestly() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(keep_bytes=12)) as w:
+    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(keep_bytes=12)) as w:
         break_all(w, 4)
         reply = await w.ask()
         assert reply.done == 0 and "outgrew" in reply.error["message"]  # type: ignore[index]
         await w.settled()
         assert w.gateway.host.mender.shelf.used == 0 and w.gateway.host.mender.shelf.dropped == 1
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(resume=False)) as w:
+    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(resume=False)) as w:
         break_all(w, 4)
         reply = await w.ask()
-        assert reply.done == 0 and len(legs_at(w)) == 1
+        assert reply.done == 0 and len(attempts_at(w)) == 1
 
 
 async def test_half_the_writers_go_at_once_and_all_streams_come_through() -> None:
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"),
-        build=replace(BUILD, tok_ms=25.0, answer_toks=(20, 20)),
+        build=replace(BUILD, token_ms=25.0, answer_tokens=(20, 20)),
         terms=terms(),
-        products=patient(4),
+        request_classes=patient(4),
     ) as w:
         replies: list[Reply] = []
 
@@ -273,8 +273,8 @@
 # -- without sockets
 
 
-def join(text: str = "", way: Way = Way.GO_ON, stop: Any = None, max_toks: int = 1000) -> Join:
-    made = Join(way, "", Shelf(10**6, 10**6, 10**6), max_toks, stop)
+def join(text: str = "", way: Way = Way.GO_ON, stop: Any = None, max_tokens: int = 1000) -> Join:
+    made = Join(way, "", Shelf(10**6, 10**6, 10**6), max_tokens, stop)
     for piece in text.split("|") if text else ():
         made.take(piece)
     return made
@@ -287,7 +287,7 @@
     way = data.draw(st.sampled_from([Way.GO_ON, Way.REPLAY]))
     it, seen = join(way=way), ""
     for _ in range(4):
-        said = words[it.toks :] if way is Way.GO_ON else words
+        said = words[it.tokens :] if way is Way.GO_ON else words
         upto = data.draw(st.integers(1, max(1, len(said))))
         for piece in said[:upto]:
             seen += it.take(piece)
@@ -296,7 +296,7 @@
             break
         assert it.broke(None) is not None
     else:
-        for piece in words[it.toks :] if way is Way.GO_ON else words:
+        for piece in words[it.tokens :] if way is Way.GO_ON else words:
             seen += it.take(piece)
     assert seen == "".join(words) and it.ends()
 
@@ -329,9 +329,9 @@
 def test_a_text_is_not_continued_within_a_character_nor_past_its_last_token() -> None:
     it = join("a|\ufffd")
     assert it.broke(None) is None and it.way is Way.END
-    it = join("a|b|c", max_toks=3)
+    it = join("a|b|c", max_tokens=3)
     assert it.broke(None) == 3 and it.left() == 0
-    it = join("a|b|c", max_toks=9)
+    it = join("a|b|c", max_tokens=9)
     assert it.broke(5) == 5 and it.left() == 4  # two pieces were two tokens each, by the engine's word
 
 
@@ -383,16 +383,16 @@
 def test_reading_anew_stays_within_its_share(steps: list[tuple[float, str, int, int]]) -> None:
     share, span = 0.25, 500.0
     pace: Pace[int] = Pace(share, span, 3)
-    pace.readers = 7
+    pace.prefill_servers = 7
     now, charged, alone, peak, largest = 0.0, 0.0, 0, 0.0, 0
     waiting: dict[int, int] = {}
-    for i, (wait, what, toks, revenue) in enumerate(steps):
+    for i, (wait, what, tokens, priority_weight) in enumerate(steps):
         now += wait
         if what == "read":
-            pace.read(now, toks, 10.0 + toks / 5)
+            pace.read(now, tokens, 10.0 + tokens / 5)
         elif what == "break":
-            waiting[i], largest = toks, max(largest, toks)
-            pace.wait(i, toks, revenue, 1.0, now + 3000)
+            waiting[i], largest = tokens, max(largest, tokens)
+            pace.wait(i, tokens, priority_weight, 1.0, now + 3000)
         elif pace.out:
             pace.landed(next(iter(pace.out)))
         out_before, level = len(pace.out), pace.level
@@ -415,13 +415,13 @@
 def test_what_earns_most_and_has_streamed_most_goes_first_and_the_late_are_named() -> None:
     pace: Pace[str] = Pace(0.5, 1000.0)
     pace.out["busy"] = None
-    for name, revenue, streamed, until in (
+    for name, priority_weight, streamed, until in (
         ("low", 1, 9, 99.0),
         ("short", 3, 1, 99.0),
         ("long", 3, 8, 99.0),
         ("late", 9, 9, 5.0),
     ):
-        pace.wait(name, 10, revenue, streamed, until)
+        pace.wait(name, 10, priority_weight, streamed, until)
     pace.wait("left", 10, 9, 9, 99.0)
     pace.gone("left")  # its client has left: nothing is read for it
     assert pace.next(6.0) == ([], ["late"])
@@ -441,22 +441,22 @@
     quiet = {}
     for pauses in (0.0, 0.01):
         rng, it = random.Random(5), Rhythm(1e-3)
-        it.toks = 30
+        it.tokens = 30
         it.resumed(20.0)
-        assert it.quiet_ms("w0") is None  # nothing is known yet
+        assert it.idle_timeout_ms("w0") is None  # nothing is known yet
         paces = {f"w{i}": 5.0 * (i + 1) for i in range(6)}
         alarms = 0
         for n in range(60_000):
             name = rng.choice(list(paces))
-            wait, limit = waits_of(rng, paces[name], pauses), it.quiet_ms(name)
+            wait, limit = waits_of(rng, paces[name], pauses), it.idle_timeout_ms(name)
             explored = n % 30 < 2
             if limit is not None and wait > limit and n > 20_000 and not explored:
                 alarms += 1
                 continue  # given up: how long it would have been is never known
             it.heard(name, wait, explored)
         assert alarms <= 40_000 / 30 * 1e-3 * 6 + 2
-        quiet[pauses] = it.quiet_ms("w3") or 0.0
-        assert quiet[pauses] > (it.quiet_ms("w0") or 0.0)  # each server by its own pace
+        quiet[pauses] = it.idle_timeout_ms("w3") or 0.0
+        assert quiet[pauses] > (it.idle_timeout_ms("w0") or 0.0)  # each server by its own pace
     assert 20 <= quiet[0.0] < 20 * 12 and quiet[0.01] > 1.5 * quiet[0.0]
 
 
@@ -465,22 +465,25 @@
     it.resumed(400.0)
     for _ in range(5000):
         it.heard("w0", waits_of(rng, 10.0, 0.0))
-    assert it.quiet_ms("w0") == 400.0
+    assert it.idle_timeout_ms("w0") == 400.0
     it.resume_ms = 0.0
     it.first(300.0)  # until a resume was seen, a first token is what one is taken to cost
-    assert it.quiet_ms("w0") == 300.0
+    assert it.idle_timeout_ms("w0") == 300.0
     it.resume_ms = 1.0
-    before = it.quiet_ms("w0") or 0.0
+    before = it.idle_timeout_ms("w0") or 0.0
     for _ in range(60):  # all writers are four times slower from now on
         it.heard("w0", waits_of(rng, 40.0, 0.0))
-    assert (it.quiet_ms("w0") or 0.0) > 3 * before
+    assert (it.idle_timeout_ms("w0") or 0.0) > 3 * before
     it.forget("w0")
-    assert it.quiet_ms("w0") is None
+    assert it.idle_timeout_ms("w0") is None
 
 
 async def test_a_stalled_stream_goes_on_long_before_the_silence_that_was_allowed() -> None:
     async with world(
-        ("r0", "w0", "w0b"), build=replace(BUILD, answer_toks=(30, 30)), terms=terms(), streams=StreamTerms(alarms=1e-3)
+        ("r0", "w0", "w0b"),
+        build=replace(BUILD, answer_tokens=(30, 30)),
+        terms=terms(),
+        streams=StreamConfig(alarms=1e-3),
     ) as w:
         rhythm, rng = w.gateway.host.mender.rhythm, random.Random(1)
         for _ in range(4000):
@@ -493,7 +496,9 @@
         since = trio.current_time()
         reply = await w.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and trio.current_time() - since < 0.8
-        assert w.gateway.host.facts.products[0].limit_ms / 2 == 1000  # the silence that the decisions allow
+        assert (
+            w.gateway.host.router_config.request_classes[0].deadline_ms / 2 == 1000
+        )  # the silence that the decisions allow
 
 
 # -- what an answer has besides its text
@@ -525,7 +530,7 @@
         break_all(w, 3)
         reply = await w.ask(tools=TOOLS, temperature=0)
         assert reply.done == 0 and "more than text" in reply.error["message"]  # type: ignore[index]
-        assert len(legs_at(w)) == 1
+        assert len(attempts_at(w)) == 1
         await w.settled()
 
 
@@ -533,7 +538,7 @@
 
 
 async def test_a_stream_is_taken_up_again_where_its_client_had_it() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamTerms(ids=True)) as w:
+    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask(temperature=0)
         ids = [int(line[4:]) for line in whole.body.decode().splitlines() if line.startswith("id: ")]
         assert ids[-1] == len(whole.text) and ids == sorted(ids) and len(set(ids)) == 6
@@ -551,7 +556,7 @@
 
 
 async def test_what_may_not_run_again_is_taken_up_only_from_what_is_kept() -> None:
-    async with world(("r0", "w0"), streams=StreamTerms(ids=True)) as w:
+    async with world(("r0", "w0"), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask("note", headers={"Idempotency-Key": "k"})
         rest = await w.ask("note", headers={"Idempotency-Key": "k", "Last-Event-ID": "5"})
         assert rest.text == whole.text[5:] and rest.done == 1 and len(w.said("effect")) == 1
@@ -574,10 +579,10 @@
         super().__init__()
         self.made, self.broke = 0, broke
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         return Kept({}, 10 + (len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0))
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         for i in range(len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0, 20):
             if i == 10 and not self.broke:
                 self.broke.append("once")
@@ -589,8 +594,8 @@
 async def test_a_client_slower_than_its_writer_holds_the_writer_and_a_loss_is_joined() -> None:
     broke: list[str] = []
     engines = {i: Counted(broke) for i in ("r0", "w0", "w1")}
-    async with open_routing(paper(*engines), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
-        async with routing.generation({**REQUEST, "model": "summary"}) as stream:
+    async with open_routing(config(*engines), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+        async with routing.request({**REQUEST, "model": "summary"}) as stream:
             got: list[str] = []
             async for text in stream:
                 got.append(text)
@@ -602,7 +607,7 @@
 
 
 async def test_an_old_writer_that_comes_back_while_another_goes_on_adds_nothing() -> None:
-    build = replace(BUILD, tok_ms=8.0, answer_toks=(30, 30))
+    build = replace(BUILD, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), build=build, terms=terms()) as w:
         rhythm, rng = w.gateway.host.mender.rhythm, random.Random(2)
@@ -618,7 +623,7 @@
             old = w.engines[w.said("effect")[0]["id"]]
             await trio.sleep(0.1)
             old.trouble.hung = True
-            while len(legs_at(w)) < 2:
+            while len(attempts_at(w)) < 2:
                 await trio.sleep(0.001)
             await trio.sleep(0.04)  # the other streams by now
             old.trouble.hung = False
@@ -627,7 +632,7 @@
         w.nursery.start_soon(stand_still_and_heal)
         reply = await w.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and reply.text.startswith(whole.text)
-        assert len(legs_at(w)) == 2 and check(w.traffic.lines, RULES).broken == []
+        assert len(attempts_at(w)) == 2 and check(w.traffic.lines, RULES).broken == []
 
 
 @pytest.mark.parametrize("script", ["midway", "silent", "stall"])
@@ -643,11 +648,11 @@
         for i in range(60):
             w.nursery.start_soon(ask, i)
             await trio.sleep(0.04)
-        early = len(legs_at(w))
+        early = len(attempts_at(w))
         for i in range(60, 90):
             w.nursery.start_soon(ask, i)
             await trio.sleep(0.04)
-        late = legs_at(w)[early:]
+        late = attempts_at(w)[early:]
         assert len(late) >= 20 and late.count("w0") <= len(late) / 10
         with trio.fail_after(4):
             while len(replies) < 90:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,15 +8,15 @@
 import pytest
 import trio
 
-from tests.world import BUILD, PRODUCTS, TERMS, World, replace, world
-from ternlane import port
-from ternlane.engine import LegAsk, LegEnd, Stage
-from ternlane.engine.leg import LegPlan
+from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
+from ternlane.policy import messages
+from ternlane.engine import AttemptRequest, AttemptResult, Stage
+from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import Host
 from ternlane.gateway.door import StreamOutlet
-from ternlane.gateway.ticket import Final, Streamed, Ticket
+from ternlane.gateway.active_request import Final, Streamed, ActiveRequest
 from ternlane.http1 import event_bytes
-from ternlane.port import Life, Server, Verdict
+from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.recover import Join
 from ternlane.rules import Findings, check
 from ternlane.standin.clients import Clients, Habits, Talk
@@ -27,9 +27,9 @@
     "drain_grace_ms": 100.0,
     "connect_ms": TERMS.connect_ms,
     "fall_ms": TERMS.fall_ms,
-    "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in PRODUCTS},
+    "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.limit_ms, adds=(20, 80), opening_toks=(50, 100)) for p in PRODUCTS]
+TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100)) for p in REQUEST_CLASSES]
 
 
 class Honest(Host):
@@ -39,16 +39,16 @@
 class Mute(Host):
     """Rule 1: never says that a generation is throttled or terminated."""
 
-    def settle(self, ticket: Ticket | None, final: Final) -> None:
+    def settle(self, active_request: ActiveRequest | None, final: Final) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
-            super().settle(ticket, final)
+            super().settle(active_request, final)
 
 
 class Talkative(Host):
     """Rule 1: goes on after the end of each stream."""
 
-    def arrived(self, ticket: Ticket) -> None:
-        outlet = ticket.outlet
+    def arrived(self, active_request: ActiveRequest) -> None:
+        outlet = active_request.outlet
         if isinstance(outlet, StreamOutlet):
             end = outlet.end
 
@@ -58,40 +58,57 @@
                 await end(final)
 
             outlet.end = end_twice  # type: ignore[method-assign]
-        super().arrived(ticket)
+        super().arrived(active_request)
 
 
 class Late(Host):
     """Rule 1: believes that clients have more time than they have."""
 
-    def arrived(self, ticket: Ticket) -> None:
-        ticket.gen.patience_ms += 300.0
-        super().arrived(ticket)
+    def arrived(self, active_request: ActiveRequest) -> None:
+        active_request.request.client_timeout_ms += 300.0
+        super().arrived(active_request)
 
 
 class Repeats(Host):
     """Rule 2: takes a broken connection for one that was never made."""
 
-    def leg_ended(self, ticket: Ticket, server: Server, stage: Stage, end: LegEnd, took: float, plan: LegPlan) -> None:
-        if end.verdict in (Verdict.RESET, Verdict.TIMED_OUT) and not end.begun:
-            end.verdict = Verdict.UNCONNECTED
-        super().leg_ended(ticket, server, stage, end, took, plan)
+    def attempt_ended(
+        self,
+        active_request: ActiveRequest,
+        server: Server,
+        stage: Stage,
+        end: AttemptResult,
+        took: float,
+        plan: AttemptPlan,
+    ) -> None:
+        if end.outcome in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not end.begun:
+            end.outcome = AttemptOutcome.CONNECT_FAILED
+        super().attempt_ended(active_request, server, stage, end, took, plan)
 
 
 class Twice(Host):
     """Rule 2: begins a second leg of each generation beside the first."""
 
-    def send(self, ticket: Ticket, server: Server, times: port.SendLeg) -> None:
-        super().send(ticket, server, times)
-        plan = ticket.leg
-        if plan is not None and server.duty is port.Duty.READ:
-            others = [s for s in self.book.servers.values() if s.duty is port.Duty.READ and s is not server]
+    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
+        super().send(active_request, server, times)
+        plan = active_request.attempt
+        if plan is not None and server.role is messages.Role.PREFILL:
+            others = [s for s in self.book.servers.values() if s.role is messages.Role.PREFILL and s is not server]
             place = self.book.places[others[0]]
-            again = LegPlan(place.address, [], b"", 400, 400)
+            again = AttemptPlan(place.address, [], b"", 400, 400)
             self.nursery.start_soon(
                 self.transport.read,
-                LegAsk(
-                    place.ident, place.address, Stage.READ, ticket.ident, 0, ticket.key, ticket.ask.raw, None, 1, again
+                AttemptRequest(
+                    place.ident,
+                    place.address,
+                    Stage.PREFILL,
+                    active_request.ident,
+                    0,
+                    active_request.key,
+                    active_request.ask.raw,
+                    None,
+                    1,
+                    again,
                 ),
             )
 
@@ -99,18 +116,18 @@
 class Undrained(Host):
     """Rule 3: does not pass on that a server drains."""
 
-    def tell(self, event: port.Event) -> None:
-        if isinstance(event, port.Listed):
+    def tell(self, event: messages.Event) -> None:
+        if isinstance(event, messages.EndpointsUpdated):
             for server in event.servers:
-                server.life = Life.UP
+                server.status = EndpointStatus.READY
         super().tell(event)
 
 
 class Careless(Host):
     """Rule 4: takes every server for warm."""
 
-    def tell(self, event: port.Event) -> None:
-        if isinstance(event, port.Listed):
+    def tell(self, event: messages.Event) -> None:
+        if isinstance(event, messages.EndpointsUpdated):
             for server in event.servers:
                 server.started_ms = 0.0
         super().tell(event)
@@ -119,10 +136,10 @@
 class Keeper(Host):
     """Rule 5: releases nothing."""
 
-    def release_all(self, ticket: Ticket | None) -> None:
-        if ticket is not None:
-            ticket.state, ticket.holders = None, {}
-            self.forget(ticket)
+    def release_all(self, active_request: ActiveRequest | None) -> None:
+        if active_request is not None:
+            active_request.state, active_request.holders = None, {}
+            self.forget(active_request)
 
 
 class Wrongly(Join):
@@ -132,7 +149,7 @@
 
     def take(self, piece: str) -> str:
         new = super().take(piece)
-        if not self.resumed or self.leg_pieces != 1:
+        if not self.resumed or self.attempt_pieces != 1:
             return new
         return new + new if self.how == "twice" else "" if self.how == "skips" else new
 
@@ -148,9 +165,9 @@
 
     how = "twice"
 
-    def join_for(self, raw: dict[str, Any], gen: port.Generation) -> Join:
-        it = super().join_for(raw, gen)
-        wrong = Wrongly(it.way, it.why, it.shelf, it.max_toks)
+    def join_for(self, raw: dict[str, Any], request: messages.Request) -> Join:
+        it = super().join_for(raw, request)
+        wrong = Wrongly(it.way, it.why, it.shelf, it.max_tokens)
         wrong.how = self.how
         return wrong
 
@@ -212,7 +229,7 @@
 
 
 async def slowly_read(host: type[Host]) -> Findings:
-    async with world(("r0", "r0b", "w0"), build=replace(BUILD, read_tok_s=500.0), host_type=host) as w:
+    async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
         await talk(w, 15, 600)
         return check(w.traffic.lines, RULES)
 
@@ -233,9 +250,16 @@
 async def restarted(host: type[Host]) -> Findings:
     """One writer of two restarts cold, weak, under a load that it could not carry alone."""
     build = replace(
-        BUILD, slots=8, tok_ms=8.0, answer_toks=(12, 12), cold_from=0.05, cold_ms=4000, fall_multiple=1.0, fall_ms=500
+        BUILD,
+        slots=8,
+        token_ms=8.0,
+        answer_tokens=(12, 12),
+        slow_start_share=0.05,
+        slow_start_ms=4000,
+        fall_multiple=1.0,
+        fall_ms=500,
     )
-    terms = replace_paper(cold_from=0.05, cold_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
+    terms = replace_paper(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
     async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
             w.engines[ident].build = BUILD
@@ -260,9 +284,16 @@
 async def refilled(host: type[Host]) -> Findings:
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
-        BUILD, cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, slots=4, tok_ms=12.0, answer_toks=(20, 20)
+        BUILD,
+        slow_start_ms=3000,
+        slow_start_share=0.15,
+        fall_multiple=1.2,
+        fall_ms=500,
+        slots=4,
+        token_ms=12.0,
+        answer_tokens=(20, 20),
     )
-    terms = replace_paper(cold_ms=3000, cold_from=0.15, fall_multiple=1.2, fall_ms=500, leg_limit=10)
+    terms = replace_paper(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -23,60 +23,60 @@
 import trio.testing
 
 import ternlane
-from ternlane import port
+from ternlane.policy import messages
 from tests.world import BUILD, heard, patient, replace
 from tests.world import TERMS as SHORT_TERMS
-from ternlane.engine import Kept, LegAsk, LocalTransport, Refuses, Unreached
+from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
 from ternlane.http1 import Pool
-from ternlane.paper import GatewayPaper, NodeLine
-from ternlane.paper.gateway import InlineSource
+from ternlane.config import GatewayConfig, NodeLine
+from ternlane.config.gateway import InlineSource
 from ternlane.standin.engine import Engine
 from ternlane.standin.traffic import Traffic
 
 ROOT = Path(__file__).parent.parent
 IDENTS = ("r0", "r1", "w0", "w0b", "w1")
-READERS, WRITERS = IDENTS[:2], IDENTS[2:]
+PREFILL_SERVERS, DECODE_SERVERS = IDENTS[:2], IDENTS[2:]
 # A busy machine must not matter. The time limit lies midway between the first and the second silence (twice the SLO
 # time) of a stalled stream, so that exactly two writers are asked whether or not a step takes a second longer.
-PRODUCTS = patient(3)
+REQUEST_CLASSES = patient(3)
 TERMS = msgspec.structs.replace(
     SHORT_TERMS, connect_ms=3 * SHORT_TERMS.connect_ms, release_ms=3 * SHORT_TERMS.release_ms
 )
-LIMIT = 3 * PRODUCTS[0].slo_ms
+LIMIT = 3 * REQUEST_CLASSES[0].slo_ms
 
 # What ails which engines; "dead" ones refuse connections, "gone" and "drains" are said by the list.
 AILS: dict[str, dict[str, str]] = {
     "all well": {},
     "one reader full": {"r0": "full"},
-    "all readers full": dict.fromkeys(READERS, "full"),
+    "all readers full": dict.fromkeys(PREFILL_SERVERS, "full"),
     "one reader fails": {"r0": "error"},
-    "all readers fail": dict.fromkeys(READERS, "error"),
+    "all readers fail": dict.fromkeys(PREFILL_SERVERS, "error"),
     "one reader breaks off": {"r1": "reset"},
-    "all readers silent": dict.fromkeys(READERS, "silent"),
+    "all readers silent": dict.fromkeys(PREFILL_SERVERS, "silent"),
     "one reader dead": {"r0": "dead"},
-    "all readers dead": dict.fromkeys(READERS, "dead"),
-    "all readers gone": dict.fromkeys(READERS, "gone"),
+    "all readers dead": dict.fromkeys(PREFILL_SERVERS, "dead"),
+    "all readers gone": dict.fromkeys(PREFILL_SERVERS, "gone"),
     "one reader drains": {"r1": "drains"},
     "one writer full": {"w0": "full"},
-    "all writers full": dict.fromkeys(WRITERS, "full"),
-    "all writers fail": dict.fromkeys(WRITERS, "error"),
-    "all writers break off": dict.fromkeys(WRITERS, "reset"),
-    "all writers silent": dict.fromkeys(WRITERS, "silent"),
-    "all writers stall": dict.fromkeys(WRITERS, "stall"),
-    "all writers break midway": dict.fromkeys(WRITERS, "midway"),
-    "all writers lack the state": dict.fromkeys(WRITERS, "nostate"),
+    "all writers full": dict.fromkeys(DECODE_SERVERS, "full"),
+    "all writers fail": dict.fromkeys(DECODE_SERVERS, "error"),
+    "all writers break off": dict.fromkeys(DECODE_SERVERS, "reset"),
+    "all writers silent": dict.fromkeys(DECODE_SERVERS, "silent"),
+    "all writers stall": dict.fromkeys(DECODE_SERVERS, "stall"),
+    "all writers break midway": dict.fromkeys(DECODE_SERVERS, "midway"),
+    "all writers lack the state": dict.fromkeys(DECODE_SERVERS, "nostate"),
     "two writers dead": {"w0": "dead", "w1": "dead"},
-    "all writers dead": dict.fromkeys(WRITERS, "dead"),
-    "all writers drain": dict.fromkeys(WRITERS, "drains"),
+    "all writers dead": dict.fromkeys(DECODE_SERVERS, "dead"),
+    "all writers drain": dict.fromkeys(DECODE_SERVERS, "drains"),
     "nobody listed": dict.fromkeys(IDENTS, "gone"),
-    "all writers slow": dict.fromkeys(WRITERS, "slow"),
+    "all writers slow": dict.fromkeys(DECODE_SERVERS, "slow"),
     "one reader slow": {"r0": "slow"},
     "new connections slow": dict.fromkeys(IDENTS, "handshake"),
-    "all readers forgot": dict.fromkeys(READERS, "flushed"),
+    "all readers forgot": dict.fromkeys(PREFILL_SERVERS, "flushed"),
     "answers lost at one writer, one dead": {"w0": "silent", "w0b": "dead"},
     "a reader and two writers ail": {"r0": "error", "w0": "full", "w0b": "dead"},
 }
-SCENARIOS = [(p.name, ail) for p in PRODUCTS for ail in AILS]
+SCENARIOS = [(p.name, ail) for p in REQUEST_CLASSES for ail in AILS]
 
 
 @dataclass(frozen=True)
@@ -124,7 +124,7 @@
         if self.script == "silent":
             await trio.sleep_forever()
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         self.before()
         await self.slowly()
         await self.fail()
@@ -133,11 +133,11 @@
         return Kept({"of": ask.ident}, 10 + self.done(ask))
 
     @staticmethod
-    def done(ask: LegAsk) -> int:
+    def done(ask: AttemptRequest) -> int:
         """Pieces that the client has already."""
         return len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         self.before()
         if ask.ident not in self.states:
             raise Refuses("no-state", state_lost=True)
@@ -164,17 +164,21 @@
             id=i,
             address=f"127.0.0.1:{ports.get(i, 9)}",
             cell=int(i[1]),
-            mem_toks=2e5,
-            duty="read" if i[0] == "r" else "write",
+            kv_capacity_tokens=2e5,
+            role="read" if i[0] == "r" else "write",
             state=state.get(ails.get(i, ""), "up"),
         )  # type: ignore
         for i in IDENTS
     ]
 
 
-def paper_of(ails: dict[str, str], ports: dict[str, int], listen: str = "127.0.0.1:0") -> GatewayPaper:
-    return GatewayPaper(
-        name="s", listen=listen, products=PRODUCTS, fleet=TERMS, nodes=InlineSource(nodes=lines(ails, ports))
+def paper_of(ails: dict[str, str], ports: dict[str, int], listen: str = "127.0.0.1:0") -> GatewayConfig:
+    return GatewayConfig(
+        name="s",
+        listen=listen,
+        request_classes=REQUEST_CLASSES,
+        fleet=TERMS,
+        nodes=InlineSource(nodes=lines(ails, ports)),
     )
 
 
@@ -185,11 +189,11 @@
 class Noted(ternlane.Router):
     """The decisions, with every event and action written down with its time."""
 
-    def __init__(self, facts: ternlane.StartFacts, notes: list[str]) -> None:
-        super().__init__(facts)
+    def __init__(self, router_config: ternlane.RouterConfig, notes: list[str]) -> None:
+        super().__init__(router_config)
         self.notes, self.start = notes, -1.0
 
-    def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
+    def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
         actions = super().take(now, events)
         self.start = now if self.start < 0 else self.start
         self.notes.append(
@@ -207,16 +211,16 @@
     transport = LocalTransport(dict(engines))  # type: ignore[arg-type]
     async with ternlane.open_routing(paper_of(ails, {}), transport, chooser) as routing:
         try:
-            async with routing.generation(request(model), time_limit_ms=LIMIT - 50) as stream:
+            async with routing.request(request(model), request_timeout_ms=LIMIT - 50) as stream:
                 async for text in stream:
                     said.append(text)
             outcome = "streamed"
-        except ternlane.ThrottledError:
+        except ternlane.RejectedError:
             outcome = "throttled"
-        except ternlane.TerminatedError as why:
+        except ternlane.FailedError as why:
             outcome = "broken off" if why.begun else "terminated"
         with trio.fail_after(2):
-            while routing.host.tickets:
+            while routing.host.active_requests:
                 await trio.sleep(0.01)
     return Seen(outcome, len(effects), str(len(said)))
 
@@ -232,7 +236,7 @@
                 int(ident[1]),
                 "127.0.0.1",
                 0,
-                replace(BUILD, cold_ms=2000),
+                replace(BUILD, slow_start_ms=2000),
                 traffic,
                 1,
             )
@@ -281,7 +285,7 @@
 
 def coarse(scene: tuple[str, str], seen: Seen) -> Seen:
     """How often an idempotent generation ran before it was given up goes by real time on sockets: never, or at all."""
-    idempotent = next(p for p in PRODUCTS if p.name == scene[0]).effect == "idempotent"
+    idempotent = next(p for p in REQUEST_CLASSES if p.name == scene[0]).effect == "idempotent"
     return Seen(seen.outcome, min(seen.effects, 1) if idempotent else seen.effects, seen.text)
 
 
@@ -320,10 +324,10 @@
     assert not differing, differing
 
 
-@pytest.mark.parametrize("product", PRODUCTS)
-def test_what_scenarios_must_come_to(product: Any) -> None:
+@pytest.mark.parametrize("request_class", REQUEST_CLASSES)
+def test_what_scenarios_must_come_to(request_class: Any) -> None:
     def of(ail: str) -> Seen:
-        return trio.run(by_library, product.name, AILS[ail], clock=trio.testing.MockClock(autojump_threshold=0))
+        return trio.run(by_library, request_class.name, AILS[ail], clock=trio.testing.MockClock(autojump_threshold=0))
 
     for ail in (
         "all well",
@@ -338,8 +342,8 @@
     for ail in ("nobody listed", "all readers gone", "all writers drain", "all readers dead", "all writers full"):
         assert of(ail) == Seen("throttled", 0, "0"), ail
     for ail in ("all writers break midway", "all writers stall"):
-        goes_on = product.effect == "idempotent"  # and breaks off again at the next, until the legs are used up
+        goes_on = request_class.effect == "idempotent"  # and breaks off again at the next, until the legs are used up
         assert of(ail) == (Seen("broken off", 2, "4") if goes_on else Seen("broken off", 1, "2")), ail
     broken = of("all writers break off")
-    assert broken.effects == 1 if product.effect == "side-effecting" else broken.effects >= 1
-    assert broken.outcome == ("throttled" if product.effect == "idempotent" else "terminated")
+    assert broken.effects == 1 if request_class.effect == "side-effecting" else broken.effects >= 1
+    assert broken.outcome == ("throttled" if request_class.effect == "idempotent" else "terminated")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,25 +8,25 @@
 
 import pytest
 
-from ternlane import port
-from ternlane.choice import Router
+from ternlane.policy import messages
+from ternlane.policy.router import Router
 from ternlane.deployment import Deployment
-from ternlane.port import StartFacts, Verdict
+from ternlane.policy.messages import RouterConfig, AttemptOutcome
 from tests.conftest import FakeHost, build, sent
 from tests.platform_world import TOLD
 
 # Where each figure of the start facts stands in the settings.
 PLACES = {
     "gateways": ("n_instances",),
-    "leg_limit": ("limits", "most_tries"),
+    "max_attempts": ("limits", "most_tries"),
     "ask_within_ms": ("invariants", "ask_within"),
-    "longest_pause_ms": ("limits", "max_retry_after"),
+    "max_retry_after_ms": ("limits", "max_retry_after"),
     "connect_ms": ("limits", "connect_timeout"),
     "idle_ms": ("limits", "conn_idle"),
     "release_ms": ("specifics", "release"),
     "drain_grace_ms": ("invariants", "drain_grace"),
-    "cold_ms": ("invariants", "cold"),
-    "cold_from": ("invariants", "cold_from"),
+    "slow_start_ms": ("invariants", "cold"),
+    "slow_start_share": ("invariants", "cold_from"),
     "fall_multiple": ("invariants", "overload_factor"),
     "fall_ms": ("invariants", "overload_for"),
     "step_ms": ("step",),
@@ -48,7 +48,7 @@
 
 
 def test_every_figure_has_its_place_here() -> None:
-    figures = {f.name for f in fields(StartFacts) if f.type in ("int", "float")}
+    figures = {f.name for f in fields(RouterConfig) if f.type in ("int", "float")}
     assert figures - {"seed"} == set(PLACES)
 
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("name", PLACES)
 @pytest.mark.parametrize("value", [ABSENT, None])
 def test_a_figure_that_is_missing_has_a_default(name: str, value: Any) -> None:
-    Router(Deployment(1, settings(name, value)).facts)
+    Router(Deployment(1, settings(name, value)).router_config)
 
 
 @pytest.mark.parametrize("key", ["key_ttl", "aim", "deadline", "worth", "late_worth"])
@@ -92,38 +92,38 @@
 
 @pytest.mark.parametrize("count, taken", [(ABSENT, 1), (0, 1), (1, 1), (200, 200), (5000, 5000)])
 def test_no_count_of_gateways_and_a_count_of_none_are_one(count: Any, taken: int) -> None:
-    assert Deployment(1, settings("gateways", count)).facts.gateways == taken
+    assert Deployment(1, settings("gateways", count)).router_config.gateways == taken
 
 
 @pytest.mark.parametrize("gateways", [1, 200, 5000])
 def test_requests_are_served_whatever_the_count_of_gateways(gateways: int) -> None:
     host = build(gateways=gateways)
     for _ in range(6):
-        gen, attempt = host.written(opening=None, opening_toks=0.0)
-        host.first(gen, attempt.server, after=20.0)
+        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
+        host.first(request, attempt.server, after=20.0)
     host.tell(after=2000.0)
-    assert sent(host.arrive(host.gen())).server.duty is port.Duty.READ
+    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
-def readers(host: FakeHost, count: int) -> set[str]:
+def prefill_servers(host: FakeHost, count: int) -> set[str]:
     """By which readers so many requests are read, one after the other, once r0 has started just now."""
     host.servers["r0"].started_ms = host.now
     host.list()
     host.tell(after=500.0)
     used = set[str]()
     for _ in range(count):
-        gen = host.gen(opening=None, opening_toks=0.0)
-        read = sent(host.arrive(gen)).server
-        write = sent(host.end(gen, read, Verdict.READ, after=5.0)).server
-        host.first(gen, write, after=5.0)
-        host.end(gen, write, Verdict.STREAMED, after=5.0, over=True)
+        request = host.request(prefix=None, prefix_tokens=0.0)
+        read = sent(host.arrive(request)).server
+        write = sent(host.end(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
+        host.first(request, write, after=5.0)
+        host.end(request, write, AttemptOutcome.STREAMED, after=5.0, over=True)
         used |= {name for name, server in host.servers.items() if server is read}
     return used
 
 
 def test_where_the_settings_allow_a_cold_server_nothing_it_is_sent_nothing() -> None:
-    assert readers(build(gateways=200, fall_multiple=0.0, cold_ms=60e3), 60) == {"r1"}
+    assert prefill_servers(build(gateways=200, fall_multiple=0.0, slow_start_ms=60e3), 60) == {"r1"}
 
 
 def test_where_the_settings_know_no_slow_start_a_new_server_is_used_at_once() -> None:
-    assert "r0" in readers(build(gateways=200, cold_ms=0.0), 60)
+    assert "r0" in prefill_servers(build(gateways=200, slow_start_ms=0.0), 60)
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -7,13 +7,13 @@
 import pytest
 import trio
 
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.platform.process import ENDS_MS, LONGEST_MS
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
-from ternlane.port import Effect, Refusal, ShutdownTimes, Verdict
+from ternlane.policy.messages import Effect, RejectReason, ShutdownTimes, AttemptOutcome
 from ternlane.standin.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, always, platform
 from tests.test_final_answers import make_faulty
 
@@ -45,28 +45,28 @@
 
 
 def finals(actions: list[Any]) -> list[Any]:
-    return [action for action in actions if isinstance(action, (port.Throttle, port.Terminate))]
+    return [action for action in actions if isinstance(action, (messages.Reject, messages.Fail))]
 
 
 def learn_short_streams(host: FakeHost, effect: Effect) -> None:
     """Usual streams take no time, so that no estimate keeps the decisions from beginning one."""
     for _ in range(60):
-        gen, leg = host.written(effect)
-        host.first(gen, leg.server, after=1.0)
-        host.end(gen, leg.server, Verdict.STREAMED, after=1.0, over=True)
+        request, attempt = host.written(effect)
+        host.first(request, attempt.server, after=1.0)
+        host.end(request, attempt.server, AttemptOutcome.STREAMED, after=1.0, over=True)
 
 
 @pytest.mark.parametrize("effect", Effect)
 def test_a_request_that_comes_late_in_a_shutdown_is_rejected_at_once_whatever_is_usual(effect: Effect) -> None:
     host = build()
     learn_short_streams(host, effect)
-    host.tell(port.Ending(TIMES))
-    early = host.gen(effect)
-    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [port.SendLeg]
-    late = host.gen(effect)
+    host.tell(messages.ShutdownStarted(TIMES))
+    early = host.request(effect)
+    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [messages.StartAttempt]
+    late = host.request(effect)
     said = host.arrive(late, after=20.0)
-    assert [type(action) for action in said if action.gen is late] == [port.Throttle]
-    assert said[-1].why is Refusal.SHUTDOWN and said[-1].pause_ms > 0
+    assert [type(action) for action in said if action.request is late] == [messages.Reject]
+    assert said[-1].why is RejectReason.SHUTDOWN and said[-1].pause_ms > 0
     assert late not in host.router.desk.unanswered
 
 
@@ -75,57 +75,59 @@
     """Each attempt has ended before its request is answered: only then it shows whether it may have run."""
     host = build()
     learn_short_streams(host, effect)
-    host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    streamed, stream = host.written(effect, patience_ms=9000.0)
+    host.tell(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    streamed, stream = host.written(effect, client_timeout_ms=9000.0)
     host.first(streamed, stream.server)
-    decoded, decode = host.written(effect, patience_ms=9000.0)
-    read = host.gen(effect, patience_ms=9000.0)
+    decoded, decode = host.written(effect, client_timeout_ms=9000.0)
+    read = host.request(effect, client_timeout_ms=9000.0)
     prefill = sent(host.arrive(read))
     said = host.tell(after=300.0)
-    called_off = {action.gen for action in said if isinstance(action, port.CallOff)}
-    assert called_off == {decoded, read} and not finals(said)  # the client of the third has a part of it
-    after_prefill = finals(host.end(read, prefill.server, Verdict.CALLED_OFF, after=1.0))
-    assert kinds(after_prefill) == [port.Throttle]  # a prefill has no effect, however it ends
-    said = host.end(decoded, decode.server, Verdict.CALLED_OFF, after=1.0)
+    cancelled = {action.request for action in said if isinstance(action, messages.CancelAttempt)}
+    assert cancelled == {decoded, read} and not finals(said)  # the client of the third has a part of it
+    after_prefill = finals(host.end(read, prefill.server, AttemptOutcome.CANCELLED, after=1.0))
+    assert kinds(after_prefill) == [messages.Reject]  # a prefill has no effect, however it ends
+    said = host.end(decoded, decode.server, AttemptOutcome.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate]
-    assert port.Release in kinds(said) and not host.router.desk.unanswered
+    assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail]
+    assert messages.Release in kinds(said) and not host.router.desk.unanswered
 
 
 @pytest.mark.parametrize("effect", Effect)
 def test_where_nothing_may_be_called_off_the_answer_claims_no_more_than_is_known(effect: Effect) -> None:
     """Of an attempt that is out nothing is known, so what may run only once is failed."""
-    host = build(may_call_off=False)
+    host = build(may_cancel=False)
     learn_short_streams(host, effect)
-    host.tell(port.Ending(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    gens = [host.gen(effect, patience_ms=9000.0), host.written(effect, patience_ms=9000.0)[0]]
-    host.arrive(gens[0])
+    host.tell(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    requests = [host.request(effect, client_timeout_ms=9000.0), host.written(effect, client_timeout_ms=9000.0)[0]]
+    host.arrive(requests[0])
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [port.Throttle if harmless else port.Terminate] * 2
-    assert port.CallOff not in kinds(said) and not host.router.desk.unanswered
+    assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail] * 2
+    assert messages.CancelAttempt not in kinds(said) and not host.router.desk.unanswered
 
 
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
     for name in ("r0", "r1"):
-        host.list(**{name: port.Life.DRAINING})
-    waiting = host.gen(patience_ms=9000.0)
+        host.list(**{name: messages.EndpointStatus.DRAINING})
+    waiting = host.request(client_timeout_ms=9000.0)
     host.router.desk.served = lambda course: True  # type: ignore[method-assign]
     host.arrive(waiting)
-    host.tell(port.Ending(TIMES))
+    host.tell(messages.ShutdownStarted(TIMES))
     said = host.tell(after=TIMES.answers_ms)
-    assert [type(action) for action in said] == [port.Throttle] and not host.router.desk.unanswered
+    assert [type(action) for action in said] == [messages.Reject] and not host.router.desk.unanswered
 
 
 def test_nothing_is_kept_of_requests_that_are_over(host: FakeHost) -> None:
-    streamed, leg = host.written()
-    host.first(streamed, leg.server)
+    streamed, attempt = host.written()
+    host.first(streamed, attempt.server)
     left, _ = host.written()
-    host.tell(port.ClientLeft(left))
-    whole, leg = host.written()
-    host.end(whole, leg.server, Verdict.STREAMED, over=True)  # a host that passes answers on whole tells no first token
-    failed, leg = host.written(Effect.SIDE_EFFECTING)
-    host.end(failed, leg.server, Verdict.ERROR)
+    host.tell(messages.ClientDisconnected(left))
+    whole, attempt = host.written()
+    host.end(
+        whole, attempt.server, AttemptOutcome.STREAMED, over=True
+    )  # a host that passes answers on whole tells no first token
+    failed, attempt = host.written(Effect.SIDE_EFFECTING)
+    host.end(failed, attempt.server, AttemptOutcome.ERROR)
     assert not host.router.desk.unanswered
 
 
@@ -133,15 +135,17 @@
     """The decisions fail in the shutdown; the request's own time would outlast the process."""
     async with platform("r0", "w0", w0=always("silent")) as p:
         client = Client(p.address)
-        client.send(request(p, Request_Class="note", Request_Timeout="1.5"))
+        client.send(client_request(p, Request_Class="note", Request_Timeout="1.5"))
         await until(lambda: p.fleet.count("write"))
         make_faulty(p, lambda events: [])
-        ticket = next(iter(p.gateway.node.tickets.values()))
-        ticket.gen.patience_ms = 60e3
+        active_request = next(iter(p.gateway.node.active_requests.values()))
+        active_request.request.client_timeout_ms = 60e3
         since = trio.current_time()
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
-        longest_ms = max(product.limit_ms for product in p.gateway.node.deployment.products.values())
+        longest_ms = max(
+            request_class.deadline_ms for request_class in p.gateway.node.deployment.request_classes.values()
+        )
         assert answer.startswith(b"HTTP/1.1 502 ") and (trio.current_time() - since) * 1000 < longest_ms + ENDS_MS
 
 
@@ -152,8 +156,10 @@
         for server in p.servers.values():
             server.lease_way = "silent"
         client = Client(p.address)
-        client.send(request(p, Request_Timeout="9"))
-        await until(lambda: any(ticket.legs == 3 for ticket in p.gateway.node.tickets.values()))
+        client.send(client_request(p, Request_Timeout="9"))
+        await until(
+            lambda: any(active_request.attempts == 3 for active_request in p.gateway.node.active_requests.values())
+        )
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
         assert answer.startswith(b"HTTP/1.1 503 ") and not p.gateway.node.counts["overdue"]
@@ -164,7 +170,7 @@
     async with platform("r0", "w0") as p:
         client = Client(p.address)
         gate = p.servers["w0"].gates["request"] = Gate()
-        client.send(request(p))
+        client.send(client_request(p))
         await gate.reached.wait()
         p.gateway.begin_drain()
         gate.open()
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -15,31 +15,38 @@
 import pytest
 import trio
 
-from ternlane import PaperError, open_routing, port
+from ternlane import ConfigError, open_routing
+from ternlane.policy import messages
 from ternlane.chat import Wrong
 from ternlane.engine import SocketTransport
 from ternlane.engine.protocol import load_told
-from ternlane.paper import GatewayPaper, ProductTerms
-from tests.conftest import FACTS, FakeHost, build, kinds, sent
+from ternlane.config import GatewayConfig, RequestClassConfig
+from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 from tests.test_days import gate, wait_for
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 
-SLOW = replace(BUILD, tok_ms=25.0, answer_toks=(16, 16))
+SLOW = replace(BUILD, token_ms=25.0, answer_tokens=(16, 16))
 
 
-def other_shape(paper: GatewayPaper) -> GatewayPaper:
+def other_shape(config: GatewayConfig) -> GatewayConfig:
     """Loads told to probes only, no advice, fewer legs, other terms, one product gone and one new."""
     fleet = msgspec.structs.replace(
-        TERMS, ask_load=True, reports_mem=False, longest_pause_ms=0.0, leg_limit=4, writers_read=True, release_ms=250.0
+        TERMS,
+        ask_load=True,
+        reports_mem=False,
+        max_retry_after_ms=0.0,
+        max_attempts=4,
+        decode_servers_prefill=True,
+        release_ms=250.0,
     )
-    summary, note, _ = paper.products
-    quote = ProductTerms(name="quote", effect="idempotent", slo_ms=2000, tok_slo_ms=60, limit_ms=8000)
+    summary, note, _ = config.request_classes
+    quote = RequestClassConfig(name="quote", effect="idempotent", slo_ms=2000, token_slo_ms=60, deadline_ms=8000)
     return msgspec.structs.replace(
-        paper,
+        config,
         fleet=fleet,
         gateways=5,
         zone="hall",
-        products=[summary, msgspec.structs.replace(note, slo_ms=1500, limit_ms=7000), quote],
+        request_classes=[summary, msgspec.structs.replace(note, slo_ms=1500, deadline_ms=7000), quote],
     )
 
 
@@ -50,18 +57,18 @@
 
 async def test_a_switch_and_the_way_back_lose_nothing_and_repeat_nothing() -> None:
     replies: list[Reply] = []
-    async with world(build=SLOW, products=patient(4)) as w:
-        before = w.gateway.paper
+    async with world(build=SLOW, request_classes=patient(4)) as w:
+        before = w.gateway.config
 
         async def ask(model: str) -> None:
             replies.append(await w.ask(model))
 
         async def some(*models: str) -> None:
             """When it ends all have come, and some stream while the last ones don't."""
-            held, due = w.gateway.host.tickets, len(replies) + len(w.gateway.host.tickets) + len(models)
+            held, due = w.gateway.host.active_requests, len(replies) + len(w.gateway.host.active_requests) + len(models)
             with trio.fail_after(5):
                 for i, model in enumerate(models):
-                    while i == len(models) - 2 and not any(ticket.flowing for ticket in held.values()):
+                    while i == len(models) - 2 and not any(active_request.flowing for active_request in held.values()):
                         await trio.sleep(0.001)
                     nursery.start_soon(ask, model)
                 while len(replies) + len(held) < due:
@@ -97,14 +104,14 @@
         async def ask(model: str) -> None:
             replies[model] = await w.ask(model)
 
-        first = w.gateway.paper.products[0]
+        first = w.gateway.config.request_classes[0]
         for model in ("summary", "note"):
             nursery.start_soon(ask, model)
         await trio.sleep(0.25)
         w.gateway.reload(
             msgspec.structs.replace(
-                w.gateway.paper,
-                products=[  # the two have changed places
+                w.gateway.config,
+                request_classes=[  # the two have changed places
                     msgspec.structs.replace(first, effect="side-effecting"),
                     msgspec.structs.replace(first, name="note"),
                 ],
@@ -122,15 +129,15 @@
 
 async def test_a_library_switches_too_and_a_wrong_paper_changes_nothing() -> None:
     async with world() as w:
-        paper = w.gateway.paper
-        async with open_routing(paper, SocketTransport(w.pool, "t")) as routing:
-            async with routing.generation({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
-                with pytest.raises(PaperError, match="leg_limit"):
-                    routing.alter(msgspec.structs.replace(paper, fleet=msgspec.structs.replace(TERMS, leg_limit=0)))
-                routing.alter(other_shape(paper))
+        config = w.gateway.config
+        async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
+            async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
+                with pytest.raises(ConfigError, match="leg_limit"):
+                    routing.alter(msgspec.structs.replace(config, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
+                routing.alter(other_shape(config))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(Wrong, match="does not exist"):
-                async with routing.generation({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
+                async with routing.request({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
                     pass
 
 
@@ -177,47 +184,54 @@
 
 
 def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
-    gen, leg = host.written()
-    assert host.tell(port.Altered(replace(FACTS, leg_limit=1))) == []
-    assert kinds(host.end(gen, leg.server, port.Verdict.FULL)) == [port.Throttle, port.Release]
+    request, attempt = host.written()
+    assert host.tell(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
+    assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
+        messages.Reject,
+        messages.Release,
+    ]
 
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
-    gen, leg = host.written(session="s")
-    home = gen.seat.reader.server
-    host.first(gen, leg.server)
-    host.end(gen, leg.server, port.Verdict.STREAMED, over=True)
-    host.tell(port.Altered(replace(FACTS, gateways=50, leg_limit=4, longest_pause_ms=0.0, may_advise=False)))
-    assert sent(host.arrive(host.gen(session="s"))).server is home
+    request, attempt = host.written(session="s")
+    home = request.seat.prefill_server.server
+    host.first(request, attempt.server)
+    host.end(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
+    host.tell(
+        messages.ConfigChanged(
+            replace(ROUTER_CONFIG, gateways=50, max_attempts=4, max_retry_after_ms=0.0, may_send_retry_after=False)
+        )
+    )
+    assert sent(host.arrive(host.request(session="s"))).server is home
 
 
 def test_load_is_asked_for_before_a_pair_is_chosen_and_nobody_waits_long_for_it() -> None:
-    host = build(may_probe=True, told_if_asked=True)
-    gen = host.gen()
-    asked = [a.server for a in host.arrive(gen)]
-    assert len(asked) == 2 and all(server.duty is port.Duty.READ for server in asked)
+    host = build(may_probe=True, reports_on_probe=True)
+    request = host.request()
+    asked = [a.server for a in host.arrive(request)]
+    assert len(asked) == 2 and all(server.role is messages.Role.PREFILL for server in asked)
     busy, idle = asked
-    assert host.tell(port.Checked(busy, port.Verdict.STREAMED, port.Report(30.0, 0.99))) == []
-    said = host.tell(port.Checked(idle, port.Verdict.STREAMED, port.Report(0.0, 0.05)))
-    leg = next(a for a in said if isinstance(a, port.SendLeg))
-    assert leg.server is idle and leg.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
-    assert sent(build().arrive(gen)).timeout_ms == 1000.0
-    late = host.gen(opening="other")
+    assert host.tell(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
+    said = host.tell(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
+    attempt = next(a for a in said if isinstance(a, messages.StartAttempt))
+    assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
+    assert sent(build().arrive(request)).timeout_ms == 1000.0
+    late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
-    assert port.Probe in kinds(said) and port.SendLeg not in kinds(said)
-    assert port.SendLeg in kinds(host.tell(after=100.0))  # none has answered
+    assert messages.Probe in kinds(said) and messages.StartAttempt not in kinds(said)
+    assert messages.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
 
 
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
 def test_nobody_waits_for_loads_beyond_its_clients_patience(patience: float) -> None:
-    host = build(may_probe=True, told_if_asked=True)
-    gen = host.gen(patience_ms=patience)
-    said = host.arrive(gen, after=20.0)  # between two beats
+    host = build(may_probe=True, reports_on_probe=True)
+    request = host.request(client_timeout_ms=patience)
+    said = host.arrive(request, after=20.0)  # between two beats
     answered = host.now
-    while not any(isinstance(a, (port.SendLeg, port.Throttle)) for a in said):
+    while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
-    assert answered <= gen.seat.limit_at - 0.5 * patience
+    assert answered <= request.seat.deadline - 0.5 * patience
 
 
 @pytest.mark.parametrize(
@@ -232,4 +246,4 @@
 )
 def test_metrics_that_say_nothing_are_no_report(text: str, report: tuple[float, float | None] | None) -> None:
     said = load_told(text)
-    assert (None if said is None else (said.open_gens, said.mem_share)) == report
+    assert (None if said is None else (said.open_requests, said.memory_share)) == report
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,7 +15,7 @@
 from ternlane.http1 import caller as caller_module
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process as process_module
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform, until_ready
 from tests.test_platform_bounds import running
 from tests.world import world
@@ -77,7 +77,7 @@
         p.gateway.accepting.cancel()
         await trio.testing.wait_all_tasks_blocked()
         client = Client(p.address)
-        client.send(request(p))
+        client.send(client_request(p))
         failing = FailingAccept(monkeypatch, p.address, [number])
         await p.gateway.front.accept_the_rest(p.gateway.listener, p.nursery, 300.0)
         assert not failing.numbers
@@ -136,15 +136,15 @@
 
 
 def test_a_log_line_that_can_t_be_written_is_dropped_and_counted() -> None:
-    reader, writer = os.pipe()
-    log = LogOutput(writer)
+    prefill_server, decode_server = os.pipe()
+    log = LogOutput(decode_server)
     log.write("a line\n")
-    assert os.read(reader, 100) == b"a line\n" and log.dropped == 0
+    assert os.read(prefill_server, 100) == b"a line\n" and log.dropped == 0
     while log.dropped == 0:  # nobody reads any more
         log.write("x" * PIPE_BYTES)
-    os.close(reader)
+    os.close(prefill_server)
     log.write("nobody listens\n")
-    os.close(writer)
+    os.close(decode_server)
     log.write("it is closed\n")
     assert log.dropped == 3
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -12,13 +12,25 @@
 from hypothesis import strategies as st
 
 from ternlane.ledger.store import BILLS, Damaged, Store, Totals, read_segment
-from ternlane.tenants import Budget, Cashier, Hold, KeyLine, Lender, Lengths, Meter, Refusal, Roll, TenantLine, Unknown
+from ternlane.tenants import (
+    Budget,
+    Cashier,
+    Hold,
+    KeyLine,
+    Lender,
+    Lengths,
+    Meter,
+    RejectReason,
+    Roll,
+    TenantLine,
+    Unknown,
+)
 from ternlane.tenants.billing import Billed, Used
 from ternlane.tenants.cashier import Entry
 from ternlane.tenants.keys import new_key
 from ternlane.tenants.meter import period_at
 from ternlane.tenants.parts import FLOOR
-from ternlane.tenants.roll import Prices, RollPaper
+from ternlane.tenants.roll import Prices, TenantRegistryConfig
 
 NOON = datetime(2026, 12, 1, 12, tzinfo=ZoneInfo("UTC")).timestamp()
 
@@ -28,13 +40,13 @@
     return TenantLine(name=name, budget=limits, prices={"*": Prices(prompt=3, kept=1, answer=12)})
 
 
-def held(got: Hold | Refusal) -> Hold:
+def held(got: Hold | RejectReason) -> Hold:
     assert isinstance(got, Hold), got
     return got
 
 
-def refused(got: Hold | Refusal) -> Refusal:
-    assert isinstance(got, Refusal), got
+def refused(got: Hold | RejectReason) -> RejectReason:
+    assert isinstance(got, RejectReason), got
     return got
 
 
@@ -50,7 +62,7 @@
         ("revoked", 0, 5, False),
     ):
         line = KeyLine(name=name, salt=salt, hash=kept, state=state, until=until)  # type: ignore
-        roll = Roll(RollPaper(tenants=[TenantLine(name="noto", keys=[line])]))
+        roll = Roll(TenantRegistryConfig(tenants=[TenantLine(name="noto", keys=[line])]))
         if good:
             assert roll.whose(f"Bearer {key}", now).name == "noto"
         else:
@@ -85,15 +97,15 @@
     cashier, noto = Cashier(), tenant(minute=600, burst=100)
     held(cashier.reserve(noto, "s", 90, 10, 0.0, NOON))
     no = refused(cashier.reserve(noto, "s", 30, 10, 0.0, NOON))
-    assert isinstance(cashier.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), Refusal)
+    assert isinstance(cashier.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), RejectReason)
     held(cashier.reserve(noto, "s", 30, 10, no.wait_ms + 1, NOON))
 
 
 def test_a_refused_product_budget_gives_the_tenant_budget_back() -> None:
-    noto = TenantLine(name="n", budget=Budget(minute=1000), products={"s": Budget(minute=10)})
+    noto = TenantLine(name="n", budget=Budget(minute=1000), request_classes={"s": Budget(minute=10)})
     cashier = Cashier()
     refusals = [cashier.reserve(noto, "s", 400, 10, 0.0, NOON) for _ in range(2)]
-    assert isinstance(refusals[0], Hold) or isinstance(refusals[1], Refusal)
+    assert isinstance(refusals[0], Hold) or isinstance(refusals[1], RejectReason)
     cashier.meters["n", "s"].level = 0
     before = cashier.meters["n", ""].level, cashier.meters["n", ""].open
     refused(cashier.reserve(noto, "s", 5, 1, 0.0, NOON))
@@ -217,21 +229,21 @@
     lender, budget, now, spent = Lender(n), Budget(minute=minute, burst=burst), 0.0, 0
     line = TenantLine(name="t", budget=budget)
     cashiers = [Cashier(n, f"g{i}", lends=True) for i in range(n)]
-    for who, toks, after in steps:
+    for who, tokens, after in steps:
         now += after
         cashier = cashiers[who % n]
-        if toks % 17 == 0:  # it dies, and comes back with its floor empty of what it drew
+        if tokens % 17 == 0:  # it dies, and comes back with its floor empty of what it drew
             old = cashier.meters.get(("t", ""))
             if old is not None:
                 cashier.borrowers.clear()
                 old.draw(-max(0.0, min(old.extra, old.level)), 0.0)
-        elif toks % 5 == 0:
+        elif tokens % 5 == 0:
             want, target = cashier.wants(line, now * 1000, NOON + now)
             got = lender.ask("t", cashier.gateway, want, minute, burst, NOON + now) if want else 0.0
             if got > 0:
                 cashier.meters["t", ""].draw(got, target)
-        elif isinstance(cashier.reserve(line, "s", toks, 0 + 1, now * 1000, NOON + now), Hold):
-            spent += toks + 1
+        elif isinstance(cashier.reserve(line, "s", tokens, 0 + 1, now * 1000, NOON + now), Hold):
+            spent += tokens + 1
         single = max([0, *[t + 1 for _, t, _ in steps]])  # one larger than a bucket goes when that is full
         assert spent <= burst + minute * now / 60 + n * single + 1e-6
         held = sum(m.level for c in cashiers for m in c.meters.values())
@@ -397,17 +409,17 @@
     after = disk.after_crash(random.Random(seed))
     again, found = Store(after), list[Entry]()  # type: ignore[arg-type]
     again.recover(lambda _, e: found.append(e))
-    ids = [e.gen for e in found]
+    ids = [e.request for e in found]
     assert len(ids) == len(set(ids))
-    assert {e.gen for e in kept} <= set(ids)
+    assert {e.request for e in kept} <= set(ids)
     sums = Totals()
     for e in found:
         sums.add(e)
     assert again.totals.sums == sums.sums
     more = fill(again, [3, 3], first=1000)  # and it can be written to again
     third, all_found = Store(after), list[str]()  # type: ignore[arg-type]
-    third.recover(lambda _, e: all_found.append(e.gen))
-    assert all_found == ids + [e.gen for e in more] and third.totals.sums == again.totals.sums
+    third.recover(lambda _, e: all_found.append(e.request))
+    assert all_found == ids + [e.request for e in more] and third.totals.sums == again.totals.sums
 
 
 def test_every_cut_of_a_segment_is_recovered_from() -> None:
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -15,12 +15,12 @@
 import trio
 
 from tests.world import BUILD, Reply, World, replace, world
-from ternlane.gateway.ticket import Ticket
+from ternlane.gateway.active_request import ActiveRequest
 from ternlane.ledger import Disk, Store
 from ternlane.ledger.bills import entries_of, reconcile, rows_of
 from ternlane.ledger.lending import lender_file
 from ternlane.tenants import Budget, KeyLine, Prices, TenantLine, new_key
-from ternlane.tenants.roll import RollPaper
+from ternlane.tenants.roll import TenantRegistryConfig
 
 
 class Bank:
@@ -40,7 +40,7 @@
 
     def write(self, lines: list[TenantLine]) -> None:
         self.lines = lines
-        (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(RollPaper(tenants=lines)))
+        (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(TenantRegistryConfig(tenants=lines)))
 
     async def ask(self, w: World, name: str, model: str = "summary", text: str = "hello", **more: Any) -> Reply:
         headers = {"Authorization": f"Bearer {self.keys[name]}"} | more.pop("headers", {})
@@ -65,7 +65,7 @@
 
 
 async def test_only_a_live_key_is_let_in_and_a_revoked_one_keeps_its_running_stream(tmp_path: Path) -> None:
-    async with banked(tmp_path, build=replace(BUILD, tok_ms=150.0)) as (w, bank):
+    async with banked(tmp_path, build=replace(BUILD, token_ms=150.0)) as (w, bank):
         assert (await w.ask()).status == 401
         assert (await w.ask(headers={"Authorization": "Bearer tl-ffff-nothing"})).error == {
             "message": "Incorrect API key provided",
@@ -95,7 +95,7 @@
 
 
 async def test_bills_are_what_the_engines_counted_whatever_the_legs(tmp_path: Path) -> None:
-    async with banked(tmp_path, engines=("r0", "r0b", "w0", "w0b"), build=replace(BUILD, tok_ms=12.0)) as (w, bank):
+    async with banked(tmp_path, engines=("r0", "r0b", "w0", "w0b"), build=replace(BUILD, token_ms=12.0)) as (w, bank):
         for i in range(12):
             await bank.ask(w, "noto", text=f"folder {i} " * 30)
 
@@ -130,14 +130,14 @@
         first = await bank.ask(w, "noto", text="x" * 200, max_tokens=10)
         assert first.done == 1 and float(first.headers["x-ratelimit-remaining-tokens"]) < 150
         assert first.headers["x-ratelimit-limit-tokens"] == "6000"
-        legs, no = len(w.said("leg")), Reply()
+        attempts, no = len(w.said("leg")), Reply()
         for _ in range(6):
             no = await bank.ask(w, "noto", text="x" * 200, max_tokens=10)
             if no.status == 429:
                 break
-            legs = len(w.said("leg"))
+            attempts = len(w.said("leg"))
         assert no.status == 429 and no.error is not None and no.error["code"] == "rate_limit_exceeded"
-        assert len(w.said("leg")) == legs
+        assert len(w.said("leg")) == attempts
         assert (await bank.ask(w, "avola", text="x" * 200, max_tokens=10)).done == 1  # not another's allowance
         await trio.sleep(float(no.headers["retry-after-ms"]) / 1000 + 0.02)
         assert (await bank.ask(w, "noto", text="x" * 200, max_tokens=10)).done == 1
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("cut", [False, True])
 async def test_a_stream_is_cut_for_its_overrun_only_where_the_tenant_wants_it(tmp_path: Path, cut: bool) -> None:
     budget = {"minute": 60, "burst": 100, "overdraft": 20, "cut": cut}
-    build = replace(BUILD, answer_toks=(200, 200), tok_ms=1.0)
+    build = replace(BUILD, answer_tokens=(200, 200), token_ms=1.0)
     async with banked(tmp_path, names=("noto",), build=build, budget=budget) as (w, bank):
         for _ in range(20):  # it has given short answers so far
             w.gateway.till.cashier.lengths.learn("noto", "summary", 10)
@@ -182,7 +182,7 @@
         assert w.gateway.till.cashier.meters == {} or w.said("leg") == []
         found = bank.off(w)
         assert not w.said("leg") and not found.unsettled and found.billed.prompt == 0
-        w.gateway.host.tickets.clear()
+        w.gateway.host.active_requests.clear()
 
 
 async def test_one_members_storm_of_repeats_costs_the_others_nothing(tmp_path: Path) -> None:
@@ -238,7 +238,7 @@
     async with trio.open_nursery() as nursery:
         async with world(
             ("r0", "w0"),
-            build=replace(BUILD, tok_ms=40.0),
+            build=replace(BUILD, token_ms=40.0),
             tenants=str(tmp_path / "tenants.json5"),
             ledger=str(tmp_path / "ledger"),
         ) as w:
@@ -277,7 +277,7 @@
 
 
 async def test_a_killed_gateway_loses_only_what_was_open_and_it_is_listed(tmp_path: Path) -> None:
-    async with banked(tmp_path, build=replace(BUILD, tok_ms=60.0)) as (w, bank):
+    async with banked(tmp_path, build=replace(BUILD, token_ms=60.0)) as (w, bank):
         assert (await bank.ask(w, "noto")).done == 1
         await w.gateway.till.writer.flush(1.0)
         async with trio.open_nursery() as nursery:
@@ -287,7 +287,7 @@
             await trio.sleep(0.5)
         found = bank.off(w)
         assert list(found.unsettled.values())[0].answer == 6 and found.off == 0
-        assert isinstance(next(iter(w.gateway.host.tickets.values()), None), Ticket | None)
+        assert isinstance(next(iter(w.gateway.host.active_requests.values()), None), ActiveRequest | None)
 
 
 async def test_what_was_spent_is_known_after_a_restart(tmp_path: Path) -> None:
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -12,15 +12,25 @@
 import trio
 
 import ternlane
-from tests.world import BUILD, PRODUCTS, TERMS, World, replace, world
+from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
 from ternlane.chat import Wrong
-from ternlane.embed import TerminatedError, ThrottledError, open_routing
-from ternlane.engine import Kept, LegAsk, LegPlan, LocalTransport, Refuses, SocketTransport, Stage, Transport, Unreached
-from ternlane.engine.leg import ClientGone
+from ternlane.embed import FailedError, RejectedError, open_routing
+from ternlane.engine import (
+    Kept,
+    AttemptRequest,
+    AttemptPlan,
+    LocalTransport,
+    Refuses,
+    SocketTransport,
+    Stage,
+    Transport,
+    Unreached,
+)
+from ternlane.engine.attempt import ClientGone
 from ternlane.http1 import Exchange, Pool
-from ternlane.paper import GatewayPaper, NodeLine, PaperError, read_text
-from ternlane.paper.gateway import InlineSource
-from ternlane.port import Verdict
+from ternlane.config import GatewayConfig, NodeLine, ConfigError, read_text
+from ternlane.config.gateway import InlineSource
+from ternlane.policy.messages import AttemptOutcome
 from ternlane.standin.engine import Engine
 
 
@@ -31,7 +41,7 @@
         self.states: set[str] = set()
         self.trouble, self.effects, self.closed = "", 0, 0
 
-    async def read(self, ask: LegAsk) -> Kept:
+    async def read(self, ask: AttemptRequest) -> Kept:
         if self.trouble == "full":
             raise Refuses("queue-full")
         if self.trouble == "hung":
@@ -40,8 +50,8 @@
         self.states.add(ask.ident)
         return Kept({"by": ask.server, "of": ask.ident}, 10)
 
-    async def write(self, ask: LegAsk) -> AsyncIterator[str]:
-        if ask.stage is Stage.WRITE and (ask.state or {}).get("of") != ask.ident:
+    async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
+        if ask.stage is Stage.DECODE and (ask.state or {}).get("of") != ask.ident:
             raise Refuses("no-state", state_lost=True)
         if self.trouble == "broken":
             raise RuntimeError("out of memory")
@@ -70,13 +80,17 @@
         if self.kind == "local":
             return LocalTransport(dict(self.local))  # type: ignore[arg-type]
         for ident in ("r0", "w0"):
-            await self.world.add(ident, replace(BUILD, tok_ms=2.0))
+            await self.world.add(ident, replace(BUILD, token_ms=2.0))
         return SocketTransport(Pool(100, 1000), "t (t)")
 
-    def ask(self, server: str, stage: Stage, state: Any = None, ident: str = "g", timeout: float = 150) -> LegAsk:
+    def ask(
+        self, server: str, stage: Stage, state: Any = None, ident: str = "g", timeout: float = 150
+    ) -> AttemptRequest:
         address = "" if self.kind == "local" else f"127.0.0.1:{self.world.engines[server].port}"
         raw = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
-        return LegAsk(server, address, stage, ident, 0, "k", raw, state, 6, LegPlan(address, [], b"", timeout, 60))
+        return AttemptRequest(
+            server, address, stage, ident, 0, "k", raw, state, 6, AttemptPlan(address, [], b"", timeout, 60)
+        )
 
     def trouble(self, server: str, what: str) -> None:
         self.local[server].trouble = what
@@ -89,7 +103,7 @@
         return len(self.local["r0"].states) if self.kind == "local" else len(self.world.engines["r0"].states)
 
 
-async def collect(transport: Transport, ask: LegAsk) -> tuple[Any, list[str]]:
+async def collect(transport: Transport, ask: AttemptRequest) -> tuple[Any, list[str]]:
     got: list[str] = []
 
     async def pass_on(text: str, first: bool) -> None:
@@ -104,59 +118,64 @@
     async with trio.open_nursery() as nursery:
         bed = Bed(kind, nursery)
         transport = await bed.open()
-        end = await transport.read(bed.ask("r0", Stage.READ))
-        assert end.verdict is Verdict.READ and end.state is not None and end.usage is not None and bed.held() == 1
-        wrote, got = await collect(transport, bed.ask("w0", Stage.WRITE, end.state))
-        assert wrote.verdict is Verdict.STREAMED and wrote.begun and len(got) == 6
+        end = await transport.read(bed.ask("r0", Stage.PREFILL))
+        assert (
+            end.outcome is AttemptOutcome.PREFILLED
+            and end.state is not None
+            and end.usage is not None
+            and bed.held() == 1
+        )
+        wrote, got = await collect(transport, bed.ask("w0", Stage.DECODE, end.state))
+        assert wrote.outcome is AttemptOutcome.STREAMED and wrote.begun and len(got) == 6
         assert wrote.usage is not None and wrote.usage.completion_tokens == 6
         if kind == "local":
             bed.local["r0"].states.clear()  # a local engine hands its state on as it likes
-        again = await transport.read(bed.ask("r0", Stage.READ, ident="h"))
-        assert bed.held() == 1 and await transport.release("r0", bed.ask("r0", Stage.READ).address, "h", 200)
-        assert bed.held() == 0 and again.verdict is Verdict.READ
+        again = await transport.read(bed.ask("r0", Stage.PREFILL, ident="h"))
+        assert bed.held() == 1 and await transport.release("r0", bed.ask("r0", Stage.PREFILL).address, "h", 200)
+        assert bed.held() == 0 and again.outcome is AttemptOutcome.PREFILLED
 
         lost, _ = await collect(
-            transport, bed.ask("w0", Stage.WRITE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i")
+            transport, bed.ask("w0", Stage.DECODE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i")
         )
-        assert (lost.verdict, lost.state_lost) == (Verdict.FULL, True)
+        assert (lost.outcome, lost.state_lost) == (AttemptOutcome.OVERLOADED, True)
         bed.trouble("r0", "full")
-        assert (await transport.read(bed.ask("r0", Stage.READ))).verdict is Verdict.FULL
+        assert (await transport.read(bed.ask("r0", Stage.PREFILL))).outcome is AttemptOutcome.OVERLOADED
         bed.trouble("r0", "hung")
-        assert (await transport.read(bed.ask("r0", Stage.READ, timeout=50))).verdict is Verdict.TIMED_OUT
+        assert (await transport.read(bed.ask("r0", Stage.PREFILL, timeout=50))).outcome is AttemptOutcome.TIMED_OUT
         bed.trouble("r0", "")
 
-        called = bed.ask("r0", Stage.READ)
+        called = bed.ask("r0", Stage.PREFILL)
         bed.trouble("r0", "hung")
-        nursery.start_soon(_call_off, called)
-        assert (await transport.read(called)).verdict is Verdict.CALLED_OFF
+        nursery.start_soon(_cancel, called)
+        assert (await transport.read(called)).outcome is AttemptOutcome.CANCELLED
         bed.trouble("r0", "")
 
-        state = (await transport.read(bed.ask("r0", Stage.READ, ident="j"))).state
+        state = (await transport.read(bed.ask("r0", Stage.PREFILL, ident="j"))).state
 
         async def gone(text: str, first: bool) -> None:
             raise ClientGone
 
         with pytest.raises(ClientGone):
-            await transport.stream(bed.ask("w0", Stage.WRITE, state, ident="j"), gone)
+            await transport.stream(bed.ask("w0", Stage.DECODE, state, ident="j"), gone)
         assert kind == "sockets" or bed.local["w0"].closed == bed.local["w0"].effects
         transport.close()
         nursery.cancel_scope.cancel()
 
 
-async def _call_off(ask: LegAsk) -> None:
+async def _cancel(ask: AttemptRequest) -> None:
     await trio.sleep(0.03)
-    ask.plan.call_off()
+    ask.plan.cancel()
 
 
-def paper(*idents: str, **more: Any) -> GatewayPaper:
-    duty = {"r": "read", "w": "write"}
-    return GatewayPaper(
+def config(*idents: str, **more: Any) -> GatewayConfig:
+    role = {"r": "read", "w": "write"}
+    return GatewayConfig(
         name="lib",
         listen="127.0.0.1:0",
-        products=PRODUCTS,
+        request_classes=REQUEST_CLASSES,
         fleet=TERMS,
         nodes=InlineSource(
-            nodes=[NodeLine(id=i, address="127.0.0.1:9", duty=duty[i[0]], mem_toks=2e5) for i in idents]
+            nodes=[NodeLine(id=i, address="127.0.0.1:9", role=role[i[0]], kv_capacity_tokens=2e5) for i in idents]
         ),
         **more,
     )  # type: ignore
@@ -167,56 +186,56 @@
 
 async def test_the_router_alone_routes_by_direct_calls() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
-    async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
-        async with routing.generation(REQUEST) as stream:
+    async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+        async with routing.request(REQUEST) as stream:
             assert await stream.text() == "0 1 2 3 4 5 "
         assert stream.usage["completion_tokens"] == 6 and stream.finish == "stop"
         with pytest.raises(Wrong, match="does not exist"):
-            async with routing.generation(REQUEST | {"model": "x"}):
+            async with routing.request(REQUEST | {"model": "x"}):
                 pass
-        assert not routing.host.tickets and engines["w0"].effects == 1
+        assert not routing.host.active_requests and engines["w0"].effects == 1
 
 
 async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
     engines = {i: Local() for i in ("r0", "w0", "w1")}
-    async with open_routing(paper("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
+    async with open_routing(config("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
         for local in ("w0", "w1"):
             engines[local].trouble = "broken"
-        with pytest.raises(TerminatedError, match="out of memory") as bad:
-            async with routing.generation(REQUEST) as stream:
+        with pytest.raises(FailedError, match="out of memory") as bad:
+            async with routing.request(REQUEST) as stream:
                 await stream.text()
         assert not bad.value.begun
         with trio.fail_after(1):  # released in the background
             while engines["r0"].states:
                 await trio.sleep(0.002)
         engines["r0"].trouble = "full"
-        with pytest.raises(ThrottledError):
-            async with routing.generation(REQUEST, time_limit_ms=200) as stream:
+        with pytest.raises(RejectedError):
+            async with routing.request(REQUEST, request_timeout_ms=200) as stream:
                 await stream.text()
 
 
 async def test_leaving_early_calls_off_and_releases() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
-    async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
-        async with routing.generation(REQUEST) as stream:
+    async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+        async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
         with trio.fail_after(1):
-            while routing.host.tickets or engines["w0"].closed < 1:
+            while routing.host.active_requests or engines["w0"].closed < 1:
                 await trio.sleep(0.005)
         with pytest.raises(KeyError):
-            async with routing.generation(REQUEST):
+            async with routing.request(REQUEST):
                 raise KeyError("the caller's own")
         with trio.fail_after(1):
-            while routing.host.tickets or "lib-2" in engines["r0"].states:
+            while routing.host.active_requests or "lib-2" in engines["r0"].states:
                 await trio.sleep(0.005)
 
 
 async def test_routers_made_and_discarded_leave_nothing() -> None:
     async def round_trip() -> None:
         engines = {i: Local() for i in ("r0", "w0")}
-        async with open_routing(paper("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore
-            async with routing.generation(REQUEST) as stream:
+        async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore
+            async with routing.request(REQUEST) as stream:
                 async for _ in stream:
                     break
 
@@ -266,7 +285,7 @@
             engines.append(engine)
         w.gateway.found(
             [
-                NodeLine(id=e.ident, address=f"{e.host}:{e.port}", duty="both", mem_toks=2e5, protocol="chat")
+                NodeLine(id=e.ident, address=f"{e.host}:{e.port}", role="both", kv_capacity_tokens=2e5, protocol="chat")
                 for e in engines
             ]
         )
@@ -283,22 +302,22 @@
 
 
 def test_a_plain_chat_server_can_not_be_a_reader() -> None:
-    with pytest.raises(PaperError, match="duty both"):
+    with pytest.raises(ConfigError, match="duty both"):
         read_text('{id: "a", address: "h:1", duty: "read", mem_toks: 1, protocol: "chat"}', NodeLine)
 
 
 async def test_typed_settings_meet_the_checks_of_a_document() -> None:
-    good = paper("r0", "w0")
+    good = config("r0", "w0")
     assert ternlane.checked(good) == good
     for changes, field in (
         ({"gateways": 0}, r"\$.gateways"),
-        ({"fleet": ternlane.FleetTerms(connect_ms=-1)}, r"\$.fleet.connect_ms"),
+        ({"fleet": ternlane.FleetConfig(connect_ms=-1)}, r"\$.fleet.connect_ms"),
         ({"name": "has a space"}, r"\$.name"),
     ):
         wrong = msgspec.structs.replace(good, **changes)  # type: ignore[arg-type]
-        with pytest.raises(PaperError, match=field):
+        with pytest.raises(ConfigError, match=field):
             async with ternlane.open_routing(wrong, LocalTransport({})):
                 pass
-        with pytest.raises(PaperError, match=field):
+        with pytest.raises(ConfigError, match=field):
             async with ternlane.open_gateway(wrong, transport=LocalTransport({})):
                 pass
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -15,14 +15,14 @@
 from tests.test_chat import ask
 from tests.test_tenants import NOON, FakeDisk, tenant
 from tests.world import BUILD, TERMS, heard, replace, world
-from ternlane import port
+from ternlane.policy import messages
 from ternlane.chat import Intake
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.ledger.store import Store
 from ternlane.nodes import follow_file
-from ternlane.paper import FileSource, NodeLine
-from ternlane.paper.gateway import DoorTerms
-from ternlane.port import Effect, Group, Product
+from ternlane.config import FileSource, NodeLine
+from ternlane.config.gateway import ServerLimits
+from ternlane.policy.messages import Effect, Group, RequestClass
 from ternlane.tenants import Cashier, Hold, Lender
 from ternlane.tenants.billing import Billed, Used
 
@@ -30,7 +30,7 @@
 
 
 async def test_one_connection_serves_many_requests_and_an_idle_one_is_closed() -> None:
-    async with world(door=DoorTerms(idle_ms=150)) as w:
+    async with world(door=ServerLimits(idle_ms=150)) as w:
         caller = await w.pool.connect(w.gateway.address)
         for _ in range(3):
             assert (await heard(caller, BODY, {}, "/v1/chat/completions")).done == 1
@@ -89,17 +89,17 @@
         text = (await heard(caller, b"", {}, "/metrics", "GET")).body.decode()
         assert 'ternlane_generations_total{model="summary",outcome="streamed"} 1.0' in text
         assert 'ternlane_legs_total{stage="write",verdict="streamed"} 1.0' in text
-        changed = msgspec.structs.replace(w.gateway.paper, door=DoorTerms(body_bytes=50), seed=5)
+        changed = msgspec.structs.replace(w.gateway.config, door=ServerLimits(body_bytes=50), seed=5)
         assert w.gateway.reload(changed) == (["door"], ["seed"])
         assert (await w.ask(text="x" * 60)).status == 413
 
 
 def test_a_user_of_very_many_sessions_is_held_in_bounds() -> None:
-    product = Product(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
-    intake = Intake({"m": product}, {product: 100}, 500)
+    request_class = RequestClass(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
+    intake = Intake({"m": request_class}, {request_class: 100}, 500)
     for i in range(20_000):
         intake.take(ask(f"folder {i} " * 60), 1000)  # type: ignore[arg-type]
-    assert len(intake.sessions.ends) <= 1000 and intake.openings.held <= 4000
+    assert len(intake.sessions.ends) <= 1000 and intake.prefixes.held <= 4000
 
 
 def test_two_gateways_spending_the_last_tokens_at_once_spend_no_more_than_there_are() -> None:
@@ -145,20 +145,20 @@
         self.start()
 
     def start(self) -> None:
-        self.store, self.cashier, self.life = Store(self.disk, 500), Cashier(), object()  # type: ignore[arg-type]
+        self.store, self.cashier, self.status = Store(self.disk, 500), Cashier(), object()  # type: ignore[arg-type]
         self.cashier.clock(NOON + self.now / 1000)
         self.store.recover()
-        for (name, product, period), it in self.store.totals.sums.items():
-            self.cashier.remember(name, product, period, it.bill.prompt + it.bill.answer)
+        for (name, request_class, period), it in self.store.totals.sums.items():
+            self.cashier.remember(name, request_class, period, it.bill.prompt + it.bill.answer)
 
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
         got = self.cashier.reserve(self.line, "s", prompt, 100, self.now, NOON + self.now / 1000)
-        return (self.life, got) if isinstance(got, Hold) else None
+        return (self.status, got) if isinstance(got, Hold) else None
 
     @rule(it=consumes(holds), answer=st.integers(0, 100), commit=st.booleans())
     def settle(self, it: object, answer: int, commit: bool) -> None:
-        if not isinstance(it, tuple) or it[0] is not self.life:
+        if not isinstance(it, tuple) or it[0] is not self.status:
             return  # refused, or died with a gateway
         self.n += 1
         hold = it[1]
@@ -168,7 +168,7 @@
         if commit:
             self.store.commit()
             for _, e in [*self.pending, (0, entry)]:
-                self.kept[e.gen] = e.period, e.bill.prompt + e.bill.answer
+                self.kept[e.request] = e.period, e.bill.prompt + e.bill.answer
             self.pending = []
         else:
             self.pending = [*self.pending, (0, entry)]
@@ -187,8 +187,8 @@
     @invariant()
     def books_agree(self) -> None:
         sums: dict[str, int] = {}
-        for period, toks in self.kept.values():
-            sums[period] = sums.get(period, 0) + toks
+        for period, tokens in self.kept.values():
+            sums[period] = sums.get(period, 0) + tokens
         told = {key[2]: it.bill.prompt + it.bill.answer for key, it in self.store.totals.sums.items()}
         assert told == sums
         meter = self.cashier.meters.get(("noto", ""))
@@ -216,17 +216,17 @@
     class Holds(Router):
         """The decisions, with a place held at the home writer beside each read."""
 
-        def take(self, now: float, events: list[port.Event]) -> list[port.Action]:
+        def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
             out = super().take(now, events)
             for action in list(out):
-                if isinstance(action, port.SendLeg) and action.server.duty is port.Duty.READ:
-                    out.append(port.HoldAhead(action.gen, action.gen.seat.writer.server))
-            told.extend(e for e in events if isinstance(e, port.PlaceHeld))
+                if isinstance(action, messages.StartAttempt) and action.server.role is messages.Role.PREFILL:
+                    out.append(messages.Reserve(action.request, action.request.seat.decode_server.server))
+            told.extend(e for e in events if isinstance(e, messages.ReservationResult))
             return out
 
-    told: list[port.PlaceHeld] = []
+    told: list[messages.ReservationResult] = []
     terms = msgspec.structs.replace(TERMS, holds=True)
-    async with world(("r0", "w0"), build=replace(BUILD, read_tok_s=4000.0), chooser=Holds, terms=terms) as w:
+    async with world(("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=Holds, terms=terms) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
         assert [e.held for e in told] == [True]
         assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used == 0
