--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -19,9 +19,9 @@
 from ternlane.platform import process
 from ternlane.platform.protocol import NAME_CHARS
 from ternlane.platform.settings import Limits
-from ternlane.port import Duty, Effect
+from ternlane.policy.messages import Role, Effect
 from ternlane.standin.platform import Gate
-from tests.crossing import Client, request, until
+from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, always, platform
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
@@ -86,20 +86,26 @@
 async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
     told, raw = settings(name), site(name)
     async with platform("r0", "w0", told=told, limits=Limits(sockets=500, memory_mb=100)) as p:
-        facts, pool, front = p.gateway.node.deployment.facts, p.gateway.pool, p.gateway.front
+        router_config, pool, front = p.gateway.node.deployment.router_config, p.gateway.pool, p.gateway.front
         connection = raw["tier"][0]["conn"]
-        assert facts.release_ms == raw["fam"]["release_ms"] and facts.leg_limit == raw["allow"]["max_attempts"]
-        assert facts.drain_grace_ms == raw["rules"]["drain_grace_ms"]
+        assert (
+            router_config.release_ms == raw["fam"]["release_ms"]
+            and router_config.max_attempts == raw["allow"]["max_attempts"]
+        )
+        assert router_config.drain_grace_ms == raw["rules"]["drain_grace_ms"]
         assert pool.connect_ms == connection["connect_timeout_ms"] and pool.limit == 225
         assert pool.idle_ms == pytest.approx(900.0 * connection["idle_s"]) and pool.wear.span_ms == pool.idle_ms
         assert (front.conn_limit, front.open_limit) == (225, 200) and front.held_bytes == int(20 * 2**20)
         limits = p.gateway.node.chooser.limits  # type: ignore[attr-defined]
         assert limits.slo_ms == min(one["aim_ms"] for one in raw["class"])
-        assert limits.retry_ms == 2 * connection["connect_timeout_ms"] and limits.leg_limit == facts.leg_limit
+        assert (
+            limits.retry_ms == 2 * connection["connect_timeout_ms"]
+            and limits.max_attempts == router_config.max_attempts
+        )
         assert limits.pause_ms == raw["clients"]["max_retry_after_ms"]
-        assert limits.cold_part / raw["rules"]["fall_multiple"] == pytest.approx(0.6 * facts.cold_from)
-        assert facts.may_probe == raw["allow"]["probes"]
-        assert facts.told_if_asked == (raw["tier"][0]["report"]["how"] == "probe")
+        assert limits.cold_part / raw["rules"]["fall_multiple"] == pytest.approx(0.6 * router_config.slow_start_share)
+        assert router_config.may_probe == raw["allow"]["probes"]
+        assert router_config.reports_on_probe == (raw["tier"][0]["report"]["how"] == "probe")
 
 
 @pytest.mark.parametrize("name", NAMES)
@@ -118,8 +124,8 @@
     told = settings(name) | {"kinds": ["reader", "writer"]}
     unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
     async with platform("r0", "w0", told=told, w0=always("opening_cut")) as p:
-        product = p.gateway.node.deployment.products[unsafe["name"]]
-        assert product.effect is Effect.SIDE_EFFECTING and product.limit_ms == unsafe["deadline"]
+        request_class = p.gateway.node.deployment.request_classes[unsafe["name"]]
+        assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
         assert reply.status == 502 and p.fleet.count("write") == 1
         assert p.fleet.told_s[0] <= unsafe["deadline"] / 1000
@@ -141,10 +147,10 @@
 
 def test_servers_that_do_both_are_known_where_a_variant_has_them() -> None:
     deployment = Deployment(1, settings("vigne-alte"))
-    assert {kind: deployment.duty[kind] for kind in deployment.duty} == {
-        "prefill": Duty.READ,
-        "decode": Duty.WRITE,
-        "mixed": Duty.BOTH,
+    assert {kind: deployment.role[kind] for kind in deployment.role} == {
+        "prefill": Role.PREFILL,
+        "decode": Role.DECODE,
+        "mixed": Role.BOTH,
     }
 
 
@@ -162,7 +168,7 @@
     profiles = [told["profiles"][0] | {"name": name}]
     async with platform("r0", "w0", told=told | {"profiles": profiles}) as p:
         client = Client(p.address)
-        client.send(request(p, Request_Class="@@").replace(b"@@", raw))
+        client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
         assert NAME_CHARS < 900
@@ -177,13 +183,13 @@
         assert (await p.ask(Request_Class=name)).status == 200
         gate = p.servers["w0"].gates["request"] = Gate()
         client = Client(p.address)
-        client.send(request(p, Request_Class=name))
+        client.send(client_request(p, Request_Class=name))
         await gate.reached.wait()
-        mine = set(node.deployment.products.values())
+        mine = set(node.deployment.request_classes.values())
         await switch(p, other)
-        assert not mine & set(node.deployment.products.values())
+        assert not mine & set(node.deployment.request_classes.values())
         assert not mine & (desk.prompt.keys() | desk.learnt_at.keys() | desk.told.keys())
-        assert not mine & {product for product, _ in desk.usual}
+        assert not mine & {request_class for request_class, _ in desk.usual}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
         client.sock.close()
@@ -191,10 +197,10 @@
         assert (await p.ask(Request_Class=other["profiles"][0]["name"])).status == 200
         await switch(p, first)
         assert (await p.ask(Request_Class=name)).status == 200
-        await until(lambda: not node.tickets)
-        kept = set(node.deployment.products.values())
+        await until(lambda: not node.active_requests)
+        kept = set(node.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
-        assert {product for product in desk.prompt} <= kept
+        assert {request_class for request_class in desk.prompt} <= kept
         await p.settled()
 
 
@@ -205,7 +211,7 @@
 # -- where constants come from
 
 ROOT = Path(__file__).parent.parent
-CHECKED = ["platform", "http1", "policy", "turns.py", "deployment.py", "choice.py"]
+CHECKED = ["platform", "http1", "policy", "turns.py", "deployment.py", "notes.py"]
 
 
 def test_the_page_says_of_every_constant_where_it_comes_from() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,30 +11,46 @@
 import msgspec
 import trio
 
-from ternlane.choice import Router
+from ternlane.policy.router import Router
 from ternlane.gateway import Gateway, Host, open_gateway
 from ternlane.http1 import Caller, EventReader, Pool
-from ternlane.paper import FleetTerms, GatewayPaper, NodeLine, ProductTerms
-from ternlane.paper.gateway import DoorTerms, InlineSource
+from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
+from ternlane.config.gateway import ServerLimits, InlineSource
 from ternlane.standin.engine import Build, Engine
 from ternlane.standin.traffic import Traffic
 
-PRODUCTS = [
-    ProductTerms(name="summary", effect="idempotent", slo_ms=400, tok_slo_ms=60, limit_ms=2000, revenue=3),
-    ProductTerms(name="note", effect="side-effecting", slo_ms=400, tok_slo_ms=60, limit_ms=1500, revenue=2),
-    ProductTerms(
-        name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, tok_slo_ms=60, limit_ms=1500
+REQUEST_CLASSES = [
+    RequestClassConfig(
+        name="summary", effect="idempotent", slo_ms=400, token_slo_ms=60, deadline_ms=2000, priority_weight=3
+    ),
+    RequestClassConfig(
+        name="note", effect="side-effecting", slo_ms=400, token_slo_ms=60, deadline_ms=1500, priority_weight=2
+    ),
+    RequestClassConfig(
+        name="form", effect="deduplicated", group="cell", window_ms=1500, slo_ms=400, token_slo_ms=60, deadline_ms=1500
     ),
 ]
 
 
-def patient(times: float) -> list[ProductTerms]:
+def patient(times: float) -> list[RequestClassConfig]:
     """The same products with longer times, where a busy machine must not matter."""
-    return [msgspec.structs.replace(p, slo_ms=times * p.slo_ms, limit_ms=times * p.limit_ms) for p in PRODUCTS]
+    return [
+        msgspec.structs.replace(p, slo_ms=times * p.slo_ms, deadline_ms=times * p.deadline_ms) for p in REQUEST_CLASSES
+    ]
 
 
-BUILD = Build(slots=8, read_tok_s=40e3, tok_ms=3.0, tok_grow=0.0, answer_toks=(6, 6), cold_ms=2000, cold_from=0.3)
-TERMS = FleetTerms(connect_ms=150, release_ms=300, cold_ms=2000, cold_from=0.3, fall_multiple=3, fall_ms=1000)
+BUILD = Build(
+    slots=8,
+    prefill_tokens_per_s=40e3,
+    token_ms=3.0,
+    token_growth=0.0,
+    answer_tokens=(6, 6),
+    slow_start_ms=2000,
+    slow_start_share=0.3,
+)
+TERMS = FleetConfig(
+    connect_ms=150, release_ms=300, slow_start_ms=2000, slow_start_share=0.3, fall_multiple=3, fall_ms=1000
+)
 
 
 @dataclass
@@ -71,8 +87,8 @@
         self.pool = Pool(1000, 1000)
 
     async def add(self, ident: str, build: Build = BUILD, zone: str = "hall") -> Engine:
-        duty = {"r": "read", "w": "write", "m": "both"}[ident[0]]
-        engine = Engine(ident, duty, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
+        role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
+        engine = Engine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
         self.engines[ident] = engine
         up = trio.Event()
         self.nursery.start_soon(engine.run, self.nursery, up)
@@ -91,8 +107,8 @@
                 address=f"{e.host}:{e.port}",
                 zone=e.zone,
                 cell=e.cell,
-                duty=e.duty,
-                mem_toks=e.build.mem_toks,
+                role=e.role,
+                kv_capacity_tokens=e.build.kv_capacity_tokens,
                 state=changes.get(e.ident, "up"),
             )
             for e in self.engines.values()
@@ -128,7 +144,7 @@
 
         def left() -> list[Any]:
             return [
-                *self.gateway.host.tickets.values(),
+                *self.gateway.host.active_requests.values(),
                 *((e.ident, e.states, e.busy) for e in self.engines.values() if e.states or e.busy),
             ]
 
@@ -165,24 +181,24 @@
     build: Build = BUILD,
     host_type: type[Host] = Host,
     chooser: Any = Router,
-    terms: FleetTerms = TERMS,
-    products: list[ProductTerms] = PRODUCTS,
+    terms: FleetConfig = TERMS,
+    request_classes: list[RequestClassConfig] = REQUEST_CLASSES,
     **changes: Any,
 ) -> AsyncIterator[World]:
     async with trio.open_nursery() as nursery:
         made = World(nursery)
         for ident in engines:
             await made.add(ident, build)
-        paper = GatewayPaper(
+        config = GatewayConfig(
             name="g1",
             listen="127.0.0.1:0",
-            products=products,
+            request_classes=request_classes,
             fleet=terms,
             nodes=InlineSource(nodes=made.lines()),
-            door=changes.pop("door", DoorTerms(drain_ms=800)),
+            door=changes.pop("door", ServerLimits(drain_ms=800)),
             **changes,
         )
-        async with open_gateway(paper, chooser=chooser, host_type=host_type) as made.gateway:
+        async with open_gateway(config, chooser=chooser, host_type=host_type) as made.gateway:
             await trio.sleep(0.01)
             try:
                 yield made
@@ -193,4 +209,4 @@
         nursery.cancel_scope.cancel()
 
 
-__all__ = ["BUILD", "PRODUCTS", "TERMS", "Reply", "World", "heard", "patient", "replace", "world"]
+__all__ = ["BUILD", "REQUEST_CLASSES", "TERMS", "Reply", "World", "heard", "patient", "replace", "world"]
