--- a/bench/library.py
+++ b/bench/library.py
@@ -101,7 +101,7 @@
 
 def decisions_alone(rounds: int) -> list[float]:
     """The same four events fed by hand: what choosing costs without any loop."""
-    from ternlane import port
+    from ternlane.policy import messages
     from ternlane.gateway.router_config import offer_of
     from ternlane.nodes import Book
 
@@ -111,17 +111,21 @@
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
-        request = port.Request(offer.request_classes["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
-        attempt = next(a for a in router.take(now, [port.RequestArrived(request)]) if isinstance(a, port.StartAttempt))
+        request = messages.Request(offer.request_classes["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
+        attempt = next(
+            a for a in router.take(now, [messages.RequestArrived(request)]) if isinstance(a, messages.StartAttempt)
+        )
         attempt = next(
             a
             for a in router.take(
-                now + 1, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.PREFILLED, 1.0, False)]
+                now + 1, [messages.AttemptEnded(request, attempt.server, messages.AttemptOutcome.PREFILLED, 1.0, False)]
             )
-            if isinstance(a, port.StartAttempt)
+            if isinstance(a, messages.StartAttempt)
+        )
+        router.take(now + 1.5, [messages.FirstToken(request, attempt.server, 0.5)])
+        router.take(
+            now + 2, [messages.AttemptEnded(request, attempt.server, messages.AttemptOutcome.STREAMED, 1.0, True)]
         )
-        router.take(now + 1.5, [port.FirstToken(request, attempt.server, 0.5)])
-        router.take(now + 2, [port.AttemptEnded(request, attempt.server, port.AttemptOutcome.STREAMED, 1.0, True)])
         took.append((time.perf_counter() - since) * 1000)
     return took
 
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -67,6 +67,28 @@
     "read_text": "config",
 }
 
+# Public names of version 0.2 -> what they are called now (docs/migration.md).
+_RENAMED = {
+    "DoorTerms": "ServerLimits",
+    "Duty": "Role",
+    "FleetTerms": "FleetConfig",
+    "GatewayPaper": "GatewayConfig",
+    "Generation": "Request",
+    "LegAsk": "AttemptRequest",
+    "LegEnd": "AttemptResult",
+    "LegPlan": "AttemptPlan",
+    "Life": "EndpointStatus",
+    "PaperError": "ConfigError",
+    "Product": "RequestClass",
+    "ProductTerms": "RequestClassConfig",
+    "StartFacts": "RouterConfig",
+    "StreamTerms": "StreamConfig",
+    "TerminatedError": "FailedError",
+    "ThrottledError": "RejectedError",
+    "Verdict": "AttemptOutcome",
+    "read_paper": "read_config",
+}
+
 __all__ = ["__version__", *_PLACES]
 
 if TYPE_CHECKING:  # the same names for type checkers
@@ -120,6 +142,8 @@
 
 
 def __getattr__(name: str) -> Any:
+    if name in _RENAMED:
+        raise AttributeError(f"ternlane.{name} is called ternlane.{_RENAMED[name]} now (docs/migration.md)")
     if name not in _PLACES:
         raise AttributeError(f"module 'ternlane' has no attribute {name!r}")
     return getattr(import_module(f"ternlane.{_PLACES[name]}"), name)
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -58,7 +58,7 @@
                 self.ready.set()
                 await trio.sleep_forever()
 
-    def request(self, body: dict[str, Any], request_timeout_ms: float | None = None) -> Iterator[str]:
+    def request(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> Iterator[str]:
         """The text as it comes. Raises Wrong before anything is sent, ThrottledError or TerminatedError at the end."""
         token = self.token
         if token is None:
@@ -80,7 +80,7 @@
             end: Any = END
             try:
                 with scope:
-                    async with self.routing.request(body, request_timeout_ms) as stream:
+                    async with self.routing.request(request, request_timeout_ms) as stream:
                         async for text in stream:
                             await put(text)
             except Exception as why:
@@ -128,9 +128,9 @@
     """The same for asyncio callers: `async for text in routing.agenerate({...})`. Each wait takes a thread of the
     loop's pool for as long as it lasts, so the pool's size bounds how many may be asked at once."""
 
-    async def agenerate(self, body: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
+    async def agenerate(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
         """`generation` for an asyncio task. Cancelling the task is a client's leaving."""
-        loop, pieces = asyncio.get_running_loop(), self.request(body, request_timeout_ms)
+        loop, pieces = asyncio.get_running_loop(), self.request(request, request_timeout_ms)
         pending: asyncio.Future[Any] | None = None
         try:
             while True:
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -129,11 +129,11 @@
 
     @asynccontextmanager
     async def request(
-        self, body: dict[str, Any] | ChatAsk, request_timeout_ms: float | None = None, key: str | None = None
+        self, request: dict[str, Any] | ChatAsk, request_timeout_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
         """`request` as the chat API has it; `time_limit_ms` at most the product's own; `key` under which engines drop
         repeats. Raises Wrong, which names the field, before anything is sent."""
-        ask = body if isinstance(body, ChatAsk) else read_chat(msgspec.json.encode(body))
+        ask = request if isinstance(request, ChatAsk) else read_chat(msgspec.json.encode(request))
         request_class = self.intake.models.get(ask.model)
         limit = request_class.deadline_ms if request_class is not None else 0.0
         known = self.intake.take(ask, limit if request_timeout_ms is None else min(limit, request_timeout_ms))
--- a/ternlane/engine/protocol.py
+++ b/ternlane/engine/protocol.py
@@ -106,9 +106,7 @@
     def more(self) -> dict[str, Any] | None:
         """What it has besides text, as chat.Beyond puts it together; None for nothing."""
         delta, out = self.delta, {}
-        if delta is not None and (
-            delta.tool_calls or delta.refusal or delta.reasoning_content or delta.reasoning
-        ):
+        if delta is not None and (delta.tool_calls or delta.refusal or delta.reasoning_content or delta.reasoning):
             out["delta"] = {
                 k: v for k in ("tool_calls", "refusal", "reasoning_content", "reasoning") if (v := getattr(delta, k))
             }
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -23,6 +23,7 @@
 from ternlane.policy.messages import Role, EndpointStatus, Server, RouterConfig, AttemptOutcome
 from ternlane.recover import Differs, Fate, Join, Mender, Way
 from ternlane.tenants.billing import Used
+from ternlane.wire_names import OUTCOME_NAMES
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 
@@ -303,15 +304,15 @@
     ) -> None:
         active_request.attempt, active_request.flowing = None, False
         place = self.book.places[server]
-        active_request.trail.append(f"{place.ident} {stage.name} {end.outcome.name}")
+        active_request.trail.append(f"{place.ident} {STAGE_LABELS[stage].upper()} {OUTCOME_NAMES[end.outcome]}")
         self.measures.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[end.outcome]).inc()
         self.log.debug(
             "leg",
             gen=active_request.ident,
             leg=active_request.attempts - 1,
             server=place.ident,
-            stage=stage.name,
-            verdict=end.outcome.name,
+            stage=STAGE_LABELS[stage].upper(),
+            verdict=OUTCOME_NAMES[end.outcome],
             took_ms=round(took, 1),
             why=end.why,
         )
--- a/ternlane/gateway/measures.py
+++ b/ternlane/gateway/measures.py
@@ -5,7 +5,8 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 from ternlane.engine.protocol import Stage
-from ternlane.policy.messages import AttemptOutcome, EndpointStatus
+from ternlane.policy.messages import EndpointStatus
+from ternlane.wire_names import OUTCOME_NAMES
 
 # Label values of the metrics. Dashboards were built on them: they keep their form whatever the code calls a thing.
 STATUS_LABELS = {
@@ -14,18 +15,7 @@
     EndpointStatus.REMOVED: "gone",
 }
 STAGE_LABELS = {Stage.PREFILL: "read", Stage.DECODE: "write", Stage.WHOLE: "whole"}
-OUTCOME_LABELS = {
-    AttemptOutcome.STREAMED: "streamed",
-    AttemptOutcome.ERROR: "error",
-    AttemptOutcome.OVERLOADED: "full",
-    AttemptOutcome.TIMED_OUT: "timed_out",
-    AttemptOutcome.CONNECT_FAILED: "unconnected",
-    AttemptOutcome.RESET: "reset",
-    AttemptOutcome.CANCELLED: "called_off",
-    AttemptOutcome.CLIENT_GONE: "moot",
-    AttemptOutcome.NOT_STARTED: "withheld",
-    AttemptOutcome.PREFILLED: "read",
-}
+OUTCOME_LABELS = {outcome: name.lower() for outcome, name in OUTCOME_NAMES.items()}
 
 
 class Measures:
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -18,6 +18,7 @@
 from ternlane.platform.endpoint_registry import EndpointList, EndpointRegistry
 from ternlane.platform.active_request import Final, Streamed, ActiveRequest
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
+from ternlane.wire_names import OUTCOME_NAMES
 from ternlane.turns import Chooser, Turns, begin_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
@@ -214,7 +215,7 @@
         name = active_request.server_name = endpoint.name if endpoint is not None else "gone"
         if active_request.trail:
             self.counts[f"retry after {active_request.last_outcome}"] += (
-                active_request.last_outcome != AttemptOutcome.PREFILLED.name
+                active_request.last_outcome != OUTCOME_NAMES[AttemptOutcome.PREFILLED]
             )
         active_request.attempts += 1
         active_request.note(f"attempt {active_request.attempts} to {name} decided, {times.timeout_ms:.0f} ms for it")
@@ -250,24 +251,23 @@
         self, active_request: ActiveRequest, server: Server, name: str, end: AttemptResult, took: float
     ) -> None:
         attempt, active_request.attempt, active_request.flowing = active_request.attempt, None, False
-        active_request.why = f"{end.outcome.name}: {end.why}" if end.why else active_request.why
+        active_request.why = f"{OUTCOME_NAMES[end.outcome]}: {end.why}" if end.why else active_request.why
         kind = "read" if server.role is messages.Role.PREFILL else "write"
-        active_request.trail.append(f"{name} {kind} {end.outcome.name} {took:.0f} ms {end.why}".rstrip())
+        active_request.trail.append(f"{name} {kind} {OUTCOME_NAMES[end.outcome]} {took:.0f} ms {end.why}".rstrip())
         written = "not written" if attempt is None or attempt.written_at is None else "written"
-        active_request.note(
-            f"attempt {active_request.attempts} ended: {kind} {end.outcome.name}, {written}: {end.why}".rstrip(": ")
-        )
+        ended = f"attempt {active_request.attempts} ended: {kind} {OUTCOME_NAMES[end.outcome]}, {written}: {end.why}"
+        active_request.note(ended.rstrip(": "))
         if end.outcome is AttemptOutcome.PREFILLED:
             self.held_states.held(active_request.ident, name, now_ms())
         elif end.outcome is AttemptOutcome.STREAMED or end.state_lost:
             self.held_states.ended(active_request.ident, now_ms())
-        self.counts[f"{kind} {end.outcome.name}"] += 1
+        self.counts[f"{kind} {OUTCOME_NAMES[end.outcome]}"] += 1
         self.log.debug(
             "attempt",
             gen=active_request.ident,
             server=name,
             kind=kind,
-            verdict=end.outcome.name,
+            verdict=OUTCOME_NAMES[end.outcome],
             took_ms=round(took, 1),
             begun=end.begun,
             kept=end.kept,
--- /dev/null
+++ b/ternlane/wire_names.py
@@ -0,0 +1,21 @@
+"""The words for outcomes that leave this program: in bodies of answers, metrics, logs and stored records.
+
+Users' programs and dashboards know them, so they keep their form whatever the code calls an outcome.
+"""
+
+from __future__ import annotations
+
+from ternlane.policy.messages import AttemptOutcome
+
+OUTCOME_NAMES = {
+    AttemptOutcome.STREAMED: "STREAMED",
+    AttemptOutcome.ERROR: "ERROR",
+    AttemptOutcome.OVERLOADED: "FULL",
+    AttemptOutcome.TIMED_OUT: "TIMED_OUT",
+    AttemptOutcome.CONNECT_FAILED: "UNCONNECTED",
+    AttemptOutcome.RESET: "RESET",
+    AttemptOutcome.CANCELLED: "CALLED_OFF",
+    AttemptOutcome.CLIENT_GONE: "MOOT",
+    AttemptOutcome.NOT_STARTED: "WITHHELD",
+    AttemptOutcome.PREFILLED: "READ",
+}
--- a/tests/fleet/server.py
+++ b/tests/fleet/server.py
@@ -21,6 +21,10 @@
 CONFIRM_MS = 2.0
 
 
+# The words that servers' names and hash keys are made of: recorded seeds depend on them.
+SEED_WORDS = {Role.PREFILL: "READ", Role.DECODE: "WRITE", Role.BOTH: "BOTH"}
+
+
 class ModelServer:
     """What a model server truly does, whatever the gateways believe."""
 
@@ -28,7 +32,7 @@
         self.day, self.number, self.role = day, number, role
         self.cell = number // CELL_SIZE
         self.zone = f"zone-{self.cell % day.scene.zones}"
-        self.name = f"{role.name}-{number}"
+        self.name = f"{SEED_WORDS[role]}-{number}"
         self.up, self.silent, self.hung, self.bad, self.resetting = True, False, False, 0.0, 0.0
         self.draining = False
         self.slow = 1.0
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,6 +15,7 @@
 from ternlane.policy import messages
 from ternlane.policy.router import CARE, Router
 from ternlane.policy.messages import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
+from tests.fleet.server import SEED_WORDS
 from tests.conftest import ROUTER_CONFIG
 
 REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
@@ -43,7 +44,7 @@
 
     def __post_init__(self) -> None:
         self.servers = [
-            Server("east", n // 2, role, 300e3, hash_key=zlib.crc32(b"%d %s" % (n, role.name.encode())))
+            Server("east", n // 2, role, 300e3, hash_key=zlib.crc32(b"%d %s" % (n, SEED_WORDS[role].encode())))
             for n in range(self.peers)
             for role in (Role.PREFILL, Role.DECODE)
         ]
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -328,7 +328,7 @@
     "typing_extensions",
     "exceptiongroup",
 }
-MODULES = {"deployment", "http1", "log_output", "notes", "platform", "policy", "turns"}
+MODULES = {"deployment", "http1", "log_output", "notes", "platform", "policy", "turns", "wire_names"}
 
 
 def test_the_process_imports_no_more_than_it_needs() -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -39,20 +39,20 @@
 from ternlane.gateway.daemon import write_pid as write_process_id
 from ternlane.gateway.scribe import JOURNAL, Scribe as JournalKeeper
 from ternlane.gateway.scribe import final_of as final_answer_of
-from ternlane.gateway.ticket import Streamed as StreamedAnswer
-from ternlane.gateway.ticket import Terminated as TerminatedAnswer
+from ternlane.gateway.active_request import Streamed as StreamedAnswer
+from ternlane.gateway.active_request import Failed as TerminatedAnswer
 from ternlane.ledger import Disk, Segmented, Store
 from ternlane.ledger.bills import entries_of, rows_of
 from ternlane.ledger.lending import lender_file
-from ternlane.load.plan import LoadPaper as LoadDocument
+from ternlane.load.plan import LoadConfig as LoadDocument
 from ternlane.nodes.kept import Torn as TornFile
 from ternlane.nodes.kept import keep as write_node_list
 from ternlane.nodes.kept import kept as read_node_list
-from ternlane.paper import GatewayPaper as GatewayDocument
-from ternlane.paper import NodeLine, PaperError as DocumentError
-from ternlane.paper import read_paper as read_document
-from ternlane.paper import read_text as read_document_text
-from ternlane.platform.roster import Listing, read_listing
+from ternlane.config import GatewayConfig as GatewayDocument
+from ternlane.config import NodeLine, ConfigError as DocumentError
+from ternlane.config import read_config as read_document
+from ternlane.config import read_text as read_document_text
+from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import File as PlatformDocument
 from ternlane.platform.settings import Unfit as UnfitError
 from ternlane.platform.settings import read_post as read_platform_configuration
@@ -62,7 +62,7 @@
 from ternlane.standin.traffic import Traffic as TrafficLines
 from ternlane.tenants.cashier import Entry as BillEntry
 from ternlane.tenants.roll import Roll as Tenants
-from ternlane.tenants.roll import RollPaper as TenantsDocument
+from ternlane.tenants.roll import TenantRegistryConfig as TenantsDocument
 
 ROOT = Path(__file__).parent.parent
 STORED = Path(__file__).parent / "data" / "stored"
@@ -83,9 +83,11 @@
 WRONG_VALUE = [[[]]]
 BILL_SEGMENT_BYTES, JOURNAL_SEGMENT_BYTES = 150, 600  # small, so that snapshots are written beside the segments
 
-# Old public name -> new one: "Name", "Name.attribute" (also a parameter of that name) or "module.Name". Using
-# an old whole name must fail with an error that tells the new one; all else of the pinned API must be as it was.
-RENAMED: dict[str, str] = {}
+# What of the public API was renamed, old -> new: whole "names" ("Name" or "module.Name"), "fields" (attributes and
+# parameters, wherever they stand) and single "members" ("Name.member", by the old name). Using an old whole name must
+# fail with an error that tells the new one; all else of the pinned API must be as it was.
+RENAMINGS: dict[str, dict[str, str]] = json.loads((STORED / "renamed.json").read_text())
+RENAMED = RENAMINGS["names"]
 
 
 # -- pins
@@ -269,9 +271,11 @@
 
 def ticket_of(effect: ternlane.Effect, final: Any) -> Any:
     """A request as the journal sees it; the names of its fields are internal and are renamed here alone."""
-    product = ternlane.Product(effect, ternlane.Group.ALL, 3000.0, 500.0, 0.0, 60.0, 2500.0, 1.0, 0.0)
-    generation = SimpleNamespace(product=product)
-    return SimpleNamespace(gen=generation, ident="n1", repeat_key="key", mark=b"m", noted="", for_repeats=lambda: final)
+    request_class = ternlane.RequestClass(effect, ternlane.Group.ALL, 3000.0, 500.0, 0.0, 60.0, 2500.0, 1.0, 0.0)
+    request = SimpleNamespace(request_class=request_class)
+    return SimpleNamespace(
+        request=request, ident="n1", repeat_key="key", mark=b"m", noted="", for_repeats=lambda: final
+    )
 
 
 def test_the_gateways_journal_records_are_as_they_were(tmp_path: Path) -> None:
@@ -280,11 +284,11 @@
         for final in (StreamedAnswer("all", "stop", {"prompt_tokens": 3}, None), TerminatedAnswer("lost"), None):
             keeper, records = JournalKeeper(tmp_path, None), list[Any]()
             keeper.writer.add = lambda record, records=records: records.append(record) or 7  # type: ignore[method-assign]
-            ticket = ticket_of(effect, final)
-            keeper.took(ticket)
-            waits = keeper.sends(ticket, "w1", "127.0.0.1:1", "chat", False, True)
-            keeper.freed(ticket)
-            keeper.ended(ticket, "left")
+            active_request = ticket_of(effect, final)
+            keeper.took(active_request)
+            waits = keeper.sends(active_request, "w1", "127.0.0.1:1", "chat", False, True)
+            keeper.freed(active_request)
+            keeper.ended(active_request, "left")
             plain_records = [msgspec.to_builtins(r) for r in records]
             first = plain_records[0]
             assert first[7] - first[6] == 3000.0  # how long a repeat is known
@@ -437,11 +441,11 @@
 
 
 def plain(value: Any) -> Any:
-    """JSON values of settings objects: their fields by name, enumerations by their member's name."""
+    """JSON values of settings objects by the pinned names: their fields, and the members of enumerations."""
     if isinstance(value, enum.Enum):
-        return value.name
+        return old_member_of(value)
     if is_dataclass(value) and not isinstance(value, type):
-        return {f.name: plain(getattr(value, f.name)) for f in fields(value)}
+        return {old_field_of(f.name): plain(getattr(value, f.name)) for f in fields(value)}
     if isinstance(value, (list, tuple)):
         return [plain(v) for v in value]
     if isinstance(value, dict):
@@ -449,6 +453,17 @@
     return msgspec.to_builtins(value)
 
 
+def old_field_of(new: str) -> str:
+    return next((old for old, now in RENAMINGS["fields"].items() if now == new), new)
+
+
+def old_member_of(member: enum.Enum) -> str:
+    """The pinned name of a member: "READ" for the one that is called PREFILL now."""
+    owner = old_name_of(type(member).__name__)
+    renamed = {now: old.rpartition(".")[2] for old, now in RENAMINGS["members"].items() if old.startswith(f"{owner}.")}
+    return renamed.get(member.name, member.name)
+
+
 def default_of(field: msgspec.inspect.Field) -> Any:
     """The default of a key as JSON, or "(required)"."""
     if isinstance(field.default, msgspec.Raw):
@@ -600,8 +615,8 @@
         "place": [post.name, post.listen, post.discovery],
         "limits": msgspec.to_builtins(post.limits),
         "known": msgspec.to_builtins(post.known),
-        "facts": plain(deployment.facts),
-        "products": {k: plain(v) for k, v in deployment.products.items()},
+        "facts": plain(deployment.router_config),
+        "products": {k: plain(v) for k, v in deployment.request_classes.items()},
         "tenants": list(deployment.tenants),
         "servers": [plain(deployment.server(e.name, e.zone, e.type, e.group)) for e in post.known.endpoints],
         "report": plain(deployment.report({"outstanding": 3.0, "x0": 0.25})),
@@ -612,7 +627,7 @@
     asked: set[str] = set()
     Deployment(1, Asked(platform_example()["settings"], "$.settings", asked))
     file = dict(keys_of(msgspec.inspect.type_info(PlatformDocument), "$"))
-    known = dict(keys_of(msgspec.inspect.type_info(Listing), "$.known"))
+    known = dict(keys_of(msgspec.inspect.type_info(EndpointList), "$.known"))
     must_be_pinned("keys-platform", {"file": file, "known": known, "settings": sorted(asked)})
 
 
@@ -776,16 +791,22 @@
     """A pinned shape with the attributes and constructor parameters that were renamed."""
     changed = dict(shape)
     if "attributes" in shape:
-        changed["attributes"] = {attribute_now(owner, a): p for a, p in shape["attributes"].items()}
+        changed["attributes"] = {
+            attribute_now(owner, a): None if p is None else parameters_now(owner, p)
+            for a, p in shape["attributes"].items()
+        }
     if "parameters" in shape:
-        changed["parameters"] = [
-            attribute_now(owner, p.rstrip("=")) + "=" * p.endswith("=") for p in shape["parameters"]
-        ]
+        changed["parameters"] = parameters_now(owner, shape["parameters"])
     return changed
 
 
+def parameters_now(owner: str, parameters: list[str]) -> list[str]:
+    return [attribute_now(owner, p.rstrip("=")) + "=" * p.endswith("=") for p in parameters]
+
+
 def attribute_now(owner: str, attribute: str) -> str:
-    return RENAMED.get(f"{owner}.{attribute}", attribute).rpartition(".")[2]
+    member = RENAMINGS["members"].get(f"{owner}.{attribute}")
+    return member or RENAMINGS["fields"].get(attribute, attribute)
 
 
 def test_an_old_public_name_tells_the_new_one() -> None:
@@ -803,11 +824,11 @@
 
 
 def test_public_errors_and_streams_keep_their_attributes() -> None:
-    refused = ternlane.PaperError("file:1", "$.name", "wrong")
+    refused = ternlane.ConfigError("file:1", "$.name", "wrong")
     assert (refused.where, refused.field, refused.why) == ("file:1", "$.name", "wrong")
     assert str(refused) == "file:1: $.name: wrong"
-    assert ternlane.ThrottledError(5.0).pause_ms == 5.0
-    terminated = ternlane.TerminatedError("lost", True)
+    assert ternlane.RejectedError(5.0).pause_ms == 5.0
+    terminated = ternlane.FailedError("lost", True)
     assert (str(terminated), terminated.begun) == ("lost", True)
     wrong = ternlane.Wrong("model", "unknown")
     assert (wrong.param, wrong.why, wrong.code, wrong.status) == ("model", "unknown", "invalid_value", 400)
