--- a/bench/budget.py
+++ b/bench/budget.py
@@ -19,11 +19,11 @@
 from ternlane.ledger.disk import Disk
 from ternlane.ledger.store import Store, Totals
 from ternlane.tenants.billing import Billed, Used
-from ternlane.tenants.cashier import Cashier, Entry, Hold
+from ternlane.tenants.usage_accounting import UsageAccounting, Entry, Hold
 from ternlane.tenants.lengths import Lengths
 from ternlane.tenants.meter import Meter
-from ternlane.tenants.parts import Lender
-from ternlane.tenants.roll import Budget, TenantLine
+from ternlane.tenants.quota_leases import QuotaLeases
+from ternlane.tenants.tenant_registry import Budget, TenantLine
 
 WALL = 1_796_000_000.0
 LOOK_MS = 1000.0
@@ -62,20 +62,20 @@
         order = [rng.randrange(n) for _ in range(rounds)] if n <= 10_000 else list(range(n))
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        cashier = Cashier()
+        usage_accounting = UsageAccounting()
         for line in lines:
-            cashier.reserve(line, "s", 100, 100, 0.0, WALL)
+            usage_accounting.reserve(line, "s", 100, 100, 0.0, WALL)
         held = (tracemalloc.get_traced_memory()[0] - before) / n
         tracemalloc.stop()
-        cashier = Cashier()
+        usage_accounting = UsageAccounting()
         since, holds = time.perf_counter(), []
         for i in order:
-            holds.append(cashier.reserve(lines[i], "s", 100, 100, 0.0, WALL))
+            holds.append(usage_accounting.reserve(lines[i], "s", 100, 100, 0.0, WALL))
         reserve = (time.perf_counter() - since) / len(order) * 1e6
         since = time.perf_counter()
         for hold in holds:
             assert isinstance(hold, Hold)
-            cashier.settle(hold, "g", "streamed", Billed(Used(100, 0, 50), Used()), 2, 0.0, WALL)
+            usage_accounting.settle(hold, "g", "streamed", Billed(Used(100, 0, 50), Used()), 2, 0.0, WALL)
         settle = (time.perf_counter() - since) / len(order) * 1e6
         print(f"{n:>9}  {'cashier':<12}{reserve:>13.2f}{settle:>13.2f}{held:>16.0f}")
         tracemalloc.start()
@@ -142,18 +142,18 @@
 
     def __post_init__(self) -> None:
         self.line = TenantLine(name="t", budget=self.budget)
-        self.cashiers = [Cashier(self.n, f"g{i}", lends=self.way == "lent") for i in range(self.n)]
-        self.lender, self.seen = Lender(self.n, LOOK_MS / 1000), [0.0] * self.n
+        self.cashiers = [UsageAccounting(self.n, f"g{i}", lends=self.way == "lent") for i in range(self.n)]
+        self.lender, self.seen = QuotaLeases(self.n, LOOK_MS / 1000), [0.0] * self.n
         self.offered = [0] * self.n
 
     def look(self, now: float) -> None:
         """What is done in the background, once a look."""
-        for i, cashier in enumerate(self.cashiers):
-            meter = cashier.meters.get(("t", ""))
+        for i, usage_accounting in enumerate(self.cashiers):
+            meter = usage_accounting.meters.get(("t", ""))
             if meter is None:
                 continue
             if self.way == "lent":
-                want, target = cashier.wants(self.line, now, WALL + now / 1000)
+                want, target = usage_accounting.wants(self.line, now, WALL + now / 1000)
                 got = (
                     self.lender.ask(
                         "t",
@@ -162,7 +162,7 @@
                         self.budget.minute or 0,
                         self.budget.burst or 0,
                         WALL + now / 1000,
-                        cashier.least("t"),
+                        usage_accounting.least("t"),
                     )
                     if want
                     else 0.0
@@ -177,12 +177,12 @@
                 meter.part = min(4 / self.n, max(0.25 / self.n, self.seen[i]))
 
     def offer(self, i: int, tokens: int, now: float) -> bool:
-        cashier = self.cashiers[i]
+        usage_accounting = self.cashiers[i]
         self.offered[i] += tokens
-        hold = cashier.reserve(self.line, "s", tokens - 1, 1, now, WALL + now / 1000)
+        hold = usage_accounting.reserve(self.line, "s", tokens - 1, 1, now, WALL + now / 1000)
         if not isinstance(hold, Hold):
             return False
-        cashier.settle(hold, "g", "left", Billed(Used(tokens - 1, 0, 1), Used()), 2, now, WALL + now / 1000)
+        usage_accounting.settle(hold, "g", "left", Billed(Used(tokens - 1, 0, 1), Used()), 2, now, WALL + now / 1000)
         return True
 
 
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -25,9 +25,9 @@
 import trio
 
 from ternlane.engine.protocol import read_body, write_body
-from ternlane.http1 import Caller, EventReader, Pool
-from ternlane.standin.engine import Build, Engine
-from ternlane.standin.traffic import Traffic
+from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
+from ternlane.testing.engine import Build, Engine
+from ternlane.testing.traffic import Traffic
 
 QUICK = Build(
     slots=4000,
@@ -75,7 +75,7 @@
             nursery.start_soon(engine.run, nursery)
 
 
-async def direct(pool: Pool, prefill_server: str, decode_server: str, i: int) -> list[float]:
+async def direct(pool: ConnectionPool, prefill_server: str, decode_server: str, i: int) -> list[float]:
     """Reads and writes straight at the engines; times of the token events, ms since the ask."""
     since, raw = time.perf_counter(), body(i)
     head = [("Content-Type", "application/json"), ("X-Request-Id", f"d{i}.0")]
@@ -88,7 +88,7 @@
     return await events(pool, caller, since)
 
 
-async def through(pool: Pool, address: str, i: int) -> list[float]:
+async def through(pool: ConnectionPool, address: str, i: int) -> list[float]:
     since = time.perf_counter()
     caller = await pool.take(address)
     head = [("Content-Type", "application/json")]
@@ -96,7 +96,7 @@
     return await events(pool, caller, since)
 
 
-async def events(pool: Pool, caller: Caller, since: float) -> list[float]:
+async def events(pool: ConnectionPool, caller: ClientConnection, since: float) -> list[float]:
     prefill_server, at = EventReader(), []
     async for chunk in caller.chunks():
         for data in prefill_server.feed(chunk):
@@ -122,7 +122,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def one_by_one(pool: Pool, ways: dict[str, Any], rounds: int) -> dict[str, list[list[float]]]:
+async def one_by_one(pool: ConnectionPool, ways: dict[str, Any], rounds: int) -> dict[str, list[list[float]]]:
     """The ways in turn, so that the machine's moods strike all alike."""
     got: dict[str, list[list[float]]] = {name: [] for name in ways}
     for i in range(rounds):
@@ -135,7 +135,7 @@
 
 async def load(address: str, seconds: float, width: int) -> None:
     """A load process of its own: prints how many generations it got."""
-    pool, done, end = Pool(2000, 60e3), 0, trio.current_time() + seconds
+    pool, done, end = ConnectionPool(2000, 60e3), 0, trio.current_time() + seconds
 
     async def keep_on(k: int) -> None:
         nonlocal done
@@ -228,7 +228,7 @@
     if told.load:
         trio.run(load, told.load, told.seconds, told.width)
         return
-    from ternlane.days.play import free_ports
+    from ternlane.scenarios.play import free_ports
 
     port = free_ports(24)
     with tempfile.TemporaryDirectory() as name:
@@ -245,7 +245,7 @@
                     process(
                         *serve,
                         str(folder / f"{k}.json"),
-                        *(("--chooser", "ternlane.days.baseline:RoundRobin") if n == "round robin" else ()),
+                        *(("--chooser", "ternlane.scenarios.baseline:RoundRobin") if n == "round robin" else ()),
                         log=folder / f"{k}.log",
                     )
                 )
@@ -255,7 +255,7 @@
             async def measure() -> None:
                 for a in (f"127.0.0.1:{port}", f"127.0.0.1:{port + 7}", *address.values()):
                     await ready(a)
-                pool = Pool(2000, 60e3)
+                pool = ConnectionPool(2000, 60e3)
                 ways: dict[str, Any] = {n: partial(through, address=a) for n, a in address.items()}
                 ways = {
                     "straight": partial(
@@ -294,7 +294,7 @@
 
 def profile(seconds: float) -> None:
     """A gateway in this process under cProfile, engines and load outside."""
-    from ternlane.days.play import free_ports
+    from ternlane.scenarios.play import free_ports
     from ternlane.gateway import open_gateway
     from ternlane.config import GatewayConfig, read_config
 
--- a/bench/library.py
+++ b/bench/library.py
@@ -86,9 +86,9 @@
     import msgspec
 
     from bench.gateway import events
-    from ternlane.http1 import Pool
+    from ternlane.http1 import ConnectionPool
 
-    took, pool, body = [], Pool(1000, 60e3), msgspec.json.encode(REQUEST)
+    took, pool, body = [], ConnectionPool(1000, 60e3), msgspec.json.encode(REQUEST)
     async with ternlane.open_gateway(config(), transport=transport()) as gateway:
         for _ in range(rounds):
             since = time.perf_counter()
@@ -103,11 +103,11 @@
     """The same four events fed by hand: what choosing costs without any loop."""
     from ternlane.policy import messages
     from ternlane.gateway.router_config import offer_of
-    from ternlane.nodes import Book
+    from ternlane.discovery import EndpointRegistry
 
     it = config()
     offer = offer_of(it)
-    router, book, took = ternlane.Router(offer.router_config), Book(), []
+    router, book, took = ternlane.Router(offer.router_config), EndpointRegistry(), []
     router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -62,22 +62,22 @@
         return Kept({}, tokens)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
-        fate = self.fleet.rng.random() / max(self.faults, 1e-9)
-        if self.dead.cancel_called or fate < 0.2:
+        recovery_outcome = self.fleet.rng.random() / max(self.faults, 1e-9)
+        if self.dead.cancel_called or recovery_outcome < 0.2:
             raise Unreached("refused")
-        if fate < 0.3:
+        if recovery_outcome < 0.3:
             raise Refuses("full")
-        if fate < 0.4:
+        if recovery_outcome < 0.4:
             raise RuntimeError("before its effect")
         cell = self.ident[1]
         if (cell, ask.key) not in self.fleet.seen:
             self.fleet.seen[cell, ask.key] = None
             self.fleet.effects[ask.key].append(cell)
-        if fate < 0.6:
+        if recovery_outcome < 0.6:
             raise RuntimeError("after its effect")
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
         for i in range(done, self.tokens):
-            if fate < 1 and i == done + int(fate * 10) % 5:
+            if recovery_outcome < 1 and i == done + int(recovery_outcome * 10) % 5:
                 raise RuntimeError("midway")
             if self.tokens_per_s:
                 gone = False
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -17,7 +17,7 @@
 from functools import partial
 from math import erfc, log10, sqrt
 
-from ternlane.recover import Rhythm
+from ternlane.recovery import StreamPacing
 
 SERVERS, TOKENS, RESUME_MS, STALLS = 24, 48, 150.0, 0.02
 TEMPERS = {"steady": (0.25, 0.0, 0.0), "batches": (0.4, 0.02, 6.0), "pauses": (0.5, 0.004, 30.0)}
@@ -62,11 +62,11 @@
     return quiet
 
 
-def plain(make: Callable[[float], Rule], figure: float) -> tuple[Rule, Rhythm | None]:
+def plain(make: Callable[[float], Rule], figure: float) -> tuple[Rule, StreamPacing | None]:
     return make(figure), None
 
 
-def play(temper: str, many: int, rule: Rule, learn: Rhythm | None = None) -> tuple[float, float, float]:
+def play(temper: str, many: int, rule: Rule, learn: StreamPacing | None = None) -> tuple[float, float, float]:
     """False alarms a thousand streams that were well, median and 99th percentile of the silence seen as a stall."""
     well = wrong = 0
     delays = []
@@ -97,23 +97,23 @@
     many = args.parse_args().streams
     print(f"{'false alarms a 1000 streams | silence before a stall is seen, ms: median, p99':<30}")
     print(f"{'rule':<34}" + "".join(f"{t:>30}" for t in TEMPERS))
-    rules: list[tuple[str, Callable[[], tuple[Rule, Rhythm | None]]]] = [
+    rules: list[tuple[str, Callable[[], tuple[Rule, StreamPacing | None]]]] = [
         *((f"fixed {ms} ms", partial(plain, fixed, ms)) for ms in (50, 100, 200, 500)),
         ("module's: half the patience of 2 s", partial(plain, fixed, 1000)),
         *((f"accrual, own stream, phi {phi}", partial(plain, accrual, phi)) for phi in (3, 8, 16)),
     ]
 
-    def learnt(alarms: float) -> tuple[Rule, Rhythm | None]:
-        rhythm = Rhythm(alarms)
-        rhythm.tokens = TOKENS
-        rhythm.resumed(RESUME_MS)
-        return (lambda server, seen: rhythm.idle_timeout_ms(server) or 1000.0), rhythm
-
-    def unlikely(alarms: float) -> tuple[Rule, Rhythm | None]:
-        rule, rhythm = learnt(alarms)
-        assert rhythm is not None
-        rhythm.resume_ms = 1e-6  # by likelihood alone
-        return rule, rhythm
+    def learnt(alarms: float) -> tuple[Rule, StreamPacing | None]:
+        stream_pacing = StreamPacing(alarms)
+        stream_pacing.tokens = TOKENS
+        stream_pacing.resumed(RESUME_MS)
+        return (lambda server, seen: stream_pacing.idle_timeout_ms(server) or 1000.0), stream_pacing
+
+    def unlikely(alarms: float) -> tuple[Rule, StreamPacing | None]:
+        rule, stream_pacing = learnt(alarms)
+        assert stream_pacing is not None
+        stream_pacing.resume_ms = 1e-6  # by likelihood alone
+        return rule, stream_pacing
 
     rules += [(f"peers, {a:g} a stream", partial(unlikely, a)) for a in (1e-2, 1e-3, 1e-4)]
     rules += [(f"peers, {a:g}, never under a resume", partial(learnt, a)) for a in (1e-2, 1e-3)]
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -11,9 +11,9 @@
 import trio
 
 from ternlane.client import Client
-from ternlane.days.play import free_ports
-from ternlane.standin.engine import Build, Engine
-from ternlane.standin.traffic import Traffic
+from ternlane.scenarios.play import free_ports
+from ternlane.testing.engine import Build, Engine
+from ternlane.testing.traffic import Traffic
 
 
 def engines(port: int) -> None:
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -112,8 +112,8 @@
     """Plays FILE and judges it: exit code 1 if a rule was broken."""
     import msgspec
 
-    from ternlane.days.play import CantPlay, Player
-    from ternlane.days.script import DayScript
+    from ternlane.scenarios.play import CantPlay, Player
+    from ternlane.scenarios.script import DayScript
 
     script = load_document(file, DayScript)
     text = Path(file).read_text()
@@ -136,8 +136,8 @@
 @click.argument("files", nargs=-1, required=True)
 def day_check(files: tuple[str, ...]) -> None:
     """Checks scripts and shows what they come to."""
-    from ternlane.days.plan import acts_of, engines_of
-    from ternlane.days.script import DayScript
+    from ternlane.scenarios.plan import acts_of, engines_of
+    from ternlane.scenarios.script import DayScript
 
     for file in files:
         script = load_document(file, DayScript)
@@ -157,7 +157,7 @@
 @click.option("--speed", type=click.FloatRange(min=0.1), default=2.0, help="times faster than the day was drawn")
 def day_from_bench(file: str, engines: int, gateways: int, rate: float, speed: float) -> None:
     """Turns a bench day's description (JSON) into a script, scaled down to one machine."""
-    from ternlane.days.bench import script_from_bench
+    from ternlane.scenarios.bench import script_from_bench
 
     try:
         raw = json.loads(Path(file).read_text())
@@ -173,7 +173,7 @@
 @click.argument("index", type=int)
 @click.argument("of", type=int)
 def day_part(kind: str, folder: str, index: int, of: int) -> None:
-    from ternlane.days.parts import PARTS
+    from ternlane.scenarios.parts import PARTS
 
     trio.run(PARTS[kind], Path(folder), index, of)
 
@@ -212,7 +212,7 @@
 
     import msgspec
 
-    from ternlane.tenants.roll import TenantRegistryConfig
+    from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
     path = Path(file)
     with open(path.with_name(path.name + ".lock"), "w") as lock:
@@ -253,7 +253,7 @@
     """Adds tenant NAME, without keys."""
     import msgspec
 
-    from ternlane.tenants.roll import TenantLine
+    from ternlane.tenants.tenant_registry import TenantLine
 
     def change(roll: Any) -> Any:
         if any(t.name == name for t in roll.tenants):
@@ -277,7 +277,7 @@
     import msgspec
 
     from ternlane.tenants import KeyLine, new_key
-    from ternlane.tenants.roll import replace_tenant
+    from ternlane.tenants.tenant_registry import replace_tenant
 
     key, public, salt, kept = new_key()
 
@@ -302,7 +302,7 @@
     import msgspec
 
     from ternlane.tenants.keys import split_key
-    from ternlane.tenants.roll import replace_tenant
+    from ternlane.tenants.tenant_registry import replace_tenant
 
     public = split_key(key)[0] or key
 
@@ -341,7 +341,7 @@
     """Changes the limits that are named; gateways take it over within a second, open generations keep theirs."""
     import msgspec
 
-    from ternlane.tenants.roll import Budget, replace_tenant
+    from ternlane.tenants.tenant_registry import Budget, replace_tenant
 
     def change(roll: Any) -> Any:
         it = tenant_of(roll, name)
@@ -361,7 +361,7 @@
 @ROLL
 def tenant_show(name: str | None, file: str) -> None:
     """Shows tenants with their keys' public parts and budgets."""
-    from ternlane.tenants.roll import TenantRegistryConfig
+    from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
     for it in load_document(file, TenantRegistryConfig).tenants:
         if name in (None, it.name):
--- a/ternlane/nodes/book.py
+++ b/ternlane/discovery/endpoint_registry.py
@@ -22,7 +22,7 @@
     line: NodeLine
 
 
-class Book:
+class EndpointRegistry:
     """`wall` gives seconds since 1970 and `now` the router's milliseconds, both of the same moment."""
 
     def __init__(self) -> None:
--- a/ternlane/nodes/follow.py
+++ b/ternlane/discovery/follow.py
@@ -13,8 +13,8 @@
 import h11
 import trio
 
-from ternlane.http1 import Pool, Unconnected
-from ternlane.nodes.consul import nodes_from_health
+from ternlane.http1 import ConnectionPool, ConnectError
+from ternlane.discovery.consul import nodes_from_health
 from ternlane.config import ConsulSource, FileSource, NodeLine, ConfigError, read_text
 from ternlane.config.gateway import ConfigDocument
 
@@ -56,7 +56,7 @@
 
 async def follow_consul(source: ConsulSource, found: Found, failed: Failed, agent: str) -> None:
     """Blocking queries. An index that goes back or to nought starts anew, as the API's description asks."""
-    pool, index, pause = Pool(1000.0, 2 * source.wait_ms), 0, source.retry_ms
+    pool, index, pause = ConnectionPool(1000.0, 2 * source.wait_ms), 0, source.retry_ms
     try:
         while True:
             try:
@@ -66,7 +66,7 @@
                     found(lines)
                 pause = source.retry_ms
             except (
-                Unconnected,
+                ConnectError,
                 OSError,
                 trio.BrokenResourceError,
                 trio.ClosedResourceError,
@@ -83,7 +83,7 @@
 
 
 async def ask_consul(
-    pool: Pool, source: ConsulSource, index: int, agent: str, failed: Failed
+    pool: ConnectionPool, source: ConsulSource, index: int, agent: str, failed: Failed
 ) -> tuple[int, list[NodeLine] | None]:
     caller = await pool.take(source.address)
     try:
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -25,12 +25,12 @@
 from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
 from ternlane.gateway.logs import library_log
-from ternlane.gateway.measures import Measures
-from ternlane.gateway.active_request import Outlet, Streamed, Failed, Rejected, ActiveRequest
-from ternlane.nodes import Book
+from ternlane.gateway.metrics import GatewayMetrics
+from ternlane.gateway.active_request import ResponseWriter, Streamed, Failed, Rejected, ActiveRequest
+from ternlane.discovery import EndpointRegistry
 from ternlane.config import GatewayConfig, InlineSource, NodeLine, checked
 from ternlane.policy.messages import RouterConfig
-from ternlane.turns import Chooser, now_ms
+from ternlane.event_loop import RouterProtocol, now_ms
 
 
 class RejectedError(Exception):
@@ -49,7 +49,7 @@
         self.begun = begun
 
 
-class Stream(Outlet):
+class Stream(ResponseWriter):
     """The text of one generation, piece by piece. `usage` and `finish` are there once it has ended."""
 
     def __init__(self) -> None:
@@ -93,10 +93,10 @@
         config: GatewayConfig,
         transport: Transport,
         nursery: trio.Nursery,
-        chooser: Callable[[RouterConfig], Chooser],
+        chooser: Callable[[RouterConfig], RouterProtocol],
         log: Any,
     ) -> None:
-        self.config, self.count, self.offer, self.book = config, count(1), offer_of(config), Book()
+        self.config, self.count, self.offer, self.book = config, count(1), offer_of(config), EndpointRegistry()
         self.router_config = self.offer.router_config
         self.intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
         self.host = Host(
@@ -106,7 +106,7 @@
             self.book,
             self.intake,
             nursery,
-            Measures(),
+            GatewayMetrics(),
             log,
             config.streams,
         )
@@ -154,7 +154,10 @@
 
 @asynccontextmanager
 async def open_routing(
-    config: GatewayConfig, transport: Transport, chooser: Callable[[RouterConfig], Chooser] = Router, log: Any = None
+    config: GatewayConfig,
+    transport: Transport,
+    chooser: Callable[[RouterConfig], RouterProtocol] = Router,
+    log: Any = None,
 ) -> AsyncIterator[Routing]:
     """A router without a door. Inline nodes of the paper are listed at once; others by `Routing.nodes`. Raises
     PaperError for settings that no document could hold."""
--- a/ternlane/emulator/__init__.py
+++ b/ternlane/emulator/__init__.py
@@ -1,7 +1,7 @@
 """An engine of the field in figures. Free of I/O and of any clock of its own."""
 
 from ternlane.emulator.batch import Batch, Build, Course, Pace, Step
-from ternlane.emulator.blocks import Blocks, Held, chain
+from ternlane.emulator.blocks import Blocks, HostedRequest, chain
 from ternlane.emulator.engine import Ailment, Engine, Job, Load, Nature, Told, What
 from ternlane.emulator.fleet import Fleet, Seat
 from ternlane.emulator.links import Link, Transfer
@@ -14,7 +14,7 @@
     "Course",
     "Engine",
     "Fleet",
-    "Held",
+    "HostedRequest",
     "Job",
     "Link",
     "Load",
--- a/ternlane/emulator/batch.py
+++ b/ternlane/emulator/batch.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ternlane.emulator.blocks import Blocks, Held, Key
+from ternlane.emulator.blocks import Blocks, HostedRequest, Key
 
 
 @dataclass(frozen=True)
@@ -49,7 +49,7 @@
     keys: Sequence[Key] = ()
     read: int = 0  # tokens of prompt, and of the answer so far after a preemption, that are in memory
     made: int = 0
-    held: Held | None = None
+    held: HostedRequest | None = None
     kept: int = 0  # tokens found kept when it was first let in
     preempted: int = 0
     ended: bool = False
--- a/ternlane/emulator/blocks.py
+++ b/ternlane/emulator/blocks.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HostedRequest:
     """The blocks of one sequence, in order; the first `kept` of them were found kept."""
 
     blocks: list[int] = field(default_factory=list)
@@ -76,14 +76,14 @@
             n += 1
         return n
 
-    def take(self, keys: Sequence[Key], blocks: int) -> Held | None:
+    def take(self, keys: Sequence[Key], blocks: int) -> HostedRequest | None:
         """Room for a sequence of so many blocks that begins with `keys`; None, and nothing changed, where there is too
         little."""
         found = min(self.find(keys), blocks)
         idle = sum(self.known[h] in self.idle for h, _ in keys[:found])
         if blocks - found > self.room - idle:
             return None
-        held = Held(kept=found)
+        held = HostedRequest(kept=found)
         for hashed, _ in keys[:found]:
             block = self.known[hashed]
             if self.refs[block] == 0:
@@ -95,7 +95,7 @@
         self.grow(held, blocks - found)
         return held
 
-    def grow(self, held: Held, more: int) -> bool:
+    def grow(self, held: HostedRequest, more: int) -> bool:
         """So many blocks more; false, and nothing changed, where there is too little room."""
         if more > self.room:
             return False
@@ -106,7 +106,7 @@
             held.blocks.append(block)
         return True
 
-    def seal(self, held: Held, at: int, key: Key) -> None:
+    def seal(self, held: HostedRequest, at: int, key: Key) -> None:
         """The block at this place of the sequence is full, and known from now on, unless its text is already, or its
         hash is another text's."""
         block, other = held.blocks[at], self.known.get(key[0])
@@ -116,7 +116,7 @@
         elif self.keys[other] != key:
             self.collided += 1
 
-    def give_back(self, held: Held) -> None:
+    def give_back(self, held: HostedRequest) -> None:
         """The sequence has ended. What is known stays, idle, its end to go before its beginning."""
         for block in reversed(held.blocks):
             self.refs[block] -= 1
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -25,9 +25,9 @@
     read_answer,
     refusal_of,
 )
-from ternlane.http1 import Caller, EventReader, Pool, Unconnected, keep_open
+from ternlane.http1 import ClientConnection, EventReader, ConnectionPool, ConnectError, keep_open
 from ternlane.policy.messages import Report, AttemptOutcome
-from ternlane.turns import BeginCheck, may_always_begin
+from ternlane.event_loop import BeginCheck, may_always_begin
 
 ANSWER_LIMIT = 4 * 2**20  # bytes of an engine's plain answer
 
@@ -83,7 +83,7 @@
         self.outcome = outcome
 
 
-async def take(pool: Pool, plan: AttemptPlan) -> Caller:
+async def take(pool: ConnectionPool, plan: AttemptPlan) -> ClientConnection:
     """A connection on which the leg may begin; that is asked again after the wait for it. Raises Barred and
     Unconnected."""
     caller = await pool.take(plan.address)
@@ -98,7 +98,7 @@
     """The client's side broke while the answer was passed on; says nothing of the engine."""
 
 
-async def prefill_attempt(pool: Pool, plan: AttemptPlan) -> AttemptResult:
+async def prefill_attempt(pool: ConnectionPool, plan: AttemptPlan) -> AttemptResult:
     """Has a prompt read. Never raises but for an outer cancellation."""
     end = AttemptResult(AttemptOutcome.TIMED_OUT)
 
@@ -122,7 +122,7 @@
     return await ended(plan, end, run)
 
 
-async def stream_attempt(pool: Pool, plan: AttemptPlan, pass_on: PassOn) -> AttemptResult:
+async def stream_attempt(pool: ConnectionPool, plan: AttemptPlan, pass_on: PassOn) -> AttemptResult:
     """Has an answer written; `pass_on(text, first)` gets each piece, with a third value where it has
     more than text (chat.More). Raises ClientGone where that breaks."""
     end, last = AttemptResult(AttemptOutcome.TIMED_OUT), trio.current_time() + plan.total_timeout_ms / 1000
@@ -193,7 +193,7 @@
             await run()
     except Barred as why:
         end.outcome, end.why = why.outcome, str(why)
-    except Unconnected as why:
+    except ConnectError as why:
         end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
     except BROKEN as why:
         end.outcome, end.why = AttemptOutcome.RESET, repr(why)
@@ -209,7 +209,9 @@
     return end
 
 
-async def release(pool: Pool, address: str, ident: str, headers: list[tuple[str, str]], within_ms: float) -> bool:
+async def release(
+    pool: ConnectionPool, address: str, ident: str, headers: list[tuple[str, str]], within_ms: float
+) -> bool:
     """Releases all that an engine holds for a generation. True if the engine has confirmed it. One that holds nothing
     is asked again while there is time: it may not have ended a read yet that was given up on, and keep its state."""
     body, heard = msgspec.json.encode({"request_id": ident}), False
@@ -224,7 +226,7 @@
                 if head.status_code in (200, 204):
                     return True
                 heard = heard or head.status_code == 404
-            except (Unconnected, h11.RemoteProtocolError, *BROKEN):
+            except (ConnectError, h11.RemoteProtocolError, *BROKEN):
                 if caller is not None:
                     caller.close_now()
             except trio.Cancelled:
@@ -236,7 +238,13 @@
 
 
 async def once(
-    pool: Pool, address: str, method: str, path: str, headers: list[tuple[str, str]], body: bytes, within_ms: float
+    pool: ConnectionPool,
+    address: str,
+    method: str,
+    path: str,
+    headers: list[tuple[str, str]],
+    body: bytes,
+    within_ms: float,
 ) -> tuple[AttemptOutcome, bytes]:
     """Asks an engine for something small. One try: the answer's body, or how it failed."""
     caller, failed = None, AttemptOutcome.TIMED_OUT
@@ -247,7 +255,7 @@
             answer = await caller.body(ANSWER_LIMIT)
             pool.give_back(caller)
             return (AttemptOutcome.STREAMED, answer) if head.status_code in (200, 204) else (AttemptOutcome.ERROR, b"")
-        except Unconnected:
+        except ConnectError:
             return AttemptOutcome.CONNECT_FAILED, b""
         except (h11.RemoteProtocolError, *BROKEN):
             failed = AttemptOutcome.RESET
@@ -257,7 +265,7 @@
 
 
 async def load(
-    pool: Pool, address: str, headers: list[tuple[str, str]], within_ms: float
+    pool: ConnectionPool, address: str, headers: list[tuple[str, str]], within_ms: float
 ) -> tuple[AttemptOutcome, str]:
     """Asks an engine for its metrics: the text, or how it failed."""
     outcome, answer = await once(pool, address, "GET", LOAD_PATH, headers, b"", within_ms)
@@ -265,7 +273,7 @@
 
 
 async def hold(
-    pool: Pool, address: str, ident: str, tokens: float, headers: list[tuple[str, str]], within_ms: float
+    pool: ConnectionPool, address: str, ident: str, tokens: float, headers: list[tuple[str, str]], within_ms: float
 ) -> bool:
     """Asks a writer to hold a slot and memory for a generation. A place that is not free at once is none."""
     body = msgspec.json.encode({"request_id": ident, "tokens": tokens})
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -25,7 +25,7 @@
     stream_attempt,
 )
 from ternlane.engine.protocol import Stage, Usage, load_told
-from ternlane.http1 import Pool, keep_open
+from ternlane.http1 import ConnectionPool, keep_open
 from ternlane.policy.messages import Report, AttemptOutcome
 
 
@@ -86,7 +86,7 @@
 class SocketTransport(Transport):
     """Engine protocols over HTTP/1.1, each server's by the node list."""
 
-    def __init__(self, pool: Pool, agent: str) -> None:
+    def __init__(self, pool: ConnectionPool, agent: str) -> None:
         self.pool, self.agent = pool, agent
 
     def _fill(self, ask: AttemptRequest) -> AttemptPlan:
--- a/ternlane/turns.py
+++ b/ternlane/event_loop.py
@@ -18,7 +18,7 @@
 from ternlane.policy import messages
 
 
-class Chooser(Protocol):
+class RouterProtocol(Protocol):
     """What decides: choice.Router, or a baseline to measure against."""
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]: ...
@@ -102,12 +102,12 @@
         return (trio.current_time() - self.since_s) * 1000
 
 
-class Waits(Protocol):
+class Cancellable(Protocol):
     def cancel(self) -> None:
         """Ends the wait for a leg."""
 
 
-class Held(Protocol):
+class HostedRequest(Protocol):
     """What every host keeps of a generation; its leg is called off only while it does not stream."""
 
     flowing: bool
@@ -115,7 +115,7 @@
     trail: list[str]
 
     @property
-    def attempt(self) -> Waits | None: ...
+    def attempt(self) -> Cancellable | None: ...
 
     @property
     def request(self) -> messages.Request: ...
@@ -129,11 +129,11 @@
         """By when it has to begin, by this loop's clock."""
 
 
-T = TypeVar("T", bound=Held)
+T = TypeVar("T", bound=HostedRequest)
 
 
-class Turns(ABC, Generic[T]):
-    def __init__(self, chooser: Chooser) -> None:
+class EventLoop(ABC, Generic[T]):
+    def __init__(self, chooser: RouterProtocol) -> None:
         self.chooser = chooser
         self.active_requests: dict[messages.Request, T] = {}
         self.heard: list[messages.Event] = []
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -12,10 +12,10 @@
 from ternlane.chat.beyond import Beyond, More
 from ternlane.engine import AttemptPlan
 from ternlane.policy.messages import Request, Server
-from ternlane.recover import Join
+from ternlane.recovery import StreamJoin
 from ternlane.tenants.billing import Used
-from ternlane.turns import Failed as Failed
-from ternlane.turns import Rejected as Rejected
+from ternlane.event_loop import Failed as Failed
+from ternlane.event_loop import Rejected as Rejected
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
 Final = Rejected | Failed | Streamed
 
 
-class Outlet(ABC):
+class ResponseWriter(ABC):
     """Where a generation's text goes; the door's answers are its kinds. `extra`: further fields of its head."""
 
     def __init__(self) -> None:
@@ -50,10 +50,10 @@
     ident: str
     ask: ChatAsk
     known: Known
-    outlet: Outlet
+    response_writer: ResponseWriter
     since: float
     key: str  # under which engines drop repeats
-    join: Join  # its text, over all legs
+    join: StreamJoin  # its text, over all legs
     repeat_key: str = ""  # Idempotency-Key with its owner; "": none
     mark: bytes = b""  # digest of the body
     noted: str = ""  # its name in the journal
--- a/ternlane/gateway/till.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -18,21 +18,21 @@
 from ternlane.ledger import Disk, Store, Totals, Writer
 from ternlane.ledger.lending import lender_file
 from ternlane.config import GatewayConfig, ConfigError, read_config
-from ternlane.tenants import Cashier, Hold, RejectReason, Roll, TenantLine, bill_for
-from ternlane.tenants.roll import Budget, TenantRegistryConfig
-from ternlane.turns import now_ms
+from ternlane.tenants import UsageAccounting, Hold, RejectReason, TenantRegistry, TenantLine, bill_for
+from ternlane.tenants.tenant_registry import Budget, TenantRegistryConfig
+from ternlane.event_loop import now_ms
 
 LOOK_S = 0.5
 
 
-class Till:
+class BudgetEnforcer:
     def __init__(self, config: GatewayConfig, log: Any) -> None:
         assert config.tenants is not None and config.ledger is not None
         self.config, self.log, self.path = config, log, Path(config.tenants)
-        self.roll = Roll(read_config(self.path, TenantRegistryConfig))
+        self.roll = TenantRegistry(read_config(self.path, TenantRegistryConfig))
         self.mark = self.stat()
-        self.cashier = Cashier(config.gateways, config.name, config.lender is not None)
-        self.cashier.clock(time.time())
+        self.usage_accounting = UsageAccounting(config.gateways, config.name, config.lender is not None)
+        self.usage_accounting.clock(time.time())
         kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
         self.store = Store(Disk(Path(config.ledger)), **kept)
         self.told: dict[tuple[str, str, str], int] = {}
@@ -45,7 +45,7 @@
         for key, it in totals.sums.items():
             tokens = it.bill.prompt + it.bill.answer
             if tokens > self.told.get(key, 0):
-                self.cashier.remember(*key, tokens - self.told.get(key, 0))
+                self.usage_accounting.remember(*key, tokens - self.told.get(key, 0))
                 self.told[key] = tokens
 
     def stat(self) -> tuple[int, int, int]:
@@ -56,11 +56,11 @@
         """Reads the roll again when it has changed; a wrong one changes nothing. Sweeps idle meters."""
         while True:
             await trio.sleep(LOOK_S)
-            self.cashier.sweep(now_ms(), self.cashier.clock(time.time()))
+            self.usage_accounting.sweep(now_ms(), self.usage_accounting.clock(time.time()))
             try:
                 if (mark := self.stat()) != self.mark:
                     self.mark = mark
-                    self.roll = Roll(read_config(self.path, TenantRegistryConfig))
+                    self.roll = TenantRegistry(read_config(self.path, TenantRegistryConfig))
                     self.log.info("tenants read again", tenants=len(self.roll.tenants))
             except (OSError, ConfigError) as why:
                 self.log.error("tenants not read again", why=str(why))
@@ -69,15 +69,15 @@
         """Asks the lender for what traffic showed to be wanted; nobody waits for it."""
         while self.config.lender is not None:
             await trio.sleep(self.config.look_ms / 1000)
-            wall = self.cashier.clock(time.time())
+            wall = self.usage_accounting.clock(time.time())
             asks = []
-            for name in list(self.cashier.borrowers):
+            for name in list(self.usage_accounting.borrowers):
                 tenant = self.roll.tenants.get(name)
                 if tenant is not None and tenant.budget.minute:
-                    want, target = self.cashier.wants(tenant, now_ms(), wall)
+                    want, target = self.usage_accounting.wants(tenant, now_ms(), wall)
                     if abs(want) >= 1:
-                        asks.append((name, want, target, tenant.budget, self.cashier.least(name)))
-            periods = self.cashier.short_of_period()
+                        asks.append((name, want, target, tenant.budget, self.usage_accounting.least(name)))
+            periods = self.usage_accounting.short_of_period()
             if not asks and not periods:
                 continue
             try:
@@ -86,11 +86,11 @@
                 self.log.warning("lender not reached", why=str(why))
                 continue
             for (name, _, target, _, _), tokens in zip(asks, got, strict=True):
-                meter = self.cashier.meters.get((name, ""))
+                meter = self.usage_accounting.meters.get((name, ""))
                 if meter is not None and tokens > 0:
                     meter.draw(tokens, target)
             for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
-                meter = self.cashier.meters.get((name, request_class))
+                meter = self.usage_accounting.meters.get((name, request_class))
                 if meter is not None and meter.period is not None and meter.period.name == period:
                     meter.allowed += chunk
 
@@ -113,10 +113,12 @@
         return self.roll.whose(authorization, time.time())
 
     def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | RejectReason:
-        return self.cashier.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
+        return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def affords(self, active_request: ActiveRequest) -> bool:
-        return active_request.hold is None or not self.cashier.overrun(active_request.hold, len(active_request.pieces))
+        return active_request.hold is None or not self.usage_accounting.overrun(
+            active_request.hold, len(active_request.pieces)
+        )
 
     def done(self, active_request: ActiveRequest) -> None:
         """Every leg has ended: the bill is made out and kept."""
@@ -133,7 +135,7 @@
             active_request.final.usage["completion_tokens"] if isinstance(active_request.final, Streamed) else 0,
         )
         self.writer.add(
-            self.cashier.settle(
+            self.usage_accounting.settle(
                 active_request.hold,
                 active_request.ident,
                 outcome,
--- a/ternlane/gateway/door.py
+++ b/ternlane/gateway/chat_api.py
@@ -28,18 +28,18 @@
 )
 from ternlane.chat.beyond import More
 from ternlane.gateway.host import Host
-from ternlane.gateway.measures import Measures
-from ternlane.gateway.scribe import final_of
-from ternlane.gateway.till import Till
-from ternlane.gateway.active_request import Final, Outlet, Streamed, Failed, Rejected, ActiveRequest
+from ternlane.gateway.metrics import GatewayMetrics
+from ternlane.gateway.journal_writer import final_of
+from ternlane.gateway.budget_enforcer import BudgetEnforcer
+from ternlane.gateway.active_request import Final, ResponseWriter, Streamed, Failed, Rejected, ActiveRequest
 from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
 from ternlane.config import ServerLimits, GatewayConfig
 from ternlane.policy.messages import RequestClass
-from ternlane.recover import comes_out_the_same
-from ternlane.recover.inflight import Known
+from ternlane.recovery import comes_out_the_same
+from ternlane.recovery.inflight import Known
 from ternlane.tenants import Hold, RejectReason, TenantLine, Unknown
-from ternlane.tenants.cashier import wait_s
-from ternlane.turns import now_ms
+from ternlane.tenants.usage_accounting import wait_s
+from ternlane.event_loop import now_ms
 
 IDENT = re.compile(r"[A-Za-z0-9._:-]{1,80}")
 TIME_LIMIT = b"x-ternlane-time-limit-ms"
@@ -81,7 +81,7 @@
     )
 
 
-class StreamOutlet(Outlet):
+class StreamResponseWriter(ResponseWriter):
     """Text goes out as server-sent events while it comes."""
 
     def __init__(
@@ -113,26 +113,26 @@
             await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
 
 
-class PlainOutlet(Outlet):
+class PlainResponseWriter(ResponseWriter):
     """Text is kept by the ticket until the answer is whole."""
 
     async def piece(self, text: str, first: bool, more: More | None = None) -> None:
         pass
 
 
-class Door:
+class ChatApi:
     def __init__(
         self,
         config: GatewayConfig,
         host: Host,
         intake: Intake,
         models: dict[str, RequestClass],
-        measures: Measures,
+        metrics: GatewayMetrics,
         log: Any,
-        till: Till | None = None,
+        budget_enforcer: BudgetEnforcer | None = None,
     ) -> None:
         self.config, self.host, self.intake, self.models = config, host, intake, models
-        self.measures, self.log, self.till = measures, log, till
+        self.metrics, self.log, self.budget_enforcer = metrics, log, budget_enforcer
         self.terms: ServerLimits = config.door
         self.names = {request_class: name for name, request_class in reversed(models.items())}
         self.repeats = Repeats(config.door.repeat_bytes)
@@ -153,10 +153,10 @@
         """Serves one client's connection."""
         if self.conns >= self.terms.conn_limit:
             stream.socket.close()
-            self.measures.refused.labels("conn_limit").inc()
+            self.metrics.refused.labels("conn_limit").inc()
             return
         self.conns += 1
-        self.measures.conns.set(self.conns)
+        self.metrics.conns.set(self.conns)
         with suppress(OSError):
             stream.setsockopt(6, 1, 1)  # TCP_NODELAY: each token is a segment of its own
         try:
@@ -175,10 +175,10 @@
             self.log.exception("connection")
         finally:
             self.conns -= 1
-            self.measures.conns.set(self.conns)
+            self.metrics.conns.set(self.conns)
 
     def reject_reason(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
-        self.measures.refused.labels(bad.code).inc()
+        self.metrics.refused.labels(bad.code).inc()
         return error_body(bad.status, bad.why, bad.code), "application/json"
 
     async def refuse(
@@ -190,7 +190,7 @@
         param: str | None = None,
         extra: list[tuple[str, str]] | None = None,
     ) -> None:
-        self.measures.refused.labels(code).inc()
+        self.metrics.refused.labels(code).inc()
         await exchange.answer(status, extra or [], error_body(status, why, code, param))
 
     async def handle(self, exchange: Exchange) -> None:
@@ -262,13 +262,13 @@
         """Who asks; None where the gateway has no tenants. Raises NotTaken."""
         if self.draining:
             raise NotTaken(503, "This gateway is going down", "draining", 1)
-        if self.till is None:
+        if self.budget_enforcer is None:
             return None
         try:
-            tenant = self.till.whose(exchange.header(b"authorization"))
+            tenant = self.budget_enforcer.whose(exchange.header(b"authorization"))
         except Unknown:
             raise NotTaken(401, "Incorrect API key provided", "invalid_api_key") from None
-        if not self.till.writer.may_take:
+        if not self.budget_enforcer.writer.may_take:
             raise NotTaken(503, "Bills can't be kept now", "ledger_full", 5)
         return tenant
 
@@ -279,7 +279,9 @@
             return None
         if not 1 <= len(said) <= 255:
             raise Wrong("Idempotency-Key", "Idempotency-Key must have 1 to 255 characters")
-        if self.host.scribe is not None and not self.host.scribe.ready:  # a repeat's first may be out there
+        if (
+            self.host.journal_writer is not None and not self.host.journal_writer.ready
+        ):  # a repeat's first may be out there
             raise NotTaken(503, "The journal of the process before is being taken over", "taking_over", 1)
         owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
         return f"{owner}\0{said}"
@@ -340,8 +342,8 @@
                 param="Last-Event-ID",
             )
         hold: Hold | None = None
-        if self.till is not None and tenant is not None:
-            got = self.till.reserve(
+        if self.budget_enforcer is not None and tenant is not None:
+            got = self.budget_enforcer.reserve(
                 tenant,
                 self.names[known.request.request_class],
                 known.request.prompt_tokens,
@@ -351,13 +353,13 @@
                 raise over_budget(got)
             hold = got
         ident = self.ident(exchange, owner)
-        outlet: Outlet = PlainOutlet()
+        response_writer: ResponseWriter = PlainResponseWriter()
         if ask.stream:
-            outlet = StreamOutlet(
+            response_writer = StreamResponseWriter(
                 exchange, f"chatcmpl-{ident}", ask.model, ask.include_usage, after if self.config.streams.ids else None
             )
-        if self.till is not None and hold is not None:
-            outlet.extra = self.till.headers(hold)
+        if self.budget_enforcer is not None and hold is not None:
+            response_writer.extra = self.budget_enforcer.headers(hold)
         # Engines drop repeats by this key; a key of the gateway's own can't meet another gateway's.
         engine_key = f"{self.birth}-{ident}-{next(self.count)}" if key is None else xxh3_64_hexdigest(key.encode())
         join = self.host.join_for(ask.raw, known.request)
@@ -366,7 +368,7 @@
             ident,
             ask,
             known,
-            outlet,
+            response_writer,
             since,
             engine_key,
             join,
@@ -407,8 +409,8 @@
         if active_request.left or active_request.final is None:
             return  # the connection ends without an answer, or without its last chunk
         try:
-            if isinstance(active_request.outlet, StreamOutlet) and active_request.begun:
-                await active_request.outlet.end(active_request.final)
+            if isinstance(active_request.response_writer, StreamResponseWriter) and active_request.begun:
+                await active_request.response_writer.end(active_request.final)
             else:
                 await self.whole(exchange, active_request, active_request.final)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -416,7 +418,7 @@
 
     async def whole(self, exchange: Exchange, active_request: ActiveRequest, final: Final) -> None:
         """An answer of which the client has nothing yet."""
-        ident, extra = ("X-Request-Id", active_request.ident), active_request.outlet.extra
+        ident, extra = ("X-Request-Id", active_request.ident), active_request.response_writer.extra
         match final:
             case Streamed(text, finish, usage, more):
                 body = answer_body(
@@ -468,12 +470,12 @@
         mark = ("Idempotency-Replayed", "true")
         match final:
             case Streamed(text, finish, usage, more) if ask.stream:
-                outlet = StreamOutlet(
+                response_writer = StreamResponseWriter(
                     exchange, ident, ask.model, ask.include_usage, after if self.config.streams.ids else None
                 )
-                outlet.extra = [mark]
-                await outlet.piece(text[after:], True, more)
-                await outlet.end(final)
+                response_writer.extra = [mark]
+                await response_writer.piece(text[after:], True, more)
+                await response_writer.end(final)
             case Streamed(text, finish, usage, more):
                 await exchange.answer(
                     200, [mark], answer_body(ident, int(time.time()), ask.model, text, finish, usage, more)
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -15,16 +15,16 @@
 from ternlane.chat import Intake
 from ternlane.policy.router import Router
 from ternlane.engine import SocketTransport, Transport
-from ternlane.gateway.door import Door
+from ternlane.gateway.chat_api import ChatApi
 from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
-from ternlane.turns import Chooser, now_ms
+from ternlane.event_loop import RouterProtocol, now_ms
 from ternlane.gateway.logs import library_log
-from ternlane.gateway.measures import STATUS_LABELS, Measures
-from ternlane.gateway.scribe import Scribe
-from ternlane.gateway.till import Till
-from ternlane.http1 import Exchange, Pool, serve_connection
-from ternlane.nodes import Book, Torn, follow_consul, follow_file, keep, kept
+from ternlane.gateway.metrics import STATUS_LABELS, GatewayMetrics
+from ternlane.gateway.journal_writer import JournalWriter
+from ternlane.gateway.budget_enforcer import BudgetEnforcer
+from ternlane.http1 import Exchange, ConnectionPool, serve_connection
+from ternlane.discovery import EndpointRegistry, Torn, follow_consul, follow_file, keep, kept
 from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine, checked
 from ternlane.document_keys import document_key
 from ternlane.policy.messages import EndpointStatus, EndpointListFailed, RouterConfig
@@ -47,7 +47,7 @@
     def __init__(
         self,
         config: GatewayConfig,
-        chooser: Callable[[RouterConfig], Chooser],
+        chooser: Callable[[RouterConfig], RouterProtocol],
         nursery: trio.Nursery,
         log: Any,
         host_type: type[Host] = Host,
@@ -56,8 +56,8 @@
         self.config, self.nursery, self.log = config, nursery, log
         self.offer = offer_of(config)
         self.router_config = self.offer.router_config
-        self.measures, self.book = Measures(), Book()
-        self.pool = Pool(config.fleet.connect_ms, config.fleet.idle_ms, config.source)
+        self.metrics, self.book = GatewayMetrics(), EndpointRegistry()
+        self.pool = ConnectionPool(config.fleet.connect_ms, config.fleet.idle_ms, config.source)
         intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
         self.agent = f"ternlane/{__version__} ({config.name})"
         self.transport = transport or SocketTransport(self.pool, self.agent)
@@ -68,16 +68,16 @@
             self.book,
             intake,
             nursery,
-            self.measures,
+            self.metrics,
             log,
             config.streams,
         )
-        self.till = Till(config, log) if config.tenants is not None else None
-        self.door = Door(config, self.host, intake, self.offer.models, self.measures, log, self.till)
-        if self.till is not None:
-            self.host.on_done, self.host.affords = self.till.done, self.till.affords
-        self.scribe = Scribe(Path(config.journal), log) if config.journal is not None else None
-        self.host.scribe = self.scribe
+        self.budget_enforcer = BudgetEnforcer(config, log) if config.tenants is not None else None
+        self.door = ChatApi(config, self.host, intake, self.offer.models, self.metrics, log, self.budget_enforcer)
+        if self.budget_enforcer is not None:
+            self.host.on_done, self.host.affords = self.budget_enforcer.done, self.budget_enforcer.affords
+        self.journal_writer = JournalWriter(Path(config.journal), log) if config.journal is not None else None
+        self.host.journal_writer = self.journal_writer
         self.listeners: list[trio.SocketListener] = []
         self.handed_over = False
         self.doors = trio.CancelScope()
@@ -90,11 +90,11 @@
 
     def found(self, lines: list[NodeLine]) -> None:
         """The whole list of model servers has been read anew."""
-        self.measures.lists.labels("read").inc()
+        self.metrics.lists.labels("read").inc()
         news = self.book.whole(lines, time.time(), now_ms())
         self.host.listed(news)
         for status in EndpointStatus:
-            self.measures.servers.labels(STATUS_LABELS[status]).set(
+            self.metrics.servers.labels(STATUS_LABELS[status]).set(
                 sum(s.status is status for s in self.book.servers.values())
             )
         if news.servers:
@@ -103,7 +103,7 @@
 
     def list_failed(self, why: str) -> None:
         """The list could not be read; the last one holds."""
-        self.measures.lists.labels("failed").inc()
+        self.metrics.lists.labels("failed").inc()
         self.log.warning("node list", why=why)
         self.host.tell(EndpointListFailed())
 
@@ -145,9 +145,9 @@
 
     async def _take_up(self) -> None:
         """What the process before had in flight when it was lost."""
-        assert self.scribe is not None
-        self.door.restore(await self.scribe.take_up(self.transport, self.router_config.release_ms))
-        self.scribe.ready = True
+        assert self.journal_writer is not None
+        self.door.restore(await self.journal_writer.take_up(self.transport, self.router_config.release_ms))
+        self.journal_writer.ready = True
 
     def reload(self, config: GatewayConfig) -> tuple[list[str], list[str]]:
         """Takes over what can change while running. Gives the fields that did, and those that wait for a restart."""
@@ -185,11 +185,11 @@
         self.nursery.start_soon(self._follow)
         self.nursery.start_soon(self._keep_lists)
         self.nursery.start_soon(self.host.clock)
-        if self.till is not None:
-            for run in (self.till.follow, self.till.borrow, self.till.writer.run):
+        if self.budget_enforcer is not None:
+            for run in (self.budget_enforcer.follow, self.budget_enforcer.borrow, self.budget_enforcer.writer.run):
                 self.nursery.start_soon(run)
-        if self.scribe is not None:
-            self.nursery.start_soon(self.scribe.writer.run)
+        if self.journal_writer is not None:
+            self.nursery.start_soon(self.journal_writer.writer.run)
             self.nursery.start_soon(self._take_up)
         self.nursery.start_soon(self._serve)
         if self.config.metrics is not None:
@@ -221,7 +221,7 @@
     async def _metrics(self, stream: trio.SocketStream) -> None:
         async def handle(exchange: Exchange) -> None:
             if exchange.path == "/metrics":
-                await exchange.answer(200, [], self.measures.text(), "text/plain; version=0.0.4")
+                await exchange.answer(200, [], self.metrics.text(), "text/plain; version=0.0.4")
             else:
                 await exchange.answer(404, [], b"")
 
@@ -268,16 +268,16 @@
         with trio.move_on_after(self.router_config.release_ms / 1000 + 0.2):  # for last answers and what is released
             while self.host.active_requests or self.host.releasing or self.door.busy:
                 await trio.sleep(0.01)
-        if self.till is not None:
-            await self.till.close()
-        if self.scribe is not None:
-            await self.scribe.close()
+        if self.budget_enforcer is not None:
+            await self.budget_enforcer.close()
+        if self.journal_writer is not None:
+            await self.journal_writer.close()
 
 
 @asynccontextmanager
 async def open_gateway(
     config: GatewayConfig,
-    chooser: Callable[[RouterConfig], Chooser] = Router,
+    chooser: Callable[[RouterConfig], RouterProtocol] = Router,
     log: Any = None,
     host_type: type[Host] = Host,
     listeners: list[trio.SocketListener] | None = None,
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -15,40 +15,40 @@
 from ternlane.chat.beyond import More
 from ternlane.engine import ClientGone, AttemptRequest, AttemptResult, AttemptPlan, Stage, Transport, Usage
 from ternlane.gateway.router_config import Offer
-from ternlane.gateway.measures import OUTCOME_LABELS, STAGE_LABELS, Measures
-from ternlane.gateway.scribe import Scribe
+from ternlane.gateway.metrics import OUTCOME_LABELS, STAGE_LABELS, GatewayMetrics
+from ternlane.gateway.journal_writer import JournalWriter
 from ternlane.gateway.active_request import Streamed, Failed, Rejected, ActiveRequest
-from ternlane.nodes import Book
+from ternlane.discovery import EndpointRegistry
 from ternlane.config import StreamConfig
 from ternlane.policy.messages import Role, EndpointStatus, Server, RouterConfig, AttemptOutcome
-from ternlane.recover import Differs, Fate, Join, Mender, Way
+from ternlane.recovery import Differs, RecoveryOutcome, StreamJoin, StreamRecovery, ResumeStrategy
 from ternlane.tenants.billing import Used
 from ternlane.wire_names import OUTCOME_NAMES
-from ternlane.turns import Chooser, Turns, begin_check, now_ms
+from ternlane.event_loop import RouterProtocol, EventLoop, begin_check, now_ms
 
 
-class Host(Turns[ActiveRequest]):
+class Host(EventLoop[ActiveRequest]):
     def __init__(
         self,
-        chooser: Chooser,
+        chooser: RouterProtocol,
         router_config: RouterConfig,
         transport: Transport,
-        book: Book,
+        book: EndpointRegistry,
         intake: Intake,
         nursery: trio.Nursery,
-        measures: Measures,
+        metrics: GatewayMetrics,
         log: Any,
         streams: StreamConfig | None = None,
     ) -> None:
         super().__init__(chooser)
         self.router_config, self.transport, self.book, self.intake = router_config, transport, book, intake
-        self.nursery, self.measures, self.log = nursery, measures, log
-        self.mender: Mender[ActiveRequest] = Mender(streams or StreamConfig(), router_config)
+        self.nursery, self.metrics, self.log = nursery, metrics, log
+        self.stream_recovery: StreamRecovery[ActiveRequest] = StreamRecovery(streams or StreamConfig(), router_config)
         self.resume_at = float("inf")
         self.idents: set[str] = set()
         self.releasing = 0
         self.mute: set[str] = set()  # servers that were asked for their load and did not say
-        self.scribe: Scribe | None = None
+        self.journal_writer: JournalWriter | None = None
         self.on_done: Callable[[ActiveRequest], None] = lambda _: None
         self.affords: Callable[[ActiveRequest], bool] = lambda _: True
         self.on_follow: Callable[[], None] = lambda: None
@@ -58,7 +58,7 @@
     def listed(self, news: messages.EndpointsUpdated) -> None:
         for server in news.servers:
             if server.status is EndpointStatus.REMOVED:
-                self.mender.left(server)
+                self.stream_recovery.left(server)
         self.tell(news)
 
     def alter(self, offer: Offer) -> None:
@@ -66,7 +66,7 @@
         self.router_config = offer.router_config
         self.mute.clear()
         self.intake.offer(offer.models, offer.max_tokens)
-        self.mender.alter(offer.router_config)
+        self.stream_recovery.alter(offer.router_config)
         self.tell(messages.ConfigChanged(offer.router_config))
 
     def carry_further(self, action: messages.Action) -> None:
@@ -90,16 +90,16 @@
 
     # -- generations
 
-    def join_for(self, raw: dict[str, Any], request: messages.Request) -> Join:
-        return self.mender.join(raw, request)
+    def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
+        return self.stream_recovery.join(raw, request)
 
     def arrived(self, active_request: ActiveRequest) -> None:
         active_request.taken = now_ms()
         self.idents.add(active_request.ident)
-        if self.scribe is not None:
-            self.scribe.took(active_request)
+        if self.journal_writer is not None:
+            self.journal_writer.took(active_request)
         self.taken(active_request)
-        self.measures.open.set(len(self.active_requests))
+        self.metrics.open.set(len(self.active_requests))
 
     def client_left(self, active_request: ActiveRequest) -> None:
         """The client has gone: nothing is owed any more, and everything held for it is freed."""
@@ -119,9 +119,9 @@
 
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
         took = now_ms() - active_request.since
-        if self.scribe is not None:
-            self.scribe.ended(active_request, outcome)
-        self.measures.outcomes.labels(active_request.ask.model, outcome).inc()
+        if self.journal_writer is not None:
+            self.journal_writer.ended(active_request, outcome)
+        self.metrics.outcomes.labels(active_request.ask.model, outcome).inc()
         self.log.info(
             "generation",
             gen=active_request.ident,
@@ -142,12 +142,14 @@
             and not active_request.holders
         ):
             if self.active_requests.pop(active_request.request, None) is not None:
-                self.mender.ended(active_request, active_request.join, isinstance(active_request.final, Streamed))
+                self.stream_recovery.ended(
+                    active_request, active_request.join, isinstance(active_request.final, Streamed)
+                )
                 if self.resume_at < float("inf"):  # others wait, perhaps for its place
                     self.resume()
                 self.idents.discard(active_request.ident)
                 self.on_done(active_request)
-            self.measures.open.set(len(self.active_requests))
+            self.metrics.open.set(len(self.active_requests))
 
     # -- legs
 
@@ -167,10 +169,13 @@
         active_request.attempt = AttemptPlan(
             place.address, [], b"", times.timeout_ms, times.idle_timeout_ms, times.total_timeout_ms, barred
         )
-        join, goes_on = active_request.join, active_request.join.resumed and active_request.join.way is Way.GO_ON
+        join, goes_on = (
+            active_request.join,
+            active_request.join.resumed and active_request.join.way is ResumeStrategy.GO_ON,
+        )
         first = None
-        if self.scribe is not None:
-            first = self.scribe.sends(
+        if self.journal_writer is not None:
+            first = self.journal_writer.sends(
                 active_request,
                 place.ident,
                 place.address,
@@ -205,33 +210,33 @@
         self, active_request: ActiveRequest, server: Server, first_kept: int | None, ask: AttemptRequest
     ) -> None:
         since, stage, plan, last = now_ms(), ask.stage, ask.plan, 0.0
-        longest, explores = plan.idle_timeout_ms, self.mender.rhythm.explores()
+        longest, explores = plan.idle_timeout_ms, self.stream_recovery.stream_pacing.explores()
 
         async def pass_on(text: str, first: bool, more: More | None = None) -> None:
             nonlocal last
             if not first:
-                self.mender.heard(server, now_ms() - last, explores)
+                self.stream_recovery.heard(server, now_ms() - last, explores)
             try:
                 await pass_piece(text, first, more)
             finally:
                 last = now_ms()  # a client that takes its time is not the engine's silence
-            plan.idle_timeout_ms = self.mender.idle_timeout_ms(active_request.join, server, longest, explores)
+            plan.idle_timeout_ms = self.stream_recovery.idle_timeout_ms(active_request.join, server, longest, explores)
 
         async def pass_piece(text: str, first: bool, more: More | None) -> None:
             if active_request.left or active_request.final is not None:
                 raise ClientGone
             if first:
                 active_request.flowing = True
-                if active_request.holders and self.scribe is not None:
-                    self.scribe.freed(active_request)
+                if active_request.holders and self.journal_writer is not None:
+                    self.journal_writer.freed(active_request)
                 active_request.holders.clear()  # the writer has fetched the state
                 if not active_request.begun:
-                    self.measures.first.labels(active_request.ask.model).observe(
+                    self.metrics.first.labels(active_request.ask.model).observe(
                         (now_ms() - active_request.since) / 1000
                     )
-                paused = self.mender.first(active_request, now_ms(), active_request.taken)
+                paused = self.stream_recovery.first(active_request, now_ms(), active_request.taken)
                 if paused is not None:
-                    self.measures.resumed.observe(paused / 1000)
+                    self.metrics.resumed.observe(paused / 1000)
                     self.resume()  # its place is free
                 self.tell(messages.FirstToken(active_request.request, server, now_ms() - since))
             try:
@@ -252,9 +257,9 @@
                 return  # a repeat's, which the client has
             try:
                 await (
-                    active_request.outlet.piece(new, head)
+                    active_request.response_writer.piece(new, head)
                     if more is None
-                    else active_request.outlet.piece(new, head, more)
+                    else active_request.response_writer.piece(new, head, more)
                 )
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 raise ClientGone from None
@@ -283,13 +288,13 @@
 
     async def noted(self, number: int, plan: AttemptPlan) -> bool:
         """Waits until the disk has it that this leg goes out; where it hasn't in time, the leg is not sent."""
-        assert self.scribe is not None
+        assert self.journal_writer is not None
         attempts_own, plan.scope = (
             plan.scope,
             trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000),
         )
         with plan.scope:  # which a call-off ends
-            await self.scribe.writer.until_kept(number)
+            await self.journal_writer.writer.until_kept(number)
         kept, plan.scope = not plan.scope.cancelled_caught, attempts_own
         return kept and not plan.cancelled
 
@@ -305,7 +310,7 @@
         active_request.attempt, active_request.flowing = None, False
         place = self.book.places[server]
         active_request.trail.append(f"{place.ident} {STAGE_LABELS[stage].upper()} {OUTCOME_NAMES[end.outcome]}")
-        self.measures.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[end.outcome]).inc()
+        self.metrics.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[end.outcome]).inc()
         self.log.debug(
             "leg",
             gen=active_request.ident,
@@ -335,7 +340,9 @@
                         end.usage.prompt_tokens,
                         active_request.made[-1].kept,
                     )
-                    self.mender.read(now_ms(), active_request.made[-1].prompt - active_request.made[-1].kept, took)
+                    self.stream_recovery.read(
+                        now_ms(), active_request.made[-1].prompt - active_request.made[-1].kept, took
+                    )
             details = end.usage.prompt_tokens_details
             kept = float(details.cached_tokens or 0) if details is not None else 0.0
         if end.outcome is AttemptOutcome.PREFILLED:
@@ -391,7 +398,7 @@
         active_request.broke_at = (
             len(active_request.made) if active_request.broke_at is None else active_request.broke_at
         )
-        fate = self.mender.broke(
+        recovery_outcome = self.stream_recovery.broke(
             active_request,
             active_request.join,
             active_request.request,
@@ -400,22 +407,22 @@
             active_request.deadline_ms,
             sum(s.status is EndpointStatus.READY and s.role is not Role.DECODE for s in self.book.servers.values()),
         )
-        self.measures.breaks.labels(fate.name.lower()).inc()
-        if fate is Fate.ENDS:
+        self.metrics.breaks.labels(recovery_outcome.name.lower()).inc()
+        if recovery_outcome is RecoveryOutcome.ENDS:
             end.why = f"{end.why or 'the stream broke'}; {active_request.join.why}"
-        elif fate is Fate.WHOLE:
+        elif recovery_outcome is RecoveryOutcome.WHOLE:
             self.streamed(active_request, "length", Usage())
-        return fate is Fate.GOES_ON
+        return recovery_outcome is RecoveryOutcome.GOES_ON
 
     def resume(self) -> None:
         """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
-        go, late = self.mender.next(now_ms())
+        go, late = self.stream_recovery.next(now_ms())
         for active_request in go:
             self.tell(messages.ResumeStream(active_request.request))
         for active_request in late:
             self.settle(active_request, Failed(active_request.why or "the stream broke"))
             self.tell(messages.ClientDisconnected(active_request.request))
-        at = self.mender.due(now_ms())
+        at = self.stream_recovery.due(now_ms())
         if at < self.resume_at:
             self.resume_at = at
             self.at(at, self.resume_due)
@@ -459,7 +466,7 @@
         outcome, report = await self.transport.load(
             place.ident, place.address, self.router_config.connect_ms, place.line.protocol
         )
-        self.measures.probes.labels("told" if report is not None else OUTCOME_LABELS[outcome]).inc()
+        self.metrics.probes.labels("told" if report is not None else OUTCOME_LABELS[outcome]).inc()
         if (
             report is None
             and outcome in (AttemptOutcome.STREAMED, AttemptOutcome.ERROR)
@@ -477,9 +484,9 @@
             )
         finally:
             self.releasing -= 1
-            if self.scribe is not None:
-                self.scribe.freed(active_request)
-        self.measures.releases.labels("confirmed" if done else "unheard").inc()
+            if self.journal_writer is not None:
+                self.journal_writer.freed(active_request)
+        self.metrics.releases.labels("confirmed" if done else "unheard").inc()
         if not done:
             self.log.warning("release unheard", gen=active_request.ident, server=place.ident)
 
--- a/ternlane/gateway/scribe.py
+++ b/ternlane/gateway/journal_writer.py
@@ -13,14 +13,14 @@
 from ternlane.gateway.active_request import Final, Streamed, Failed, ActiveRequest
 from ternlane.ledger import Disk, Kind, Segmented, Writer
 from ternlane.policy.messages import Effect
-from ternlane.recover.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
+from ternlane.recovery.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
 
 JOURNAL: Kind[Record, InFlight] = Kind("takes", b"TLTAKES1", decode_record, InFlight)
 SEGMENT = 4 << 20
 GATHER_MS = 20.0  # what nobody waits for may share a sync
 
 
-class Scribe:
+class JournalWriter:
     """`until_kept` is waited for where an effect must not be doubled: such a leg goes out only once the disk has it."""
 
     def __init__(self, folder: Path, log: Any) -> None:
--- a/ternlane/gateway/measures.py
+++ b/ternlane/gateway/metrics.py
@@ -18,7 +18,7 @@
 OUTCOME_LABELS = {outcome: name.lower() for outcome, name in OUTCOME_NAMES.items()}
 
 
-class Measures:
+class GatewayMetrics:
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         r = self.registry
--- a/ternlane/http1/__init__.py
+++ b/ternlane/http1/__init__.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 over trio streams by h11, and server-sent events: what fronts, attempts, registry and stand-ins share."""
 
-from ternlane.http1.caller import Caller, Pool, Silent, Unconnected
+from ternlane.http1.client_connection import ClientConnection, ConnectionPool, ReadTimeout, ConnectError
 from ternlane.http1.events import EventReader, event_bytes
 from ternlane.http1.exchange import BadRequest, Exchange
 from ternlane.http1.nonblocking import keep_open
@@ -8,15 +8,15 @@
 
 __all__ = [
     "BadRequest",
-    "Caller",
+    "ClientConnection",
     "CloseReason",
     "EventReader",
     "Exchange",
-    "Pool",
+    "ConnectionPool",
     "ServerConnection",
     "ServerLimits",
-    "Silent",
-    "Unconnected",
+    "ReadTimeout",
+    "ConnectError",
     "event_bytes",
     "keep_open",
     "serve_connection",
--- a/ternlane/http1/caller.py
+++ b/ternlane/http1/client_connection.py
@@ -12,7 +12,7 @@
 import trio
 
 from ternlane.http1.nonblocking import is_readable, receive_now, send
-from ternlane.http1.wear import Wear
+from ternlane.http1.connection_age import ConnectionAge
 
 Headers = Sequence[tuple[str, str]]
 CHUNK = 65536
@@ -26,15 +26,15 @@
 INTERIM = 16  # heads that may come ahead of the answer's (1xx)
 
 
-class Unconnected(Exception):
+class ConnectError(Exception):
     """No connection was made, or it broke before the request's last byte was written: nothing can have run."""
 
 
-class Silent(Exception):
+class ReadTimeout(Exception):
     """The peer has sent nothing by the time that it had."""
 
 
-class Caller:
+class ClientConnection:
     """One connection. `ask` sends a request and gives the head of the answer; `chunks` its body."""
 
     def __init__(self, stream: trio.SocketStream, peer: str, local: tuple[str, int]) -> None:
@@ -47,7 +47,7 @@
         self.heard = self.broke = False  # any byte of the answer; an end ahead of it
         self.asked = False  # it has answered before
         self.idled_ms: float | None = None  # how long it lay idle before this request; None: it is new
-        self.on_close: Callable[[Caller], None] = lambda _: None
+        self.on_close: Callable[[ClientConnection], None] = lambda _: None
 
     async def ask(self, method: str, target: str, headers: Headers, body: bytes = b"") -> h11.Response:
         """Raises Unconnected where the connection breaks before the request's last byte is written, and after that
@@ -69,7 +69,7 @@
             await send(self.stream, out)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as why:
             self.broke = True
-            raise Unconnected(f"{self.peer}: broke before all was written: {why}") from None
+            raise ConnectError(f"{self.peer}: broke before all was written: {why}") from None
         self.written = True
 
     async def read_head(self) -> h11.Response:
@@ -108,7 +108,7 @@
         data = None if self.overdue else receive_now(self.stream, CHUNK)
         self.overdue = True  # one that never stops sending is not waited for either
         if data is None:
-            raise Silent(f"{self.peer}: nothing came in time")
+            raise ReadTimeout(f"{self.peer}: nothing came in time")
         return data
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -146,30 +146,30 @@
         self.on_close(self)
 
 
-class Pool:
+class ConnectionPool:
     """Connections to many peers. A borrowed one comes back by `give_back`, or is closed. With `limit` open the one
     that has been idle for longest makes room for a new one."""
 
     def __init__(self, connect_ms: float, idle_ms: float, source: str | None = None, limit: float = inf) -> None:
         self.connect_ms, self.idle_ms, self.source, self.limit = connect_ms, idle_ms, source, limit
-        self.idle: dict[str, OrderedDict[Caller, None]] = {}  # of each peer, the most recently used last
-        self.resting: OrderedDict[Caller, None] = OrderedDict()  # the idle ones of all
-        self.open: set[Caller] = set()
+        self.idle: dict[str, OrderedDict[ClientConnection, None]] = {}  # of each peer, the most recently used last
+        self.resting: OrderedDict[ClientConnection, None] = OrderedDict()  # the idle ones of all
+        self.open: set[ClientConnection] = set()
         self.prefix = 0
         self.made = 0
         self.shortages = 0  # tries for a connection that failed for want of something on this machine
-        self.wear = Wear(idle_ms)
+        self.wear = ConnectionAge(idle_ms)
 
     def set_limits(self, connect_ms: float, idle_ms: float, limit: float) -> None:
         """Other limits from now on, also for connections that are kept already; more of them than `limit` close."""
         self.connect_ms, self.limit = connect_ms, limit
         if idle_ms != self.idle_ms:
-            self.idle_ms, self.wear = idle_ms, Wear(idle_ms)
+            self.idle_ms, self.wear = idle_ms, ConnectionAge(idle_ms)
         while self.resting and len(self.open) + self.prefix > limit:
             next(iter(self.resting)).close_now()
         self.sweep()
 
-    async def take(self, peer: str, rest_ms: float = 0.0) -> Caller:
+    async def take(self, peer: str, rest_ms: float = 0.0) -> ClientConnection:
         """A kept connection that has been idle for `rest_ms`, or else a new one. Raises Unconnected when none could be
         made in time."""
         now = trio.current_time() * 1000
@@ -185,23 +185,23 @@
                 return caller
         return await self.connect(peer)
 
-    async def connect(self, peer: str) -> Caller:
+    async def connect(self, peer: str) -> ClientConnection:
         host, _, port = peer.rpartition(":")
         while len(self.open) + self.prefix >= self.limit:
             if not self.resting:
-                raise Unconnected(f"{peer}: {len(self.open)} connections are out, as many as may be")
+                raise ConnectError(f"{peer}: {len(self.open)} connections are out, as many as may be")
             next(iter(self.resting)).close_now()
         self.prefix += 1
         try:
             with trio.fail_after(self.connect_ms / 1000):
                 stream = await self._reach(host.strip("[]"), int(port))
         except (OSError, trio.TooSlowError) as why:
-            raise Unconnected(f"{peer}: {why!r}") from None
+            raise ConnectError(f"{peer}: {why!r}") from None
         finally:
             self.prefix -= 1
         self.made += 1
         name = stream.socket.getsockname()
-        caller = Caller(stream, peer, (name[0], name[1]))
+        caller = ClientConnection(stream, peer, (name[0], name[1]))
         self.open.add(caller)
         caller.on_close = self._closed
         return caller
@@ -217,7 +217,7 @@
             self.shortages += 1
             await trio.sleep(SHORTAGE_PAUSE_S)
 
-    def _rested(self, caller: Caller) -> None:
+    def _rested(self, caller: ClientConnection) -> None:
         """It lies idle no more."""
         if self.resting.pop(caller, self) is None:
             kept = self.idle[caller.peer]
@@ -225,17 +225,17 @@
             if not kept:
                 del self.idle[caller.peer]
 
-    def _closed(self, caller: Caller) -> None:
+    def _closed(self, caller: ClientConnection) -> None:
         if caller in self.open and caller.broke:
             self._used(caller)
         self.open.discard(caller)
         self._rested(caller)
 
-    def _used(self, caller: Caller) -> None:
+    def _used(self, caller: ClientConnection) -> None:
         if caller.idled_ms is not None:
             self.wear.note(caller.idled_ms, caller.broke, trio.current_time() * 1000)
 
-    def give_back(self, caller: Caller) -> None:
+    def give_back(self, caller: ClientConnection) -> None:
         """One on which nothing was asked is as good as before."""
         caller.expect_by(inf)
         asked = caller.conn.our_state is not h11.IDLE
--- a/ternlane/http1/wear.py
+++ b/ternlane/http1/connection_age.py
@@ -12,7 +12,7 @@
 LEAST = 1.5  # breaks, with the older ones fading, before anything is concluded
 
 
-class Wear:
+class ConnectionAge:
     """Forgets over `span_ms`, so that what was shunned is tried again."""
 
     def __init__(self, span_ms: float) -> None:
--- a/ternlane/ledger/bills.py
+++ b/ternlane/ledger/bills.py
@@ -13,7 +13,7 @@
 from ternlane.ledger.disk import Disk
 from ternlane.ledger.store import Store
 from ternlane.tenants.billing import Used
-from ternlane.tenants.cashier import Entry
+from ternlane.tenants.usage_accounting import Entry
 
 
 def entries_of(folders: Iterable[Path]) -> Iterator[Entry]:
--- a/ternlane/ledger/store.py
+++ b/ternlane/ledger/store.py
@@ -22,7 +22,7 @@
 
 from ternlane.ledger.disk import Disk
 from ternlane.tenants.billing import Used
-from ternlane.tenants.cashier import Entry
+from ternlane.tenants.usage_accounting import Entry
 
 HEAD = struct.Struct("<IIQ")
 MAGIC = b"TLBILLS1"
--- a/ternlane/load/run.py
+++ b/ternlane/load/run.py
@@ -19,7 +19,7 @@
 import msgspec
 import trio
 
-from ternlane.http1 import Caller, EventReader, Pool, Unconnected
+from ternlane.http1 import ClientConnection, EventReader, ConnectionPool, ConnectError
 from ternlane.load.plan import Ask, Drawer, LoadConfig, asks
 from ternlane.load.sketch import Sketch
 
@@ -84,7 +84,7 @@
     ) -> None:
         self.config, self.tell = config, tell
         self.address, self.path = address_of(url)
-        self.pool = Pool(5000.0, 30e3)
+        self.pool = ConnectionPool(5000.0, 30e3)
         self.tally = Tally()
         self.began = 0.0
         self.open = 0
@@ -152,7 +152,7 @@
                 outcome, first = await self.heard(caller, ask, pieces)
             if waits.cancelled_caught:
                 outcome = "no answer"
-        except Unconnected:
+        except ConnectError:
             pass
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError, msgspec.DecodeError):
             outcome = "broken"
@@ -180,7 +180,7 @@
         )
         return "".join(pieces) if outcome == "streamed" else None
 
-    async def heard(self, caller: Caller, ask: Ask, pieces: list[str]) -> tuple[str, float]:
+    async def heard(self, caller: ClientConnection, ask: Ask, pieces: list[str]) -> tuple[str, float]:
         headers = [("Content-Type", "application/json")]
         if ask.key:
             headers.append(("Authorization", f"Bearer {ask.key}"))
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -13,7 +13,7 @@
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
 from ternlane.policy.messages import Request
-from ternlane.turns import Failed, Rejected, now_ms
+from ternlane.event_loop import Failed, Rejected, now_ms
 
 STREAM_HEAD = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-cache"), ("Transfer-Encoding", "chunked")]
 
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -15,10 +15,10 @@
 import trio
 
 from ternlane.deployment import Deployment
-from ternlane.http1 import Caller, Pool, Silent, Unconnected, keep_open
+from ternlane.http1 import ClientConnection, ConnectionPool, ReadTimeout, ConnectError, keep_open
 from ternlane.platform.protocol import LEASE_PATH, LOAD, NOT_STARTED, STATS_PATH, Events, kept_of, load_of, outcome_of
 from ternlane.policy.messages import Role, Report, AttemptOutcome
-from ternlane.turns import BeginCheck, may_always_begin
+from ternlane.event_loop import BeginCheck, may_always_begin
 
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
 RELEASE_ROUNDS = 8  # of servers asked within one release time; this many at most in one round
@@ -87,7 +87,7 @@
     why: str = ""
 
 
-class Outlet(Protocol):
+class ResponseWriter(Protocol):
     """Where a stream's bytes go. Raises trio.BrokenResourceError once the client has gone."""
 
     def first(self, data: bytes) -> Awaitable[None]: ...
@@ -98,13 +98,13 @@
 class Engines:
     """All model servers' sockets."""
 
-    def __init__(self, pool: Pool, deployment: Deployment) -> None:
+    def __init__(self, pool: ConnectionPool, deployment: Deployment) -> None:
         self.pool, self.deployment = pool, deployment
         # When each address last answered, the latest at the end but for those that owe a release its answer.
         self.heard: OrderedDict[str, float] = OrderedDict()
         self.release_calls = 0  # that are out
 
-    async def run(self, attempt: Attempt, outlet: Outlet) -> AttemptResult:
+    async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
         """Never raises but for an outer cancellation, and ClientGone."""
         end, caller, whole = AttemptResult(), None, False
         attempt.scope.deadline = min(attempt.scope.deadline, attempt.last_by)
@@ -118,7 +118,7 @@
                 end.report = load_of(said.get(LOAD), self.deployment)
                 outcome = outcome_of(head.status_code, said.get(NOT_STARTED) == "1", attempt.role)
                 if outcome.outcome is None:
-                    whole = await self.stream(attempt, caller, outlet, end)
+                    whole = await self.stream(attempt, caller, response_writer, end)
                 else:
                     body = await caller.body(PLAIN_BYTES)
                     whole = True
@@ -129,12 +129,12 @@
             raise
         except Barred as why:  # the connection, on which nothing was asked, serves the next one
             whole, end.outcome, end.why = True, why.outcome, str(why)
-        except Silent:
+        except ReadTimeout:
             end.outcome, end.why = (
                 AttemptOutcome.TIMED_OUT,
                 "silent within the stream" if end.begun else "no answer in time",
             )
-        except Unconnected as why:
+        except ConnectError as why:
             self.heard.pop(attempt.address, None)
             end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
         except BROKEN as why:
@@ -153,7 +153,7 @@
             self.given_up(attempt, end)
         return end
 
-    async def begin(self, attempt: Attempt, caller: Caller) -> None:
+    async def begin(self, attempt: Attempt, caller: ClientConnection) -> None:
         """Writes the request. Here attempts begin, and nowhere else: after every wait for a connection or a release.
         Raises Barred or Unconnected."""
         barred = attempt.barred()
@@ -181,7 +181,9 @@
         else:  # its last byte never left: nothing can have run
             end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, "given up before all was written"
 
-    async def stream(self, attempt: Attempt, caller: Caller, outlet: Outlet, end: AttemptResult) -> bool:
+    async def stream(
+        self, attempt: Attempt, caller: ClientConnection, response_writer: ResponseWriter, end: AttemptResult
+    ) -> bool:
         """Passes a writer's events on as they came. True once the last chunk has come. Raises Silent, ClientGone, and
         ValueError for what is no stream of events."""
         events = Events()
@@ -191,7 +193,7 @@
                 await keep_open(attempt.scope, inf)  # called off in this very moment: the client is given nothing
                 first, end.begun = not end.begun, True
                 try:
-                    await (outlet.first(ready) if first else outlet.more(ready))
+                    await (response_writer.first(ready) if first else response_writer.more(ready))
                 except BROKEN:
                     raise ClientGone from None
                 # Counted from here: a client that takes its bytes slowly is not the server's silence.
@@ -220,7 +222,7 @@
                 self.pool.give_back(caller)
                 caller = None
                 return AttemptOutcome.STREAMED, head.status_code, said, body
-        except Unconnected:
+        except ConnectError:
             self.heard.pop(address, None)
             outcome = AttemptOutcome.CONNECT_FAILED
         except (h11.RemoteProtocolError, *BROKEN):
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -10,9 +10,9 @@
 
 from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
 from ternlane.platform.node import Node
-from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, Wrong, wish_of
+from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, Wrong, parse_request
 from ternlane.platform.active_request import Streamed, ActiveRequest
-from ternlane.turns import Failed, Rejected, now_ms
+from ternlane.event_loop import Failed, Rejected, now_ms
 
 HEAD_BYTES = 16384
 # Who connects and sends no request is owed an end within 3 s of connecting (users' page); the rest is for the way.
@@ -188,7 +188,7 @@
                 raise Wrong(400, "twice", f"{name.decode()} is given twice")
             headers[bytes(name)] = text_of(value)
         node = self.node
-        wish = wish_of(headers, exchange.body, node.deployment)
+        wish = parse_request(headers, exchange.body, node.deployment)
         if wish.ident in node.idents:
             raise Wrong(409, "open_id", "a request with this Request-Id is open")
         if (
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -19,17 +19,17 @@
 from ternlane.platform.active_request import Final, Streamed, ActiveRequest
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.wire_names import OUTCOME_NAMES
-from ternlane.turns import Chooser, Turns, begin_check, now_ms
+from ternlane.event_loop import RouterProtocol, EventLoop, begin_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
 RELEASE_TRIES = 4  # of a release that no server has heard, each given twice the time of the one before
 
 
-class Node(Turns[ActiveRequest]):
+class Node(EventLoop[ActiveRequest]):
     """Tells the decisions what happens on the sockets, and carries out on them what is decided."""
 
     def __init__(
-        self, chooser: Chooser, deployment: Deployment, engines: Engines, nursery: trio.Nursery, log: Any
+        self, chooser: RouterProtocol, deployment: Deployment, engines: Engines, nursery: trio.Nursery, log: Any
     ) -> None:
         super().__init__(chooser)
         self.deployment, self.engines, self.nursery, self.log = deployment, engines, nursery, log
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -17,7 +17,7 @@
 
 from ternlane.policy import messages
 from ternlane.policy.router import Router
-from ternlane.http1 import Pool
+from ternlane.http1 import ConnectionPool
 from ternlane.log_output import log_file
 from ternlane.platform.end_signal import EndSignal
 from ternlane.platform.engines import Engines
@@ -27,7 +27,7 @@
 from ternlane.platform.request_history import RequestRecord
 from ternlane.platform.settings import Post, Unfit, read_post
 from ternlane.policy.shutdown import shutdown_times
-from ternlane.turns import PollTimes, now_ms
+from ternlane.event_loop import PollTimes, now_ms
 
 BACKLOG = 1024
 CLIENTS, SERVERS = 0.45, 0.45  # of the descriptors; the rest is for the watch, the log and what is being closed
@@ -47,7 +47,7 @@
     def __init__(self, post: Post, nursery: trio.Nursery, log: Any) -> None:
         self.post, self.nursery, self.log = post, nursery, log
         router_config = post.deployment.router_config
-        self.pool = Pool(router_config.connect_ms, router_config.idle_ms)
+        self.pool = ConnectionPool(router_config.connect_ms, router_config.idle_ms)
         self.node = Node(Router(router_config), post.deployment, Engines(self.pool, post.deployment), nursery, log)
         self.polls = PollTimes()
         self.front = Front(self.node, self.polls.unseen_ms, log)
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -169,7 +169,7 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class ParsedRequest:
     """What a client's head asks for."""
 
     ident: str
@@ -183,7 +183,7 @@
     tenant: str
 
 
-def wish_of(headers: Mapping[bytes, str], body: bytes, deployment: Deployment) -> Wish:
+def parse_request(headers: Mapping[bytes, str], body: bytes, deployment: Deployment) -> ParsedRequest:
     """Raises Wrong for what can't be read. No answer here says that a new try does no harm."""
     ident = headers.get(b"request-id", "")
     if not IDENT.fullmatch(ident):
@@ -208,7 +208,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         raise Wrong(400, "bad_body", "the body is no JSON object") from None
     prompt = figure(info["prompt_len"], "prompt_len") if "prompt_len" in info else len(body) / 4
-    return Wish(
+    return ParsedRequest(
         ident,
         name,
         short(headers.get(b"affinity-key")),
--- a/ternlane/platform/registry.py
+++ b/ternlane/platform/registry.py
@@ -9,7 +9,7 @@
 import h11
 import trio
 
-from ternlane.http1 import Pool, Unconnected
+from ternlane.http1 import ConnectionPool, ConnectError
 from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointList, Lists, read_listing
 
 WATCH_PATH = "/registry/instances?stream=1&index={}"
@@ -27,7 +27,7 @@
 # From the move of discovery to its first list, though the first call for it hangs.
 MOVED_WORST_MS = CONNECT_MS + HEAD_MS + SPREAD[1] * RETRY_MS + CONNECT_MS + HEAD_MS
 BROKEN = (
-    Unconnected,
+    ConnectError,
     OSError,
     trio.BrokenResourceError,
     trio.ClosedResourceError,
@@ -75,7 +75,7 @@
         return low + (high - low) * crc32(b"%d watch %d" % (self.seed, self.turn)) / 2**32
 
     async def _follow(self, address: tuple[str, int], scope: trio.CancelScope) -> None:
-        pool, pause = Pool(CONNECT_MS, inf), 0.0
+        pool, pause = ConnectionPool(CONNECT_MS, inf), 0.0
         try:
             with scope:
                 while True:
@@ -98,7 +98,7 @@
             if scope in self.following[:-1]:
                 self.following.remove(scope)
 
-    async def _once(self, pool: Pool, peer: str, scope: trio.CancelScope) -> None:
+    async def _once(self, pool: ConnectionPool, peer: str, scope: trio.CancelScope) -> None:
         caller = await pool.connect(peer)
         try:
             with trio.fail_after(HEAD_MS / 1000) as silence:
--- a/ternlane/recover/pace.py
+++ b/ternlane/recovery/recovery_pace.py
@@ -15,7 +15,7 @@
 T = TypeVar("T")
 
 
-class Pace(Generic[T]):
+class RecoveryPace(Generic[T]):
     """Over any time t no more is read anew than `share` * `able` * (t + `span_ms`), one prompt for each try that is
     alone, and the last prompt's excess. Tokens; ms. What waits is ordered by revenue, then by what was streamed."""
 
--- a/ternlane/recover/ways.py
+++ b/ternlane/recovery/resume_strategy.py
@@ -10,7 +10,7 @@
 GUIDED = ("guided_json", "guided_regex", "guided_choice", "guided_grammar", "structured_outputs")
 
 
-class Way(Enum):
+class ResumeStrategy(Enum):
     """GO_ON: the prompt with what the client has, continued from there. REPLAY: the same request again; what the client
     has is compared and skipped. END: the client is told that the stream broke."""
 
@@ -19,24 +19,24 @@
     END = auto()
 
 
-def way_of(raw: dict[str, Any], effect: Effect, continues: bool = True) -> tuple[Way, str]:
+def way_of(raw: dict[str, Any], effect: Effect, continues: bool = True) -> tuple[ResumeStrategy, str]:
     """The way for a request, and why it is not GO_ON. `continues`: engines can go on with a text.
 
     A text can be continued where nothing but the text is carried on. Where more is (a grammar's state, an open tool
     call, the draws of a seed), only a whole new run joins on, and only if it must come out the same.
     """
     if effect is Effect.SIDE_EFFECTING:
-        return Way.END, "it may have run, and must not run twice"
+        return ResumeStrategy.END, "it may have run, and must not run twice"
     if effect is Effect.DEDUPLICATED:
-        return Way.REPLAY, "engines drop its repeats by the request itself"
+        return ResumeStrategy.REPLAY, "engines drop its repeats by the request itself"
     if raw.get("n") not in (None, 1):
-        return Way.END, "several answers at once can't be joined"
+        return ResumeStrategy.END, "several answers at once can't be joined"
     carried = beyond_text(raw) if continues else "engines can't go on with a text"
     if not carried:
-        return Way.GO_ON, ""
+        return ResumeStrategy.GO_ON, ""
     if raw.get("temperature") == 0 or raw.get("seed") is not None:
-        return Way.REPLAY, carried
-    return Way.END, f"{carried}, and another run would not come out the same"
+        return ResumeStrategy.REPLAY, carried
+    return ResumeStrategy.END, f"{carried}, and another run would not come out the same"
 
 
 def comes_out_the_same(raw: dict[str, Any], effect: Effect) -> bool:
--- a/ternlane/recover/rhythm.py
+++ b/ternlane/recovery/stream_pacing.py
@@ -27,7 +27,7 @@
 FULL = 200_000
 
 
-class Rhythm:
+class StreamPacing:
     """`alarms`: how many false ones there may be a stream. All times in ms."""
 
     def __init__(self, alarms: float, seed: int = 0) -> None:
--- a/ternlane/days/bench.py
+++ b/ternlane/scenarios/bench.py
@@ -12,7 +12,7 @@
 import re
 from typing import Any
 
-from ternlane.days.script import DayScript
+from ternlane.scenarios.script import DayScript
 from ternlane.config import read_text
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
--- a/ternlane/days/parts.py
+++ b/ternlane/scenarios/parts.py
@@ -11,8 +11,8 @@
 
 import trio
 
-from ternlane.days.plan import Act, acts_of, address_of, engines_of, habits_of, talks_of, zones_of, ENGINE_NET
-from ternlane.days.script import (
+from ternlane.scenarios.plan import Act, acts_of, address_of, engines_of, habits_of, talks_of, zones_of, ENGINE_NET
+from ternlane.scenarios.script import (
     AnswerLost,
     Burst,
     DayScript,
@@ -28,10 +28,10 @@
     ZoneCut,
 )
 from ternlane.config import read_config
-from ternlane.standin.clients import Clients
-from ternlane.standin.engine import Engine
-from ternlane.standin.front import Front
-from ternlane.standin.traffic import Progress, Traffic, clock_ms
+from ternlane.testing.clients import Clients
+from ternlane.testing.engine import Engine
+from ternlane.testing.front import Front
+from ternlane.testing.traffic import Progress, Traffic, clock_ms
 
 
 @dataclass(frozen=True)
--- a/ternlane/days/plan.py
+++ b/ternlane/scenarios/plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ternlane.days.script import (
+from ternlane.scenarios.script import (
     AnyTrouble,
     BalancerCrash,
     BalancerRoll,
@@ -17,12 +17,12 @@
     OnServers,
     OriginSlow,
     Preempt,
-    Roll,
+    TenantRegistry,
     ZoneCut,
 )
 from ternlane.config import FleetConfig
-from ternlane.standin.clients import Habits, Talk
-from ternlane.standin.engine import Build
+from ternlane.testing.clients import Habits, Talk
+from ternlane.testing.engine import Build
 
 ENGINE_NET, GATEWAY_NET = "127.0", "127.1"  # loopback: zones are told apart by the third figure
 
@@ -185,7 +185,7 @@
                         Act(when + trouble.notice_s * 1000, "die", group, trouble, ("told",)),
                         Act(when + (trouble.notice_s + trouble.for_s) * 1000, "live", group, trouble),
                     ]
-            elif isinstance(trouble, Roll):
+            elif isinstance(trouble, TenantRegistry):
                 size = max(1, round(trouble.batch * len(hit)))
                 groups = [hit[k : k + size] for k in range(0, len(hit), size)]
                 for k, group in enumerate(groups):
--- a/ternlane/days/play.py
+++ b/ternlane/scenarios/play.py
@@ -16,17 +16,17 @@
 import msgspec
 import trio
 
-from ternlane.days.parts import Scene, wall_of
-from ternlane.days.plan import GATEWAY_NET, Act, acts_of, address_of, engines_of, zones_of
-from ternlane.days.report import report_of, table_of
-from ternlane.days.script import BalancerRoll, DayScript, RegistryFails
+from ternlane.scenarios.parts import Scene, wall_of
+from ternlane.scenarios.plan import GATEWAY_NET, Act, acts_of, address_of, engines_of, zones_of
+from ternlane.scenarios.report import report_of, table_of
+from ternlane.scenarios.script import BalancerRoll, DayScript, RegistryFails
 from ternlane.config import GatewayConfig
 from ternlane.config.gateway import ConsulSource
 from ternlane.rules import check_folder
-from ternlane.standin.registry import EndpointList, Registry
-from ternlane.standin.traffic import Traffic, clock_ms
+from ternlane.testing.registry import EndpointList, Registry
+from ternlane.testing.traffic import Traffic, clock_ms
 from ternlane.tenants import KeyLine, Prices, TenantLine, new_key
-from ternlane.tenants.roll import TenantRegistryConfig
+from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
 FIRST_PORT, LAST_PORT = 20000, 31000  # below what the system hands out by itself
 START_MS = 4000.0
--- a/ternlane/days/report.py
+++ b/ternlane/scenarios/report.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ternlane.days.script import DayScript
+from ternlane.scenarios.script import DayScript
 from ternlane.ledger.bills import entries_of, reconcile, rows_of
 from ternlane.rules import Findings, read_lines
 
--- a/ternlane/days/script.py
+++ b/ternlane/scenarios/script.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta
 
-from ternlane.tenants.roll import Budget
+from ternlane.tenants.tenant_registry import Budget
 from ternlane.config.gateway import (
     Count,
     ServerLimits,
@@ -193,7 +193,7 @@
     waves: Count = 2
 
 
-class Roll(OnServers, frozen=True, kw_only=True, tag="release", tag_field="kind"):
+class TenantRegistry(OnServers, frozen=True, kw_only=True, tag="release", tag_field="kind"):
     """A release: drained, restarted, `batch` of those struck at a time."""
 
     batch: Part = 0.25
@@ -240,7 +240,7 @@
     | ZoneCut
     | MassRestart
     | Preempt
-    | Roll
+    | TenantRegistry
     | BalancerCrash
     | BalancerRoll
     | RegistryFails
--- a/ternlane/tenants/meter.py
+++ b/ternlane/tenants/meter.py
@@ -13,7 +13,7 @@
 from math import inf
 from zoneinfo import ZoneInfo
 
-from ternlane.tenants.roll import Budget
+from ternlane.tenants.tenant_registry import Budget
 
 
 @dataclass(slots=True, frozen=True)
--- a/ternlane/tenants/parts.py
+++ b/ternlane/tenants/quota_leases.py
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Lender:
+class QuotaLeases:
     """One table for all gateways; every call is one atomic change of it. `span_s` is the time between two looks."""
 
     gateways: int
@@ -91,7 +91,7 @@
 
 
 @dataclass
-class Borrower:
+class QuotaBorrower:
     """One gateway's side for one tenant: what its traffic wants, by what it let in and what it could not."""
 
     used: float = 0.0  # tokens reserved since the last look
--- a/ternlane/tenants/roll.py
+++ b/ternlane/tenants/tenant_registry.py
@@ -81,7 +81,7 @@
     """No live key: the caller hears the same whatever was wrong."""
 
 
-class Roll:
+class TenantRegistry:
     """Finds the tenant of a key. A key that ends does not touch generations that are open."""
 
     def __init__(self, config: TenantRegistryConfig) -> None:
--- a/ternlane/tenants/cashier.py
+++ b/ternlane/tenants/usage_accounting.py
@@ -14,8 +14,8 @@
 from ternlane.tenants.billing import Billed, Used
 from ternlane.tenants.lengths import Lengths
 from ternlane.tenants.meter import Meter, Period, Short, period_at
-from ternlane.tenants.parts import AHEAD, FLOOR, PLENTY, Borrower
-from ternlane.tenants.roll import TenantLine
+from ternlane.tenants.quota_leases import AHEAD, FLOOR, PLENTY, QuotaBorrower
+from ternlane.tenants.tenant_registry import TenantLine
 
 NEARLY = 0.75  # of a period's tokens spent: another chunk is drawn
 ABSURD = 16  # times what was asked for: usage beyond that is a faulty engine's
@@ -67,13 +67,13 @@
 
 
 @dataclass
-class Cashier:
+class UsageAccounting:
     gateways: int = 1
     gateway: str = "g"
     lends: bool = False  # a lender can be asked for more than the floor
     lengths: Lengths = field(default_factory=Lengths)
     meters: dict[tuple[str, str], Meter] = field(default_factory=dict)
-    borrowers: dict[str, Borrower] = field(default_factory=dict)
+    borrowers: dict[str, QuotaBorrower] = field(default_factory=dict)
     seen_wall: float = 0.0
     past: dict[tuple[str, str, str], int] = field(default_factory=dict)  # tenant, product or "", period -> tokens
 
@@ -153,10 +153,10 @@
             "insufficient_quota" if short.kind == "period" else "rate_limit_exceeded", short.kind, short.wait_ms
         )
 
-    def borrower(self, tenant: TenantLine) -> Borrower:
+    def borrower(self, tenant: TenantLine) -> QuotaBorrower:
         found = self.borrowers.get(tenant.name)
         if found is None:
-            found = self.borrowers[tenant.name] = Borrower()
+            found = self.borrowers[tenant.name] = QuotaBorrower()
         return found
 
     def wants(self, tenant: TenantLine, now: float, wall: float) -> tuple[float, float]:
--- a/ternlane/standin/clients.py
+++ b/ternlane/testing/clients.py
@@ -11,8 +11,8 @@
 import msgspec
 import trio
 
-from ternlane.http1 import Caller, EventReader, Pool, Unconnected
-from ternlane.standin.traffic import Traffic, clock_ms
+from ternlane.http1 import ClientConnection, EventReader, ConnectionPool, ConnectError
+from ternlane.testing.traffic import Traffic, clock_ms
 
 TOKEN_BYTES = 4
 LISTENS_ON_MS = 300.0  # after its time is up, so that an answer that comes late is seen to be late
@@ -108,7 +108,7 @@
     ) -> None:
         self.name, self.address, self.talks, self.habits, self.traffic = name, address, talks, habits, traffic
         self.rng = random.Random(seed)
-        self.pool = Pool(1000.0, 1000.0, source)
+        self.pool = ConnectionPool(1000.0, 1000.0, source)
         self.weather = Weather()
         self.count = self.open = 0
         self.tally: dict[str, int] = {}
@@ -270,7 +270,7 @@
                     stream=stream,
                 )
                 await self.listen(caller, request, headers, msgspec.json.encode(body), heard, scope, leave, deadline_ms)
-        except Unconnected:
+        except ConnectError:
             heard.outcome = "unreachable"
         except GONE as why:
             heard.outcome = "broken"
@@ -296,7 +296,7 @@
 
     async def listen(
         self,
-        caller: Caller,
+        caller: ClientConnection,
         request: str,
         headers: list[tuple[str, str]],
         body: bytes,
@@ -331,7 +331,13 @@
             pass
 
     async def stream(
-        self, caller: Caller, request: str, heard: Heard, scope: trio.CancelScope, leave: bool, deadline_ms: float
+        self,
+        caller: ClientConnection,
+        request: str,
+        heard: Heard,
+        scope: trio.CancelScope,
+        leave: bool,
+        deadline_ms: float,
     ) -> None:
         events, first, last = EventReader(), True, 0.0
         pieces: list[str] = []
--- a/ternlane/standin/engine.py
+++ b/ternlane/testing/engine.py
@@ -19,8 +19,8 @@
 from xxhash import xxh3_64_intdigest
 
 from ternlane.emulator import Load
-from ternlane.http1 import Exchange, Pool, Unconnected, event_bytes, serve_connection
-from ternlane.standin.traffic import Traffic, clock_ms
+from ternlane.http1 import Exchange, ConnectionPool, ConnectError, event_bytes, serve_connection
+from ternlane.testing.traffic import Traffic, clock_ms
 
 KEPT_BLOCK = 256  # bytes of prompt text
 TOKEN_BYTES = 4
@@ -112,7 +112,7 @@
         self.host, self.port, self.build, self.traffic = host, port, build, traffic
         self.rng = random.Random(zlib.crc32(f"{seed} {ident}".encode()))
         self.trouble = Trouble()
-        self.pool = Pool(500.0, 20e3, source)
+        self.pool = ConnectionPool(500.0, 20e3, source)
         self.open: dict[Exchange, trio.CancelScope] = {}
         self.life = trio.CancelScope()
         self.changed = trio.Event()
@@ -488,7 +488,7 @@
                 said = msgspec.json.decode(await caller.body(4096))
                 self.pool.give_back(caller)
         except (
-            Unconnected,
+            ConnectError,
             OSError,
             h11.RemoteProtocolError,
             trio.BrokenResourceError,
--- a/ternlane/standin/front.py
+++ b/ternlane/testing/front.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ternlane.standin.traffic import Traffic
+from ternlane.testing.traffic import Traffic
 
 CHUNK = 65536
 UNREACHED = (
--- a/ternlane/standin/registry.py
+++ b/ternlane/testing/registry.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.http1 import Exchange, serve_connection
-from ternlane.standin.traffic import Traffic
+from ternlane.testing.traffic import Traffic
 
 
 @dataclass(frozen=True)
--- a/ternlane/standin/scripted.py
+++ b/ternlane/testing/scripted.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ternlane.standin.engine import LINGER_0
+from ternlane.testing.engine import LINGER_0
 
 Step = bytes | float | str  # send, wait (ms), or "reset", "close", "hold"
 
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import TYPE_CHECKING, Any, Callable, Iterator
 
-from ternlane import turns
+from ternlane import event_loop
 from ternlane.policy import messages
 from ternlane.policy.messages import Role, Effect, Request, EndpointStatus, Server, AttemptOutcome
 from tests.fleet.scene import Job, ClientRequest
@@ -20,7 +20,7 @@
     from tests.fleet.day import Day
 
 
-class Gateway(turns.Turns[Any]):
+class Gateway(event_loop.EventLoop[Any]):
     """One gateway's loop on the day's clock."""
 
     def __init__(self, day: Day, number: int) -> None:
@@ -162,11 +162,11 @@
         self.active_requests[job.request].flowing = True
         self.tell(messages.FirstToken(job.request, job.server, self.day.now - job.since))
 
-    def settle(self, active_request: Any, final: turns.Rejected | turns.Failed) -> None:
+    def settle(self, active_request: Any, final: event_loop.Rejected | event_loop.Failed) -> None:
         client_request = self.requests.pop(active_request.request, None)
         if client_request is None:
             return
-        if isinstance(final, turns.Rejected):
+        if isinstance(final, event_loop.Rejected):
             self.day.again(client_request, "rejected", final.pause_ms)
         elif client_request.request_class.effect is Effect.IDEMPOTENT:
             self.day.again(client_request, "failed")
@@ -212,9 +212,9 @@
 @contextmanager
 def virtual_clock(now: Callable[[], float]) -> Iterator[None]:
     """`Turns` asks for the time by this name."""
-    real = turns.now_ms
-    turns.now_ms = now
+    real = event_loop.now_ms
+    event_loop.now_ms = now
     try:
         yield
     finally:
-        turns.now_ms = real
+        event_loop.now_ms = real
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -10,12 +10,12 @@
 import trio
 
 from ternlane.deployment import Deployment
-from ternlane.http1 import Caller, Pool
+from ternlane.http1 import ClientConnection, ConnectionPool
 from ternlane.platform.process import Gateway
 from ternlane.platform.endpoint_registry import read_listing
 from ternlane.platform.settings import Limits, Post
-from ternlane.standin.platform import Discovery, Fleet, ModelServer
-from ternlane.standin.proxy import StallingProxy
+from ternlane.testing.platform import Discovery, Fleet, ModelServer
+from ternlane.testing.proxy import StallingProxy
 from tests.world import Reply, heard
 
 TOLD: dict[str, Any] = {
@@ -71,7 +71,7 @@
         self.fleet, self.discovery = Fleet(nursery), Discovery(nursery, 100.0)
         self.servers: dict[str, ModelServer] = {}
         self.count = 0
-        self.pool = Pool(1000, 1000)
+        self.pool = ConnectionPool(1000, 1000)
         self.reserved: list[socket.socket] = []
         self.gateway: Gateway
 
@@ -222,7 +222,7 @@
     with trio.fail_after(10):
         while True:
             try:
-                caller: Caller = await p.pool.connect(p.address)
+                caller: ClientConnection = await p.pool.connect(p.address)
                 if (await caller.ask("GET", "/health/ready", [])).status_code == 200:
                     return caller.close_now()
             except Exception:
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -17,8 +17,8 @@
 
 import trio
 
-from ternlane.standin.platform import DONE
-from ternlane.standin.proxy import StallingProxy
+from ternlane.testing.platform import DONE
+from ternlane.testing.proxy import StallingProxy
 from tests.crossing import Client, answer_end, client_request
 from tests.platform_world import TOLD, Platform, platform, until_ready
 from tests.test_platform_bounds import running
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,7 @@
 
 from tests.world import BUILD, World, replace, world
 from ternlane.client import Client, RequestError, Failed, Rejected, Unconnected
-from ternlane.standin.scripted import Scripted
+from ternlane.testing.scripted import Scripted
 
 JS = Path(__file__).parent.parent / "clients" / "js"
 NODE = shutil.which("node")
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -16,7 +16,7 @@
 from ternlane.http1 import exchange as exchange_module
 from ternlane.platform import front as front_module
 from ternlane.platform.settings import Limits
-from ternlane.standin.platform import DONE, EVENT, Gate
+from ternlane.testing.platform import DONE, EVENT, Gate
 from tests.crossing import Client, LateBytes, Wrapped, arrived, pair, client_request, server_side, until
 from tests.platform_world import BODY, HEAD, TOLD, platform
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -18,12 +18,12 @@
 
 from ternlane import deployment as deployment_module
 from ternlane.deployment import Deployment
-from ternlane.http1 import Pool
+from ternlane.http1 import ConnectionPool
 from ternlane.platform import process, registry
 from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import Limits, Post
 from ternlane.policy.messages import EndpointStatus
-from ternlane.standin.platform import Discovery, Gate
+from ternlane.testing.platform import Discovery, Gate
 from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, platform, until_ready
 from tests.test_platform_bounds import reload
@@ -244,7 +244,7 @@
 
 
 async def test_kept_connections_that_a_shorter_idle_limit_forbids_are_closed() -> None:
-    pool = Pool(100.0, 1000.0)
+    pool = ConnectionPool(100.0, 1000.0)
     async with platform("r0", "w0") as p:
         for server in p.servers.values():
             pool.give_back(await pool.connect(server.address))
@@ -328,7 +328,7 @@
     "typing_extensions",
     "exceptiongroup",
 }
-MODULES = {"deployment", "http1", "log_output", "notes", "platform", "policy", "turns", "wire_names"}
+MODULES = {"deployment", "http1", "log_output", "notes", "platform", "policy", "event_loop", "wire_names"}
 
 
 def test_the_process_imports_no_more_than_it_needs() -> None:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -14,12 +14,12 @@
 import trio
 
 from ternlane.policy import messages
-from ternlane.http1 import Caller, Pool, Silent
-from ternlane.http1 import caller as caller_module
+from ternlane.http1 import ClientConnection, ConnectionPool, ReadTimeout
+from ternlane.http1 import client_connection as connection_module
 from ternlane.http1.nonblocking import send_now
 from ternlane.platform import engines as engines_module
 from ternlane.policy.messages import Effect, Group, AttemptOutcome
-from ternlane.standin.platform import DONE, EVENT, HEAD, Gate, framed
+from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 from tests.crossing import Client, Wrapped, arrived, pair, client_request, until
 from tests.platform_world import TOLD, Platform, always, once, platform
@@ -38,7 +38,7 @@
     """Connections come up at once, and nobody hears of it before `gate` opens: a slow handshake."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str) -> None:
-        self.gate, self.address, reach = Gate(), address, caller_module.reach
+        self.gate, self.address, reach = Gate(), address, connection_module.reach
         self.holds: Callable[[str], bool] = lambda address: address == self.address
 
         async def slow(host: str, number: int, source: str | None) -> trio.SocketStream:
@@ -47,7 +47,7 @@
                 await self.gate.hold()
             return stream
 
-        monkeypatch.setattr(caller_module, "reach", slow)
+        monkeypatch.setattr(connection_module, "reach", slow)
 
     def after(self, p: Platform, role: str) -> None:
         """Holds the connections to servers of this duty once one of them has been asked."""
@@ -166,7 +166,7 @@
                 arrived(self.inner)
             raise AssertionError
 
-    caller = Caller(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
+    caller = ClientConnection(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
     await caller.send_request("DELETE", "/kv/leases/ab", [])
     caller.expect_by(trio.current_time() + 0.05)
     assert (await caller.read_head()).status_code == 204
@@ -175,13 +175,13 @@
 
 async def test_a_peer_that_never_stops_sending_is_not_waited_for_beyond_its_time() -> None:
     stream, peer = await pair()
-    caller = Caller(stream, "a:1", ("", 0))
+    caller = ClientConnection(stream, "a:1", ("", 0))
     await caller.send_request("GET", "/", [])
     peer.send(HEAD + framed(EVENT))
     assert (await caller.read_head()).status_code == 200
     caller.expect_by(trio.current_time() - 1)
     got: list[bytes] = []
-    with pytest.raises(Silent):
+    with pytest.raises(ReadTimeout):
         async for piece in caller.chunks():
             got.append(piece)
             peer.send(framed(b": comment\n\n"))  # there is always something to read
@@ -195,21 +195,21 @@
 ) -> None:
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["event"] = Gate()
-        receive, held = Caller._receive, Gate()
+        receive, held = ClientConnection._receive, Gate()
         now = trio.current_time
 
-        async def at_the_limit(self: Caller) -> bytes:
+        async def at_the_limit(self: ClientConnection) -> bytes:
             """Once the first event has been passed on: all of the rest is there, and the time is over."""
             if self.peer == p.servers["w0"].address and gate.reached.is_set() and not held.opened.is_set():
                 held.open()
                 gate.open()
                 arrived_at = now() + 5
-                while now() < arrived_at and not caller_module.is_readable(self.stream):
+                while now() < arrived_at and not connection_module.is_readable(self.stream):
                     await trio.sleep(0.001)
                 self.silent_by = now() - 1
             return await receive(self)
 
-        monkeypatch.setattr(Caller, "_receive", at_the_limit)
+        monkeypatch.setattr(ClientConnection, "_receive", at_the_limit)
         reply = await p.ask()
         assert reply.status == 200 and reply.done == 1 and held.opened.is_set()
         await p.settled()
@@ -319,9 +319,9 @@
     async with platform("r0", "w0", "w1", told=told) as p:
         for _ in range(4):
             assert (await p.ask(Request_Timeout="15")).status == 200
-        dead, closing = Caller.dead.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
+        dead, closing = ClientConnection.dead.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
 
-        def well(self: Caller) -> bool:
+        def well(self: ClientConnection) -> bool:
             said: bool = dead(self)
             if not said and self.peer in closing:
                 closing.clear()
@@ -329,7 +329,7 @@
                 _reset_by_peer(p, self)
             return said
 
-        monkeypatch.setattr(Caller, "dead", property(well))
+        monkeypatch.setattr(ClientConnection, "dead", property(well))
         before = p.fleet.count("write")
         reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
@@ -337,7 +337,7 @@
         await p.settled()
 
 
-def _reset_by_peer(p: Platform, caller: Caller) -> None:
+def _reset_by_peer(p: Platform, caller: ClientConnection) -> None:
     """The server's side of this connection is closed."""
     import gc
 
@@ -356,7 +356,7 @@
 ) -> None:
     """Also where attempts may not be called off: this one has not begun."""
     async with platform("r0", "w0", told=told(cancel=False)) as p:
-        gate, send = Gate(), caller_module.send
+        gate, send = Gate(), connection_module.send
 
         async def half(stream: trio.SocketStream, data: bytes) -> None:
             if data.startswith(b"POST /v1/"):
@@ -364,7 +364,7 @@
                 await gate.hold()
             await send(stream, data[-3:] if data.startswith(b"POST /v1/") else data)
 
-        monkeypatch.setattr(caller_module, "send", half)
+        monkeypatch.setattr(connection_module, "send", half)
         client = Client(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
@@ -488,8 +488,8 @@
 
 async def test_pool_gives_no_connection_before_it_has_rested() -> None:
     stream, peer = await pair()
-    pool = Pool(100.0, 10_000.0)
-    caller = Caller(stream, "127.0.0.1:9", ("", 0))
+    pool = ConnectionPool(100.0, 10_000.0)
+    caller = ClientConnection(stream, "127.0.0.1:9", ("", 0))
     pool.open.add(caller)
     peer.send(b"HTTP/1.1 204 \r\n\r\n")
     assert (await caller.ask("DELETE", "/", [])).status_code == 204
@@ -497,7 +497,7 @@
     pool.give_back(caller)
     assert caller.conn.our_state is h11.IDLE
     refused: Callable[[], Any] = partial(pool.take, "127.0.0.1:9", 60e3)
-    with pytest.raises(caller_module.Unconnected):  # nobody listens there; the kept one is not used
+    with pytest.raises(connection_module.ConnectError):  # nobody listens there; the kept one is not used
         await refused()
     assert await pool.take("127.0.0.1:9") is caller
     caller.close_now()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -16,8 +16,8 @@
 import trio
 
 from tests.world import BUILD, replace, world
-from ternlane.days.plan import acts_of, engines_of
-from ternlane.days.script import DayScript
+from ternlane.scenarios.plan import acts_of, engines_of
+from ternlane.scenarios.script import DayScript
 from ternlane.config import read_config
 
 DAYS = Path(__file__).parent.parent / "days"
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ternlane.emulator import Batch, Blocks, Build, Course, Held, chain
+from ternlane.emulator import Batch, Blocks, Build, Course, HostedRequest, chain
 
 STEPS = st.lists(
     st.tuples(st.sampled_from(["take", "grow", "seal", "back", "cut"]), st.integers(0, 11), st.integers(0, 7)),
@@ -16,7 +16,7 @@
 )
 
 
-def whole(it: Blocks, open_: list[Held]) -> None:
+def whole(it: Blocks, open_: list[HostedRequest]) -> None:
     """Every block is in exactly one place, and is counted as often as it is held."""
     held = [b for h in open_ for b in h.blocks]
     assert sorted([*it.free, *it.idle, *it.lost, *set(held)]) == list(range(it.total))
@@ -30,7 +30,7 @@
 @given(STEPS)
 @settings(max_examples=120, deadline=None)
 def test_no_block_is_lost_or_doubled(policy: str, steps: list[tuple[str, int, int]]) -> None:
-    it, open_, keys = Blocks(12, policy), list[Held](), chain(bytes(range(96)), 8)  # type: ignore[arg-type]
+    it, open_, keys = Blocks(12, policy), list[HostedRequest](), chain(bytes(range(96)), 8)  # type: ignore[arg-type]
     for what, a, b in steps:
         if what == "take":
             before = (it.room, it.used)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -7,13 +7,13 @@
 import pytest
 import trio
 
-from ternlane import SocketTransport, FailedError, open_routing, turns
+from ternlane import SocketTransport, FailedError, open_routing, event_loop
 from ternlane.policy import messages
 from ternlane.config import GatewayConfig
 from ternlane.config.gateway import InlineSource
 from ternlane.platform.node import Passing
-from ternlane.standin.platform import Gate
-from ternlane.turns import OVERDUE_MS
+from ternlane.testing.platform import Gate
+from ternlane.event_loop import OVERDUE_MS
 from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform
 from tests.world import REQUEST_CLASSES, TERMS, world
@@ -124,7 +124,7 @@
 
 
 async def test_the_regular_looks_go_on_after_one_that_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(turns, "FAULT_PAUSE_MS", 50.0)
+    monkeypatch.setattr(event_loop, "FAULT_PAUSE_MS", 50.0)
     looks: list[bool] = []
 
     def fail_first(events: list[messages.Event]) -> None:
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 
 from ternlane.deployment import Deployment
-from ternlane.http1 import Pool
+from ternlane.http1 import ConnectionPool
 from ternlane.platform import registry
 from ternlane.platform.engines import Engines, Attempt, AttemptResult
 from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointList, Lists, EndpointRegistry, read_listing
 from ternlane.platform.settings import Limits
 from ternlane.policy.messages import Role, EndpointStatus, AttemptOutcome
-from ternlane.standin.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
+from ternlane.testing.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_world import BODY, TOLD, Platform, platform
 
 
@@ -263,7 +263,7 @@
     nursery: trio.Nursery,
 ) -> None:
     fleet, deployment = Fleet(nursery), Deployment(1, TOLD)
-    engines = Engines(Pool(150.0, 1000.0), deployment)
+    engines = Engines(ConnectionPool(150.0, 1000.0), deployment)
     servers = [ModelServer(f"w{n}", "write", fleet) for n in range(20)]
     for server in reversed(servers):
         await server.start()
@@ -279,7 +279,7 @@
 
 async def test_a_server_that_could_not_be_reached_is_asked_last_to_release(nursery: trio.Nursery) -> None:
     fleet = Fleet(nursery)
-    engines = Engines(Pool(150.0, 1000.0), Deployment(1, TOLD))
+    engines = Engines(ConnectionPool(150.0, 1000.0), Deployment(1, TOLD))
     well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
     for server in (well, away):
         await server.start()
@@ -294,7 +294,7 @@
 async def test_a_connection_on_which_nothing_was_asked_is_kept(nursery: trio.Nursery) -> None:
     server = ModelServer("w0", "write", Fleet(nursery))
     await server.start()
-    pool = Pool(500.0, 1000.0)
+    pool = ConnectionPool(500.0, 1000.0)
     caller = await pool.take(server.address)
     pool.give_back(caller)
     assert caller.conn.our_state is h11.IDLE and await pool.take(server.address) is caller and pool.made == 1
@@ -303,7 +303,7 @@
 # -- streams
 
 
-class Outlet:
+class ResponseWriter:
     def __init__(self) -> None:
         self.got: list[bytes] = []
 
@@ -316,7 +316,7 @@
 @pytest.mark.parametrize("struck", [False, True])
 async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
     """The time-out strikes while the event is already there, so it does not keep the task from going on."""
-    attempt, outlet = Attempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0), Outlet()
+    attempt, response_writer = Attempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0), ResponseWriter()
 
     class Stub:
         def expect_by(self, when: float) -> None:
@@ -331,8 +331,8 @@
 
     end = AttemptResult()
     with attempt.scope:
-        await Engines(Pool(1.0, 1.0), Deployment(1, TOLD)).stream(attempt, Stub(), outlet, end)  # type: ignore[arg-type]
-    assert (end.begun, len(outlet.got)) == ((False, 0) if struck else (True, 2))
+        await Engines(ConnectionPool(1.0, 1.0), Deployment(1, TOLD)).stream(attempt, Stub(), response_writer, end)  # type: ignore[arg-type]
+    assert (end.begun, len(response_writer.got)) == ((False, 0) if struck else (True, 2))
 
 
 # -- in pieces
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,13 +14,13 @@
 
 from tests.world import BUILD, Reply, World, heard, patient, replace, world
 from ternlane.engine.attempt import AttemptPlan, prefill_attempt, stream_attempt
-from ternlane.http1 import Caller, Pool
+from ternlane.http1 import ClientConnection, ConnectionPool
 from ternlane.config import ConsulSource, NodeLine
 from ternlane.config.gateway import ServerLimits
 from ternlane.policy.messages import AttemptOutcome
-from ternlane.standin.registry import EndpointList, Registry
-from ternlane.standin.scripted import Scripted
-from ternlane.standin.traffic import Traffic
+from ternlane.testing.registry import EndpointList, Registry
+from ternlane.testing.scripted import Scripted
+from ternlane.testing.traffic import Traffic
 
 SLOW = replace(BUILD, token_ms=80.0, answer_tokens=(8, 8))
 
@@ -292,7 +292,7 @@
         for s in fill:
             s.setblocking(False)
             s.connect_ex(deaf.getsockname())
-        pool = Pool(120, 1000)
+        pool = ConnectionPool(120, 1000)
         plan = AttemptPlan("127.0.0.1:%d" % deaf.getsockname()[1], [], b"{}", 5000, 100)
         since = trio.current_time()
         end = await prefill_attempt(pool, plan)
@@ -336,7 +336,7 @@
 )
 async def test_what_the_end_of_a_leg_proves(steps: list[Any], outcome: AttemptOutcome, begun: bool) -> None:
     async with trio.open_nursery() as nursery:
-        peer, pool, got = Scripted(steps), Pool(200, 1000), []
+        peer, pool, got = Scripted(steps), ConnectionPool(200, 1000), []
         await peer.run(nursery)
 
         async def pass_on(text: str, first: bool) -> None:
@@ -354,7 +354,7 @@
     async with trio.open_nursery() as nursery:
         peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
-        end = await prefill_attempt(Pool(200, 1000), AttemptPlan(peer.address, [], b"{}", 500, 100))
+        end = await prefill_attempt(ConnectionPool(200, 1000), AttemptPlan(peer.address, [], b"{}", 500, 100))
         assert end.outcome is AttemptOutcome.ERROR and end.state is None
         nursery.cancel_scope.cancel()
 
@@ -457,7 +457,7 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(registry.serve, listeners)
         address = "127.0.0.1:%d" % listeners[0].socket.getsockname()[1]
-        from ternlane.nodes import follow_consul
+        from ternlane.discovery import follow_consul
 
         found: list[list[NodeLine]] = []
         failed: list[str] = []
@@ -551,7 +551,7 @@
         await trio.sleep(0.02)
         await w.revive("r0")
         assert (await w.ask("note")).done == 1
-        assert isinstance(await w.pool.connect(w.gateway.address), Caller)
+        assert isinstance(await w.pool.connect(w.gateway.address), ClientConnection)
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -13,8 +13,8 @@
 import pytest
 import trio
 
-from ternlane.standin.platform import Gate
-from ternlane.standin.proxy import StallingProxy
+from ternlane.testing.platform import Gate
+from ternlane.testing.proxy import StallingProxy
 from tests.crossing import until
 from tests.platform_world import TOLD, Platform, always, platform, until_ready
 from tests.test_platform_bounds import running
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -19,11 +19,11 @@
 from tests.test_tenants import CrashError, FakeDisk
 from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, world
 from ternlane.gateway import open_gateway
-from ternlane.gateway.scribe import JOURNAL
-from ternlane.http1 import Pool, Unconnected
+from ternlane.gateway.journal_writer import JOURNAL
+from ternlane.http1 import ConnectionPool, ConnectError
 from ternlane.ledger import Damaged, Disk, Segmented
 from ternlane.ledger.store import read_segment
-from ternlane.recover.inflight import Ended, Freed, InFlight, Record, Sent, Taken
+from ternlane.recovery.inflight import Ended, Freed, InFlight, Record, Sent, Taken
 
 ROOT = Path(__file__).parent.parent
 NOW, LATER = 1000.0, 5000.0
@@ -167,13 +167,13 @@
     config = msgspec.structs.replace(w.gateway.config, journal=str(copy), listen="127.0.0.1:0")
     async with open_gateway(config) as gateway:
         with trio.fail_after(2):
-            while not gateway.scribe.ready:  # type: ignore[union-attr]
+            while not gateway.journal_writer.ready:  # type: ignore[union-attr]
                 await trio.sleep(0.005)
         yield gateway.address
 
 
 async def ask_at(address: str, model: str, key: str) -> Reply:
-    caller = await Pool(1000, 1000).connect(address)
+    caller = await ConnectionPool(1000, 1000).connect(address)
     try:
         return await heard(
             caller,
@@ -223,7 +223,7 @@
 async def test_a_repeat_after_the_loss_hears_the_answer_that_was_given(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
-        await w.gateway.scribe.writer.flush(1.0)  # type: ignore[union-attr]
+        await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
         async with next_gateway(w, tmp_path / "j") as address:
             again = await ask_at(address, "note", "k1")
             assert again.text == reply.text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
@@ -235,7 +235,7 @@
         w.engines["w0"].trouble.script = "midway"
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 0
         w.engines["w0"].trouble.script = ""
-        await w.gateway.scribe.writer.flush(1.0)  # type: ignore[union-attr]
+        await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
         async with next_gateway(w, tmp_path / "j") as address:
             assert (await ask_at(address, "summary", "k1")).done == 1
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 1
@@ -259,22 +259,22 @@
 
 async def test_with_a_full_disk_nothing_runs_that_could_not_be_remembered(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        scribe = w.gateway.scribe
-        assert scribe is not None
+        journal_writer = w.gateway.journal_writer
+        assert journal_writer is not None
         with trio.fail_after(1):
-            while not scribe.ready:
+            while not journal_writer.ready:
                 await trio.sleep(0.005)
 
         def full(handle: int, data: bytes) -> int:
             raise OSError(28, "full")
 
-        write, scribe.store.disk.write = scribe.store.disk.write, full  # type: ignore[method-assign]
+        write, journal_writer.store.disk.write = journal_writer.store.disk.write, full  # type: ignore[method-assign]
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
         assert reply.status == 429 and w.said("effect") == []
         assert (await w.ask("note")).done == 1  # without a key nobody was promised anything
-        scribe.store.disk.write = write  # type: ignore[method-assign]
+        journal_writer.store.disk.write = write  # type: ignore[method-assign]
         with trio.fail_after(3):
-            while scribe.writer.waiting:
+            while journal_writer.writer.waiting:
                 await trio.sleep(0.01)
         assert (await w.ask("note", headers={"Idempotency-Key": "k1"})).done == 1
 
@@ -282,7 +282,7 @@
 async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_taken(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         with trio.fail_after(1):
-            while not w.gateway.scribe.ready:  # type: ignore[union-attr]
+            while not w.gateway.journal_writer.ready:  # type: ignore[union-attr]
                 await trio.sleep(0.005)
         config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
         async with open_gateway(config) as second:
@@ -290,7 +290,7 @@
             assert reply.status == 503 and reply.error["code"] == "taking_over"  # type: ignore[index]
             await w.gateway.drain()
             with trio.fail_after(2):
-                while not second.scribe.ready:  # type: ignore[union-attr]
+                while not second.journal_writer.ready:  # type: ignore[union-attr]
                     await trio.sleep(0.005)
             assert (await ask_at(second.address, "note", "k1")).done == 1
 
@@ -316,9 +316,9 @@
             with trio.fail_after(20):
                 while True:
                     try:
-                        (await Pool(200, 1000).connect(f"127.0.0.1:{port}")).close_now()
+                        (await ConnectionPool(200, 1000).connect(f"127.0.0.1:{port}")).close_now()
                         return process
-                    except Unconnected:
+                    except ConnectError:
                         await trio.sleep(0.03)
 
         async def ask_until_taken() -> Any:  # 503 while it takes the journal up, 429 until it has had reports
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -9,8 +9,8 @@
 import pytest
 import trio
 
-from ternlane.http1 import Pool, Unconnected
-from ternlane.http1.wear import OFTEN, Wear
+from ternlane.http1 import ConnectionPool, ConnectError
+from ternlane.http1.connection_age import OFTEN, ConnectionAge
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
@@ -34,7 +34,7 @@
             at = trio.current_time()
 
 
-async def ask(pool: Pool, peer: str) -> bool:
+async def ask(pool: ConnectionPool, peer: str) -> bool:
     caller = await pool.take(peer)
     try:
         assert (await caller.ask("GET", "/", [])).status_code == 200
@@ -52,7 +52,7 @@
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, peer.serve, [listener])
         address = "127.0.0.1:%d" % listener.socket.getsockname()[1]
-        pool = Pool(1000, 10_000)
+        pool = ConnectionPool(1000, 10_000)
         outcomes = []
         for _ in range(12):
             outcomes.append(await ask(pool, address))
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("broke_every, shunned", [(2, True), (int(2 / OFTEN), False)])
 def test_what_breaks_now_and_then_is_chance_and_what_is_shunned_is_tried_again(broke_every: int, shunned: bool) -> None:
-    wear = Wear(1000.0)
+    wear = ConnectionAge(1000.0)
     for i in range(100):
         wear.note(200.0, i % broke_every == 0, 0.0)
     assert wear.shuns(200.0, 0.0) is shunned and wear.shuns(250.0, 0.0) is shunned
@@ -89,8 +89,8 @@
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, serve, [listener])
-        caller = await Pool(1000, 1000).take("127.0.0.1:%d" % listener.socket.getsockname()[1])
-        with pytest.raises(trio.BrokenResourceError if reads_all else Unconnected):
+        caller = await ConnectionPool(1000, 1000).take("127.0.0.1:%d" % listener.socket.getsockname()[1])
+        with pytest.raises(trio.BrokenResourceError if reads_all else ConnectError):
             await caller.ask("POST", "/", [], body)
         assert caller.written is reads_all
         caller.close_now()
@@ -112,7 +112,7 @@
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, serve, [listener])
-        pool, peer = Pool(1000, 1000), "127.0.0.1:%d" % listener.socket.getsockname()[1]
+        pool, peer = ConnectionPool(1000, 1000), "127.0.0.1:%d" % listener.socket.getsockname()[1]
         for turn in range(3):
             caller = await pool.take(peer)
             await caller.ask("GET", "/", [])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from ternlane.platform.protocol import load_of, outcome_of
 from ternlane.platform.endpoint_registry import EndpointRegistry, read_listing
 from ternlane.policy.messages import Role, AttemptOutcome
-from ternlane.standin.platform import DONE, EVENT
+from ternlane.testing.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
 from ternlane.wirehost.host import Instance
 from tests.platform_world import TOLD, always, once, platform
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -6,7 +6,7 @@
 import trio
 
 from ternlane.policy.messages import EndpointStatus
-from ternlane.standin.platform import Discovery
+from ternlane.testing.platform import Discovery
 from tests.platform_world import platform
 
 
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -13,10 +13,10 @@
 import trio
 
 from ternlane.policy import messages
-from ternlane.http1 import Unconnected
+from ternlane.http1 import ConnectError
 from ternlane.platform.protocol import Events
-from ternlane.standin.platform import DONE, EVENT
-from ternlane.turns import Turns, now_ms
+from ternlane.testing.platform import DONE, EVENT
+from ternlane.event_loop import EventLoop, now_ms
 from tests.platform_world import BODY, platform, until_ready
 from tests.world import Reply, heard
 
@@ -34,7 +34,7 @@
         return [messages.StartTimer(now + 5, True)]
 
 
-class Quiet(Turns[Any]):
+class Quiet(EventLoop[Any]):
     def carry_further(self, action: messages.Action) -> None:
         raise AssertionError(action)
 
@@ -136,7 +136,7 @@
         with trio.fail_after(1):
             assert await silent.stream.receive_some() == b""
         assert trio.current_time() - since < 0.7
-        with pytest.raises(Unconnected):
+        with pytest.raises(ConnectError):
             await p.pool.connect(p.address)
         with trio.fail_after(3):
             while p.gateway.front.conns:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -21,7 +21,7 @@
 from ternlane.policy.messages import Effect
 from ternlane.embed import open_routing
 from ternlane.engine import Kept, AttemptRequest, LocalTransport
-from ternlane.recover import Differs, Join, Pace, Rhythm, Shelf, Way, way_of
+from ternlane.recovery import Differs, StreamJoin, RecoveryPace, StreamPacing, ReplayBuffer, ResumeStrategy, way_of
 from ternlane.rules import check
 from ternlane.tenants import Used, bill_for
 
@@ -234,7 +234,10 @@
         reply = await w.ask()
         assert reply.done == 0 and "outgrew" in reply.error["message"]  # type: ignore[index]
         await w.settled()
-        assert w.gateway.host.mender.shelf.used == 0 and w.gateway.host.mender.shelf.dropped == 1
+        assert (
+            w.gateway.host.stream_recovery.replay_buffer.used == 0
+            and w.gateway.host.stream_recovery.replay_buffer.dropped == 1
+        )
     async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(resume=False)) as w:
         break_all(w, 4)
         reply = await w.ask()
@@ -273,8 +276,10 @@
 # -- without sockets
 
 
-def join(text: str = "", way: Way = Way.GO_ON, stop: Any = None, max_tokens: int = 1000) -> Join:
-    made = Join(way, "", Shelf(10**6, 10**6, 10**6), max_tokens, stop)
+def join(
+    text: str = "", way: ResumeStrategy = ResumeStrategy.GO_ON, stop: Any = None, max_tokens: int = 1000
+) -> StreamJoin:
+    made = StreamJoin(way, "", ReplayBuffer(10**6, 10**6, 10**6), max_tokens, stop)
     for piece in text.split("|") if text else ():
         made.take(piece)
     return made
@@ -284,10 +289,10 @@
 @settings(max_examples=200, deadline=None)
 def test_the_client_has_each_piece_once_wherever_legs_break(words: list[str], data: st.DataObject) -> None:
     words = [w.replace("\ufffd", "x") for w in words]
-    way = data.draw(st.sampled_from([Way.GO_ON, Way.REPLAY]))
+    way = data.draw(st.sampled_from([ResumeStrategy.GO_ON, ResumeStrategy.REPLAY]))
     it, seen = join(way=way), ""
     for _ in range(4):
-        said = words[it.tokens :] if way is Way.GO_ON else words
+        said = words[it.tokens :] if way is ResumeStrategy.GO_ON else words
         upto = data.draw(st.integers(1, max(1, len(said))))
         for piece in said[:upto]:
             seen += it.take(piece)
@@ -296,20 +301,20 @@
             break
         assert it.broke(None) is not None
     else:
-        for piece in words[it.tokens :] if way is Way.GO_ON else words:
+        for piece in words[it.tokens :] if way is ResumeStrategy.GO_ON else words:
             seen += it.take(piece)
     assert seen == "".join(words) and it.ends()
 
 
 def test_a_repeat_may_cut_its_pieces_otherwise_but_not_say_other_things() -> None:
-    it = join("ab|cd", Way.REPLAY)
+    it = join("ab|cd", ResumeStrategy.REPLAY)
     it.broke(None)
     assert [it.take(p) for p in ("a", "bc", "def", "g")] == ["", "", "ef", "g"] and it.ends()
-    it = join("ab|cd", Way.REPLAY)
+    it = join("ab|cd", ResumeStrategy.REPLAY)
     it.broke(None)
     it.take("ab")
-    assert not it.ends() and it.way is Way.END  # it ended before it had said what the client has
-    it = join("ab|cd", Way.REPLAY)
+    assert not it.ends() and it.way is ResumeStrategy.END  # it ended before it had said what the client has
+    it = join("ab|cd", ResumeStrategy.REPLAY)
     it.broke(None)
     with pytest.raises(Differs):
         it.take("aX")
@@ -328,7 +333,7 @@
 
 def test_a_text_is_not_continued_within_a_character_nor_past_its_last_token() -> None:
     it = join("a|\ufffd")
-    assert it.broke(None) is None and it.way is Way.END
+    assert it.broke(None) is None and it.way is ResumeStrategy.END
     it = join("a|b|c", max_tokens=3)
     assert it.broke(None) == 3 and it.left() == 0
     it = join("a|b|c", max_tokens=9)
@@ -338,21 +343,25 @@
 @pytest.mark.parametrize(
     "raw, effect, way",
     [
-        ({}, Effect.IDEMPOTENT, Way.GO_ON),
-        ({}, Effect.SIDE_EFFECTING, Way.END),
-        ({}, Effect.DEDUPLICATED, Way.REPLAY),
-        ({"seed": 7}, Effect.IDEMPOTENT, Way.REPLAY),
-        ({"seed": 7, "temperature": 0}, Effect.IDEMPOTENT, Way.GO_ON),
-        ({"tools": [{}]}, Effect.IDEMPOTENT, Way.END),
-        ({"tools": [{}], "seed": 1}, Effect.IDEMPOTENT, Way.REPLAY),
-        ({"response_format": {"type": "json_object"}}, Effect.IDEMPOTENT, Way.END),
-        ({"response_format": {"type": "json_object"}, "temperature": 0}, Effect.IDEMPOTENT, Way.REPLAY),
-        ({"response_format": {"type": "text"}, "stop": ["x"], "max_tokens": 9}, Effect.IDEMPOTENT, Way.GO_ON),
-        ({"logprobs": True}, Effect.IDEMPOTENT, Way.END),
-        ({"n": 2}, Effect.IDEMPOTENT, Way.END),
+        ({}, Effect.IDEMPOTENT, ResumeStrategy.GO_ON),
+        ({}, Effect.SIDE_EFFECTING, ResumeStrategy.END),
+        ({}, Effect.DEDUPLICATED, ResumeStrategy.REPLAY),
+        ({"seed": 7}, Effect.IDEMPOTENT, ResumeStrategy.REPLAY),
+        ({"seed": 7, "temperature": 0}, Effect.IDEMPOTENT, ResumeStrategy.GO_ON),
+        ({"tools": [{}]}, Effect.IDEMPOTENT, ResumeStrategy.END),
+        ({"tools": [{}], "seed": 1}, Effect.IDEMPOTENT, ResumeStrategy.REPLAY),
+        ({"response_format": {"type": "json_object"}}, Effect.IDEMPOTENT, ResumeStrategy.END),
+        ({"response_format": {"type": "json_object"}, "temperature": 0}, Effect.IDEMPOTENT, ResumeStrategy.REPLAY),
+        (
+            {"response_format": {"type": "text"}, "stop": ["x"], "max_tokens": 9},
+            Effect.IDEMPOTENT,
+            ResumeStrategy.GO_ON,
+        ),
+        ({"logprobs": True}, Effect.IDEMPOTENT, ResumeStrategy.END),
+        ({"n": 2}, Effect.IDEMPOTENT, ResumeStrategy.END),
     ],
 )
-def test_each_kind_of_request_has_its_way(raw: dict[str, Any], effect: Effect, way: Way) -> None:
+def test_each_kind_of_request_has_its_way(raw: dict[str, Any], effect: Effect, way: ResumeStrategy) -> None:
     assert way_of(raw, effect)[0] is way
 
 
@@ -382,7 +391,7 @@
 @settings(max_examples=200, deadline=None)
 def test_reading_anew_stays_within_its_share(steps: list[tuple[float, str, int, int]]) -> None:
     share, span = 0.25, 500.0
-    pace: Pace[int] = Pace(share, span, 3)
+    pace: RecoveryPace[int] = RecoveryPace(share, span, 3)
     pace.prefill_servers = 7
     now, charged, alone, peak, largest = 0.0, 0.0, 0, 0.0, 0
     waiting: dict[int, int] = {}
@@ -413,7 +422,7 @@
 
 
 def test_what_earns_most_and_has_streamed_most_goes_first_and_the_late_are_named() -> None:
-    pace: Pace[str] = Pace(0.5, 1000.0)
+    pace: RecoveryPace[str] = RecoveryPace(0.5, 1000.0)
     pace.out["busy"] = None
     for name, priority_weight, streamed, until in (
         ("low", 1, 9, 99.0),
@@ -440,7 +449,7 @@
     """Told within a few waits where writers are steady; later, by itself, where they pause now and then."""
     quiet = {}
     for pauses in (0.0, 0.01):
-        rng, it = random.Random(5), Rhythm(1e-3)
+        rng, it = random.Random(5), StreamPacing(1e-3)
         it.tokens = 30
         it.resumed(20.0)
         assert it.idle_timeout_ms("w0") is None  # nothing is known yet
@@ -461,7 +470,7 @@
 
 
 def test_no_stream_is_given_up_sooner_than_a_resume_takes_and_a_slower_fleet_is_soon_believed() -> None:
-    rng, it = random.Random(6), Rhythm(1e-2)
+    rng, it = random.Random(6), StreamPacing(1e-2)
     it.resumed(400.0)
     for _ in range(5000):
         it.heard("w0", waits_of(rng, 10.0, 0.0))
@@ -485,12 +494,12 @@
         terms=terms(),
         streams=StreamConfig(alarms=1e-3),
     ) as w:
-        rhythm, rng = w.gateway.host.mender.rhythm, random.Random(1)
+        stream_pacing, rng = w.gateway.host.stream_recovery.stream_pacing, random.Random(1)
         for _ in range(4000):
             for server in w.gateway.host.book.servers.values():
-                rhythm.heard(server, waits_of(rng, 4.0, 0.0))
-        rhythm.resumed(30.0)
-        rhythm.explores = lambda: False  # type: ignore[method-assign]
+                stream_pacing.heard(server, waits_of(rng, 4.0, 0.0))
+        stream_pacing.resumed(30.0)
+        stream_pacing.explores = lambda: False  # type: ignore[method-assign]
         break_all(w, 12, "stall")
         w.nursery.start_soon(others, w)
         since = trio.current_time()
@@ -610,12 +619,12 @@
     build = replace(BUILD, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), build=build, terms=terms()) as w:
-        rhythm, rng = w.gateway.host.mender.rhythm, random.Random(2)
+        stream_pacing, rng = w.gateway.host.stream_recovery.stream_pacing, random.Random(2)
         for _ in range(4000):
             for server in w.gateway.host.book.servers.values():
-                rhythm.heard(server, waits_of(rng, 9.0, 0.0))
-        rhythm.resumed(30.0)
-        rhythm.explores = lambda: False  # type: ignore[method-assign]
+                stream_pacing.heard(server, waits_of(rng, 9.0, 0.0))
+        stream_pacing.resumed(30.0)
+        stream_pacing.explores = lambda: False  # type: ignore[method-assign]
 
         async def stand_still_and_heal() -> None:
             while not w.said("effect"):
@@ -672,7 +681,7 @@
     async with world(("r0", "w0", "w1")) as w:
         for _ in range(12):
             await w.ask()
-        paces = w.gateway.host.mender.rhythm.paces
+        paces = w.gateway.host.stream_recovery.stream_pacing.paces
         assert paces
         w.list(w0="gone", w1="gone")
         assert not paces
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,14 +13,14 @@
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
 from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import Host
-from ternlane.gateway.door import StreamOutlet
+from ternlane.gateway.chat_api import StreamResponseWriter
 from ternlane.gateway.active_request import Final, Streamed, ActiveRequest
 from ternlane.http1 import event_bytes
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
-from ternlane.recover import Join
+from ternlane.recovery import StreamJoin
 from ternlane.rules import Findings, check
-from ternlane.standin.clients import Clients, Habits, Talk
-from ternlane.standin.traffic import clock_ms
+from ternlane.testing.clients import Clients, Habits, Talk
+from ternlane.testing.traffic import clock_ms
 
 RULES: dict[str, Any] = {
     "release_ms": TERMS.release_ms,
@@ -48,16 +48,16 @@
     """Rule 1: goes on after the end of each stream."""
 
     def arrived(self, active_request: ActiveRequest) -> None:
-        outlet = active_request.outlet
-        if isinstance(outlet, StreamOutlet):
-            end = outlet.end
+        response_writer = active_request.response_writer
+        if isinstance(response_writer, StreamResponseWriter):
+            end = response_writer.end
 
             async def end_twice(final: Final) -> None:
                 if isinstance(final, Streamed):
-                    await outlet.exchange.chunk(event_bytes(b"[DONE]"))
+                    await response_writer.exchange.chunk(event_bytes(b"[DONE]"))
                 await end(final)
 
-            outlet.end = end_twice  # type: ignore[method-assign]
+            response_writer.end = end_twice  # type: ignore[method-assign]
         super().arrived(active_request)
 
 
@@ -142,7 +142,7 @@
             self.forget(active_request)
 
 
-class Wrongly(Join):
+class Wrongly(StreamJoin):
     """Joins what comes after a loss wrongly."""
 
     how = ""
@@ -165,9 +165,9 @@
 
     how = "twice"
 
-    def join_for(self, raw: dict[str, Any], request: messages.Request) -> Join:
+    def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
         it = super().join_for(raw, request)
-        wrong = Wrongly(it.way, it.why, it.shelf, it.max_tokens)
+        wrong = Wrongly(it.way, it.why, it.replay_buffer, it.max_tokens)
         wrong.how = self.how
         return wrong
 
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -12,8 +12,8 @@
 
 import trio
 
-from ternlane.http1 import Pool, Unconnected
-from ternlane.standin.platform import Discovery, Fleet, ModelServer
+from ternlane.http1 import ConnectionPool, ConnectError
+from ternlane.testing.platform import Discovery, Fleet, ModelServer
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
@@ -38,7 +38,7 @@
 
 async def test_run_serves_reloads_and_ends_in_one_process(tmp_path: Path) -> None:
     async with trio.open_nursery() as nursery:
-        fleet, discovery, pool = Fleet(nursery), Discovery(nursery), Pool(1000, 1000)
+        fleet, discovery, pool = Fleet(nursery), Discovery(nursery), ConnectionPool(1000, 1000)
         await discovery.start()
         for name, role, kind in (("r0", "read", "reader"), ("w0", "write", "writer")):
             server = ModelServer(name, role, fleet)
@@ -77,7 +77,7 @@
                         caller.close_now()
                         assert head.status_code == 200, head
                         break
-                    except Unconnected:
+                    except ConnectError:
                         await trio.sleep(0.05)
                 assert not Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
                 assert b"ternlane.platform" in Path(f"/proc/{process.pid}/cmdline").read_bytes()  # no shell is left
@@ -123,7 +123,7 @@
         "numpy",
         "ternlane.gateway",
         "ternlane.engine",
-        "ternlane.standin",
+        "ternlane.testing",
         "ternlane.tenants",
     } & set(loaded)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -27,11 +27,11 @@
 from tests.world import BUILD, heard, patient, replace
 from tests.world import TERMS as SHORT_TERMS
 from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
-from ternlane.http1 import Pool
+from ternlane.http1 import ConnectionPool
 from ternlane.config import GatewayConfig, NodeLine
 from ternlane.config.gateway import InlineSource
-from ternlane.standin.engine import Engine
-from ternlane.standin.traffic import Traffic
+from ternlane.testing.engine import Engine
+from ternlane.testing.traffic import Traffic
 
 ROOT = Path(__file__).parent.parent
 IDENTS = ("r0", "r1", "w0", "w0b", "w1")
@@ -257,7 +257,7 @@
             [sys.executable, "-m", "ternlane", "serve", str(path), "--log", "error"], cwd=ROOT
         )
         try:
-            pool = Pool(200, 1000)
+            pool = ConnectionPool(200, 1000)
             with trio.fail_after(20):
                 while True:
                     try:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 
-from ternlane.standin.platform import DONE, EVENT, Gate
+from ternlane.testing.platform import DONE, EVENT, Gate
 from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, Platform, always, platform, until_ready
 from tests.test_platform_bounds import running
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -11,7 +11,7 @@
 from ternlane.platform.process import ENDS_MS, LONGEST_MS
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
 from ternlane.policy.messages import Effect, RejectReason, ShutdownTimes, AttemptOutcome
-from ternlane.standin.platform import Gate
+from ternlane.testing.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.crossing import Client, client_request, until
 from tests.platform_world import TOLD, always, platform
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -29,25 +29,25 @@
 import pytest
 
 import ternlane
-from ternlane.days.parts import Scene as DayScene
-from ternlane.days.play import rules_of as day_rules
-from ternlane.days.report import report_of as day_report
-from ternlane.days.script import DayScript as DayDocument
+from ternlane.scenarios.parts import Scene as DayScene
+from ternlane.scenarios.play import rules_of as day_rules
+from ternlane.scenarios.report import report_of as day_report
+from ternlane.scenarios.script import DayScript as DayDocument
 from ternlane.deployment import Deployment
 from ternlane.emulator.describe import EngineKind as EmulatorDocument
 from ternlane.gateway.daemon import drop_pid as drop_process_id
 from ternlane.gateway.daemon import write_pid as write_process_id
-from ternlane.gateway.scribe import JOURNAL, Scribe as JournalKeeper
-from ternlane.gateway.scribe import final_of as final_answer_of
+from ternlane.gateway.journal_writer import JOURNAL, JournalWriter as JournalKeeper
+from ternlane.gateway.journal_writer import final_of as final_answer_of
 from ternlane.gateway.active_request import Streamed as StreamedAnswer
 from ternlane.gateway.active_request import Failed as TerminatedAnswer
 from ternlane.ledger import Disk, Segmented, Store
 from ternlane.ledger.bills import entries_of, rows_of
 from ternlane.ledger.lending import lender_file
 from ternlane.load.plan import LoadConfig as LoadDocument
-from ternlane.nodes.kept import Torn as TornFile
-from ternlane.nodes.kept import keep as write_node_list
-from ternlane.nodes.kept import kept as read_node_list
+from ternlane.discovery.endpoint_cache import Torn as TornFile
+from ternlane.discovery.endpoint_cache import keep as write_node_list
+from ternlane.discovery.endpoint_cache import kept as read_node_list
 from ternlane.config import GatewayConfig as GatewayDocument
 from ternlane.config import NodeLine, ConfigError as DocumentError
 from ternlane.config import read_config as read_document
@@ -56,13 +56,13 @@
 from ternlane.platform.settings import File as PlatformDocument
 from ternlane.platform.settings import Unfit as UnfitError
 from ternlane.platform.settings import read_post as read_platform_configuration
-from ternlane.recover.inflight import Record as JournalRecord
+from ternlane.recovery.inflight import Record as JournalRecord
 from ternlane.rules.check import check_folder as judge_folder
-from ternlane.standin.traffic import Progress as ProgressLines
-from ternlane.standin.traffic import Traffic as TrafficLines
-from ternlane.tenants.cashier import Entry as BillEntry
-from ternlane.tenants.roll import Roll as Tenants
-from ternlane.tenants.roll import TenantRegistryConfig as TenantsDocument
+from ternlane.testing.traffic import Progress as ProgressLines
+from ternlane.testing.traffic import Traffic as TrafficLines
+from ternlane.tenants.usage_accounting import Entry as BillEntry
+from ternlane.tenants.tenant_registry import TenantRegistry as Tenants
+from ternlane.tenants.tenant_registry import TenantRegistryConfig as TenantsDocument
 
 ROOT = Path(__file__).parent.parent
 STORED = Path(__file__).parent / "data" / "stored"
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,7 +12,7 @@
 import trio.testing
 
 from ternlane.gateway import gateway as gateway_module
-from ternlane.http1 import caller as caller_module
+from ternlane.http1 import client_connection as connection_module
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process as process_module
 from tests.crossing import Client, client_request, until
@@ -116,7 +116,7 @@
     async with platform() as p:
         servers = {server.address for server in p.servers.values()}
         failed: list[str] = []
-        reach = caller_module.reach
+        reach = connection_module.reach
 
         async def failing(host: str, port: int, source: str | None) -> trio.SocketStream:
             address = f"{host}:{port}"
@@ -125,7 +125,7 @@
                 raise OSError(number, os.strerror(number))
             return await reach(host, port, source)
 
-        monkeypatch.setattr(caller_module, "reach", failing)
+        monkeypatch.setattr(connection_module, "reach", failing)
         assert await served(p) == 200 and len(failed) == times
         await p.settled()
         ejected = any(event == "info server" for event, _ in p.log.lines)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -14,23 +14,23 @@
 from ternlane.ledger.store import BILLS, Damaged, Store, Totals, read_segment
 from ternlane.tenants import (
     Budget,
-    Cashier,
+    UsageAccounting,
     Hold,
     KeyLine,
-    Lender,
+    QuotaLeases,
     Lengths,
     Meter,
     RejectReason,
-    Roll,
+    TenantRegistry,
     TenantLine,
     Unknown,
 )
 from ternlane.tenants.billing import Billed, Used
-from ternlane.tenants.cashier import Entry
+from ternlane.tenants.usage_accounting import Entry
 from ternlane.tenants.keys import new_key
 from ternlane.tenants.meter import period_at
-from ternlane.tenants.parts import FLOOR
-from ternlane.tenants.roll import Prices, TenantRegistryConfig
+from ternlane.tenants.quota_leases import FLOOR
+from ternlane.tenants.tenant_registry import Prices, TenantRegistryConfig
 
 NOON = datetime(2026, 12, 1, 12, tzinfo=ZoneInfo("UTC")).timestamp()
 
@@ -62,7 +62,7 @@
         ("revoked", 0, 5, False),
     ):
         line = KeyLine(name=name, salt=salt, hash=kept, state=state, until=until)  # type: ignore
-        roll = Roll(TenantRegistryConfig(tenants=[TenantLine(name="noto", keys=[line])]))
+        roll = TenantRegistry(TenantRegistryConfig(tenants=[TenantLine(name="noto", keys=[line])]))
         if good:
             assert roll.whose(f"Bearer {key}", now).name == "noto"
         else:
@@ -78,59 +78,59 @@
 
 
 def test_an_overrun_of_fifty_times_goes_on_the_overdraft_and_is_repaid_by_refills() -> None:
-    cashier, noto = Cashier(), tenant(minute=6000, burst=1000, overdraft=100)
-    hold = held(cashier.reserve(noto, "summary", 10, 10, 0.0, NOON))
+    usage_accounting, noto = UsageAccounting(), tenant(minute=6000, burst=1000, overdraft=100)
+    hold = held(usage_accounting.reserve(noto, "summary", 10, 10, 0.0, NOON))
     hold.most = 10_000
-    cashier.settle(hold, "a", "streamed", Billed(Used(10, 0, 500), Used()), 2, 0.0, NOON)
-    meter = cashier.meters["noto", ""]
+    usage_accounting.settle(hold, "a", "streamed", Billed(Used(10, 0, 500), Used()), 2, 0.0, NOON)
+    meter = usage_accounting.meters["noto", ""]
     assert meter.level == 1000 - 510
-    hold = held(cashier.reserve(noto, "summary", 10, 10, 0.0, NOON))
+    hold = held(usage_accounting.reserve(noto, "summary", 10, 10, 0.0, NOON))
     hold.most = 10_000
-    cashier.settle(hold, "b", "streamed", Billed(Used(10, 0, 1000), Used()), 2, 0.0, NOON)
-    no = refused(cashier.reserve(noto, "summary", 1, 1, 0.0, NOON))
+    usage_accounting.settle(hold, "b", "streamed", Billed(Used(10, 0, 1000), Used()), 2, 0.0, NOON)
+    no = refused(usage_accounting.reserve(noto, "summary", 1, 1, 0.0, NOON))
     assert no.kind == "overdraft" and no.code == "rate_limit_exceeded"
     assert no.wait_ms == pytest.approx(520 / 0.1)
-    held(cashier.reserve(noto, "summary", 1, 1, no.wait_ms + 100, NOON))
+    held(usage_accounting.reserve(noto, "summary", 1, 1, no.wait_ms + 100, NOON))
 
 
 def test_the_return_time_is_honest() -> None:
-    cashier, noto = Cashier(), tenant(minute=600, burst=100)
-    held(cashier.reserve(noto, "s", 90, 10, 0.0, NOON))
-    no = refused(cashier.reserve(noto, "s", 30, 10, 0.0, NOON))
-    assert isinstance(cashier.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), RejectReason)
-    held(cashier.reserve(noto, "s", 30, 10, no.wait_ms + 1, NOON))
+    usage_accounting, noto = UsageAccounting(), tenant(minute=600, burst=100)
+    held(usage_accounting.reserve(noto, "s", 90, 10, 0.0, NOON))
+    no = refused(usage_accounting.reserve(noto, "s", 30, 10, 0.0, NOON))
+    assert isinstance(usage_accounting.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), RejectReason)
+    held(usage_accounting.reserve(noto, "s", 30, 10, no.wait_ms + 1, NOON))
 
 
 def test_a_refused_product_budget_gives_the_tenant_budget_back() -> None:
     noto = TenantLine(name="n", budget=Budget(minute=1000), request_classes={"s": Budget(minute=10)})
-    cashier = Cashier()
-    refusals = [cashier.reserve(noto, "s", 400, 10, 0.0, NOON) for _ in range(2)]
+    usage_accounting = UsageAccounting()
+    refusals = [usage_accounting.reserve(noto, "s", 400, 10, 0.0, NOON) for _ in range(2)]
     assert isinstance(refusals[0], Hold) or isinstance(refusals[1], RejectReason)
-    cashier.meters["n", "s"].level = 0
-    before = cashier.meters["n", ""].level, cashier.meters["n", ""].open
-    refused(cashier.reserve(noto, "s", 5, 1, 0.0, NOON))
-    assert (cashier.meters["n", ""].level, cashier.meters["n", ""].open) == before
+    usage_accounting.meters["n", "s"].level = 0
+    before = usage_accounting.meters["n", ""].level, usage_accounting.meters["n", ""].open
+    refused(usage_accounting.reserve(noto, "s", 5, 1, 0.0, NOON))
+    assert (usage_accounting.meters["n", ""].level, usage_accounting.meters["n", ""].open) == before
 
 
 def test_so_many_at_once_and_no_more() -> None:
-    cashier, noto = Cashier(), tenant(at_once=2)
-    holds = [held(cashier.reserve(noto, "s", 1, 1, 0.0, NOON)) for _ in range(2)]
-    assert refused(cashier.reserve(noto, "s", 1, 1, 0.0, NOON)).kind == "at_once"
-    cashier.settle(holds[0], "a", "terminated", Billed(Used(), Used(5, 0, 0)), 1, 0.0, NOON)
-    held(cashier.reserve(noto, "s", 1, 1, 0.0, NOON))
+    usage_accounting, noto = UsageAccounting(), tenant(at_once=2)
+    holds = [held(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON)) for _ in range(2)]
+    assert refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON)).kind == "at_once"
+    usage_accounting.settle(holds[0], "a", "terminated", Billed(Used(), Used(5, 0, 0)), 1, 0.0, NOON)
+    held(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON))
 
 
 def test_a_period_ends_at_its_edge_and_a_clock_set_back_does_not_open_it_anew() -> None:
-    cashier, noto = Cashier(), tenant(period=100)
+    usage_accounting, noto = UsageAccounting(), tenant(period=100)
     last = datetime(2026, 12, 31, 23, 59, 59, tzinfo=ZoneInfo("UTC")).timestamp()
-    hold = held(cashier.reserve(noto, "s", 90, 10, 0.0, last))
-    no = refused(cashier.reserve(noto, "s", 1, 1, 0.0, last))
+    hold = held(usage_accounting.reserve(noto, "s", 90, 10, 0.0, last))
+    no = refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, last))
     assert (no.code, no.kind, no.wait_ms) == ("insufficient_quota", "period", 1000.0)
-    held(cashier.reserve(noto, "s", 90, 10, 0.0, last + 2))
-    entry = cashier.settle(hold, "a", "streamed", Billed(Used(90, 0, 10), Used()), 2, 0.0, last + 3)
+    held(usage_accounting.reserve(noto, "s", 90, 10, 0.0, last + 2))
+    entry = usage_accounting.settle(hold, "a", "streamed", Billed(Used(90, 0, 10), Used()), 2, 0.0, last + 3)
     assert entry.period == "2026-12"  # by its arrival
-    assert refused(cashier.reserve(noto, "s", 1, 1, 0.0, last - 3600)).kind == "period"
-    assert cashier.meters["noto", ""].spent == 100
+    assert refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, last - 3600)).kind == "period"
+    assert usage_accounting.meters["noto", ""].spent == 100
 
 
 def test_days_of_daylight_saving_have_their_own_length() -> None:
@@ -141,30 +141,30 @@
 
 @pytest.mark.parametrize("said", [Used(-5, 0, 10), Used(10**9, 0, 5), Used(20, 50, 5), Used(20, 0, 10**8)])
 def test_absurd_usage_of_a_faulty_engine_is_not_billed(said: Used) -> None:
-    cashier, noto = Cashier(), tenant()
-    hold = held(cashier.reserve(noto, "s", 20, 100, 0.0, NOON))
-    entry = cashier.settle(hold, "a", "streamed", Billed(said, Used()), 2, 0.0, NOON)
+    usage_accounting, noto = UsageAccounting(), tenant()
+    hold = held(usage_accounting.reserve(noto, "s", 20, 100, 0.0, NOON))
+    entry = usage_accounting.settle(hold, "a", "streamed", Billed(said, Used()), 2, 0.0, NOON)
     assert entry.note and 0 <= entry.micros <= 20 * 3 + 100 * 12
     assert min(entry.bill) >= 0 if isinstance(entry.bill, tuple) else entry.bill.prompt >= 0
 
 
 def test_a_budget_changed_with_reservations_open_keeps_them() -> None:
-    cashier = Cashier()
-    hold = held(cashier.reserve(tenant(minute=1000), "s", 500, 100, 0.0, NOON))
-    held(cashier.reserve(tenant(minute=300), "s", 10, 10, 0.0, NOON))
-    cashier.settle(hold, "a", "streamed", Billed(Used(500, 0, 100), Used()), 2, 0.0, NOON)
-    meter = cashier.meters["noto", ""]
+    usage_accounting = UsageAccounting()
+    hold = held(usage_accounting.reserve(tenant(minute=1000), "s", 500, 100, 0.0, NOON))
+    held(usage_accounting.reserve(tenant(minute=300), "s", 10, 10, 0.0, NOON))
+    usage_accounting.settle(hold, "a", "streamed", Billed(Used(500, 0, 100), Used()), 2, 0.0, NOON)
+    meter = usage_accounting.meters["noto", ""]
     assert meter.open == 1 and meter.level <= meter.most == 300
 
 
 def test_idle_tenants_cost_nothing_after_a_sweep() -> None:
-    cashier = Cashier()
+    usage_accounting = UsageAccounting()
     for i in range(5000):
-        hold = held(cashier.reserve(tenant(f"t{i}", minute=6000), "s", 10, 10, 0.0, NOON))
-        cashier.settle(hold, "g", "streamed", Billed(Used(10, 0, 10), Used()), 2, 0.0, NOON)
+        hold = held(usage_accounting.reserve(tenant(f"t{i}", minute=6000), "s", 10, 10, 0.0, NOON))
+        usage_accounting.settle(hold, "g", "streamed", Billed(Used(10, 0, 10), Used()), 2, 0.0, NOON)
     for _ in range(40):
-        cashier.sweep(60e3, NOON + 60)
-    assert cashier.meters == {}
+        usage_accounting.sweep(60e3, NOON + 60)
+    assert usage_accounting.meters == {}
 
 
 def test_lengths_are_learnt_per_tenant_and_lean_on_the_product_before() -> None:
@@ -226,23 +226,23 @@
     n: int, steps: list[tuple[int, int, float]], minute: int, burst: int
 ) -> None:
     """Whoever draws, gives back, spends or dies with what it drew: tokens come from floors and the one bucket alone."""
-    lender, budget, now, spent = Lender(n), Budget(minute=minute, burst=burst), 0.0, 0
+    lender, budget, now, spent = QuotaLeases(n), Budget(minute=minute, burst=burst), 0.0, 0
     line = TenantLine(name="t", budget=budget)
-    cashiers = [Cashier(n, f"g{i}", lends=True) for i in range(n)]
+    cashiers = [UsageAccounting(n, f"g{i}", lends=True) for i in range(n)]
     for who, tokens, after in steps:
         now += after
-        cashier = cashiers[who % n]
+        usage_accounting = cashiers[who % n]
         if tokens % 17 == 0:  # it dies, and comes back with its floor empty of what it drew
-            old = cashier.meters.get(("t", ""))
+            old = usage_accounting.meters.get(("t", ""))
             if old is not None:
-                cashier.borrowers.clear()
+                usage_accounting.borrowers.clear()
                 old.draw(-max(0.0, min(old.extra, old.level)), 0.0)
         elif tokens % 5 == 0:
-            want, target = cashier.wants(line, now * 1000, NOON + now)
-            got = lender.ask("t", cashier.gateway, want, minute, burst, NOON + now) if want else 0.0
+            want, target = usage_accounting.wants(line, now * 1000, NOON + now)
+            got = lender.ask("t", usage_accounting.gateway, want, minute, burst, NOON + now) if want else 0.0
             if got > 0:
-                cashier.meters["t", ""].draw(got, target)
-        elif isinstance(cashier.reserve(line, "s", tokens, 0 + 1, now * 1000, NOON + now), Hold):
+                usage_accounting.meters["t", ""].draw(got, target)
+        elif isinstance(usage_accounting.reserve(line, "s", tokens, 0 + 1, now * 1000, NOON + now), Hold):
             spent += tokens + 1
         single = max([0, *[t + 1 for _, t, _ in steps]])  # one larger than a bucket goes when that is full
         assert spent <= burst + minute * now / 60 + n * single + 1e-6
@@ -251,7 +251,7 @@
 
 
 def test_one_that_asks_alone_gets_all_and_two_get_even_shares() -> None:
-    lender = Lender(2, span_s=1.0)
+    lender = QuotaLeases(2, span_s=1.0)
     assert lender.ask("t", "g1", 9e9, 60_000, 1000, 100.0) == pytest.approx(1000 * (1 - FLOOR))
     shares = {"g1": 0.0, "g2": 0.0}
     for i in range(1, 40):
@@ -261,14 +261,14 @@
 
 
 def test_a_clock_set_back_refills_nothing_twice() -> None:
-    lender = Lender(1)
+    lender = QuotaLeases(1)
     first = lender.ask("t", "g", 9e9, 6000, 1000, 1000.0)
     assert lender.ask("t", "g", 9e9, 6000, 1000, 400.0) == 0.0
     assert lender.ask("t", "g", 9e9, 6000, 1000, 1001.0) == pytest.approx(80) and first == pytest.approx(800)
 
 
 def test_chunks_of_a_period_are_never_more_than_its_pool() -> None:
-    lender = Lender(3)
+    lender = QuotaLeases(3)
     got = sum(lender.draw("t", "2026-12", 24_000) for _ in range(100))
     assert got == pytest.approx(24_000 * (1 - FLOOR))
     assert lender.draw("t", "2027-01", 24_000) > 0 and lender.draw("t", "2026-12", 24_000) == 0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from ternlane.standin.platform import Gate
+from ternlane.testing.platform import Gate
 from tests.crossing import Client, client_request, until
 from tests.test_crossings_servers import HeldConnects, told
 from tests.platform_world import TOLD, Platform, once, platform
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -20,7 +20,7 @@
 from ternlane.ledger.bills import entries_of, reconcile, rows_of
 from ternlane.ledger.lending import lender_file
 from ternlane.tenants import Budget, KeyLine, Prices, TenantLine, new_key
-from ternlane.tenants.roll import TenantRegistryConfig
+from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
 
 class Bank:
@@ -109,7 +109,7 @@
         again = await bank.ask(w, "avola", text="read again " * 40)
         assert again.done == 1 and lost.status in (200, 502)
         await w.settled()
-        await w.gateway.till.writer.flush(1.0)
+        await w.gateway.budget_enforcer.writer.flush(1.0)
         found = bank.off(w)
         assert found.off <= 0.01 and not found.doubled and not found.unsettled
         rows = rows_of([tmp_path / "ledger"], "noto", None)
@@ -121,7 +121,7 @@
     async with banked(tmp_path) as (w, bank):
         for _ in range(3):
             assert (await bank.ask(w, "noto", headers={"Idempotency-Key": "k"})).done == 1
-        await w.gateway.till.writer.flush(1.0)
+        await w.gateway.budget_enforcer.writer.flush(1.0)
         assert rows_of([tmp_path / "ledger"], None, None)[0]["generations"] == 1
 
 
@@ -149,12 +149,12 @@
     build = replace(BUILD, answer_tokens=(200, 200), token_ms=1.0)
     async with banked(tmp_path, names=("noto",), build=build, budget=budget) as (w, bank):
         for _ in range(20):  # it has given short answers so far
-            w.gateway.till.cashier.lengths.learn("noto", "summary", 10)
+            w.gateway.budget_enforcer.usage_accounting.lengths.learn("noto", "summary", 10)
         reply = await bank.ask(w, "noto", max_tokens=200)
         assert (reply.done == 0 and "over budget" in str(reply.error)) if cut else reply.done == 1
         again = await bank.ask(w, "noto", max_tokens=200)
         assert again.status == 429 and float(again.headers["retry-after-ms"]) > 1000
-        await w.gateway.till.writer.flush(1.0)
+        await w.gateway.budget_enforcer.writer.flush(1.0)
         answer = rows_of([tmp_path / "ledger"], None, None)[0]["answer"]
         assert 100 < answer < 140 if cut else answer == 200
 
@@ -168,7 +168,7 @@
             engine.trouble.metering = metering
         assert (await bank.ask(w, "noto", text="x" * 400)).done == 1
         await w.settled()
-        await w.gateway.till.writer.flush(1.0)
+        await w.gateway.budget_enforcer.writer.flush(1.0)
         found = next(entries_of([tmp_path / "ledger"]))
         assert found.note and found.bill.answer == 6 and 80 <= found.bill.prompt <= 120
         assert found.micros == 3 * (found.bill.prompt - found.bill.kept) + found.bill.kept + 12 * 6
@@ -179,7 +179,7 @@
         w.gateway.host.send = lambda *_: None  # type: ignore[method-assign]
         with trio.move_on_after(0.2):
             await bank.ask(w, "noto")
-        assert w.gateway.till.cashier.meters == {} or w.said("leg") == []
+        assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.said("leg") == []
         found = bank.off(w)
         assert not w.said("leg") and not found.unsettled and found.billed.prompt == 0
         w.gateway.host.active_requests.clear()
@@ -201,7 +201,7 @@
         assert got["avola"] == [200] * 3
         assert 1 <= got["noto"].count(200) <= 8 and got["noto"].count(429) == 80 - got["noto"].count(200)
         assert len(w.said("leg", stage="write")) == got["noto"].count(200) + 3
-        await w.gateway.till.writer.flush(1.0)
+        await w.gateway.budget_enforcer.writer.flush(1.0)
         assert bank.off(w).off == 0
 
 
@@ -214,8 +214,8 @@
 
 async def test_a_full_disk_is_served_through_loudly_and_refused_beyond_the_bound(tmp_path: Path) -> None:
     async with banked(tmp_path) as (w, bank):
-        assert w.gateway.till is not None
-        disk, writer = w.gateway.till.store.disk, w.gateway.till.writer
+        assert w.gateway.budget_enforcer is not None
+        disk, writer = w.gateway.budget_enforcer.store.disk, w.gateway.budget_enforcer.writer
         write, writer.limit = disk.write, 3
 
         def full(handle: int, data: bytes) -> int:
@@ -259,14 +259,17 @@
             for _ in range(3):
                 assert (await bank.ask(second, "noto")).done == 1
             assert (await bank.ask(first, "noto")).done == 1
-            assert second.gateway.till is not None and not second.gateway.till.writer.own
+            assert second.gateway.budget_enforcer is not None and not second.gateway.budget_enforcer.writer.own
             await first.gateway.drain()
             with trio.fail_after(2):
-                while second.gateway.till.writer.waiting or not second.gateway.till.writer.own:
+                while second.gateway.budget_enforcer.writer.waiting or not second.gateway.budget_enforcer.writer.own:
                     await trio.sleep(0.01)
             row = rows_of([tmp_path / "ledger"], None, None)[0]
             assert row["generations"] == 5
-            assert second.gateway.till.cashier.meters["noto", ""].spent == row["prompt"] + row["answer"]
+            assert (
+                second.gateway.budget_enforcer.usage_accounting.meters["noto", ""].spent
+                == row["prompt"] + row["answer"]
+            )
 
 
 async def test_names_can_not_be_made_to_meet(tmp_path: Path) -> None:
@@ -279,7 +282,7 @@
 async def test_a_killed_gateway_loses_only_what_was_open_and_it_is_listed(tmp_path: Path) -> None:
     async with banked(tmp_path, build=replace(BUILD, token_ms=60.0)) as (w, bank):
         assert (await bank.ask(w, "noto")).done == 1
-        await w.gateway.till.writer.flush(1.0)
+        await w.gateway.budget_enforcer.writer.flush(1.0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(bank.ask, w, "avola")
             await trio.sleep(0.1)
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -27,11 +27,11 @@
     Unreached,
 )
 from ternlane.engine.attempt import ClientGone
-from ternlane.http1 import Exchange, Pool
+from ternlane.http1 import Exchange, ConnectionPool
 from ternlane.config import GatewayConfig, NodeLine, ConfigError, read_text
 from ternlane.config.gateway import InlineSource
 from ternlane.policy.messages import AttemptOutcome
-from ternlane.standin.engine import Engine
+from ternlane.testing.engine import Engine
 
 
 class Local:
@@ -81,7 +81,7 @@
             return LocalTransport(dict(self.local))  # type: ignore[arg-type]
         for ident in ("r0", "w0"):
             await self.world.add(ident, replace(BUILD, token_ms=2.0))
-        return SocketTransport(Pool(100, 1000), "t (t)")
+        return SocketTransport(ConnectionPool(100, 1000), "t (t)")
 
     def ask(
         self, server: str, stage: Stage, state: Any = None, ident: str = "g", timeout: float = 150
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -19,11 +19,11 @@
 from ternlane.chat import Intake
 from ternlane.policy.router import Router
 from ternlane.ledger.store import Store
-from ternlane.nodes import follow_file
+from ternlane.discovery import follow_file
 from ternlane.config import FileSource, NodeLine
 from ternlane.config.gateway import ServerLimits
 from ternlane.policy.messages import Effect, Group, RequestClass
-from ternlane.tenants import Cashier, Hold, Lender
+from ternlane.tenants import UsageAccounting, Hold, QuotaLeases
 from ternlane.tenants.billing import Billed, Used
 
 BODY = {"model": "summary", "messages": [{"role": "user", "content": "a"}], "stream": True}
@@ -104,26 +104,26 @@
 
 def test_two_gateways_spending_the_last_tokens_at_once_spend_no_more_than_there_are() -> None:
     line = tenant(minute=600, burst=600)
-    cashiers = [Cashier(2, f"g{i}") for i in range(2)]
+    cashiers = [UsageAccounting(2, f"g{i}") for i in range(2)]
     let_in = sum(isinstance(c.reserve(line, "s", 90, 10, 0.0, NOON), Hold) for _ in range(20) for c in cashiers)
     assert let_in == 6
 
 
 def test_a_clock_set_far_ahead_stays_in_the_later_period_until_time_has_caught_up() -> None:
-    cashier, line = Cashier(), tenant(period=100)
-    assert isinstance(cashier.reserve(line, "s", 90, 10, 0.0, NOON), Hold)
-    assert isinstance(cashier.reserve(line, "s", 90, 10, 0.0, NOON + 40 * 86400), Hold)
-    assert not isinstance(cashier.reserve(line, "s", 1, 1, 0.0, NOON), Hold)
+    usage_accounting, line = UsageAccounting(), tenant(period=100)
+    assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON), Hold)
+    assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON + 40 * 86400), Hold)
+    assert not isinstance(usage_accounting.reserve(line, "s", 1, 1, 0.0, NOON), Hold)
 
 
 def test_chunks_drawn_and_spent_before_a_restart_are_not_owed_again() -> None:
-    line, lender = tenant(period=24_000), Lender(3)
-    before = Cashier(3, "g", lends=True)
+    line, lender = tenant(period=24_000), QuotaLeases(3)
+    before = UsageAccounting(3, "g", lends=True)
     while before.meters.get(("noto", "")) is None or before.meters["noto", ""].spent < 5000:
         got = before.reserve(line, "s", 90, 10, 0.0, NOON)
         if not isinstance(got, Hold):
             before.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)
-    after = Cashier(3, "g", lends=True)
+    after = UsageAccounting(3, "g", lends=True)
     after.clock(NOON)
     after.remember("noto", "s", "2026-12", before.meters["noto", ""].spent)
     assert not isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), Hold)
@@ -145,15 +145,15 @@
         self.start()
 
     def start(self) -> None:
-        self.store, self.cashier, self.status = Store(self.disk, 500), Cashier(), object()  # type: ignore[arg-type]
-        self.cashier.clock(NOON + self.now / 1000)
+        self.store, self.usage_accounting, self.status = Store(self.disk, 500), UsageAccounting(), object()  # type: ignore[arg-type]
+        self.usage_accounting.clock(NOON + self.now / 1000)
         self.store.recover()
         for (name, request_class, period), it in self.store.totals.sums.items():
-            self.cashier.remember(name, request_class, period, it.bill.prompt + it.bill.answer)
+            self.usage_accounting.remember(name, request_class, period, it.bill.prompt + it.bill.answer)
 
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
-        got = self.cashier.reserve(self.line, "s", prompt, 100, self.now, NOON + self.now / 1000)
+        got = self.usage_accounting.reserve(self.line, "s", prompt, 100, self.now, NOON + self.now / 1000)
         return (self.status, got) if isinstance(got, Hold) else None
 
     @rule(it=consumes(holds), answer=st.integers(0, 100), commit=st.booleans())
@@ -163,7 +163,9 @@
         self.n += 1
         hold = it[1]
         billed = Billed(Used(hold.prompt, 0, answer), Used())
-        entry = self.cashier.settle(hold, f"g{self.n}", "streamed", billed, 2, self.now, NOON + self.now / 1000)
+        entry = self.usage_accounting.settle(
+            hold, f"g{self.n}", "streamed", billed, 2, self.now, NOON + self.now / 1000
+        )
         self.store.append(entry)
         if commit:
             self.store.commit()
@@ -191,7 +193,7 @@
             sums[period] = sums.get(period, 0) + tokens
         told = {key[2]: it.bill.prompt + it.bill.answer for key, it in self.store.totals.sums.items()}
         assert told == sums
-        meter = self.cashier.meters.get(("noto", ""))
+        meter = self.usage_accounting.meters.get(("noto", ""))
         if meter is not None and meter.period is not None:
             assert meter.spent >= sums.get(meter.period.name, 0) - 1e-9 or meter.period.begin > NOON + self.now / 1000
 
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -20,7 +20,7 @@
 from ternlane.platform.protocol import NAME_CHARS
 from ternlane.platform.settings import Limits
 from ternlane.policy.messages import Role, Effect
-from ternlane.standin.platform import Gate
+from ternlane.testing.platform import Gate
 from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, always, platform
 
@@ -211,7 +211,7 @@
 # -- where constants come from
 
 ROOT = Path(__file__).parent.parent
-CHECKED = ["platform", "http1", "policy", "turns.py", "deployment.py", "notes.py"]
+CHECKED = ["platform", "http1", "policy", "event_loop.py", "deployment.py", "notes.py"]
 
 
 def test_the_page_says_of_every_constant_where_it_comes_from() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,11 +13,11 @@
 
 from ternlane.policy.router import Router
 from ternlane.gateway import Gateway, Host, open_gateway
-from ternlane.http1 import Caller, EventReader, Pool
+from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
 from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
 from ternlane.config.gateway import ServerLimits, InlineSource
-from ternlane.standin.engine import Build, Engine
-from ternlane.standin.traffic import Traffic
+from ternlane.testing.engine import Build, Engine
+from ternlane.testing.traffic import Traffic
 
 REQUEST_CLASSES = [
     RequestClassConfig(
@@ -84,7 +84,7 @@
         self.traffic = Traffic(None)
         self.engines: dict[str, Engine] = {}
         self.gateway: Gateway
-        self.pool = Pool(1000, 1000)
+        self.pool = ConnectionPool(1000, 1000)
 
     async def add(self, ident: str, build: Build = BUILD, zone: str = "hall") -> Engine:
         role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
@@ -157,7 +157,7 @@
 
 
 async def heard(
-    caller: Caller, body: dict[str, Any] | bytes, headers: dict[str, str], path: str, method: str = "POST"
+    caller: ClientConnection, body: dict[str, Any] | bytes, headers: dict[str, str], path: str, method: str = "POST"
 ) -> Reply:
     reply = Reply()
     raw = body if isinstance(body, bytes) else msgspec.json.encode(body)
