--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -166,7 +166,7 @@
         routing = Routing(config, transport, nursery, chooser, log or library_log())
         if isinstance(config.nodes, InlineSource):
             routing.nodes(config.nodes.nodes)
-        nursery.start_soon(routing.host.clock)
+        nursery.start_soon(routing.host.run_timers)
         try:
             yield routing
         finally:
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -27,7 +27,7 @@
 )
 from ternlane.http1 import ClientConnection, EventReader, ConnectionPool, ConnectError, keep_open
 from ternlane.policy.messages import Report, AttemptOutcome
-from ternlane.event_loop import BeginCheck, may_always_begin
+from ternlane.event_loop import StartCheck, always_allowed
 
 ANSWER_LIMIT = 4 * 2**20  # bytes of an engine's plain answer
 
@@ -45,7 +45,7 @@
     timeout_ms: float
     idle_timeout_ms: float
     total_timeout_ms: float = inf
-    barred: BeginCheck = may_always_begin
+    barred: StartCheck = always_allowed
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     cancelled: bool = False
 
--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -49,15 +49,15 @@
     reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
 
 
-BeginCheck = Callable[[], messages.AttemptOutcome | None]
+StartCheck = Callable[[], messages.AttemptOutcome | None]
 
 
-def may_always_begin() -> messages.AttemptOutcome | None:
+def always_allowed() -> messages.AttemptOutcome | None:
     """The check of an attempt that nothing can forbid."""
     return None
 
 
-def begin_check(server: messages.Server, start_within_ms: float, client_gone: Callable[[], bool]) -> BeginCheck:
+def make_start_check(server: messages.Server, start_within_ms: float, client_gone: Callable[[], bool]) -> StartCheck:
     """Why an attempt at this server must not begin any more: MOOT, WITHHELD, or None where it may. Between the decision
     and the first byte lie waits for a connection or a release; ask it after them, right before that byte is written."""
     begin_by = trio.current_time() + start_within_ms / 1000
@@ -110,9 +110,9 @@
 class HostedRequest(Protocol):
     """What every host keeps of a generation; its leg is called off only while it does not stream."""
 
-    flowing: bool
+    streaming: bool
     why: str
-    trail: list[str]
+    attempt_log: list[str]
 
     @property
     def attempt(self) -> Cancellable | None: ...
@@ -134,151 +134,153 @@
 
 class EventLoop(ABC, Generic[T]):
     def __init__(self, chooser: RouterProtocol) -> None:
-        self.chooser = chooser
+        self.router = chooser
         self.active_requests: dict[messages.Request, T] = {}
-        self.heard: list[messages.Event] = []
-        self.turning = False
-        self.looking = False  # for overdue requests
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.asked = 0
-        self.alarm = trio.Event()
-        self.late_ms = 0.0  # the most that a due time was passed by since whoever reads it set it back
+        self.pending_events: list[messages.Event] = []
+        self.processing = False
+        self.checking_overdue = False  # for overdue requests
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
+        self.timers_set = 0
+        self.timer_changed = trio.Event()
+        self.max_lateness_ms = 0.0  # the most that a due time was passed by since whoever reads it set it back
         self.answer_all_by_ms = inf  # a shutdown's: whatever was not decided by then is failed
         self.lagged = 0.0, 0.0  # by how much one was passed by lately, and when
 
-    def hear(self, event: messages.Event) -> None:
+    def enqueue(self, event: messages.Event) -> None:
         """For the next turn; the inbox is another list then than when a due time was asked for."""
-        self.heard.append(event)
+        self.pending_events.append(event)
 
-    def tell(self, event: messages.Event) -> None:
-        self.heard.append(event)
-        if not self.turning:
-            self.turn()
+    def dispatch(self, event: messages.Event) -> None:
+        self.pending_events.append(event)
+        if not self.processing:
+            self.process_events()
 
-    def turn(self) -> None:
-        self.turning = True
+    def process_events(self) -> None:
+        self.processing = True
         try:
-            while self.heard:
-                events, self.heard = self.heard, []
-                for action in self.decided(events):
+            while self.pending_events:
+                events, self.pending_events = self.pending_events, []
+                for action in self.decide(events):
                     try:
-                        self.carry_out(action)
+                        self.execute(action)
                     except Exception as fault:
-                        self.faulted(fault)
+                        self.on_fault(fault)
         finally:
-            self.turning = False
+            self.processing = False
 
-    def decided(self, events: list[messages.Event]) -> list[messages.Action]:
+    def decide(self, events: list[messages.Event]) -> list[messages.Action]:
         """What the decisions make of these events: nothing, where they fail on them."""
         try:
-            return self.chooser.take(now_ms(), events)
+            return self.router.take(now_ms(), events)
         except Exception as fault:
-            self.faulted(fault)
+            self.on_fault(fault)
         for event in events:
             if isinstance(event, messages.TimerFired):  # the next one is asked for by the turn that has failed
-                self.at(now_ms() + FAULT_PAUSE_MS, partial(self.hear, event))
+                self.call_at(now_ms() + FAULT_PAUSE_MS, partial(self.enqueue, event))
         return []
 
-    def faulted(self, fault: Exception) -> None:
+    def on_fault(self, fault: Exception) -> None:
         """A fault of this program. A host that goes on after one logs it; none may take other requests with it."""
         raise fault
 
-    def look_for_overdue(self) -> None:
+    def fail_overdue_requests(self) -> None:
         """Fails the requests that nothing has answered in time, and looks again as long as any is open."""
         now = now_ms()
         for active_request in list(self.active_requests.values()):
             if active_request.unanswered and (
                 active_request.deadline_ms < now - OVERDUE_MS or now >= self.answer_all_by_ms
             ):
-                self.give_up(active_request, "nothing was decided in time")
-        self.looking = bool(self.active_requests)
-        if self.looking:
-            self.at(now_ms() + OVERDUE_LOOK_MS, self.look_for_overdue)
+                self.abort_request(active_request, "nothing was decided in time")
+        self.checking_overdue = bool(self.active_requests)
+        if self.checking_overdue:
+            self.call_at(now_ms() + OVERDUE_LOOK_MS, self.fail_overdue_requests)
 
-    def taken(self, active_request: T) -> None:
+    def add_request(self, active_request: T) -> None:
         """A request has come: the decisions hear of it, and it gets its answer also where they fail on it."""
         self.active_requests[active_request.request] = active_request
-        if not self.looking:
-            self.look_for_overdue()
-        self.tell(messages.RequestArrived(active_request.request))
+        if not self.checking_overdue:
+            self.fail_overdue_requests()
+        self.dispatch(messages.RequestArrived(active_request.request))
 
-    def give_up(self, active_request: T, why: str) -> None:
+    def abort_request(self, active_request: T, why: str) -> None:
         """Fails a request from outside the decisions, which hear that nobody waits for it. It may have run."""
         if active_request.attempt is not None:
             active_request.attempt.cancel()
-        self.settle(active_request, Failed(why))
-        self.tell(messages.ClientDisconnected(active_request.request))
+        self.finish_request(active_request, Failed(why))
+        self.dispatch(messages.ClientDisconnected(active_request.request))
 
-    def carry_out(self, action: messages.Action) -> None:
+    def execute(self, action: messages.Action) -> None:
         match action:
             case messages.StartTimer(at, beat):
-                self.at(at, partial(self.hear, messages.TimerFired(beat)))
+                self.call_at(at, partial(self.enqueue, messages.TimerFired(beat)))
             case messages.StartAttempt(request, server):
-                self.send(self.active_requests[request], server, action)
+                self.start_attempt(self.active_requests[request], server, action)
             case messages.CancelAttempt(request):
                 active_request = self.active_requests.get(request)
-                if active_request is not None and active_request.attempt is not None and not active_request.flowing:
+                if active_request is not None and active_request.attempt is not None and not active_request.streaming:
                     active_request.attempt.cancel()
             case messages.Reject(request, pause, reject_reason):
                 if request in self.active_requests:
-                    self.settle(self.active_requests[request], Rejected(pause, reject_reason))
+                    self.finish_request(self.active_requests[request], Rejected(pause, reject_reason))
             case messages.Fail(request, reject_reason):
                 active_request = self.active_requests.get(request)
                 if active_request is not None:
-                    timed_out = bool(active_request.trail) and "TIMED_OUT" in active_request.trail[-1].split()
-                    self.settle(active_request, Failed(active_request.why, timed_out, reject_reason))
+                    timed_out = (
+                        bool(active_request.attempt_log) and "TIMED_OUT" in active_request.attempt_log[-1].split()
+                    )
+                    self.finish_request(active_request, Failed(active_request.why, timed_out, reject_reason))
             case _:
-                self.carry_further(action)
+                self.execute_host_action(action)
 
     @abstractmethod
-    def send(self, active_request: T, server: messages.Server, times: messages.StartAttempt) -> None:
+    def start_attempt(self, active_request: T, server: messages.Server, times: messages.StartAttempt) -> None:
         """Sends a leg."""
 
     @abstractmethod
-    def settle(self, active_request: T, final: Rejected | Failed) -> None:
+    def finish_request(self, active_request: T, final: Rejected | Failed) -> None:
         """Gives the one final answer."""
 
     @abstractmethod
-    def carry_further(self, action: messages.Action) -> None:
+    def execute_host_action(self, action: messages.Action) -> None:
         """What else was decided."""
 
-    def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        self.asked += 1
-        heappush(self.due, (when_ms, self.asked, call))
-        if self.due[0][1] == self.asked:  # sooner than what the clock waits for
-            self.alarm.set()
+    def call_at(self, when_ms: float, call: Callable[[], None]) -> None:
+        self.timers_set += 1
+        heappush(self.timers, (when_ms, self.timers_set, call))
+        if self.timers[0][1] == self.timers_set:  # sooner than what the clock waits for
+            self.timer_changed.set()
 
     @abstractmethod
-    def woken(self) -> None:
+    def on_timers_fired(self) -> None:
         """Called after each time that something was due."""
 
-    def lag_ms(self) -> float:
+    def expected_lateness_ms(self) -> float:
         """By how much this loop must be expected to be late: what is due is to be given up so much sooner."""
         late, at = self.lagged
         return late * exp((at - now_ms()) / LAG_MS)
 
-    async def clock(self) -> None:
+    async def run_timers(self) -> None:
         """Does what is due at its time; all that is due goes in one turn."""
         while True:
-            if not self.due:
-                self.alarm = trio.Event()
-                await self.alarm.wait()
+            if not self.timers:
+                self.timer_changed = trio.Event()
+                await self.timer_changed.wait()
                 continue
-            wait = self.due[0][0] - now_ms()
+            wait = self.timers[0][0] - now_ms()
             if wait > 0:
-                self.alarm = trio.Event()
+                self.timer_changed = trio.Event()
                 with trio.move_on_after(wait / 1000):
-                    await self.alarm.wait()
+                    await self.timer_changed.wait()
                 continue
-            self.late_ms = max(self.late_ms, -wait)
-            if -wait > self.lag_ms():
+            self.max_lateness_ms = max(self.max_lateness_ms, -wait)
+            if -wait > self.expected_lateness_ms():
                 self.lagged = -wait, now_ms()
-            while self.due and self.due[0][0] <= now_ms():
+            while self.timers and self.timers[0][0] <= now_ms():
                 try:
-                    heappop(self.due)[2]()
+                    heappop(self.timers)[2]()
                 except Exception as fault:
-                    self.faulted(fault)
-            if self.heard and not self.turning:
-                self.turn()
-            self.woken()
+                    self.on_fault(fault)
+            if self.pending_events and not self.processing:
+                self.process_events()
+            self.on_timers_fired()
             await trio.lowlevel.checkpoint()
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -65,13 +65,13 @@
     left: bool = False
     taken: float = 0.0  # by the decisions, ms
     begun: bool = False  # the client has a part
-    flowing: bool = False  # the present leg streams
+    streaming: bool = False  # the present leg streams
     prompt_said: int = 0  # tokens of the prompt, by the first engine that said
     kept_said: int = 0  # of them found kept
     broke_at: int | None = None  # legs in `made` when its stream broke first
     attempt: AttemptPlan | None = None
     attempts: int = 0
-    trail: list[str] = field(default_factory=list)  # server and verdict of each leg
+    attempt_log: list[str] = field(default_factory=list)  # server and verdict of each leg
     why: str = ""
     beyond: Beyond = field(default_factory=Beyond)  # its text apart
     state: dict[str, Any] | None = None  # as the reader gave it, to hand to a writer
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -105,7 +105,7 @@
         """The list could not be read; the last one holds."""
         self.metrics.lists.labels("failed").inc()
         self.log.warning("node list", why=why)
-        self.host.tell(EndpointListFailed())
+        self.host.dispatch(EndpointListFailed())
 
     def _last_list(self) -> None:
         """What this gateway knew before it was restarted, until its source says more."""
@@ -184,7 +184,7 @@
         self.address = f"{name[0]}:{name[1]}"
         self.nursery.start_soon(self._follow)
         self.nursery.start_soon(self._keep_lists)
-        self.nursery.start_soon(self.host.clock)
+        self.nursery.start_soon(self.host.run_timers)
         if self.budget_enforcer is not None:
             for run in (self.budget_enforcer.follow, self.budget_enforcer.borrow, self.budget_enforcer.writer.run):
                 self.nursery.start_soon(run)
@@ -264,7 +264,7 @@
         """Gives up on what is open, releases what is held, and keeps the bills. After `drain` there is nothing left
         to do; a block that ends without it loses nothing either."""
         for active_request in list(self.host.active_requests.values()):
-            self.host.give_up(active_request, "the gateway went down")
+            self.host.abort_request(active_request, "the gateway went down")
         with trio.move_on_after(self.router_config.release_ms / 1000 + 0.2):  # for last answers and what is released
             while self.host.active_requests or self.host.releasing or self.door.busy:
                 await trio.sleep(0.01)
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -24,7 +24,7 @@
 from ternlane.recovery import Differs, RecoveryOutcome, StreamJoin, StreamRecovery, ResumeStrategy
 from ternlane.tenants.billing import Used
 from ternlane.wire_names import OUTCOME_NAMES
-from ternlane.event_loop import RouterProtocol, EventLoop, begin_check, now_ms
+from ternlane.event_loop import RouterProtocol, EventLoop, make_start_check, now_ms
 
 
 class Host(EventLoop[ActiveRequest]):
@@ -59,7 +59,7 @@
         for server in news.servers:
             if server.status is EndpointStatus.REMOVED:
                 self.stream_recovery.left(server)
-        self.tell(news)
+        self.dispatch(news)
 
     def alter(self, offer: Offer) -> None:
         """Other settings from now on. Legs that are out end as they began; homes and what was learnt stay."""
@@ -67,9 +67,9 @@
         self.mute.clear()
         self.intake.offer(offer.models, offer.max_tokens)
         self.stream_recovery.alter(offer.router_config)
-        self.tell(messages.ConfigChanged(offer.router_config))
+        self.dispatch(messages.ConfigChanged(offer.router_config))
 
-    def carry_further(self, action: messages.Action) -> None:
+    def execute_host_action(self, action: messages.Action) -> None:
         match action:
             case messages.Release(request):
                 self.release_all(self.active_requests.get(request))
@@ -82,10 +82,10 @@
             case messages.Probe(server):
                 self.nursery.start_soon(self.probe, server)
 
-    def woken(self) -> None:
+    def on_timers_fired(self) -> None:
         self.transport.sweep()
 
-    def faulted(self, fault: Exception) -> None:
+    def on_fault(self, fault: Exception) -> None:
         self.log.error("fault", exc_info=fault)
 
     # -- generations
@@ -98,19 +98,19 @@
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
             self.journal_writer.took(active_request)
-        self.taken(active_request)
+        self.add_request(active_request)
         self.metrics.open.set(len(self.active_requests))
 
     def client_left(self, active_request: ActiveRequest) -> None:
         """The client has gone: nothing is owed any more, and everything held for it is freed."""
         if active_request.final is None and not active_request.left:
             active_request.left = True
-            if active_request.attempt is not None and active_request.flowing:
+            if active_request.attempt is not None and active_request.streaming:
                 active_request.attempt.cancel()  # a stream that nobody reads
-            self.tell(messages.ClientDisconnected(active_request.request))
+            self.dispatch(messages.ClientDisconnected(active_request.request))
             self.close(active_request, "left")
 
-    def settle(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
+    def finish_request(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
         if active_request.begun and isinstance(final, Rejected):  # its client has a part: nothing to come back for
             final = Failed(active_request.why or "nobody could go on with it")
         if not active_request.settle(final):
@@ -128,7 +128,7 @@
             model=active_request.ask.model,
             session=active_request.known.session,
             outcome=outcome,
-            legs=active_request.trail,
+            legs=active_request.attempt_log,
             took_ms=round(took, 1),
             why=active_request.why,
         )
@@ -153,7 +153,7 @@
 
     # -- legs
 
-    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
+    def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         place = self.book.places[server]
         number = active_request.attempts
         active_request.attempts += 1
@@ -163,7 +163,7 @@
             active_request.holders[server] = None  # from now on: a read whose end is not heard may have left its state
         elif server.role is Role.DECODE and active_request.state is not None:
             stage = Stage.DECODE
-        barred = begin_check(
+        barred = make_start_check(
             server, times.start_within_ms, lambda: active_request.left or active_request.final is not None
         )
         active_request.attempt = AttemptPlan(
@@ -226,7 +226,7 @@
             if active_request.left or active_request.final is not None:
                 raise ClientGone
             if first:
-                active_request.flowing = True
+                active_request.streaming = True
                 if active_request.holders and self.journal_writer is not None:
                     self.journal_writer.freed(active_request)
                 active_request.holders.clear()  # the writer has fetched the state
@@ -238,7 +238,7 @@
                 if paused is not None:
                     self.metrics.resumed.observe(paused / 1000)
                     self.resume()  # its place is free
-                self.tell(messages.FirstToken(active_request.request, server, now_ms() - since))
+                self.dispatch(messages.FirstToken(active_request.request, server, now_ms() - since))
             try:
                 new = active_request.join.take(text)
             except Differs:
@@ -282,8 +282,8 @@
             end = AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
             self.client_left(active_request)
         except Exception as fault:
-            self.faulted(fault)
-            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.flowing, why=repr(fault))
+            self.on_fault(fault)
+            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
         self.attempt_ended(active_request, server, stage, end, now_ms() - since, plan)
 
     async def noted(self, number: int, plan: AttemptPlan) -> bool:
@@ -307,9 +307,9 @@
         took: float,
         plan: AttemptPlan,
     ) -> None:
-        active_request.attempt, active_request.flowing = None, False
+        active_request.attempt, active_request.streaming = None, False
         place = self.book.places[server]
-        active_request.trail.append(f"{place.ident} {STAGE_LABELS[stage].upper()} {OUTCOME_NAMES[end.outcome]}")
+        active_request.attempt_log.append(f"{place.ident} {STAGE_LABELS[stage].upper()} {OUTCOME_NAMES[end.outcome]}")
         self.metrics.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[end.outcome]).inc()
         self.log.debug(
             "leg",
@@ -351,13 +351,13 @@
             active_request.why = f"{place.ident}: {end.why}"
         broken = False
         if end.outcome is AttemptOutcome.STREAMED and not active_request.join.ends():
-            self.settle(active_request, Failed(active_request.join.why))
+            self.finish_request(active_request, Failed(active_request.join.why))
         elif end.outcome is AttemptOutcome.STREAMED or active_request.join.stopped:
             self.streamed(active_request, "stop" if active_request.join.stopped else end.finish, end.usage)
         elif end.begun:
             broken = not plan.cancelled and not active_request.left and self.broke(active_request, end)
             if not broken:  # its client has part of the answer, and hears that there is no more
-                self.settle(
+                self.finish_request(
                     active_request, Failed(active_request.why if plan.cancelled else end.why or "the stream broke")
                 )
         over = active_request.final is not None or active_request.left
@@ -369,7 +369,7 @@
         )
         if end.outcome in never_ran and server.role is Role.PREFILL:
             active_request.holders.pop(server, None)  # it ran nothing, so it left nothing
-        self.tell(
+        self.dispatch(
             messages.AttemptEnded(
                 active_request.request, server, end.outcome, took, over, kept, end.state_lost, end.report, broken
             )
@@ -381,7 +381,7 @@
     def streamed(self, active_request: ActiveRequest, finish: str, usage: Usage | None) -> None:
         join, said = active_request.join, (usage or Usage()).told()
         self.intake.answered(active_request.known, active_request.beyond.echoed(join.text))
-        self.settle(
+        self.finish_request(
             active_request,
             Streamed(
                 join.text,
@@ -418,14 +418,14 @@
         """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
         go, late = self.stream_recovery.next(now_ms())
         for active_request in go:
-            self.tell(messages.ResumeStream(active_request.request))
+            self.dispatch(messages.ResumeStream(active_request.request))
         for active_request in late:
-            self.settle(active_request, Failed(active_request.why or "the stream broke"))
-            self.tell(messages.ClientDisconnected(active_request.request))
+            self.finish_request(active_request, Failed(active_request.why or "the stream broke"))
+            self.dispatch(messages.ClientDisconnected(active_request.request))
         at = self.stream_recovery.due(now_ms())
         if at < self.resume_at:
             self.resume_at = at
-            self.at(at, self.resume_due)
+            self.call_at(at, self.resume_due)
 
     def resume_due(self) -> None:
         self.resume_at = float("inf")
@@ -458,7 +458,7 @@
             place.line.protocol,
         )
         if active_request.request in self.active_requests and not active_request.left and active_request.final is None:
-            self.tell(messages.ReservationResult(request, held))
+            self.dispatch(messages.ReservationResult(request, held))
 
     async def probe(self, server: Server) -> None:
         """Asks an engine for its load; one that does not say is heard all the same, and named in the log once."""
@@ -474,7 +474,7 @@
         ):
             self.mute.add(place.ident)
             self.log.warning("load not told", server=place.ident, why="no metrics that can be read at /metrics")
-        self.tell(messages.ProbeResult(server, outcome, report))
+        self.dispatch(messages.ProbeResult(server, outcome, report))
 
     async def release(self, active_request: ActiveRequest, server: Server) -> None:
         place = self.book.places[server]
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -41,12 +41,12 @@
     since: float
     final: Final | None = None
     left: bool = False
-    flowing: bool = False
+    streaming: bool = False
     attempt: Attempt | None = None
     server_name: str = ""  # of the newest attempt
     attempts: int = 0
     why: str = ""
-    trail: list[str] = field(default_factory=list)
+    attempt_log: list[str] = field(default_factory=list)
     freeing: trio.Event | None = None  # set once what was held before is released
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
     history: RequestHistory = field(init=False)
@@ -64,12 +64,12 @@
 
     @property
     def unanswered(self) -> bool:
-        return not self.over and not self.flowing
+        return not self.over and not self.streaming
 
     @property
     def last_outcome(self) -> str:
         """How its last attempt ended, "" before one has."""
-        return self.trail[-1].split()[2] if self.trail else ""
+        return self.attempt_log[-1].split()[2] if self.attempt_log else ""
 
     @property
     def deadline_ms(self) -> float:
@@ -78,7 +78,7 @@
     @property
     def phase(self) -> Phase:
         """How far it has come."""
-        if self.flowing:
+        if self.streaming:
             return Phase.STREAMING
         if self.attempt is None:
             return Phase.QUEUED
--- a/ternlane/platform/engines.py
+++ b/ternlane/platform/engines.py
@@ -18,7 +18,7 @@
 from ternlane.http1 import ClientConnection, ConnectionPool, ReadTimeout, ConnectError, keep_open
 from ternlane.platform.protocol import LEASE_PATH, LOAD, NOT_STARTED, STATS_PATH, Events, kept_of, load_of, outcome_of
 from ternlane.policy.messages import Role, Report, AttemptOutcome
-from ternlane.event_loop import BeginCheck, may_always_begin
+from ternlane.event_loop import StartCheck, always_allowed
 
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
 RELEASE_ROUNDS = 8  # of servers asked within one release time; this many at most in one round
@@ -61,7 +61,7 @@
     body: bytes
     last_by: float  # by trio's clock: a read's answer, or a first token, that comes later is not waited for
     idle_timeout_ms: float
-    barred: BeginCheck = may_always_begin
+    barred: StartCheck = always_allowed
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     release_wait: trio.CancelScope = field(default_factory=trio.CancelScope)  # for what was held before
     cancelled: bool = False
@@ -101,7 +101,7 @@
     def __init__(self, pool: ConnectionPool, deployment: Deployment) -> None:
         self.pool, self.deployment = pool, deployment
         # When each address last answered, the latest at the end but for those that owe a release its answer.
-        self.heard: OrderedDict[str, float] = OrderedDict()
+        self.pending_events: OrderedDict[str, float] = OrderedDict()
         self.release_calls = 0  # that are out
 
     async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
@@ -135,7 +135,7 @@
                 "silent within the stream" if end.begun else "no answer in time",
             )
         except ConnectError as why:
-            self.heard.pop(attempt.address, None)
+            self.pending_events.pop(attempt.address, None)
             end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
         except BROKEN as why:
             end.outcome, end.why = AttemptOutcome.RESET, repr(why)
@@ -223,7 +223,7 @@
                 caller = None
                 return AttemptOutcome.STREAMED, head.status_code, said, body
         except ConnectError:
-            self.heard.pop(address, None)
+            self.pending_events.pop(address, None)
             outcome = AttemptOutcome.CONNECT_FAILED
         except (h11.RemoteProtocolError, *BROKEN):
             outcome = AttemptOutcome.RESET
@@ -255,11 +255,15 @@
         servers = list(islice(addresses, RELEASE_SERVERS))
         with trio.move_on_after(within_ms / 1000):
             async with trio.open_nursery() as nursery:
-                for turn in range(RELEASE_ROUNDS if servers or self.heard else 0):
+                for turn in range(RELEASE_ROUNDS if servers or self.pending_events else 0):
                     self.demote(asked, began)
                     next_ones = self.not_asked(asked, servers, min(2**turn, RELEASE_ROUNDS))
                     for address in next_ones:
-                        if turn == 0 or self.release_calls < RELEASE_CALLS or self.heard.get(address, 0.0) > began:
+                        if (
+                            turn == 0
+                            or self.release_calls < RELEASE_CALLS
+                            or self.pending_events.get(address, 0.0) > began
+                        ):
                             asked[address] = None
                             nursery.start_soon(one, address, nursery.cancel_scope)
                     await trio.sleep(within_ms / RELEASE_ROUNDS / 1000)
@@ -274,18 +278,18 @@
     def demote(self, asked: Iterable[str], since: float) -> None:
         """Puts servers last that have answered nothing since they were asked, for whoever releases next."""
         for address in asked:
-            if self.heard.get(address, since) < since:
-                self.heard.move_to_end(address, last=False)
+            if self.pending_events.get(address, since) < since:
+                self.pending_events.move_to_end(address, last=False)
 
     def has_answered(self, address: str) -> None:
-        self.heard[address] = trio.current_time()
-        self.heard.move_to_end(address)
+        self.pending_events[address] = trio.current_time()
+        self.pending_events.move_to_end(address)
 
     def by_last_answer(self, addresses: Iterable[str], most: int) -> list[str]:
         """So many addresses at most: first those that have answered, the latest first, then any others."""
-        order = list(islice(reversed(self.heard), most))
+        order = list(islice(reversed(self.pending_events), most))
         if len(order) < most:
-            others = (address for address in addresses if address not in self.heard)
+            others = (address for address in addresses if address not in self.pending_events)
             order += islice(others, most - len(order))
         return order
 
@@ -304,6 +308,6 @@
 
     def known(self, addresses: list[str]) -> None:
         """Forgets what is no longer among these."""
-        for address in (self.heard.keys() | self.pool.idle.keys()) - set(addresses):
+        for address in (self.pending_events.keys() | self.pool.idle.keys()) - set(addresses):
             self.pool.forget(address)
-            self.heard.pop(address, None)
+            self.pending_events.pop(address, None)
--- a/ternlane/platform/front.py
+++ b/ternlane/platform/front.py
@@ -201,7 +201,9 @@
         request_class = node.deployment.request_classes[wish.request_class]
         # Counted from the request's last byte, as the users' page does: a slow client's time has only begun, and one
         # that came while this loop was busy has lost some of it already.
-        patience = (wish.client_timeout_ms or request_class.deadline_ms) - self.unseen_ms() - node.lag_ms()
+        patience = (
+            (wish.client_timeout_ms or request_class.deadline_ms) - self.unseen_ms() - node.expected_lateness_ms()
+        )
         request = node.deployment.request(
             request_class,
             wish.session,
--- a/ternlane/platform/node.py
+++ b/ternlane/platform/node.py
@@ -19,7 +19,7 @@
 from ternlane.platform.active_request import Final, Streamed, ActiveRequest
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.wire_names import OUTCOME_NAMES
-from ternlane.event_loop import RouterProtocol, EventLoop, begin_check, now_ms
+from ternlane.event_loop import RouterProtocol, EventLoop, make_start_check, now_ms
 
 TRAILS = 512  # requests whose attempts and transitions are kept for who asks
 RELEASE_TRIES = 4  # of a release that no server has heard, each given twice the time of the one before
@@ -44,13 +44,13 @@
 
     # -- the loop's side
 
-    def turn(self) -> None:
-        super().turn()
+    def process_events(self) -> None:
+        super().process_events()
         for active_request in self.ended:
             self.forget(active_request)
         self.ended.clear()
 
-    def carry_further(self, action: messages.Action) -> None:
+    def execute_host_action(self, action: messages.Action) -> None:
         match action:
             case messages.Release(request, again, why):
                 active_request = self.active_requests.get(request)
@@ -70,7 +70,7 @@
                 endpoint = self.endpoint_registry.endpoints.get(server)
                 self.log.info("server", server=endpoint.name if endpoint is not None else "gone", text=text)
 
-    def woken(self) -> None:
+    def on_timers_fired(self) -> None:
         self.endpoint_registry.clock.observe(time.time() * 1000, now_ms())
         self.engines.pool.sweep()
         for overdue in self.held_states.newly_overdue(now_ms(), self.deployment.router_config.release_ms):
@@ -82,24 +82,24 @@
                 held_ms=round(overdue.held_ms, 1),
             )
 
-    def faulted(self, fault: Exception) -> None:
+    def on_fault(self, fault: Exception) -> None:
         self.counts["fault"] += 1
         self.log.error("fault", exc_info=fault)
 
-    def give_up(self, active_request: ActiveRequest, why: str) -> None:
+    def abort_request(self, active_request: ActiveRequest, why: str) -> None:
         self.counts["overdue"] += 1
-        super().give_up(active_request, why)
+        super().abort_request(active_request, why)
 
     def listed(self, listing: EndpointList) -> None:
         news = self.endpoint_registry.take(listing, time.time() * 1000, now_ms())
         self.engines.known([endpoint.address for endpoint in self.endpoint_registry.endpoints.values()])
         if news.servers:
-            self.tell(news)
+            self.dispatch(news)
 
     def alter(self, deployment: Deployment) -> None:
         self.deployment = self.engines.deployment = deployment
         self.endpoint_registry.alter(deployment)
-        self.tell(messages.ConfigChanged(deployment.router_config))
+        self.dispatch(messages.ConfigChanged(deployment.router_config))
 
     # -- generations
 
@@ -109,7 +109,7 @@
         active_request.note(
             f"received, {active_request.request.client_timeout_ms:.0f} ms left{self.after_sigterm(active_request)}"
         )
-        self.taken(active_request)
+        self.add_request(active_request)
 
     def after_sigterm_ms(self, active_request: ActiveRequest) -> float | None:
         """How long after the signal to end the request was received; None where it was received before, or there was
@@ -145,13 +145,13 @@
         if not active_request.over:
             active_request.left = True
             if active_request.attempt is not None and (
-                active_request.flowing or not active_request.attempt.written
+                active_request.streaming or not active_request.attempt.written
             ):  # it was never a begun attempt
                 active_request.attempt.cancel()
             self.closed(active_request, "left")
-            self.tell(messages.ClientDisconnected(active_request.request))
+            self.dispatch(messages.ClientDisconnected(active_request.request))
 
-    def settle(self, active_request: ActiveRequest, final: Final) -> None:
+    def finish_request(self, active_request: ActiveRequest, final: Final) -> None:
         if active_request.over:
             return
         active_request.final = final
@@ -162,7 +162,7 @@
         else:
             self.counts[f"{outcome} {final.reject_reason.name}"] += 1
             active_request.note(f"{outcome}: {final.reject_reason.name}")
-        if now_ms() > active_request.deadline_ms and not active_request.flowing:
+        if now_ms() > active_request.deadline_ms and not active_request.streaming:
             self.counts["late"] += 1
         self.closed(active_request, outcome)
 
@@ -176,13 +176,15 @@
             outcome=outcome,
             phase=active_request.phase.value,
             refusal=getattr(active_request.final, "reject_reason", messages.RejectReason.UNKNOWN).name,
-            attempts=active_request.trail,
+            attempts=active_request.attempt_log,
             after_sigterm_ms=self.after_sigterm_ms(active_request),
             took_ms=round(now_ms() - active_request.since, 1),
             patience_ms=round(active_request.request.client_timeout_ms),
         )
         active_request.note(f"closed: {outcome}")
-        self.records.append(RequestRecord(active_request.ident, outcome, active_request.trail, active_request.history))
+        self.records.append(
+            RequestRecord(active_request.ident, outcome, active_request.attempt_log, active_request.history)
+        )
         self.ended.append(active_request)
 
     def forget(self, active_request: ActiveRequest) -> None:
@@ -194,13 +196,13 @@
 
     # -- legs
 
-    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
+    def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         endpoint, exchange, now = (
             self.endpoint_registry.endpoints.get(server),
             active_request.exchange,
             trio.current_time(),
         )
-        barred = begin_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed)
+        barred = make_start_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed)
         attempt = active_request.attempt = Attempt(
             endpoint.address if endpoint is not None else "",
             server.role,
@@ -213,7 +215,7 @@
             barred,
         )
         name = active_request.server_name = endpoint.name if endpoint is not None else "gone"
-        if active_request.trail:
+        if active_request.attempt_log:
             self.counts[f"retry after {active_request.last_outcome}"] += (
                 active_request.last_outcome != OUTCOME_NAMES[AttemptOutcome.PREFILLED]
             )
@@ -234,7 +236,7 @@
             self.client_left(active_request)
         except Exception as why:  # a fault of this program must not take the other generations with it
             self.log.exception("leg")
-            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.flowing, why=repr(why))
+            end = AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(why))
         if end.outcome is AttemptOutcome.CLIENT_GONE:
             self.client_left(active_request)
         if end.outcome is AttemptOutcome.STREAMED and not active_request.over:
@@ -242,18 +244,20 @@
                 await active_request.exchange.end()
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 self.client_left(active_request)
-            self.settle(active_request, Streamed(True))
+            self.finish_request(active_request, Streamed(True))
         elif end.begun:
-            self.settle(active_request, Streamed(False))
+            self.finish_request(active_request, Streamed(False))
         self.attempt_ended(active_request, server, name, end, now_ms() - since)
 
     def attempt_ended(
         self, active_request: ActiveRequest, server: Server, name: str, end: AttemptResult, took: float
     ) -> None:
-        attempt, active_request.attempt, active_request.flowing = active_request.attempt, None, False
+        attempt, active_request.attempt, active_request.streaming = active_request.attempt, None, False
         active_request.why = f"{OUTCOME_NAMES[end.outcome]}: {end.why}" if end.why else active_request.why
         kind = "read" if server.role is messages.Role.PREFILL else "write"
-        active_request.trail.append(f"{name} {kind} {OUTCOME_NAMES[end.outcome]} {took:.0f} ms {end.why}".rstrip())
+        active_request.attempt_log.append(
+            f"{name} {kind} {OUTCOME_NAMES[end.outcome]} {took:.0f} ms {end.why}".rstrip()
+        )
         written = "not written" if attempt is None or attempt.written_at is None else "written"
         ended = f"attempt {active_request.attempts} ended: {kind} {OUTCOME_NAMES[end.outcome]}, {written}: {end.why}"
         active_request.note(ended.rstrip(": "))
@@ -274,7 +278,7 @@
             prompt=active_request.request.prompt_tokens,
             why=end.why,
         )
-        self.tell(
+        self.dispatch(
             messages.AttemptEnded(
                 active_request.request,
                 server,
@@ -293,7 +297,7 @@
         written = [
             active_request.attempt.written_at
             for active_request in self.active_requests.values()
-            if active_request.attempt and not active_request.flowing
+            if active_request.attempt and not active_request.streaming
         ]
         return max((trio.current_time() - at for at in written if at is not None), default=0.0) * 1000
 
@@ -340,7 +344,7 @@
         self.held_states.ended(active_request.ident, now_ms())
         active_request.note(f"release heard by {heard_by}")
         if not active_request.over:
-            self.tell(messages.ReleaseConfirmed(active_request.request))
+            self.dispatch(messages.ReleaseConfirmed(active_request.request))
         self.log.debug("release heard", gen=active_request.ident, by=heard_by, took_ms=round(took, 1))
 
     async def hold(self, active_request: ActiveRequest, server: Server) -> None:
@@ -350,13 +354,13 @@
             self.deployment.router_config.release_ms,
         )
         if not active_request.over:
-            self.tell(messages.ReservationResult(active_request.request, held))
+            self.dispatch(messages.ReservationResult(active_request.request, held))
 
     async def probe(self, server: Server) -> None:
         outcome, report, endpoint = AttemptOutcome.CONNECT_FAILED, None, self.endpoint_registry.endpoints.get(server)
         if endpoint is not None:
             outcome, report = await self.engines.load(endpoint.address, self.deployment.router_config.connect_ms)
-        self.tell(messages.ProbeResult(server, outcome, report))
+        self.dispatch(messages.ProbeResult(server, outcome, report))
 
 
 @dataclass(slots=True)
@@ -371,10 +375,10 @@
     async def first(self, data: bytes) -> None:
         if self.active_request.over:
             raise ClientGone
-        self.active_request.flowing, self.active_request.body = True, b""
+        self.active_request.streaming, self.active_request.body = True, b""
         self.active_request.note("first event")
         self.node.held_states.ended(self.active_request.ident, now_ms())
-        self.node.tell(messages.FirstToken(self.active_request.request, self.server, now_ms() - self.since))
+        self.node.dispatch(messages.FirstToken(self.active_request.request, self.server, now_ms() - self.since))
         await self.active_request.first(data)
 
     async def more(self, data: bytes) -> None:
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -82,7 +82,7 @@
         trio.lowlevel.add_instrument(self.polls)
         self.node.endpoint_registry.index = self.post.known.index
         self.node.listed(self.post.known)
-        self.nursery.start_soon(self.node.clock)
+        self.nursery.start_soon(self.node.run_timers)
         self.watch.start()
         with trio.move_on_after(FIRST_LIST_MS / 1000):  # what discovery has counts as told from the first request on
             await self.watch.opened.wait()
@@ -131,7 +131,7 @@
             answers_all_in_ms=round(times.answers_ms),
             may_be_killed_in_ms=round(times.ends_ms),
         )
-        self.node.tell(messages.ShutdownStarted(times))
+        self.node.dispatch(messages.ShutdownStarted(times))
         self.nursery.start_soon(self.end_reading, times.answers_ms)
         self.nursery.start_soon(self.report_unfinished, times.ends_ms)
         self.front.close_idle(served_only=True)
@@ -168,7 +168,7 @@
             node = self.node
             counts = {k: v - before.get(k, 0) for k, v in sorted(node.counts.items()) if v != before.get(k, 0)}
             before = dict(node.counts)
-            late, node.late_ms = node.late_ms, 0.0
+            late, node.max_lateness_ms = node.max_lateness_ms, 0.0
             longest_held, node.held_states.longest_ms = node.held_states.longest_ms, 0.0
             self.log.info(
                 "report",
@@ -190,7 +190,9 @@
     def trails(self) -> None:
         """Every attempt and transition of the open requests and of the latest others, one line each by id."""
         records = [
-            RequestRecord(t.ident, "open", t.trail, t.history) for t in self.node.active_requests.values() if not t.over
+            RequestRecord(t.ident, "open", t.attempt_log, t.history)
+            for t in self.node.active_requests.values()
+            if not t.over
         ]
         for record in [*records, *self.node.records]:
             self.log.info(
--- a/tests/fleet/gateway.py
+++ b/tests/fleet/gateway.py
@@ -42,7 +42,7 @@
         for model in day.models:
             if model.up:
                 self.know(model)
-        self.tell(messages.EndpointsUpdated(tuple(self.truth)))
+        self.dispatch(messages.EndpointsUpdated(tuple(self.truth)))
 
     def know(self, model: ModelServer) -> Server:
         server = self.known.get(model)
@@ -57,7 +57,7 @@
     def heard_of(self, model: ModelServer) -> None:
         """Discovery has told of a change."""
         if self.alive:
-            self.tell(messages.EndpointsUpdated((self.know(model),)))
+            self.dispatch(messages.EndpointsUpdated((self.know(model),)))
 
     def kill(self) -> None:
         self.alive = False
@@ -75,14 +75,14 @@
 
     # -- the loop's side
 
-    def at(self, when_ms: float, call: Callable[[], None]) -> None:
+    def call_at(self, when_ms: float, call: Callable[[], None]) -> None:
         incarnation = self.incarnation
 
         def due() -> None:
             if self.alive and incarnation == self.incarnation:
                 call()
-                if self.heard and not self.turning:
-                    self.turn()
+                if self.pending_events and not self.processing:
+                    self.process_events()
 
         self.day.at(when_ms, due)
 
@@ -100,9 +100,9 @@
         )
         self.requests[request] = client_request
         self.active_requests[request] = ActiveRequest(request)
-        self.tell(messages.RequestArrived(request))
+        self.dispatch(messages.RequestArrived(request))
         if client_request.gives_up_ms < inf:
-            self.at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
+            self.call_at(self.day.now + client_request.gives_up_ms, lambda: self.leave(request))
 
     def leave(self, request: Request) -> None:
         """Its client has closed the connection, unless its answer has begun."""
@@ -111,11 +111,11 @@
             return
         client_request.left = True
         del self.requests[request]
-        self.tell(messages.ClientDisconnected(request))
+        self.dispatch(messages.ClientDisconnected(request))
         if request not in self.jobs:
             self.active_requests.pop(request, None)
 
-    def send(self, active_request: Any, server: Server, times: messages.StartAttempt) -> None:
+    def start_attempt(self, active_request: Any, server: Server, times: messages.StartAttempt) -> None:
         request, now, incarnation = times.request, self.day.now, self.incarnation
         job = Job(self, request, server, self.requests[request], now, now + times.timeout_ms)
         self.jobs[request] = job
@@ -150,7 +150,7 @@
         kept = 0.0
         if outcome is AttemptOutcome.PREFILLED:
             kept = job.client_request.prompt - job.work * self.day.scene.prefill_tokens_per_ms
-        self.tell(messages.AttemptEnded(job.request, job.server, outcome, took, over, kept))
+        self.dispatch(messages.AttemptEnded(job.request, job.server, outcome, took, over, kept))
         if job.request not in self.requests:
             self.active_requests.pop(job.request, None)
 
@@ -159,10 +159,10 @@
             return
         job.begun = True
         job.client_request.first_token = self.day.now
-        self.active_requests[job.request].flowing = True
-        self.tell(messages.FirstToken(job.request, job.server, self.day.now - job.since))
+        self.active_requests[job.request].streaming = True
+        self.dispatch(messages.FirstToken(job.request, job.server, self.day.now - job.since))
 
-    def settle(self, active_request: Any, final: event_loop.Rejected | event_loop.Failed) -> None:
+    def finish_request(self, active_request: Any, final: event_loop.Rejected | event_loop.Failed) -> None:
         client_request = self.requests.pop(active_request.request, None)
         if client_request is None:
             return
@@ -173,7 +173,7 @@
         else:
             client_request.outcomes.append("failed")
 
-    def carry_further(self, action: messages.Action) -> None:
+    def execute_host_action(self, action: messages.Action) -> None:
         if isinstance(action, messages.Probe):
             self.probe(action.server)
 
@@ -182,12 +182,12 @@
         model = self.truth[server]
         self.day.probes += 1
         if model.up and not model.silent and not model.hung and not self.day.cut(self, model):
-            self.at(
+            self.call_at(
                 self.day.now + PROBE_MS,
-                lambda: self.tell(messages.ProbeResult(server, AttemptOutcome.STREAMED, model.report())),
+                lambda: self.dispatch(messages.ProbeResult(server, AttemptOutcome.STREAMED, model.report())),
             )
 
-    def woken(self) -> None:
+    def on_timers_fired(self) -> None:
         pass
 
 
@@ -195,9 +195,9 @@
 class ActiveRequest:
     request: Request
     attempt: Any = None
-    flowing: bool = False
+    streaming: bool = False
     why: str = ""
-    trail: list[str] = field(default_factory=list)
+    attempt_log: list[str] = field(default_factory=list)
 
 
 @dataclass
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -124,14 +124,14 @@
     async with platform("r0", "w0") as p:
         p.servers["w0"].script = lambda _: "later_cut"
         node, client = p.gateway.node, Client(p.address)
-        settle = node.settle
+        settle = node.finish_request
 
         def at_the_end(active_request: Any, final: Any) -> None:
             client.send(b"x" * 100)  # still unread when the connection is ended, in this same turn
             arrived(active_request.exchange.stream)
             settle(active_request, final)
 
-        node.settle = at_the_end  # type: ignore[method-assign]
+        node.finish_request = at_the_end  # type: ignore[method-assign]
         client.send(client_request(p))
         out = await client.rest()
         assert EVENT in out and not out.endswith(b"0\r\n\r\n") and not client.reset
@@ -326,7 +326,7 @@
     ]  # none is rejected meanwhile
     async with platform("r0", "w0", told=TOLD | {"profiles": patient}) as p:
         gate = p.servers["r0"].gates["request"] = Gate()
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        desk = p.gateway.node.router.desk  # type: ignore[attr-defined]
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
         await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status.name == "DRAINING")
         desk.served = lambda course: True  # it waits, rather than being rejected at once
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -275,7 +275,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
-        node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        node, desk = p.gateway.node, p.gateway.node.router.desk  # type: ignore[attr-defined]
         for _ in range(3):
             assert (await p.ask()).status == 200
         old = node.deployment.request_classes["summary"]
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -76,7 +76,7 @@
         await until(lambda: replies)
         assert replies[0].status == 200
         assert [n for n, k, _ in p.fleet.seen if n in (name, other)] == [other]
-        assert not p.gateway.node.chooser.desk.board[servers[name].seat].shut  # type: ignore[attr-defined]
+        assert not p.gateway.node.router.desk.board[servers[name].seat].shut  # type: ignore[attr-defined]
         await p.settled()
 
 
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -35,7 +35,7 @@
 
 
 def make_faulty(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
-    p.gateway.node.chooser = Faulty(p.gateway.node.chooser, instead)  # type: ignore[assignment]
+    p.gateway.node.router = Faulty(p.gateway.node.router, instead)  # type: ignore[assignment]
 
 
 async def test_a_request_on_which_the_decisions_fail_is_answered_and_takes_no_other_with_it() -> None:
@@ -110,7 +110,7 @@
         begin = Passing.first
 
         async def late_first(passing: Passing, data: bytes) -> None:
-            node.give_up(passing.active_request, "too late")
+            node.abort_request(passing.active_request, "too late")
             await begin(passing, data)
 
         with pytest.MonkeyPatch.context() as patched:
@@ -142,7 +142,7 @@
 async def test_an_action_that_can_t_be_carried_out_keeps_no_other_from_it() -> None:
     async with platform("r0", "w0") as p:
         node = p.gateway.node
-        settle, refused = node.settle, list[Any]()
+        settle, refused = node.finish_request, list[Any]()
 
         def settle_second(active_request: Any, final: Any) -> None:
             refused.append(active_request)
@@ -154,7 +154,7 @@
             p,
             lambda events: [messages.Reject(e.request, 0.0) for e in events if isinstance(e, messages.RequestArrived)],
         )
-        node.settle = settle_second  # type: ignore[method-assign]
+        node.finish_request = settle_second  # type: ignore[method-assign]
         statuses: list[int] = []
 
         async def client() -> None:
@@ -169,12 +169,12 @@
 
 async def test_the_chat_gateway_too_answers_what_its_decisions_fail_on() -> None:
     async with world() as w:
-        chooser = w.gateway.host.chooser
-        w.gateway.host.chooser = Faulty(chooser, lambda events: 1 / 0 if arrivals(events) else None)
+        chooser = w.gateway.host.router
+        w.gateway.host.router = Faulty(chooser, lambda events: 1 / 0 if arrivals(events) else None)
         with trio.fail_after(3):
             reply = await w.ask(headers={"X-Ternlane-Time-Limit-Ms": "400"})
         assert reply.status == 502
-        w.gateway.host.chooser = chooser
+        w.gateway.host.router = chooser
         assert (await w.ask()).done == 1
         await w.settled()
 
@@ -203,7 +203,7 @@
             nodes=InlineSource(nodes=w.lines()),
         )
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
-            routing.host.chooser = Faulty(routing.host.chooser, lambda events: [] if arrivals(events) else None)
+            routing.host.router = Faulty(routing.host.router, lambda events: [] if arrivals(events) else None)
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
             with trio.fail_after(3), pytest.raises(FailedError):
                 async with routing.request(asked, request_timeout_ms=400) as stream:
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -36,7 +36,7 @@
 async def test_thousands_of_new_clients_ids_and_sessions_leave_nothing_behind() -> None:
     """Servers are replaced meanwhile, some clients leave early, some streams are spoilt."""
     async with platform("r0", "w0", "w1", w1=lambda ident: "later_noise" if ident.endswith("7") else "") as p:
-        node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        node, desk = p.gateway.node, p.gateway.node.router.desk  # type: ignore[attr-defined]
         outcomes: list[int] = []
 
         async def client(nth: int) -> None:
@@ -78,7 +78,7 @@
 
 async def test_what_is_in_memory_does_not_follow_the_number_of_clients() -> None:
     async with platform("r0", "w0") as p:
-        homes = p.gateway.node.chooser.desk.homes  # type: ignore[attr-defined]
+        homes = p.gateway.node.router.desk.homes  # type: ignore[attr-defined]
 
         async def some(count: int) -> int:
             for _ in range(count // 40):
@@ -99,7 +99,7 @@
 
 async def test_names_of_sessions_and_openings_are_kept_short_and_still_told_apart() -> None:
     async with platform("r0", "w0") as p:
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        desk = p.gateway.node.router.desk  # type: ignore[attr-defined]
         for last in "aab":
             info = f"prefix={'p' * 3000}{last},prompt_len=20,prefix_len=8"
             assert (await p.ask(Affinity_Key="k" * 9000 + last, Request_Info=info)).status == 200
@@ -111,7 +111,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        desk = p.gateway.node.router.desk  # type: ignore[attr-defined]
         for turn in range(1, 6):
             profiles = [profile | {"aim": 500.0 + turn} for profile in TOLD["profiles"]]
             reload(p, tmp_path, monkeypatch, TOLD | {"profiles": profiles})
@@ -263,7 +263,7 @@
         node = p.gateway.node
         time.sleep(0.25)  # noqa: ASYNC251 - the loop stands still
         await trio.sleep(0.02)
-        assert 150 < node.lag_ms() < 260
+        assert 150 < node.expected_lateness_ms() < 260
         since = trio.current_time()
         assert (await p.ask(Request_Class="note", Request_Timeout="0.6")).status in (502, 503)
         assert trio.current_time() - since < 0.5
@@ -273,7 +273,7 @@
         assert {"open", "connections", "engine_connections", "descriptors", "memory_mb", "cpu_s"} <= lines[-1].keys()
         assert sum(line.get("taken", 0) for line in lines) == 1
         node.lagged = 200.0, node.lagged[1] - 10_000
-        assert node.lag_ms() < 1
+        assert node.expected_lateness_ms() < 1
 
 
 async def test_an_answer_that_is_late_in_spite_of_all_is_counted() -> None:
@@ -351,7 +351,7 @@
         w1=lambda i: "first_not_json" if i.endswith("6") else "",
     ) as p:
         node = p.gateway.node
-        board = node.chooser.desk.board  # type: ignore[attr-defined]
+        board = node.router.desk.board  # type: ignore[attr-defined]
         for server in p.servers.values():
             server.events, server.event_ms = 20, 10.0
         agreed = 0
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -24,7 +24,7 @@
 
 
 class Beats:
-    """A chooser that asks for one beat after the other."""
+    """A router that asks for one timer after the other."""
 
     def __init__(self) -> None:
         self.heard = 0
@@ -35,28 +35,28 @@
 
 
 class Quiet(EventLoop[Any]):
-    def carry_further(self, action: messages.Action) -> None:
+    def execute_host_action(self, action: messages.Action) -> None:
         raise AssertionError(action)
 
-    def send(self, active_request: Any, server: messages.Server, times: messages.StartAttempt) -> None:
+    def start_attempt(self, active_request: Any, server: messages.Server, times: messages.StartAttempt) -> None:
         raise AssertionError(times)
 
-    def settle(self, active_request: Any, final: Any) -> None:
+    def finish_request(self, active_request: Any, final: Any) -> None:
         raise AssertionError(final)
 
-    def woken(self) -> None:
+    def on_timers_fired(self) -> None:
         pass
 
 
 async def test_beats_go_on_reaching_the_decisions(nursery: trio.Nursery) -> None:
-    chooser = Beats()
-    turns = Quiet(chooser)
-    nursery.start_soon(turns.clock)
-    turns.tell(messages.EndpointListFailed())
+    router = Beats()
+    loop = Quiet(router)
+    nursery.start_soon(loop.run_timers)
+    loop.dispatch(messages.EndpointListFailed())
     with trio.fail_after(2):
-        while chooser.heard < 5:
+        while router.heard < 5:
             await trio.sleep(0.005)
-    assert turns.due[0][0] > now_ms() - 1000
+    assert loop.timers[0][0] > now_ms() - 1000
 
 
 def test_a_stream_in_any_pieces_gives_its_events_whole() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,9 +39,9 @@
 class Mute(Host):
     """Rule 1: never says that a generation is throttled or terminated."""
 
-    def settle(self, active_request: ActiveRequest | None, final: Final) -> None:
+    def finish_request(self, active_request: ActiveRequest | None, final: Final) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
-            super().settle(active_request, final)
+            super().finish_request(active_request, final)
 
 
 class Talkative(Host):
@@ -89,8 +89,8 @@
 class Twice(Host):
     """Rule 2: begins a second leg of each generation beside the first."""
 
-    def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
-        super().send(active_request, server, times)
+    def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
+        super().start_attempt(active_request, server, times)
         plan = active_request.attempt
         if plan is not None and server.role is messages.Role.PREFILL:
             others = [s for s in self.book.servers.values() if s.role is messages.Role.PREFILL and s is not server]
@@ -116,21 +116,21 @@
 class Undrained(Host):
     """Rule 3: does not pass on that a server drains."""
 
-    def tell(self, event: messages.Event) -> None:
+    def dispatch(self, event: messages.Event) -> None:
         if isinstance(event, messages.EndpointsUpdated):
             for server in event.servers:
                 server.status = EndpointStatus.READY
-        super().tell(event)
+        super().dispatch(event)
 
 
 class Careless(Host):
     """Rule 4: takes every server for warm."""
 
-    def tell(self, event: messages.Event) -> None:
+    def dispatch(self, event: messages.Event) -> None:
         if isinstance(event, messages.EndpointsUpdated):
             for server in event.servers:
                 server.started_ms = 0.0
-        super().tell(event)
+        super().dispatch(event)
 
 
 class Keeper(Host):
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -68,7 +68,9 @@
             held, due = w.gateway.host.active_requests, len(replies) + len(w.gateway.host.active_requests) + len(models)
             with trio.fail_after(5):
                 for i, model in enumerate(models):
-                    while i == len(models) - 2 and not any(active_request.flowing for active_request in held.values()):
+                    while i == len(models) - 2 and not any(
+                        active_request.streaming for active_request in held.values()
+                    ):
                         await trio.sleep(0.001)
                     nursery.start_soon(ask, model)
                 while len(replies) + len(held) < due:
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -96,7 +96,7 @@
         assert pool.connect_ms == connection["connect_timeout_ms"] and pool.limit == 225
         assert pool.idle_ms == pytest.approx(900.0 * connection["idle_s"]) and pool.wear.span_ms == pool.idle_ms
         assert (front.conn_limit, front.open_limit) == (225, 200) and front.held_bytes == int(20 * 2**20)
-        limits = p.gateway.node.chooser.limits  # type: ignore[attr-defined]
+        limits = p.gateway.node.router.limits  # type: ignore[attr-defined]
         assert limits.slo_ms == min(one["aim_ms"] for one in raw["class"])
         assert (
             limits.retry_ms == 2 * connection["connect_timeout_ms"]
@@ -136,7 +136,7 @@
 async def test_a_shutdown_has_the_time_that_the_variants_longest_deadline_leaves(name: str, least_ms: float) -> None:
     """Counted as 3 s where it is longer, by the page; shorter ones leave less."""
     async with platform("r0", "w0", told=settings(name)) as p:
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        desk = p.gateway.node.router.desk  # type: ignore[attr-defined]
         p.gateway.begin_drain()
         assert desk.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
         short = [one | {"deadline": 900.0} for one in settings(name)["profiles"]]
@@ -178,7 +178,7 @@
     """A gateway that is given another customer's settings, with a request of the first one open, and its own again."""
     first, other = ({**settings(name), "kinds": ["reader", "writer"]} for name in NAMES)
     async with platform("r0", "w0", told=first) as p:
-        node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        node, desk = p.gateway.node, p.gateway.node.router.desk  # type: ignore[attr-defined]
         name = first["profiles"][0]["name"]
         assert (await p.ask(Request_Class=name)).status == 200
         gate = p.servers["w0"].gates["request"] = Gate()
