--- a/ternlane/http1/__init__.py
+++ b/ternlane/http1/__init__.py
@@ -1,22 +1,27 @@
-"""HTTP/1.1 over trio streams by h11, and server-sent events: what fronts, attempts, registry and stand-ins share."""
+"""HTTP/1.1 over trio streams by h11, and server-sent events: what servers, attempts, discovery and fakes share."""
 
-from ternlane.http1.client_connection import ClientConnection, ConnectionPool, ReadTimeout, ConnectError
+from ternlane.http1.client_connection import ClientConnection
+from ternlane.http1.close_reason import CloseReason
+from ternlane.http1.connection_pool import ConnectionPool
+from ternlane.http1.errors import BadRequest, ConnectError, Http1Error, ReadTimeout
 from ternlane.http1.events import EventReader, event_bytes
-from ternlane.http1.exchange import BadRequest, Exchange
+from ternlane.http1.exchange import Exchange
 from ternlane.http1.nonblocking import keep_open
-from ternlane.http1.server import CloseReason, ServerConnection, ServerLimits, serve_connection
+from ternlane.http1.server_connection import ServerConnection, serve_connection
+from ternlane.http1.server_limits import ServerLimits
 
 __all__ = [
     "BadRequest",
     "ClientConnection",
     "CloseReason",
+    "ConnectError",
+    "ConnectionPool",
     "EventReader",
     "Exchange",
-    "ConnectionPool",
+    "Http1Error",
+    "ReadTimeout",
     "ServerConnection",
     "ServerLimits",
-    "ReadTimeout",
-    "ConnectError",
     "event_bytes",
     "keep_open",
     "serve_connection",
--- a/ternlane/http1/connection_age.py
+++ b/ternlane/http1/connection_age.py
@@ -1,33 +1,53 @@
-"""Which kept connections are worth using again, by how long they have been idle. Free of I/O.
+"""Which idle connections are worth using again, by how long they have been idle. Free of I/O.
 
 A path or a peer may drop idle connections sooner than agreed, and tell so late or never; a request written to such a
-one is a reset that may have run. What broke at once is counted by the idle time's order of magnitude.
+one is a reset that may have run. Breaks are counted by the idle time's order of magnitude.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from math import exp
 
-OFTEN = 1 / 8  # part of those used again after such a time that broke: no longer chance
-LEAST = 1.5  # breaks, with the older ones fading, before anything is concluded
+# The part of the connections used again after such a time that broke: more is no chance.
+OFTEN = 1 / 8
+# Breaks, with the older ones fading, before anything is concluded.
+LEAST = 1.5
+
+
+@dataclass(slots=True, frozen=True)
+class ReuseCounts:
+    """Uses and breaks after idle times of one order of magnitude, as they were at `at_ms`."""
+
+    uses: float
+    breaks: float
+    at_ms: float
 
 
 class ConnectionAge:
-    """Forgets over `span_ms`, so that what was shunned is tried again."""
+    """Counts fade with the time constant `span_ms`, so that what was shunned is tried again."""
 
     def __init__(self, span_ms: float) -> None:
         self.span_ms = span_ms
-        self.seen: dict[int, tuple[float, float, float]] = {}  # by doublings: uses, breaks, when
+        self._counts: dict[int, ReuseCounts] = {}  # by doublings of the idle time
+
+    def note(self, idle_ms: float, broke: bool, now_ms: float) -> None:
+        """A connection was used again after being idle for so long."""
+        faded = self._faded(idle_ms, now_ms)
+        self._counts[_magnitude(idle_ms)] = ReuseCounts(faded.uses + 1, faded.breaks + broke, now_ms)
+
+    def shuns(self, idle_ms: float, now_ms: float) -> bool:
+        """Is a connection that has been idle for so long likely to break?"""
+        faded = self._faded(idle_ms, now_ms)
+        return faded.breaks >= LEAST and faded.breaks > OFTEN * faded.uses
 
-    def _now(self, idle_ms: float, now: float) -> tuple[float, float]:
-        uses, breaks, at = self.seen.get(int(idle_ms).bit_length(), (0.0, 0.0, now))
-        fade = exp((at - now) / self.span_ms)
-        return uses * fade, breaks * fade
+    def _faded(self, idle_ms: float, now_ms: float) -> ReuseCounts:
+        counts = self._counts.get(_magnitude(idle_ms))
+        if counts is None:
+            return ReuseCounts(0.0, 0.0, now_ms)
+        fade = exp((counts.at_ms - now_ms) / self.span_ms)
+        return ReuseCounts(counts.uses * fade, counts.breaks * fade, now_ms)
 
-    def note(self, idle_ms: float, broke: bool, now: float) -> None:
-        uses, breaks = self._now(idle_ms, now)
-        self.seen[int(idle_ms).bit_length()] = uses + 1, breaks + broke, now
 
-    def shuns(self, idle_ms: float, now: float) -> bool:
-        uses, breaks = self._now(idle_ms, now)
-        return breaks >= LEAST and breaks > OFTEN * uses
+def _magnitude(idle_ms: float) -> int:
+    return int(idle_ms).bit_length()
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -9,16 +9,10 @@
 
 from ternlane.http1.nonblocking import has_hung_up, send_now
 
+# Of one read.
 RECEIVE_BYTES = 65536
-EARLY_BYTES = 65536  # kept of what a client sends before its answer; as much as one receive call may bring
-
-
-class BadRequest(Exception):
-    """A request that is refused as it stands; the connection closes after the answer."""
-
-    def __init__(self, status: int, why: str, code: str = "invalid_request") -> None:
-        super().__init__(why)
-        self.status, self.why, self.code = status, why, code
+# Kept of what a client sends before its answer; as much as one read may bring.
+EARLY_BYTES = 65536
 
 
 class Exchange:
@@ -33,15 +27,20 @@
         arrived: float | None = None,
         closing: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.stream, self.conn, self.request, self.send_ms = stream, conn, request, send_ms
-        self.closing = closing  # whether the connection is to end with this answer, asked when its head is written
+        """`send_ms`: for how long a client may take nothing. `arrived`: when the request's first byte was there (s,
+        trio's clock). `closing`: whether the connection is to end with this answer, asked when its head is written."""
+        self.stream = stream
+        self.conn = conn
+        self.request = request
+        self.send_ms = send_ms
+        self.closing = closing
         self.body = b""
         self.begun = False
         self.early = 0  # bytes that came behind the request while it was served
         self.overrun = False  # more of them than are kept
         self.pipelined = False  # a further request began to come before this one's answer was complete
         self.finishing = False  # the last bytes of the answer are being written, or have been
-        self.arrived = trio.current_time() if arrived is None else arrived  # when its first byte was there
+        self.arrived = trio.current_time() if arrived is None else arrived
 
     @property
     def peer(self) -> tuple[str, int]:
@@ -51,21 +50,25 @@
 
     @property
     def method(self) -> str:
+        """The request's method."""
         return self.request.method.decode("ascii")
 
     @property
     def path(self) -> str:
+        """The request's target up to its query."""
         return self.request.target.partition(b"?")[0].decode("latin-1")
 
     @property
     def query(self) -> str:
+        """The request's query, as it stands; "" for none."""
         return self.request.target.partition(b"?")[2].decode("latin-1")
 
     def header(self, name: bytes) -> str | None:
+        """The first header of this name, which is in small letters; None where there is none."""
         return next((value.decode("latin-1") for key, value in self.request.headers if key == name), None)
 
     async def send(self, data: bytes) -> None:
-        """A client that does not take its bytes in time counts as one that has left (trio.BrokenResourceError)."""
+        """Raises trio.BrokenResourceError where the client has left, or does not take its bytes in time."""
         sent = send_now(self.stream, data)
         if sent == len(data):
             return
@@ -77,7 +80,7 @@
     async def answer(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes, content: str = "application/json"
     ) -> None:
-        """A whole answer at once."""
+        """Writes a whole answer. Raises as `send` does."""
         self.begun = True
         head = [("Content-Type", content), ("Content-Length", str(len(body))), *headers, *self._connection_header()]
         out = self.conn.send(h11.Response(status_code=status, headers=head)) or b""
@@ -87,7 +90,7 @@
         await self.send(out)
 
     async def begin(self, status: int, headers: Sequence[tuple[str, str]], first: bytes = b"") -> None:
-        """The head of a streamed answer, together with its first bytes."""
+        """Writes the head of a streamed answer, together with its first bytes. Raises as `send` does."""
         self.begun = True
         head = [*headers, *self._connection_header()]
         out = self.conn.send(h11.Response(status_code=status, headers=head)) or b""
@@ -99,9 +102,11 @@
         return [("Connection", "close")] if self.closing() else []
 
     async def chunk(self, data: bytes) -> None:
+        """Writes further bytes of a streamed answer. Raises as `send` does."""
         await self.send(self.conn.send(h11.Data(data=data)) or b"")
 
     async def end(self, last: bytes = b"") -> None:
+        """Ends a streamed answer. Raises as `send` does."""
         out = (self.conn.send(h11.Data(data=last)) or b"") if last else b""
         out += self.conn.send(h11.EndOfMessage()) or b""
         self._finish()
@@ -113,7 +118,7 @@
         self.pipelined = bool(self.conn.trailing_data[0])
 
     def reset(self) -> None:
-        """Breaks the connection off, as a faulty peer does; for stand-ins. A server just returns from its handler."""
+        """Breaks the connection off, as a faulty peer does; for fake servers alone."""
         self.stream.socket.close()
 
     async def until_left(self) -> None:
--- a/ternlane/http1/server.py
+++ b/ternlane/http1/server_connection.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from contextlib import contextmanager
-from dataclasses import dataclass
 from enum import Enum, auto
 from math import inf
 from typing import Awaitable, Callable, Iterator
@@ -16,51 +15,37 @@
 import h11
 import trio
 
-from ternlane.http1.exchange import EARLY_BYTES, RECEIVE_BYTES, BadRequest, Exchange
+from ternlane.http1.close_reason import CloseReason
+from ternlane.http1.errors import BadRequest
+from ternlane.http1.exchange import EARLY_BYTES, RECEIVE_BYTES, Exchange
 from ternlane.http1.nonblocking import is_readable, receive_now
+from ternlane.http1.server_limits import ServerLimits
 
-LINGER_S = 0.25  # for which what still comes is read off before a connection is closed
+# For which what still comes is read off before a connection is closed: longer than any way and back. A close over
+# unread bytes resets the connection, and could take the answer with it.
+LINGER_S = 0.25
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
 
 Handler = Callable[[Exchange], Awaitable[None]]
 Refuser = Callable[[Exchange | None, BadRequest], tuple[bytes, str]]
 
 
-@dataclass(frozen=True, slots=True)
-class ServerLimits:
-    """What one client's connection may send (bytes) and how long it may take (ms)."""
-
-    body_bytes: int
-    head_ms: float  # a request's head, from its first byte
-    body_ms: float  # a request's body, from the end of its head
-    idle_ms: float  # between requests
-    send_ms: float  # for which a client may take nothing of its answer
-    head_bytes: int = 65536
-    first_ms: float = inf  # from the connection's start to its first request's last byte
-
-
-class CloseReason(Enum):
-    """Why a client's connection was closed from this side, for logs and metrics."""
-
-    CLIENT_ENDED = auto()  # the client closed it between requests, or within one
-    IDLE = auto()  # no request came within the idle time
-    MADE_ROOM = auto()  # it lay idle, and another connection needed its place
-    DRAINING = auto()  # the server is shutting down, and no request was open on it
-    ANSWERED = auto()  # after an answer that said that the connection ends, or a client that asked for it
-    CUT = auto()  # the answer is not whole: its client has left, or its stream broke
-    REFUSED = auto()  # after the error answer to a bad request
-    BROKEN = auto()  # the connection broke
-    FAULT = auto()  # the handler failed
-    CANCELLED = auto()  # the server stopped without draining
-
-
 def plain_refusal(_: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
     """The body and content type of an answer to a bad request: its reason as text."""
     return bad.why.encode(), "text/plain"
 
 
+class ConnectionState(Enum):
+    """What a client's connection is doing."""
+
+    READING = auto()  # a request has begun to come, or the connection has just been taken
+    IDLE = auto()  # no byte of a request is there
+    HANDLING = auto()  # a request has come whole
+    CLOSED = auto()
+
+
 class ServerConnection:
-    """One client's connection. `idle` while it waits for the first byte of a request; `served` once it has had one.
+    """One client's connection. `served` is set once it has had a request.
 
     `on_idle` is told each time that `idle` has changed, `on_close` once, with the reason. A request that comes before
     the one ahead of it is answered is refused, or with `early_ok` served in its turn. While `draining()` the connection
@@ -79,18 +64,41 @@
         on_idle: Callable[[ServerConnection], None] = lambda _: None,
         on_close: Callable[[CloseReason], None] = lambda _: None,
     ) -> None:
-        self.stream, self.handler, self.limits = stream, handler, limits
-        self.reject_reason, self.draining, self.early_ok, self.on_idle = reject_reason, draining, early_ok, on_idle
-        self.on_close, self.close_reason = on_close, CloseReason.CANCELLED
+        self.stream = stream
+        self.handler = handler
+        self.limits = limits
+        self.reject_reason = reject_reason
+        self.draining = draining
+        self.early_ok = early_ok
+        self.on_idle = on_idle
+        self.on_close = on_close
         self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
-        self.idle = self.served = False
-        self.last_one = False  # the request being served is the last one, as the server is draining
-        self.reading_stopped = False
+        self.state = ConnectionState.READING
+        self.served = False
+        self.close_reason = CloseReason.CANCELLED
+        self._last_request = False  # the request being served is the last one, as the server is draining
+        self._reading_stopped = False
         self._reading: trio.CancelScope | None = None  # while a request is read, from its first byte on
 
+    @property
+    def idle(self) -> bool:
+        """Does it wait for the first byte of a request?"""
+        return self.state is ConnectionState.IDLE
+
     async def serve(self) -> None:
         """Serves requests until either side ends the connection. Never raises for what the client does; what the
         handler fails with is raised once its request has been answered."""
+        try:
+            await self._serve_requests()
+        except (*BROKEN, h11.LocalProtocolError):
+            if self.close_reason not in (CloseReason.MADE_ROOM, CloseReason.DRAINING):  # else it was closed from here
+                self.close_reason = CloseReason.BROKEN
+        finally:
+            self._set_state(ConnectionState.CLOSED)
+            self.stream.socket.close()
+            self.on_close(self.close_reason)
+
+    async def _serve_requests(self) -> None:
         first_by = trio.current_time() + self.limits.first_ms / 1000
         exchange: Exchange | None = None
         try:
@@ -101,32 +109,31 @@
                     return
                 first_by = inf
                 self.served = True
+                self._set_state(ConnectionState.HANDLING)
                 await self.handler(exchange)
                 if not await self._may_go_on(exchange):
                     return
-                overrun, pipelined = exchange.overrun, exchange.pipelined
+                self._set_state(ConnectionState.READING)
+                answered = exchange
                 exchange = None
                 self.conn.start_next_cycle()
-                if overrun:
-                    raise BadRequest(413, f"more than {EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
-                if pipelined and not self.early_ok:
-                    raise BadRequest(
-                        400, "a second request came before the first was answered (pipelining)", "pipelined"
-                    )
+                self._check_sent_ahead(answered)
         except BadRequest as bad:
             self.close_reason = CloseReason.REFUSED
             await self._refuse(exchange, bad)
         except (*BROKEN, h11.LocalProtocolError):
-            if self.close_reason not in (CloseReason.MADE_ROOM, CloseReason.DRAINING):  # else it was closed from here
-                self.close_reason = CloseReason.BROKEN
+            raise
         except Exception:
             self.close_reason = CloseReason.FAULT
             await self._refuse(exchange, BadRequest(500, "a fault of this server", "fault"))
             raise
-        finally:
-            self._set_idle(False)
-            self.stream.socket.close()
-            self.on_close(self.close_reason)
+
+    def _check_sent_ahead(self, exchange: Exchange) -> None:
+        """What the client sent while this request was served. Raises BadRequest for what is not served."""
+        if exchange.overrun:
+            raise BadRequest(413, f"more than {EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
+        if exchange.pipelined and not self.early_ok:
+            raise BadRequest(400, "a second request came before the first was answered (pipelining)", "pipelined")
 
     def close_if_idle(self, reason: CloseReason = CloseReason.MADE_ROOM) -> bool:
         """Closes the connection unless a request is being served or any byte of one has arrived. True if closed."""
@@ -139,13 +146,14 @@
     def stop_reading(self) -> None:
         """Refuses the request that is being read, and any later one that is not whole at once, as one that nothing has
         been done for. Requests that have been read are not touched, nor is an idle connection."""
-        self.reading_stopped = True
+        self._reading_stopped = True
         if self._reading is not None:
             self._reading.cancel()
 
-    def _set_idle(self, idle: bool) -> None:
-        if idle != self.idle:
-            self.idle = idle
+    def _set_state(self, state: ConnectionState) -> None:
+        was_idle = self.idle
+        self.state = state
+        if self.idle != was_idle:
             self.on_idle(self)
 
     async def _may_go_on(self, exchange: Exchange) -> bool:
@@ -153,8 +161,8 @@
         whole = self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE
         if whole and not self.draining():
             return True
-        if whole and not self.last_one and not exchange.pipelined:  # what came with the answer's end is served
-            self.last_one = True
+        if whole and not self._last_request and not exchange.pipelined:  # what came with the answer's end is served
+            self._last_request = True
             waiting = receive_now(self.stream, RECEIVE_BYTES)
             if waiting:
                 self.conn.receive_data(waiting)
@@ -213,13 +221,13 @@
         """The first bytes of the next request; nothing where the client has left or its idle time is over.
 
         Bytes that arrive in the very moment in which that time ends are a request, not an idle connection."""
-        self._set_idle(True)
+        self._set_state(ConnectionState.IDLE)
         data: bytes | None = None
         with trio.CancelScope(deadline=min(by, trio.current_time() + self.limits.idle_ms / 1000)) as wait:
             data = await self.stream.receive_some(RECEIVE_BYTES)
         if wait.cancelled_caught:
             data = receive_now(self.stream, RECEIVE_BYTES)
-        self._set_idle(False)
+        self._set_state(ConnectionState.READING)
         return data
 
     async def _head(self, by: float) -> h11.Request | None:
@@ -235,7 +243,7 @@
     @contextmanager
     def _reading_until(self, by: float) -> Iterator[trio.CancelScope]:
         with trio.CancelScope(deadline=by) as self._reading:
-            if self.reading_stopped:
+            if self._reading_stopped:
                 self._reading.cancel()
             try:
                 yield self._reading
@@ -243,7 +251,7 @@
                 self._reading = None
 
     def _not_whole(self, part: str) -> BadRequest:
-        if self.reading_stopped:
+        if self._reading_stopped:
             return BadRequest(503, f"the server is shutting down, and the request's {part} is not whole", "draining")
         return BadRequest(408, f"the request's {part} did not come in time", "slow_request")
 
--- a/ternlane/platform/__main__.py
+++ b/ternlane/platform/__main__.py
@@ -5,9 +5,9 @@
 import time
 
 if __name__ == "__main__":
-    told_at: list[float] = []  # to end, by the monotonic clock
+    end_signals_at: list[float] = []  # when told to end, s by the monotonic clock
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # neither may end a program that is only just starting
-    signal.signal(signal.SIGTERM, lambda *_: told_at.append(time.monotonic()))
+    signal.signal(signal.SIGTERM, lambda *_: end_signals_at.append(time.monotonic()))
     from ternlane.platform.process import main
 
-    sys.exit(main(told_at))
+    sys.exit(main(end_signals_at))
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -7,22 +7,22 @@
 
 import trio
 
-from ternlane.policy import messages
+from ternlane.event_loop import Failed, Rejected, now_ms
 from ternlane.http1 import Exchange
-from ternlane.platform.engines import Attempt
+from ternlane.platform.attempt import Attempt
 from ternlane.platform.open_requests import Phase
 from ternlane.platform.request_history import RequestHistory
+from ternlane.policy import messages
 from ternlane.policy.messages import Request
-from ternlane.event_loop import Failed, Rejected, now_ms
 
 STREAM_HEAD = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-cache"), ("Transfer-Encoding", "chunked")]
 
 
 @dataclass(slots=True)
 class Streamed:
-    """`whole`: with its last chunk; else its client's connection is to end without it."""
+    """The answer was streamed. `whole`: with its last chunk; else the client's connection is to end without it."""
 
-    recorded_as: ClassVar[str] = "streamed"  # the word that the wire, the ledger and the journal have for it
+    recorded_as: ClassVar[str] = "streamed"  # the word on the wire, in the ledger and in the journal
 
     whole: bool
 
@@ -32,48 +32,51 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A generation at this gateway. `final` is set once; its client's connection, which watches, is then woken."""
+    """A request at this gateway. `final` is set once; the client's connection, which waits for it, is then woken."""
 
-    ident: str
+    request_id: str
     request: Request
     exchange: Exchange
     body: bytes
-    since: float
+    received_ms: float
     final: Final | None = None
-    left: bool = False
-    streaming: bool = False
-    attempt: Attempt | None = None
+    client_gone: bool = False
+    streaming: bool = False  # its client has the first event of the present attempt
+    attempt: Attempt | None = None  # that is out
     server_name: str = ""  # of the newest attempt
     attempts: int = 0
-    why: str = ""
-    attempt_log: list[str] = field(default_factory=list)
-    freeing: trio.Event | None = None  # set once what was held before is released
-    watch: trio.CancelScope = field(default_factory=trio.CancelScope)
+    why: str = ""  # the newest attempt's failure
+    attempt_log: list[str] = field(default_factory=list)  # one line for each attempt that has ended
+    released: trio.Event | None = None  # set once what was held before is released
+    client_watch: trio.CancelScope = field(default_factory=trio.CancelScope)  # ends when `final` is set
     history: RequestHistory = field(init=False)
 
     def __post_init__(self) -> None:
-        self.history = RequestHistory(self.since)
+        self.history = RequestHistory(self.received_ms)
 
     def note(self, event: str) -> None:
-        """A transition, for the operators."""
+        """Adds a transition to its history, for the operators."""
         self.history.note(now_ms(), event)
 
     @property
     def over(self) -> bool:
-        return self.final is not None or self.left
+        """Is nothing owed to its client any more?"""
+        return self.final is not None or self.client_gone
 
     @property
     def unanswered(self) -> bool:
+        """Is its client there, and has nothing of its answer yet?"""
         return not self.over and not self.streaming
 
     @property
     def last_outcome(self) -> str:
-        """How its last attempt ended, "" before one has."""
+        """How its last attempt ended, as its log line says; "" before one has."""
         return self.attempt_log[-1].split()[2] if self.attempt_log else ""
 
     @property
     def deadline_ms(self) -> float:
-        return self.since + self.request.client_timeout_ms
+        """By when its answer has to begin (ms, the loop's clock)."""
+        return self.received_ms + self.request.client_timeout_ms
 
     @property
     def phase(self) -> Phase:
@@ -87,7 +90,9 @@
         return Phase.PREFILL if self.attempt.role is messages.Role.PREFILL else Phase.DECODE
 
     async def first(self, data: bytes) -> None:
+        """Writes the answer's head and first events. Raises trio.BrokenResourceError once the client has gone."""
         await self.exchange.begin(200, STREAM_HEAD, data)
 
     async def more(self, data: bytes) -> None:
+        """Writes further events. Raises trio.BrokenResourceError once the client has gone."""
         await self.exchange.chunk(data)
--- /dev/null
+++ b/ternlane/platform/chat_server.py
@@ -0,0 +1,232 @@
+"""The clients' side: reads requests, hands them to the runtime, and gives the answers."""
+
+from __future__ import annotations
+
+from typing import Any, Callable
+
+import msgspec
+import trio
+
+from ternlane.event_loop import Failed, Rejected, now_ms
+from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
+from ternlane.platform.active_request import ActiveRequest, Streamed
+from ternlane.platform.errors import InvalidRequestError
+from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, ParsedRequest, parse_request
+from ternlane.platform.runtime import PlatformRuntime
+from ternlane.policy.messages import Request
+
+# Of a request's head.
+HEAD_BYTES = 16384
+# For a request's head, again for its body, and from a connection's start to its first request. Who connects and sends
+# no request is owed an end within 3 s of connecting (users' page); the rest is for the way. A slow client that goes on
+# writing gets all of that time, on each of its connections and for each of its requests.
+REQUEST_MS = 2700.0
+# The users' page lets a connection without an open request go after 2 s.
+IDLE_MS = 2300.0
+# A client that takes nothing for so long has left.
+SEND_MS = 3000.0
+
+
+class ChatServer:
+    """Serves clients' connections. The three limits are set by the gateway, again with each reload.
+
+    With `connection_limit` connections open a new one takes the place of the one that has been idle for longest. Beyond
+    `request_limit` active requests, or `body_bytes_limit` bytes of their bodies, requests are rejected at once.
+    """
+
+    connection_limit: int
+    request_limit: int
+    body_bytes_limit: int
+
+    def __init__(self, runtime: PlatformRuntime, unseen_ms: Callable[[], float], log: Any) -> None:
+        """`unseen_ms`: for how long what has just been read may have lain unread."""
+        self.runtime = runtime
+        self.unseen_ms = unseen_ms
+        self.log = log
+        self.open: set[ServerConnection] = set()
+        self.idle: dict[ServerConnection, None] = {}  # the longest idle first
+        self.ready = False
+        self.draining = False
+        self.reading_stopped = False
+        self.limits = ServerLimits(
+            BODY_BYTES,
+            head_ms=REQUEST_MS,
+            body_ms=REQUEST_MS,
+            idle_ms=IDLE_MS,
+            send_ms=SEND_MS,
+            head_bytes=HEAD_BYTES,
+            first_ms=REQUEST_MS,
+        )
+
+    # -- connections
+
+    @property
+    def connections(self) -> int:
+        """How many clients' connections are open."""
+        return len(self.open)
+
+    def has_room(self) -> bool:
+        """May a further connection be taken? Closes the longest idle one for it, where that is needed."""
+        return self.connections < self.connection_limit or self.close_longest_idle()
+
+    def take(self, stream: trio.SocketStream, nursery: trio.Nursery) -> None:
+        """Serves a connection in a task of its own."""
+        connection = ServerConnection(
+            stream,
+            self._handle,
+            self.limits,
+            reject_reason=self._error_body,
+            draining=lambda: self.draining,
+            on_idle=self._idle_changed,
+            on_close=self._closed,
+        )
+        if self.reading_stopped:
+            connection.stop_reading()
+        self.open.add(connection)
+        nursery.start_soon(self._serve, connection)
+
+    def close_longest_idle(self) -> bool:
+        """Closes the connection that has been idle for longest. False: none is idle, or all have bytes waiting."""
+        return any(connection.close_if_idle() for connection in list(self.idle))
+
+    def close_idle(self, served_only: bool = False) -> None:
+        """Closes the idle connections on which nothing has arrived; the others are answered, and end with that."""
+        for connection in list(self.idle):
+            if connection.served or not served_only:
+                connection.close_if_idle(CloseReason.DRAINING)
+
+    def stop_reading(self) -> None:
+        """Refuses what is not a whole request yet, from here on."""
+        self.reading_stopped = True
+        for connection in list(self.open):
+            connection.stop_reading()
+
+    async def _serve(self, connection: ServerConnection) -> None:
+        try:
+            await connection.serve()
+        except Exception:  # a fault of this program must not end the other connections
+            self.log.exception("connection")
+        finally:
+            self.open.discard(connection)
+
+    def _idle_changed(self, connection: ServerConnection) -> None:
+        if connection.idle:
+            self.idle[connection] = None
+        else:
+            self.idle.pop(connection, None)
+
+    def _closed(self, reason: CloseReason) -> None:
+        self.runtime.reporter.counts[f"connection {reason.name}"] += 1
+
+    # -- requests
+
+    async def _handle(self, exchange: Exchange) -> None:
+        """Serves one request. Raises BadRequest for what can't be read or is not served."""
+        route = (exchange.method, exchange.path)
+        try:
+            if route == ("POST", CHAT_PATH):
+                await self._handle_chat(exchange)
+            elif route == ("GET", READY_PATH):
+                await self._answer_ready(exchange)
+            elif exchange.path in (CHAT_PATH, READY_PATH):
+                raise InvalidRequestError(405, "method", "this path is not asked that way")
+            else:
+                raise InvalidRequestError(404, "path", "nothing is served at this path")
+        except InvalidRequestError as error:
+            raise BadRequest(error.status, error.why, error.code) from None
+
+    async def _answer_ready(self, exchange: Exchange) -> None:
+        if self.ready and not self.draining:
+            await exchange.answer(200, [], b"ready\n", "text/plain")
+        else:
+            await exchange.answer(503, [], b"not ready\n", "text/plain")
+
+    async def _handle_chat(self, exchange: Exchange) -> None:
+        runtime = self.runtime
+        parsed = parse_request(_headers(exchange), exchange.body, runtime.deployment)
+        if parsed.request_id in runtime.requests_by_id:
+            raise InvalidRequestError(409, "open_id", "a request with this Request-Id is open")
+        if not self._has_capacity(len(exchange.body)):
+            runtime.reporter.counts["refused room"] += 1
+            await exchange.answer(503, [], error_body("room", "this gateway holds as much as it may"))
+            return
+        active_request = ActiveRequest(
+            parsed.request_id, self._request(parsed), exchange, exchange.body, received_ms=now_ms()
+        )
+        exchange.body = b""
+        runtime.receive_request(active_request)
+        await self._answer(exchange, active_request)
+
+    def _has_capacity(self, body_bytes: int) -> bool:
+        active_requests = self.runtime.active_requests
+        held_bytes = sum(len(active_request.body) for active_request in active_requests.values())
+        has_memory = held_bytes + body_bytes <= self.body_bytes_limit
+        return len(active_requests) < self.request_limit and has_memory
+
+    def _request(self, parsed: ParsedRequest) -> Request:
+        """The request as the router knows it.
+
+        Its time counts from its last byte (users' page): a slow client's time has only begun, and one that came while
+        this loop was busy has lost some of it already.
+        """
+        deployment = self.runtime.deployment
+        request_class = deployment.request_classes[parsed.request_class]
+        timeout_ms = parsed.client_timeout_ms or request_class.deadline_ms
+        left_ms = timeout_ms - self.unseen_ms() - self.runtime.expected_lateness_ms()
+        return deployment.request(
+            request_class,
+            parsed.session,
+            parsed.prefix,
+            parsed.prefix_tokens,
+            parsed.prompt_tokens,
+            parsed.max_tokens,
+            max(0.0, left_ms),
+            parsed.tenant,
+        )
+
+    async def _answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
+        """Waits for the final answer, and writes it where it was not streamed."""
+        try:
+            if not active_request.over:
+                with active_request.client_watch:  # cancelled when the answer is final
+                    await exchange.until_left()
+                    self.runtime.client_disconnected(active_request)
+        finally:
+            if not active_request.over:  # this task was cancelled from outside
+                self.runtime.client_disconnected(active_request)
+        match active_request.final:
+            case Rejected(pause_ms):
+                head = [("Retry-After", f"{pause_ms / 1000:.3f}")] if pause_ms > 0 else []
+                body = error_body(Rejected.recorded_as, "nothing has run; a new try does no harm")
+                await exchange.answer(503, head, body)
+            case Failed(why):
+                await exchange.answer(502, [], error_body(Failed.recorded_as, why or "no server could finish it"))
+            case Streamed() | None:
+                pass  # written already; where it is not whole, or the client has left, the connection just ends
+
+    def _error_body(self, _: Exchange | None, error: BadRequest) -> tuple[bytes, str]:
+        self.runtime.reporter.counts[f"refused {error.code}"] += 1
+        return error_body(error.code, error.why), "application/json"
+
+
+def _headers(exchange: Exchange) -> dict[bytes, str]:
+    """Raises InvalidRequestError where a header of the protocol is given twice: either could be meant."""
+    headers: dict[bytes, str] = {}
+    for name, value in exchange.request.headers:
+        if name in headers and name.startswith((b"request-", b"affinity-")):
+            raise InvalidRequestError(400, "twice", f"{name.decode()} is given twice")
+        headers[bytes(name)] = _header_text(value)
+    return headers
+
+
+def _header_text(value: bytes) -> str:
+    """A header's value: UTF-8 where it is that, as names in the settings are, else the letters of ISO 8859-1."""
+    try:
+        return value.decode()
+    except UnicodeDecodeError:
+        return value.decode("latin-1")
+
+
+def error_body(code: str, why: str) -> bytes:
+    """The body of an error answer."""
+    return msgspec.json.encode({"error": {"code": code, "message": why}})
--- /dev/null
+++ b/ternlane/platform/gateway.py
@@ -0,0 +1,238 @@
+"""One gateway on the platform, put together: start, reload, graceful shutdown and the operators' report."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+import trio
+
+from ternlane.event_loop import PollTimes, now_ms
+from ternlane.http1 import ConnectionPool
+from ternlane.platform.acceptor import Acceptor
+from ternlane.platform.chat_server import ChatServer
+from ternlane.platform.discovery_watch import FIRST_LIST_MS, DiscoveryWatch
+from ternlane.platform.errors import ConfigurationError
+from ternlane.platform.model_server_client import ModelServerClient
+from ternlane.platform.process_usage import memory_mb, open_descriptors
+from ternlane.platform.request_history import RequestRecord
+from ternlane.platform.runtime import PlatformRuntime
+from ternlane.platform.settings import GatewayConfiguration, read_configuration
+from ternlane.policy import messages
+from ternlane.policy.router import Router
+from ternlane.policy.shutdown import shutdown_times
+
+BACKLOG = 1024
+# Shares of the descriptors; the rest is for the watch, the log and what is being closed.
+CLIENTS = 0.45
+SERVERS = 0.45
+# Of the descriptors, requests active at once: each has one attempt in flight, and DELETE needs connections too.
+OPEN = 0.4
+# Of the memory, for bodies of active requests.
+BODIES = 0.2
+# Of the servers' idle timeout: a connection that is closed well before it crosses no request of ours.
+IDLE_PART = 0.9
+# New connections still arrive for so long after SIGTERM (users' page).
+LATE_COMERS_MS = 450.0
+# SIGKILL comes no earlier than the longest deadline, cut to the first, plus the second (users' page).
+LONGEST_MS = 3000.0
+ENDS_MS = 700.0
+# Before SIGKILL, when what the router has not answered is failed: an answer needs its way.
+LAST_ANSWER_MS = 250.0
+# Before SIGKILL, when what is still active is logged.
+UNFINISHED_MS = 100.0
+# Between two looks at whether all has ended.
+END_POLL_MS = 20.0
+# Between two report lines.
+REPORT_MS = 10e3
+
+
+class Gateway:
+    """One gateway. `start` returns once it serves; `drain` once all has ended."""
+
+    def __init__(self, configuration: GatewayConfiguration, nursery: trio.Nursery, log: Any) -> None:
+        deployment = configuration.deployment
+        router_config = deployment.router_config
+        self.configuration = configuration
+        self.nursery = nursery
+        self.log = log
+        self.pool = ConnectionPool(router_config.connect_ms, router_config.idle_ms)
+        model_servers = ModelServerClient(self.pool, deployment)
+        self.runtime = PlatformRuntime(Router(router_config), deployment, model_servers, nursery, log)
+        self.polls = PollTimes()
+        self.chat_server = ChatServer(self.runtime, self.polls.unseen_ms, log)
+        self.acceptor = Acceptor(self.chat_server, log)
+        self.watch = DiscoveryWatch(
+            configuration.discovery,
+            lambda: self.runtime.endpoint_registry.index,
+            self.runtime.update_endpoints,
+            self._watch_failed,
+            router_config.seed,
+            nursery,
+            log,
+        )
+        self.listener: trio.SocketListener
+        self.accepting = trio.CancelScope()
+        self.apply_limits(configuration)
+
+    def apply_limits(self, configuration: GatewayConfiguration) -> None:
+        """What connections and bodies may take, by the settings in force."""
+        router_config = configuration.deployment.router_config
+        limits = configuration.limits
+        idle_ms = IDLE_PART * router_config.idle_ms
+        self.pool.set_limits(router_config.connect_ms, idle_ms, int(limits.sockets * SERVERS))
+        self.chat_server.connection_limit = int(limits.sockets * CLIENTS)
+        self.chat_server.request_limit = int(limits.sockets * OPEN)
+        self.chat_server.body_bytes_limit = int(limits.memory_mb * 2**20 * BODIES)
+
+    def _watch_failed(self, why: str) -> None:
+        self.runtime.reporter.counts["watch broke"] += 1
+        self.log.warning("discovery", why=why)
+
+    # -- start and reload
+
+    async def start(self) -> None:
+        """Begins to serve. Raises OSError where its address can't be listened at."""
+        host, port = self.configuration.listen
+        listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
+        self.listener = listeners[0]
+        trio.lowlevel.add_instrument(self.polls)
+        self.runtime.endpoint_registry.index = self.configuration.known.index
+        self.runtime.update_endpoints(self.configuration.known)
+        self.nursery.start_soon(self.runtime.run_timers)
+        self.watch.start()
+        with trio.move_on_after(FIRST_LIST_MS / 1000):  # what discovery has counts as told from the first request on
+            await self.watch.opened.wait()
+        self.nursery.start_soon(self._accept)
+        self.nursery.start_soon(self._report_regularly)
+        self.chat_server.ready = True
+        servers = len(self.runtime.endpoint_registry.servers)
+        self.log.info("serving", listen=f"{host}:{port}", servers=servers)
+
+    async def _accept(self) -> None:
+        with self.accepting:
+            await self.acceptor.accept(self.listener, self.nursery)
+
+    def reload(self) -> None:
+        """Reads the file again; one that can't be used changes nothing. Classes whose terms stay the same keep what was
+        learnt of them."""
+        try:
+            configuration = read_configuration(before=self.configuration.deployment, file_first=True)
+        except ConfigurationError as error:
+            self.log.error("reload refused", why=str(error))
+            return
+        discovery_moved = configuration.discovery != self.configuration.discovery
+        settings_changed = configuration.deployment.settings != self.configuration.deployment.settings
+        self.configuration = configuration
+        self.apply_limits(configuration)
+        if settings_changed:
+            self.runtime.apply_settings(configuration.deployment)
+        if discovery_moved:
+            self.watch.move(configuration.discovery)
+        self.log.info("reloaded", discovery_moved=discovery_moved, settings_changed=settings_changed)
+
+    # -- shutdown
+
+    def begin_drain(self, since_signal_ms: float = 0.0) -> None:
+        """From here on each connection ends with its next answer.
+
+        Those that have been served and are idle close at once: a request that came later might be cut off without an
+        answer. `since_signal_ms`: how long ago the signal came.
+        """
+        deployment = self.runtime.deployment
+        now = now_ms()
+        deadlines_ms = [request_class.deadline_ms for request_class in deployment.request_classes.values()]
+        longest_ms = min(LONGEST_MS, max(deadlines_ms))
+        times = shutdown_times(longest_ms, ENDS_MS, deployment.router_config.release_ms, since_signal_ms)
+        self.chat_server.draining = True
+        self.runtime.reporter.sigterm_ms = now - since_signal_ms
+        self.runtime.answer_all_by_ms = now + times.ends_ms - LAST_ANSWER_MS
+        self.log.info(
+            "draining",
+            open=len(self.runtime.active_requests),
+            connections=self.chat_server.connections,
+            since_signal_ms=round(since_signal_ms, 1),
+            rejects_new_in_ms=round(times.admits_ms),
+            answers_all_in_ms=round(times.answers_ms),
+            may_be_killed_in_ms=round(times.ends_ms),
+        )
+        self.runtime.dispatch(messages.ShutdownStarted(times))
+        self.nursery.start_soon(self._end_reading, times.answers_ms)
+        self.nursery.start_soon(self._report_unfinished, times.ends_ms)
+        self.chat_server.close_idle(served_only=True)
+
+    async def drain(self, since_signal_ms: float = 0.0) -> None:
+        """Takes what still arrives, answers everything, releases what is held, and returns once all has ended.
+
+        New connections close only when all that was sent to them must have come.
+        """
+        self.begin_drain(since_signal_ms)
+        await trio.sleep(max(0.0, LATE_COMERS_MS - since_signal_ms) / 1000)
+        self.accepting.cancel()
+        await self.acceptor.accept_queued(self.listener, self.nursery, LATE_COMERS_MS)
+        self.listener.socket.close()
+        await trio.sleep(LATE_COMERS_MS / 4000)
+        while self.runtime.active_requests or self.runtime.releasing or self.chat_server.connections:
+            self.chat_server.close_idle()  # also those that were still to be read at the look before
+            await trio.sleep(END_POLL_MS / 1000)
+
+    async def _end_reading(self, within_ms: float) -> None:
+        """What is not a whole request by then is refused: a later last byte would leave no time for an answer."""
+        await trio.sleep(max(0.0, within_ms) / 1000)
+        self.chat_server.stop_reading()
+
+    async def _report_unfinished(self, within_ms: float) -> None:
+        """Names what is open shortly before this process may be killed: afterwards nothing can."""
+        await trio.sleep(max(0.0, within_ms - UNFINISHED_MS) / 1000)
+        for request in self.runtime.open_requests():
+            self.log.warning("unfinished before the end", **request.as_fields())
+
+    # -- what operators see
+
+    async def _report_regularly(self) -> None:
+        """What an operator needs, one line every ten seconds."""
+        before: dict[str, int] = {}
+        while True:
+            await trio.sleep(REPORT_MS / 1000)
+            counts = dict(self.runtime.reporter.counts)
+            changes = {name: count - before.get(name, 0) for name, count in sorted(counts.items())}
+            self._report({name: change for name, change in changes.items() if change})
+            before = counts
+
+    def _report(self, counts: dict[str, int]) -> None:
+        runtime = self.runtime
+        held_states = runtime.reporter.held_states
+        self.log.info(
+            "report",
+            open=len(runtime.active_requests),
+            held=len(held_states),
+            oldest_held_ms=round(held_states.oldest_ms(now_ms()), 1),
+            longest_held_ms=round(held_states.longest_ms, 1),
+            oldest_unanswered_ms=round(runtime.oldest_unanswered_ms(), 1),
+            connections=self.chat_server.connections,
+            engine_connections=len(self.pool.open),
+            connect_shortages=self.pool.shortages,
+            descriptors=open_descriptors(),
+            memory_mb=round(memory_mb(), 1),
+            loop_late_ms=round(runtime.max_lateness_ms, 1),
+            cpu_s=round(time.process_time(), 2),
+            **counts,
+        )
+        runtime.max_lateness_ms = 0.0
+        held_states.longest_ms = 0.0
+
+    def log_histories(self) -> None:
+        """Every attempt and transition of the open requests and of the latest others, one line each by id."""
+        records = [
+            RequestRecord(request.request_id, "open", request.attempt_log, request.history)
+            for request in self.runtime.active_requests.values()
+            if not request.over
+        ]
+        for record in [*records, *self.runtime.reporter.records]:
+            self.log.info(
+                "trail",
+                gen=record.request_id,
+                outcome=record.outcome,
+                legs=record.attempts,
+                transitions=record.history.lines(),
+            )
--- /dev/null
+++ b/ternlane/platform/model_server_client.py
@@ -0,0 +1,299 @@
+"""Calls to model servers: attempts, releases, reservations and load probes.
+
+It decides nothing: where to, for how long and what then come from the router by way of the runtime.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from itertools import islice
+from math import inf
+from typing import Iterable
+
+import h11
+import trio
+
+from ternlane.deployment import Deployment
+from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, keep_open
+from ternlane.platform.answer_order import AnswerOrder
+from ternlane.platform.attempt import Attempt, AttemptResult, ResponseWriter
+from ternlane.platform.errors import NOT_STARTED_REASONS, AttemptNotStartedError, ClientDisconnectedError
+from ternlane.platform.event_stream import EventStreamParser
+from ternlane.platform.protocol import (
+    LEASE_PATH,
+    LOAD,
+    NOT_STARTED,
+    STATS_PATH,
+    classify_response,
+    parse_cached_tokens,
+    parse_load_report,
+)
+from ternlane.policy.messages import AttemptOutcome, Report
+
+BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
+# Rounds of servers asked within one release time, and the most asked in one round: a silent server holds a release up
+# for an eighth of its time.
+RELEASE_ROUNDS = 8
+# Servers asked by one release at most.
+RELEASE_SERVERS = 48
+# Release calls in flight, beyond which a release asks one server only, or such as answer: no storm of them.
+RELEASE_CALLS = 64
+# Of an answer that is no stream.
+PLAIN_BYTES = 65536
+# A corrupt answer may be followed by another some milliseconds later (users' page). On a connection that is used again
+# sooner, that one would be taken for the answer to the next request; within this time it is seen, and the connection
+# closed. Long against a network's delays, short against the time between two requests to one server.
+REST_MS = 50.0
+
+
+@dataclass(slots=True, frozen=True)
+class CallResult:
+    """How a small call ended; `status` 0 where no answer came. `load` is the header with the load report, if any."""
+
+    outcome: AttemptOutcome
+    status: int = 0
+    load: str | None = None
+    body: bytes = b""
+
+
+class ModelServerClient:
+    """All calls to model servers, over one connection pool."""
+
+    def __init__(self, pool: ConnectionPool, deployment: Deployment) -> None:
+        self.pool = pool
+        self.deployment = deployment
+        self.answer_order = AnswerOrder()
+        self.release_calls = 0  # in flight
+
+    def has_answered(self, address: str) -> None:
+        """This server has just answered a call."""
+        self.answer_order.note_answer(address, trio.current_time())
+
+    def forget_all_but(self, addresses: Iterable[str]) -> None:
+        """Drops idle connections and answer times of servers that are no longer listed."""
+        for address in (self.answer_order.answered_at.keys() | self.pool.idle.keys()) - set(addresses):
+            self.pool.forget(address)
+            self.answer_order.forget(address)
+
+    # -- attempts
+
+    async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
+        """Runs an attempt to its end. Raises ClientDisconnectedError and outer cancellations, nothing else."""
+        result = AttemptResult()
+        connection: ClientConnection | None = None
+        complete = False  # the connection can serve another request
+        attempt.scope.deadline = min(attempt.scope.deadline, attempt.last_by)
+        try:
+            with attempt.scope:
+                connection = await self.pool.take(attempt.address, REST_MS)
+                await self._start(attempt, connection)
+                complete = await self._read_response(attempt, connection, response_writer, result)
+        except ClientDisconnectedError:
+            raise
+        except AttemptNotStartedError as error:  # the connection, on which nothing was asked, serves the next one
+            complete = True
+            result.outcome = error.outcome
+            result.why = str(error)
+        except Exception as error:
+            self._record_failure(attempt, result, error)
+        finally:
+            if connection is not None and complete:
+                self.pool.give_back(connection)
+            elif connection is not None:
+                connection.close_now()
+        if attempt.scope.cancelled_caught and not complete:
+            self._record_cancellation(attempt, result)
+        return result
+
+    async def _start(self, attempt: Attempt, connection: ClientConnection) -> None:
+        """Writes the request. Attempts start here and nowhere else, after every wait for a connection or a release.
+
+        Raises AttemptNotStartedError, or ConnectError where the connection breaks before all is written.
+        """
+        forbidden = attempt.start_check()
+        if forbidden is not None:
+            raise AttemptNotStartedError(forbidden)
+        left_s = max(0.0, attempt.last_by - trio.current_time())
+        headers = [
+            ("Request-Id", attempt.request_id),
+            ("Request-Timeout", f"{left_s:.3f}"),
+            ("Content-Type", "application/json"),
+        ]
+        await connection.send_request(attempt.method, attempt.target, headers, attempt.body)
+        attempt.written_at = trio.current_time()
+        attempt.scope.deadline = inf  # from here on reads end by themselves, not without what has arrived by then
+        connection.expect_by(attempt.last_by)
+
+    async def _read_response(
+        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+    ) -> bool:
+        """Reads the answer into `result`. True once it has come to its last byte."""
+        head = await connection.read_head()
+        self.has_answered(attempt.address)
+        headers = {name: value.decode("latin-1") for name, value in head.headers}
+        result.report = parse_load_report(headers.get(LOAD), self.deployment)
+        response = classify_response(head.status_code, headers.get(NOT_STARTED) == "1", attempt.role)
+        if response.outcome is None:
+            return await self.forward_stream(attempt, connection, response_writer, result)
+        body = await connection.body(PLAIN_BYTES)
+        result.outcome = response.outcome
+        result.state_lost = response.state_lost
+        if response.outcome is AttemptOutcome.PREFILLED:
+            result.cached_tokens = parse_cached_tokens(body)
+        else:
+            result.why = f"status {head.status_code}"
+        return True
+
+    async def forward_stream(
+        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+    ) -> bool:
+        """Forwards a decode server's events as they come. True once the last chunk has come.
+
+        Raises ReadTimeout, ClientDisconnectedError, and ValueError for what is no stream of events.
+        """
+        parser = EventStreamParser()
+        async for piece in connection.chunks():
+            events = parser.feed(piece)
+            if events and not (result.begun or parser.begun):
+                parser.put_back(events)
+                continue
+            if not events:
+                continue
+            await keep_open(attempt.scope, inf)  # cancelled in this very moment: the client is given nothing
+            is_first = not result.begun
+            result.begun = True
+            try:
+                await (response_writer.first(events) if is_first else response_writer.more(events))
+            except BROKEN:
+                raise ClientDisconnectedError from None
+            # Counted from here: a client that takes its bytes slowly is not the server's silence.
+            connection.expect_by(trio.current_time() + attempt.idle_timeout_ms / 1000)
+        if not parser.done:
+            raise ValueError("the stream ended before its last event")
+        result.outcome = AttemptOutcome.STREAMED
+        result.cached_tokens = parser.cached_tokens
+        result.report = parse_load_report(parser.load, self.deployment) or result.report
+        self.has_answered(attempt.address)
+        return True
+
+    def _record_failure(self, attempt: Attempt, result: AttemptResult, error: Exception) -> None:
+        """What an exception says of the attempt. Raises it again where it is a fault of this program."""
+        match error:
+            case ReadTimeout():
+                result.outcome = AttemptOutcome.TIMED_OUT
+                result.why = "silent within the stream" if result.begun else "no answer in time"
+            case ConnectError():
+                self.answer_order.forget(attempt.address)
+                result.outcome = AttemptOutcome.CONNECT_FAILED
+                result.why = str(error)
+            case trio.BrokenResourceError() | trio.ClosedResourceError() | OSError():
+                result.outcome = AttemptOutcome.RESET
+                result.why = repr(error)
+            case h11.RemoteProtocolError():  # a torn answer is a broken connection, a corrupt one an error
+                is_torn = "closed" in str(error)
+                result.outcome = AttemptOutcome.RESET if is_torn else AttemptOutcome.ERROR
+                result.why = f"spoilt: {str(error)[:200]}"
+            case ValueError():
+                result.outcome = AttemptOutcome.ERROR
+                result.why = f"spoilt: {str(error)[:200]}"
+            case _:
+                raise error
+
+    def _record_cancellation(self, attempt: Attempt, result: AttemptResult) -> None:
+        """How an attempt ended whose scope was cancelled: by its timeout before it was written, or by the router."""
+        if attempt.written:
+            result.outcome = AttemptOutcome.CANCELLED if attempt.cancelled else AttemptOutcome.TIMED_OUT
+            return
+        forbidden = attempt.start_check()
+        if forbidden is not None:  # no fault of the server's
+            result.outcome = forbidden
+            result.why = NOT_STARTED_REASONS[forbidden]
+        else:  # its last byte never left: nothing can have run
+            result.outcome = AttemptOutcome.CONNECT_FAILED
+            result.why = "given up before all was written"
+
+    # -- small calls
+
+    async def call(self, address: str, method: str, target: str, within_ms: float) -> CallResult:
+        """A call without a body; never raises for what the server does. STREAMED: an answer came, of any status."""
+        connection: ClientConnection | None = None
+        try:
+            with trio.move_on_after(within_ms / 1000):
+                connection = await self.pool.take(address)
+                head = await connection.ask(method, target, [])
+                body = await connection.body(PLAIN_BYTES)
+                load = next((value.decode("latin-1") for name, value in head.headers if name == LOAD), None)
+                self.has_answered(address)
+                self.pool.give_back(connection)
+                connection = None
+                return CallResult(AttemptOutcome.STREAMED, head.status_code, load, body)
+        except ConnectError:
+            self.answer_order.forget(address)
+            return CallResult(AttemptOutcome.CONNECT_FAILED)
+        except (h11.RemoteProtocolError, *BROKEN):
+            return CallResult(AttemptOutcome.RESET)
+        finally:
+            if connection is not None:  # also when cancelled, as another server has confirmed the release
+                connection.close_now()
+        return CallResult(AttemptOutcome.TIMED_OUT)
+
+    async def reserve(self, address: str, request_id: str, within_ms: float) -> bool:
+        """Reserves capacity for a request. True once the server has confirmed it."""
+        result = await self.call(address, "POST", LEASE_PATH + request_id, within_ms)
+        return result.status == 200
+
+    async def load(self, address: str, within_ms: float) -> tuple[AttemptOutcome, Report | None]:
+        """Probes a server's load: how the call went, and the report where one could be read."""
+        result = await self.call(address, "GET", STATS_PATH, within_ms)
+        outcome = result.outcome
+        if outcome is AttemptOutcome.STREAMED and result.status != 200:
+            outcome = AttemptOutcome.ERROR
+        text = result.body.decode("latin-1").strip().removeprefix("Server-Load:").strip()
+        report = parse_load_report(result.load, self.deployment) or parse_load_report(text, self.deployment)
+        return outcome, report
+
+    # -- releases
+
+    async def release(self, request_id: str, addresses: Iterable[str], within_ms: float) -> str | None:
+        """Releases all that is held for a request, at whatever server: any running one passes the release on.
+
+        Returns the address of the server that confirmed it, if any. The server that answered last is asked first, then
+        in each round twice as many of the next ones: neither one that is silent, busy or gives corrupt answers, nor
+        most of a fleet, must delay the release.
+        """
+        began = trio.current_time()
+        asked: dict[str, None] = {}
+        confirmed_by: list[str] = []
+        servers = list(islice(addresses, RELEASE_SERVERS))
+        rounds = RELEASE_ROUNDS if servers or self.answer_order.answered_at else 0
+        with trio.move_on_after(within_ms / 1000):
+            async with trio.open_nursery() as nursery:
+
+                async def ask(address: str) -> None:
+                    if await self._release_at(address, request_id, within_ms):
+                        confirmed_by.append(address)
+                        nursery.cancel_scope.cancel()
+
+                for nth in range(rounds):
+                    self.answer_order.demote_silent(asked, began)
+                    for address in self._next_to_ask(asked, servers, min(2**nth, RELEASE_ROUNDS)):
+                        is_responsive = self.answer_order.has_answered_since(address, began)
+                        if nth == 0 or self.release_calls < RELEASE_CALLS or is_responsive:
+                            asked[address] = None
+                            nursery.start_soon(ask, address)
+                    await trio.sleep(within_ms / RELEASE_ROUNDS / 1000)
+        return confirmed_by[-1] if confirmed_by else None
+
+    async def _release_at(self, address: str, request_id: str, within_ms: float) -> bool:
+        self.release_calls += 1
+        try:
+            result = await self.call(address, "DELETE", LEASE_PATH + request_id, within_ms)
+        finally:
+            self.release_calls -= 1
+        return result.status == 204
+
+    def _next_to_ask(self, asked: dict[str, None], servers: list[str], most: int) -> list[str]:
+        """The next servers to ask, the one that answered last first; all over again once each has been asked."""
+        order = self.answer_order.latest_first(servers, RELEASE_SERVERS)
+        fresh = [address for address in order if address not in asked]
+        return (fresh or order)[:most]
--- /dev/null
+++ b/ternlane/platform/request_reporter.py
@@ -0,0 +1,167 @@
+"""What operators are told of requests: counters, log lines, and the history of each request. It decides nothing."""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+from typing import Any
+
+from ternlane.event_loop import now_ms
+from ternlane.platform.active_request import ActiveRequest, Final, Streamed
+from ternlane.platform.attempt import AttemptResult
+from ternlane.platform.held_states import HeldStateMonitor
+from ternlane.platform.open_requests import OpenRequest
+from ternlane.platform.request_history import RequestRecord
+from ternlane.policy import messages
+from ternlane.policy.messages import AttemptOutcome, Role
+from ternlane.wire_names import OUTCOME_NAMES
+
+# Requests that have ended whose attempts and transitions are kept for who asks.
+TRAILS = 512
+
+
+class RequestReporter:
+    """`counts` are since the start; the report line says by how much each has grown."""
+
+    def __init__(self, log: Any) -> None:
+        self.log = log
+        self.counts: Counter[str] = Counter()
+        self.records: deque[RequestRecord] = deque(maxlen=TRAILS)
+        self.held_states = HeldStateMonitor()
+        self.sigterm_ms: float | None = None  # when this gateway was told to end
+
+    # -- requests
+
+    def received(self, active_request: ActiveRequest) -> None:
+        """A request was admitted."""
+        self.counts["taken"] += 1
+        after_ms = self.after_sigterm_ms(active_request)
+        after = "" if after_ms is None else f", {after_ms:.0f} ms after SIGTERM"
+        active_request.note(f"received, {active_request.request.client_timeout_ms:.0f} ms left{after}")
+
+    def after_sigterm_ms(self, active_request: ActiveRequest) -> float | None:
+        """How long after SIGTERM the request was received; None where it was before, or there was none."""
+        if self.sigterm_ms is None or active_request.received_ms < self.sigterm_ms:
+            return None
+        return round(active_request.received_ms - self.sigterm_ms, 1)
+
+    def finished(self, active_request: ActiveRequest, final: Final) -> None:
+        """A request has its final answer."""
+        outcome = final.recorded_as
+        if isinstance(final, Streamed):
+            outcome = "streamed" if final.whole else "broken"
+        else:
+            self.counts[f"{outcome} {final.reject_reason.name}"] += 1
+            active_request.note(f"{outcome}: {final.reject_reason.name}")
+        if now_ms() > active_request.deadline_ms and not active_request.streaming:
+            self.counts["late"] += 1
+        self.closed(active_request, outcome)
+
+    def closed(self, active_request: ActiveRequest, outcome: str) -> None:
+        """A request has ended. `outcome`: streamed, broken, throttled, terminated or left."""
+        self.counts[outcome] += 1
+        # While it shuts down each end of a request is logged: who asks later finds no process to ask.
+        log = self.log.debug if self.sigterm_ms is None else self.log.info
+        log(
+            "closed",
+            gen=active_request.request_id,
+            outcome=outcome,
+            phase=active_request.phase.value,
+            refusal=getattr(active_request.final, "reject_reason", messages.RejectReason.UNKNOWN).name,
+            attempts=active_request.attempt_log,
+            after_sigterm_ms=self.after_sigterm_ms(active_request),
+            took_ms=round(now_ms() - active_request.received_ms, 1),
+            patience_ms=round(active_request.request.client_timeout_ms),
+        )
+        active_request.note(f"closed: {outcome}")
+        self.records.append(
+            RequestRecord(active_request.request_id, outcome, active_request.attempt_log, active_request.history)
+        )
+
+    def describe_open(self, active_request: ActiveRequest) -> OpenRequest:
+        """A request that has no whole answer yet."""
+        now = now_ms()
+        return OpenRequest(
+            request_id=active_request.request_id,
+            phase=active_request.phase,
+            age_ms=round(now - active_request.received_ms, 1),
+            left_ms=round(active_request.deadline_ms - now, 1),
+            attempts=active_request.attempts,
+            server=active_request.server_name if active_request.attempt is not None else "",
+            after_sigterm_ms=self.after_sigterm_ms(active_request),
+        )
+
+    # -- attempts
+
+    def attempt_decided(self, active_request: ActiveRequest, timeout_ms: float) -> None:
+        """The router has chosen a server for a further attempt."""
+        last_outcome = active_request.last_outcome
+        if last_outcome and last_outcome != OUTCOME_NAMES[AttemptOutcome.PREFILLED]:
+            self.counts[f"retry after {last_outcome}"] += 1
+        active_request.note(
+            f"attempt {active_request.attempts} to {active_request.server_name} decided, {timeout_ms:.0f} ms for it"
+        )
+
+    def attempt_ended(
+        self, active_request: ActiveRequest, role: Role, result: AttemptResult, took_ms: float, written: bool
+    ) -> None:
+        """An attempt has ended; its line goes to the request's attempt log."""
+        kind = "read" if role is Role.PREFILL else "write"
+        outcome = OUTCOME_NAMES[result.outcome]
+        server = active_request.server_name
+        active_request.attempt_log.append(f"{server} {kind} {outcome} {took_ms:.0f} ms {result.why}".rstrip())
+        said = "written" if written else "not written"
+        ended = f"attempt {active_request.attempts} ended: {kind} {outcome}, {said}: {result.why}"
+        active_request.note(ended.rstrip(": "))
+        if result.outcome is AttemptOutcome.PREFILLED:
+            self.held_states.held(active_request.request_id, server, now_ms())
+        elif result.outcome is AttemptOutcome.STREAMED or result.state_lost:
+            self.held_states.ended(active_request.request_id, now_ms())
+        self.counts[f"{kind} {outcome}"] += 1
+        self.log.debug(
+            "attempt",
+            gen=active_request.request_id,
+            server=server,
+            kind=kind,
+            verdict=outcome,
+            took_ms=round(took_ms, 1),
+            begun=result.begun,
+            kept=result.cached_tokens,
+            prompt=active_request.request.prompt_tokens,
+            why=result.why,
+        )
+
+    def first_event(self, active_request: ActiveRequest) -> None:
+        """The client is about to get its first event: the decode server has taken the state."""
+        active_request.note("first event")
+        self.held_states.ended(active_request.request_id, now_ms())
+
+    # -- held states
+
+    def release_begins(self, active_request: ActiveRequest, reason: messages.ReleaseReason) -> None:
+        """The router has released what is held for the request."""
+        self.counts[f"release {reason.name}"] += 1
+        active_request.note(f"release begins: {reason.name}")
+
+    def release_unconfirmed(self, active_request: ActiveRequest, took_ms: float) -> None:
+        """No server has confirmed the release in time."""
+        self.counts["release unheard"] += 1
+        active_request.note("release unheard")
+        self.log.warning("release unheard", gen=active_request.request_id, took_ms=round(took_ms, 1))
+
+    def release_confirmed(self, active_request: ActiveRequest, confirmed_by: str, took_ms: float) -> None:
+        """A server has confirmed the release."""
+        self.counts["release heard"] += 1
+        self.held_states.ended(active_request.request_id, now_ms())
+        active_request.note(f"release heard by {confirmed_by}")
+        self.log.debug("release heard", gen=active_request.request_id, by=confirmed_by, took_ms=round(took_ms, 1))
+
+    def warn_of_overdue_states(self, release_ms: float) -> None:
+        """Logs each state once that is held for longer than the release time."""
+        for overdue in self.held_states.newly_overdue(now_ms(), release_ms):
+            self.counts["held overdue"] += 1
+            self.log.warning(
+                "state held past its release time",
+                gen=overdue.request_id,
+                server=overdue.server,
+                held_ms=round(overdue.held_ms, 1),
+            )
--- /dev/null
+++ b/ternlane/platform/runtime.py
@@ -0,0 +1,318 @@
+"""One gateway between its sockets and the router: requests, their attempts, and what is held for them."""
+
+from __future__ import annotations
+
+import time
+from typing import Any, Iterator
+
+import trio
+
+from ternlane.deployment import Deployment
+from ternlane.event_loop import EventLoop, RouterProtocol, make_start_check, now_ms
+from ternlane.platform.active_request import ActiveRequest, Final, Streamed
+from ternlane.platform.attempt import Attempt, AttemptResult
+from ternlane.platform.endpoint_list import EndpointList
+from ternlane.platform.endpoint_registry import EndpointRegistry
+from ternlane.platform.errors import ClientDisconnectedError
+from ternlane.platform.model_server_client import ModelServerClient
+from ternlane.platform.open_requests import OpenRequest
+from ternlane.platform.request_reporter import RequestReporter
+from ternlane.platform.stream_forwarder import StreamForwarder
+from ternlane.policy import messages
+from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Server
+from ternlane.wire_names import OUTCOME_NAMES
+
+# Tries of a release that no server has confirmed, each given twice the time of the one before: states outlast a silence
+# of a few seconds, and a shutdown does not wait for ever.
+RELEASE_TRIES = 4
+
+
+class PlatformRuntime(EventLoop[ActiveRequest]):
+    """Tells the router what happens on the sockets, and executes its actions on them."""
+
+    def __init__(
+        self,
+        router: RouterProtocol,
+        deployment: Deployment,
+        model_servers: ModelServerClient,
+        nursery: trio.Nursery,
+        log: Any,
+    ) -> None:
+        super().__init__(router)
+        self.deployment = deployment
+        self.model_servers = model_servers
+        self.nursery = nursery
+        self.log = log
+        self.endpoint_registry = EndpointRegistry(deployment)
+        self.reporter = RequestReporter(log)
+        self.requests_by_id: dict[str, ActiveRequest] = {}
+        self.ended: list[ActiveRequest] = []  # to be forgotten once the batch of events is over
+        self.releasing = 0  # releases in flight
+
+    # -- the loop's side
+
+    def process_events(self) -> None:
+        """Also forgets the requests that have ended: only then does no action of the batch name them any more."""
+        super().process_events()
+        for active_request in self.ended:
+            self._forget(active_request)
+        self.ended.clear()
+
+    def execute_host_action(self, action: messages.Action) -> None:
+        """Executes a release, a reservation, a probe or a line of the log."""
+        match action:
+            case messages.Release(request, again, reason):
+                active_request = self.active_requests.get(request)
+                if active_request is not None:
+                    self._begin_release(active_request, reason, again)
+            case messages.Reserve(request, server):
+                active_request = self.active_requests.get(request)
+                if active_request is not None and server in self.endpoint_registry.endpoints:
+                    self.nursery.start_soon(self._reserve, active_request, server)
+            case messages.Probe(server):
+                self.nursery.start_soon(self._probe, server)
+            case messages.Log(server, text):
+                self.log.info("server", server=self._server_name(server), text=text)
+
+    def on_timers_fired(self) -> None:
+        """The regular look at clocks, idle connections and held states."""
+        self.endpoint_registry.clock.observe(time.time() * 1000, now_ms())
+        self.model_servers.pool.sweep()
+        self.reporter.warn_of_overdue_states(self.deployment.router_config.release_ms)
+
+    def on_fault(self, fault: Exception) -> None:
+        """Logs a fault of this program; the requests concerned are failed in time by `fail_overdue_requests`."""
+        self.reporter.counts["fault"] += 1
+        self.log.error("fault", exc_info=fault)
+
+    def update_endpoints(self, endpoint_list: EndpointList) -> None:
+        """Applies a list of discovery. Raises ValueError where the whole list must be asked for."""
+        update = self.endpoint_registry.take(endpoint_list, time.time() * 1000, now_ms())
+        endpoints = self.endpoint_registry.endpoints.values()
+        self.model_servers.forget_all_but([endpoint.address for endpoint in endpoints])
+        if update.servers:
+            self.dispatch(update)
+
+    def apply_settings(self, deployment: Deployment) -> None:
+        """Other settings from now on. A request that is active keeps the terms it came with."""
+        self.deployment = deployment
+        self.model_servers.deployment = deployment
+        self.endpoint_registry.apply_settings(deployment)
+        self.dispatch(messages.ConfigChanged(deployment.router_config))
+
+    # -- requests
+
+    def receive_request(self, active_request: ActiveRequest) -> None:
+        """Admits a request that has been read whole."""
+        self.requests_by_id[active_request.request_id] = active_request
+        self.reporter.received(active_request)
+        self.add_request(active_request)
+
+    def open_requests(self) -> list[OpenRequest]:
+        """Those without their whole answer, the oldest first."""
+        active_requests = self.active_requests.values()
+        return [self.reporter.describe_open(request) for request in active_requests if not request.over]
+
+    def client_disconnected(self, active_request: ActiveRequest) -> None:
+        """Nothing is owed to the client any more. A stream that nobody reads is cancelled, and so is an attempt that
+        has not been written: it has not started."""
+        if active_request.over:
+            return
+        active_request.client_gone = True
+        attempt = active_request.attempt
+        if attempt is not None and (active_request.streaming or not attempt.written):
+            attempt.cancel()
+        self.reporter.closed(active_request, "left")
+        self.ended.append(active_request)
+        self.dispatch(messages.ClientDisconnected(active_request.request))
+
+    def abort_request(self, active_request: ActiveRequest, why: str) -> None:
+        """As in the base class, and counted: each is a fault."""
+        self.reporter.counts["overdue"] += 1
+        super().abort_request(active_request, why)
+
+    def finish_request(self, active_request: ActiveRequest, final: Final) -> None:
+        """Gives the one final answer; a second one is ignored."""
+        if active_request.over:
+            return
+        active_request.final = final
+        active_request.client_watch.cancel()
+        self.reporter.finished(active_request, final)
+        self.ended.append(active_request)
+
+    def _forget(self, active_request: ActiveRequest) -> None:
+        """A request stays until its answer is final and its last attempt has ended."""
+        if active_request.attempt is None and active_request.over:
+            self.active_requests.pop(active_request.request, None)
+            if self.requests_by_id.get(active_request.request_id) is active_request:
+                del self.requests_by_id[active_request.request_id]
+
+    # -- attempts
+
+    def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
+        """Begins an attempt; it is sent once there is a connection, and an earlier one's release is confirmed."""
+        endpoint = self.endpoint_registry.endpoints.get(server)
+        exchange = active_request.exchange
+        attempt = Attempt(
+            address=endpoint.address if endpoint is not None else "",
+            role=server.role,
+            method=exchange.method,
+            target=exchange.request.target.decode("latin-1"),
+            request_id=active_request.request_id,
+            body=active_request.body,
+            last_by=trio.current_time() + times.timeout_ms / 1000,
+            idle_timeout_ms=times.idle_timeout_ms,
+            start_check=make_start_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed),
+        )
+        active_request.attempt = attempt
+        active_request.server_name = self._server_name(server)
+        active_request.attempts += 1
+        self.reporter.attempt_decided(active_request, times.timeout_ms)
+        self.nursery.start_soon(self._run_attempt, active_request, server, attempt)
+
+    async def _run_attempt(self, active_request: ActiveRequest, server: Server, attempt: Attempt) -> None:
+        since_ms = now_ms()
+        await self._wait_for_release(active_request, attempt)
+        result = await self._run_at_server(active_request, server, attempt, since_ms)
+        if result.outcome is AttemptOutcome.CLIENT_GONE:
+            self.client_disconnected(active_request)
+        if result.outcome is AttemptOutcome.STREAMED and not active_request.over:
+            await self._end_stream(active_request)
+        elif result.begun:
+            self.finish_request(active_request, Streamed(whole=False))
+        self._attempt_ended(active_request, server, result, now_ms() - since_ms)
+
+    async def _wait_for_release(self, active_request: ActiveRequest, attempt: Attempt) -> None:
+        """Waits until what an earlier attempt left behind is released, lest a late DELETE release what this one has
+        prefilled: both go by the request's id. Bounded by the connect timeout."""
+        if active_request.released is None:
+            return
+        connect_s = self.deployment.router_config.connect_ms / 1000
+        attempt.release_wait.deadline = trio.current_time() + connect_s
+        with attempt.release_wait:
+            await active_request.released.wait()
+
+    async def _run_at_server(
+        self, active_request: ActiveRequest, server: Server, attempt: Attempt, since_ms: float
+    ) -> AttemptResult:
+        forwarder = StreamForwarder(
+            active_request, server, since_ms, on_first_event=self.reporter.first_event, dispatch=self.dispatch
+        )
+        try:
+            return await self.model_servers.run(attempt, forwarder)
+        except ClientDisconnectedError:
+            self.client_disconnected(active_request)
+            return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
+        except Exception as fault:  # a fault of this program must not end the other requests
+            self.log.exception("leg")
+            return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
+
+    async def _end_stream(self, active_request: ActiveRequest) -> None:
+        try:
+            await active_request.exchange.end()
+        except (trio.BrokenResourceError, trio.ClosedResourceError):
+            self.client_disconnected(active_request)
+        self.finish_request(active_request, Streamed(whole=True))
+
+    def _attempt_ended(
+        self, active_request: ActiveRequest, server: Server, result: AttemptResult, took_ms: float
+    ) -> None:
+        attempt = active_request.attempt
+        active_request.attempt = None
+        active_request.streaming = False
+        self.reporter.attempt_ended(
+            active_request, server.role, result, took_ms, written=attempt is not None and attempt.written
+        )
+        if result.why:
+            active_request.why = f"{OUTCOME_NAMES[result.outcome]}: {result.why}"
+        self.dispatch(
+            messages.AttemptEnded(
+                active_request.request,
+                server,
+                result.outcome,
+                took_ms,
+                active_request.over,
+                result.cached_tokens,
+                result.state_lost,
+                result.report,
+            )
+        )
+        self._forget(active_request)
+
+    def oldest_unanswered_ms(self) -> float:
+        """For how long the attempt has waited that was written first of those without an answer's first event."""
+        oldest_s = 0.0
+        for active_request in self.active_requests.values():
+            attempt = active_request.attempt
+            if attempt is not None and attempt.written_at is not None and not active_request.streaming:
+                oldest_s = max(oldest_s, trio.current_time() - attempt.written_at)
+        return oldest_s * 1000
+
+    # -- what is held at model servers
+
+    def addresses(self) -> Iterator[str]:
+        """Addresses of all servers that are listed, one after the other as they are asked for."""
+        for server, endpoint in self.endpoint_registry.endpoints.items():
+            if server.status is not EndpointStatus.REMOVED:
+                yield endpoint.address
+
+    def _begin_release(self, active_request: ActiveRequest, reason: messages.ReleaseReason, again: bool) -> None:
+        self.releasing += 1
+        self.reporter.release_begins(active_request, reason)
+        active_request.released = trio.Event()
+        self.nursery.start_soon(self._release, active_request, active_request.released, again)
+
+    async def _release(self, active_request: ActiveRequest, released: trio.Event, again: bool) -> None:
+        """`again`: a prefill may have ended unheard well after the first release, so it is said once more."""
+        release_ms = self.deployment.router_config.release_ms
+        try:
+            await self._release_until_confirmed(active_request, release_ms)
+            released.set()
+            if again:
+                await trio.sleep(release_ms / 2000)
+                await self._release_until_confirmed(active_request, release_ms)
+        except Exception:
+            self.log.exception("release")
+        finally:
+            self.releasing -= 1
+            released.set()
+
+    async def _release_until_confirmed(self, active_request: ActiveRequest, within_ms: float) -> None:
+        """Asks servers to release what is held for the request until one has confirmed it.
+
+        What nobody has confirmed within the release time is owed all the same: it is tried again, a bounded number of
+        times, ever more slowly, since servers that are too busy to confirm it must not get busier by it.
+        """
+        since_ms = now_ms()
+        for nth in range(RELEASE_TRIES):
+            confirmed_by = await self.model_servers.release(
+                active_request.request_id, self.addresses(), within_ms * 2**nth
+            )
+            took_ms = now_ms() - since_ms
+            if confirmed_by is None:
+                self.reporter.release_unconfirmed(active_request, took_ms)
+                continue
+            self.reporter.release_confirmed(active_request, confirmed_by, took_ms)
+            if not active_request.over:
+                self.dispatch(messages.ReleaseConfirmed(active_request.request))
+            return
+
+    async def _reserve(self, active_request: ActiveRequest, server: Server) -> None:
+        address = self.endpoint_registry.endpoints[server].address
+        release_ms = self.deployment.router_config.release_ms
+        reserved = await self.model_servers.reserve(address, active_request.request_id, release_ms)
+        if not active_request.over:
+            self.dispatch(messages.ReservationResult(active_request.request, reserved))
+
+    async def _probe(self, server: Server) -> None:
+        endpoint = self.endpoint_registry.endpoints.get(server)
+        if endpoint is None:
+            self.dispatch(messages.ProbeResult(server, AttemptOutcome.CONNECT_FAILED, None))
+            return
+        connect_ms = self.deployment.router_config.connect_ms
+        outcome, report = await self.model_servers.load(endpoint.address, connect_ms)
+        self.dispatch(messages.ProbeResult(server, outcome, report))
+
+    def _server_name(self, server: Server) -> str:
+        endpoint = self.endpoint_registry.endpoints.get(server)
+        return endpoint.name if endpoint is not None else "gone"
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -1,4 +1,7 @@
-"""The configuration file of a gateway, read and checked."""
+"""The configuration file of a gateway, read and checked.
+
+`ConfigurationFile` and `Limits` have the users' names of its fields; `deployment.py` maps what stands under `settings`.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +13,24 @@
 import msgspec
 
 from ternlane.deployment import Deployment
-from ternlane.platform.endpoint_registry import Entry, EndpointList, read_listing
-
+from ternlane.platform.endpoint_list import EndpointList, parse_endpoint_list
+from ternlane.platform.errors import ConfigurationError
 
-class Unfit(ValueError):
-    """The configuration can't be used; says in one line why."""
+# Fewer descriptors are not enough for the listener, the watch, the log and a connection on each side.
+LEAST_SOCKETS = 64
 
 
 class Limits(msgspec.Struct):
+    """What the gateway's process may use."""
+
     cores: float = 1.0
     memory_mb: float = 192.0
-    sockets: int = 1024
+    sockets: int = 1024  # open descriptors
+
 
+class ConfigurationFile(msgspec.Struct):
+    """The file as it stands."""
 
-class File(msgspec.Struct):
     settings: dict[str, Any]
     name: str = ""
     listen: str = ""
@@ -34,57 +41,64 @@
 
 
 @dataclass(slots=True)
-class Post:
-    """One gateway's place: where it listens, whom it asks, what it may use, and what it serves."""
+class GatewayConfiguration:
+    """One gateway's configuration: where it listens, where discovery is, what it may use, and what it serves."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     limits: Limits
-    known: EndpointList
+    known: EndpointList  # served by until discovery has spoken
     deployment: Deployment
 
 
-def place(text: str, what: str) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal() or int(port) > 65535:
-        raise Unfit(f"{what} must be host:port, not {text!r}")
-    return host.strip("[]"), int(port)
-
+def read_configuration(
+    env: Mapping[str, str] = os.environ, before: Deployment | None = None, file_first: bool = False
+) -> GatewayConfiguration:
+    """Reads the file that NODE_CONFIG names. Raises ConfigurationError.
 
-def read_post(env: Mapping[str, str] = os.environ, before: Deployment | None = None, file_first: bool = False) -> Post:
-    """Raises Unfit. The variables go before the file at the start; with `file_first`, as on a reload, the file's
-    discovery does: the variables are those of the start."""
+    The environment's variables go before the file at the start. With `file_first`, as on a reload, the file's discovery
+    does: the variables are those of the start. `before`: the deployment that this one replaces.
+    """
     path = env.get("NODE_CONFIG", "")
     if not path:
-        raise Unfit("NODE_CONFIG names no file")
+        raise ConfigurationError("NODE_CONFIG names no file")
+    file = _read_file(path)
     try:
-        raw = msgspec.json.decode(Path(path).read_bytes(), type=File)
-    except OSError as why:
-        raise Unfit(f"{path}: {why.strerror}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
-        raise Unfit(f"{path}: {why}") from None
-    try:
-        seed = int(raw.seed, 16) if isinstance(raw.seed, str) else raw.seed
-        deployment = Deployment(seed, raw.settings, before)
-        known = read_listing(raw.known)
-    except ValueError as why:
-        raise Unfit(f"{path}: {why}") from None
+        seed = int(file.seed, 16) if isinstance(file.seed, str) else file.seed
+        deployment = Deployment(seed, file.settings, before)
+        known = parse_endpoint_list(file.known)
+    except ValueError as error:
+        raise ConfigurationError(f"{path}: {error}") from None
     if not deployment.request_classes:
-        raise Unfit(f"{path}: settings: no profiles")
-    if not (raw.limits.sockets >= 64 and raw.limits.memory_mb > 0):
-        raise Unfit(f"{path}: limits: no gateway can run with these")
-    said = [raw.discovery, env.get("NODE_DISCOVERY", "")]
-    if not file_first:
-        said.reverse()
-    return Post(
-        env.get("NODE_NAME") or raw.name,
-        place(env.get("NODE_LISTEN") or raw.listen, "listen"),
-        place(next((s for s in said if s), ""), "discovery"),
-        raw.limits,
-        known,
-        deployment,
+        raise ConfigurationError(f"{path}: settings: no profiles")
+    if not (file.limits.sockets >= LEAST_SOCKETS and file.limits.memory_mb > 0):
+        raise ConfigurationError(f"{path}: limits: no gateway can run with these")
+    discovery = [env.get("NODE_DISCOVERY", ""), file.discovery]
+    if file_first:
+        discovery.reverse()
+    return GatewayConfiguration(
+        name=env.get("NODE_NAME") or file.name,
+        listen=parse_address(env.get("NODE_LISTEN") or file.listen, "listen"),
+        discovery=parse_address(discovery[0] or discovery[1], "discovery"),
+        limits=file.limits,
+        known=known,
+        deployment=deployment,
     )
 
 
-__all__ = ["Entry", "Limits", "Post", "Unfit", "place", "read_post"]
+def _read_file(path: str) -> ConfigurationFile:
+    try:
+        return msgspec.json.decode(Path(path).read_bytes(), type=ConfigurationFile)
+    except OSError as error:
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise ConfigurationError(f"{path}: {error}") from None
+
+
+def parse_address(text: str, name: str) -> tuple[str, int]:
+    """Host and port of "host:port". Raises ConfigurationError, which calls the field by `name`."""
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdecimal() or int(port) > 65535:
+        raise ConfigurationError(f"{name} must be host:port, not {text!r}")
+    return host.strip("[]"), int(port)
