--- a/ternlane/wirehost/__init__.py
+++ b/ternlane/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: text in, text out, one Router for each instance."""
+"""The router on the simulator's wire: text in, text out, one router for each gateway."""
--- a/ternlane/wirehost/__main__.py
+++ b/ternlane/wirehost/__main__.py
@@ -5,17 +5,20 @@
 
 from ternlane.wirehost.host import Host
 
+# The last line of a batch.
+END_OF_BATCH = "EOB"
+
 
 def main() -> int:
+    """Serves the simulator; returns the exit status."""
     gc.freeze()
     host = Host()
-    out = sys.stdout
     batch: list[str] = []
-    for line in sys.stdin:
-        line = line.rstrip("\n")
-        if line == "EOB":
-            out.write("\n".join(host.answer(batch)) + "\n")
-            out.flush()
+    for text in sys.stdin:
+        line = text.rstrip("\n")
+        if line == END_OF_BATCH:
+            sys.stdout.write("\n".join(host.answer(batch)) + "\n")
+            sys.stdout.flush()
             batch = []
         elif line:
             batch.append(line)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,14 +16,14 @@
 from ternlane.policy.messages import Role, AttemptOutcome
 from ternlane.testing.platform import DONE, EVENT
 from ternlane.wirehost.host import Host as WireHost
-from ternlane.wirehost.host import Instance
+from ternlane.wirehost.instance import GatewayInstance
 from tests.platform_world import TOLD, always, once, platform
 
 # -- one settings object, request and list by both ways
 
 
 def test_simulator_and_platform_tell_the_decisions_equal_facts() -> None:
-    wire, told = Instance(7, TOLD), Deployment(7, TOLD)
+    wire, told = GatewayInstance(7, TOLD), Deployment(7, TOLD)
     assert [astuple(p) for p in wire.deployment.router_config.request_classes] == [
         astuple(p) for p in told.router_config.request_classes
     ]
@@ -50,18 +50,18 @@
         ).encode()
     )
     endpoint_registry.take(listing, 10_000.0, 5_000.0)
-    wire.list_entries("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
+    wire.decode_list("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
     mine, theirs = endpoint_registry.servers["s1"], wire.servers["s1"]
     for name in ("zone", "cell", "role", "kv_capacity_tokens", "size", "started_ms", "status", "hash_key"):
         assert getattr(mine, name) == getattr(theirs, name), name
-    by_wire = wire.event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
+    by_wire = wire.decode_event("WORK_ITEM 1 9 8 - ab summary 20 1500 0 c1 40 -".split(" "))
     assert isinstance(by_wire, messages.RequestArrived)
     by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
     for name in ("session", "prefix", "prefix_tokens", "prompt_tokens", "max_tokens", "client_timeout_ms", "tenant"):
         assert getattr(by_wire.request, name) == getattr(by_socket, name), name
     assert (
         parse_load_report("inflight=7,x0=0.5", Deployment(7, TOLD))
-        == wire.report("7,0.5")
+        == wire.decode_report("7,0.5")
         == messages.Report(7.0, 0.5)
     )
     assert WireHost().answer(["MARK 1.0"]) == ["YIELD"]
