--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -20,12 +20,12 @@
 # A loop that waited at least this long for its sockets was not behind with them.
 RESTED_MS = 0.5
 # A loop that was late is expected to be late again; that expectation decays with this time constant.
-LAG_MS = 1000.0
+LATENESS_DECAY_MS = 1000.0
 # The router ends each request by its deadline. Where a fault kept it from that, the request is failed so long after its
 # deadline: users count a request without an answer as lost half a second after its deadline.
-OVERDUE_MS = 250.0
+OVERDUE_GRACE_MS = 250.0
 # Between two checks for overdue requests.
-OVERDUE_LOOK_MS = 100.0
+OVERDUE_CHECK_MS = 100.0
 # After a timer whose handling failed, until it fires again: a fault that repeats at once must not fill the log.
 FAULT_PAUSE_MS = 1000.0
 
@@ -229,8 +229,8 @@
     def execute(self, action: messages.Action) -> None:
         """Executes one action; those that differ between gateways go to `execute_host_action`."""
         match action:
-            case messages.StartTimer(at, beat):
-                self.call_at(at, partial(self.enqueue, messages.TimerFired(beat)))
+            case messages.StartTimer(at_ms, is_regular):
+                self.call_at(at_ms, partial(self.enqueue, messages.TimerFired(is_regular)))
             case messages.StartAttempt(request, server):
                 self.start_attempt(self.active_requests[request], server, action)
             case messages.CancelAttempt(request):
@@ -285,12 +285,12 @@
         """
         now = now_ms()
         for active_request in list(self.active_requests.values()):
-            is_overdue = active_request.deadline_ms < now - OVERDUE_MS or now >= self.answer_all_by_ms
+            is_overdue = active_request.deadline_ms < now - OVERDUE_GRACE_MS or now >= self.answer_all_by_ms
             if active_request.unanswered and is_overdue:
                 self.abort_request(active_request, "nothing was decided in time")
         self.checking_overdue = bool(self.active_requests)
         if self.checking_overdue:
-            self.call_at(now_ms() + OVERDUE_LOOK_MS, self.fail_overdue_requests)
+            self.call_at(now_ms() + OVERDUE_CHECK_MS, self.fail_overdue_requests)
 
     def abort_request(self, active_request: RequestT, why: str) -> None:
         """Fails a request without the router, which is told that its client has gone. The request may have run."""
@@ -315,7 +315,7 @@
 
     def expected_lateness_ms(self) -> float:
         """By how much this loop must be expected to be late: deadlines are taken as so much sooner."""
-        return self.recent_lateness.late_ms * exp((self.recent_lateness.at_ms - now_ms()) / LAG_MS)
+        return self.recent_lateness.late_ms * exp((self.recent_lateness.at_ms - now_ms()) / LATENESS_DECAY_MS)
 
     async def run_timers(self) -> None:
         """Fires each timer at its time; the events of all that are due go to the router in one batch."""
--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -15,11 +15,11 @@
 Headers = Sequence[tuple[str, str]]
 
 # Of one read.
-CHUNK = 65536
+CHUNK_BYTES = 65536
 # Of an answer's head, or of a chunk's line.
 HEAD_BYTES = 16384
 # Heads that may come ahead of the answer's (status 1xx).
-INTERIM = 16
+MAX_INTERIM_HEADS = 16
 
 
 class CallState(Enum):
@@ -97,7 +97,7 @@
         Raises ReadTimeout, and trio.BrokenResourceError or h11.RemoteProtocolError where the connection breaks or the
         peer breaks off.
         """
-        for _ in range(INTERIM):
+        for _ in range(MAX_INTERIM_HEADS):
             event = await self.event()
             if isinstance(event, h11.Response):
                 return event
@@ -159,9 +159,9 @@
     async def _receive_in_time(self) -> bytes:
         if trio.current_time() < self._read_deadline_s:
             with trio.CancelScope(deadline=self._read_deadline_s):
-                return await self.stream.receive_some(CHUNK)
+                return await self.stream.receive_some(CHUNK_BYTES)
         # The deadline has passed: what the kernel holds has arrived by then, but was not read in time.
-        data = None if self._drained_after_deadline else receive_now(self.stream, CHUNK)
+        data = None if self._drained_after_deadline else receive_now(self.stream, CHUNK_BYTES)
         self._drained_after_deadline = True  # one that never stops sending is not waited for either
         if data is None:
             raise ReadTimeout(f"{self.peer}: nothing came in time")
--- a/ternlane/http1/connection_age.py
+++ b/ternlane/http1/connection_age.py
@@ -10,9 +10,9 @@
 from math import exp
 
 # The part of the connections used again after such a time that broke: more is no chance.
-OFTEN = 1 / 8
+BREAK_SHARE_LIMIT = 1 / 8
 # Breaks, with the older ones fading, before anything is concluded.
-LEAST = 1.5
+MIN_BREAKS = 1.5
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
         self.span_ms = span_ms
         self._counts: dict[int, ReuseCounts] = {}  # by doublings of the idle time
 
-    def note(self, idle_ms: float, broke: bool, now_ms: float) -> None:
+    def record(self, idle_ms: float, broke: bool, now_ms: float) -> None:
         """A connection was used again after being idle for so long."""
         faded = self._faded(idle_ms, now_ms)
         self._counts[_magnitude(idle_ms)] = ReuseCounts(faded.uses + 1, faded.breaks + broke, now_ms)
@@ -39,7 +39,7 @@
     def shuns(self, idle_ms: float, now_ms: float) -> bool:
         """Is a connection that has been idle for so long likely to break?"""
         faded = self._faded(idle_ms, now_ms)
-        return faded.breaks >= LEAST and faded.breaks > OFTEN * faded.uses
+        return faded.breaks >= MIN_BREAKS and faded.breaks > BREAK_SHARE_LIMIT * faded.uses
 
     def _faded(self, idle_ms: float, now_ms: float) -> ReuseCounts:
         counts = self._counts.get(_magnitude(idle_ms))
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -15,7 +15,7 @@
 from ternlane.http1.errors import ConnectError
 
 # Idle connections kept for each peer.
-PER_PEER = 64
+MAX_IDLE_PER_PEER = 64
 # Errors of socket, bind and connect that tell of this machine, not of the peer; what is short comes back in a moment.
 LOCAL_SHORTAGES = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN}
@@ -102,7 +102,7 @@
         if was_asked:
             self._note_reuse(connection)
         is_spent = was_asked and not connection.reusable
-        if is_spent or len(self.idle.get(connection.peer, ())) >= PER_PEER:
+        if is_spent or len(self.idle.get(connection.peer, ())) >= MAX_IDLE_PER_PEER:
             connection.close_now()
             return
         if was_asked:
@@ -163,7 +163,7 @@
     def _note_reuse(self, connection: ClientConnection) -> None:
         """Whether a kept connection still worked when it was used again."""
         if connection.idled_ms is not None:
-            self.age.note(connection.idled_ms, connection.broke, trio.current_time() * 1000)
+            self.age.record(connection.idled_ms, connection.broke, trio.current_time() * 1000)
 
 
 async def open_stream(host: str, port: int, source: str | None) -> trio.SocketStream:
--- a/ternlane/platform/acceptor.py
+++ b/ternlane/platform/acceptor.py
@@ -10,15 +10,15 @@
 from ternlane.platform.chat_server import ChatServer
 
 # Errors of accept that tell of too few descriptors or too little memory on this machine.
-SHORT_OF = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS)
+SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS)
 # A pause of the accept loop where the kernel says that a connection has gone already.
-ABORTED_MS = 10.0
+ABORTED_PAUSE_MS = 10.0
 # And where descriptors or memory are short: what closes meanwhile makes room.
-SHORT_MS = 50.0
+SHORTAGE_PAUSE_MS = 50.0
 # No connection for so long: the listener's queue is empty.
 QUEUE_EMPTY_MS = 10.0
 # The part of the idle connections that is closed where descriptors are short: attempts need some too.
-IDLE_CLOSED_PART = 1 / 8
+IDLE_CLOSED_SHARE = 1 / 8
 
 
 class Acceptor:
@@ -77,14 +77,14 @@
         number = error.errno if isinstance(error, OSError) else None
         counts[f"accept {errno.errorcode.get(number or 0, type(error).__name__)}"] += 1
         if number == errno.ECONNABORTED:  # it was reset while it waited to be taken
-            await trio.sleep(ABORTED_MS / 1000)
+            await trio.sleep(ABORTED_PAUSE_MS / 1000)
             return
-        if number not in SHORT_OF:
+        if number not in SHORTAGE_ERRORS:
             self.log.error("accept", why=repr(error))
-            await trio.sleep(SHORT_MS / 1000)
+            await trio.sleep(SHORTAGE_PAUSE_MS / 1000)
             return
         counts["no descriptors"] += 1
-        for _ in range(1 + int(len(self.server.idle) * IDLE_CLOSED_PART)):
+        for _ in range(1 + int(len(self.server.idle) * IDLE_CLOSED_SHARE)):
             if not self.server.close_longest_idle():
-                await trio.sleep(SHORT_MS / 1000)
+                await trio.sleep(SHORTAGE_PAUSE_MS / 1000)
                 return
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -54,9 +54,9 @@
     def __post_init__(self) -> None:
         self.history = RequestHistory(self.received_ms)
 
-    def note(self, event: str) -> None:
+    def record(self, event: str) -> None:
         """Adds a transition to its history, for the operators."""
-        self.history.note(now_ms(), event)
+        self.history.record(now_ms(), event)
 
     @property
     def over(self) -> bool:
--- a/ternlane/platform/answer_order.py
+++ b/ternlane/platform/answer_order.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.answered_at: OrderedDict[str, float] = OrderedDict()
 
-    def note_answer(self, address: str, now_s: float) -> None:
+    def record_answer(self, address: str, now_s: float) -> None:
         """This server has just answered."""
         self.answered_at[address] = now_s
         self.answered_at.move_to_end(address)
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -20,11 +20,11 @@
 # For a request's head, again for its body, and from a connection's start to its first request. Who connects and sends
 # no request is owed an end within 3 s of connecting (users' page); the rest is for the way. A slow client that goes on
 # writing gets all of that time, on each of its connections and for each of its requests.
-REQUEST_MS = 2700.0
+REQUEST_TIMEOUT_MS = 2700.0
 # The users' page lets a connection without an open request go after 2 s.
-IDLE_MS = 2300.0
+IDLE_TIMEOUT_MS = 2300.0
 # A client that takes nothing for so long has left.
-SEND_MS = 3000.0
+SEND_TIMEOUT_MS = 3000.0
 
 
 class ChatServer:
@@ -50,12 +50,12 @@
         self.reading_stopped = False
         self.limits = ServerLimits(
             BODY_BYTES,
-            head_ms=REQUEST_MS,
-            body_ms=REQUEST_MS,
-            idle_ms=IDLE_MS,
-            send_ms=SEND_MS,
+            head_ms=REQUEST_TIMEOUT_MS,
+            body_ms=REQUEST_TIMEOUT_MS,
+            idle_ms=IDLE_TIMEOUT_MS,
+            send_ms=SEND_TIMEOUT_MS,
             head_bytes=HEAD_BYTES,
-            first_ms=REQUEST_MS,
+            first_ms=REQUEST_TIMEOUT_MS,
         )
 
     # -- connections
--- a/ternlane/platform/discovery_watch.py
+++ b/ternlane/platform/discovery_watch.py
@@ -11,33 +11,35 @@
 
 from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool
 from ternlane.platform.endpoint_list import EndpointList, EndpointListParser, parse_endpoint_list
-from ternlane.platform.endpoint_registry import BEHIND_MS
+from ternlane.platform.endpoint_registry import MAX_STALENESS_MS
 
 WATCH_PATH = "/registry/instances?stream=1&index={}"
 # A heartbeat, an empty line, comes at the latest this often (users' page).
-BEAT_MS = 2000.0
+HEARTBEAT_MS = 2000.0
 # What discovery has and could be asked for counts as told then, whatever call failed (users' page).
-TOLD_MS = BEHIND_MS
+PROPAGATION_MS = MAX_STALENESS_MS
 # What a new address has to tell counts as told so long after the reload (users' page).
-MOVED_MS = 4000.0
+MOVE_PROPAGATION_MS = 4000.0
 # A watch without a line for so long has broken.
-SILENT_MS = 1.25 * BEAT_MS
-CONNECT_MS = BEAT_MS / 4
+WATCH_TIMEOUT_MS = 1.25 * HEARTBEAT_MS
+CONNECT_TIMEOUT_MS = HEARTBEAT_MS / 4
 # For the head of an answer, which an agent gives at once.
-HEAD_MS = BEAT_MS / 2
+HEAD_TIMEOUT_MS = HEARTBEAT_MS / 2
 # Backoff after a watch that worked: its agent, on this machine, answers at once.
-FIRST_RETRY_MS = BEAT_MS / 100
+FIRST_BACKOFF_MS = HEARTBEAT_MS / 100
 # Backoff after calls that came to nothing, doubled each time up to the second.
-RETRY_MS = BEAT_MS / 8
-RETRY_MOST_MS = 0.4 * BEAT_MS
+BACKOFF_MS = HEARTBEAT_MS / 8
+MAX_BACKOFF_MS = 0.4 * HEARTBEAT_MS
 # Jitter, as factors of a backoff: not all gateways ask at once.
-SPREAD = 0.5, 1.5
+JITTER = 0.5, 1.5
 # From a call that hangs to the next answer, at worst.
-WORST_MS = SILENT_MS + SPREAD[1] * RETRY_MOST_MS + CONNECT_MS + HEAD_MS
+WORST_CASE_MS = WATCH_TIMEOUT_MS + JITTER[1] * MAX_BACKOFF_MS + CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
 # From a move of discovery to its first list, at worst: the first call for it hangs.
-MOVED_WORST_MS = CONNECT_MS + HEAD_MS + SPREAD[1] * RETRY_MS + CONNECT_MS + HEAD_MS
+MOVE_WORST_CASE_MS = (
+    CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS + JITTER[1] * BACKOFF_MS + CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
+)
 # Within which an agent that is up has said what it has.
-FIRST_LIST_MS = CONNECT_MS + HEAD_MS
+FIRST_LIST_MS = CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
 BROKEN = (
     ConnectError,
     OSError,
@@ -93,13 +95,13 @@
 
     def _jitter(self) -> float:
         self._pauses += 1
-        low, high = SPREAD
+        low, high = JITTER
         fraction = crc32(b"%d watch %d" % (self.seed, self._pauses)) / 2**32
         return low + (high - low) * fraction
 
     async def _follow(self, address: tuple[str, int], scope: trio.CancelScope) -> None:
         """Watches one address until another one has taken its place."""
-        pool = ConnectionPool(CONNECT_MS, inf)
+        pool = ConnectionPool(CONNECT_TIMEOUT_MS, inf)
         backoff_ms = 0.0
         try:
             with scope:
@@ -109,8 +111,10 @@
                     if scope is not self.following[-1]:
                         return  # an old address whose watch has ended is not asked again
                     self.on_failure(why)
-                    has_worked = trio.current_time() - since > SILENT_MS / 1000
-                    backoff_ms = FIRST_RETRY_MS if has_worked else min(max(RETRY_MS, 2 * backoff_ms), RETRY_MOST_MS)
+                    has_worked = trio.current_time() - since > WATCH_TIMEOUT_MS / 1000
+                    backoff_ms = (
+                        FIRST_BACKOFF_MS if has_worked else min(max(BACKOFF_MS, 2 * backoff_ms), MAX_BACKOFF_MS)
+                    )
                     await self._pause(backoff_ms)
                     if scope is not self.following[-1]:
                         return  # and neither if it has become an old one during the pause
@@ -132,14 +136,14 @@
         return "the watch ended"
 
     async def _read_watch(self, connection: ClientConnection, scope: trio.CancelScope) -> None:
-        with trio.fail_after(HEAD_MS / 1000) as silence:
+        with trio.fail_after(HEAD_TIMEOUT_MS / 1000) as silence:
             head = await connection.ask("GET", WATCH_PATH.format(self.index()), [])
             if head.status_code != 200:
                 raise ValueError(f"status {head.status_code}")
-            silence.deadline = trio.current_time() + SILENT_MS / 1000
+            silence.deadline = trio.current_time() + WATCH_TIMEOUT_MS / 1000
             parser = EndpointListParser()
             async for piece in connection.chunks():
-                silence.deadline = trio.current_time() + SILENT_MS / 1000
+                silence.deadline = trio.current_time() + WATCH_TIMEOUT_MS / 1000
                 self._cancel_older(scope)
                 lists = parser.feed(piece)
                 for raw in lists:
--- a/ternlane/platform/endpoint_registry.py
+++ b/ternlane/platform/endpoint_registry.py
@@ -11,7 +11,7 @@
 from ternlane.policy.messages import EndpointStatus, EndpointsUpdated, Server
 
 # What discovery has to tell has been told by then (users' page). An agent is never behind for longer.
-BEHIND_MS = 6000.0
+MAX_STALENESS_MS = 6000.0
 
 
 @dataclass(slots=True, eq=False)
@@ -73,7 +73,7 @@
             self._behind_since_ms = inf
             return False
         self._behind_since_ms = min(self._behind_since_ms, now_ms)
-        if now_ms < self._behind_since_ms + BEHIND_MS:
+        if now_ms < self._behind_since_ms + MAX_STALENESS_MS:
             return True
         self.index = 0
         self._behind_since_ms = inf
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -22,29 +22,29 @@
 from ternlane.policy.router import Router
 from ternlane.policy.shutdown import shutdown_times
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 # Shares of the descriptors; the rest is for the watch, the log and what is being closed.
-CLIENTS = 0.45
-SERVERS = 0.45
+CLIENT_SOCKETS_SHARE = 0.45
+SERVER_SOCKETS_SHARE = 0.45
 # Of the descriptors, requests active at once: each has one attempt in flight, and DELETE needs connections too.
-OPEN = 0.4
+REQUESTS_SHARE = 0.4
 # Of the memory, for bodies of active requests.
-BODIES = 0.2
+BODIES_MEMORY_SHARE = 0.2
 # Of the servers' idle timeout: a connection that is closed well before it crosses no request of ours.
-IDLE_PART = 0.9
+IDLE_TIMEOUT_SHARE = 0.9
 # New connections still arrive for so long after SIGTERM (users' page).
-LATE_COMERS_MS = 450.0
+LATE_CONNECTIONS_MS = 450.0
 # SIGKILL comes no earlier than the longest deadline, cut to the first, plus the second (users' page).
-LONGEST_MS = 3000.0
-ENDS_MS = 700.0
+LONGEST_DEADLINE_MS = 3000.0
+KILL_GRACE_MS = 700.0
 # Before SIGKILL, when what the router has not answered is failed: an answer needs its way.
 LAST_ANSWER_MS = 250.0
 # Before SIGKILL, when what is still active is logged.
-UNFINISHED_MS = 100.0
+UNFINISHED_REPORT_MS = 100.0
 # Between two looks at whether all has ended.
 END_POLL_MS = 20.0
 # Between two report lines.
-REPORT_MS = 10e3
+REPORT_INTERVAL_MS = 10e3
 
 
 class Gateway:
@@ -79,11 +79,11 @@
         """What connections and bodies may take, by the settings in force."""
         router_config = configuration.deployment.router_config
         limits = configuration.limits
-        idle_ms = IDLE_PART * router_config.idle_ms
-        self.pool.set_limits(router_config.connect_ms, idle_ms, int(limits.sockets * SERVERS))
-        self.chat_server.connection_limit = int(limits.sockets * CLIENTS)
-        self.chat_server.request_limit = int(limits.sockets * OPEN)
-        self.chat_server.body_bytes_limit = int(limits.memory_mb * 2**20 * BODIES)
+        idle_ms = IDLE_TIMEOUT_SHARE * router_config.idle_ms
+        self.pool.set_limits(router_config.connect_ms, idle_ms, int(limits.sockets * SERVER_SOCKETS_SHARE))
+        self.chat_server.connection_limit = int(limits.sockets * CLIENT_SOCKETS_SHARE)
+        self.chat_server.request_limit = int(limits.sockets * REQUESTS_SHARE)
+        self.chat_server.body_bytes_limit = int(limits.memory_mb * 2**20 * BODIES_MEMORY_SHARE)
 
     def _watch_failed(self, why: str) -> None:
         self.runtime.reporter.counts["watch broke"] += 1
@@ -94,7 +94,7 @@
     async def start(self) -> None:
         """Begins to serve. Raises OSError where its address can't be listened at."""
         host, port = self.configuration.listen
-        listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
+        listeners = await trio.open_tcp_listeners(port, host=host, backlog=LISTEN_BACKLOG)
         self.listener = listeners[0]
         trio.lowlevel.add_instrument(self.polls)
         self.runtime.endpoint_registry.index = self.configuration.known.index
@@ -142,8 +142,8 @@
         deployment = self.runtime.deployment
         now = now_ms()
         deadlines_ms = [request_class.deadline_ms for request_class in deployment.request_classes.values()]
-        longest_ms = min(LONGEST_MS, max(deadlines_ms))
-        times = shutdown_times(longest_ms, ENDS_MS, deployment.router_config.release_ms, since_signal_ms)
+        longest_ms = min(LONGEST_DEADLINE_MS, max(deadlines_ms))
+        times = shutdown_times(longest_ms, KILL_GRACE_MS, deployment.router_config.release_ms, since_signal_ms)
         self.chat_server.draining = True
         self.runtime.reporter.sigterm_ms = now - since_signal_ms
         self.runtime.answer_all_by_ms = now + times.ends_ms - LAST_ANSWER_MS
@@ -167,11 +167,11 @@
         New connections close only when all that was sent to them must have come.
         """
         self.begin_drain(since_signal_ms)
-        await trio.sleep(max(0.0, LATE_COMERS_MS - since_signal_ms) / 1000)
+        await trio.sleep(max(0.0, LATE_CONNECTIONS_MS - since_signal_ms) / 1000)
         self.accepting.cancel()
-        await self.acceptor.accept_queued(self.listener, self.nursery, LATE_COMERS_MS)
+        await self.acceptor.accept_queued(self.listener, self.nursery, LATE_CONNECTIONS_MS)
         self.listener.socket.close()
-        await trio.sleep(LATE_COMERS_MS / 4000)
+        await trio.sleep(LATE_CONNECTIONS_MS / 4000)
         while self.runtime.active_requests or self.runtime.releasing or self.chat_server.connections:
             self.chat_server.close_idle()  # also those that were still to be read at the look before
             await trio.sleep(END_POLL_MS / 1000)
@@ -183,7 +183,7 @@
 
     async def _report_unfinished(self, within_ms: float) -> None:
         """Names what is open shortly before this process may be killed: afterwards nothing can."""
-        await trio.sleep(max(0.0, within_ms - UNFINISHED_MS) / 1000)
+        await trio.sleep(max(0.0, within_ms - UNFINISHED_REPORT_MS) / 1000)
         for request in self.runtime.open_requests():
             self.log.warning("unfinished before the end", **request.as_fields())
 
@@ -193,7 +193,7 @@
         """What an operator needs, one line every ten seconds."""
         before: dict[str, int] = {}
         while True:
-            await trio.sleep(REPORT_MS / 1000)
+            await trio.sleep(REPORT_INTERVAL_MS / 1000)
             counts = dict(self.runtime.reporter.counts)
             changes = {name: count - before.get(name, 0) for name, count in sorted(counts.items())}
             self._report({name: change for name, change in changes.items() if change})
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -35,9 +35,9 @@
 # for an eighth of its time.
 RELEASE_ROUNDS = 8
 # Servers asked by one release at most.
-RELEASE_SERVERS = 48
+MAX_RELEASE_SERVERS = 48
 # Release calls in flight, beyond which a release asks one server only, or such as answer: no storm of them.
-RELEASE_CALLS = 64
+MAX_RELEASE_CALLS = 64
 # Of an answer that is no stream.
 PLAIN_BYTES = 65536
 # A corrupt answer may be followed by another some milliseconds later (users' page). On a connection that is used again
@@ -67,7 +67,7 @@
 
     def has_answered(self, address: str) -> None:
         """This server has just answered a call."""
-        self.answer_order.note_answer(address, trio.current_time())
+        self.answer_order.record_answer(address, trio.current_time())
 
     def forget_all_but(self, addresses: Iterable[str]) -> None:
         """Drops idle connections and answer times of servers that are no longer listed."""
@@ -264,7 +264,7 @@
         began = trio.current_time()
         asked: dict[str, None] = {}
         confirmed_by: list[str] = []
-        servers = list(islice(addresses, RELEASE_SERVERS))
+        servers = list(islice(addresses, MAX_RELEASE_SERVERS))
         rounds = RELEASE_ROUNDS if servers or self.answer_order.answered_at else 0
         with trio.move_on_after(within_ms / 1000):
             async with trio.open_nursery() as nursery:
@@ -278,7 +278,7 @@
                     self.answer_order.demote_silent(asked, began)
                     for address in self._next_to_ask(asked, servers, min(2**nth, RELEASE_ROUNDS)):
                         is_responsive = self.answer_order.has_answered_since(address, began)
-                        if nth == 0 or self.release_calls < RELEASE_CALLS or is_responsive:
+                        if nth == 0 or self.release_calls < MAX_RELEASE_CALLS or is_responsive:
                             asked[address] = None
                             nursery.start_soon(ask, address)
                     await trio.sleep(within_ms / RELEASE_ROUNDS / 1000)
@@ -294,6 +294,6 @@
 
     def _next_to_ask(self, asked: dict[str, None], servers: list[str], most: int) -> list[str]:
         """The next servers to ask, the one that answered last first; all over again once each has been asked."""
-        order = self.answer_order.latest_first(servers, RELEASE_SERVERS)
+        order = self.answer_order.latest_first(servers, MAX_RELEASE_SERVERS)
         fresh = [address for address in order if address not in asked]
         return (fresh or order)[:most]
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -21,8 +21,8 @@
 
 # Exit statuses, by sysexits.h: EX_DATAERR for a configuration that can't be used, EX_UNAVAILABLE for an address that is
 # in use.
-UNFIT = 65
-TAKEN = 69
+EXIT_BAD_CONFIGURATION = 65
+EXIT_ADDRESS_UNAVAILABLE = 69
 
 
 async def run(configuration: GatewayConfiguration, log: Any, end_signals_at: list[float]) -> None:
@@ -76,11 +76,11 @@
         configuration = read_configuration()
     except ConfigurationError as error:
         print(f"ternlane: {error}", file=sys.stderr)
-        return UNFIT
+        return EXIT_BAD_CONFIGURATION
     status = 0
     try:
         trio.run(partial(run, configuration, structlog.get_logger(gateway=configuration.name), end_signals_at))
     except* OSError as group:
         print(f"ternlane: {group.exceptions[0]}", file=sys.stderr)
-        status = TAKEN
+        status = EXIT_ADDRESS_UNAVAILABLE
     return status
--- a/ternlane/platform/request_history.py
+++ b/ternlane/platform/request_history.py
@@ -23,7 +23,7 @@
     received_ms: float
     transitions: list[Transition] = field(default_factory=list)
 
-    def note(self, now_ms: float, event: str) -> None:
+    def record(self, now_ms: float, event: str) -> None:
         self.transitions.append(Transition(now_ms - self.received_ms, event))
 
     def lines(self) -> list[str]:
--- a/ternlane/platform/request_reporter.py
+++ b/ternlane/platform/request_reporter.py
@@ -16,7 +16,7 @@
 from ternlane.wire_names import OUTCOME_NAMES
 
 # Requests that have ended whose attempts and transitions are kept for who asks.
-TRAILS = 512
+KEPT_RECORDS = 512
 
 
 class RequestReporter:
@@ -25,7 +25,7 @@
     def __init__(self, log: Any) -> None:
         self.log = log
         self.counts: Counter[str] = Counter()
-        self.records: deque[RequestRecord] = deque(maxlen=TRAILS)
+        self.records: deque[RequestRecord] = deque(maxlen=KEPT_RECORDS)
         self.held_states = HeldStateMonitor()
         self.sigterm_ms: float | None = None  # when this gateway was told to end
 
@@ -36,7 +36,7 @@
         self.counts["taken"] += 1
         after_ms = self.after_sigterm_ms(active_request)
         after = "" if after_ms is None else f", {after_ms:.0f} ms after SIGTERM"
-        active_request.note(f"received, {active_request.request.client_timeout_ms:.0f} ms left{after}")
+        active_request.record(f"received, {active_request.request.client_timeout_ms:.0f} ms left{after}")
 
     def after_sigterm_ms(self, active_request: ActiveRequest) -> float | None:
         """How long after SIGTERM the request was received; None where it was before, or there was none."""
@@ -51,7 +51,7 @@
             outcome = "streamed" if final.whole else "broken"
         else:
             self.counts[f"{outcome} {final.reject_reason.name}"] += 1
-            active_request.note(f"{outcome}: {final.reject_reason.name}")
+            active_request.record(f"{outcome}: {final.reject_reason.name}")
         if now_ms() > active_request.deadline_ms and not active_request.streaming:
             self.counts["late"] += 1
         self.closed(active_request, outcome)
@@ -72,7 +72,7 @@
             took_ms=round(now_ms() - active_request.received_ms, 1),
             patience_ms=round(active_request.request.client_timeout_ms),
         )
-        active_request.note(f"closed: {outcome}")
+        active_request.record(f"closed: {outcome}")
         self.records.append(
             RequestRecord(active_request.request_id, outcome, active_request.attempt_log, active_request.history)
         )
@@ -97,7 +97,7 @@
         last_outcome = active_request.last_outcome
         if last_outcome and last_outcome != OUTCOME_NAMES[AttemptOutcome.PREFILLED]:
             self.counts[f"retry after {last_outcome}"] += 1
-        active_request.note(
+        active_request.record(
             f"attempt {active_request.attempts} to {active_request.server_name} decided, {timeout_ms:.0f} ms for it"
         )
 
@@ -111,7 +111,7 @@
         active_request.attempt_log.append(f"{server} {kind} {outcome} {took_ms:.0f} ms {result.why}".rstrip())
         said = "written" if written else "not written"
         ended = f"attempt {active_request.attempts} ended: {kind} {outcome}, {said}: {result.why}"
-        active_request.note(ended.rstrip(": "))
+        active_request.record(ended.rstrip(": "))
         if result.outcome is AttemptOutcome.PREFILLED:
             self.held_states.held(active_request.request_id, server, now_ms())
         elif result.outcome is AttemptOutcome.STREAMED or result.state_lost:
@@ -132,7 +132,7 @@
 
     def first_event(self, active_request: ActiveRequest) -> None:
         """The client is about to get its first event: the decode server has taken the state."""
-        active_request.note("first event")
+        active_request.record("first event")
         self.held_states.ended(active_request.request_id, now_ms())
 
     # -- held states
@@ -140,19 +140,19 @@
     def release_begins(self, active_request: ActiveRequest, reason: messages.ReleaseReason) -> None:
         """The router has released what is held for the request."""
         self.counts[f"release {reason.name}"] += 1
-        active_request.note(f"release begins: {reason.name}")
+        active_request.record(f"release begins: {reason.name}")
 
     def release_unconfirmed(self, active_request: ActiveRequest, took_ms: float) -> None:
         """No server has confirmed the release in time."""
         self.counts["release unheard"] += 1
-        active_request.note("release unheard")
+        active_request.record("release unheard")
         self.log.warning("release unheard", gen=active_request.request_id, took_ms=round(took_ms, 1))
 
     def release_confirmed(self, active_request: ActiveRequest, confirmed_by: str, took_ms: float) -> None:
         """A server has confirmed the release."""
         self.counts["release heard"] += 1
         self.held_states.ended(active_request.request_id, now_ms())
-        active_request.note(f"release heard by {confirmed_by}")
+        active_request.record(f"release heard by {confirmed_by}")
         self.log.debug("release heard", gen=active_request.request_id, by=confirmed_by, took_ms=round(took_ms, 1))
 
     def warn_of_overdue_states(self, release_ms: float) -> None:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -279,7 +279,7 @@
 
 
 async def test_a_shutdown_ends_though_no_descriptor_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(acceptor_module, "SHORT_MS", 1.0)
+    monkeypatch.setattr(acceptor_module, "SHORTAGE_PAUSE_MS", 1.0)
     async with platform("r0", "w0") as p:
         p.gateway.listener = ShortOfDescriptors(p.gateway.listener, 10**9, errno.EMFILE)  # type: ignore[assignment]
         with trio.fail_after(4):
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -82,22 +82,30 @@
 
 
 def test_what_a_new_address_has_to_tell_is_heard_in_time_though_the_first_call_hangs() -> None:
-    call = discovery_watch.CONNECT_MS + discovery_watch.HEAD_MS
+    call = discovery_watch.CONNECT_TIMEOUT_MS + discovery_watch.HEAD_TIMEOUT_MS
     assert (
-        discovery_watch.MOVED_WORST_MS
-        == 2 * call + discovery_watch.SPREAD[1] * discovery_watch.RETRY_MS
-        < discovery_watch.MOVED_MS
+        discovery_watch.MOVE_WORST_CASE_MS
+        == 2 * call + discovery_watch.JITTER[1] * discovery_watch.BACKOFF_MS
+        < discovery_watch.MOVE_PROPAGATION_MS
     )
-    assert discovery_watch.MOVED_MS == 4000.0 and discovery_watch.TOLD_MS == 6000.0
+    assert discovery_watch.MOVE_PROPAGATION_MS == 4000.0 and discovery_watch.PROPAGATION_MS == 6000.0
 
 
 @pytest.mark.parametrize("when", ["at once", "after a line", "late", "within a line"])
 async def test_a_watch_that_falls_silent_is_opened_anew_in_time(when: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """At a tenth of the real times. The change comes while the watch is silent."""
-    for name in ("BEAT_MS", "SILENT_MS", "CONNECT_MS", "HEAD_MS", "FIRST_RETRY_MS", "RETRY_MS", "RETRY_MOST_MS"):
+    for name in (
+        "HEARTBEAT_MS",
+        "WATCH_TIMEOUT_MS",
+        "CONNECT_TIMEOUT_MS",
+        "HEAD_TIMEOUT_MS",
+        "FIRST_BACKOFF_MS",
+        "BACKOFF_MS",
+        "MAX_BACKOFF_MS",
+    ):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
     async with trio.open_nursery() as nursery:
-        discovery = Discovery(nursery, discovery_watch.BEAT_MS)
+        discovery = Discovery(nursery, discovery_watch.HEARTBEAT_MS)
         discovery.put("w0", "127.0.0.1:1", "writer")
         await discovery.start()
         host, _, number = discovery.address.partition(":")
@@ -129,7 +137,7 @@
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
         await until(heard.is_set)
-        assert (trio.current_time() - since) * 1000 < discovery_watch.TOLD_MS / 10
+        assert (trio.current_time() - since) * 1000 < discovery_watch.PROPAGATION_MS / 10
         nursery.cancel_scope.cancel()
 
 
@@ -142,7 +150,7 @@
         await trio.sleep(usual_ms / 1000)
 
     monkeypatch.setattr(discovery_watch.DiscoveryWatch, "_pause", pause)
-    monkeypatch.setattr(discovery_watch, "SILENT_MS", 250.0)
+    monkeypatch.setattr(discovery_watch, "WATCH_TIMEOUT_MS", 250.0)
     async with platform("r0", "w0") as p:
         await p.gateway.watch.opened.wait()
         await trio.sleep(0.3)  # it has worked for longer than it may be silent
@@ -150,8 +158,8 @@
             stream.socket.close()
         await until(lambda: len(p.discovery.asked) == 2)
         assert (
-            pauses == [discovery_watch.FIRST_RETRY_MS]
-            and discovery_watch.SPREAD[1] * discovery_watch.FIRST_RETRY_MS <= 50
+            pauses == [discovery_watch.FIRST_BACKOFF_MS]
+            and discovery_watch.JITTER[1] * discovery_watch.FIRST_BACKOFF_MS <= 50
         )
 
 
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -13,7 +13,7 @@
 from ternlane.config.gateway import InlineSource
 from ternlane.platform.stream_forwarder import StreamForwarder
 from ternlane.testing.platform import Gate
-from ternlane.event_loop import OVERDUE_MS
+from ternlane.event_loop import OVERDUE_GRACE_MS
 from tests.crossing import Client, client_request, until
 from tests.platform_world import Platform, platform
 from tests.world import REQUEST_CLASSES, TERMS, world
@@ -96,7 +96,7 @@
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="0.3"))
         await gate.reached.wait()
-        await trio.sleep(0.3 + OVERDUE_MS / 1000 + 0.2)
+        await trio.sleep(0.3 + OVERDUE_GRACE_MS / 1000 + 0.2)
         gate.open()
         said = await client.answer()
         assert said.startswith(b"HTTP/1.1 200 ") and b"[DONE]" in said
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -17,7 +17,7 @@
 from ternlane.platform.attempt import Attempt, AttemptResult
 from ternlane.platform.model_server_client import ModelServerClient
 from ternlane.platform.endpoint_list import EndpointList, EndpointListParser, parse_endpoint_list
-from ternlane.platform.endpoint_registry import BEHIND_MS, EndpointRegistry
+from ternlane.platform.endpoint_registry import MAX_STALENESS_MS, EndpointRegistry
 from ternlane.platform.settings import Limits
 from ternlane.policy.messages import Role, EndpointStatus, AttemptOutcome
 from ternlane.testing.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
@@ -30,15 +30,15 @@
 def test_the_worst_case_of_a_change_that_could_be_had_is_within_the_limit() -> None:
     """A call that hangs from the moment at which discovery could be reached again, then the longest wait."""
     worst = (
-        discovery_watch.SILENT_MS
-        + discovery_watch.SPREAD[1] * discovery_watch.RETRY_MOST_MS
-        + discovery_watch.CONNECT_MS
-        + discovery_watch.HEAD_MS
+        discovery_watch.WATCH_TIMEOUT_MS
+        + discovery_watch.JITTER[1] * discovery_watch.MAX_BACKOFF_MS
+        + discovery_watch.CONNECT_TIMEOUT_MS
+        + discovery_watch.HEAD_TIMEOUT_MS
     )
-    assert discovery_watch.WORST_MS == worst < discovery_watch.TOLD_MS - discovery_watch.CONNECT_MS
+    assert discovery_watch.WORST_CASE_MS == worst < discovery_watch.PROPAGATION_MS - discovery_watch.CONNECT_TIMEOUT_MS
     assert (
-        discovery_watch.BEAT_MS < discovery_watch.SILENT_MS
-        and discovery_watch.RETRY_MS <= discovery_watch.RETRY_MOST_MS
+        discovery_watch.HEARTBEAT_MS < discovery_watch.WATCH_TIMEOUT_MS
+        and discovery_watch.BACKOFF_MS <= discovery_watch.MAX_BACKOFF_MS
     )
 
 
@@ -47,12 +47,19 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Outages that end at any moment of the calls and waits, at a tenth of the real times."""
-    for name in ("BEAT_MS", "SILENT_MS", "CONNECT_MS", "HEAD_MS", "RETRY_MS", "RETRY_MOST_MS"):
+    for name in (
+        "HEARTBEAT_MS",
+        "WATCH_TIMEOUT_MS",
+        "CONNECT_TIMEOUT_MS",
+        "HEAD_TIMEOUT_MS",
+        "BACKOFF_MS",
+        "MAX_BACKOFF_MS",
+    ):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
     took: list[float] = []
 
     async def one(nth: int, nursery: trio.Nursery) -> None:
-        discovery = Discovery(nursery, discovery_watch.BEAT_MS)
+        discovery = Discovery(nursery, discovery_watch.HEARTBEAT_MS)
         await discovery.start()
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
@@ -80,7 +87,7 @@
             for nth in range(24):
                 inner.start_soon(one, nth, nursery)
         nursery.cancel_scope.cancel()
-    assert max(took) < discovery_watch.TOLD_MS / 10
+    assert max(took) < discovery_watch.PROPAGATION_MS / 10
 
 
 def listing(index: int, snapshot: bool = False, **statuses: str) -> bytes:
@@ -153,9 +160,9 @@
     ).servers  # newer: it holds
     assert not endpoint_registry.take(parse_endpoint_list(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
     with pytest.raises(ValueError):  # for longer than an agent may be behind
-        endpoint_registry.take(parse_endpoint_list(listing(6, False, w0="DRAINING")), 0.0, 41.0 + BEHIND_MS)
+        endpoint_registry.take(parse_endpoint_list(listing(6, False, w0="DRAINING")), 0.0, 41.0 + MAX_STALENESS_MS)
     assert endpoint_registry.index == 0  # so all is asked for
-    endpoint_registry.take(parse_endpoint_list(listing(6, True, w0="DRAINING")), 0.0, 50.0 + BEHIND_MS)
+    endpoint_registry.take(parse_endpoint_list(listing(6, True, w0="DRAINING")), 0.0, 50.0 + MAX_STALENESS_MS)
     assert endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING and set(endpoint_registry.servers) == {
         "w0"
     }
@@ -420,7 +427,7 @@
         assert (await p.ask()).status == 200  # a new one takes an idle one's place, at once
         await p.discovery.mend()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        with trio.fail_after(discovery_watch.TOLD_MS / 1000):
+        with trio.fail_after(discovery_watch.PROPAGATION_MS / 1000):
             while p.gateway.runtime.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
                 await trio.sleep(0.02)
         for stream in idle:
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.http1 import ConnectionPool, ConnectError
-from ternlane.http1.connection_age import OFTEN, ConnectionAge
+from ternlane.http1.connection_age import BREAK_SHARE_LIMIT, ConnectionAge
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
@@ -65,14 +65,14 @@
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("broke_every, shunned", [(2, True), (int(2 / OFTEN), False)])
+@pytest.mark.parametrize("broke_every, shunned", [(2, True), (int(2 / BREAK_SHARE_LIMIT), False)])
 def test_what_breaks_now_and_then_is_chance_and_what_is_shunned_is_tried_again(broke_every: int, shunned: bool) -> None:
-    wear = ConnectionAge(1000.0)
+    age = ConnectionAge(1000.0)
     for i in range(100):
-        wear.note(200.0, i % broke_every == 0, 0.0)
-    assert wear.shuns(200.0, 0.0) is shunned and wear.shuns(250.0, 0.0) is shunned
-    assert not wear.shuns(20.0, 0.0) and not wear.shuns(2000.0, 0.0)
-    assert not wear.shuns(200.0, 5000.0)
+        age.record(200.0, i % broke_every == 0, 0.0)
+    assert age.shuns(200.0, 0.0) is shunned and age.shuns(250.0, 0.0) is shunned
+    assert not age.shuns(20.0, 0.0) and not age.shuns(2000.0, 0.0)
+    assert not age.shuns(200.0, 5000.0)
 
 
 @pytest.mark.parametrize("reads_all", [False, True])
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -20,7 +20,7 @@
 from ternlane import event_loop
 from ternlane.policy.router import FEW
 from ternlane.platform import gateway as gateway_module
-from ternlane.platform.request_reporter import TRAILS
+from ternlane.platform.request_reporter import KEPT_RECORDS
 from tests.platform_world import BODY, HEAD, TOLD, Platform, always, once, platform, until_ready
 from tests.world import Reply
 
@@ -68,7 +68,7 @@
             and not runtime.releasing
             and not desk.waiting
         )
-        assert len(runtime.reporter.records) == TRAILS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
+        assert len(runtime.reporter.records) == KEPT_RECORDS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
         assert (
             len(runtime.model_servers.answer_order.answered_at)
             <= len(runtime.endpoint_registry.endpoints)
@@ -100,7 +100,7 @@
             gc.collect()
             return sum(str(type(it).__module__).startswith("ternlane.") for it in gc.get_objects())
 
-        await some(TRAILS + 120)  # until the bounded tables are full
+        await some(KEPT_RECORDS + 120)  # until the bounded tables are full
         before = await some(200)
         assert await some(1000) - before < 100  # a tenth of an object of this program's for each client
 
@@ -266,7 +266,7 @@
 
 
 async def test_a_late_loop_gives_up_sooner_and_says_by_how_much_it_was_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gateway_module, "REPORT_MS", 50.0)
+    monkeypatch.setattr(gateway_module, "REPORT_INTERVAL_MS", 50.0)
     async with platform("r0", "w0", r0=always("silent")) as p:
         runtime = p.gateway.runtime
         time.sleep(0.25)  # noqa: ASYNC251 - the loop stands still
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -43,7 +43,7 @@
 async def test_a_silent_watch_is_asked_for_anew_and_not_in_a_tight_loop(monkeypatch: pytest.MonkeyPatch) -> None:
     from ternlane.platform import discovery_watch
 
-    monkeypatch.setattr(discovery_watch, "SILENT_MS", 200.0)
+    monkeypatch.setattr(discovery_watch, "WATCH_TIMEOUT_MS", 200.0)
     async with platform("r0", "w0") as p:
         await trio.sleep(0.1)
         p.discovery.silent = True
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -8,7 +8,7 @@
 import trio
 
 from ternlane.policy import messages
-from ternlane.platform.gateway import ENDS_MS, LONGEST_MS
+from ternlane.platform.gateway import KILL_GRACE_MS, LONGEST_DEADLINE_MS
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
 from ternlane.policy.messages import Effect, RejectReason, ShutdownTimes, AttemptOutcome
 from ternlane.testing.platform import Gate
@@ -21,18 +21,18 @@
 
 
 @pytest.mark.parametrize("release_ms", [0.0, 500.0, 5000.0])
-@pytest.mark.parametrize("longest_ms", [100.0, 900.0, LONGEST_MS])
+@pytest.mark.parametrize("longest_ms", [100.0, 900.0, LONGEST_DEADLINE_MS])
 @pytest.mark.parametrize("since_ms", [0.0, 150.0, 1600.0, 9000.0])
 def test_no_request_is_taken_that_the_kill_could_meet_unanswered(
     release_ms: float, longest_ms: float, since_ms: float
 ) -> None:
     """Whether the signal is acted on at once or a stall late, and whatever the settings say."""
-    times = shutdown_times(longest_ms, ENDS_MS, release_ms, since_ms)
-    assert times.admits_ms + since_ms + STALL_MS <= ENDS_MS
-    assert times.ends_ms + since_ms == longest_ms + ENDS_MS
+    times = shutdown_times(longest_ms, KILL_GRACE_MS, release_ms, since_ms)
+    assert times.admits_ms + since_ms + STALL_MS <= KILL_GRACE_MS
+    assert times.ends_ms + since_ms == longest_ms + KILL_GRACE_MS
     reserve = times.ends_ms - times.answers_ms
-    assert reserve >= min(2 * STALL_MS, (longest_ms + ENDS_MS) / 2)
-    assert times.answers_ms + since_ms >= (longest_ms + ENDS_MS) / 2  # what was taken is not given up for nothing
+    assert reserve >= min(2 * STALL_MS, (longest_ms + KILL_GRACE_MS) / 2)
+    assert times.answers_ms + since_ms >= (longest_ms + KILL_GRACE_MS) / 2  # what was taken is not given up for nothing
 
 
 def test_a_shutdown_that_is_told_again_does_not_last_longer() -> None:
@@ -146,7 +146,7 @@
         longest_ms = max(
             request_class.deadline_ms for request_class in p.gateway.runtime.deployment.request_classes.values()
         )
-        assert answer.startswith(b"HTTP/1.1 502 ") and (trio.current_time() - since) * 1000 < longest_ms + ENDS_MS
+        assert answer.startswith(b"HTTP/1.1 502 ") and (trio.current_time() - since) * 1000 < longest_ms + KILL_GRACE_MS
 
 
 async def test_an_attempt_that_waits_for_a_release_is_called_off_at_once() -> None:
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -150,7 +150,7 @@
         p.gateway.runtime.apply_settings(Deployment(1, settings(name) | {"profiles": short}))
         p.gateway.begin_drain()
         assert desk.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(
-            900.0 + gateway_module.ENDS_MS, abs=50
+            900.0 + gateway_module.KILL_GRACE_MS, abs=50
         )
 
 
