--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -210,7 +210,7 @@
             longest_held_ms=round(held_states.longest_ms, 1),
             oldest_unanswered_ms=round(runtime.oldest_unanswered_ms(), 1),
             connections=self.chat_server.connections,
-            engine_connections=len(self.pool.open),
+            server_connections=len(self.pool.open),
             connect_shortages=self.pool.shortages,
             descriptors=open_descriptors(),
             memory_mb=round(memory_mb(), 1),
@@ -230,9 +230,9 @@
         ]
         for record in [*records, *self.runtime.reporter.records]:
             self.log.info(
-                "trail",
-                gen=record.request_id,
+                "request history",
+                request_id=record.request_id,
                 outcome=record.outcome,
-                legs=record.attempts,
+                attempts=record.attempts,
                 transitions=record.history.lines(),
             )
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -37,7 +37,7 @@
             nursery.start_soon(handle_signals, gateway, signals)
             await end.received.wait()
             await gateway.drain(end.since_ms())
-            log.info("ended", taken=gateway.runtime.reporter.counts["taken"])
+            log.info("ended", received=gateway.runtime.reporter.counts["received"])
             nursery.cancel_scope.cancel()
 
 
--- a/ternlane/platform/request_reporter.py
+++ b/ternlane/platform/request_reporter.py
@@ -5,7 +5,7 @@
 from collections import Counter, deque
 from typing import Any
 
-from ternlane.event_loop import now_ms
+from ternlane.event_loop import Failed, Rejected, now_ms
 from ternlane.platform.active_request import ActiveRequest, Final, Streamed
 from ternlane.platform.attempt import AttemptResult
 from ternlane.platform.held_states import HeldStateMonitor
@@ -13,7 +13,6 @@
 from ternlane.platform.request_history import RequestRecord
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, Role
-from ternlane.wire_names import OUTCOME_NAMES
 
 # Requests that have ended whose attempts and transitions are kept for who asks.
 KEPT_RECORDS = 512
@@ -33,7 +32,7 @@
 
     def received(self, active_request: ActiveRequest) -> None:
         """A request was admitted."""
-        self.counts["taken"] += 1
+        self.counts["received"] += 1
         after_ms = self.after_sigterm_ms(active_request)
         after = "" if after_ms is None else f", {after_ms:.0f} ms after SIGTERM"
         active_request.record(f"received, {active_request.request.client_timeout_ms:.0f} ms left{after}")
@@ -46,10 +45,8 @@
 
     def finished(self, active_request: ActiveRequest, final: Final) -> None:
         """A request has its final answer."""
-        outcome = final.recorded_as
-        if isinstance(final, Streamed):
-            outcome = "streamed" if final.whole else "broken"
-        else:
+        outcome = _outcome_name(final)
+        if not isinstance(final, Streamed):
             self.counts[f"{outcome} {final.reject_reason.name}"] += 1
             active_request.record(f"{outcome}: {final.reject_reason.name}")
         if now_ms() > active_request.deadline_ms and not active_request.streaming:
@@ -57,20 +54,20 @@
         self.closed(active_request, outcome)
 
     def closed(self, active_request: ActiveRequest, outcome: str) -> None:
-        """A request has ended. `outcome`: streamed, broken, throttled, terminated or left."""
+        """A request has ended. `outcome`: streamed, broken, rejected, failed or client_gone."""
         self.counts[outcome] += 1
         # While it shuts down each end of a request is logged: who asks later finds no process to ask.
         log = self.log.debug if self.sigterm_ms is None else self.log.info
         log(
             "closed",
-            gen=active_request.request_id,
+            request_id=active_request.request_id,
             outcome=outcome,
             phase=active_request.phase.value,
-            refusal=getattr(active_request.final, "reject_reason", messages.RejectReason.UNKNOWN).name,
+            reject_reason=getattr(active_request.final, "reject_reason", messages.RejectReason.UNKNOWN).name,
             attempts=active_request.attempt_log,
             after_sigterm_ms=self.after_sigterm_ms(active_request),
             took_ms=round(now_ms() - active_request.received_ms, 1),
-            patience_ms=round(active_request.request.client_timeout_ms),
+            client_timeout_ms=round(active_request.request.client_timeout_ms),
         )
         active_request.record(f"closed: {outcome}")
         self.records.append(
@@ -95,7 +92,7 @@
     def attempt_decided(self, active_request: ActiveRequest, timeout_ms: float) -> None:
         """The router has chosen a server for a further attempt."""
         last_outcome = active_request.last_outcome
-        if last_outcome and last_outcome != OUTCOME_NAMES[AttemptOutcome.PREFILLED]:
+        if last_outcome and last_outcome != AttemptOutcome.PREFILLED.name:
             self.counts[f"retry after {last_outcome}"] += 1
         active_request.record(
             f"attempt {active_request.attempts} to {active_request.server_name} decided, {timeout_ms:.0f} ms for it"
@@ -105,28 +102,28 @@
         self, active_request: ActiveRequest, role: Role, result: AttemptResult, took_ms: float, written: bool
     ) -> None:
         """An attempt has ended; its line goes to the request's attempt log."""
-        kind = "read" if role is Role.PREFILL else "write"
-        outcome = OUTCOME_NAMES[result.outcome]
+        role_name = "prefill" if role is Role.PREFILL else "decode"
+        outcome = result.outcome.name
         server = active_request.server_name
-        active_request.attempt_log.append(f"{server} {kind} {outcome} {took_ms:.0f} ms {result.why}".rstrip())
+        active_request.attempt_log.append(f"{server} {role_name} {outcome} {took_ms:.0f} ms {result.why}".rstrip())
         said = "written" if written else "not written"
-        ended = f"attempt {active_request.attempts} ended: {kind} {outcome}, {said}: {result.why}"
+        ended = f"attempt {active_request.attempts} ended: {role_name} {outcome}, {said}: {result.why}"
         active_request.record(ended.rstrip(": "))
         if result.outcome is AttemptOutcome.PREFILLED:
             self.held_states.held(active_request.request_id, server, now_ms())
         elif result.outcome is AttemptOutcome.STREAMED or result.state_lost:
             self.held_states.ended(active_request.request_id, now_ms())
-        self.counts[f"{kind} {outcome}"] += 1
+        self.counts[f"{role_name} {outcome}"] += 1
         self.log.debug(
             "attempt",
-            gen=active_request.request_id,
+            request_id=active_request.request_id,
             server=server,
-            kind=kind,
-            verdict=outcome,
+            role=role_name,
+            outcome=outcome,
             took_ms=round(took_ms, 1),
             begun=result.begun,
-            kept=result.cached_tokens,
-            prompt=active_request.request.prompt_tokens,
+            cached_tokens=result.cached_tokens,
+            prompt_tokens=active_request.request.prompt_tokens,
             why=result.why,
         )
 
@@ -144,16 +141,21 @@
 
     def release_unconfirmed(self, active_request: ActiveRequest, took_ms: float) -> None:
         """No server has confirmed the release in time."""
-        self.counts["release unheard"] += 1
-        active_request.record("release unheard")
-        self.log.warning("release unheard", gen=active_request.request_id, took_ms=round(took_ms, 1))
+        self.counts["release unconfirmed"] += 1
+        active_request.record("release unconfirmed")
+        self.log.warning("release unconfirmed", request_id=active_request.request_id, took_ms=round(took_ms, 1))
 
     def release_confirmed(self, active_request: ActiveRequest, confirmed_by: str, took_ms: float) -> None:
         """A server has confirmed the release."""
-        self.counts["release heard"] += 1
+        self.counts["release confirmed"] += 1
         self.held_states.ended(active_request.request_id, now_ms())
-        active_request.record(f"release heard by {confirmed_by}")
-        self.log.debug("release heard", gen=active_request.request_id, by=confirmed_by, took_ms=round(took_ms, 1))
+        active_request.record(f"release confirmed by {confirmed_by}")
+        self.log.debug(
+            "release confirmed",
+            request_id=active_request.request_id,
+            confirmed_by=confirmed_by,
+            took_ms=round(took_ms, 1),
+        )
 
     def warn_of_overdue_states(self, release_ms: float) -> None:
         """Logs each state once that is held for longer than the release time."""
@@ -161,7 +163,18 @@
             self.counts["held overdue"] += 1
             self.log.warning(
                 "state held past its release time",
-                gen=overdue.request_id,
+                request_id=overdue.request_id,
                 server=overdue.server,
                 held_ms=round(overdue.held_ms, 1),
             )
+
+
+def _outcome_name(final: Final) -> str:
+    """The log's word for a final answer; the wire has words of its own (`recorded_as`)."""
+    match final:
+        case Rejected():
+            return "rejected"
+        case Failed():
+            return "failed"
+        case Streamed(whole):
+            return "streamed" if whole else "broken"
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -122,7 +122,7 @@
         attempt = active_request.attempt
         if attempt is not None and (active_request.streaming or not attempt.written):
             attempt.cancel()
-        self.reporter.closed(active_request, "left")
+        self.reporter.closed(active_request, "client_gone")
         self.ended.append(active_request)
         self.dispatch(messages.ClientDisconnected(active_request.request))
 
@@ -204,7 +204,7 @@
             self.client_disconnected(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
         except Exception as fault:  # a fault of this program must not end the other requests
-            self.log.exception("leg")
+            self.log.exception("attempt fault")
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
 
     async def _end_stream(self, active_request: ActiveRequest) -> None:
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -381,7 +381,9 @@
     def faults(self, log: str) -> list[str]:
         """Of the gateway's own program, as its log tells them, and an end that is no clean one."""
         lines = [json.loads(line) for line in log.splitlines() if line.startswith("{")]
-        out = [f"fault: {line}" for line in lines if line["event"] in ("fault", "connection", "leg", "release")]
+        out = [
+            f"fault: {line}" for line in lines if line["event"] in ("fault", "connection", "attempt fault", "release")
+        ]
         out += [f"fault: {line}" for line in log.splitlines() if line.startswith("Traceback")]
         if self.ended_by_itself not in (None, 0):
             out.append(f"fault: ended with {self.ended_by_itself}")
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -312,7 +312,7 @@
         client.send(client_request(p))
         await gate.reached.wait()
         client.leave(how)
-        await until(lambda: p.gateway.runtime.reporter.counts["left"])
+        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         gate.open()
         await p.settled()
         assert p.fleet.count("write") == (0 if where == "read" else 1)
@@ -336,7 +336,7 @@
         await until(lambda: len(p.gateway.runtime.active_requests) == 40)
         for nth, client in enumerate(clients):
             client.leave(("close", "reset", "half-close")[nth % 3])
-        await until(lambda: p.gateway.runtime.reporter.counts["left"] == 40)
+        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"] == 40)
         p.discovery.put("r0", p.servers["r0"].address, "reader")
         await until(lambda: p.gateway.runtime.endpoint_registry.servers["r0"].status.name == "READY")
         gate.open()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -372,10 +372,10 @@
         client.send(client_request(p))
         await gate.reached.wait()
         client.leave("close")
-        await until(lambda: p.gateway.runtime.reporter.counts["left"])
+        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         gate.open()
         await p.settled()
-        assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["read MOOT"] == 1
+        assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
 
 
 # -- hand-overs and releases
@@ -405,7 +405,7 @@
     async with platform("r0", "w0", w0=always(way)) as p:
         assert (await p.ask(Request_Class="note")).status in (502, 503)
         await p.settled()
-        assert not p.fleet.states and not p.gateway.runtime.reporter.counts["release unheard"]
+        assert not p.fleet.states and not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
 async def test_a_writer_that_dies_as_the_state_is_at_hand_leaves_it_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -210,13 +210,13 @@
         else:
             stream.socket.close()
         with trio.fail_after(0.1):  # nothing may begin later than that after a client's close
-            while not p.gateway.runtime.reporter.counts["left"]:
+            while not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.002)
         read.open()  # only now the prompt is read
         await p.settled()
         await trio.sleep(0.2)
         assert p.fleet.count("read") == 1 and p.fleet.count("write") == 0
-        assert p.gateway.runtime.reporter.counts["left"] == 1
+        assert p.gateway.runtime.reporter.counts["client_gone"] == 1
 
 
 async def test_an_attempt_does_not_begin_where_its_client_left_during_the_connect() -> None:
@@ -237,7 +237,7 @@
         await trio.sleep(0.1)
         stream.socket.close()
         await trio.sleep(0.3)
-        assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["read MOOT"] == 1
+        assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
         assert not p.gateway.runtime.router.desk.board[  # type: ignore[attr-defined]
             p.gateway.runtime.endpoint_registry.servers["r0"].seat
         ].shut  # it did nothing wrong
@@ -251,7 +251,7 @@
         for _ in range(20):
             await gone(p, "closed at once")
         with trio.fail_after(2):
-            while p.gateway.chat_server.connections or not p.gateway.runtime.reporter.counts["left"]:
+            while p.gateway.chat_server.connections or not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.01)
         await trio.sleep(0.1)
         assert p.fleet.count("read") == 0
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -196,9 +196,9 @@
         assert (await p.ask(Request_Class="note", Request_Id="00000000000000cc")).status == 502
         p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state waits
         counts = p.gateway.runtime.reporter.counts
-        await until(lambda: counts["release unheard"] >= 2)
+        await until(lambda: counts["release unconfirmed"] >= 2)
         assert p.gateway.runtime.releasing == 1
         for server in p.servers.values():
             server.lease_way = ""
-        await until(lambda: counts["release heard"] == 1)
+        await until(lambda: counts["release confirmed"] == 1)
         await p.settled()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -202,8 +202,8 @@
             await p.ask(Request_Class="note")
         await p.settled()
         assert (
-            p.gateway.runtime.reporter.counts["left"] == 1
-            and p.gateway.runtime.reporter.counts["write CALLED_OFF"] == 1
+            p.gateway.runtime.reporter.counts["client_gone"] == 1
+            and p.gateway.runtime.reporter.counts["decode CANCELLED"] == 1
         )
 
 
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -230,7 +230,7 @@
             nursery.start_soon(usual)
         assert len(answers) == 600 and all(a.startswith(b"HTTP/1.1 400") for a in answers)
         assert sorted(took)[len(took) // 2] < 0.5 and p.gateway.runtime.reporter.counts["refused bad_http"] == 600
-        assert p.gateway.runtime.reporter.counts["taken"] == 20
+        assert p.gateway.runtime.reporter.counts["received"] == 20
 
 
 async def test_more_generations_and_bodies_than_may_be_held_are_turned_away_unheard() -> None:
@@ -246,7 +246,7 @@
             assert reply.status == 503 and reply.error is not None and reply.error["code"] == "room"
             chat_server.request_limit = 10
             assert (await p.ask(body=BODY[:-1] + b" " * 900 + b"}")).status == 503
-            assert runtime.reporter.counts["refused room"] == 2 and runtime.reporter.counts["taken"] == 2
+            assert runtime.reporter.counts["refused room"] == 2 and runtime.reporter.counts["received"] == 2
             nursery.cancel_scope.cancel()
         await p.settled()
         p.servers["w0"].script = always("")
@@ -278,8 +278,8 @@
         await trio.sleep(0.1)
         lines = [more for event, more in p.log.lines if event == "info report"]
         assert max(line["loop_late_ms"] for line in lines) > 150
-        assert {"open", "connections", "engine_connections", "descriptors", "memory_mb", "cpu_s"} <= lines[-1].keys()
-        assert sum(line.get("taken", 0) for line in lines) == 1
+        assert {"open", "connections", "server_connections", "descriptors", "memory_mb", "cpu_s"} <= lines[-1].keys()
+        assert sum(line.get("received", 0) for line in lines) == 1
         runtime.recent_lateness = event_loop.Lateness(200.0, runtime.recent_lateness.at_ms - 10_000)
         assert runtime.expected_lateness_ms() < 1
 
@@ -319,7 +319,7 @@
             p.servers[name].lease_way = way
         assert (await p.ask(Request_Class="note")).status == 502
         await p.settled()
-        assert not p.gateway.runtime.reporter.counts["release unheard"] and p.fleet.count("DELETE") >= 1
+        assert not p.gateway.runtime.reporter.counts["release unconfirmed"] and p.fleet.count("DELETE") >= 1
 
 
 async def test_one_server_that_spoils_its_first_answer_is_told_again() -> None:
@@ -331,7 +331,7 @@
                 await trio.sleep(0.002)
         p.servers["r0"].lease_way = ""
         await p.settled()
-        assert not p.gateway.runtime.reporter.counts["release unheard"]
+        assert not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
 async def test_a_state_that_comes_after_its_read_was_called_off_is_released_too() -> None:
@@ -342,7 +342,7 @@
             while not p.fleet.states:
                 await trio.sleep(0.002)
         await p.settled()
-        assert p.gateway.runtime.reporter.counts["release heard"] == 2  # however many servers were asked for each
+        assert p.gateway.runtime.reporter.counts["release confirmed"] == 2  # however many servers were asked for each
 
 
 # -- what the decisions believe
@@ -426,14 +426,14 @@
         assert (await p.ask(Request_Id="00000000000000aa")).status == 200
         process.send_signal(signal.SIGUSR1)
         with trio.fail_after(3):
-            while b'"trail"' not in log.read_bytes():
+            while b'"request history"' not in log.read_bytes():
                 await trio.sleep(0.02)
-        line = next(json.loads(raw) for raw in log.read_text().splitlines() if '"trail"' in raw)
-        assert line["gen"] == "00000000000000aa" and line["outcome"] == "streamed"
-        assert [attempt.split()[1:3] for attempt in line["legs"]] == [
-            ["read", "FULL"],
-            ["read", "READ"],
-            ["write", "STREAMED"],
+        line = next(json.loads(raw) for raw in log.read_text().splitlines() if '"request history"' in raw)
+        assert line["request_id"] == "00000000000000aa" and line["outcome"] == "streamed"
+        assert [attempt.split()[1:3] for attempt in line["attempts"]] == [
+            ["prefill", "OVERLOADED"],
+            ["prefill", "PREFILLED"],
+            ["decode", "STREAMED"],
         ]
 
 
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -76,7 +76,7 @@
 async def test_what_can_not_be_served_is_never_taken(more: dict[str, Any], status: int) -> None:
     async with platform() as p:
         reply = await p.ask(**more)
-        assert reply.status == status and not p.fleet.seen and not p.gateway.runtime.reporter.counts["taken"]
+        assert reply.status == status and not p.fleet.seen and not p.gateway.runtime.reporter.counts["received"]
         assert p.gateway.chat_server.connections <= 1
 
 
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -26,10 +26,10 @@
         record = runtime.reporter.records[-1]
         events = [transition.event for transition in record.history.transitions]
         assert events[0].startswith("received") and events[1].startswith("attempt 1 to r0")
-        assert any(e.startswith("attempt 2 ended: write ERROR, written") for e in events)
-        assert "terminated: MAY_HAVE_RUN" in events and "release begins: REQUEST_OVER" in events
-        assert any(e.startswith("release heard by") for e in events)
-        assert runtime.reporter.counts["terminated MAY_HAVE_RUN"] == runtime.reporter.counts["release heard"] == 1
+        assert any(e.startswith("attempt 2 ended: decode ERROR, written") for e in events)
+        assert "failed: MAY_HAVE_RUN" in events and "release begins: REQUEST_OVER" in events
+        assert any(e.startswith("release confirmed by") for e in events)
+        assert runtime.reporter.counts["failed MAY_HAVE_RUN"] == runtime.reporter.counts["release confirmed"] == 1
         assert not len(runtime.reporter.held_states) and not runtime.reporter.counts["held overdue"]
 
 
@@ -37,4 +37,4 @@
     async with platform("r0", "r1", "w0", r0=always("full_503"), r1=always("full_503")) as p:
         assert (await p.ask()).status == 503
         counts = p.gateway.runtime.reporter.counts
-        assert counts["retry after FULL"] == 1 and counts["throttled NO_SERVER"] == 1
+        assert counts["retry after OVERLOADED"] == 1 and counts["rejected NO_SERVER"] == 1
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -96,7 +96,9 @@
         began, closed, unfinished = map(gateway.lines, ("draining", "closed", "unfinished before the end"))
         (line,) = began
         assert line["may_be_killed_in_ms"] + line["since_signal_ms"] == pytest.approx(3700, abs=1)
-        assert [line["refusal"] for line in closed] == ["DEADLINE_TOO_CLOSE"] and closed[0]["after_sigterm_ms"] >= 0
+        assert [line["reject_reason"] for line in closed] == ["DEADLINE_TOO_CLOSE"] and closed[0][
+            "after_sigterm_ms"
+        ] >= 0
         assert [(line["phase"], line["server"]) for line in unfinished] == [("streaming", "w0")]
         assert unfinished[0]["after_sigterm_ms"] is None and unfinished[0]["age_ms"] > 3000
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -55,7 +55,7 @@
         before = p.fleet.count(role)
         client.leave(how)
         held.gate.open()  # no turn of the loop lies between the two
-        await until(lambda: p.gateway.runtime.reporter.counts["left"])
+        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         await p.settled()
         assert p.fleet.count(role) == before == (1 if attempt.startswith("further") else 0)
 
@@ -71,7 +71,7 @@
         gate.open()
         client.leave(how)
         stand_still()
-        await until(lambda: p.gateway.runtime.reporter.counts["left"])
+        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         await p.settled()
         assert p.fleet.count("write") == 0
 
--- a/tests/test_wire_pins.py
+++ b/tests/test_wire_pins.py
@@ -683,7 +683,7 @@
         p.reconfigure()
         await until_logged(p.log, "reloaded")
         p.process.send_signal(signal.SIGUSR1)
-        await until_logged(p.log, "trail", 3)
+        await until_logged(p.log, "request history", 3)
         await until_logged(p.log, "report", logged(p.log, "report") + 1)
         await end_with_an_open_stream(p)
         pin("platform_log_names", names_in_log(p.log))
@@ -695,12 +695,12 @@
         server.script("DELETE ", (plain("500 No"),))
     share_answers(p.servers, "w", f"POST {CHAT_PATH}", (CLOSE,), (STREAM,))
     await p.ask("note")
-    await until_logged(p.log, "release unheard")
+    await until_logged(p.log, "release unconfirmed")
     await until_logged(p.log, "state held past its release time")
-    heard = logged(p.log, "release heard")
+    heard = logged(p.log, "release confirmed")
     for server in p.servers.values():
         server.script("DELETE ", (RELEASED,))
-    await until_logged(p.log, "release heard", heard + 1)
+    await until_logged(p.log, "release confirmed", heard + 1)
 
 
 async def end_with_an_open_stream(p: Platform) -> None:
