--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -32,6 +32,8 @@
 
 
 async def test_a_request_that_arrives_as_the_idle_time_ends_is_served(nursery: trio.Nursery) -> None:
+    """A request arrives in the moment in which its connection's idle time ends. It is served: the connection is no
+    longer idle."""
     stream, client = await pair()
     late = LateBytes(stream, lambda: client.send(PLAIN))
     nursery.start_soon(ServerConnection(cast(Any, late), hello, LIMITS).serve)
@@ -40,6 +42,7 @@
 
 
 async def test_half_a_head_that_arrives_as_the_idle_time_ends_is_waited_for(nursery: trio.Nursery) -> None:
+    """Half a head arrives in the moment in which the idle time ends. The other half is waited for."""
     stream, client = await pair()
     late = LateBytes(stream, lambda: client.send(PLAIN[:9]))
     nursery.start_soon(ServerConnection(cast(Any, late), hello, LIMITS).serve)
@@ -104,6 +107,7 @@
 
 
 async def test_a_client_that_resets_the_connection_as_its_request_is_read_is_no_fault(nursery: trio.Nursery) -> None:
+    """A client resets its connection while its request is read. No fault is logged."""
     stream, client = await pair()
 
     class Reset(Wrapped):
@@ -139,6 +143,8 @@
 
 @pytest.mark.parametrize("way", ["later_cut", "later_noise", "later_silent"])
 async def test_a_stream_that_breaks_ends_without_its_last_chunk_and_without_a_reset(way: str) -> None:
+    """A stream breaks while unread bytes of the client lie in the socket. The client reads all events, then the end,
+    without a reset that would take them."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].script = lambda _: way
         client = Client(p.address)
@@ -174,6 +180,8 @@
 @pytest.mark.parametrize("sent", ["nothing", "unread", "half a head", "half a body"])
 @pytest.mark.parametrize("served", [False, True])
 async def test_what_a_shutdown_meets_on_a_connection_is_answered_or_ended_cleanly(sent: str, served: bool) -> None:
+    """A shutdown meets a connection that is idle, or on which a request has begun. What has begun is answered, the
+    rest ends without a reset."""
     async with platform("r0", "w0") as p:
         client = Client(p.address)
         if served:
@@ -229,6 +237,7 @@
 
 
 async def test_a_stream_whose_server_finishes_during_a_shutdown_reaches_its_end() -> None:
+    """A server finishes its stream while the gateway shuts down. The client has the whole of it."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["end"] = Gate()
         client = Client(p.address)
@@ -265,6 +274,8 @@
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ECONNABORTED])
 async def test_a_shutdown_while_descriptors_are_short_takes_what_waits_at_the_listener(number: int) -> None:
+    """A client waits in the listener's queue, and accept fails for want of descriptors as the gateway shuts down.
+    The client is answered."""
     async with platform("r0", "w0") as p:
         p.gateway.accepting.cancel()
         idle = p.gateway.chat_server
@@ -279,6 +290,7 @@
 
 
 async def test_a_shutdown_ends_though_no_descriptor_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """accept fails for want of descriptors for ever. The shutdown ends all the same."""
     monkeypatch.setattr(acceptor_module, "SHORTAGE_PAUSE_MS", 1.0)
     async with platform("r0", "w0") as p:
         p.gateway.listener = ShortOfDescriptors(p.gateway.listener, 10**9, errno.EMFILE)  # type: ignore[assignment]
@@ -305,6 +317,7 @@
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
 @pytest.mark.parametrize("where", ["read", "hand-over", "stream"])
 async def test_a_client_that_leaves_is_sent_on_no_more_and_nothing_stays_held(how: str, where: str) -> None:
+    """A client leaves before its request is forwarded. Nothing is sent, and nothing stays held."""
     async with platform("r0", "w0") as p:
         server, point = {"read": ("r0", "request"), "hand-over": ("w0", "request"), "stream": ("w0", "event")}[where]
         gate = p.servers[server].gates[point] = Gate()
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -66,6 +66,7 @@
 
 
 async def test_a_start_does_not_wait_for_an_agent_that_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Discovery is silent as a gateway starts. It serves by the list of its configuration after a bounded time."""
     monkeypatch.setattr(gateway_module, "FIRST_LIST_MS", 100.0)
     async with platform("r0", "w0") as p:
         p.discovery.silent = True
@@ -164,6 +165,7 @@
 
 
 async def test_a_list_that_is_cut_within_a_line_is_asked_for_anew_and_whole() -> None:
+    """A watch ends within a list. Nothing of it is used, and the whole list is asked for."""
     async with platform("r0", "w0") as p:
         p.discovery.cut_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
@@ -177,6 +179,7 @@
 async def test_an_old_agent_whose_watch_ends_during_a_pause_is_not_asked_again_after_the_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Discovery moves while the old agent's watch waits to be opened anew. The old agent is not asked again."""
     gate = Gate()
 
     async def held(*_: Any) -> None:
@@ -205,6 +208,7 @@
 
 
 async def test_a_drain_that_only_the_new_agent_tells_is_heard_though_the_old_one_is_silent() -> None:
+    """Discovery moves, the old agent is silent, and only the new one tells of a drain. It is heard."""
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         p.discovery.hush()
@@ -219,6 +223,7 @@
 
 
 async def test_what_an_old_agent_says_after_the_new_one_undoes_nothing() -> None:
+    """An old agent's list comes after a newer one of the new agent. It is ignored."""
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         old = json.dumps(p.discovery.listing()).encode()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -82,6 +82,7 @@
 
 
 async def test_a_server_that_begins_to_drain_while_an_attempt_waits_for_a_release_is_sent_nothing() -> None:
+    """An attempt waits for an earlier one's release, and its server begins to drain meanwhile. It is sent nothing."""
     async with platform("r0", "w0", told=told(connect_timeout=1000.0), w0=once("gone_410")) as p:
         gates = [server.gates for server in p.servers.values()]
         gate = Gate()
@@ -105,6 +106,7 @@
 async def test_the_chat_gateway_too_sends_nothing_to_a_server_that_began_to_drain_during_the_connect(
     name: str, other: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """As above: a server begins to drain during a connect, here in the chat gateway."""
     async with world(("r0", "w0"), terms=msgspec.structs.replace(TERMS, connect_ms=1000)) as w:
         engine = w.engines[name]
         held = HeldConnects(monkeypatch, f"{engine.host}:{engine.port}")
@@ -126,6 +128,8 @@
 
 
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
+    """A decode attempt was not started, as its server drained. That proves nothing of the held state, whose release
+    time runs on."""
     host = build(("w2", "w3"))
     request, attempt = host.written(Effect.SIDE_EFFECTING)
     second = sent(host.end(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
@@ -158,6 +162,7 @@
 
 
 async def test_an_answer_that_arrives_as_its_time_ends_is_read(nursery: trio.Nursery) -> None:
+    """An answer arrives in the moment in which its timeout strikes. It is read."""
     stream, peer = await pair()
 
     class Late(Wrapped):
@@ -177,6 +182,7 @@
 
 
 async def test_a_peer_that_never_stops_sending_is_not_waited_for_beyond_its_time() -> None:
+    """A server sends on without end after its timeout. It is read once more, not for ever."""
     stream, peer = await pair()
     caller = ClientConnection(stream, "a:1", ("", 0))
     await caller.send_request("GET", "/", [])
@@ -196,6 +202,7 @@
 async def test_an_event_that_arrives_as_a_stream_counts_as_silent_is_passed_on_and_so_is_the_rest(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """An event arrives in the moment in which its stream counts as silent. It is forwarded, and the stream goes on."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["event"] = Gate()
         receive, held = ClientConnection._receive, Gate()
@@ -290,6 +297,8 @@
 async def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A server answers a request twice, the second time some milliseconds late. The second is not taken for the next
+    request's answer."""
     monkeypatch.setattr(client_module, "REST_MS", 60e3)  # so that a slow machine is still within it
     async with platform("r0", "w0", w0=once("second_answer")) as p:
         gate = p.servers["w0"].gates["second"] = Gate()
@@ -402,6 +411,7 @@
 
 @pytest.mark.parametrize("way", ["full_503", "gone_410", "status_500", "opening_cut"])
 async def test_a_state_whose_writer_fails_it_in_any_way_is_not_left_behind(way: str) -> None:
+    """A decode server fails in any way with a state at hand. The state is taken by another one, or released."""
     async with platform("r0", "w0", w0=always(way)) as p:
         assert (await p.ask(Request_Class="note")).status in (502, 503)
         await p.settled()
@@ -409,6 +419,7 @@
 
 
 async def test_a_writer_that_dies_as_the_state_is_at_hand_leaves_it_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A decode server dies as its prefill ends. Another one takes the state."""
     async with platform("r0", "w0", told=told(connect_timeout=1000.0)) as p:
         held = HeldConnects(monkeypatch, p.servers["w0"].address)
         replies: list[Reply] = []
@@ -428,6 +439,7 @@
 
 
 async def test_a_shutdown_waits_for_a_release_that_is_under_way() -> None:
+    """A gateway shuts down while a release is in flight. It waits for it."""
     slow = TOLD | {"specifics": TOLD["specifics"] | {"release": 5000.0}}
     async with platform("r0", "w0", told=slow, w0=always("status_500")) as p:
         gate = Gate()
@@ -473,6 +485,7 @@
 
 
 async def test_a_shutdown_while_all_servers_hang_answers_everything_and_ends() -> None:
+    """All model servers hang as a gateway shuts down. Each client has its answer, and the process ends in time."""
     async with platform("r0", "w0", r0=always("silent")) as p:
         clients = [Client(p.address) for _ in range(12)]
         for client in clients:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -39,6 +39,8 @@
 
 
 async def test_a_request_on_which_the_decisions_fail_is_answered_and_takes_no_other_with_it() -> None:
+    """The router raises on one request's arrival. That request has its answer by its time, and requests beside it
+    are served."""
     failed: list[int] = []
 
     def fail_once(events: list[messages.Event]) -> None:
@@ -63,6 +65,8 @@
 
 
 async def test_a_request_that_the_decisions_forget_is_failed_in_its_time() -> None:
+    """The router takes a request and decides nothing for it. The gateway fails it shortly after its deadline; else
+    its client would wait for ever."""
     async with platform("r0", "w0") as p:
         make_faulty(p, lambda events: [] if arrivals(events) else None)
         with trio.fail_after(0.4 + 0.5):
@@ -73,6 +77,7 @@
 async def test_a_request_in_whose_handling_this_program_fails_is_answered_before_the_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The handler of a request raises. Its client has a 500 before the connection ends, rather than a reset."""
     async with platform("r0", "w0") as p:
 
         def fail(*_: Any) -> None:
@@ -90,6 +95,7 @@
 
 
 async def test_a_stream_that_has_begun_outlasts_its_request_s_time() -> None:
+    """A stream is still running as its request's deadline passes. It is no overdue request: it goes on to its end."""
     gate = Gate()
     async with platform("r0", "w0") as p:
         p.servers["w0"].gates["event"] = gate
@@ -128,6 +134,8 @@
 
 
 async def test_the_regular_looks_go_on_after_one_that_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The router raises on its regular timer, whose next one it would have set itself. The loop fires it again, or
+    no deadline would ever be kept."""
     monkeypatch.setattr(event_loop, "FAULT_PAUSE_MS", 50.0)
     looks: list[bool] = []
 
@@ -144,6 +152,8 @@
 
 
 async def test_an_action_that_can_t_be_carried_out_keeps_no_other_from_it() -> None:
+    """Two requests are rejected in one batch, and the first rejection raises. The second client has its answer all
+    the same."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
         settle, refused = runtime.finish_request, list[Any]()
@@ -172,6 +182,7 @@
 
 
 async def test_the_chat_gateway_too_answers_what_its_decisions_fail_on() -> None:
+    """As above: the router raises on an arrival, here in the chat gateway."""
     async with world() as w:
         chooser = w.gateway.host.router
         w.gateway.host.router = Faulty(chooser, lambda events: 1 / 0 if arrivals(events) else None)
@@ -186,6 +197,7 @@
 async def test_the_chat_gateway_too_answers_before_the_close_where_its_handler_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """As above: a handler raises, here in the chat gateway."""
     async with world() as w:
 
         def fail(*_: Any) -> None:
@@ -198,6 +210,7 @@
 
 
 async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
+    """As above: the router decides nothing for a request, here in the library."""
     async with world() as w:
         config = GatewayConfig(
             name="lib",
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -145,6 +145,8 @@
 
 
 def test_a_list_that_comes_late_undoes_nothing_and_a_count_that_begins_anew_is_followed() -> None:
+    """An agent that is behind gives an older list, which is ignored. Where that goes on, discovery has begun to
+    count anew, and the whole list is asked for."""
     endpoint_registry = EndpointRegistry(Deployment(1, TOLD))
     endpoint_registry.take(parse_endpoint_list(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
     endpoint_registry.take(parse_endpoint_list(listing(43, False, w0="DRAINING")), 0.0, 10.0)
@@ -259,6 +261,8 @@
 
 
 async def test_an_answer_given_during_a_drain_is_not_reset_by_what_its_client_sent_meanwhile() -> None:
+    """A client writes on while it is answered during a drain. A close over these bytes would reset its answer; it is
+    read whole."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].event_ms = 100.0
         stream = await gone(p, "stays")
@@ -283,6 +287,8 @@
 async def test_a_state_is_released_in_time_though_four_servers_in_five_have_fallen_silent(
     nursery: trio.Nursery,
 ) -> None:
+    """Sixteen of twenty servers answer nothing, and they answered last. The state is released within the release
+    time."""
     fleet, deployment = Fleet(nursery), Deployment(1, TOLD)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), deployment)
     servers = [ModelServer(f"w{n}", "write", fleet) for n in range(20)]
@@ -299,6 +305,7 @@
 
 
 async def test_a_server_that_could_not_be_reached_is_asked_last_to_release(nursery: trio.Nursery) -> None:
+    """A server that had answered can no longer be reached. It is asked last."""
     fleet = Fleet(nursery)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, TOLD))
     well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
@@ -416,6 +423,8 @@
 
 
 async def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out() -> None:
+    """Idle clients take all connections while discovery is down. A new client is served, and a drain is heard once
+    discovery is back."""
     async with platform("r0", "w0", limits=Limits(sockets=100)) as p:
         p.discovery.break_off(silent=False, listening=False)
         host, _, number = p.address.partition(":")
@@ -435,6 +444,7 @@
 
 
 async def test_as_many_attempts_as_may_be_out_leave_connections_for_releases() -> None:
+    """As many attempts are out as may be. A release still finds a connection."""
     async with platform("r0", "w0", "w1", limits=Limits(sockets=100)) as p:
         runtime, chat_server = p.gateway.runtime, p.gateway.chat_server
         out = [
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -151,6 +151,8 @@
 
 
 async def test_a_gateway_that_is_told_to_end_leaves_nothing_held_behind_a_silent_attempt(tmp_path: Path) -> None:
+    """A gateway is told to end while a decode attempt is out unanswered. The state is released before the process
+    ends."""
     told = settings(target_ms=2000.0, deadline_ms=1500.0)
     async with platform("r0", told=told) as p:
         proxy = await p.add_behind_proxy("w0")
@@ -170,6 +172,8 @@
 
 
 async def test_a_gateway_that_stands_still_for_a_moment_releases_in_time_all_the_same(tmp_path: Path) -> None:
+    """The gateway's process is stopped for a moment while it owes a release. The release goes out in time all the
+    same."""
     told = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("r0", told=told) as p:
         proxy = await p.add_behind_proxy("w0")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -122,6 +122,8 @@
 
 @pytest.mark.parametrize("way", [*SPOILT_FIRST, "full_503", "full_504", "gone_410"])
 async def test_what_is_spoilt_before_the_first_event_is_repeated_where_that_is_harmless(way: str) -> None:
+    """A decode server's answer is corrupt before its first event. The client has nothing of it: idempotent requests
+    are retried, others fail."""
     shared = once(way)
     async with platform("r0", "w0", "w1", w0=shared, w1=shared) as p:
         reply = await p.ask()
@@ -149,6 +151,8 @@
     ],
 )
 async def test_what_is_spoilt_later_ends_the_client_without_the_last_chunk(way: str) -> None:
+    """A stream is corrupt, cut or silent after its first event. The client's connection ends without the last chunk,
+    so that it can tell."""
     async with platform("r0", "w0", "w1", w0=always(way), w1=always(way)) as p:
         with trio.fail_after(2 if way == "later_silent" else 0.8):  # what can be seen at once is not waited for
             reply = await p.ask()
@@ -183,6 +187,7 @@
 
 
 async def test_a_state_is_released_though_its_holder_is_silent() -> None:
+    """The server that holds a state answers nothing. Another one is asked to release it."""
     async with platform("r0", "r1", "w0", w0=always("status_500")) as p:
         assert (await p.ask(Request_Class="note")).status == 502
         await p.settled()
@@ -197,6 +202,7 @@
 
 
 async def test_a_client_that_leaves_has_its_leg_called_off_and_its_state_released() -> None:
+    """A client leaves while its request is decoded. The attempt is cancelled and the state released."""
     async with platform("r0", "w0", w0=always("silent")) as p:
         with trio.move_on_after(0.3):
             await p.ask(Request_Class="note")
@@ -208,6 +214,7 @@
 
 
 async def test_a_client_that_leaves_within_its_stream_has_it_ended_at_the_server() -> None:
+    """A client leaves within its stream. The server's connection is closed, so that it stops decoding."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].events, p.servers["w0"].event_ms = 500, 10.0
         with trio.move_on_after(0.3):
@@ -219,6 +226,7 @@
 
 
 async def test_a_generation_without_an_answer_hears_so_in_its_time() -> None:
+    """No server answers. The client has its final answer by its deadline."""
     async with platform("r0", "w0", w0=always("silent")) as p:
         since = trio.current_time()
         assert (await p.ask(Request_Class="note", Request_Timeout="0.4")).status == 502
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -210,6 +210,7 @@
 
 
 async def test_a_flood_of_the_same_bad_request_leaves_usual_clients_their_share() -> None:
+    """Some clients repeat a bad request without pause. Usual clients are served."""
     async with platform("r0", "w0") as p:
         answers: list[bytes] = []
         took: list[float] = []
@@ -266,6 +267,8 @@
 
 
 async def test_a_late_loop_gives_up_sooner_and_says_by_how_much_it_was_late(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The loop stands still for a quarter of a second. It expects to be late again and gives up sooner, and the
+    report says by how much it was late."""
     monkeypatch.setattr(gateway_module, "REPORT_INTERVAL_MS", 50.0)
     async with platform("r0", "w0", r0=always("silent")) as p:
         runtime = p.gateway.runtime
@@ -295,6 +298,7 @@
 
 
 async def test_a_drain_takes_what_waits_at_the_door_when_it_stops_accepting() -> None:
+    """Clients wait in the listener's queue as a drain stops accepting. They are taken and answered."""
     async with platform("r0", "w0") as p:
         p.gateway.accepting.cancel()  # what comes from here on is left to the listener's queue
         await trio.sleep(0.01)
@@ -314,6 +318,8 @@
 
 @pytest.mark.parametrize("way", ["silent", "noise", "status_503", "opening_cut"])
 async def test_a_server_that_garbles_or_is_too_busy_does_not_keep_a_state_from_being_released(way: str) -> None:
+    """The server that is asked to release a state gives corrupt answers, or is too busy. Another one confirms the
+    release."""
     async with platform("r0", "w0", "w1", w0=always("status_500"), w1=always("status_500")) as p:
         for name in ("r0", "w0"):
             p.servers[name].lease_way = way
@@ -323,6 +329,7 @@
 
 
 async def test_one_server_that_spoils_its_first_answer_is_told_again() -> None:
+    """The only server gives a corrupt answer to a release. It is asked again, and confirms it."""
     async with platform("r0", "w0", w0=always("status_500")) as p:
         p.servers["r0"].lease_way = p.servers["w0"].lease_way = "noise"
         assert (await p.ask(Request_Class="note")).status == 502
@@ -335,6 +342,8 @@
 
 
 async def test_a_state_that_comes_after_its_read_was_called_off_is_released_too() -> None:
+    """A prefill is cancelled, its state released, and the prefill ends after that all the same. Its state is
+    released once more."""
     async with platform("r0", "w0", r0=once("late_state")) as p:
         with trio.move_on_after(0.1):
             await p.ask()
@@ -404,6 +413,7 @@
 
 
 async def test_a_door_without_descriptors_stays_up_and_serves_once_there_are_some(tmp_path: Path) -> None:
+    """The process runs out of descriptors. It stays up, and serves once there are some."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, log):
         await until_ready(p)
         held = len(os.listdir(f"/proc/{process.pid}/fd"))
@@ -464,6 +474,8 @@
 
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.2, 0.4])
 async def test_signals_during_the_start_do_no_harm(after_s: float, tmp_path: Path) -> None:
+    """SIGHUP or SIGTERM comes while the program is read in. The first is ignored, the second ends the process in
+    order."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, _):
         with trio.fail_after(5):  # Python itself has started
             while not caught(process.pid) & 1 << signal.SIGTERM - 1:
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -11,6 +11,7 @@
 
 
 async def test_changes_whole_lists_and_garbage() -> None:
+    """Discovery sends changes, whole lists and what is no list. The last is not used, and costs no request."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
 
@@ -41,6 +42,7 @@
 
 
 async def test_a_silent_watch_is_asked_for_anew_and_not_in_a_tight_loop(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A watch goes silent without ending. It is opened anew after its time, at a bounded rate."""
     from ternlane.platform import discovery_watch
 
     monkeypatch.setattr(discovery_watch, "WATCH_TIMEOUT_MS", 200.0)
@@ -57,6 +59,7 @@
 
 
 async def test_a_discovery_that_is_down_is_asked_for_with_growing_waits() -> None:
+    """Discovery refuses connections. The gateway asks again with backoff, and serves by the list that it has."""
     async with platform("r0", "w0") as p:
         p.discovery.listener.socket.close()
         p.gateway.watch.move(("127.0.0.1", int(p.discovery.address.rpartition(":")[2])))
@@ -65,6 +68,7 @@
 
 
 async def test_a_new_discovery_is_followed_with_the_index_kept_and_the_old_one_closed() -> None:
+    """A reload names another discovery. It is asked from the index at hand, and the old watch ends."""
     async with platform("r0", "w0") as p:
         other = Discovery(p.nursery, 100.0)
         await other.start()
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -44,6 +44,8 @@
     ],
 )
 async def test_what_is_not_http_gets_its_error_and_a_close(data: bytes, status: int) -> None:
+    """A client sends what is no HTTP, or not what is served. It has an error, the connection ends, and usual clients
+    are served."""
     async with platform() as p:
         said = await p.raw(data)
         assert said.startswith(b"HTTP/1.1 %d " % status), said[:100]
@@ -74,6 +76,7 @@
     ],
 )
 async def test_what_can_not_be_served_is_never_taken(more: dict[str, Any], status: int) -> None:
+    """A request's head or body can't be read. It has an error, and nothing reaches a model server."""
     async with platform() as p:
         reply = await p.ask(**more)
         assert reply.status == status and not p.fleet.seen and not p.gateway.runtime.reporter.counts["received"]
@@ -81,6 +84,7 @@
 
 
 async def test_half_a_request_and_silence_are_ended_in_time() -> None:
+    """A client sends half a request, or nothing, and then falls silent. Its connection ends in the users' time."""
     async with platform() as p:
         assert await p.raw(HEAD + GIVEN + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
         assert await p.raw(b"") == b""
@@ -104,6 +108,7 @@
 
 
 async def test_the_id_of_an_open_generation_is_refused_and_the_open_one_untouched() -> None:
+    """A client uses the id of a request that is active. The second is refused, and the first goes on."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].events, p.servers["w0"].event_ms = 10, 20.0
         replies: list[Reply] = []
@@ -119,6 +124,7 @@
 
 
 async def test_a_second_request_before_the_first_is_answered_is_not_served() -> None:
+    """A client sends a second request before the first is answered. The first is answered, the second refused."""
     async with platform() as p:
         one = HEAD + GIVEN + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
         said = await p.raw(one + one.replace(b"ff\r", b"fe\r"))
@@ -127,6 +133,7 @@
 
 
 async def test_connections_that_say_nothing_do_not_block_the_door() -> None:
+    """As many clients as may connect say nothing. The next client is served: the longest idle connection makes room."""
     async with platform(limits=Limits(sockets=64)) as p:
         host, _, number = p.address.partition(":")
         mute = [await trio.open_tcp_stream(host, int(number)) for _ in range(60)]
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -49,6 +49,7 @@
 
 
 async def test_beats_go_on_reaching_the_decisions(nursery: trio.Nursery) -> None:
+    """The router sets each timer as the one before fires. They go on."""
     router = Beats()
     loop = Quiet(router)
     nursery.start_soon(loop.run_timers)
@@ -72,6 +73,8 @@
 
 
 async def test_start_reload_drain_and_restart_of_the_process(tmp_path: Path) -> None:
+    """A gateway is started, reloaded twice, told to end twice while it streams, and restarted at its address. No
+    request is lost."""
     async with platform("r0", "w0") as p:
         p.reserve_address()
         config = tmp_path / "config.json"
@@ -114,6 +117,8 @@
 
 
 async def test_a_drain_leaves_no_connection_on_which_a_late_request_could_be_cut_off() -> None:
+    """Clients hold connections as the gateway is told to end. Each connection ends with its next answer or at once,
+    so that no late request is cut off."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].events, p.servers["w0"].event_ms = 30, 40.0
         replies: list[Reply] = []
@@ -157,6 +162,8 @@
     ],
 )
 def test_a_start_without_a_usable_configuration_ends_with_one_clear_line(tmp_path: Path, text: str | None) -> None:
+    """The configuration is missing or can't be read. The process ends with the status for that and one line that
+    says why."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -61,6 +61,7 @@
 
 
 async def test_no_error_of_accept_ends_the_gateway() -> None:
+    """accept fails with each error that the system may give. The gateway goes on, and serves the next client."""
     async with platform("r0", "w0") as p:
         for number in ACCEPT_ERRORS:
             with pytest.MonkeyPatch.context() as patch:
@@ -73,6 +74,8 @@
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENFILE, errno.EINVAL, errno.EBADF])
 async def test_a_shutdown_takes_what_waits_though_accept_fails(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
+    """A client waits in the listener's queue as the gateway shuts down, and accept fails some times first. The
+    client is taken and answered."""
     async with platform("r0", "w0") as p:
         p.gateway.accepting.cancel()
         await trio.testing.wait_all_tasks_blocked()
@@ -87,6 +90,7 @@
 
 
 async def test_the_chat_gateway_too_outlives_errors_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
+    """As above, in the chat gateway."""
     monkeypatch.setattr(gateway_module, "ACCEPT_PAUSE_S", 0.01)
     async with world() as w:
         failing = FailingAccept(monkeypatch, w.gateway.address, [errno.EINVAL, errno.EBADF, errno.EMFILE])
@@ -113,6 +117,8 @@
 async def test_a_connection_that_can_not_be_made_for_a_moment_costs_no_request(
     monkeypatch: pytest.MonkeyPatch, number: int, times: int
 ) -> None:
+    """This machine is out of ports or descriptors for a moment as an attempt connects. It is tried again, and the
+    server is not blamed."""
     async with platform() as p:
         servers = {server.address for server in p.servers.values()}
         failed: list[str] = []
@@ -136,6 +142,8 @@
 
 
 def test_a_log_line_that_can_t_be_written_is_dropped_and_counted() -> None:
+    """Nobody reads the log's pipe, and then it is closed. Lines are dropped and counted; the writer neither waits
+    nor fails."""
     prefill_server, decode_server = os.pipe()
     log = LogOutput(decode_server)
     log.write("a line\n")
@@ -150,6 +158,7 @@
 
 
 def test_a_full_disk_ends_no_log_line_s_writer() -> None:
+    """The disk of the log is full. The line is dropped and counted."""
     full = os.open("/dev/full", os.O_WRONLY)
     try:
         log = LogOutput(full)
@@ -160,6 +169,7 @@
 
 
 async def test_a_gateway_whose_log_nobody_reads_goes_on(tmp_path: Path) -> None:
+    """The log's file is cut while the gateway runs. Requests are served all the same."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, log):
         await until_ready(p)
         os.close(os.open(log, os.O_WRONLY | os.O_TRUNC))
@@ -168,6 +178,8 @@
 
 
 def test_descriptors_can_t_be_counted_where_none_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+    """No descriptor is left to count the open ones with. The report says -1, and goes on."""
+
     def no_descriptors(_: str) -> list[str]:
         raise OSError(errno.EMFILE, "Too many open files")
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -99,6 +99,8 @@
 
 
 async def test_the_time_told_is_what_is_left_though_the_loop_stood_still_as_the_request_came() -> None:
+    """The loop is busy as a request comes. The time told to servers counts from its last byte, not from when it was
+    read."""
     async with platform("r0", "w0", told=unhurried()) as p:
         client = Client(p.address)
         await until(lambda: p.gateway.chat_server.idle)
@@ -113,6 +115,8 @@
 
 @pytest.mark.parametrize("name", ["r0", "w0"])
 async def test_the_time_told_is_what_is_left_after_a_slow_connect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection to a server comes up late. The time told to it is what is left then, not what was left at the
+    decision."""
     lasting = {"specifics": TOLD["specifics"] | {"release": 1000.0}}  # the state outlasts the slow connect
     async with platform("r0", "w0", told=unhurried(connect_timeout=1000.0) | lasting) as p:
         held = HeldConnects(monkeypatch, p.servers[name].address)
@@ -145,6 +149,7 @@
 
 
 async def test_the_time_of_a_slow_client_counts_from_its_last_byte() -> None:
+    """A client writes its request in two parts. Its time counts from the last byte."""
     async with platform("r0", "w0", told=unhurried()) as p:
         client, whole = Client(p.address), client_request(p, Request_Timeout="1.5")
         client.send(whole[:40])
@@ -156,6 +161,7 @@
 
 
 async def test_the_time_told_does_not_follow_a_wall_clock_that_is_set(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The wall clock is set an hour back and forth. The time told to servers stays the same."""
     async with platform("r0", "w0", told=unhurried()) as p:
         now = time.time
         for step in (-3600.0, 3600.0):
