--- a/ternlane/policy/failure_rates.py
+++ b/ternlane/policy/failure_rates.py
@@ -11,10 +11,14 @@
 from math import exp
 from typing import Generic, Hashable, NamedTuple, TypeVar
 
-RATE_GAIN = 1 / 16  # weight of a new outcome in the rate of all servers
-MEMORY_MS = 30e3  # over which what one server did fades
-PRIOR_TRIES = 1 / 2  # tries at the rate of all that a server is credited with before its own count
-CHANCE = 0.02  # a rate of all below this part is chance, and the kind is forgotten
+# Weight of a new outcome in the rate of all servers: about the last sixteen count.
+RATE_SAMPLE_WEIGHT = 1 / 16
+# What one server did fades over this time, so that a mended server is tried again.
+TALLY_MEMORY_MS = 30e3
+# Attempts at the rate of all that a server is credited with, so that one failure condemns nobody.
+RATE_PRIOR_ATTEMPTS = 1 / 2
+# A rate of all servers below this part is chance, and the kind is forgotten.
+MIN_FAILURE_RATE = 0.02
 
 ServerT = TypeVar("ServerT", bound=Hashable)
 
@@ -23,7 +27,7 @@
     """Outcomes at one server, the older ones faded."""
 
     failures: float
-    tries: float
+    attempts: float
 
 
 @dataclass(slots=True)
@@ -34,16 +38,18 @@
     tallies: dict[ServerT, tuple[float, Tally]] = field(default_factory=dict)  # with the time of the newest outcome
 
     def tally(self, server: ServerT, now: float) -> Tally:
+        """The outcomes at one server, faded to this time."""
         if server not in self.tallies:
             return Tally(0.0, 0.0)
         at, known = self.tallies[server]
-        fade = exp((at - now) / MEMORY_MS)
-        return Tally(known.failures * fade, known.tries * fade)
+        fade = exp((at - now) / TALLY_MEMORY_MS)
+        return Tally(known.failures * fade, known.attempts * fade)
 
     def add(self, server: ServerT, decodes: bool, failed: bool, now: float) -> None:
-        self.rates[decodes] += RATE_GAIN * (failed - self.rates[decodes])
+        """Counts an outcome."""
+        self.rates[decodes] += RATE_SAMPLE_WEIGHT * (failed - self.rates[decodes])
         known = self.tally(server, now)
-        self.tallies[server] = now, Tally(known.failures + failed, known.tries + 1)
+        self.tallies[server] = now, Tally(known.failures + failed, known.attempts + 1)
 
 
 class FailureRates(Generic[ServerT]):
@@ -68,7 +74,7 @@
         if known is None:
             return 0.0
         tally = known.tally(server, now)
-        return (tally.failures + known.rates[decodes] * PRIOR_TRIES) / (tally.tries + PRIOR_TRIES)
+        return (tally.failures + known.rates[decodes] * RATE_PRIOR_ATTEMPTS) / (tally.attempts + RATE_PRIOR_ATTEMPTS)
 
     def fails_mostly(self, kind: Hashable, server: ServerT, now: float) -> bool:
         """Has it failed this kind more often than not lately?"""
@@ -76,14 +82,16 @@
         if known is None:
             return False
         tally = known.tally(server, now)
-        return 2 * tally.failures > tally.tries > PRIOR_TRIES
+        return 2 * tally.failures > tally.attempts > RATE_PRIOR_ATTEMPTS
 
     def fade(self, part: float) -> None:
         """Keeps this part of the rates of all, and forgets kinds whose failures have become chance."""
         for known in self._kinds.values():
             for decodes in known.rates:
                 known.rates[decodes] *= part
-        self._kinds = {kind: known for kind, known in self._kinds.items() if max(known.rates.values()) > CHANCE}
+        self._kinds = {
+            kind: known for kind, known in self._kinds.items() if max(known.rates.values()) > MIN_FAILURE_RATE
+        }
 
     def forget(self, server: ServerT) -> None:
         """Drops the counts of a server that is no more."""
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -12,7 +12,7 @@
 import heapq
 from dataclasses import dataclass
 from math import inf
-from typing import Any, Generic, TypeVar
+from typing import Generic, Protocol, TypeVar
 
 from ternlane.policy.messages import AttemptOutcome
 
@@ -55,14 +55,20 @@
     _release_heard: bool = False  # and a server has confirmed it
 
     def attempt_begins(self) -> None:
-        self._held_before, self.may_hold = self.may_hold, True
-        self._released_early = self._release_heard = False
+        """An attempt goes out, and may leave something at its server."""
+        self._held_before = self.may_hold
+        self.may_hold = True
+        self._released_early = False
+        self._release_heard = False
 
     def attempt_answered(self) -> None:
         """A decode server has begun its answer: it has taken the state."""
-        self.held_at, self.may_hold, self.release_at = None, False, inf
+        self.held_at = None
+        self.may_hold = False
+        self.release_at = inf
 
     def attempt_ended(self, end: AttemptEnd, server: ServerT, now: float) -> None:
+        """An attempt has ended at this server."""
         outcome = end.outcome
         if outcome in NOTHING_LEFT:
             self.may_hold = self._held_before
@@ -92,21 +98,28 @@
 
     def released_early(self) -> None:
         """A release goes out because the time is over, whatever attempt is out."""
-        self._released_early, self._release_heard = True, False
+        self._released_early = True
+        self._release_heard = False
 
     def release_heard(self) -> None:
         """A server has confirmed the newest release."""
         self._release_heard = self._released_early
 
 
+class HasReleaseTime(Protocol):
+    """What the schedule sees of a lease."""
+
+    release_at: float
+
+
 class ReleaseSchedule(Generic[RequestT]):
     """Requests by the time at which what is held for them is to be released; the earliest first."""
 
     def __init__(self) -> None:
-        self._entries: list[tuple[float, int, RequestT, Lease[Any]]] = []
+        self._entries: list[tuple[float, int, RequestT, HasReleaseTime]] = []
         self._count = 0
 
-    def add(self, request: RequestT, lease: Lease[Any], at: float) -> bool:
+    def add(self, request: RequestT, lease: HasReleaseTime, at: float) -> bool:
         """Schedules it; a time given before is forgotten. True if it is now the first."""
         lease.release_at = at
         self._count += 1
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -10,7 +10,11 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 from math import inf
-from typing import Any
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:  # the types of the router's own fields; nothing of them is imported at run time
+    from ternlane.policy.endpoint_state import EndpointState
+    from ternlane.policy.request_state import RequestState
 
 
 class Effect(Enum):
@@ -121,7 +125,7 @@
     started_ms: float = 0.0
     status: EndpointStatus = EndpointStatus.READY
     hash_key: int = 0
-    seat: Any = None
+    _router_state: EndpointState | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -137,7 +141,7 @@
     max_tokens: float
     client_timeout_ms: float
     whole: bool = False
-    seat: Any = None
+    _router_state: RequestState | None = None
     tenant: Tenant | None = None
 
 
--- /dev/null
+++ b/ternlane/policy/request_state.py
@@ -0,0 +1,120 @@
+"""The state of one request, from its arrival to the release of what was held for it.
+
+A request moves through the phases of `Phase`. `TRANSITIONS` lists every move there is; any other raises
+IllegalTransition, which means a fault of the router: two attempts at once, or a second final answer.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum, auto
+from typing import NamedTuple
+
+from ternlane.policy.attempt import Attempt
+from ternlane.policy.endpoint_state import EndpointState
+from ternlane.policy.lease import Lease
+from ternlane.policy.messages import Request, Server
+
+
+class Phase(Enum):
+    """Where a request stands."""
+
+    QUEUED = auto()  # no attempt is out and nothing is ready for a decode: it waits for a pair of servers
+    PREFILLING = auto()  # a prefill attempt is out
+    HANDING_OVER = auto()  # its state is held at a prefill server and goes to a decode server next
+    DECODING = auto()  # an attempt is out that answers
+    RELEASING = auto()  # it is over for its client; an attempt is still out, and its end releases what is held
+    DONE = auto()  # it is over, and nothing is out
+
+
+TRANSITIONS: dict[Phase, frozenset[Phase]] = {
+    # A server that does both roles answers without a prefill attempt of its own.
+    Phase.QUEUED: frozenset({Phase.PREFILLING, Phase.DECODING, Phase.DONE}),
+    # To QUEUED: the prefill failed.
+    Phase.PREFILLING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
+    # To QUEUED: the state is released and the prompt prefilled again.
+    Phase.HANDING_OVER: frozenset({Phase.DECODING, Phase.QUEUED, Phase.DONE}),
+    # To HANDING_OVER: the decode attempt failed and the state is still held. To QUEUED: it is lost.
+    Phase.DECODING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
+    Phase.RELEASING: frozenset({Phase.DONE}),
+    Phase.DONE: frozenset(),
+}
+
+
+class IllegalTransition(Exception):
+    """A request was to make a move that TRANSITIONS does not list."""
+
+    def __init__(self, before: Phase, after: Phase) -> None:
+        super().__init__(f"a request can't go from {before.name} to {after.name}")
+        self.before = before
+        self.after = after
+
+
+class UnknownRequest(Exception):
+    """The host names a request that has not arrived."""
+
+
+class MayHaveRun(NamedTuple):
+    """The first attempt whose effect may have happened."""
+
+    started_at: float  # milliseconds
+    server: Server
+
+
+@dataclass(slots=True, eq=False)
+class RequestState:
+    """One request on its way. Times are milliseconds."""
+
+    request: Request
+    first_token_due: float  # by its class's latency objective
+    deadline: float  # when its client gives up
+    slow_start_draw: float = 0.0  # from 0 to 1, for servers that take a quota only
+    phase: Phase = Phase.QUEUED
+    prefill_server: EndpointState | None = None
+    decode_server: EndpointState | None = None
+    attempt: Attempt | None = None  # that is out
+    attempts: int = 0  # that were sent
+    lease: Lease[EndpointState] = field(default_factory=Lease)  # what may be held for it
+    may_have_run: MayHaveRun | None = None
+    found_no_room: bool = False  # no pair of servers was found for it yet
+    probed: set[EndpointState] = field(default_factory=set)  # whose reports the choice of a pair waits for
+    preferred: list[EndpointState] = field(default_factory=list)  # prefill servers that cache its prefix; best first
+    tried: set[EndpointState] = field(default_factory=set)  # not to be tried again
+
+    @property
+    def over(self) -> bool:
+        """Whether its client has its final answer, or has left."""
+        return self.phase is Phase.DONE or self.phase is Phase.RELEASING
+
+    def move_to(self, phase: Phase) -> None:
+        """The one place where the phase changes. Raises IllegalTransition."""
+        if phase not in TRANSITIONS[self.phase]:
+            raise IllegalTransition(self.phase, phase)
+        self.phase = phase
+
+    def start(self, attempt: Attempt) -> None:
+        """An attempt goes out."""
+        self.move_to(Phase.DECODING if attempt.decodes else Phase.PREFILLING)
+        self.attempt = attempt
+        self.attempts += 1
+
+    def requeue(self) -> None:
+        """What was held for it is given up; it needs a pair of servers anew."""
+        if self.phase is not Phase.QUEUED:
+            self.move_to(Phase.QUEUED)
+
+    def attempt_ended(self) -> None:
+        """Its attempt has ended, and its client waits on."""
+        self.move_to(Phase.QUEUED if self.lease.held_at is None else Phase.HANDING_OVER)
+
+    def close(self) -> None:
+        """It is over for its client."""
+        self.move_to(Phase.DONE if self.attempt is None else Phase.RELEASING)
+
+
+def state_of(request: Request) -> RequestState:
+    """The state of a request that has arrived; otherwise UnknownRequest."""
+    state = request._router_state
+    if state is None:
+        raise UnknownRequest("the request has not arrived")
+    return state
--- /dev/null
+++ b/ternlane/policy/retry_policy.py
@@ -0,0 +1,89 @@
+"""What may follow an attempt: another one, elsewhere or anew, or the final answer that is true of the request.
+
+A request whose attempt may have run must not have its effect twice. Its class says which servers drop a repeat, and
+for how long; outside of that no other attempt is sent, and the client is not told to come back.
+"""
+
+from __future__ import annotations
+
+from math import inf
+
+from ternlane.policy.actors import RouterContext
+from ternlane.policy.endpoint_state import EndpointSnapshot, EndpointState
+from ternlane.policy.messages import AttemptOutcome, Effect, Fail, Group, Reject, RejectReason, Server
+from ternlane.policy.request_state import RequestState
+
+# Outcomes which prove that a decode attempt had no effect.
+NEVER_RAN = frozenset(
+    {
+        AttemptOutcome.OVERLOADED,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.CLIENT_GONE,
+        AttemptOutcome.NOT_STARTED,
+        AttemptOutcome.PREFILLED,
+    }
+)
+# A prefill and the decode that has to follow it.
+ATTEMPTS_FOR_A_PAIR = 2
+# Retry-After as a part of the latency objective: one half lets an overload pass, and the answer can still be of use.
+RETRY_AFTER_SLO_SHARE = 1 / 2
+
+
+class RetryPolicy:
+    """Limits of attempts and of effects."""
+
+    def __init__(self, context: RouterContext, endpoints: dict[EndpointState, EndpointSnapshot]) -> None:
+        self._context = context
+        self._endpoints = endpoints
+
+    def is_spent(self, state: RequestState) -> bool:
+        """Whether no attempt, or no time, is left."""
+        return self._context.now >= state.deadline or state.attempts >= self._context.limits.max_attempts
+
+    def lacks_attempts_for_pair(self, state: RequestState) -> bool:
+        """Whether a prefill would be the last attempt, so that no decode could follow. Servers that do both in one
+        attempt don't need a second one."""
+        if state.attempts == 0 or state.attempts + ATTEMPTS_FOR_A_PAIR <= self._context.limits.max_attempts:
+            return False
+        return not any(endpoint.prefills and endpoint.decodes for endpoint in self._endpoints)
+
+    def has_attempts_for_pair(self, state: RequestState) -> bool:
+        """Whether enough attempts are left for another pair of servers."""
+        return state.attempts + ATTEMPTS_FOR_A_PAIR <= self._context.limits.max_attempts
+
+    def permits(self, state: RequestState, endpoint: EndpointState) -> bool:
+        """Whether an attempt at this server can't have an effect a second time."""
+        if state.may_have_run is None:
+            return True
+        window_ms = self.repeat_window_ms(state)
+        if window_ms == inf:
+            return True
+        return window_ms > 0 and self._same_group(state, state.may_have_run.server, endpoint.server)
+
+    def _same_group(self, state: RequestState, first: Server, other: Server) -> bool:
+        match state.request.request_class.group:
+            case Group.ALL:
+                return True
+            case Group.ZONE:
+                return first.zone == other.zone
+            case Group.CELL:
+                return first.cell == other.cell
+
+    def repeat_window_ms(self, state: RequestState) -> float:
+        """For how long a repeat does no harm where servers know it as one: infinite where it never does, 0 or less
+        where it would."""
+        request_class = state.request.request_class
+        if state.may_have_run is None or request_class.effect is Effect.IDEMPOTENT:
+            return inf
+        if request_class.effect is Effect.DEDUPLICATED:
+            return state.may_have_run.started_at + request_class.window_ms - self._context.now
+        return -inf
+
+    def final_answer(self, state: RequestState, reason: RejectReason) -> Reject | Fail:
+        """Reject, with its promise that a new request does no harm, wherever that is true when the client may come
+        back; else Fail."""
+        request_class = state.request.request_class
+        window_ms = self.repeat_window_ms(state)
+        pause_ms = min(self._context.limits.max_retry_after_ms, request_class.slo_ms * RETRY_AFTER_SLO_SHARE)
+        harmless = window_ms == inf or (request_class.group is Group.ALL and window_ms > pause_ms)
+        return Reject(state.request, pause_ms, reason) if harmless else Fail(state.request, reason)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,7 +13,8 @@
 import pytest
 
 from ternlane.policy import messages
-from ternlane.policy.router import CARE, Router
+from ternlane.policy.limits import SLOW_START_SAFETY
+from ternlane.policy.router import Router
 from ternlane.policy.messages import Role, Effect, Request, Group, EndpointStatus, RequestClass, Server, AttemptOutcome
 from tests.fleet.server import SEED_WORDS
 from tests.conftest import ROUTER_CONFIG
@@ -65,7 +66,7 @@
         )
         made = Router(router_config)
         self.mine = getattr(self, "mine", {})
-        self.mine[nth] = [replace(s, seat=None) for s in self.servers]  # seats are each router's own
+        self.mine[nth] = [replace(s, _router_state=None) for s in self.servers]
         self.act(nth, made.take(self.now, [messages.EndpointsUpdated(tuple(self.mine[nth]))]))
         return made
 
@@ -230,7 +231,8 @@
 
 
 def test_the_part_that_is_used_leaves_room_for_chance_whatever_the_budget() -> None:
-    """Routers that know nothing of each other send a cold server a Poisson sum: its mean is CARE of what is allowed."""
+    """Routers that know nothing of each other send a warming server a Poisson sum: its mean is SLOW_START_SAFETY of
+    what is allowed."""
 
     def over(mean: float, most: int) -> float:
         """The chance of a Poisson sum of more than `most`."""
@@ -243,4 +245,4 @@
     def users_form(calls: float) -> float:
         return calls + 3 * sqrt(calls) + 3 if calls < 30 else calls + 2 * sqrt(calls) + 2
 
-    assert max(over(CARE * calls, floor(users_form(calls))) for calls in range(1, 700)) < 1e-6
+    assert max(over(SLOW_START_SAFETY * calls, floor(users_form(calls))) for calls in range(1, 700)) < 1e-6
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -96,14 +96,16 @@
         assert pool.connect_ms == connection["connect_timeout_ms"] and pool.limit == 225
         assert pool.idle_ms == pytest.approx(900.0 * connection["idle_s"]) and pool.wear.span_ms == pool.idle_ms
         assert (front.conn_limit, front.open_limit) == (225, 200) and front.held_bytes == int(20 * 2**20)
-        limits = p.gateway.node.chooser.limits  # type: ignore[attr-defined]
-        assert limits.slo_ms == min(one["aim_ms"] for one in raw["class"])
+        limits = p.gateway.node.chooser.scheduler.context.limits  # type: ignore[attr-defined]
+        assert limits.min_slo_ms == min(one["aim_ms"] for one in raw["class"])
         assert (
-            limits.retry_ms == 2 * connection["connect_timeout_ms"]
+            limits.first_ejection_ms == 2 * connection["connect_timeout_ms"]
             and limits.max_attempts == router_config.max_attempts
         )
-        assert limits.pause_ms == raw["clients"]["max_retry_after_ms"]
-        assert limits.cold_part / raw["rules"]["fall_multiple"] == pytest.approx(0.6 * router_config.slow_start_share)
+        assert limits.max_retry_after_ms == raw["clients"]["max_retry_after_ms"]
+        assert limits.slow_start_share / raw["rules"]["fall_multiple"] == pytest.approx(
+            0.6 * router_config.slow_start_share
+        )
         assert router_config.may_probe == raw["allow"]["probes"]
         assert router_config.reports_on_probe == (raw["tier"][0]["report"]["how"] == "probe")
 
@@ -136,13 +138,13 @@
 async def test_a_shutdown_has_the_time_that_the_variants_longest_deadline_leaves(name: str, least_ms: float) -> None:
     """Counted as 3 s where it is longer, by the page; shorter ones leave less."""
     async with platform("r0", "w0", told=settings(name)) as p:
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        scheduler = p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         p.gateway.begin_drain()
-        assert desk.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
+        assert scheduler.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
         short = [one | {"deadline": 900.0} for one in settings(name)["profiles"]]
         p.gateway.node.alter(Deployment(1, settings(name) | {"profiles": short}))
         p.gateway.begin_drain()
-        assert desk.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(900.0 + process.ENDS_MS, abs=50)
+        assert scheduler.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(900.0 + process.ENDS_MS, abs=50)
 
 
 def test_servers_that_do_both_are_known_where_a_variant_has_them() -> None:
@@ -178,7 +180,7 @@
     """A gateway that is given another customer's settings, with a request of the first one open, and its own again."""
     first, other = ({**settings(name), "kinds": ["reader", "writer"]} for name in NAMES)
     async with platform("r0", "w0", told=first) as p:
-        node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        node, scheduler = p.gateway.node, p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         name = first["profiles"][0]["name"]
         assert (await p.ask(Request_Class=name)).status == 200
         gate = p.servers["w0"].gates["request"] = Gate()
@@ -188,8 +190,12 @@
         mine = set(node.deployment.request_classes.values())
         await switch(p, other)
         assert not mine & set(node.deployment.request_classes.values())
-        assert not mine & (desk.prompt.keys() | desk.learnt_at.keys() | desk.told.keys())
-        assert not mine & {request_class for request_class, _ in desk.usual}
+        assert not mine & (
+            scheduler.latency.mean_prompt_tokens.keys()
+            | scheduler.latency.learnt_at.keys()
+            | scheduler.affinity.cached_share.keys()
+        )
+        assert not mine & {request_class for request_class, _ in scheduler.latency.usual}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
         client.sock.close()
@@ -200,7 +206,7 @@
         await until(lambda: not node.active_requests)
         kept = set(node.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
-        assert {request_class for request_class in desk.prompt} <= kept
+        assert {request_class for request_class in scheduler.latency.mean_prompt_tokens} <= kept
         await p.settled()
 
 
@@ -211,7 +217,7 @@
 # -- where constants come from
 
 ROOT = Path(__file__).parent.parent
-CHECKED = ["platform", "http1", "policy", "event_loop.py", "deployment.py", "notes.py"]
+CHECKED = ["platform", "http1", "policy", "event_loop.py", "deployment.py"]
 
 
 def test_the_page_says_of_every_constant_where_it_comes_from() -> None:
