--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -326,10 +326,10 @@
     ]  # none is rejected meanwhile
     async with platform("r0", "w0", told=TOLD | {"profiles": patient}) as p:
         gate = p.servers["r0"].gates["request"] = Gate()
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        scheduler = p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
         await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status.name == "DRAINING")
-        desk.served = lambda course: True  # it waits, rather than being rejected at once
+        scheduler.admission.has_servers_for = lambda course: True  # it waits, rather than being rejected at once
         clients = [Client(p.address) for _ in range(40)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="10"))
@@ -338,7 +338,7 @@
             client.leave(("close", "reset", "half-close")[nth % 3])
         await until(lambda: p.gateway.node.counts["left"] == 40)
         p.discovery.put("r0", p.servers["r0"].address, "reader")
-        await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status.name == "UP")
+        await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status.name == "READY")
         gate.open()
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="10"))
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -22,6 +22,7 @@
 from ternlane.platform import process, registry
 from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import Limits, Post
+from ternlane.policy.attempt import Stage
 from ternlane.policy.messages import EndpointStatus
 from ternlane.testing.platform import Discovery, Gate
 from tests.crossing import Client, client_request, until
@@ -275,19 +276,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
-        node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        node, scheduler = p.gateway.node, p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         for _ in range(3):
             assert (await p.ask()).status == 200
         old = node.deployment.request_classes["summary"]
-        assert old in desk.prompt
+        assert old in scheduler.latency.mean_prompt_tokens
         other = [profile | {"aim": 700.0} for profile in TOLD["profiles"]]
         reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
         new = node.deployment.request_classes["summary"]
-        tables = desk.prompt, desk.learnt_at, desk.told
+        tables = scheduler.latency.mean_prompt_tokens, scheduler.latency.learnt_at, scheduler.affinity.cached_share
         assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
-        assert desk.usual_ms(new, "read") == 700.0 / 8  # as if nothing had been met yet
+        assert scheduler.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # as if nothing had been met yet
         reload(p, tmp_path, monkeypatch, TOLD)  # and back: its terms are new ones again
-        assert desk.usual_ms(node.deployment.request_classes["summary"], "read") == 500.0 / 8
+        assert scheduler.latency.usual_ms(node.deployment.request_classes["summary"], Stage.PREFILL) == 500.0 / 8
         assert (await p.ask()).status == 200
         await p.settled()
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -226,11 +226,11 @@
             for _ in range(12):
                 nursery.start_soon(p.ask)
             await trio.sleep(0.2)
-            board = p.gateway.node.chooser.desk.board  # type: ignore[attr-defined]
+            endpoints = p.gateway.node.chooser.scheduler.endpoints  # type: ignore[attr-defined]
             names = {s: endpoint.name for s, endpoint in p.gateway.node.endpoint_registry.endpoints.items()}
-            believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
+            believed = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
             assert believed == dict(+p.fleet.open) and sum(believed.values()) >= 8
             pool = p.gateway.node.engines.pool
             assert len(pool.open) == sum(p.fleet.conns.values())
         await p.settled()
-        assert all(not e.attempts and not e.booked for e in board)
+        assert all(not e.attempts and not e.reservations for e in endpoints)
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -17,7 +17,8 @@
 import pytest
 import trio
 
-from ternlane.policy.router import FEW
+from ternlane.policy.placement import MAX_HOMES
+from ternlane.policy.prefix_affinity import MAX_COUNTED_PREFIXES
 from ternlane.platform import process as process_module
 from ternlane.platform.node import TRAILS
 from tests.platform_world import BODY, HEAD, TOLD, Platform, always, once, platform, until_ready
@@ -36,7 +37,7 @@
 async def test_thousands_of_new_clients_ids_and_sessions_leave_nothing_behind() -> None:
     """Servers are replaced meanwhile, some clients leave early, some streams are spoilt."""
     async with platform("r0", "w0", "w1", w1=lambda ident: "later_noise" if ident.endswith("7") else "") as p:
-        node, desk = p.gateway.node, p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        node, scheduler = p.gateway.node, p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         outcomes: list[int] = []
 
         async def client(nth: int) -> None:
@@ -55,30 +56,44 @@
                     nursery.start_soon(client, turn * each + nth)
         assert outcomes.count(200) > rounds * each / 2
         await p.settled()
-        desk.homes.update({f"old{n}": desk.homes[next(iter(desk.homes))] for n in range(3 * FEW**2)})
+        scheduler.placement.homes.update(
+            {
+                f"old{n}": scheduler.placement.homes[next(iter(scheduler.placement.homes))]
+                for n in range(3 * MAX_COUNTED_PREFIXES)
+            }
+        )
         with trio.fail_after(3):  # at the module's next looks
-            while len(desk.homes) > 2 * FEW**2 or len(desk.board) > len(node.endpoint_registry.servers):
+            while len(scheduler.placement.homes) > MAX_HOMES or len(scheduler.endpoints) > len(
+                node.endpoint_registry.servers
+            ):
                 await trio.sleep(0.02)
         front, pool = p.gateway.front, node.engines.pool
         assert (
-            not node.active_requests and not node.idents and not node.ended and not node.releasing and not desk.waiting
+            not node.active_requests
+            and not node.idents
+            and not node.ended
+            and not node.releasing
+            and not scheduler.queue
+        )
+        assert (
+            len(node.records) == TRAILS
+            and sum(scheduler.affinity.prefix_popularity.values()) <= 2 * MAX_COUNTED_PREFIXES
         )
-        assert len(node.records) == TRAILS and sum(desk.prefix_popularity.values()) <= 2 * FEW**2
         assert (
             len(node.engines.heard) <= len(node.endpoint_registry.endpoints) == len(node.endpoint_registry.servers) == 3
         )
-        assert all(not e.attempts and not e.booked for e in desk.board)
+        assert all(not e.attempts and not e.reservations for e in scheduler.endpoints)
         assert front.conns == len(front.idle) == 0 and len(pool.open) == len(pool.resting)
         for name in list(p.servers):
             p.discovery.put(name, "", "writer", "DELETED")
         with trio.fail_after(3):
-            while desk.board or pool.open or node.engines.heard:
+            while scheduler.endpoints or pool.open or node.engines.heard:
                 await trio.sleep(0.02)
 
 
 async def test_what_is_in_memory_does_not_follow_the_number_of_clients() -> None:
     async with platform("r0", "w0") as p:
-        homes = p.gateway.node.chooser.desk.homes  # type: ignore[attr-defined]
+        homes = p.gateway.node.chooser.scheduler.placement.homes  # type: ignore[attr-defined]
 
         async def some(count: int) -> int:
             for _ in range(count // 40):
@@ -99,25 +114,31 @@
 
 async def test_names_of_sessions_and_openings_are_kept_short_and_still_told_apart() -> None:
     async with platform("r0", "w0") as p:
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        scheduler = p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         for last in "aab":
             info = f"prefix={'p' * 3000}{last},prompt_len=20,prefix_len=8"
             assert (await p.ask(Affinity_Key="k" * 9000 + last, Request_Info=info)).status == 200
-        assert len(desk.homes) == len(desk.prefix_popularity) == 2
-        assert all(len(name) == 64 for name in [*desk.homes, *desk.prefix_popularity])
+        assert len(scheduler.placement.homes) == len(scheduler.affinity.prefix_popularity) == 2
+        assert all(len(name) == 64 for name in [*scheduler.placement.homes, *scheduler.affinity.prefix_popularity])
 
 
 async def test_what_was_learnt_of_products_that_a_reload_took_away_is_forgotten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
-        desk = p.gateway.node.chooser.desk  # type: ignore[attr-defined]
+        scheduler = p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         for turn in range(1, 6):
             profiles = [profile | {"aim": 500.0 + turn} for profile in TOLD["profiles"]]
             reload(p, tmp_path, monkeypatch, TOLD | {"profiles": profiles})
             for name in ("summary", "note"):
                 assert (await p.ask(Request_Class=name)).status == 200
-        assert len(desk.prompt) == len(desk.learnt_at) == len(desk.told) == 2 and len(desk.usual) <= 6
+        assert (
+            len(scheduler.latency.mean_prompt_tokens)
+            == len(scheduler.latency.learnt_at)
+            == len(scheduler.affinity.cached_share)
+            == 2
+            and len(scheduler.latency.usual) <= 6
+        )
         await p.settled()
 
 
@@ -351,14 +372,14 @@
         w1=lambda i: "first_not_json" if i.endswith("6") else "",
     ) as p:
         node = p.gateway.node
-        board = node.chooser.desk.board  # type: ignore[attr-defined]
+        endpoints = node.chooser.scheduler.endpoints  # type: ignore[attr-defined]
         for server in p.servers.values():
             server.events, server.event_ms = 20, 10.0
         agreed = 0
 
         async def quiet() -> bool:
             names = {s: endpoint.name for s, endpoint in node.endpoint_registry.endpoints.items()}
-            believed = {names[e.server]: len(e.attempts) for e in board if e.attempts}
+            believed = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
             return believed == dict(+p.fleet.open) and len(node.engines.pool.open) == sum(p.fleet.conns.values())
 
         async with trio.open_nursery() as nursery:
@@ -371,7 +392,7 @@
                 agreed += await quiet()
         assert agreed == 8
         await p.settled()
-        assert await quiet() and all(not e.attempts and not e.booked for e in board)
+        assert await quiet() and all(not e.attempts and not e.reservations for e in endpoints)
 
 
 # -- the process
