--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -61,7 +61,7 @@
 def serve(file: str, level: str, chooser: str, pid_file: str | None) -> None:
     """Runs one gateway by the document FILE until SIGTERM, which drains it; SIGHUP reads FILE again."""
     from ternlane.gateway.daemon import run_gateway
-    from ternlane.ledger import Damaged
+    from ternlane.ledger import CorruptLedgerError
 
     log_to_stderr(level)
     choose: Callable[..., Any] | None = None
@@ -73,7 +73,7 @@
     except* OSError as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(UNAVAILABLE)
-    except* (Damaged, ConfigError) as group:
+    except* (CorruptLedgerError, ConfigError) as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(DATA)
 
@@ -253,12 +253,12 @@
     """Adds tenant NAME, without keys."""
     import msgspec
 
-    from ternlane.tenants.tenant_registry import TenantLine
+    from ternlane.tenants.tenant_registry import Tenant
 
     def change(roll: Any) -> Any:
         if any(t.name == name for t in roll.tenants):
             raise KeyError(f"tenant {name!r} is there already")
-        made = msgspec.convert({"name": name, "zone": zone, "period": period}, TenantLine)
+        made = msgspec.convert({"name": name, "zone": zone, "period": period}, Tenant)
         return msgspec.structs.replace(roll, tenants=[*roll.tenants, made])
 
     change_roll(file, change)
@@ -276,7 +276,7 @@
     """Makes a key for tenant NAME and prints it: it is kept nowhere and not shown again."""
     import msgspec
 
-    from ternlane.tenants import KeyLine, new_key
+    from ternlane.tenants import ApiKey, new_key
     from ternlane.tenants.tenant_registry import replace_tenant
 
     key, public, salt, kept = new_key()
@@ -284,7 +284,7 @@
     def change(roll: Any) -> Any:
         it = tenant_of(roll, name)
         return replace_tenant(
-            roll, msgspec.structs.replace(it, keys=[*it.keys, KeyLine(name=public, salt=salt, hash=kept)])
+            roll, msgspec.structs.replace(it, keys=[*it.keys, ApiKey(name=public, salt=salt, hash=kept)])
         )
 
     change_roll(file, change)
@@ -301,7 +301,7 @@
 
     import msgspec
 
-    from ternlane.tenants.keys import split_key
+    from ternlane.tenants.api_keys import split_key
     from ternlane.tenants.tenant_registry import replace_tenant
 
     public = split_key(key)[0] or key
@@ -393,12 +393,12 @@
     if ctx.invoked_subcommand is not None:
         ctx.obj = ledgers
         return
-    from ternlane.ledger import Damaged
-    from ternlane.ledger.bills import rows_of, shown
+    from ternlane.ledger import CorruptLedgerError
+    from ternlane.ledger.billing_report import bill_rows, format_rows
 
     try:
-        click.echo(shown(rows_of([Path(p) for p in ledgers], who, period), form))
-    except Damaged as why:
+        click.echo(format_rows(bill_rows([Path(p) for p in ledgers], who, period), form))
+    except CorruptLedgerError as why:
         click.echo(f"ternlane: {why}", err=True)
         sys.exit(DATA)
 
@@ -416,7 +416,8 @@
 @click.pass_context
 def bill_reconcile(ctx: click.Context, files: tuple[str, ...], within: float) -> None:
     """Holds ledgers against the engines' counts and names each generation that does not add up."""
-    from ternlane.ledger.bills import entries_of, reconcile
+    from ternlane.ledger.billing_report import read_entries
+    from ternlane.ledger.reconciliation import reconcile
 
     lines = []
     for file in files:
@@ -427,8 +428,8 @@
                 continue
             if "gen" in line and "answer" in line and "prompt" in line:
                 lines.append(line)
-    found = reconcile(entries_of([Path(p) for p in ctx.obj]), lines)
-    for what, it in (("engines made", found.made), ("billed", found.billed), ("house", found.house)):
+    found = reconcile(read_entries([Path(p) for p in ctx.obj]), lines)
+    for what, it in (("engines made", found.made), ("billed", found.billed), ("house", found.unbilled)):
         click.echo(f"{what:<16}{it.prompt:>12} prompt{it.answer:>12} answer")
     for request, (made, told) in sorted(found.differing.items()):
         click.echo(
@@ -436,10 +437,10 @@
         )
     for request, made in sorted(found.unsettled.items()):
         click.echo(f"unsettled  {request}  made {made.prompt} + {made.answer}")
-    for request in found.doubled:
+    for request in found.duplicates:
         click.echo(f"doubled    {request}")
     click.echo(f"off by {found.off:.3%}")
-    sys.exit(0 if found.off <= within and not found.doubled else 1)
+    sys.exit(0 if found.off <= within and not found.duplicates else 1)
 
 
 @main.group()
--- a/ternlane/document_keys.py
+++ b/ternlane/document_keys.py
@@ -10,6 +10,7 @@
 DOCUMENT_KEYS = {
     "answer_tokens": "answer_toks",
     "block_tokens": "block_toks",
+    "cached": "kept",
     "deadline_ms": "limit_ms",
     "decode_server": "writer",
     "decode_servers": "writers",
--- a/ternlane/ledger/__init__.py
+++ b/ternlane/ledger/__init__.py
@@ -1,7 +1,19 @@
-"""The durable ledger: every settled generation once, over crashes, full disks and failing syncs."""
+"""The durable ledger: every settled request once, over crashes, full disks and failing syncs."""
 
+from ternlane.ledger.billing_ledger import BillingLedger, UsageTotals
 from ternlane.ledger.disk import Disk
-from ternlane.ledger.store import Damaged, Kind, Segmented, Store, Totals
-from ternlane.ledger.writer import Writer
+from ternlane.ledger.errors import CorruptLedgerError, LedgerError
+from ternlane.ledger.group_commit import GroupCommitWriter
+from ternlane.ledger.segment import LogFormat
+from ternlane.ledger.segmented_log import SegmentedLog
 
-__all__ = ["Damaged", "Disk", "Kind", "Segmented", "Store", "Totals", "Writer"]
+__all__ = [
+    "BillingLedger",
+    "CorruptLedgerError",
+    "Disk",
+    "GroupCommitWriter",
+    "LedgerError",
+    "LogFormat",
+    "SegmentedLog",
+    "UsageTotals",
+]
--- /dev/null
+++ b/ternlane/ledger/reconciliation.py
@@ -0,0 +1,77 @@
+"""Ledgers held against what model servers counted."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+from ternlane.tenants.billing import LedgerEntry, TokenUsage
+
+
+@dataclass
+class Reconciliation:
+    """What servers counted against what ledgers hold, in prompt and answer tokens."""
+
+    made: TokenUsage = TokenUsage()
+    billed: TokenUsage = TokenUsage()
+    unbilled: TokenUsage = TokenUsage()
+    duplicates: list[str] = field(default_factory=list)  # requests with more than one entry
+    # Servers worked, but there is no entry: the request died with its gateway.
+    unsettled: dict[str, TokenUsage] = field(default_factory=dict)
+    # Request -> what servers made, what the ledgers hold.
+    differing: dict[str, tuple[TokenUsage, TokenUsage]] = field(default_factory=dict)
+
+    @property
+    def off(self) -> float:
+        """Part of the servers' tokens that the ledgers do not explain, those of unsettled requests aside."""
+        made = _tokens(self.made)
+        unsettled = sum(_tokens(usage) for usage in self.unsettled.values())
+        explained = _tokens(self.billed) + _tokens(self.unbilled)
+        return abs(made - unsettled - explained) / max(1, made)
+
+
+def _tokens(usage: TokenUsage) -> int:
+    return usage.prompt + usage.answer
+
+
+def reconcile(entries: Iterable[LedgerEntry], counts: Iterable[Mapping[str, Any]]) -> Reconciliation:
+    """Compares ledger entries with the servers' counts, of which a request may have any number: JSON objects with the
+    request's name as "gen", and tokens as "prompt", "kept" and "answer"."""
+    result = Reconciliation()
+    settled = _settled(entries, result)
+    made = _made(counts)
+    for request, usage in made.items():
+        result.made = result.made.plus(usage)
+        if request not in settled:
+            result.unsettled[request] = usage
+        elif (usage.prompt, usage.answer) != (settled[request].prompt, settled[request].answer):
+            result.differing[request] = (usage, settled[request])
+    for request, usage in settled.items():
+        if request not in made and _has_tokens(usage):
+            result.differing[request] = (TokenUsage(), usage)
+    return result
+
+
+def _has_tokens(usage: TokenUsage) -> bool:
+    return bool(usage.prompt or usage.answer)
+
+
+def _settled(entries: Iterable[LedgerEntry], result: Reconciliation) -> dict[str, TokenUsage]:
+    """What the ledgers hold by request; sums and duplicates go to the result."""
+    settled: dict[str, TokenUsage] = {}
+    for entry in entries:
+        if entry.request in settled:
+            result.duplicates.append(entry.request)
+        settled[entry.request] = entry.billed.plus(entry.unbilled)
+        result.billed = result.billed.plus(entry.billed)
+        result.unbilled = result.unbilled.plus(entry.unbilled)
+    return settled
+
+
+def _made(counts: Iterable[Mapping[str, Any]]) -> dict[str, TokenUsage]:
+    made: defaultdict[str, TokenUsage] = defaultdict(TokenUsage)
+    for line in counts:
+        made[line["gen"]] = made[line["gen"]].plus(TokenUsage(line["prompt"], line["kept"], line["answer"]))
+    return made
--- /dev/null
+++ b/ternlane/ledger/record.py
@@ -0,0 +1,39 @@
+"""The format of one record on disk: a header with length, CRC-32 and sequence number, then the entry in MessagePack."""
+
+from __future__ import annotations
+
+import struct
+from zlib import crc32
+
+import msgspec
+
+HEADER = struct.Struct("<IIQ")  # body length in bytes, CRC-32, sequence number
+# Entries take some hundred bytes. A length beyond this comes from damage, and must not be read as gigabytes of body.
+MAX_BODY_BYTES = 1 << 20
+
+_encode_entry = msgspec.msgpack.Encoder().encode
+
+
+def checksum(body: bytes, sequence: int) -> int:
+    """CRC-32 of the body that starts from the sequence number, so that a body under a wrong number does not match."""
+    return crc32(body, sequence & 0xFFFFFFFF)
+
+
+def encode_record(sequence: int, entry: object) -> bytes:
+    """The bytes of one record."""
+    body = _encode_entry(entry)
+    return HEADER.pack(len(body), checksum(body, sequence), sequence) + body
+
+
+def record_at(raw: bytes, offset: int) -> tuple[int, bytes] | None:
+    """Sequence number and body of the record at this offset; None where no whole record with its checksum stands."""
+    if len(raw) - offset < HEADER.size:
+        return None
+    length, crc, sequence = HEADER.unpack_from(raw, offset)
+    if length > MAX_BODY_BYTES:
+        return None
+    start = offset + HEADER.size
+    body = raw[start : start + length]
+    if len(body) != length or checksum(body, sequence) != crc:
+        return None
+    return sequence, body
--- a/ternlane/tenants/__init__.py
+++ b/ternlane/tenants/__init__.py
@@ -1,30 +1,35 @@
-"""Tenants: who asks, what they may spend, what they owe. Free of I/O."""
+"""Tenants: who asks, what they may spend, what they owe. No I/O."""
 
-from ternlane.tenants.billing import Billed, Used, bill_for
-from ternlane.tenants.usage_accounting import UsageAccounting, Hold, RejectReason
-from ternlane.tenants.keys import new_key
-from ternlane.tenants.lengths import Lengths
-from ternlane.tenants.meter import Meter, Period, Short
+from ternlane.tenants.answer_length import AnswerLengthEstimator
+from ternlane.tenants.api_keys import new_key
+from ternlane.tenants.billing import Bill, LedgerEntry, TokenUsage, bill_for
+from ternlane.tenants.billing_period import BillingPeriod
+from ternlane.tenants.budget_meter import BudgetLimit, BudgetMeter, Shortfall
 from ternlane.tenants.quota_leases import QuotaLeases
-from ternlane.tenants.tenant_registry import Budget, KeyLine, Prices, TenantRegistry, TenantLine, Unknown
+from ternlane.tenants.reservation import BudgetRejection, BudgetReservation, RejectionCode
+from ternlane.tenants.tenant_registry import ApiKey, Budget, Prices, Tenant, TenantRegistry, UnknownKeyError
+from ternlane.tenants.usage_accounting import UsageAccounting
 
 __all__ = [
-    "Billed",
+    "AnswerLengthEstimator",
+    "ApiKey",
+    "Bill",
+    "BillingPeriod",
     "Budget",
-    "UsageAccounting",
-    "Hold",
-    "KeyLine",
-    "QuotaLeases",
-    "Lengths",
-    "Meter",
-    "Period",
+    "BudgetLimit",
+    "BudgetMeter",
+    "BudgetRejection",
+    "BudgetReservation",
+    "LedgerEntry",
     "Prices",
-    "RejectReason",
+    "QuotaLeases",
+    "RejectionCode",
+    "Shortfall",
+    "Tenant",
     "TenantRegistry",
-    "Short",
-    "TenantLine",
-    "Unknown",
-    "Used",
+    "TokenUsage",
+    "UnknownKeyError",
+    "UsageAccounting",
     "bill_for",
     "new_key",
 ]
--- a/ternlane/tenants/billing.py
+++ b/ternlane/tenants/billing.py
@@ -1,4 +1,4 @@
-"""What a generation's tenant pays for, and what is the house's cost. Free of I/O."""
+"""What a request's tenant pays for, and what the operator bears. No I/O."""
 
 from __future__ import annotations
 
@@ -7,56 +7,85 @@
 import msgspec
 
 
-class Used(msgspec.Struct, array_like=True, frozen=True):
-    """Tokens: read, found kept, written."""
+class TokenUsage(msgspec.Struct, array_like=True, frozen=True):
+    """Tokens of the prompt, those of them that a server had cached, and tokens of the answer."""
 
     prompt: int = 0
-    kept: int = 0
+    cached: int = 0
     answer: int = 0
 
-    def plus(self, other: Used) -> Used:
-        return Used(self.prompt + other.prompt, self.kept + other.kept, self.answer + other.answer)
+    def plus(self, other: TokenUsage) -> TokenUsage:
+        """The sum."""
+        return TokenUsage(self.prompt + other.prompt, self.cached + other.cached, self.answer + other.answer)
 
-    def less(self, other: Used) -> Used:
-        return Used(
-            max(0, self.prompt - other.prompt), max(0, self.kept - other.kept), max(0, self.answer - other.answer)
+    def less(self, other: TokenUsage) -> TokenUsage:
+        """The difference; none of its counts is below zero."""
+        return TokenUsage(
+            max(0, self.prompt - other.prompt),
+            max(0, self.cached - other.cached),
+            max(0, self.answer - other.answer),
         )
 
 
-class Billed(msgspec.Struct, frozen=True):
-    """`note` says what was odd."""
+class Bill(msgspec.Struct, frozen=True):
+    """What the tenant is billed, and the rest that servers computed, which is the operator's cost. `note` says what was
+    odd; it is empty where nothing was."""
 
-    bill: Used
-    house: Used
+    billed: TokenUsage
+    unbilled: TokenUsage
+    note: str = ""
+
+
+class LedgerEntry(msgspec.Struct, array_like=True, frozen=True):
+    """One settled request, as the ledger stores it: the order of the fields is the form on disk."""
+
+    request: str
+    tenant: str
+    request_class: str
+    period: str
+    wall: float  # arrival, seconds since 1970
+    outcome: str
+    billed: TokenUsage
+    unbilled: TokenUsage
+    micros: int  # the amount, in micro-units of money
+    attempts: int
+    key: str = ""  # the client's Idempotency-Key, hashed
     note: str = ""
 
 
 def bill_for(
-    made: Sequence[Used],
+    made: Sequence[TokenUsage],
     begun: bool,
     streamed: bool,
     pieces: int,
     prompt: int,
     broke_at: int | None = None,
     answered: int = 0,
-) -> Billed:
-    """The bill by what each leg made, in their order.
-
-    Streamed: billed once, whatever it took. Broken off, or left by its client, midway (`begun`): for the prompt and the
-    `pieces` that were passed on. Of which the client got nothing: not at all. The rest is the house's. An engine that
-    says nothing of its usage does not make an answer free: then the reserved `prompt` and the pieces count. A stream
-    that broke after `broke_at` legs and went on is billed as if it had not: its prompt as first read, its answer of
-    `answered` tokens over all legs.
+) -> Bill:
+    """The bill by what each attempt made, in their order. All counts but `broke_at` are tokens.
+
+    An answer that was streamed is billed once, whatever it took. One that broke, or was left by its client, midway
+    (`begun`) is billed for the prompt and the `pieces` that were passed on. Where the client got nothing, nothing is
+    billed. The rest is the operator's. A server that reports no usage does not make an answer free: then the reserved
+    `prompt` and the pieces count. A stream that broke after `broke_at` attempts and went on is billed as if it had not:
+    its prompt as first read, its answer of `answered` tokens over all attempts.
     """
-    whole = Used()
-    for it in made:
-        whole = whole.plus(it)
+    whole = TokenUsage()
+    for usage in made:
+        whole = whole.plus(usage)
     if not begun:
-        return Billed(Used(), whole)
-    read = next((it for it in reversed(made[:broke_at]) if it.prompt), None)
-    answer = pieces if not streamed or not made else made[-1].answer if broke_at is None else answered
-    if read is None or (pieces and not answer):
-        bill = Used(prompt if read is None else read.prompt, 0 if read is None else read.kept, max(answer, pieces))
-        return Billed(bill, whole.less(bill), "usage missing: reserved prompt, pieces counted")
-    bill = Used(read.prompt, read.kept, answer)
-    return Billed(bill, whole.less(bill))
+        return Bill(TokenUsage(), whole)
+    prefill = next((usage for usage in reversed(made[:broke_at]) if usage.prompt), None)
+    answer = _answer_tokens(made, streamed, pieces, broke_at, answered)
+    if prefill is not None and (answer or not pieces):
+        billed = TokenUsage(prefill.prompt, prefill.cached, answer)
+        return Bill(billed, whole.less(billed))
+    read = prefill or TokenUsage(prompt)
+    billed = TokenUsage(read.prompt, read.cached, max(answer, pieces))
+    return Bill(billed, whole.less(billed), "usage missing: reserved prompt, pieces counted")
+
+
+def _answer_tokens(made: Sequence[TokenUsage], streamed: bool, pieces: int, broke_at: int | None, answered: int) -> int:
+    if not streamed or not made:
+        return pieces
+    return made[-1].answer if broke_at is None else answered
--- a/ternlane/tenants/quota_leases.py
+++ b/ternlane/tenants/quota_leases.py
@@ -1,113 +1,158 @@
-"""How gateways that answer alone share one budget: a floor that is always theirs, and tokens drawn from one bucket.
+"""How gateways that answer alone share one budget: a floor that is always theirs, and tokens leased from one bucket.
 
-Of a tenant's rate and burst each gateway holds FLOOR/n for good. The rest flows into one bucket at the lender. A
-gateway looks at its traffic from time to time and, in the background, draws the tokens that it will need until the next
-look, or gives back what it will not. Nobody waits for a draw: what is not there is refused, with an honest return time.
+Of a tenant's rate and burst each gateway holds RESERVED_SHARE / n for good. The rest flows into one shared bucket. A
+gateway looks at its traffic at regular intervals and, in the background, draws the tokens that it will need until the
+next look, or gives back what it will not. Nobody waits for a draw: what is not there is rejected, with an honest
+Retry-After.
 
 Tokens come into being at the floors and in the bucket alone, so all gateways together spend at most
 
-    burst + rate * time + what open generations overrun their reservations,
+    burst + rate * time + what open requests overrun their reservations,
 
-whatever is lost, late or repeated between them. A gateway that dies takes what it had drawn with it: at most its want
-of AHEAD looks; the rest of the budget is the others' at once. One that can't reach the lender has its floor. Of a
-period's tokens the pool is drawn in chunks that are not returned: at most one unspent chunk of a dead gateway is lost
+whatever is lost, late or repeated between them. A gateway that dies takes what it had drawn with it: at most its need
+for LOOKAHEAD_INTERVALS; the rest of the budget is the others' at once. One that can't reach the table has its floor. Of
+a period's tokens the pool is drawn in chunks that are not returned: at most one unspent chunk of a dead gateway is lost
 until the period ends.
 
-The lender is a table and a rule; where it lies (a file, an appointed gateway) is the transport's matter.
+This module is a table and a rule, without I/O; where the table lies is for `ternlane.ledger.quota_lease_file`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
-FLOOR = 0.2
-PLENTY = 0.5  # part of the drawn burst that gateways may hold without present need, all together
-CHUNKS = 8  # that a gateway could draw of its even share of a period's pool
-AHEAD = 1.5  # looks' worth of tokens that a gateway holds
-GAIN = 0.1  # weight of one more look, or generation, in what is expected
+# Part of a budget that is split evenly for good: what a gateway can admit before its first draw, and without the table.
+RESERVED_SHARE = 0.2
+# Part of the shared burst that gateways may hold without present need, all together: so a tenant within its budget is
+# not rejected because its traffic has just come to another gateway.
+IDLE_BURST_SHARE = 0.5
+# Chunks in a gateway's even part of a period's pool: bounds what a dead gateway takes with it.
+CHUNKS_PER_GATEWAY = 8
+LOOKAHEAD_INTERVALS = 1.5  # of tokens that a gateway holds: until the next look, and half of one as a reserve
+EWMA_WEIGHT = 0.1  # of one more look, or request, in what is expected: traffic is forgotten over some ten looks
+FORGOTTEN_SHARE = 0.02  # expected tokens below this part of one request count as no traffic
+# After so many intervals without a draw a gateway no longer counts among those that share the bucket.
+RECENT_INTERVALS = 2
 
 
-class Bucket(msgspec.Struct, array_like=True):
-    level: float
-    at: float  # seconds since 1970
-    asked: dict[str, tuple[float, float]]  # gateway -> when it last asked, for how much
+class RecentDraw(NamedTuple):
+    """When a gateway last asked for tokens (seconds since 1970), and for how many."""
 
+    at: float
+    tokens: float
+
+
+class SharedBucket(msgspec.Struct, array_like=True):
+    """The shared part of one tenant's rate. The order of the fields is the form in the file."""
+
+    level: float  # tokens
+    refilled_at: float  # seconds since 1970
+    recent: dict[str, RecentDraw]  # by gateway
+
+
+class PeriodPool(msgspec.Struct, array_like=True):
+    """Tokens that were drawn from the pool of a billing period."""
 
-class Drawn(msgspec.Struct, array_like=True):
     period: str
     tokens: float
 
 
-class Table(msgspec.Struct):
-    buckets: dict[str, Bucket] = {}
-    drawn: dict[str, Drawn] = {}
+class LeaseTable(msgspec.Struct):
+    """What gateways share, as it stands in the file."""
+
+    buckets: dict[str, SharedBucket] = {}
+    drawn: dict[str, PeriodPool] = {}
 
 
 @dataclass
 class QuotaLeases:
-    """One table for all gateways; every call is one atomic change of it. `span_s` is the time between two looks."""
+    """The rule over one table for all gateways; every call is one atomic change. `interval_s` is the time between two
+    looks of a gateway."""
 
     gateways: int
-    span_s: float = 3.0
-    table: Table = field(default_factory=Table)
+    interval_s: float = 3.0
+    table: LeaseTable = field(default_factory=LeaseTable)
 
     def ask(
-        self, tenant: str, gateway: str, want: float, minute: int, burst: int, now: float, least: float = 0.0
+        self, tenant: str, gateway: str, tokens: float, minute: int, burst: int, now: float, least: float = 0.0
     ) -> float:
-        """Tokens for `gateway`; a negative want gives tokens back. Where more is wanted than there is, each gets an
-        even share, and what others leave of theirs, but not less than `least`, which lets one generation in: slices
-        that let none in would lie about unused at many gateways. A clock set back refills nothing until it has
-        caught up."""
-        most, rate = burst * (1 - FLOOR), minute * (1 - FLOOR) / 60
-        bucket = self.table.buckets.get(tenant)
-        if bucket is None:
-            bucket = self.table.buckets[tenant] = Bucket(most, now, {})
-        bucket.level = min(most, bucket.level + max(0.0, now - bucket.at) * rate)
-        bucket.at = max(bucket.at, now)
-        bucket.asked = {g: it for g, it in bucket.asked.items() if g != gateway and it[0] > now - 2 * self.span_s}
-        if want <= 0:
-            bucket.level = min(most, bucket.level - want)
-            return want
-        others = sum(it[1] for it in bucket.asked.values())
-        bucket.asked[gateway] = now, want
-        least = min(want, least, most)
+        """Draws tokens for a gateway; returns how many it gets. A negative number gives tokens back.
+
+        Where more is wanted than there is, each gets an even part, and what others leave of theirs, but not less than
+        `least`, which admits one request: slices that admit none would lie about unused at many gateways. `now` is in
+        seconds since 1970; a clock set back refills nothing until it has caught up.
+        """
+        capacity = burst * (1 - RESERVED_SHARE)
+        bucket = self._refilled_bucket(tenant, capacity, minute * (1 - RESERVED_SHARE) / 60, now)
+        oldest = now - RECENT_INTERVALS * self.interval_s
+        bucket.recent = {g: draw for g, draw in bucket.recent.items() if g != gateway and draw.at > oldest}
+        if tokens <= 0:
+            bucket.level = min(capacity, bucket.level - tokens)
+            return tokens
+        wanted_by_others = sum(draw.tokens for draw in bucket.recent.values())
+        bucket.recent[gateway] = RecentDraw(now, tokens)
+        least = min(tokens, least, capacity)
         if bucket.level < least:
             return 0.0
-        got = min(want, max(least, bucket.level / len(bucket.asked), bucket.level - others))
-        bucket.level -= got
-        return got
+        even_part = bucket.level / len(bucket.recent)
+        granted = min(tokens, max(least, even_part, bucket.level - wanted_by_others))
+        bucket.level -= granted
+        return granted
+
+    def _refilled_bucket(self, tenant: str, capacity: float, rate_per_s: float, now: float) -> SharedBucket:
+        bucket = self.table.buckets.get(tenant)
+        if bucket is None:
+            bucket = self.table.buckets[tenant] = SharedBucket(capacity, now, {})
+        refill = max(0.0, now - bucket.refilled_at) * rate_per_s
+        bucket.level = min(capacity, bucket.level + refill)
+        bucket.refilled_at = max(bucket.refilled_at, now)
+        return bucket
 
     def draw(self, tenant: str, period: str, budget: int) -> float:
-        """Another chunk of the period's pool; 0 when it is empty."""
+        """Another chunk of the pool of a billing period, in tokens; 0 when it is empty or the period is over."""
         drawn = self.table.drawn.get(tenant)
         if drawn is None or drawn.period < period:  # a clock set back does not open an old period anew
-            drawn = self.table.drawn[tenant] = Drawn(period, 0.0)
-        pool = budget * (1 - FLOOR)
-        chunk = max(0.0, min(pool / self.gateways / CHUNKS, pool - drawn.tokens)) if drawn.period == period else 0.0
+            drawn = self.table.drawn[tenant] = PeriodPool(period, 0.0)
+        if drawn.period != period:
+            return 0.0
+        pool = budget * (1 - RESERVED_SHARE)
+        chunk = max(0.0, min(pool / self.gateways / CHUNKS_PER_GATEWAY, pool - drawn.tokens))
         drawn.tokens += chunk
         return chunk
 
 
 @dataclass
 class QuotaBorrower:
-    """One gateway's side for one tenant: what its traffic wants, by what it let in and what it could not."""
+    """One gateway's side for one tenant: what its traffic wants, by what it admitted and what it could not."""
 
-    used: float = 0.0  # tokens reserved since the last look
-    refused: float = 0.0  # tokens refused for the rate since then
+    admitted: float = 0.0  # tokens reserved since the last look
+    rejected: float = 0.0  # tokens rejected for the rate since then
     expected: float = 0.0  # tokens a look
-    size: float = 0.0  # of one generation
-
-    def saw(self, tokens: int, let_in: bool) -> None:
-        self.size += (tokens - self.size) * (GAIN if self.size else 1.0)
-        self.used, self.refused = self.used + tokens * let_in, self.refused + tokens * (not let_in)
-
-    def target(self, plenty: float) -> float:
-        """Tokens to hold until the next look; called once a look. Up at once, down slowly. While any traffic is
-        remembered, one generation's at least, and `plenty`: what is held of a burst that is there anyway saves a
-        tenant within its budget from being refused because its traffic came to this gateway just now."""
-        seen, self.used, self.refused = self.used + self.refused, 0.0, 0.0
-        self.expected = max(seen, self.expected + GAIN * (seen - self.expected))
-        remembered = self.expected >= 0.02 * self.size > 0
-        return max(AHEAD * self.expected, AHEAD * self.size, plenty) if remembered else 0.0
+    request_tokens: float = 0.0  # of one request, on average
+
+    def record(self, tokens: int, admitted: bool) -> None:
+        """Counts a request of so many tokens."""
+        weight = EWMA_WEIGHT if self.request_tokens else 1.0
+        self.request_tokens += (tokens - self.request_tokens) * weight
+        if admitted:
+            self.admitted += tokens
+        else:
+            self.rejected += tokens
+
+    def target(self, idle_tokens: float) -> float:
+        """Tokens to hold until the next look; called once a look. Goes up at once and down slowly. While any traffic is
+        remembered it is one request's at least, and `idle_tokens`, the part of the burst that may be held idle."""
+        seen = self.admitted + self.rejected
+        self.admitted = 0.0
+        self.rejected = 0.0
+        self.expected = max(seen, self.expected + EWMA_WEIGHT * (seen - self.expected))
+        if self.request_tokens <= 0 or self.expected < FORGOTTEN_SHARE * self.request_tokens:
+            return 0.0
+        return max(LOOKAHEAD_INTERVALS * self.expected, LOOKAHEAD_INTERVALS * self.request_tokens, idle_tokens)
+
+    def missing_for_one(self, level: float) -> float:
+        """Tokens that a meter at this level needs to admit one more request."""
+        return max(0.0, LOOKAHEAD_INTERVALS * self.request_tokens - level)
--- a/ternlane/tenants/usage_accounting.py
+++ b/ternlane/tenants/usage_accounting.py
@@ -1,262 +1,221 @@
-"""Reserves when a generation arrives, settles when it ends, and says what is to be written in the ledger.
+"""Reserves when a request arrives, settles when it ends, and says what is to be written in the ledger.
 
-Decides nothing of routing; `choice.py` never sees tenants. Free of I/O: the gateway hands in the time, and the entry
-that `settle` gives goes to the ledger before or after the answer as the gateway likes.
+Decides nothing of routing; the decisions never see tenants. No I/O: the gateway hands in the time, and the entry that
+`settle` returns goes to the ledger before or after the answer as the gateway likes. `now` is a monotonic clock in ms,
+`wall` seconds since 1970.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from math import ceil, inf
 
-import msgspec
+from ternlane.tenants.answer_length import AnswerLengthEstimator
+from ternlane.tenants.billing import Bill, LedgerEntry
+from ternlane.tenants.billing_period import period_at
+from ternlane.tenants.budget_meter import BudgetLimit, BudgetMeter, Shortfall
+from ternlane.tenants.quota_leases import IDLE_BURST_SHARE, RESERVED_SHARE, QuotaBorrower
+from ternlane.tenants.reservation import BudgetRejection, BudgetReservation
+from ternlane.tenants.tenant_registry import Tenant
+from ternlane.tenants.usage_check import plausible_usage
 
-from ternlane.tenants.billing import Billed, Used
-from ternlane.tenants.lengths import Lengths
-from ternlane.tenants.meter import Meter, Period, Short, period_at
-from ternlane.tenants.quota_leases import AHEAD, FLOOR, PLENTY, QuotaBorrower
-from ternlane.tenants.tenant_registry import TenantLine
-
-NEARLY = 0.75  # of a period's tokens spent: another chunk is drawn
-ABSURD = 16  # times what was asked for: usage beyond that is a faulty engine's
-
-
-class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One settled generation. `bill` is the tenant's, `house` what abandoned legs made; `note` tells what was odd."""
-
-    request: str
-    tenant: str
-    request_class: str
-    period: str
-    wall: float
-    outcome: str
-    bill: Used
-    house: Used
-    micros: int
-    attempts: int
-    key: str = ""  # the client's Idempotency-Key, hashed
-    note: str = ""
-
-
-@dataclass(slots=True, frozen=True)
-class RejectReason:
-    """Over budget: nothing ran. `wait_ms` until it would fit (inf: not in this period's budget at all)."""
-
-    code: str  # rate_limit_exceeded or insufficient_quota
-    kind: str
-    wait_ms: float
-
-
-@dataclass(slots=True, eq=False)
-class Hold:
-    """What is reserved for one generation."""
-
-    tenant: TenantLine
-    request_class: str
-    prompt: int
-    answer: int
-    most: int
-    meters: list[Meter]
-    begun: list[Period | None]
-    wall: float
-    done: bool = False
-
-    @property
-    def tokens(self) -> int:
-        return self.prompt + self.answer
+# Of the period's tokens that this gateway may spend: beyond it another chunk is drawn, while the rest still admits.
+DRAW_CHUNK_SHARE = 0.75
+SWEEP_METERS = 256  # looked at in one sweep: well under a millisecond of the event loop
+# The request class in the keys of meters that stands for all classes of a tenant.
+ALL_CLASSES = ""
 
 
 @dataclass
 class UsageAccounting:
+    """Budgets of all tenants at one gateway, which has `gateways` in all. With `leases_quota` a shared table can be
+    asked for more than this gateway's own part."""
+
     gateways: int = 1
     gateway: str = "g"
-    lends: bool = False  # a lender can be asked for more than the floor
-    lengths: Lengths = field(default_factory=Lengths)
-    meters: dict[tuple[str, str], Meter] = field(default_factory=dict)
-    borrowers: dict[str, QuotaBorrower] = field(default_factory=dict)
-    seen_wall: float = 0.0
-    past: dict[tuple[str, str, str], int] = field(default_factory=dict)  # tenant, product or "", period -> tokens
+    leases_quota: bool = False
+    lengths: AnswerLengthEstimator = field(default_factory=AnswerLengthEstimator)
+    meters: dict[tuple[str, str], BudgetMeter] = field(default_factory=dict)  # by tenant and request class
+    borrowers: dict[str, QuotaBorrower] = field(default_factory=dict)  # by tenant
+    latest_wall: float = 0.0
+    # Tenant, request class, period -> tokens settled before a restart, until there is a meter for them.
+    past: dict[tuple[str, str, str], int] = field(default_factory=dict)
+
+    @property
+    def own_share(self) -> float:
+        """The part of each budget that is always this gateway's."""
+        return (RESERVED_SHARE if self.leases_quota else 1.0) / self.gateways
+
+    def clock(self, wall: float) -> float:
+        """The wall clock, which may be set back: periods and bills go by the furthest it has shown."""
+        self.latest_wall = max(self.latest_wall, wall)
+        return self.latest_wall
 
     def remember(self, tenant: str, request_class: str, period: str, tokens: int) -> None:
-        """What this gateway had settled before it was restarted, out of its ledger; also while it serves already, as
-        the process before may end later."""
-        for name in ("", request_class):
+        """Counts what this gateway had settled before it was restarted, by its ledger; also while it serves already,
+        as the process before may end later."""
+        for name in (ALL_CLASSES, request_class):
             meter = self.meters.get((tenant, name))
             if meter is not None and meter.period is not None and meter.period.name == period:
                 meter.spent += tokens
                 meter.allowed = max(meter.allowed, meter.spent)
             else:
-                key = tenant, name, period
+                key = (tenant, name, period)
                 self.past[key] = self.past.get(key, 0) + tokens
 
-    @property
-    def base(self) -> float:
-        return (FLOOR if self.lends else 1.0) / self.gateways
+    # -- meters
 
-    def meter(self, tenant: TenantLine, request_class: str, now: float) -> Meter | None:
-        """The tenant's meter for a product, or for all ("" as product). A changed budget keeps what is open."""
-        budget = tenant.request_classes.get(request_class) if request_class else tenant.budget
-        key = tenant.name, request_class
+    def meter(self, tenant: Tenant, request_class: str, now: float) -> BudgetMeter | None:
+        """The tenant's meter for a request class, or for all classes; None where no budget is stated. A changed budget
+        keeps what is open."""
+        budget = tenant.budget if request_class == ALL_CLASSES else tenant.request_classes.get(request_class)
+        key = (tenant.name, request_class)
         if budget is None:
             self.meters.pop(key, None)
             return None
         meter = self.meters.get(key)
         if meter is None:
-            meter = self.meters[key] = Meter(budget, tenant.zone, tenant.period, self.base, now)
-            meter.flow(now, self.seen_wall)
-            if meter.period is not None:
-                meter.spent = self.past.pop((*key, meter.period.name), 0)
-                meter.allowed = max(meter.allowed, meter.spent)  # what it had drawn and spent before is no debt
-        elif meter.budget != budget or meter.zone != tenant.zone or meter.kind != tenant.period:
-            extra = 0.0 if meter.budget.period is None else meter.allowed - meter.budget.period * meter.part
-            meter.budget, meter.zone, meter.kind = budget, tenant.zone, tenant.period
-            meter.level = meter.most if meter.level == inf else min(meter.level, meter.most)
-            meter.allowed = inf if budget.period is None else budget.period * meter.part + extra
+            meter = BudgetMeter(budget, tenant.zone, tenant.period, self.own_share, now)
+            self.meters[key] = meter
+            self._recall(key, meter, now)
+        elif (meter.budget, meter.zone, meter.period_kind) != (budget, tenant.zone, tenant.period):
+            meter.change_budget(budget, tenant.zone, tenant.period)
         return meter
 
-    def short_of_period(self) -> list[tuple[str, str, str, int]]:
-        """Meters that have spent most of what they may of their period: tenant, product, period, budget."""
-        return [
-            (name, request_class, m.period.name, m.budget.period)
-            for (name, request_class), m in self.meters.items()
-            if self.lends and m.budget.period and m.period is not None and m.spent > NEARLY * m.allowed
-        ]
+    def _recall(self, key: tuple[str, str], meter: BudgetMeter, now: float) -> None:
+        """Charges a new meter with what was settled in its period before a restart. What had been drawn and spent
+        before is not owed again."""
+        meter.advance(now, self.latest_wall)
+        if meter.period is not None:
+            meter.spent = self.past.pop((*key, meter.period.name), 0)
+            meter.allowed = max(meter.allowed, meter.spent)
+
+    def sweep(self, now: float, wall: float, max_meters: int = SWEEP_METERS) -> int:
+        """Drops meters that a fresh one would equal, some at a time; returns how many."""
+        oldest = [key for key, _ in zip(self.meters, range(max_meters), strict=False)]
+        dropped = 0
+        for key in oldest:
+            meter = self.meters.pop(key)
+            meter.advance(now, wall)
+            if meter.idle:
+                dropped += 1
+            else:
+                self.meters[key] = meter  # to the end: the next sweep looks at others
+        return dropped
 
-    def clock(self, wall: float) -> float:
-        """The wall clock, which may be set back: periods and bills go by the furthest it has shown."""
-        self.seen_wall = max(self.seen_wall, wall)
-        return self.seen_wall
+    # -- reserve and settle
 
     def reserve(
-        self, tenant: TenantLine, request_class: str, prompt: int, most: int, now: float, wall: float
-    ) -> Hold | RejectReason:
-        """Both the tenant's budget and the product's must have room; the first that has none gives the reason."""
+        self, tenant: Tenant, request_class: str, prompt: int, max_answer: int, now: float, wall: float
+    ) -> BudgetReservation | BudgetRejection:
+        """Both the tenant's budget and that of the request class must have room for `prompt` tokens and an estimated
+        answer of at most `max_answer`; the first that has none gives the reason, and nothing stays reserved."""
         wall = self.clock(wall)
-        answer = self.lengths.estimate(tenant.name, request_class, most)
-        meters = [m for m in (self.meter(tenant, "", now), self.meter(tenant, request_class, now)) if m is not None]
-        taken: list[Meter] = []
-        for meter in meters:
-            short = meter.reserve(prompt + answer, now, wall)
-            if short is not None:
-                for back in taken:
-                    back.settle(prompt + answer, 0, back.period, now, wall)
-                return self.refuse(tenant, prompt + answer, short)
-            taken.append(meter)
-        if self.lends and tenant.budget.minute is not None:  # what the floor can't carry is drawn
-            self.borrower(tenant).saw(prompt + answer, True)
-        return Hold(tenant, request_class, prompt, answer, most, meters, [m.period for m in meters], wall)
+        answer = self.lengths.estimate(tenant.name, request_class, max_answer)
+        tokens = prompt + answer
+        both = (self.meter(tenant, ALL_CLASSES, now), self.meter(tenant, request_class, now))
+        meters = [meter for meter in both if meter is not None]
+        for index, meter in enumerate(meters):
+            shortfall = meter.reserve(tokens, now, wall)
+            if shortfall is not None:
+                for reserved in meters[:index]:
+                    reserved.settle(tokens, 0, reserved.period, now, wall)
+                return self._reject(tenant, tokens, shortfall)
+        if self.leases_quota and tenant.budget.minute is not None:  # what the own part can't carry is drawn
+            self._borrower(tenant).record(tokens, admitted=True)
+        periods = [meter.period for meter in meters]
+        return BudgetReservation(tenant, request_class, prompt, answer, max_answer, meters, periods, wall)
+
+    def _reject(self, tenant: Tenant, tokens: int, shortfall: Shortfall) -> BudgetRejection:
+        if self.leases_quota and shortfall.limit is BudgetLimit.MINUTE:
+            self._borrower(tenant).record(tokens, admitted=False)
+        return BudgetRejection.by(shortfall)
 
-    def refuse(self, tenant: TenantLine, tokens: int, short: Short) -> RejectReason:
-        if self.lends and short.kind == "minute":
-            self.borrower(tenant).saw(tokens, False)
-        return RejectReason(
-            "insufficient_quota" if short.kind == "period" else "rate_limit_exceeded", short.kind, short.wait_ms
+    def settle(
+        self,
+        reservation: BudgetReservation,
+        request: str,
+        outcome: str,
+        bill: Bill,
+        attempts: int,
+        now: float,
+        wall: float,
+        key: str = "",
+        pieces: int | None = None,
+    ) -> LedgerEntry:
+        """Charges the budgets with what was used; the entry is for the ledger. Raises AssertionError for a reservation
+        that was settled before, which would bill it twice."""
+        assert not reservation.settled, f"{request} settled twice"
+        reservation.settled = True
+        tenant = reservation.tenant
+        billed, odd = plausible_usage(reservation, bill.billed, pieces)
+        used = billed.prompt + billed.answer
+        wall = self.clock(wall)
+        for meter, period in zip(reservation.meters, reservation.periods, strict=True):
+            meter.settle(reservation.tokens, used, period, now, wall)
+        if outcome == "streamed":
+            self.lengths.learn(tenant.name, reservation.request_class, billed.answer)
+        return LedgerEntry(
+            request=request,
+            tenant=tenant.name,
+            request_class=reservation.request_class,
+            period=period_at(reservation.wall, tenant.zone, tenant.period).name,  # of its arrival
+            wall=reservation.wall,
+            outcome=outcome,
+            billed=billed,
+            unbilled=bill.unbilled,
+            micros=tenant.price(reservation.request_class).amount(billed),
+            attempts=attempts,
+            key=key,
+            note="; ".join(filter(None, (bill.note, odd))),
         )
 
-    def borrower(self, tenant: TenantLine) -> QuotaBorrower:
+    def overrun(self, reservation: BudgetReservation, answer: int) -> bool:
+        """Whether a stream of so many answer tokens may be cut, and has passed what its tenant's overdraft covers."""
+        excess = answer - reservation.answer
+        if excess <= 0 or not reservation.tenant.budget.cut:
+            return False
+        return not all(meter.can_cover(excess) for meter in reservation.meters)
+
+    # -- quota leases
+
+    def _borrower(self, tenant: Tenant) -> QuotaBorrower:
         found = self.borrowers.get(tenant.name)
         if found is None:
             found = self.borrowers[tenant.name] = QuotaBorrower()
         return found
 
-    def wants(self, tenant: TenantLine, now: float, wall: float) -> tuple[float, float]:
-        """Tokens to ask the lender for (negative: to give back, taken out here at once), and the target of this look.
-        Only the tenant's budget for all products is lent."""
-        borrower, meter = self.borrowers.get(tenant.name), self.meters.get((tenant.name, ""))
+    def wants(self, tenant: Tenant, now: float, wall: float) -> tuple[float, float]:
+        """Tokens to draw from the shared bucket (negative: to give back, taken out here at once), and the target of
+        this look. Only the tenant's budget for all request classes is leased."""
+        borrower = self.borrowers.get(tenant.name)
+        meter = self.meters.get((tenant.name, ALL_CLASSES))
         if borrower is None or meter is None or meter.budget.minute is None:
             return 0.0, 0.0
-        meter.flow(now, wall)
-        target = borrower.target(PLENTY * (1 - FLOOR) * meter.budget.most_saved / self.gateways)
+        meter.advance(now, wall)
+        shared_burst = (1 - RESERVED_SHARE) * meter.budget.most_saved
+        target = borrower.target(IDLE_BURST_SHARE * shared_burst / self.gateways)
         surplus = meter.surplus(target)
         if surplus > 0:
             meter.draw(-surplus, target)
-        if not target and not meter.extra:
+        if not target and not meter.leased:
             del self.borrowers[tenant.name]
         return -surplus, target
 
     def least(self, tenant: str) -> float:
-        """Tokens that let one more generation of the tenant in."""
-        borrower, meter = self.borrowers.get(tenant), self.meters.get((tenant, ""))
-        return 0.0 if borrower is None or meter is None else max(0.0, AHEAD * borrower.size - meter.level)
-
-    def settle(
-        self,
-        hold: Hold,
-        request: str,
-        outcome: str,
-        billed: Billed,
-        attempts: int,
-        now: float,
-        wall: float,
-        key: str = "",
-        pieces: int | None = None,
-    ) -> Entry:
-        """What was used goes on the budgets; the entry is for the ledger. A second call for a hold is a defect."""
-        assert not hold.done, f"{request} settled twice"
-        hold.done = True
-        bill, odd = self.plausible(hold, billed.bill, pieces)
-        used = bill.prompt + bill.answer
-        for meter, begun in zip(hold.meters, hold.begun, strict=True):
-            meter.settle(hold.tokens, used, begun, now, self.clock(wall))
-        if outcome == "streamed":
-            self.lengths.learn(hold.tenant.name, hold.request_class, bill.answer)
-        price = hold.tenant.price(hold.request_class)
-        micros = (bill.prompt - bill.kept) * price.prompt + bill.kept * price.kept + bill.answer * price.answer
-        period = period_at(hold.wall, hold.tenant.zone, hold.tenant.period).name  # by its arrival
-        return Entry(
-            request,
-            hold.tenant.name,
-            hold.request_class,
-            period,
-            hold.wall,
-            outcome,
-            bill,
-            billed.house,
-            micros,
-            attempts,
-            key,
-            "; ".join(filter(None, (billed.note, odd))),
-        )
-
-    @staticmethod
-    def plausible(hold: Hold, bill: Used, pieces: int | None) -> tuple[Used, str]:
-        """A faulty engine's figures are not billed: negative ones, or many times what was asked for, are replaced by
-        the prompt that was reserved and the pieces that came, and the entry says so."""
-        prompt, kept, answer, odd = bill.prompt, bill.kept, bill.answer, []
-        if not 0 <= prompt <= ABSURD * max(hold.prompt, 64):
-            odd.append(f"prompt {prompt}")
-            prompt = hold.prompt
-        if not 0 <= answer <= hold.most:
-            odd.append(f"answer {answer}")
-            answer = min(hold.answer, hold.most) if pieces is None else min(pieces, hold.most)
-        if not 0 <= kept <= prompt:
-            odd.append(f"kept {kept}")
-            kept = 0
-        return Used(prompt, kept, answer), ("usage not believed: " + ", ".join(odd)) if odd else ""
-
-    def overrun(self, hold: Hold, answer: int) -> bool:
-        """Has a stream that may be cut passed what its tenant's overdraft covers?"""
-        if answer <= hold.answer or not hold.tenant.budget.cut:
-            return False
-        return any(
-            m.budget.minute is not None and m.level - (answer - hold.answer) < -m.budget.overdraft * m.part
-            for m in hold.meters
-        )
-
-    def sweep(self, now: float, wall: float, most: int = 256) -> int:
-        """Drops meters that a fresh one would equal, some at a time; gives how many."""
-        keys = list(zip(self.meters, range(most), strict=False))
-        dropped = 0
-        for key, _ in keys:
-            meter = self.meters.pop(key)
-            meter.flow(now, wall)
-            if meter.idle:
-                dropped += 1
-            else:
-                self.meters[key] = meter  # to the end: the next sweep looks at others
-        return dropped
+        """Tokens that let one more request of the tenant in."""
+        borrower = self.borrowers.get(tenant)
+        meter = self.meters.get((tenant, ALL_CLASSES))
+        if borrower is None or meter is None:
+            return 0.0
+        return borrower.missing_for_one(meter.level)
 
-
-def wait_s(wait_ms: float) -> int:
-    """For Retry-After: whole seconds, at least one, at most a day."""
-    return max(1, min(86400, ceil(min(wait_ms, 1e9) / 1000)))
+    def short_of_period(self) -> list[tuple[str, str, str, int]]:
+        """Meters that have spent most of what they may of their period: tenant, request class, period, the budget's
+        tokens of the period."""
+        if not self.leases_quota:
+            return []
+        return [
+            (tenant, request_class, meter.period.name, meter.budget.period)
+            for (tenant, request_class), meter in self.meters.items()
+            if meter.budget.period and meter.period is not None and meter.spent > DRAW_CHUNK_SHARE * meter.allowed
+        ]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -41,9 +41,12 @@
 from ternlane.gateway.journal_writer import final_of as final_answer_of
 from ternlane.gateway.active_request import Streamed as StreamedAnswer
 from ternlane.gateway.active_request import Failed as TerminatedAnswer
-from ternlane.ledger import Disk, Segmented, Store
-from ternlane.ledger.bills import entries_of, rows_of
-from ternlane.ledger.lending import lender_file
+from ternlane.ledger import BillingLedger as Store
+from ternlane.ledger import Disk
+from ternlane.ledger import SegmentedLog as Segmented
+from ternlane.ledger.billing_report import bill_rows as rows_of
+from ternlane.ledger.billing_report import read_entries as entries_of
+from ternlane.ledger.quota_lease_file import open_quota_leases as lender_file
 from ternlane.load.plan import LoadConfig as LoadDocument
 from ternlane.discovery.endpoint_cache import Torn as TornFile
 from ternlane.discovery.endpoint_cache import keep as write_node_list
@@ -60,7 +63,7 @@
 from ternlane.rules.check import check_folder as judge_folder
 from ternlane.testing.traffic import Progress as ProgressLines
 from ternlane.testing.traffic import Traffic as TrafficLines
-from ternlane.tenants.usage_accounting import Entry as BillEntry
+from ternlane.tenants.billing import LedgerEntry as BillEntry
 from ternlane.tenants.tenant_registry import TenantRegistry as Tenants
 from ternlane.tenants.tenant_registry import TenantRegistryConfig as TenantsDocument
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -11,42 +11,45 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ternlane.ledger.store import BILLS, Damaged, Store, Totals, read_segment
+from ternlane.ledger import BillingLedger, CorruptLedgerError, UsageTotals
+from ternlane.ledger.billing_ledger import BILLS_FORMAT
+from ternlane.ledger.segment import read_segment
 from ternlane.tenants import (
+    AnswerLengthEstimator,
+    ApiKey,
+    Bill,
     Budget,
-    UsageAccounting,
-    Hold,
-    KeyLine,
+    BudgetMeter,
+    BudgetRejection,
+    BudgetReservation,
+    LedgerEntry,
     QuotaLeases,
-    Lengths,
-    Meter,
-    RejectReason,
+    Tenant,
     TenantRegistry,
-    TenantLine,
-    Unknown,
+    TokenUsage,
+    UnknownKeyError,
+    UsageAccounting,
 )
-from ternlane.tenants.billing import Billed, Used
-from ternlane.tenants.usage_accounting import Entry
-from ternlane.tenants.keys import new_key
-from ternlane.tenants.meter import period_at
-from ternlane.tenants.quota_leases import FLOOR
+from ternlane.tenants.api_keys import new_key
+from ternlane.tenants.billing_period import period_at
+from ternlane.tenants.quota_leases import RESERVED_SHARE
 from ternlane.tenants.tenant_registry import Prices, TenantRegistryConfig
 
 NOON = datetime(2026, 12, 1, 12, tzinfo=ZoneInfo("UTC")).timestamp()
 
 
-def tenant(name: str = "noto", **budget: object) -> TenantLine:
+def tenant(name: str = "noto", **budget: object) -> Tenant:
     limits = Budget(**budget)  # type: ignore[arg-type]
-    return TenantLine(name=name, budget=limits, prices={"*": Prices(prompt=3, kept=1, answer=12)})
+    return Tenant(name=name, budget=limits, prices={"*": Prices(prompt=3, cached=1, answer=12)})
 
 
-def held(got: Hold | RejectReason) -> Hold:
-    assert isinstance(got, Hold), got
+def held(got: BudgetReservation | BudgetRejection) -> BudgetReservation:
+    assert isinstance(got, BudgetReservation), got
     return got
 
 
-def refused(got: Hold | RejectReason) -> RejectReason:
-    assert isinstance(got, RejectReason), got
+def refused(got: BudgetReservation | BudgetRejection) -> BudgetRejection:
+    assert isinstance(got, BudgetRejection), got
     return got
 
 
@@ -61,15 +64,15 @@
         ("retiring", 10, 10, False),
         ("revoked", 0, 5, False),
     ):
-        line = KeyLine(name=name, salt=salt, hash=kept, state=state, until=until)  # type: ignore
-        roll = TenantRegistry(TenantRegistryConfig(tenants=[TenantLine(name="noto", keys=[line])]))
+        line = ApiKey(name=name, salt=salt, hash=kept, state=state, until=until)  # type: ignore
+        roll = TenantRegistry(TenantRegistryConfig(tenants=[Tenant(name="noto", keys=[line])]))
         if good:
             assert roll.whose(f"Bearer {key}", now).name == "noto"
         else:
-            with pytest.raises(Unknown):
+            with pytest.raises(UnknownKeyError):
                 roll.whose(f"Bearer {key}", now)
     for wrong in (None, "", key, f"Basic {key}", f"Bearer {key}x", f"Bearer tl-{name}-", "Bearer tl-ff-x", "Bearer é"):
-        with pytest.raises(Unknown):
+        with pytest.raises(UnknownKeyError):
             roll.whose(wrong, 0)
     assert key.split("-")[2] not in repr(line)
 
@@ -80,15 +83,15 @@
 def test_an_overrun_of_fifty_times_goes_on_the_overdraft_and_is_repaid_by_refills() -> None:
     usage_accounting, noto = UsageAccounting(), tenant(minute=6000, burst=1000, overdraft=100)
     hold = held(usage_accounting.reserve(noto, "summary", 10, 10, 0.0, NOON))
-    hold.most = 10_000
-    usage_accounting.settle(hold, "a", "streamed", Billed(Used(10, 0, 500), Used()), 2, 0.0, NOON)
+    hold.max_answer = 10_000
+    usage_accounting.settle(hold, "a", "streamed", Bill(TokenUsage(10, 0, 500), TokenUsage()), 2, 0.0, NOON)
     meter = usage_accounting.meters["noto", ""]
     assert meter.level == 1000 - 510
     hold = held(usage_accounting.reserve(noto, "summary", 10, 10, 0.0, NOON))
-    hold.most = 10_000
-    usage_accounting.settle(hold, "b", "streamed", Billed(Used(10, 0, 1000), Used()), 2, 0.0, NOON)
+    hold.max_answer = 10_000
+    usage_accounting.settle(hold, "b", "streamed", Bill(TokenUsage(10, 0, 1000), TokenUsage()), 2, 0.0, NOON)
     no = refused(usage_accounting.reserve(noto, "summary", 1, 1, 0.0, NOON))
-    assert no.kind == "overdraft" and no.code == "rate_limit_exceeded"
+    assert no.limit == "overdraft" and no.code == "rate_limit_exceeded"
     assert no.wait_ms == pytest.approx(520 / 0.1)
     held(usage_accounting.reserve(noto, "summary", 1, 1, no.wait_ms + 100, NOON))
 
@@ -97,26 +100,26 @@
     usage_accounting, noto = UsageAccounting(), tenant(minute=600, burst=100)
     held(usage_accounting.reserve(noto, "s", 90, 10, 0.0, NOON))
     no = refused(usage_accounting.reserve(noto, "s", 30, 10, 0.0, NOON))
-    assert isinstance(usage_accounting.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), RejectReason)
+    assert isinstance(usage_accounting.reserve(noto, "s", 30, 10, no.wait_ms - 5, NOON), BudgetRejection)
     held(usage_accounting.reserve(noto, "s", 30, 10, no.wait_ms + 1, NOON))
 
 
 def test_a_refused_product_budget_gives_the_tenant_budget_back() -> None:
-    noto = TenantLine(name="n", budget=Budget(minute=1000), request_classes={"s": Budget(minute=10)})
+    noto = Tenant(name="n", budget=Budget(minute=1000), request_classes={"s": Budget(minute=10)})
     usage_accounting = UsageAccounting()
     refusals = [usage_accounting.reserve(noto, "s", 400, 10, 0.0, NOON) for _ in range(2)]
-    assert isinstance(refusals[0], Hold) or isinstance(refusals[1], RejectReason)
+    assert isinstance(refusals[0], BudgetReservation) or isinstance(refusals[1], BudgetRejection)
     usage_accounting.meters["n", "s"].level = 0
-    before = usage_accounting.meters["n", ""].level, usage_accounting.meters["n", ""].open
+    before = usage_accounting.meters["n", ""].level, usage_accounting.meters["n", ""].open_requests
     refused(usage_accounting.reserve(noto, "s", 5, 1, 0.0, NOON))
-    assert (usage_accounting.meters["n", ""].level, usage_accounting.meters["n", ""].open) == before
+    assert (usage_accounting.meters["n", ""].level, usage_accounting.meters["n", ""].open_requests) == before
 
 
 def test_so_many_at_once_and_no_more() -> None:
     usage_accounting, noto = UsageAccounting(), tenant(at_once=2)
     holds = [held(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON)) for _ in range(2)]
-    assert refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON)).kind == "at_once"
-    usage_accounting.settle(holds[0], "a", "terminated", Billed(Used(), Used(5, 0, 0)), 1, 0.0, NOON)
+    assert refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON)).limit == "at_once"
+    usage_accounting.settle(holds[0], "a", "terminated", Bill(TokenUsage(), TokenUsage(5, 0, 0)), 1, 0.0, NOON)
     held(usage_accounting.reserve(noto, "s", 1, 1, 0.0, NOON))
 
 
@@ -125,11 +128,11 @@
     last = datetime(2026, 12, 31, 23, 59, 59, tzinfo=ZoneInfo("UTC")).timestamp()
     hold = held(usage_accounting.reserve(noto, "s", 90, 10, 0.0, last))
     no = refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, last))
-    assert (no.code, no.kind, no.wait_ms) == ("insufficient_quota", "period", 1000.0)
+    assert (no.code, no.limit, no.wait_ms) == ("insufficient_quota", "period", 1000.0)
     held(usage_accounting.reserve(noto, "s", 90, 10, 0.0, last + 2))
-    entry = usage_accounting.settle(hold, "a", "streamed", Billed(Used(90, 0, 10), Used()), 2, 0.0, last + 3)
+    entry = usage_accounting.settle(hold, "a", "streamed", Bill(TokenUsage(90, 0, 10), TokenUsage()), 2, 0.0, last + 3)
     assert entry.period == "2026-12"  # by its arrival
-    assert refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, last - 3600)).kind == "period"
+    assert refused(usage_accounting.reserve(noto, "s", 1, 1, 0.0, last - 3600)).limit == "period"
     assert usage_accounting.meters["noto", ""].spent == 100
 
 
@@ -139,36 +142,38 @@
         assert (period.end - period.begin) / 3600 == hours
 
 
-@pytest.mark.parametrize("said", [Used(-5, 0, 10), Used(10**9, 0, 5), Used(20, 50, 5), Used(20, 0, 10**8)])
-def test_absurd_usage_of_a_faulty_engine_is_not_billed(said: Used) -> None:
+@pytest.mark.parametrize(
+    "said", [TokenUsage(-5, 0, 10), TokenUsage(10**9, 0, 5), TokenUsage(20, 50, 5), TokenUsage(20, 0, 10**8)]
+)
+def test_absurd_usage_of_a_faulty_engine_is_not_billed(said: TokenUsage) -> None:
     usage_accounting, noto = UsageAccounting(), tenant()
     hold = held(usage_accounting.reserve(noto, "s", 20, 100, 0.0, NOON))
-    entry = usage_accounting.settle(hold, "a", "streamed", Billed(said, Used()), 2, 0.0, NOON)
+    entry = usage_accounting.settle(hold, "a", "streamed", Bill(said, TokenUsage()), 2, 0.0, NOON)
     assert entry.note and 0 <= entry.micros <= 20 * 3 + 100 * 12
-    assert min(entry.bill) >= 0 if isinstance(entry.bill, tuple) else entry.bill.prompt >= 0
+    assert min(entry.billed) >= 0 if isinstance(entry.billed, tuple) else entry.billed.prompt >= 0
 
 
 def test_a_budget_changed_with_reservations_open_keeps_them() -> None:
     usage_accounting = UsageAccounting()
     hold = held(usage_accounting.reserve(tenant(minute=1000), "s", 500, 100, 0.0, NOON))
     held(usage_accounting.reserve(tenant(minute=300), "s", 10, 10, 0.0, NOON))
-    usage_accounting.settle(hold, "a", "streamed", Billed(Used(500, 0, 100), Used()), 2, 0.0, NOON)
+    usage_accounting.settle(hold, "a", "streamed", Bill(TokenUsage(500, 0, 100), TokenUsage()), 2, 0.0, NOON)
     meter = usage_accounting.meters["noto", ""]
-    assert meter.open == 1 and meter.level <= meter.most == 300
+    assert meter.open_requests == 1 and meter.level <= meter.capacity == 300
 
 
 def test_idle_tenants_cost_nothing_after_a_sweep() -> None:
     usage_accounting = UsageAccounting()
     for i in range(5000):
         hold = held(usage_accounting.reserve(tenant(f"t{i}", minute=6000), "s", 10, 10, 0.0, NOON))
-        usage_accounting.settle(hold, "g", "streamed", Billed(Used(10, 0, 10), Used()), 2, 0.0, NOON)
+        usage_accounting.settle(hold, "g", "streamed", Bill(TokenUsage(10, 0, 10), TokenUsage()), 2, 0.0, NOON)
     for _ in range(40):
         usage_accounting.sweep(60e3, NOON + 60)
     assert usage_accounting.meters == {}
 
 
 def test_lengths_are_learnt_per_tenant_and_lean_on_the_product_before() -> None:
-    lengths, rng = Lengths(limit=50), random.Random(1)
+    lengths, rng = AnswerLengthEstimator(max_sketches=50), random.Random(1)
     assert lengths.estimate("a", "s", 400) == 400
     for _ in range(500):
         lengths.learn("a", "s", int(rng.lognormvariate(4, 0.5)))
@@ -178,7 +183,7 @@
     assert lengths.estimate("new", "s", 4000) == pytest.approx(said, rel=0.2)
     for i in range(500):
         lengths.learn(f"t{i}", "s", 50)
-    assert len(lengths.own) <= 50
+    assert len(lengths.by_tenant) <= 50
 
 
 ops = st.lists(
@@ -192,7 +197,7 @@
     steps: list[tuple[str, int, int]], minute: int, burst: int
 ) -> None:
     """What settled in any run: at most burst + rate * time + what generations overran their reservations."""
-    meter, now = Meter(Budget(minute=minute, burst=burst), "UTC", "month", 1.0, 0.0), 0.0
+    meter, now = BudgetMeter(Budget(minute=minute, burst=burst), "UTC", "month", 1.0, 0.0), 0.0
     opened: list[int] = []
     spent = overran = 0
     for what, a, b in steps:
@@ -209,7 +214,7 @@
             overran += max(0, used - reserved)
         bigger = max([0, *opened, *[s[1] for s in steps]]) - burst  # one larger than the burst goes when it is full
         assert spent + sum(opened) <= burst + minute * now / 60e3 + overran + max(0, bigger) + 1e-6
-        assert meter.open == len(opened) and meter.level <= meter.most + 1e-9
+        assert meter.open_requests == len(opened) and meter.level <= meter.capacity + 1e-9
 
 
 # -- parts of several gateways
@@ -227,8 +232,8 @@
 ) -> None:
     """Whoever draws, gives back, spends or dies with what it drew: tokens come from floors and the one bucket alone."""
     lender, budget, now, spent = QuotaLeases(n), Budget(minute=minute, burst=burst), 0.0, 0
-    line = TenantLine(name="t", budget=budget)
-    cashiers = [UsageAccounting(n, f"g{i}", lends=True) for i in range(n)]
+    line = Tenant(name="t", budget=budget)
+    cashiers = [UsageAccounting(n, f"g{i}", leases_quota=True) for i in range(n)]
     for who, tokens, after in steps:
         now += after
         usage_accounting = cashiers[who % n]
@@ -236,13 +241,13 @@
             old = usage_accounting.meters.get(("t", ""))
             if old is not None:
                 usage_accounting.borrowers.clear()
-                old.draw(-max(0.0, min(old.extra, old.level)), 0.0)
+                old.draw(-max(0.0, min(old.leased, old.level)), 0.0)
         elif tokens % 5 == 0:
             want, target = usage_accounting.wants(line, now * 1000, NOON + now)
             got = lender.ask("t", usage_accounting.gateway, want, minute, burst, NOON + now) if want else 0.0
             if got > 0:
                 usage_accounting.meters["t", ""].draw(got, target)
-        elif isinstance(usage_accounting.reserve(line, "s", tokens, 0 + 1, now * 1000, NOON + now), Hold):
+        elif isinstance(usage_accounting.reserve(line, "s", tokens, 0 + 1, now * 1000, NOON + now), BudgetReservation):
             spent += tokens + 1
         single = max([0, *[t + 1 for _, t, _ in steps]])  # one larger than a bucket goes when that is full
         assert spent <= burst + minute * now / 60 + n * single + 1e-6
@@ -251,8 +256,8 @@
 
 
 def test_one_that_asks_alone_gets_all_and_two_get_even_shares() -> None:
-    lender = QuotaLeases(2, span_s=1.0)
-    assert lender.ask("t", "g1", 9e9, 60_000, 1000, 100.0) == pytest.approx(1000 * (1 - FLOOR))
+    lender = QuotaLeases(2, interval_s=1.0)
+    assert lender.ask("t", "g1", 9e9, 60_000, 1000, 100.0) == pytest.approx(1000 * (1 - RESERVED_SHARE))
     shares = {"g1": 0.0, "g2": 0.0}
     for i in range(1, 40):
         for g in shares:
@@ -270,7 +275,7 @@
 def test_chunks_of_a_period_are_never_more_than_its_pool() -> None:
     lender = QuotaLeases(3)
     got = sum(lender.draw("t", "2026-12", 24_000) for _ in range(100))
-    assert got == pytest.approx(24_000 * (1 - FLOOR))
+    assert got == pytest.approx(24_000 * (1 - RESERVED_SHARE))
     assert lender.draw("t", "2027-01", 24_000) > 0 and lender.draw("t", "2026-12", 24_000) == 0
 
 
@@ -336,7 +341,7 @@
             raise OSError(5, "sync")
         self.synced[name] = len(self.files[name])
 
-    def cut(self, handle: int, length: int) -> None:
+    def truncate(self, handle: int, length: int) -> None:
         name = self.handles[handle]
         del self.files[name][length:]
         self.synced[name] = min(self.synced[name], length)
@@ -365,14 +370,16 @@
         return disk
 
 
-def entry(i: int) -> Entry:
-    return Entry(f"g{i}", f"t{i % 3}", "s", "2026-12", NOON, "streamed", Used(i, 0, 2 * i), Used(1, 0, 0), 5 * i, 2)
+def entry(i: int) -> LedgerEntry:
+    return LedgerEntry(
+        f"g{i}", f"t{i % 3}", "s", "2026-12", NOON, "streamed", TokenUsage(i, 0, 2 * i), TokenUsage(1, 0, 0), 5 * i, 2
+    )
 
 
-def fill(store: Store, groups: list[int], first: int = 1) -> list[Entry]:
+def fill(store: BillingLedger, groups: list[int], first: int = 1) -> list[LedgerEntry]:
     """Appends and commits in groups; gives those whose commit returned. A crash ends it."""
-    kept: list[Entry] = []
-    waiting: list[Entry] = []
+    kept: list[LedgerEntry] = []
+    waiting: list[LedgerEntry] = []
     i = first
     for size in groups:
         for _ in range(size):
@@ -404,48 +411,48 @@
 )
 def test_no_settled_bill_is_lost_or_doubled_wherever_it_fails(at: int, how: str, groups: list[int], seed: int) -> None:
     disk = FakeDisk(at, how)
-    store = Store(disk, segment_bytes=600)  # type: ignore[arg-type]
+    store = BillingLedger(disk, segment_bytes=600)  # type: ignore[arg-type]
     kept = fill(store, groups)
     after = disk.after_crash(random.Random(seed))
-    again, found = Store(after), list[Entry]()  # type: ignore[arg-type]
+    again, found = BillingLedger(after), list[LedgerEntry]()  # type: ignore[arg-type]
     again.recover(lambda _, e: found.append(e))
     ids = [e.request for e in found]
     assert len(ids) == len(set(ids))
     assert {e.request for e in kept} <= set(ids)
-    sums = Totals()
+    sums = UsageTotals()
     for e in found:
         sums.add(e)
     assert again.totals.sums == sums.sums
     more = fill(again, [3, 3], first=1000)  # and it can be written to again
-    third, all_found = Store(after), list[str]()  # type: ignore[arg-type]
+    third, all_found = BillingLedger(after), list[str]()  # type: ignore[arg-type]
     third.recover(lambda _, e: all_found.append(e.request))
     assert all_found == ids + [e.request for e in more] and third.totals.sums == again.totals.sums
 
 
 def test_every_cut_of_a_segment_is_recovered_from() -> None:
     disk = FakeDisk()
-    fill(Store(disk), [1] * 6)  # type: ignore[arg-type]
-    raw = disk.read(BILLS.segment_name(1))
-    whole = [len(read_segment(raw[:n], "s", True, BILLS)[0]) for n in range(len(raw) + 1)]
+    fill(BillingLedger(disk), [1] * 6)  # type: ignore[arg-type]
+    raw = disk.read(BILLS_FORMAT.segment_name(1))
+    whole = [len(read_segment(raw[:n], "s", BILLS_FORMAT).records) for n in range(len(raw) + 1)]
     assert whole[-1] == 6 and whole == sorted(whole) and set(whole) == set(range(7))
 
 
 def test_damage_that_no_crash_leaves_is_refused_by_place() -> None:
     disk = FakeDisk()
-    fill(Store(disk), [4])  # type: ignore[arg-type]
-    disk.files[BILLS.segment_name(1)][40] ^= 4
-    with pytest.raises(Damaged, match="byte 8"):
-        Store(disk).recover()  # type: ignore[arg-type]
+    fill(BillingLedger(disk), [4])  # type: ignore[arg-type]
+    disk.files[BILLS_FORMAT.segment_name(1)][40] ^= 4
+    with pytest.raises(CorruptLedgerError, match="byte 8"):
+        BillingLedger(disk).recover()  # type: ignore[arg-type]
 
 
 def test_old_segments_go_once_sums_cover_them_and_the_sums_stay_right() -> None:
     disk = FakeDisk()
-    store = Store(disk, segment_bytes=400, keep_segments=2)  # type: ignore[arg-type]
+    store = BillingLedger(disk, segment_bytes=400, keep_segments=2)  # type: ignore[arg-type]
     kept = fill(store, [2] * 30)
     assert sum(n.endswith(".seg") for n in disk.names()) <= 3
-    again = Store(disk)  # type: ignore[arg-type]
+    again = BillingLedger(disk)  # type: ignore[arg-type]
     again.recover()
-    sums = Totals()
+    sums = UsageTotals()
     for e in kept:
         sums.add(e)
-    assert again.totals.sums == sums.sums and again.seq == 60 and inf > again.cut_off == 0
+    assert again.totals.sums == sums.sums and again.sequence == 60 and inf > again.cut_off == 0
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -16,10 +16,11 @@
 
 from tests.world import BUILD, Reply, World, replace, world
 from ternlane.gateway.active_request import ActiveRequest
-from ternlane.ledger import Disk, Store
-from ternlane.ledger.bills import entries_of, reconcile, rows_of
-from ternlane.ledger.lending import lender_file
-from ternlane.tenants import Budget, KeyLine, Prices, TenantLine, new_key
+from ternlane.ledger import BillingLedger, Disk
+from ternlane.ledger.billing_report import bill_rows, read_entries
+from ternlane.ledger.quota_lease_file import open_quota_leases
+from ternlane.ledger.reconciliation import reconcile
+from ternlane.tenants import ApiKey, Budget, Prices, Tenant, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
 
@@ -29,16 +30,16 @@
         for name in names:
             self.keys[name], public, salt, kept = new_key()
             lines.append(
-                TenantLine(
+                Tenant(
                     name=name,
-                    keys=[KeyLine(name=public, salt=salt, hash=kept)],
+                    keys=[ApiKey(name=public, salt=salt, hash=kept)],
                     budget=Budget(**budget),
-                    prices={"*": Prices(prompt=3, kept=1, answer=12)},
+                    prices={"*": Prices(prompt=3, cached=1, answer=12)},
                 )
             )
         self.write(lines)
 
-    def write(self, lines: list[TenantLine]) -> None:
+    def write(self, lines: list[Tenant]) -> None:
         self.lines = lines
         (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(TenantRegistryConfig(tenants=lines)))
 
@@ -47,7 +48,7 @@
         return await w.ask(model, text, headers=headers, **more)
 
     def off(self, w: World) -> Any:
-        return reconcile(entries_of([self.folder / "ledger"]), w.said("made"))
+        return reconcile(read_entries([self.folder / "ledger"]), w.said("made"))
 
 
 @asynccontextmanager
@@ -111,8 +112,8 @@
         await w.settled()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = bank.off(w)
-        assert found.off <= 0.01 and not found.doubled and not found.unsettled
-        rows = rows_of([tmp_path / "ledger"], "noto", None)
+        assert found.off <= 0.01 and not found.duplicates and not found.unsettled
+        rows = bill_rows([tmp_path / "ledger"], "noto", None)
         assert rows[0]["generations"] == 12 and rows[0]["answer"] == 72
         assert rows[0]["micros"] == 3 * (rows[0]["prompt"] - rows[0]["kept"]) + rows[0]["kept"] + 12 * 72
 
@@ -122,7 +123,7 @@
         for _ in range(3):
             assert (await bank.ask(w, "noto", headers={"Idempotency-Key": "k"})).done == 1
         await w.gateway.budget_enforcer.writer.flush(1.0)
-        assert rows_of([tmp_path / "ledger"], None, None)[0]["generations"] == 1
+        assert bill_rows([tmp_path / "ledger"], None, None)[0]["generations"] == 1
 
 
 async def test_over_budget_is_told_with_an_honest_time_and_runs_nothing(tmp_path: Path) -> None:
@@ -155,7 +156,7 @@
         again = await bank.ask(w, "noto", max_tokens=200)
         assert again.status == 429 and float(again.headers["retry-after-ms"]) > 1000
         await w.gateway.budget_enforcer.writer.flush(1.0)
-        answer = rows_of([tmp_path / "ledger"], None, None)[0]["answer"]
+        answer = bill_rows([tmp_path / "ledger"], None, None)[0]["answer"]
         assert 100 < answer < 140 if cut else answer == 200
 
 
@@ -169,9 +170,9 @@
         assert (await bank.ask(w, "noto", text="x" * 400)).done == 1
         await w.settled()
         await w.gateway.budget_enforcer.writer.flush(1.0)
-        found = next(entries_of([tmp_path / "ledger"]))
-        assert found.note and found.bill.answer == 6 and 80 <= found.bill.prompt <= 120
-        assert found.micros == 3 * (found.bill.prompt - found.bill.kept) + found.bill.kept + 12 * 6
+        found = next(read_entries([tmp_path / "ledger"]))
+        assert found.note and found.billed.answer == 6 and 80 <= found.billed.prompt <= 120
+        assert found.micros == 3 * (found.billed.prompt - found.billed.cached) + found.billed.cached + 12 * 6
 
 
 async def test_a_gateway_killed_between_reserve_and_send_owes_and_bills_nothing(tmp_path: Path) -> None:
@@ -216,7 +217,7 @@
     async with banked(tmp_path) as (w, bank):
         assert w.gateway.budget_enforcer is not None
         disk, writer = w.gateway.budget_enforcer.store.disk, w.gateway.budget_enforcer.writer
-        write, writer.limit = disk.write, 3
+        write, writer.max_waiting = disk.write, 3
 
         def full(handle: int, data: bytes) -> int:
             raise OSError(28, "No space left on device")
@@ -230,7 +231,7 @@
                 await trio.sleep(0.02)
         assert (await bank.ask(w, "noto")).done == 1
         await writer.flush(1.0)
-        assert rows_of([tmp_path / "ledger"], None, None)[0]["generations"] == answers.count(200) + 1
+        assert bill_rows([tmp_path / "ledger"], None, None)[0]["generations"] == answers.count(200) + 1
 
 
 async def test_a_gateway_whose_block_just_ends_loses_no_bill(tmp_path: Path) -> None:
@@ -245,8 +246,8 @@
             assert (await bank.ask(w, "noto")).done == 1
             nursery.start_soon(bank.ask, w, "noto")
             await trio.sleep(0.12)  # midway
-        found = list(entries_of([tmp_path / "ledger"]))
-        assert [e.outcome for e in found] == ["streamed", "terminated"] and 0 < found[1].bill.answer < 6
+        found = list(read_entries([tmp_path / "ledger"]))
+        assert [e.outcome for e in found] == ["streamed", "terminated"] and 0 < found[1].billed.answer < 6
 
 
 async def test_two_processes_with_one_ledger_write_one_after_the_other(tmp_path: Path) -> None:
@@ -259,12 +260,14 @@
             for _ in range(3):
                 assert (await bank.ask(second, "noto")).done == 1
             assert (await bank.ask(first, "noto")).done == 1
-            assert second.gateway.budget_enforcer is not None and not second.gateway.budget_enforcer.writer.own
+            assert second.gateway.budget_enforcer is not None and not second.gateway.budget_enforcer.writer.owns_log
             await first.gateway.drain()
             with trio.fail_after(2):
-                while second.gateway.budget_enforcer.writer.waiting or not second.gateway.budget_enforcer.writer.own:
+                while (
+                    second.gateway.budget_enforcer.writer.waiting or not second.gateway.budget_enforcer.writer.owns_log
+                ):
                     await trio.sleep(0.01)
-            row = rows_of([tmp_path / "ledger"], None, None)[0]
+            row = bill_rows([tmp_path / "ledger"], None, None)[0]
             assert row["generations"] == 5
             assert (
                 second.gateway.budget_enforcer.usage_accounting.meters["noto", ""].spent
@@ -304,14 +307,14 @@
 
 def test_a_lender_file_is_changed_by_one_at_a_time_and_a_torn_one_lends_nothing(tmp_path: Path) -> None:
     path = tmp_path / "lender.json"
-    with lender_file(path, 2, 10) as lender:
+    with open_quota_leases(path, 2, 10) as lender:
         assert lender.ask("t", "g1", 900.0, 60, 1000, 100.0) == 800.0
-        with pytest.raises(OSError), lender_file(path, 2, 10):
+        with pytest.raises(OSError), open_quota_leases(path, 2, 10):
             pass
-    with lender_file(path, 2, 10) as lender:
+    with open_quota_leases(path, 2, 10) as lender:
         assert lender.ask("t", "g2", 900.0, 60, 1000, 101.0) < 1.0
     path.write_text('{"leases": {')
-    with pytest.raises(OSError), lender_file(path, 2, 10):
+    with pytest.raises(OSError), open_quota_leases(path, 2, 10):
         pass
 
 
@@ -338,7 +341,7 @@
     shown = run("tenant", "show").stdout
     assert "minute 5000" in shown and "retiring" in shown and key.split("-", 2)[2] not in shown
     assert key.split("-")[2] not in (tmp_path / "tenants.json5").read_text()
-    store = Store(Disk(tmp_path / "ledger"))
+    store = BillingLedger(Disk(tmp_path / "ledger"))
     from tests.test_tenants import entry
 
     for i in range(1, 4):
