--- a/bench/budget.py
+++ b/bench/budget.py
@@ -17,13 +17,14 @@
 from typing import Any, Callable
 
 from ternlane.ledger.disk import Disk
-from ternlane.ledger.store import Store, Totals
-from ternlane.tenants.billing import Billed, Used
-from ternlane.tenants.usage_accounting import UsageAccounting, Entry, Hold
-from ternlane.tenants.lengths import Lengths
-from ternlane.tenants.meter import Meter
+from ternlane.ledger.billing_ledger import BillingLedger, UsageTotals
+from ternlane.tenants.answer_length import AnswerLengthEstimator
+from ternlane.tenants.billing import Bill, LedgerEntry, TokenUsage
+from ternlane.tenants.budget_meter import BudgetMeter
 from ternlane.tenants.quota_leases import QuotaLeases
-from ternlane.tenants.tenant_registry import Budget, TenantLine
+from ternlane.tenants.tenant_registry import Budget, Tenant
+from ternlane.tenants.reservation import BudgetReservation
+from ternlane.tenants.usage_accounting import UsageAccounting
 
 WALL = 1_796_000_000.0
 LOOK_MS = 1000.0
@@ -57,7 +58,7 @@
 def decisions() -> None:
     print(f"{'tenants':>9}{'':<14}{'us a reserve':>13}{'us a settle':>13}{'bytes a tenant':>16}")
     for n in (10, 10_000, 1_000_000):
-        lines = [TenantLine(name=f"t{i}", budget=Budget(minute=10**9, period=10**12)) for i in range(n)]
+        lines = [Tenant(name=f"t{i}", budget=Budget(minute=10**9, period=10**12)) for i in range(n)]
         rounds, rng = max(n, 50_000), random.Random(1)
         order = [rng.randrange(n) for _ in range(rounds)] if n <= 10_000 else list(range(n))
         tracemalloc.start()
@@ -74,8 +75,8 @@
         reserve = (time.perf_counter() - since) / len(order) * 1e6
         since = time.perf_counter()
         for hold in holds:
-            assert isinstance(hold, Hold)
-            usage_accounting.settle(hold, "g", "streamed", Billed(Used(100, 0, 50), Used()), 2, 0.0, WALL)
+            assert isinstance(hold, BudgetReservation)
+            usage_accounting.settle(hold, "g", "streamed", Bill(TokenUsage(100, 0, 50), TokenUsage()), 2, 0.0, WALL)
         settle = (time.perf_counter() - since) / len(order) * 1e6
         print(f"{n:>9}  {'cashier':<12}{reserve:>13.2f}{settle:>13.2f}{held:>16.0f}")
         tracemalloc.start()
@@ -104,7 +105,7 @@
     """Reserved against used, for answers drawn by tenants of different kinds; what is too little is overrun."""
     rng = random.Random(5)
     kinds = [(rng.uniform(3, 6), rng.uniform(0.2, 0.9)) for _ in range(40)]
-    most, mean, own = 2000, dict[int, tuple[int, int]](), Lengths()
+    most, mean, own = 2000, dict[int, tuple[int, int]](), AnswerLengthEstimator()
     sums = {name: [0, 0, 0] for name in ("sketch, 0.9 quantile", "mean", "max_tokens")}
     used = 0
     for _ in range(40_000):
@@ -141,8 +142,8 @@
     way: str
 
     def __post_init__(self) -> None:
-        self.line = TenantLine(name="t", budget=self.budget)
-        self.cashiers = [UsageAccounting(self.n, f"g{i}", lends=self.way == "lent") for i in range(self.n)]
+        self.line = Tenant(name="t", budget=self.budget)
+        self.cashiers = [UsageAccounting(self.n, f"g{i}", leases_quota=self.way == "lent") for i in range(self.n)]
         self.lender, self.seen = QuotaLeases(self.n, LOOK_MS / 1000), [0.0] * self.n
         self.offered = [0] * self.n
 
@@ -173,16 +174,18 @@
                 part = self.offered[i] / ((self.budget.minute or 1) * LOOK_MS / 60e3)
                 self.seen[i] += 0.1 * (part - self.seen[i])
                 self.offered[i] = 0
-                meter.flow(now, WALL)
-                meter.part = min(4 / self.n, max(0.25 / self.n, self.seen[i]))
+                meter.advance(now, WALL)
+                meter.share = min(4 / self.n, max(0.25 / self.n, self.seen[i]))
 
     def offer(self, i: int, tokens: int, now: float) -> bool:
         usage_accounting = self.cashiers[i]
         self.offered[i] += tokens
         hold = usage_accounting.reserve(self.line, "s", tokens - 1, 1, now, WALL + now / 1000)
-        if not isinstance(hold, Hold):
+        if not isinstance(hold, BudgetReservation):
             return False
-        usage_accounting.settle(hold, "g", "left", Billed(Used(tokens - 1, 0, 1), Used()), 2, now, WALL + now / 1000)
+        usage_accounting.settle(
+            hold, "g", "left", Bill(TokenUsage(tokens - 1, 0, 1), TokenUsage()), 2, now, WALL + now / 1000
+        )
         return True
 
 
@@ -205,7 +208,7 @@
 
 def play(n: int, traffic: str, way: str, seed: int) -> tuple[float, float]:
     rng, budget = random.Random(seed), Budget(minute=240_000, burst=40_000)
-    fleet, single = Fleet(n, budget, way), Meter(budget, "UTC", "month", 1.0, 0.0)
+    fleet, single = Fleet(n, budget, way), BudgetMeter(budget, "UTC", "month", 1.0, 0.0)
     got = ideal = 0
     now, look = 0.0, 0.0
     while now < 300e3:
@@ -229,23 +232,23 @@
 # -- the ledger
 
 
-def an_entry(i: int) -> Entry:
-    return Entry(
+def an_entry(i: int) -> LedgerEntry:
+    return LedgerEntry(
         f"g{i}-{i * 7919}",
         f"t{i % 1000}",
         "summary",
         "2026-12",
         WALL + i,
         "streamed",
-        Used(1500, 1000, 200),
-        Used(0, 0, 0),
+        TokenUsage(1500, 1000, 200),
+        TokenUsage(0, 0, 0),
         4300,
         2,
         "0123456789abcdef",
     )
 
 
-def sqlite_ledger(path: Path) -> tuple[Callable[[list[Entry]], None], Callable[[], int]]:
+def sqlite_ledger(path: Path) -> tuple[Callable[[list[LedgerEntry]], None], Callable[[], int]]:
     """The same entries in SQLite: WAL, every commit synced."""
     db = sqlite3.connect(path, isolation_level=None)
     db.execute("pragma journal_mode=wal")
@@ -256,7 +259,7 @@
         "key text, note text) without rowid"
     )
 
-    def keep(group: list[Entry]) -> None:
+    def keep(group: list[LedgerEntry]) -> None:
         db.execute("begin")
         db.executemany(
             "insert into bills values (?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)",
@@ -268,12 +271,12 @@
                     e.period,
                     e.wall,
                     e.outcome,
-                    e.bill.prompt,
-                    e.bill.kept,
-                    e.bill.answer,
-                    e.house.prompt,
-                    e.house.kept,
-                    e.house.answer,
+                    e.billed.prompt,
+                    e.billed.cached,
+                    e.billed.answer,
+                    e.unbilled.prompt,
+                    e.unbilled.cached,
+                    e.unbilled.answer,
                     e.micros,
                     e.attempts,
                     e.key,
@@ -302,10 +305,10 @@
         for group in (1, 16, 256):
             n = min(entries, 400 * group)
             lines = [an_entry(i) for i in range(n)]
-            store = Store(Disk(Path(name) / f"own-{group}"))
+            store = BillingLedger(Disk(Path(name) / f"own-{group}"))
             keep, _ = sqlite_ledger(Path(name) / f"{group}.db")
 
-            def own(part: list[Entry], store: Store = store) -> None:
+            def own(part: list[LedgerEntry], store: BillingLedger = store) -> None:
                 for e in part:
                     store.append(e)
                 store.commit()
@@ -319,7 +322,7 @@
         print(f"\n{'recovery':<10}{'entries':>10}{'MB':>8}{'s':>8}{'with sums, s':>14}")
         for n in sorted({100_000, entries}):
             folder = Path(name) / f"r{n}"
-            store = Store(Disk(folder))
+            store = BillingLedger(Disk(folder))
             for i in range(n):
                 store.append(an_entry(i))
                 if i % 4096 == 4095:
@@ -329,10 +332,10 @@
             size = sum(p.stat().st_size for p in folder.glob("*.seg"))
             whole = bare(folder)
             since = time.perf_counter()
-            again = Store(Disk(folder))
+            again = BillingLedger(Disk(folder))
             again.recover()
             with_sums = time.perf_counter() - since
-            assert again.seq == n and sum(s.count for s in again.totals.sums.values()) == n
+            assert again.sequence == n and sum(s.count for s in again.totals.sums.values()) == n
             print(f"{'segments':<10}{n:>10}{size / 1e6:>8.1f}{whole:>8.2f}{with_sums:>14.2f}")
             keep, recover = sqlite_ledger(Path(name) / f"r{n}.db")
             for i in range(0, n, 4096):
@@ -346,7 +349,7 @@
 
 def bare(folder: Path) -> float:
     """Recovery without any snapshot."""
-    since, totals, store = time.perf_counter(), Totals(), Store(Disk(folder))
+    since, totals, store = time.perf_counter(), UsageTotals(), BillingLedger(Disk(folder))
     for entry in store.entries():
         totals.add(entry)
     return time.perf_counter() - since
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -13,7 +13,7 @@
 from ternlane.engine import AttemptPlan
 from ternlane.policy.messages import Request, Server
 from ternlane.recovery import StreamJoin
-from ternlane.tenants.billing import Used
+from ternlane.tenants.billing import TokenUsage
 from ternlane.event_loop import Failed as Failed
 from ternlane.event_loop import Rejected as Rejected
 
@@ -57,8 +57,8 @@
     repeat_key: str = ""  # Idempotency-Key with its owner; "": none
     mark: bytes = b""  # digest of the body
     noted: str = ""  # its name in the journal
-    hold: Any = None  # tenants.Hold, settled when the ticket is done
-    made: list[Used] = field(default_factory=list)  # by each leg, as far as it is known
+    hold: Any = None  # tenants.BudgetReservation, settled when the ticket is done
+    made: list[TokenUsage] = field(default_factory=list)  # by each leg, as far as it is known
     final: Final | None = None
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
     when_over: Callable[[], None] = lambda: None
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -15,10 +15,10 @@
 from xxhash import xxh3_64_hexdigest
 
 from ternlane.gateway.active_request import Streamed, ActiveRequest
-from ternlane.ledger import Disk, Store, Totals, Writer
-from ternlane.ledger.lending import lender_file
+from ternlane.ledger import BillingLedger, Disk, GroupCommitWriter, UsageTotals
+from ternlane.ledger.quota_lease_file import open_quota_leases
 from ternlane.config import GatewayConfig, ConfigError, read_config
-from ternlane.tenants import UsageAccounting, Hold, RejectReason, TenantRegistry, TenantLine, bill_for
+from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, TenantRegistry, UsageAccounting, bill_for
 from ternlane.tenants.tenant_registry import Budget, TenantRegistryConfig
 from ternlane.event_loop import now_ms
 
@@ -34,16 +34,16 @@
         self.usage_accounting = UsageAccounting(config.gateways, config.name, config.lender is not None)
         self.usage_accounting.clock(time.time())
         kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
-        self.store = Store(Disk(Path(config.ledger)), **kept)
+        self.store = BillingLedger(Disk(Path(config.ledger)), **kept)
         self.told: dict[tuple[str, str, str], int] = {}
-        self.remember(Store(Disk(Path(config.ledger))).read_sums())
-        self.writer = Writer(self.store, log, on_own=self.remember)
+        self.remember(BillingLedger(Disk(Path(config.ledger))).read_sums())
+        self.writer = GroupCommitWriter(self.store, log, on_recovered=self.remember)
         self.closed = False
 
-    def remember(self, totals: Totals) -> None:
+    def remember(self, totals: UsageTotals) -> None:
         """Tells the cashier what the ledger holds beyond what it was told before."""
         for key, it in totals.sums.items():
-            tokens = it.bill.prompt + it.bill.answer
+            tokens = it.billed.prompt + it.billed.answer
             if tokens > self.told.get(key, 0):
                 self.usage_accounting.remember(*key, tokens - self.told.get(key, 0))
                 self.told[key] = tokens
@@ -98,7 +98,9 @@
         self, asks: list[tuple[str, float, float, Budget, float]], periods: list[tuple[str, str, str, int]]
     ) -> tuple[list[float], list[float]]:
         """In a thread: one change of the lender's table for all tenants that want something."""
-        with lender_file(Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000) as lender:
+        with open_quota_leases(
+            Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000
+        ) as lender:
             got = [
                 lender.ask(name, self.config.name, want, it.minute or 0, it.most_saved, time.time(), least)
                 for name, want, _, it, least in asks
@@ -108,11 +110,13 @@
                 for name, request_class, period, budget in periods
             ]
 
-    def whose(self, authorization: str | None) -> TenantLine:
-        """Raises tenants.Unknown."""
+    def whose(self, authorization: str | None) -> Tenant:
+        """Raises tenants.UnknownKeyError."""
         return self.roll.whose(authorization, time.time())
 
-    def reserve(self, tenant: TenantLine, request_class: str, prompt: float, most: int) -> Hold | RejectReason:
+    def reserve(
+        self, tenant: Tenant, request_class: str, prompt: float, most: int
+    ) -> BudgetReservation | BudgetRejection:
         return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def affords(self, active_request: ActiveRequest) -> bool:
@@ -148,7 +152,7 @@
             )
         )
 
-    def headers(self, hold: Hold) -> list[tuple[str, str]]:
+    def headers(self, hold: BudgetReservation) -> list[tuple[str, str]]:
         """The x-ratelimit fields of the tightest budget of tokens a minute."""
         found = [m for m in hold.meters if m.budget.minute is not None]
         if not found:
@@ -169,6 +173,6 @@
             self.log.error("bills not kept at the end", waiting=self.writer.waiting)
             return
         self.closed = True
-        if self.writer.own:
+        if self.writer.owns_log:
             self.store.snapshot()
         self.store.close()
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -37,8 +37,8 @@
 from ternlane.policy.messages import RequestClass
 from ternlane.recovery import comes_out_the_same
 from ternlane.recovery.inflight import Known
-from ternlane.tenants import Hold, RejectReason, TenantLine, Unknown
-from ternlane.tenants.usage_accounting import wait_s
+from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, UnknownKeyError
+from ternlane.tenants.reservation import retry_after_s
 from ternlane.event_loop import now_ms
 
 IDENT = re.compile(r"[A-Za-z0-9._:-]{1,80}")
@@ -67,17 +67,17 @@
         self.extra = [*(extra or []), *([] if after_s is None else [("Retry-After", str(after_s))])]
 
 
-def over_budget(no: RejectReason) -> NotTaken:
+def over_budget(no: BudgetRejection) -> NotTaken:
     """Refused before any leg: a throttle, which promises that nothing ran."""
     why = {
         "minute": "tokens a minute",
         "period": "tokens of the billing period",
         "at_once": "generations at once",
         "overdraft": "tokens a minute, the overdraft is used up",
-    }[no.kind]
+    }[no.limit]
     wait = no.wait_ms if no.wait_ms > 0 else 1000.0
     return NotTaken(
-        429, f"Over budget: {why}", no.code, wait_s(wait), extra=[("retry-after-ms", f"{min(wait, 1e9):.0f}")]
+        429, f"Over budget: {why}", no.code, retry_after_s(wait), extra=[("retry-after-ms", f"{min(wait, 1e9):.0f}")]
     )
 
 
@@ -258,7 +258,7 @@
             if begun is not None:
                 self.remember(begun, active_request)
 
-    def tenant(self, exchange: Exchange) -> TenantLine | None:
+    def tenant(self, exchange: Exchange) -> Tenant | None:
         """Who asks; None where the gateway has no tenants. Raises NotTaken."""
         if self.draining:
             raise NotTaken(503, "This gateway is going down", "draining", 1)
@@ -266,13 +266,13 @@
             return None
         try:
             tenant = self.budget_enforcer.whose(exchange.header(b"authorization"))
-        except Unknown:
+        except UnknownKeyError:
             raise NotTaken(401, "Incorrect API key provided", "invalid_api_key") from None
         if not self.budget_enforcer.writer.may_take:
             raise NotTaken(503, "Bills can't be kept now", "ledger_full", 5)
         return tenant
 
-    def repeat_key(self, exchange: Exchange, tenant: TenantLine | None) -> str | None:
+    def repeat_key(self, exchange: Exchange, tenant: Tenant | None) -> str | None:
         """The Idempotency-Key with its owner: one owner's keys are no other's."""
         said = exchange.header(b"idempotency-key")
         if said is None:
@@ -324,7 +324,7 @@
         self,
         exchange: Exchange,
         ask: ChatAsk,
-        tenant: TenantLine | None,
+        tenant: Tenant | None,
         key: str | None,
         patience: float,
         since: float,
@@ -341,7 +341,7 @@
                 "resume_not_possible",
                 param="Last-Event-ID",
             )
-        hold: Hold | None = None
+        hold: BudgetReservation | None = None
         if self.budget_enforcer is not None and tenant is not None:
             got = self.budget_enforcer.reserve(
                 tenant,
@@ -349,7 +349,7 @@
                 known.request.prompt_tokens,
                 int(known.request.max_tokens),
             )
-            if isinstance(got, RejectReason):
+            if isinstance(got, BudgetRejection):
                 raise over_budget(got)
             hold = got
         ident = self.ident(exchange, owner)
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -284,7 +284,7 @@
     transport: Transport | None = None,
 ) -> AsyncIterator[Gateway]:
     """Everything lives in a nursery that this block owns. Raises PaperError for settings that no document could hold,
-    OSError where its address is taken, Damaged where the ledger is."""
+    OSError where its address is taken, CorruptLedgerError where the ledger is."""
     config = checked(config)
     async with trio.open_nursery() as nursery:
         gateway = Gateway(config, chooser, nursery, log or library_log(), host_type, transport)
--- a/ternlane/gateway/host.py
+++ b/ternlane/gateway/host.py
@@ -22,7 +22,7 @@
 from ternlane.config import StreamConfig
 from ternlane.policy.messages import Role, EndpointStatus, Server, RouterConfig, AttemptOutcome
 from ternlane.recovery import Differs, RecoveryOutcome, StreamJoin, StreamRecovery, ResumeStrategy
-from ternlane.tenants.billing import Used
+from ternlane.tenants.billing import TokenUsage
 from ternlane.wire_names import OUTCOME_NAMES
 from ternlane.event_loop import RouterProtocol, EventLoop, begin_check, now_ms
 
@@ -338,10 +338,10 @@
                 if stage is not Stage.DECODE:
                     active_request.prompt_said, active_request.kept_said = (
                         end.usage.prompt_tokens,
-                        active_request.made[-1].kept,
+                        active_request.made[-1].cached,
                     )
                     self.stream_recovery.read(
-                        now_ms(), active_request.made[-1].prompt - active_request.made[-1].kept, took
+                        now_ms(), active_request.made[-1].prompt - active_request.made[-1].cached, took
                     )
             details = end.usage.prompt_tokens_details
             kept = float(details.cached_tokens or 0) if details is not None else 0.0
@@ -491,14 +491,14 @@
             self.log.warning("release unheard", gen=active_request.ident, server=place.ident)
 
 
-def made_of(stage: Stage, end: AttemptResult, pieces: int) -> Used:
+def made_of(stage: Stage, end: AttemptResult, pieces: int) -> TokenUsage:
     """What a leg is known to have made: by its usage, or, of a stream that broke, the pieces that came."""
     usage = end.usage
     details = usage.prompt_tokens_details if usage is not None else None
     kept = (details.cached_tokens or 0) if details is not None else 0
     if stage is Stage.PREFILL:
-        return Used(usage.prompt_tokens, kept, 0) if usage is not None else Used()
+        return TokenUsage(usage.prompt_tokens, kept, 0) if usage is not None else TokenUsage()
     answer = usage.completion_tokens if usage is not None else pieces if end.begun else 0
     if stage is Stage.DECODE:
-        return Used(0, 0, answer)
-    return Used(usage.prompt_tokens, kept, answer) if usage is not None else Used(0, 0, answer)
+        return TokenUsage(0, 0, answer)
+    return TokenUsage(usage.prompt_tokens, kept, answer) if usage is not None else TokenUsage(0, 0, answer)
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -11,11 +11,11 @@
 
 from ternlane.engine import Transport
 from ternlane.gateway.active_request import Final, Streamed, Failed, ActiveRequest
-from ternlane.ledger import Disk, Kind, Segmented, Writer
+from ternlane.ledger import Disk, GroupCommitWriter, LogFormat, SegmentedLog
 from ternlane.policy.messages import Effect
 from ternlane.recovery.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
 
-JOURNAL: Kind[Record, InFlight] = Kind("takes", b"TLTAKES1", decode_record, InFlight)
+JOURNAL: LogFormat[Record, InFlight] = LogFormat("takes", b"TLTAKES1", decode_record, InFlight)
 SEGMENT = 4 << 20
 GATHER_MS = 20.0  # what nobody waits for may share a sync
 
@@ -25,9 +25,9 @@
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
-        self.store = Segmented(JOURNAL, Disk(folder), SEGMENT, keep_segments=1)
-        self.writer: Writer[Record, InFlight] = Writer(
-            self.store, log, on_own=self.taken_up, what="journal", gather_ms=GATHER_MS
+        self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT, keep_segments=1)
+        self.writer: GroupCommitWriter[Record, InFlight] = GroupCommitWriter(
+            self.store, log, on_recovered=self.taken_up, what="journal", gather_ms=GATHER_MS
         )
         self.lost: InFlight | None = None  # what the process before had open
         self.up, self.ready = trio.Event(), False  # the folder is ours; repeats know what they hear
@@ -123,7 +123,7 @@
                 self.log.warning("release unheard", gen=ident, server=server)
 
     async def close(self, within_s: float = 2.0) -> None:
-        if self.writer.own and not await self.writer.flush(within_s):
+        if self.writer.owns_log and not await self.writer.flush(within_s):
             self.log.error("journal not kept at the end", waiting=self.writer.waiting)
             return
         self.store.close()
--- a/ternlane/scenarios/play.py
+++ b/ternlane/scenarios/play.py
@@ -25,7 +25,7 @@
 from ternlane.rules import check_folder
 from ternlane.testing.registry import EndpointList, Registry
 from ternlane.testing.traffic import Traffic, clock_ms
-from ternlane.tenants import KeyLine, Prices, TenantLine, new_key
+from ternlane.tenants import ApiKey, Prices, Tenant, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
 FIRST_PORT, LAST_PORT = 20000, 31000  # below what the system hands out by itself
@@ -195,11 +195,11 @@
         for i in range(self.day.tenants):
             key, name, salt, kept = new_key()
             lines.append(
-                TenantLine(
+                Tenant(
                     name=f"t{i:03}",
-                    keys=[KeyLine(name=name, salt=salt, hash=kept)],
+                    keys=[ApiKey(name=name, salt=salt, hash=kept)],
                     budget=self.day.budget,
-                    prices={"*": Prices(prompt=3, kept=1, answer=12)},
+                    prices={"*": Prices(prompt=3, cached=1, answer=12)},
                 )
             )
             keys.append((f"t{i:03}", key))
--- a/ternlane/scenarios/report.py
+++ b/ternlane/scenarios/report.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from ternlane.scenarios.script import DayScript
-from ternlane.ledger.bills import entries_of, reconcile, rows_of
+from ternlane.ledger.billing_report import bill_rows, read_entries
+from ternlane.ledger.reconciliation import reconcile
 from ternlane.rules import Findings, read_lines
 
 
@@ -169,9 +170,9 @@
 ) -> dict[str, Any]:
     """Bills against the engines' own counts, and what each tenant spent of its budget."""
     ledgers = sorted((folder / "ledgers").iterdir())
-    found = reconcile(entries_of(ledgers), [v for v in lines if v["k"] == "made"])
+    found = reconcile(read_entries(ledgers), [v for v in lines if v["k"] == "made"])
     spent: Counter[str] = Counter()
-    for row in rows_of(ledgers, None, None):
+    for row in bill_rows(ledgers, None, None):
         spent[row["tenant"]] += row["prompt"] + row["answer"]
     allowed = None
     if day.budget.minute is not None:
@@ -184,9 +185,9 @@
     return {
         "made": found.made,
         "billed": found.billed,
-        "house": found.house,
+        "house": found.unbilled,
         "off": round(found.off, 5),
-        "doubled": found.doubled,
+        "doubled": found.duplicates,
         "differing": len(found.differing),
         "differ": {k: v for k, v in list(found.differing.items())[:20]},
         "unsettled": len(found.unsettled),
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -21,8 +21,8 @@
 from ternlane.gateway import open_gateway
 from ternlane.gateway.journal_writer import JOURNAL
 from ternlane.http1 import ConnectionPool, ConnectError
-from ternlane.ledger import Damaged, Disk, Segmented
-from ternlane.ledger.store import read_segment
+from ternlane.ledger import CorruptLedgerError, Disk, SegmentedLog
+from ternlane.ledger.segment import read_segment
 from ternlane.recovery.inflight import Ended, Freed, InFlight, Record, Sent, Taken
 
 ROOT = Path(__file__).parent.parent
@@ -50,8 +50,8 @@
     return out
 
 
-def store_of(disk: Any, **sizes: int) -> Segmented[Record, InFlight]:
-    return Segmented(JOURNAL, disk, **sizes)
+def store_of(disk: Any, **sizes: int) -> SegmentedLog[Record, InFlight]:
+    return SegmentedLog(JOURNAL, disk, **sizes)
 
 
 def must_be_safe(found: InFlight, records: list[Record]) -> None:
@@ -88,13 +88,13 @@
         torn.files[JOURNAL.segment_name(1)], torn.synced[JOURNAL.segment_name(1)] = bytearray(raw[:cut]), cut
         again = store_of(torn)
         again.recover()
-        whole = len(read_segment(raw[:cut], "s", True, JOURNAL)[0])
+        whole = len(read_segment(raw[:cut], "s", JOURNAL).records)
         must_be_safe(again.totals, records[:whole])
         again.append(Ended("g0", "lost"))  # and it goes on from there
         again.commit()
         third = store_of(torn)
         third.recover()
-        assert third.seq == again.seq
+        assert third.sequence == again.sequence
 
 
 @pytest.mark.parametrize("how", ["crash", "full", "short", "sync"])
@@ -119,8 +119,8 @@
         after.files, after.synced = disk.files, disk.synced
         again = store_of(after)
         again.recover()
-        assert again.seq >= told
-        must_be_safe(again.totals, records[: again.seq])
+        assert again.sequence >= told
+        must_be_safe(again.totals, records[: again.sequence])
 
 
 def test_a_journal_stays_small_however_many_it_has_seen() -> None:
@@ -152,7 +152,7 @@
     raw = bytearray(path.read_bytes())
     raw[40] ^= 8
     path.write_bytes(raw)
-    with pytest.raises(Damaged, match="byte"):
+    with pytest.raises(CorruptLedgerError, match="byte"):
         store_of(Disk(tmp_path)).recover()
 
 
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -23,7 +23,7 @@
 from ternlane.engine import Kept, AttemptRequest, LocalTransport
 from ternlane.recovery import Differs, StreamJoin, RecoveryPace, StreamPacing, ReplayBuffer, ResumeStrategy, way_of
 from ternlane.rules import check
-from ternlane.tenants import Used, bill_for
+from ternlane.tenants import TokenUsage, bill_for
 
 WHOLE = 10**9
 
@@ -670,11 +670,11 @@
 
 
 def test_a_stream_that_went_on_is_billed_as_if_it_had_not_broken() -> None:
-    made = [Used(100, 0, 0), Used(0, 0, 3), Used(103, 80, 0), Used(0, 0, 5)]
+    made = [TokenUsage(100, 0, 0), TokenUsage(0, 0, 3), TokenUsage(103, 80, 0), TokenUsage(0, 0, 5)]
     whole = bill_for(made, True, True, 8, 100, broke_at=2, answered=8)
-    assert whole.bill == Used(100, 0, 8) and whole.house == Used(103, 80, 0) and not whole.note
+    assert whole.billed == TokenUsage(100, 0, 8) and whole.unbilled == TokenUsage(103, 80, 0) and not whole.note
     left = bill_for(made[:3], True, False, 3, 100, broke_at=2)  # lost again, or its client left
-    assert left.bill == Used(100, 0, 3) and left.house == Used(103, 80, 0)
+    assert left.billed == TokenUsage(100, 0, 3) and left.unbilled == TokenUsage(103, 80, 0)
 
 
 async def test_servers_that_left_the_list_are_forgotten() -> None:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -18,13 +18,13 @@
 from ternlane.policy import messages
 from ternlane.chat import Intake
 from ternlane.policy.router import Router
-from ternlane.ledger.store import Store
+from ternlane.ledger import BillingLedger
 from ternlane.discovery import follow_file
 from ternlane.config import FileSource, NodeLine
 from ternlane.config.gateway import ServerLimits
 from ternlane.policy.messages import Effect, Group, RequestClass
-from ternlane.tenants import UsageAccounting, Hold, QuotaLeases
-from ternlane.tenants.billing import Billed, Used
+from ternlane.tenants import BudgetReservation, QuotaLeases, UsageAccounting
+from ternlane.tenants.billing import Bill, TokenUsage
 
 BODY = {"model": "summary", "messages": [{"role": "user", "content": "a"}], "stream": True}
 
@@ -105,31 +105,33 @@
 def test_two_gateways_spending_the_last_tokens_at_once_spend_no_more_than_there_are() -> None:
     line = tenant(minute=600, burst=600)
     cashiers = [UsageAccounting(2, f"g{i}") for i in range(2)]
-    let_in = sum(isinstance(c.reserve(line, "s", 90, 10, 0.0, NOON), Hold) for _ in range(20) for c in cashiers)
+    let_in = sum(
+        isinstance(c.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation) for _ in range(20) for c in cashiers
+    )
     assert let_in == 6
 
 
 def test_a_clock_set_far_ahead_stays_in_the_later_period_until_time_has_caught_up() -> None:
     usage_accounting, line = UsageAccounting(), tenant(period=100)
-    assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON), Hold)
-    assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON + 40 * 86400), Hold)
-    assert not isinstance(usage_accounting.reserve(line, "s", 1, 1, 0.0, NOON), Hold)
+    assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
+    assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON + 40 * 86400), BudgetReservation)
+    assert not isinstance(usage_accounting.reserve(line, "s", 1, 1, 0.0, NOON), BudgetReservation)
 
 
 def test_chunks_drawn_and_spent_before_a_restart_are_not_owed_again() -> None:
     line, lender = tenant(period=24_000), QuotaLeases(3)
-    before = UsageAccounting(3, "g", lends=True)
+    before = UsageAccounting(3, "g", leases_quota=True)
     while before.meters.get(("noto", "")) is None or before.meters["noto", ""].spent < 5000:
         got = before.reserve(line, "s", 90, 10, 0.0, NOON)
-        if not isinstance(got, Hold):
+        if not isinstance(got, BudgetReservation):
             before.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)
-    after = UsageAccounting(3, "g", lends=True)
+    after = UsageAccounting(3, "g", leases_quota=True)
     after.clock(NOON)
     after.remember("noto", "s", "2026-12", before.meters["noto", ""].spent)
-    assert not isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), Hold)
+    assert not isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
     assert after.short_of_period() == [("noto", "", "2026-12", 24_000)]
     after.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)  # one chunk, and it goes on
-    assert isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), Hold)
+    assert isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
 
 
 class Books(RuleBasedStateMachine):
@@ -145,16 +147,16 @@
         self.start()
 
     def start(self) -> None:
-        self.store, self.usage_accounting, self.status = Store(self.disk, 500), UsageAccounting(), object()  # type: ignore[arg-type]
+        self.store, self.usage_accounting, self.status = BillingLedger(self.disk, 500), UsageAccounting(), object()  # type: ignore[arg-type]
         self.usage_accounting.clock(NOON + self.now / 1000)
         self.store.recover()
         for (name, request_class, period), it in self.store.totals.sums.items():
-            self.usage_accounting.remember(name, request_class, period, it.bill.prompt + it.bill.answer)
+            self.usage_accounting.remember(name, request_class, period, it.billed.prompt + it.billed.answer)
 
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
         got = self.usage_accounting.reserve(self.line, "s", prompt, 100, self.now, NOON + self.now / 1000)
-        return (self.status, got) if isinstance(got, Hold) else None
+        return (self.status, got) if isinstance(got, BudgetReservation) else None
 
     @rule(it=consumes(holds), answer=st.integers(0, 100), commit=st.booleans())
     def settle(self, it: object, answer: int, commit: bool) -> None:
@@ -162,7 +164,7 @@
             return  # refused, or died with a gateway
         self.n += 1
         hold = it[1]
-        billed = Billed(Used(hold.prompt, 0, answer), Used())
+        billed = Bill(TokenUsage(hold.prompt, 0, answer), TokenUsage())
         entry = self.usage_accounting.settle(
             hold, f"g{self.n}", "streamed", billed, 2, self.now, NOON + self.now / 1000
         )
@@ -170,7 +172,7 @@
         if commit:
             self.store.commit()
             for _, e in [*self.pending, (0, entry)]:
-                self.kept[e.request] = e.period, e.bill.prompt + e.bill.answer
+                self.kept[e.request] = e.period, e.billed.prompt + e.billed.answer
             self.pending = []
         else:
             self.pending = [*self.pending, (0, entry)]
@@ -191,7 +193,7 @@
         sums: dict[str, int] = {}
         for period, tokens in self.kept.values():
             sums[period] = sums.get(period, 0) + tokens
-        told = {key[2]: it.bill.prompt + it.bill.answer for key, it in self.store.totals.sums.items()}
+        told = {key[2]: it.billed.prompt + it.billed.answer for key, it in self.store.totals.sums.items()}
         assert told == sums
         meter = self.usage_accounting.meters.get(("noto", ""))
         if meter is not None and meter.period is not None:
@@ -205,7 +207,7 @@
 @pytest.mark.parametrize("n", [1, 3])
 def test_segments_beyond_those_to_be_kept_are_dropped(n: int) -> None:
     disk = FakeDisk()
-    store = Store(disk, 300, keep_segments=n)  # type: ignore[arg-type]
+    store = BillingLedger(disk, 300, keep_segments=n)  # type: ignore[arg-type]
     from tests.test_tenants import entry
 
     for i in range(1, 40):
