--- a/ternlane/__main__.py
+++ b/ternlane/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m ternlane`."""
+
 from ternlane.cli import main
 
 main()
--- /dev/null
+++ b/ternlane/cli/load.py
@@ -0,0 +1,69 @@
+"""`ternlane load`: load on an address of this machine, with the times of its answers."""
+
+from __future__ import annotations
+
+import json
+from contextlib import ExitStack
+from typing import TYPE_CHECKING, Any
+
+import click
+import trio
+
+from ternlane.cli.common import ExitCode, fail, load_document
+
+if TYPE_CHECKING:
+    from ternlane.load.run import Load
+
+PROGRESS_S = 1.0  # between two progress lines
+
+
+@click.command()
+@click.argument("file", type=click.Path(dir_okay=False))
+@click.argument("url")
+@click.option("--out", type=click.Path(dir_okay=False), help="JSON lines, one for each request as it ends")
+@click.option("--quiet", is_flag=True, help="no progress line")
+def load(file: str, url: str, out: str | None, quiet: bool) -> None:
+    """Sends the load of FILE to an OpenAI-style address URL on loopback and prints its times as JSON.
+
+    Times count from when a request was due. Where the tool itself could not keep its schedule it says so, reports
+    nothing and ends with 75."""
+    from ternlane.load import LoadConfig
+    from ternlane.load.run import Load, NotLocal, TooSlow
+
+    config = load_document(file, LoadConfig)
+    with ExitStack() as stack:
+        sink = stack.enter_context(open(out, "w", encoding="utf-8")) if out else None
+
+        def write_line(line: dict[str, Any]) -> None:
+            if sink is not None:
+                sink.write(json.dumps(line) + "\n")
+
+        try:
+            run = Load(config, url, write_line)
+        except NotLocal as error:
+            raise click.UsageError(str(error)) from None
+        try:
+            trio.run(run_with_progress, run, quiet)
+        except* TooSlow as group:
+            fail(group.exceptions[0], ExitCode.TEMPORARY)
+    click.echo(json.dumps(run.tally.told()))
+
+
+async def run_with_progress(run: Load, quiet: bool) -> None:
+    """Runs the load, with a progress line on standard error unless it is quiet."""
+    async with trio.open_nursery() as nursery:
+        if not quiet:
+            nursery.start_soon(show_progress, run)
+        try:
+            await run.run()
+        finally:
+            nursery.cancel_scope.cancel()
+            if not quiet:
+                click.echo(err=True)
+
+
+async def show_progress(run: Load) -> None:
+    """Rewrites the progress line until it is cancelled."""
+    while True:
+        await trio.sleep(PROGRESS_S)
+        click.echo(f"\r{run.now_s():6.0f} s  {run.open} open  {dict(run.tally.outcomes)}", nl=False, err=True)
