--- a/ternlane/cli/day.py
+++ b/ternlane/cli/day.py
@@ -14,7 +14,7 @@
 from ternlane.cli.common import ExitCode, fail, load_document
 
 if TYPE_CHECKING:
-    from ternlane.scenarios.script import DayScript
+    from ternlane.scenarios.scenario import Scenario
 
 
 @click.group()
@@ -31,24 +31,25 @@
 @click.option("--quiet", is_flag=True)
 def day_play(file: str, out: str | None, seed: int | None, chooser: str, without: tuple[str, ...], quiet: bool) -> None:
     """Plays FILE and judges it: exit code 1 if a rule was broken."""
-    from ternlane.scenarios.play import CantPlay, Player
-    from ternlane.scenarios.script import DayScript
+    from ternlane.scenarios.errors import RunError
+    from ternlane.scenarios.runner import ScenarioRunner
+    from ternlane.scenarios.scenario import Scenario
 
-    script, text = load_document(file, DayScript), Path(file).read_text()
+    script, text = load_document(file, Scenario), Path(file).read_text()
     if seed is not None or without:
         script, text = changed_script(script, seed, without)
     folder = Path(out) if out else Path("found") / "days" / script.name
-    player = Player(script, text, folder, chooser, (lambda _: None) if quiet else click.echo)
+    runner = ScenarioRunner(script, text, folder, chooser, (lambda _: None) if quiet else click.echo)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(ExitCode.TERMINATED))  # so that every process started is ended
     try:
-        report = trio.run(player.play)
-    except* CantPlay as group:
+        report = trio.run(runner.run)
+    except* RunError as group:
         fail(f"the day could not be played: {group.exceptions[0]}", ExitCode.UNAVAILABLE)
-    click.echo(f"report: {player.folder / 'report.json'}")
+    click.echo(f"report: {runner.folder / 'report.json'}")
     sys.exit(ExitCode.OK if report["rules_kept"] else ExitCode.BROKEN)
 
 
-def changed_script(script: DayScript, seed: int | None, without: tuple[str, ...]) -> tuple[DayScript, str]:
+def changed_script(script: Scenario, seed: int | None, without: tuple[str, ...]) -> tuple[Scenario, str]:
     """The script with another seed (None: its own) and without faults of these kinds, and its text."""
     import msgspec
 
@@ -61,16 +62,17 @@
 @click.argument("files", nargs=-1, required=True)
 def day_check(files: tuple[str, ...]) -> None:
     """Checks scripts and shows what they come to."""
-    from ternlane.scenarios.plan import acts_of, engines_of
-    from ternlane.scenarios.script import DayScript
+    from ternlane.scenarios.fault_plan import fault_actions_of
+    from ternlane.scenarios.fleet_plan import engines_of
+    from ternlane.scenarios.scenario import Scenario
 
     for file in files:
-        script = load_document(file, DayScript)
+        script = load_document(file, Scenario)
         click.echo(
             f"{file}: good; {script.gateways} gateways, {len(engines_of(script))} engines, "
             f"{script.rate:g} generations a second for {script.length_s:g} s, seed {script.seed}"
         )
-        for act in acts_of(script):
+        for act in fault_actions_of(script):
             click.echo(f"  {act.at_ms / 1000:7.2f} s  {act.what:<22} {' '.join(map(str, act.on))}")
 
 
@@ -82,11 +84,11 @@
 @click.option("--speed", type=click.FloatRange(min=0.1), default=2.0, help="times faster than the day was drawn")
 def day_from_bench(file: str, engines: int, gateways: int, rate: float, speed: float) -> None:
     """Turns a bench day's description (JSON) into a script, scaled down to one machine."""
-    from ternlane.scenarios.bench import script_from_bench
+    from ternlane.scenarios.bench_import import scenario_from_bench
 
     try:
         raw = json.loads(Path(file).read_text())
-        click.echo(script_from_bench(raw, engines, gateways, rate, speed))
+        click.echo(scenario_from_bench(raw, engines, gateways, rate, speed))
     except (OSError, ValueError, KeyError, TypeError) as error:
         fail(f"{file} is no bench day that can be turned: {error!r}", ExitCode.DATA)
 
@@ -98,6 +100,6 @@
 @click.argument("of", type=int)
 def day_part(kind: str, folder: str, index: int, of: int) -> None:
     """One process of a day that `day play` starts."""
-    from ternlane.scenarios.parts import PARTS
+    from ternlane.scenarios.processes import PROCESSES
 
-    trio.run(PARTS[kind], Path(folder), index, of)
+    trio.run(PROCESSES[kind], Path(folder), index, of)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.recovery import StreamJoin
 from ternlane.rules import Findings, check
-from ternlane.testing.clients import Clients, Habits, Talk
+from ternlane.testing.clients import ClientBehaviour, Clients, ClientWorkload
 from ternlane.testing.traffic import clock_ms
 
 RULES: dict[str, Any] = {
@@ -29,7 +29,10 @@
     "fall_ms": TERMS.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100)) for p in REQUEST_CLASSES]
+WORKLOADS = [
+    ClientWorkload(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100))
+    for p in REQUEST_CLASSES
+]
 
 
 class Honest(Host):
@@ -185,7 +188,7 @@
 
 
 async def talk(w: World, rate: float, length_ms: float, **habits: Any) -> None:
-    clients = Clients("c", w.gateway.address, TALKS, Habits(**habits), w.traffic, 3)
+    clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**habits), w.traffic, 3)
     async with trio.open_nursery() as nursery:
         await clients.run(lambda _: rate, length_ms, nursery)
 
@@ -211,15 +214,15 @@
     """Answers get lost, engines die, clients leave: what every host must stand."""
     async with world(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
-            w.engines[ident].trouble.lost = 0.25
+            w.engines[ident].fault.lost_answer_share = 0.25
 
         async def strike() -> None:
             await trio.sleep(0.7)
             for engine in w.engines.values():
-                engine.trouble.lost_by_reset = True
-            w.engines["w0"].trouble.hung = True
+                engine.fault.lost_by_reset = True
+            w.engines["w0"].fault.hung = True
             await trio.sleep(0.5)
-            w.engines["w0"].trouble.hung = False
+            w.engines["w0"].fault.hung = False
             w.engines["r0b"].die()
 
         w.nursery.start_soon(strike)
@@ -262,7 +265,7 @@
     terms = replace_paper(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
     async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].build = BUILD
+            w.engines[ident].profile = BUILD
         told(w)
 
         async def restart() -> None:
@@ -298,7 +301,7 @@
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].build = BUILD
+            w.engines[ident].profile = BUILD
         told(w)
 
         async def strike() -> None:
@@ -321,7 +324,7 @@
 async def torn(host: type[Host]) -> Findings:
     async with world(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
-            w.engines[ident].trouble.breaks = 0.3
+            w.engines[ident].fault.broken_stream_share = 0.3
         await talk(w, 60, 1200)
         return check(w.traffic.lines, RULES)
 
