--- a/ternlane/scenarios/setup.py
+++ b/ternlane/scenarios/setup.py
@@ -125,7 +125,7 @@
         path.unlink(missing_ok=True)
     if not scenario.tenants:
         return
-    tenants: list[TenantLine] = []
+    tenants: list[Tenant] = []
     api_keys: list[tuple[str, str]] = []
     for number in range(scenario.tenants):
         tenant = f"t{number:03}"
