--- a/bench/library.py
+++ b/bench/library.py
@@ -23,15 +23,15 @@
 import trio
 
 import ternlane
-from ternlane.engine import Kept, AttemptRequest, LocalTransport
+from ternlane.engine import PrefillResult, AttemptRequest, LocalTransport
 from ternlane.config.gateway import InlineSource
 
 REQUEST = {"model": "summary", "messages": [{"role": "user", "content": "folder 17 " * 40}], "stream": True}
 
 
 class Quick:
-    async def read(self, ask: AttemptRequest) -> Kept:
-        return Kept({}, 100)
+    async def read(self, ask: AttemptRequest) -> PrefillResult:
+        return PrefillResult({}, 100)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         for _ in range(8):
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -21,7 +21,7 @@
 from trio.testing import MockClock
 
 import ternlane
-from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
+from ternlane.engine import PrefillResult, AttemptRequest, LocalTransport, AttemptRejectedError, EngineUnreachableError
 
 
 class Fleet:
@@ -52,21 +52,21 @@
             trio.CapacityLimiter(slots),
         )
 
-    async def read(self, ask: AttemptRequest) -> Kept:
+    async def read(self, ask: AttemptRequest) -> PrefillResult:
         done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
         tokens = 100 + done
         async with self.busy:
             if self.prefill_tokens_per_s < 1e9:
                 await trio.sleep(tokens / self.prefill_tokens_per_s)
         self.fleet.prefills.append((trio.current_time(), tokens, ask.goes_on))
-        return Kept({}, tokens)
+        return PrefillResult({}, tokens)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         recovery_outcome = self.fleet.rng.random() / max(self.faults, 1e-9)
         if self.dead.cancel_called or recovery_outcome < 0.2:
-            raise Unreached("refused")
+            raise EngineUnreachableError("refused")
         if recovery_outcome < 0.3:
-            raise Refuses("full")
+            raise AttemptRejectedError("full")
         if recovery_outcome < 0.4:
             raise RuntimeError("before its effect")
         cell = self.ident[1]
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -10,9 +10,9 @@
 class Engine:
     """Reads and writes by calling whatever model this process holds; here it counts words."""
 
-    async def read(self, ask: ternlane.AttemptRequest) -> ternlane.Kept:
+    async def read(self, ask: ternlane.AttemptRequest) -> ternlane.PrefillResult:
         text = ask.raw["messages"][-1]["content"]
-        return ternlane.Kept({"words": len(text.split())}, prompt_tokens=len(text) // 4)
+        return ternlane.PrefillResult({"words": len(text.split())}, prompt_tokens=len(text) // 4)
 
     async def write(self, ask: ternlane.AttemptRequest) -> AsyncIterator[str]:
         for piece in ("there ", "are ", str(ask.state["words"]), " words"):
--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -3,11 +3,11 @@
 What is listed in `__all__` is public; everything else may change without notice. Names are loaded when first used, so
 `ternlane.Router` alone brings no HTTP stack and no trio with it.
 
-    Router, StartFacts, ...   the decisions: feed events, get actions (ternlane.policy.messages says which)
+    Router, RouterConfig, ...   the decisions: feed events, get actions (ternlane.policy.messages says which)
     open_routing              a router that owns its tasks, over a transport of the caller's
     open_gateway              a whole gateway in a trio nursery
     Blocking, Bridged         the same router for plain threads, and for asyncio
-    GatewayPaper, read_paper  the settings, typed or as JSON5, with the same checks
+    GatewayConfig, read_config  the settings, typed or as JSON5, with the same checks
 """
 
 from __future__ import annotations
@@ -43,15 +43,15 @@
     "LocalTransport": "engine",
     "LocalEngine": "engine",
     "AttemptRequest": "engine",
-    "Kept": "engine",
-    "Refuses": "engine",
-    "Unreached": "engine",
+    "PrefillResult": "engine",
+    "AttemptRejectedError": "engine",
+    "EngineUnreachableError": "engine",
     "Stage": "engine",
     "AttemptResult": "engine",
     "AttemptPlan": "engine",
     "ClientGone": "engine",
     "Usage": "engine",
-    "Wrong": "chat",
+    "InvalidRequestError": "chat",
     "GatewayConfig": "config",
     "RequestClassConfig": "config",
     "FleetConfig": "config",
@@ -74,6 +74,7 @@
     "FleetTerms": "FleetConfig",
     "GatewayPaper": "GatewayConfig",
     "Generation": "Request",
+    "Kept": "PrefillResult",
     "LegAsk": "AttemptRequest",
     "LegEnd": "AttemptResult",
     "LegPlan": "AttemptPlan",
@@ -81,18 +82,21 @@
     "PaperError": "ConfigError",
     "Product": "RequestClass",
     "ProductTerms": "RequestClassConfig",
+    "Refuses": "AttemptRejectedError",
     "StartFacts": "RouterConfig",
     "StreamTerms": "StreamConfig",
     "TerminatedError": "FailedError",
     "ThrottledError": "RejectedError",
+    "Unreached": "EngineUnreachableError",
     "Verdict": "AttemptOutcome",
+    "Wrong": "InvalidRequestError",
     "read_paper": "read_config",
 }
 
 __all__ = ["__version__", *_PLACES]
 
 if TYPE_CHECKING:  # the same names for type checkers
-    from ternlane.chat import Wrong as Wrong
+    from ternlane.chat import InvalidRequestError as InvalidRequestError
     from ternlane.policy.router import Router as Router
     from ternlane.embed import Blocking as Blocking
     from ternlane.embed import Bridged as Bridged
@@ -102,17 +106,17 @@
     from ternlane.embed import RejectedError as RejectedError
     from ternlane.embed import open_routing as open_routing
     from ternlane.engine import ClientGone as ClientGone
-    from ternlane.engine import Kept as Kept
+    from ternlane.engine import PrefillResult as PrefillResult
     from ternlane.engine import AttemptRequest as AttemptRequest
     from ternlane.engine import AttemptResult as AttemptResult
     from ternlane.engine import AttemptPlan as AttemptPlan
     from ternlane.engine import LocalEngine as LocalEngine
     from ternlane.engine import LocalTransport as LocalTransport
-    from ternlane.engine import Refuses as Refuses
+    from ternlane.engine import AttemptRejectedError as AttemptRejectedError
     from ternlane.engine import SocketTransport as SocketTransport
     from ternlane.engine import Stage as Stage
     from ternlane.engine import Transport as Transport
-    from ternlane.engine import Unreached as Unreached
+    from ternlane.engine import EngineUnreachableError as EngineUnreachableError
     from ternlane.engine import Usage as Usage
     from ternlane.gateway import Gateway as Gateway
     from ternlane.gateway import open_gateway as open_gateway
--- a/ternlane/chat/__init__.py
+++ b/ternlane/chat/__init__.py
@@ -4,7 +4,7 @@
 from ternlane.chat.intake import Intake, Known
 from ternlane.chat.prefixes import PrefixIndex
 from ternlane.chat.repeats import Busy, Differs, Done, Fresh, Keep, Repeats, kept_for_repeats
-from ternlane.chat.request import ChatAsk, Wrong, read_chat
+from ternlane.chat.request import ChatAsk, InvalidRequestError, read_chat
 from ternlane.chat.sessions import Sessions, chain
 
 __all__ = [
@@ -20,7 +20,7 @@
     "PrefixIndex",
     "Repeats",
     "Sessions",
-    "Wrong",
+    "InvalidRequestError",
     "answer_body",
     "chain",
     "chunk",
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -8,7 +8,7 @@
 from xxhash import xxh3_64_hexdigest, xxh3_64_intdigest, xxh3_128_digest
 
 from ternlane.chat.prefixes import BLOCK, PrefixIndex, blocks
-from ternlane.chat.request import ChatAsk, Wrong, canonical
+from ternlane.chat.request import ChatAsk, InvalidRequestError, canonical
 from ternlane.chat.sessions import Sessions, chain
 from ternlane.policy.messages import Effect, Request, Group, RequestClass, Tenant
 
@@ -51,10 +51,10 @@
         self.models, self.max_tokens = models, max_tokens
 
     def take(self, ask: ChatAsk, client_timeout_ms: float, owner: str = "") -> Known:
-        """Two owners' equal conversations are two. Raises Wrong for a model that no product is offered under."""
+        """Two owners' equal conversations are two. Raises InvalidRequestError for a model that is not offered."""
         request_class = self.models.get(ask.model)
         if request_class is None:
-            raise Wrong("model", f"The model `{ask.model}` does not exist", "model_not_found", 404)
+            raise InvalidRequestError("model", f"The model `{ask.model}` does not exist", "model_not_found", 404)
         whole = b"".join(ask.texts)
         last = chain(ask.texts, f"{ask.model}\0{owner}\0{ask.user or ''}".encode())
         if ask.cache_key:
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -10,6 +10,7 @@
 
 import trio
 
+from ternlane.embed.renamed_methods import RenamedMethods
 from ternlane.embed.routing import Routing, open_routing
 from ternlane.engine import Transport
 from ternlane.config import GatewayConfig
@@ -18,13 +19,15 @@
 AHEAD = 64  # pieces that wait for a slow caller; beyond that the writer waits
 
 
-class Blocking:
-    """`with Blocking(paper, make_transport) as routing: for text in routing.generation({...}): ...`
+class Blocking(RenamedMethods):
+    """`with Blocking(config, make_transport) as routing: for text in routing.request({...}): ...`
 
-    `make_transport` is called in the router's thread. Any thread may call `generation`; breaking off its loop, or
+    `make_transport` is called in the router's thread. Any thread may call `request`; breaking off its loop, or
     closing it, is a client's leaving. Exceptions of the router's thread come out of the `with` block.
     """
 
+    _RENAMED_METHODS = {"generation": "request"}
+
     def __init__(self, config: GatewayConfig, make_transport: Callable[[], Transport], log: Any = None) -> None:
         self.config, self.make_transport, self.log = config, make_transport, log
         self.ready = threading.Event()
@@ -59,7 +62,8 @@
                 await trio.sleep_forever()
 
     def request(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> Iterator[str]:
-        """The text as it comes. Raises Wrong before anything is sent, ThrottledError or TerminatedError at the end."""
+        """The text as it comes. Raises InvalidRequestError before anything is sent, RejectedError or FailedError at the
+        end."""
         token = self.token
         if token is None:
             raise RuntimeError("the router has ended")
@@ -129,7 +133,7 @@
     loop's pool for as long as it lasts, so the pool's size bounds how many may be asked at once."""
 
     async def agenerate(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
-        """`generation` for an asyncio task. Cancelling the task is a client's leaving."""
+        """`request` for an asyncio task. Cancelling the task is a client's leaving."""
         loop, pieces = asyncio.get_running_loop(), self.request(request, request_timeout_ms)
         pending: asyncio.Future[Any] | None = None
         try:
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -1,7 +1,7 @@
-"""`open_routing` gives a router that owns its tasks; `generation` routes one request and gives its text as it comes.
+"""`open_routing` gives a router that owns its tasks; `request` routes one request and gives its text as it comes.
 
-    async with open_routing(paper, transport) as routing:
-        async with routing.generation({"model": "summary", "messages": [...]}) as stream:
+    async with open_routing(config, transport) as routing:
+        async with routing.request({"model": "summary", "messages": [...]}) as stream:
             async for text in stream:
                 ...
 
@@ -21,6 +21,7 @@
 from ternlane.chat import ChatAsk, Intake, read_chat
 from ternlane.chat.beyond import More
 from ternlane.policy.router import Router
+from ternlane.embed.renamed_methods import RenamedMethods
 from ternlane.engine import Transport
 from ternlane.gateway.router_config import offer_of
 from ternlane.gateway.host import Host
@@ -67,7 +68,7 @@
         return self.pieces()
 
     async def pieces(self) -> AsyncIterator[str]:
-        """Raises ThrottledError or TerminatedError where it ends so."""
+        """Raises RejectedError or FailedError where it ends so."""
         async for text in self.gets:
             if text:
                 yield text
@@ -81,12 +82,14 @@
                 raise FailedError(why, self.active_request.begun)
 
     async def text(self) -> str:
-        """The whole text, once it is there. Raises ThrottledError or TerminatedError."""
+        """The whole text, once it is there. Raises RejectedError or FailedError."""
         return "".join([piece async for piece in self])
 
 
-class Routing:
-    """A router without a door, in its owner's nursery. Open one by `open_routing`."""
+class Routing(RenamedMethods):
+    """A router without a server, in its owner's nursery. Open one by `open_routing`."""
+
+    _RENAMED_METHODS = {"generation": "request"}
 
     def __init__(
         self,
@@ -119,7 +122,7 @@
 
     def alter(self, config: GatewayConfig) -> None:
         """Takes over `products`, `fleet`, `gateways`, `zone` and inline nodes of another paper, and back by the same
-        call; what was taken in keeps its product's terms. Raises PaperError, and then nothing has changed."""
+        call; what was taken in keeps its product's terms. Raises ConfigError, and then nothing has changed."""
         self.config = checked(config)
         self.offer = offer_of(self.config, self.offer.request_classes)
         self.router_config = self.offer.router_config
@@ -131,8 +134,8 @@
     async def request(
         self, request: dict[str, Any] | ChatAsk, request_timeout_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
-        """`request` as the chat API has it; `time_limit_ms` at most the product's own; `key` under which engines drop
-        repeats. Raises Wrong, which names the field, before anything is sent."""
+        """`request` as the chat API has it; `request_timeout_ms` at most the deadline of its request class; `key` under
+        which engines drop repeats. Raises InvalidRequestError, which names the field, before anything is sent."""
         ask = request if isinstance(request, ChatAsk) else read_chat(msgspec.json.encode(request))
         request_class = self.intake.models.get(ask.model)
         limit = request_class.deadline_ms if request_class is not None else 0.0
@@ -160,7 +163,7 @@
     log: Any = None,
 ) -> AsyncIterator[Routing]:
     """A router without a door. Inline nodes of the paper are listed at once; others by `Routing.nodes`. Raises
-    PaperError for settings that no document could hold."""
+    ConfigError for settings that no document could hold."""
     config = checked(config)
     async with trio.open_nursery() as nursery:
         routing = Routing(config, transport, nursery, chooser, log or library_log())
--- a/ternlane/engine/__init__.py
+++ b/ternlane/engine/__init__.py
@@ -3,25 +3,25 @@
 from ternlane.engine.attempt import ClientGone, AttemptResult, AttemptPlan, prefill_attempt, release, stream_attempt
 from ternlane.engine.protocol import Stage, Usage, load_of
 from ternlane.engine.transport import (
-    Kept,
+    PrefillResult,
     AttemptRequest,
     LocalEngine,
     LocalTransport,
-    Refuses,
+    AttemptRejectedError,
     SocketTransport,
     Transport,
-    Unreached,
+    EngineUnreachableError,
 )
 
 __all__ = [
-    "Kept",
+    "PrefillResult",
     "AttemptRequest",
     "LocalEngine",
     "LocalTransport",
-    "Refuses",
+    "AttemptRejectedError",
     "SocketTransport",
     "Transport",
-    "Unreached",
+    "EngineUnreachableError",
     "ClientGone",
     "AttemptResult",
     "AttemptPlan",
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -135,7 +135,7 @@
         self.pool.close()
 
 
-class Refuses(Exception):
+class AttemptRejectedError(Exception):
     """A local engine turns a leg away: nothing ran. `state_lost` where it has no state to go on with."""
 
     def __init__(self, why: str = "full", state_lost: bool = False) -> None:
@@ -143,12 +143,12 @@
         self.state_lost = state_lost
 
 
-class Unreached(Exception):
+class EngineUnreachableError(Exception):
     """A local engine could not be reached: nothing ran."""
 
 
 @dataclass(slots=True)
-class Kept:
+class PrefillResult:
     """What a local engine gives for a prompt it has read: a state to hand on, and how much it had to read."""
 
     state: dict[str, Any]
@@ -160,7 +160,7 @@
 class LocalEngine(Protocol):
     """A model server in the same process: three calls, no bytes. Errors of its own mean that it may have run."""
 
-    async def read(self, ask: AttemptRequest) -> Kept:
+    async def read(self, ask: AttemptRequest) -> PrefillResult:
         """Reads the prompt of `ask.raw` and keeps its state until written or released. Where `ask.goes_on` its last
         message is the beginning of the answer, and counts as read."""
 
@@ -220,7 +220,7 @@
         try:
             return self.engines[ask.server]
         except KeyError:
-            raise Unreached(f"no engine {ask.server!r}") from None
+            raise EngineUnreachableError(f"no engine {ask.server!r}") from None
 
     @staticmethod
     async def _ended(ask: AttemptRequest, end: AttemptResult, run: Callable[[], Awaitable[None]]) -> AttemptResult:
@@ -229,9 +229,9 @@
         try:
             with plan.scope:
                 await run()
-        except Refuses as why:
+        except AttemptRejectedError as why:
             end.outcome, end.state_lost, end.why = AttemptOutcome.OVERLOADED, why.state_lost, str(why)
-        except Unreached as why:
+        except EngineUnreachableError as why:
             end.outcome, end.why = AttemptOutcome.CONNECT_FAILED, str(why)
         except ClientGone:
             raise
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -19,7 +19,7 @@
     Done,
     Intake,
     Repeats,
-    Wrong,
+    InvalidRequestError,
     answer_body,
     chunk,
     error_body,
@@ -242,7 +242,7 @@
                     return await self.replay(exchange, done, ask, after)
                 begun = key
             active_request = self.active_request(exchange, ask, tenant, key, patience, since, after)
-        except Wrong as bad:
+        except InvalidRequestError as bad:
             return await self.refuse(exchange, bad.status, bad.why, bad.code, bad.param)
         except NotTaken as no:
             return await self.refuse(exchange, no.status, no.why, no.code, no.param, no.extra)
@@ -278,7 +278,7 @@
         if said is None:
             return None
         if not 1 <= len(said) <= 255:
-            raise Wrong("Idempotency-Key", "Idempotency-Key must have 1 to 255 characters")
+            raise InvalidRequestError("Idempotency-Key", "Idempotency-Key must have 1 to 255 characters")
         if (
             self.host.journal_writer is not None and not self.host.journal_writer.ready
         ):  # a repeat's first may be out there
@@ -317,7 +317,7 @@
         if not self.config.streams.ids or not ask.stream:
             raise NotTaken(409, "Streams can't be taken up again here", "resume_not_offered", param="Last-Event-ID")
         if not said.isascii() or not said.isdecimal() or len(said) > 9:
-            raise Wrong("Last-Event-ID", "must be the id of an event of this stream")
+            raise InvalidRequestError("Last-Event-ID", "must be the id of an event of this stream")
         return int(said)
 
     def active_request(
@@ -330,7 +330,7 @@
         since: float,
         after: int,
     ) -> ActiveRequest:
-        """Makes the generation and reserves for it. Raises Wrong, or NotTaken where the budget has no room."""
+        """Makes the request and reserves for it. Raises InvalidRequestError; NotTaken where the budget has no room."""
         owner = tenant.name if tenant is not None else ""
         known = self.intake.take(ask, patience, owner)
         if after and not comes_out_the_same(ask.raw, known.request.request_class.effect):
@@ -396,7 +396,7 @@
             except ValueError:
                 stated = -1.0
             if not 0 < stated < 1e9:
-                raise Wrong("X-Ternlane-Time-Limit-Ms", "must be a positive number of milliseconds")
+                raise InvalidRequestError("X-Ternlane-Time-Limit-Ms", "must be a positive number of milliseconds")
             limit = min(limit, stated)
         spent = now_ms() - exchange.arrived * 1000
         return max(0.0, limit - spent - self.config.door.answer_ms)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,6 +12,7 @@
 import threading
 import time
 from pathlib import Path
+from typing import Any
 
 import httpx
 import pytest
@@ -66,7 +67,7 @@
         early = routing.request(REQUEST)
         assert next(early) == "0 "
         early.close()  # type: ignore[attr-defined]
-        with pytest.raises(ternlane.Wrong):
+        with pytest.raises(ternlane.InvalidRequestError):
             list(routing.request(REQUEST | {"model": "x"}))
         made["w0"].trouble = "broken"
         with pytest.raises(ternlane.FailedError):
@@ -290,3 +291,19 @@
     ended = [await once(n) for n in range(1, 90)]
     assert not ended[0] and ended[-1]
     assert trio.lowlevel.current_statistics().tasks_living == before
+
+
+# -- renamed public names
+
+
+@pytest.mark.parametrize("owner", [ternlane.Routing, ternlane.Blocking, ternlane.Bridged])
+def test_an_old_method_tells_the_new_one(owner: Any) -> None:
+    with pytest.raises(AttributeError, match=f"{owner.__name__}.request now"):
+        object.__new__(owner).generation  # noqa: B018
+
+
+def test_the_migration_page_lists_each_renamed_public_name() -> None:
+    renamed = json.loads((ROOT / "tests" / "data" / "stored" / "renamed.json").read_text())
+    page = (ROOT / "docs" / "migration.md").read_text()
+    for old, new in [pair for table in renamed.values() for pair in table.items()]:
+        assert f"| `{old}` | `{new}` |" in page
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -20,7 +20,7 @@
 from ternlane.config import FleetConfig, StreamConfig
 from ternlane.policy.messages import Effect
 from ternlane.embed import open_routing
-from ternlane.engine import Kept, AttemptRequest, LocalTransport
+from ternlane.engine import PrefillResult, AttemptRequest, LocalTransport
 from ternlane.recovery import Differs, StreamJoin, RecoveryPace, StreamPacing, ReplayBuffer, ResumeStrategy, way_of
 from ternlane.rules import check
 from ternlane.tenants import Used, bill_for
@@ -588,8 +588,8 @@
         super().__init__()
         self.made, self.broke = 0, broke
 
-    async def read(self, ask: AttemptRequest) -> Kept:
-        return Kept({}, 10 + (len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0))
+    async def read(self, ask: AttemptRequest) -> PrefillResult:
+        return PrefillResult({}, 10 + (len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0))
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         for i in range(len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0, 20):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -26,7 +26,7 @@
 from ternlane.policy import messages
 from tests.world import BUILD, heard, patient, replace
 from tests.world import TERMS as SHORT_TERMS
-from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
+from ternlane.engine import PrefillResult, AttemptRequest, LocalTransport, AttemptRejectedError, EngineUnreachableError
 from ternlane.http1 import ConnectionPool
 from ternlane.config import GatewayConfig, NodeLine
 from ternlane.config.gateway import InlineSource
@@ -107,11 +107,11 @@
     def before(self) -> None:
         match self.script:
             case "full":
-                raise Refuses("queue-full")
+                raise AttemptRejectedError("queue-full")
             case "nostate":
-                raise Refuses("no-state", state_lost=True)
+                raise AttemptRejectedError("no-state", state_lost=True)
             case "dead":
-                raise Unreached("refused")
+                raise EngineUnreachableError("refused")
 
     async def slowly(self) -> None:
         """What a slow engine, or a slow handshake, takes longer."""
@@ -124,13 +124,13 @@
         if self.script == "silent":
             await trio.sleep_forever()
 
-    async def read(self, ask: AttemptRequest) -> Kept:
+    async def read(self, ask: AttemptRequest) -> PrefillResult:
         self.before()
         await self.slowly()
         await self.fail()
         await trio.sleep(0.002)
         self.states.add(ask.ident)
-        return Kept({"of": ask.ident}, 10 + self.done(ask))
+        return PrefillResult({"of": ask.ident}, 10 + self.done(ask))
 
     @staticmethod
     def done(ask: AttemptRequest) -> int:
@@ -140,7 +140,7 @@
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         self.before()
         if ask.ident not in self.states:
-            raise Refuses("no-state", state_lost=True)
+            raise AttemptRejectedError("no-state", state_lost=True)
         self.states.discard(ask.ident)
         await self.slowly()
         self.effects.append(ask.ident)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -830,7 +830,7 @@
     assert ternlane.RejectedError(5.0).pause_ms == 5.0
     terminated = ternlane.FailedError("lost", True)
     assert (str(terminated), terminated.begun) == ("lost", True)
-    wrong = ternlane.Wrong("model", "unknown")
+    wrong = ternlane.InvalidRequestError("model", "unknown")
     assert (wrong.param, wrong.why, wrong.code, wrong.status) == ("model", "unknown", "invalid_value", 400)
     stream = ternlane.Stream()
     assert hasattr(stream, "usage") and hasattr(stream, "finish")
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -17,7 +17,7 @@
 
 from ternlane import ConfigError, open_routing
 from ternlane.policy import messages
-from ternlane.chat import Wrong
+from ternlane.chat import InvalidRequestError
 from ternlane.engine import SocketTransport
 from ternlane.engine.protocol import load_told
 from ternlane.config import GatewayConfig, RequestClassConfig
@@ -136,7 +136,7 @@
                     routing.alter(msgspec.structs.replace(config, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
                 routing.alter(other_shape(config))
                 assert len((await stream.text()).split()) == 6
-            with pytest.raises(Wrong, match="does not exist"):
+            with pytest.raises(InvalidRequestError, match="does not exist"):
                 async with routing.request({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
                     pass
 
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -13,18 +13,18 @@
 
 import ternlane
 from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
-from ternlane.chat import Wrong
+from ternlane.chat import InvalidRequestError
 from ternlane.embed import FailedError, RejectedError, open_routing
 from ternlane.engine import (
-    Kept,
+    PrefillResult,
     AttemptRequest,
     AttemptPlan,
     LocalTransport,
-    Refuses,
+    AttemptRejectedError,
     SocketTransport,
     Stage,
     Transport,
-    Unreached,
+    EngineUnreachableError,
 )
 from ternlane.engine.attempt import ClientGone
 from ternlane.http1 import Exchange, ConnectionPool
@@ -41,18 +41,18 @@
         self.states: set[str] = set()
         self.trouble, self.effects, self.closed = "", 0, 0
 
-    async def read(self, ask: AttemptRequest) -> Kept:
+    async def read(self, ask: AttemptRequest) -> PrefillResult:
         if self.trouble == "full":
-            raise Refuses("queue-full")
+            raise AttemptRejectedError("queue-full")
         if self.trouble == "hung":
             await trio.sleep_forever()
         await trio.sleep(0.002)
         self.states.add(ask.ident)
-        return Kept({"by": ask.server, "of": ask.ident}, 10)
+        return PrefillResult({"by": ask.server, "of": ask.ident}, 10)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         if ask.stage is Stage.DECODE and (ask.state or {}).get("of") != ask.ident:
-            raise Refuses("no-state", state_lost=True)
+            raise AttemptRejectedError("no-state", state_lost=True)
         if self.trouble == "broken":
             raise RuntimeError("out of memory")
         self.effects += 1
@@ -190,7 +190,7 @@
         async with routing.request(REQUEST) as stream:
             assert await stream.text() == "0 1 2 3 4 5 "
         assert stream.usage["completion_tokens"] == 6 and stream.finish == "stop"
-        with pytest.raises(Wrong, match="does not exist"):
+        with pytest.raises(InvalidRequestError, match="does not exist"):
             async with routing.request(REQUEST | {"model": "x"}):
                 pass
         assert not routing.host.active_requests and engines["w0"].effects == 1
@@ -251,7 +251,7 @@
 
 
 def test_unreached_is_no_refusal() -> None:
-    assert not issubclass(Unreached, Refuses)
+    assert not issubclass(EngineUnreachableError, AttemptRejectedError)
 
 
 class Public(Engine):
