--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -24,7 +24,7 @@
 import msgspec
 import trio
 
-from ternlane.engine.protocol import read_body, write_body
+from ternlane.engine.request_body import decode_body, prefill_body
 from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
 from ternlane.testing.engine import Build, Engine
 from ternlane.testing.traffic import Traffic
@@ -80,11 +80,11 @@
     since, raw = time.perf_counter(), body(i)
     head = [("Content-Type", "application/json"), ("X-Request-Id", f"d{i}.0")]
     caller = await pool.take(prefill_server)
-    await caller.ask("POST", "/v1/chat/completions", head, read_body(raw))
+    await caller.ask("POST", "/v1/chat/completions", head, prefill_body(raw))
     state = msgspec.json.decode(await caller.body(1 << 20))["kv_transfer_params"]
     pool.give_back(caller)
     caller = await pool.take(decode_server)
-    await caller.ask("POST", "/v1/chat/completions", head, write_body(raw, state, TOKENS))
+    await caller.ask("POST", "/v1/chat/completions", head, decode_body(raw, state, TOKENS))
     return await events(pool, caller, since)
 
 
--- a/ternlane/engine/__init__.py
+++ b/ternlane/engine/__init__.py
@@ -1,34 +1,37 @@
-"""The protocol spoken with readers and writers, and the legs that speak it."""
+"""Attempts at model servers: what is asked, how it is said on the wire, and how it ended."""
 
-from ternlane.engine.attempt import ClientGone, AttemptResult, AttemptPlan, prefill_attempt, release, stream_attempt
-from ternlane.engine.protocol import Stage, Usage, load_of
-from ternlane.engine.transport import (
-    PrefillResult,
-    AttemptRequest,
-    LocalEngine,
-    LocalTransport,
+from ternlane.engine.attempt import AttemptPlan, AttemptRequest, AttemptResult, Stage, TextSink
+from ternlane.engine.errors import (
+    AttemptNotStartedError,
     AttemptRejectedError,
-    SocketTransport,
-    Transport,
+    ClientGone,
+    EngineError,
     EngineUnreachableError,
+    UnsupportedAttemptError,
 )
+from ternlane.engine.local_engine import LocalEngine, PrefillResult
+from ternlane.engine.local_transport import LocalTransport
+from ternlane.engine.messages import Usage, cached_tokens
+from ternlane.engine.socket_transport import SocketTransport
+from ternlane.engine.transport import Transport
 
 __all__ = [
-    "PrefillResult",
+    "AttemptNotStartedError",
+    "AttemptPlan",
+    "AttemptRejectedError",
     "AttemptRequest",
+    "AttemptResult",
+    "ClientGone",
+    "EngineError",
+    "EngineUnreachableError",
     "LocalEngine",
     "LocalTransport",
-    "AttemptRejectedError",
+    "PrefillResult",
     "SocketTransport",
-    "Transport",
-    "EngineUnreachableError",
-    "ClientGone",
-    "AttemptResult",
-    "AttemptPlan",
     "Stage",
+    "TextSink",
+    "Transport",
+    "UnsupportedAttemptError",
     "Usage",
-    "load_of",
-    "prefill_attempt",
-    "release",
-    "stream_attempt",
+    "cached_tokens",
 ]
--- /dev/null
+++ b/ternlane/engine/messages.py
@@ -0,0 +1,91 @@
+"""Messages from engines, in the form of the public chat API (docs/engine-protocol.md). No I/O."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+END_OF_STREAM = "[DONE]"
+EXTRA_FIELDS = ("tool_calls", "refusal", "reasoning_content", "reasoning")  # of a delta, besides its text
+
+
+class PromptTokensDetails(msgspec.Struct):
+    """How many tokens of the prompt were found in the engine's prefix cache."""
+
+    cached_tokens: int | None = None
+
+
+class Usage(msgspec.Struct):
+    """Tokens as an engine counted them, in the public API's form."""
+
+    prompt_tokens: int = 0
+    completion_tokens: int = 0
+    total_tokens: int = 0
+    prompt_tokens_details: PromptTokensDetails | None = None
+
+    def told(self) -> dict[str, Any]:
+        """As the client is told."""
+        usage: dict[str, Any] = {
+            "prompt_tokens": self.prompt_tokens,
+            "completion_tokens": self.completion_tokens,
+            "total_tokens": self.prompt_tokens + self.completion_tokens,
+        }
+        if self.prompt_tokens_details is not None:
+            usage["prompt_tokens_details"] = {"cached_tokens": self.prompt_tokens_details.cached_tokens or 0}
+        return usage
+
+
+def cached_tokens(usage: Usage) -> int:
+    """Tokens of the prompt that were found in the prefix cache; 0 where the engine does not say."""
+    if usage.prompt_tokens_details is None:
+        return 0
+    return usage.prompt_tokens_details.cached_tokens or 0
+
+
+class PrefillResponse(msgspec.Struct):
+    """A prefill server's answer: the parameters by which a decode server fetches the state."""
+
+    kv_transfer_params: dict[str, Any] | None = None
+    usage: Usage | None = None
+
+
+class StreamDelta(msgspec.Struct):
+    """What one event adds to the answer."""
+
+    content: str | None = None
+    tool_calls: list[dict[str, Any]] | None = None
+    refusal: str | None = None
+    reasoning_content: str | None = None
+    reasoning: str | None = None
+
+
+class StreamChoice(msgspec.Struct):
+    """The one choice of an event; a gateway asks for one answer a request."""
+
+    delta: StreamDelta | None = None
+    finish_reason: str | None = None
+    logprobs: dict[str, Any] | None = None
+
+    def extras(self) -> dict[str, Any] | None:
+        """What it has besides text, as `ternlane.chat.message_extras` puts it together; None for nothing."""
+        extras: dict[str, Any] = {}
+        if self.delta is not None:
+            fields = {name: value for name in EXTRA_FIELDS if (value := getattr(self.delta, name))}
+            if fields:
+                extras["delta"] = fields
+        if self.logprobs:
+            extras["logprobs"] = self.logprobs
+        return extras or None
+
+
+class StreamChunk(msgspec.Struct):
+    """One event of a decode server's stream."""
+
+    choices: list[StreamChoice] = []
+    usage: Usage | None = None
+    error: Any = None
+
+
+decode_prefill_response = msgspec.json.Decoder(PrefillResponse).decode
+decode_stream_chunk = msgspec.json.Decoder(StreamChunk).decode
--- /dev/null
+++ b/ternlane/engine/protocols/disaggregated.py
@@ -0,0 +1,30 @@
+"""The protocol of engines that prefill and decode apart."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ternlane.engine.attempt import AttemptRequest, Stage
+from ternlane.engine.protocols.base import EngineProtocol, Headers
+from ternlane.engine.request_body import combined_body, decode_body, prefill_body
+
+
+class DisaggregatedProtocol(EngineProtocol):
+    """Prefill and decode servers that hand a state on by kv_transfer_params; mixed ones too."""
+
+    holds_states = True
+    goes_on = True
+
+    def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
+        """Every stage has its body; an engine drops repeats by the Idempotency-Key."""
+        headers = [
+            ("Content-Type", "application/json"),
+            ("X-Request-Id", f"{ask.ident}.{ask.number}"),
+            ("User-Agent", agent),
+            ("Idempotency-Key", ask.key),
+        ]
+        if ask.stage is Stage.PREFILL:
+            return headers, prefill_body(ask.raw)
+        if ask.stage is Stage.DECODE:
+            return headers, decode_body(ask.raw, ask.state or {}, ask.max_tokens)
+        return headers, msgspec.json.encode(combined_body(ask.raw, ask.max_tokens))
--- /dev/null
+++ b/ternlane/engine/protocols/plain_chat.py
@@ -0,0 +1,31 @@
+"""The protocol of any server of the public chat completions API."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ternlane.engine.attempt import AttemptRequest, Stage
+from ternlane.engine.protocols.base import EngineProtocol, Headers
+from ternlane.engine.request_body import combined_body
+
+
+class PlainChatProtocol(EngineProtocol):
+    """A server that prefills and decodes in one attempt, and of which nothing of ours is asked. It keeps no state
+    between attempts, and vouches for nothing: only a 429 proves that nothing ran."""
+
+    holds_states = False
+    goes_on = False
+
+    def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
+        """Raises ValueError for a stage of its own."""
+        if ask.stage is not Stage.WHOLE:
+            raise ValueError("a plain chat server reads and writes in one leg")
+        body = combined_body(ask.raw, ask.max_tokens)
+        body.pop("prompt_cache_key", None)  # servers that check their fields refuse it
+        headers = [
+            ("Content-Type", "application/json"),
+            ("User-Agent", agent),
+            ("Accept", "text/event-stream"),
+            ("X-Request-Id", f"{ask.ident}.{ask.number}"),
+        ]
+        return headers, msgspec.json.encode(body)
--- a/ternlane/gateway/metrics.py
+++ b/ternlane/gateway/metrics.py
@@ -4,7 +4,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from ternlane.engine.protocol import Stage
+from ternlane.engine import Stage
 from ternlane.policy.messages import EndpointStatus
 from ternlane.wire_names import OUTCOME_NAMES
 
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -12,7 +12,7 @@
 from ternlane.chat import Busy, Differs, Done, Fresh, Intake, PrefixIndex, Repeats, Sessions, read_chat
 from ternlane.chat.prefixes import BLOCK, WholePrefixes, blocks
 from ternlane.http1 import EventReader
-from ternlane.engine import load_of
+from ternlane.engine.load_report import load_from_header
 from ternlane.config import GatewayConfig, ConfigError, read_text
 from ternlane.policy.messages import Effect, Group, RequestClass
 
@@ -163,13 +163,13 @@
     ],
 )
 def test_load_reports_are_read_in_both_forms(said: str, mem: float | None, out: float | None) -> None:
-    report = load_of(said)
+    report = load_from_header(said)
     assert report is not None and (report.memory_share, report.open_requests) == (mem, out)
 
 
 @pytest.mark.parametrize("said", [None, "", "TEXT a=b", "JSON {", "XML <a/>", "JSON [1]"])
 def test_an_unreadable_report_counts_as_none(said: str | None) -> None:
-    assert load_of(said) is None
+    assert load_from_header(said) is None
 
 
 GOOD = """{
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,7 +13,9 @@
 import trio
 
 from tests.world import BUILD, Reply, World, heard, patient, replace, world
-from ternlane.engine.attempt import AttemptPlan, prefill_attempt, stream_attempt
+from ternlane.engine import AttemptPlan
+from ternlane.engine.prefill_attempt import prefill_attempt
+from ternlane.engine.stream_attempt import stream_attempt
 from ternlane.http1 import ClientConnection, ConnectionPool
 from ternlane.config import ConsulSource, NodeLine
 from ternlane.config.gateway import ServerLimits
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -19,7 +19,7 @@
 from ternlane.policy import messages
 from ternlane.chat import InvalidRequestError
 from ternlane.engine import SocketTransport
-from ternlane.engine.protocol import load_told
+from ternlane.engine.load_report import load_from_metrics
 from ternlane.config import GatewayConfig, RequestClassConfig
 from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 from tests.test_days import gate, wait_for
@@ -245,5 +245,5 @@
     ],
 )
 def test_metrics_that_say_nothing_are_no_report(text: str, report: tuple[float, float | None] | None) -> None:
-    said = load_told(text)
+    said = load_from_metrics(text)
     assert (None if said is None else (said.open_requests, said.memory_share)) == report
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -26,7 +26,7 @@
     Transport,
     EngineUnreachableError,
 )
-from ternlane.engine.attempt import ClientGone
+from ternlane.engine import ClientGone
 from ternlane.http1 import Exchange, ConnectionPool
 from ternlane.config import GatewayConfig, NodeLine, ConfigError, read_text
 from ternlane.config.gateway import InlineSource
