--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.engine.messages import Usage
-from ternlane.event_loop import BeginCheck, may_always_begin
+from ternlane.event_loop import StartCheck, always_allowed
 from ternlane.policy.messages import AttemptOutcome, Report
 
 
@@ -36,7 +36,7 @@
     timeout_ms: float
     idle_timeout_ms: float
     total_timeout_ms: float = inf
-    barred: BeginCheck = may_always_begin
+    barred: StartCheck = always_allowed
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     cancelled: bool = False
 
