--- a/ternlane/cli/load.py
+++ b/ternlane/cli/load.py
@@ -12,7 +12,7 @@
 from ternlane.cli.common import ExitCode, fail, load_document
 
 if TYPE_CHECKING:
-    from ternlane.load.run import Load
+    from ternlane.load.generator import LoadGenerator
 
 PROGRESS_S = 1.0  # between two progress lines
 
@@ -28,7 +28,7 @@
     Times count from when a request was due. Where the tool itself could not keep its schedule it says so, reports
     nothing and ends with 75."""
     from ternlane.load import LoadConfig
-    from ternlane.load.run import Load, NotLocal, TooSlow
+    from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError
 
     config = load_document(file, LoadConfig)
     with ExitStack() as stack:
@@ -39,17 +39,17 @@
                 sink.write(json.dumps(line) + "\n")
 
         try:
-            run = Load(config, url, write_line)
-        except NotLocal as error:
+            run = LoadGenerator(config, url, write_line)
+        except NotLoopbackError as error:
             raise click.UsageError(str(error)) from None
         try:
             trio.run(run_with_progress, run, quiet)
-        except* TooSlow as group:
+        except* ScheduleMissedError as group:
             fail(group.exceptions[0], ExitCode.TEMPORARY)
-    click.echo(json.dumps(run.tally.told()))
+    click.echo(json.dumps(run.tally.summary()))
 
 
-async def run_with_progress(run: Load, quiet: bool) -> None:
+async def run_with_progress(run: LoadGenerator, quiet: bool) -> None:
     """Runs the load, with a progress line on standard error unless it is quiet."""
     async with trio.open_nursery() as nursery:
         if not quiet:
@@ -62,7 +62,7 @@
                 click.echo(err=True)
 
 
-async def show_progress(run: Load) -> None:
+async def show_progress(run: LoadGenerator) -> None:
     """Rewrites the progress line until it is cancelled."""
     while True:
         await trio.sleep(PROGRESS_S)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -34,7 +34,7 @@
 from ternlane.scenarios.report import report_of as day_report
 from ternlane.scenarios.scenario import Scenario as DayDocument
 from ternlane.deployment import Deployment
-from ternlane.emulator.describe import EngineKind as EmulatorDocument
+from ternlane.emulator.engine_kind import EngineKind as EmulatorDocument
 from ternlane.gateway.daemon import drop_pid as drop_process_id
 from ternlane.gateway.daemon import write_pid as write_process_id
 from ternlane.gateway.journal_writer import JOURNAL, JournalWriter as JournalKeeper
@@ -47,7 +47,7 @@
 from ternlane.ledger.billing_report import bill_rows as rows_of
 from ternlane.ledger.billing_report import read_entries as entries_of
 from ternlane.ledger.quota_lease_file import open_quota_leases as lender_file
-from ternlane.load.plan import LoadConfig as LoadDocument
+from ternlane.load.load_config import LoadConfig as LoadDocument
 from ternlane.discovery.endpoint_cache import Torn as TornFile
 from ternlane.discovery.endpoint_cache import keep as write_node_list
 from ternlane.discovery.endpoint_cache import kept as read_node_list
