--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -211,7 +211,7 @@
 
 def endpoint_of(server: Server) -> EndpointState:
     """The state of a server that a list has named; otherwise UnknownServer."""
-    endpoint = server._router_state
+    endpoint = server.router_state
     if endpoint is None:
         raise UnknownServer(f"no endpoint list has named {server}")
     return endpoint
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -1,8 +1,9 @@
-"""The interface between the decisions (policy/router.py) and whatever hosts them.
+"""The interface between the router (`ternlane/policy/router.py`) and whatever hosts it.
 
-A host makes one Router from StartFacts, hands it what happened through `Router.take(now, events)` and carries out the
-actions that come back, in their order. Servers, products and generations are objects that host and module share; the
-host alone knows their ids. `seat` on a server or a generation belongs to the module. Times are milliseconds.
+A host makes one Router from a RouterConfig, hands it what happened through `Router.take(now, events)` and carries out
+the actions that come back, in their order. Servers, request classes and requests are objects that the host and the
+router share; the host alone knows their ids. `router_state` of a server or a request is the router's own; hosts leave
+it alone. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Effect(Enum):
-    """What a generation that runs twice does: nothing more, nothing more within a group and window, or harm."""
+    """What a request that runs twice does: nothing more, nothing more within a group and window, or harm."""
 
     IDEMPOTENT = auto()
     DEDUPLICATED = auto()
@@ -26,7 +27,7 @@
 
 
 class Group(Enum):
-    """Which servers drop the repeats of a deduplicated generation."""
+    """Which servers drop the repeats of a deduplicated request."""
 
     ALL = auto()
     ZONE = auto()
@@ -34,7 +35,7 @@
 
 
 class Role(Enum):
-    """What a server is for: prompts (prefill), answers (decode), or whole generations."""
+    """What a server is for: prompts (prefill), answers (decode), or both."""
 
     PREFILL = auto()
     DECODE = auto()
@@ -50,9 +51,9 @@
 
 
 class AttemptOutcome(Enum):
-    """How a leg or a probe ended. FULL and UNCONNECTED: it ran nothing; MOOT: its client had left; WITHHELD: it did not
-    begin, as its server began to drain or `SendLeg.begin_by_ms` passed; CALLED_OFF: by CallOff; READ: the prompt is
-    kept; ERROR, TIMED_OUT, RESET: it may have run."""
+    """How an attempt or a probe ended. OVERLOADED and CONNECT_FAILED: it ran nothing; CLIENT_GONE: its client had
+    left; NOT_STARTED: it did not begin, as its server began to drain or `StartAttempt.start_within_ms` passed;
+    CANCELLED: by CancelAttempt; PREFILLED: the state is held; ERROR, TIMED_OUT, RESET: it may have run."""
 
     STREAMED = auto()
     ERROR = auto()
@@ -92,9 +93,10 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """What is known of a kind of generation. Its first token is due `slo_ms` + `slo_per_ktok_ms` for each thousand
-    tokens of the prompt, the others each `tok_slo_ms` after; all of it within `limit_ms`. In time it earns `revenue`,
-    late `late_share` of it. Servers of `group` drop repeats for `window_ms`, where the effect is DEDUPLICATED."""
+    """What is known of a kind of request. Its first token is due after `slo_ms`, and `slo_per_1000_tokens_ms` more
+    for each thousand tokens of the prompt; the others each `token_slo_ms` after the one before; all of it within
+    `deadline_ms`. In time it is worth `priority_weight`, late `late_value_share` of that. Servers of `group` drop
+    repeats for `window_ms`, where the effect is DEDUPLICATED."""
 
     effect: Effect
     group: Group
@@ -114,8 +116,8 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A model server: room for `mem_toks` tokens, `size` times as fast as the usual, up since `started_ms`. `mark` is a
-    number of the server's own that every gateway sees alike; it tells nothing else. `seat` is the module's."""
+    """A model server: room for `kv_capacity_tokens` tokens, `size` times as fast as the usual, up since `started_ms`.
+    `hash_key` is a number of the server's own that every gateway sees alike; it tells nothing else."""
 
     zone: str
     cell: int
@@ -125,13 +127,14 @@
     started_ms: float = 0.0
     status: EndpointStatus = EndpointStatus.READY
     hash_key: int = 0
-    _router_state: EndpointState | None = None
+    router_state: EndpointState | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request to be routed. `session`: turns of one conversation; `opening`: a beginning of `opening_toks` tokens
-    that others share; `patience_ms`: until its client gives up; `whole`: it hears nothing before all of it is there."""
+    """A request to be routed. `session`: turns of one conversation; `prefix`: a beginning of `prefix_tokens` tokens
+    that others share; `client_timeout_ms`: until its client gives up; `whole`: it hears nothing before all of it is
+    there."""
 
     request_class: RequestClass
     session: str | None
@@ -141,7 +144,7 @@
     max_tokens: float
     client_timeout_ms: float
     whole: bool = False
-    _router_state: RequestState | None = None
+    router_state: RequestState | None = None
     tenant: Tenant | None = None
 
 
@@ -180,26 +183,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """A server's word on its load; None where the figure is not reported."""
+    """A load report of a server; None where the figure is not reported."""
 
     open_requests: float | None = None
     memory_share: float | None = None
 
 
-# What the host tells.
+# Events: what the host tells.
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointsUpdated:
-    """News of the servers, whose fields already hold it. A whole list leaves out those that are gone."""
+    """Something new of these servers, whose fields already hold it. A complete list leaves out removed ones."""
 
     servers: tuple[Server, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigChanged:
-    """Other settings from now on. What was taken in before keeps its product's terms; legs that are out end as they
-    began."""
+    """Other settings from now on. Requests that have arrived keep their class's terms, and attempts that are out
+    theirs."""
 
     router_config: RouterConfig
 
@@ -215,26 +218,26 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This gateway goes, and all that is not over by then is cut off. Told again, the earlier times hold."""
+    """This gateway shuts down; what is not over by then is cut off. Told again, the earlier times hold."""
 
     times: ShutdownTimes
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListFailed:
-    """A call for the list, or the subscription to its changes, came to nothing."""
+    """A request for the endpoint list, or the watch on its changes, has failed."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A generation to be answered: by a leg that streams, a Throttle or a Terminate."""
+    """A request to be answered: by an attempt that streams, a Reject or a Fail."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The leg's first token has come, `took_ms` after it was sent."""
+    """The attempt's first token has come, `took_ms` after it was sent."""
 
     request: Request
     server: Server
@@ -243,9 +246,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """`over`: the client has its final answer by this leg. `kept_toks`: so much of the prompt need not be read anew;
-    `state_lost`: a writer found nothing to go on with. `broken`: its client has a part of the answer, and another leg
-    may give the rest once GoOn says so."""
+    """An attempt has ended. `over`: the client has its final answer by it. `kept_tokens`: so much of the prompt was
+    cached; `state_lost`: a decode server found no state to go on with. `broken`: its client has a part of the answer,
+    and another attempt may give the rest once ResumeStream says so."""
 
     request: Request
     server: Server
@@ -260,21 +263,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ResumeStream:
-    """It is the turn of a generation whose stream broke; its prompt has grown by what its client has."""
+    """A request whose stream broke may go on; its prompt has grown by what its client has."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseConfirmed:
-    """A server has confirmed the newest release of what is held for it."""
+    """A server has confirmed the newest release of what is held for the request."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class ReservationResult:
-    """The answer to HoldAhead."""
+    """The answer to Reserve."""
 
     request: Request
     held: bool
@@ -291,14 +294,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """Nobody waits for it any more; its leg is called off by the host."""
+    """Nobody waits for it any more; its attempt is cancelled by the host."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A time asked for by Wake has come; `beat` says which of the two kinds."""
+    """A time asked for by StartTimer has come. `beat`: it is the tick; otherwise the next deadline of the router."""
 
     beat: bool
 
@@ -320,14 +323,15 @@
 )
 
 
-# What the module asks for.
+# Actions: what the router asks for.
 
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """`timeout_ms` runs until the first token; after it, a stream that is silent for `quiet_ms` has broken, and one
-    that is not over after `whole_ms`, counted from the send, comes too late for its client. Nothing of it may be sent
-    later than `begin_by_ms` from now, as no one drops the repeat of a generation any more."""
+    """Sends an attempt. `timeout_ms` runs until the first token; after it, a stream that is silent for
+    `idle_timeout_ms` has broken, and one that is not over after `total_timeout_ms`, counted from the send, comes too
+    late for its client. Nothing of it may be sent later than `start_within_ms` from now, as servers drop no repeat
+    after."""
 
     request: Request
     server: Server
@@ -339,14 +343,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stops the wait for the generation's leg that is out."""
+    """Stops the wait for the request's attempt that is out."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """The final answer "not now": nothing ran that a new try would double. Best after `pause_ms`."""
+    """The final answer "not now": nothing ran that a new request would double. `pause_ms`: its Retry-After."""
 
     request: Request
     pause_ms: float
@@ -355,7 +359,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """The final answer "given up": it may have run."""
+    """The final answer "given up": it may have run, and a new request could double its effect."""
 
     request: Request
     why: RejectReason = RejectReason.UNKNOWN
@@ -363,9 +367,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Releases what is held for it, at whichever server, but for what an attempt waits for that has arrived. `again`:
-    once more within the release time, as a read that ended unheard may yet leave a state, and nothing else is to
-    come."""
+    """Releases what is held for the request, at whichever server, but for what an attempt waits for that has arrived.
+    `again`: once more within the release time, as a prefill that ended unheard may yet leave a state, and nothing
+    else is to come."""
 
     request: Request
     again: bool = False
@@ -374,7 +378,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Asks a writer to keep a place free for it."""
+    """Asks a decode server to keep capacity free for the request."""
 
     request: Request
     server: Server
@@ -382,19 +386,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Asks how a server is, outside any generation."""
+    """Asks for a server's load report, outside any request."""
 
     server: Server
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Asks for the list's changes from now on."""
+    """Asks for the changes of the endpoint list from now on."""
 
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Asks for Woken at `at_ms`; each of the two kinds has one time at most, the newest."""
+    """Asks for TimerFired at `at_ms`; each of the two kinds has one time at most, the newest."""
 
     at_ms: float
     beat: bool
@@ -402,7 +406,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """Advice for the operators."""
+    """A line for the operators about a server."""
 
     server: Server
     text: str
--- a/ternlane/policy/prefix_affinity.py
+++ b/ternlane/policy/prefix_affinity.py
@@ -74,7 +74,7 @@
     def learn_cached(self, state: RequestState, attempt: Attempt, ended: AttemptEnded) -> None:
         """Takes in how much of a prompt the first preferred server had cached."""
         completed = ended.outcome is AttemptOutcome.PREFILLED
-        if not completed or attempt.server._router_state not in state.preferred[:1]:
+        if not completed or attempt.server.router_state not in state.preferred[:1]:
             return
         request = ended.request
         uncached = request.prompt_tokens - ended.kept_tokens
--- /dev/null
+++ b/ternlane/policy/request_flow.py
@@ -0,0 +1,297 @@
+"""The way of one request, from its arrival to its final answer.
+
+In order: `request_arrived`, `_enter`, `_place` (admission, then a pair of servers), `_start_attempt` (the prefill),
+`attempt_ended`, `reselect`, `_hand_over`, `_start_attempt` (the decode), `first_token`, `attempt_ended`. Every final
+answer that no attempt has given comes from `_give_up`.
+"""
+
+from __future__ import annotations
+
+from ternlane.policy import messages
+from ternlane.policy.actors import RouterContext
+from ternlane.policy.attempt import Attempt, Stage
+from ternlane.policy.congestion import memory_tokens
+from ternlane.policy.endpoint_messages import (
+    AttemptStarted,
+    CapacityReleased,
+    CapacityReserved,
+    EndpointUnreachable,
+    LoadReported,
+    Reselect,
+    StageEnded,
+)
+from ternlane.policy.endpoint_state import EndpointState, endpoint_of
+from ternlane.policy.lease import AttemptEnd
+from ternlane.policy.messages import AttemptOutcome, EndpointStatus, RejectReason, ReleaseReason, Request
+from ternlane.policy.outlier_detection import health_sign
+from ternlane.policy.placement import ServerPair
+from ternlane.policy.request_state import MayHaveRun, RequestState, state_of
+from ternlane.policy.retry_policy import NEVER_RAN
+from ternlane.policy.rules import Rules
+from ternlane.policy.timeouts import start_attempt
+
+# The least part of its estimate that a queue is believed to last, when the next prefill's time is foreseen.
+MIN_QUEUE_TRUST = 1 / 16
+
+
+def take_report(endpoint: EndpointState, report: messages.Report | None) -> None:
+    """Passes a load report on to its endpoint, if it tells of the memory."""
+    if report is not None and report.memory_share is not None:
+        endpoint.post(LoadReported(report.memory_share, report.open_requests))
+
+
+class RequestFlow:
+    """Takes requests through their phases (`request_state.py`), and asks the rules at each step."""
+
+    def __init__(self, context: RouterContext, rules: Rules) -> None:
+        self._context = context
+        self._rules = rules
+        self.unanswered: dict[RequestState, None] = {}  # without a first token and without a final answer
+
+    # -- from arrival to the first attempt
+
+    def request_arrived(self, request: Request) -> None:
+        now = self._context.now
+        request_class = request.request_class
+        objective_ms = request_class.slo_ms or request.client_timeout_ms
+        slo_ms = objective_ms + request_class.slo_per_1000_tokens_ms * request.prompt_tokens / 1000
+        draw = self._rules.draws.slow_start_draw()
+        state = RequestState(request, now + slo_ms, now + request.client_timeout_ms, draw)
+        request.router_state = state
+        self.unanswered[state] = None
+        self._rules.latency.learn_prompt(request)
+        self._rules.affinity.request_arrived(request)
+        if now >= self._rules.shutdown.admits_until:
+            self._give_up(state, RejectReason.SHUTDOWN)
+            return
+        if self._rules.reports_on_probe() and self._rules.probes.has_time(state):
+            state.preferred = self._rules.affinity.preferred_servers(request)
+            if self._rules.probes.ask_preferred(state):
+                return  # it is placed when they have answered, at the next tick at the latest
+        self._enter(state)
+
+    def _enter(self, state: RequestState) -> None:
+        """A new request queues behind those that wait; one that had an attempt already goes first."""
+        if self._rules.queue and not state.attempts:
+            self._enqueue(state)
+        else:
+            self._place(state)
+
+    def _enqueue(self, state: RequestState) -> None:
+        latest_start = self._rules.admission.latest_start(state)
+        if self._context.now >= latest_start:
+            self._give_up(state, RejectReason.QUEUED_TOO_LONG)
+        else:
+            self._rules.queue.add(state, latest_start)
+
+    def _place(self, state: RequestState) -> None:
+        """Sends the request to a pair of servers; where none has room, it waits before its prefill."""
+        reason = self._rules.admission.reject_reason(state)
+        if reason is not None:
+            self._give_up(state, reason)
+            return
+        pair = self._rules.placement.choose(state)
+        if pair is None:
+            state.found_no_room = True
+            if self._rules.admission.has_servers_for(state):
+                self._enqueue(state)
+            else:
+                self._give_up(state, RejectReason.NO_SERVER)
+            return
+        self._reserve(state, pair)
+        if self._rules.reports_on_probe() and pair.decode_server is not pair.prefill_server:
+            self._rules.probes.ask(pair.decode_server)  # its report comes while the prompt is prefilled
+        self._start_attempt(state, pair.prefill_server)
+
+    def _reserve(self, state: RequestState, pair: ServerPair) -> None:
+        self._rules.placement.set_home(state, pair)
+        state.prefill_server = pair.prefill_server
+        state.decode_server = pair.decode_server
+        for endpoint in dict.fromkeys(pair):
+            endpoint.post(CapacityReserved(state.request, memory_tokens(state.request, endpoint)))
+
+    def expire_queued(self, state: RequestState) -> None:
+        """It has waited for room until its time was too short."""
+        self._give_up(state, RejectReason.QUEUED_TOO_LONG)
+
+    def serve_queue(self) -> bool:
+        """Places the first request that finds room. True while there may be more to place."""
+        return self._rules.queue.drain(self._place, self.expire_queued)
+
+    # -- attempts
+
+    def _start_attempt(self, state: RequestState, endpoint: EndpointState) -> None:
+        """The only place that sends. Its callers have asked `Placement.is_eligible`."""
+        assert state.attempt is None and endpoint.server.status is EndpointStatus.READY
+        now = self._context.now
+        known = self._rules.endpoints[endpoint]
+        decodes = endpoint is state.decode_server
+        work_ms = 0.0 if decodes else self._rules.affinity.prefill_work_ms(endpoint, state)
+        stage = Stage.FIRST_TOKEN if decodes else Stage.PREFILL
+        usual_ms = max(self._rules.latency.usual_ms(state.request.request_class, stage), work_ms + known.queue_ms)
+        attempt = Attempt(
+            server=endpoint.server,
+            request=state.request,
+            decodes=decodes,
+            started_at=now,
+            stage_started_at=now,
+            usual_ms=usual_ms,
+            prefill_work_ms=work_ms,
+            expected_ms=work_ms + known.total_queue_ms / max(self._rules.latency.queue_trust, MIN_QUEUE_TRUST),
+            needs_connection=not known.connected,
+        )
+        state.start(attempt)
+        state.lease.attempt_begins()
+        endpoint.post(AttemptStarted(attempt))
+        window_ms = self._rules.retries.repeat_window_ms(state)
+        action = start_attempt(self._context, state, attempt, self._rules.reports_on_probe(), window_ms)
+        self._context.actions.append(action)
+
+    def first_token(self, state: RequestState, attempt: Attempt, took_ms: float) -> None:
+        request = state.request
+        endpoint = endpoint_of(attempt.server)
+        state.lease.attempt_answered()
+        self.unanswered.pop(state, None)
+        if state.prefill_server is not None and state.prefill_server is not state.decode_server:
+            state.prefill_server.post(CapacityReleased(request))
+        self._rules.recorder.first_token(endpoint, request, took_ms)
+        stream_ms = self._rules.latency.usual_ms(request.request_class, Stage.STREAM)
+        endpoint.post(StageEnded(attempt, True, stream_ms))
+
+    def attempt_ended(self, ended: messages.AttemptEnded) -> None:
+        state = state_of(ended.request)
+        endpoint = endpoint_of(ended.server)
+        attempt = state.attempt
+        state.attempt = None
+        take_report(endpoint, ended.report)
+        if attempt is None:
+            return  # the host has told of this end before
+        outcome = ended.outcome
+        endpoint.post(StageEnded(attempt, health_sign(outcome), None))
+        if outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET):
+            endpoint.post(EndpointUnreachable())
+        self._rules.recorder.attempt_ended(endpoint, state, attempt, ended)
+        if attempt.decodes and outcome not in NEVER_RAN and state.may_have_run is None:
+            state.may_have_run = MayHaveRun(attempt.started_at, ended.server)
+        state.lease.attempt_ended(AttemptEnd(outcome, endpoint.prefills, ended.state_lost), endpoint, self._context.now)
+        if state.over or ended.over:
+            self.close(state)
+        else:
+            state.attempt_ended()
+            self._after_attempt(state, endpoint, ended)
+
+    def _after_attempt(self, state: RequestState, endpoint: EndpointState, ended: messages.AttemptEnded) -> None:
+        """What follows an attempt whose client waits on."""
+        self._rules.held_state.schedule_release(state)
+        if ended.outcome is AttemptOutcome.CLIENT_GONE:
+            self._give_up(state, RejectReason.CLIENT_LEFT)
+            return
+        if ended.outcome is not AttemptOutcome.PREFILLED and not ended.state_lost:
+            state.tried.add(endpoint)  # a server that was full is not asked again either
+        if ended.broken:
+            # Its client has its first token, so only the deadline binds. The host says when to resume.
+            state.first_token_due = state.deadline
+            self._rules.held_state.release(state, ReleaseReason.STREAM_BROKE)
+            state.requeue()
+            return
+        endpoint.post(Reselect(state.request))
+
+    def prefill_overtaken(self, attempt: Attempt) -> None:
+        """Cancels a prefill whose answer will not come, if attempts for another pair are left."""
+        state = state_of(attempt.request)
+        if (
+            state.attempt is attempt
+            and not attempt.overtaken
+            and not state.over
+            and self._rules.config.may_cancel
+            and self._rules.retries.has_attempts_for_pair(state)
+        ):
+            attempt.overtaken = True
+            self._context.actions.append(messages.CancelAttempt(state.request))
+
+    # -- between two attempts
+
+    def reselect(self, state: RequestState) -> None:
+        """The next attempt, if the effect permits one: with a state at hand a decode, else a pair anew."""
+        if self._context.now >= self._rules.shutdown.answers_by:
+            self._give_up(state, RejectReason.SHUTDOWN)
+        elif self._rules.retries.is_spent(state):
+            self._give_up(state, RejectReason.ATTEMPTS_SPENT)
+        elif not any(self._rules.retries.permits(state, endpoint) for endpoint in self._rules.endpoints):
+            self._give_up(state, RejectReason.MAY_HAVE_RUN)
+        elif self._may_hand_over(state):
+            self._hand_over(state)
+        else:
+            self._rules.held_state.release(state, ReleaseReason.BEFORE_NEW_PREFILL)
+            state.requeue()
+            self._enter(state)
+
+    def _may_hand_over(self, state: RequestState) -> bool:
+        """Whether a state is held, and one more connection that never comes up would not outlast its release time."""
+        lease = state.lease
+        if lease.held_at is None:
+            return False
+        return self._context.now <= lease.since + self._context.limits.handover_within_ms
+
+    def _hand_over(self, state: RequestState) -> None:
+        """The state goes to the chosen decode server, or, if that has congested since, straight to the next best."""
+        chosen = state.decode_server
+        assert chosen is not None  # a prefill begins only once both servers are chosen
+        if self._still_takes_handover(chosen, state):
+            self._start_attempt(state, chosen)
+            return
+        pair = self._rules.placement.best_pair(state, state.lease.held_at)
+        if pair is not None:
+            chosen.post(CapacityReleased(state.request))
+            state.decode_server = pair.decode_server
+            tokens = memory_tokens(state.request, pair.decode_server)
+            pair.decode_server.post(CapacityReserved(state.request, tokens))
+            self._rules.placement.move_home(state)
+            self._start_attempt(state, pair.decode_server)
+        elif self._rules.placement.is_eligible(chosen, state) and self._accepts(chosen, state):
+            self._start_attempt(state, chosen)
+        else:  # the state is released, and the prompt, now cached, prefilled again
+            state.lease.held_at = None
+            self.reselect(state)
+
+    def _still_takes_handover(self, endpoint: EndpointState, state: RequestState) -> bool:
+        if not self._rules.placement.is_eligible(endpoint, state) or not self._accepts(endpoint, state):
+            return False
+        if self._rules.failures.fails_mostly(endpoint, state.request):
+            return False
+        if not self._rules.reports_on_probe():
+            return True  # its memory is reserved; only a report that came since could say that there is no room
+        return not self._rules.congestion.is_congested(self._rules.endpoints[endpoint], state)
+
+    def _accepts(self, endpoint: EndpointState, state: RequestState) -> bool:
+        return self._rules.congestion.accepts(self._rules.endpoints[endpoint], state)
+
+    # -- the end
+
+    def answer_before_the_end(self) -> None:
+        """The final answer for all that have no first token shortly before this gateway may be killed. An attempt that
+        is out is cancelled first: whether its request may be called rejected shows only once it has ended."""
+        if self._context.now < self._rules.shutdown.answers_by:
+            return
+        for state in list(self.unanswered):
+            attempt = state.attempt
+            if attempt is not None and self._rules.config.may_cancel:
+                self._context.actions.append(messages.CancelAttempt(state.request))
+                continue
+            if attempt is not None and state.may_have_run is None:
+                state.may_have_run = MayHaveRun(attempt.started_at, attempt.server)
+            self._give_up(state, RejectReason.SHUTDOWN)
+
+    def _give_up(self, state: RequestState, reason: RejectReason) -> None:
+        """The final answer, given at once: rejected wherever that is true, else failed."""
+        self._context.actions.append(self._rules.retries.final_answer(state, reason))
+        self.close(state)
+
+    def close(self, state: RequestState) -> None:
+        """It is over for its client. What an attempt that is out holds is released when it ends."""
+        state.close()
+        self.unanswered.pop(state, None)
+        if state.attempt is None:
+            self._rules.held_state.release(state, ReleaseReason.REQUEST_OVER)
+        elif self._rules.config.may_cancel:
+            self._context.actions.append(messages.CancelAttempt(state.request))
--- a/ternlane/policy/request_state.py
+++ b/ternlane/policy/request_state.py
@@ -114,7 +114,7 @@
 
 def state_of(request: Request) -> RequestState:
     """The state of a request that has arrived; otherwise UnknownRequest."""
-    state = request._router_state
+    state = request.router_state
     if state is None:
         raise UnknownRequest("the request has not arrived")
     return state
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -11,7 +11,7 @@
 
 def test_a_session_keeps_a_near_home(host: FakeHost) -> None:
     first, attempt = host.written(session="s")
-    prefill_server = first._router_state.prefill_server.server
+    prefill_server = first.router_state.prefill_server.server
     assert attempt.server.cell == prefill_server.cell
     host.first(first, attempt.server)
     host.end(first, attempt.server, AttemptOutcome.STREAMED, over=True)
@@ -57,13 +57,13 @@
 def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
     host = build(max_attempts=2)  # none is called off
     prefill_server = sent(host.arrive(host.request(session="a", prompt_tokens=3e3))).server
-    full = host.router.scheduler.endpoints[prefill_server._router_state].queue_ms
+    full = host.router.scheduler.rules.endpoints[prefill_server.router_state].queue_ms
     later = host.request(session="a", prompt_tokens=100.0)
     assert full > 0 and sent(host.arrive(later, after=10.0)).server is prefill_server
     host.end(later, prefill_server, AttemptOutcome.PREFILLED, after=10.0)
     assert (
-        host.router.scheduler.endpoints[prefill_server._router_state].queue_ms == 0
-        and len(prefill_server._router_state.attempts) == 1
+        host.router.scheduler.rules.endpoints[prefill_server.router_state].queue_ms == 0
+        and len(prefill_server.router_state.attempts) == 1
     )
 
 
@@ -196,7 +196,7 @@
 def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
     request = host.request()
     attempt = sent(host.arrive(request))
-    home = request._router_state.decode_server.server
+    home = request.router_state.decode_server.server
     host.list(**{name: EndpointStatus.DRAINING for name, s in host.servers.items() if s is home})
     assert sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED)).server is not home
     later = host.request()
@@ -250,7 +250,7 @@
     big = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
     assert messages.Reject not in kinds(said)
-    waiting = [g for g in big if g._router_state.attempt is None]
+    waiting = [g for g in big if g.router_state.attempt is None]
     late = host.tell(after=6000.0)
     assert waiting and {a.request for a in late if isinstance(a, messages.Reject)} == set(waiting)
 
@@ -300,7 +300,7 @@
         host = build(extra=("w0a", "w0b", "w1a", "w1b"), gateways=130, seed=seed)
         request = host.request(session="s")
         host.arrive(request)
-        chosen.add(next(name for name, s in host.servers.items() if s is request._router_state.decode_server.server))
+        chosen.add(next(name for name, s in host.servers.items() if s is request.router_state.decode_server.server))
     assert len(chosen) == 3  # all in the cell of the one reader that they agree on
 
 
@@ -327,7 +327,7 @@
             host.arrive(host.request(prefix=f"x{i}"))
         request = host.request(session="s", prefix="shared")
         host.arrive(request)
-        seen.append({engine.server.hash_key for engine in request._router_state.preferred})
+        seen.append({engine.server.hash_key for engine in request.router_state.preferred})
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
 
 
@@ -363,13 +363,13 @@
     ill = host.servers["w0"]
     for _ in range(30):
         serve(host, host.request(prefix=None, tenant=messages.Tenant()), ill, None)
-    assert not host.router.scheduler.failures.any_known()  # type: ignore[attr-defined]
+    assert not host.router.scheduler.rules.failures.any_known()  # type: ignore[attr-defined]
     while not serve(host, host.request(prefix=None), ill, AttemptOutcome.ERROR):
         pass
-    assert host.router.scheduler.failures.any_known()  # type: ignore[attr-defined]
+    assert host.router.scheduler.rules.failures.any_known()  # type: ignore[attr-defined]
     for _ in range(60):
         serve(host, host.request(prefix=None), ill, None)
-    assert not host.router.scheduler.failures.any_known()  # type: ignore[attr-defined]
+    assert not host.router.scheduler.rules.failures.any_known()  # type: ignore[attr-defined]
 
 
 def test_a_last_try_without_time_for_a_first_token_is_answered_at_once(host: FakeHost) -> None:
@@ -392,24 +392,24 @@
     for i in range(40):  # none of them fits anywhere
         host.arrive(host.request(prompt_tokens=250e3 + i, prefix=None, prefix_tokens=0.0, client_timeout_ms=60e3))
     scheduler, tries = host.router.scheduler, 0
-    best = scheduler.placement.best_pair  # type: ignore[attr-defined]
+    best = scheduler.rules.placement.best_pair  # type: ignore[attr-defined]
 
     def counted(course: object) -> None:
         nonlocal tries
         tries += 1
         return best(course)
 
-    scheduler.placement.best_pair = counted  # type: ignore[attr-defined]
+    scheduler.rules.placement.best_pair = counted  # type: ignore[attr-defined]
     host.tell(
         *(messages.AttemptEnded(request, server, AttemptOutcome.CLIENT_GONE, 10.0, True) for request, server in out)
     )
-    assert len(scheduler.queue) == 40 and 1 <= tries <= 3  # type: ignore[attr-defined]
+    assert len(scheduler.rules.queue) == 40 and 1 <= tries <= 3  # type: ignore[attr-defined]
 
 
 def test_a_short_prompt_passes_a_long_one_that_finds_no_room(host: FakeHost) -> None:
     long = host.request(prompt_tokens=250e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0, client_timeout_ms=60e3)
     host.arrive(long)
-    assert long._router_state.attempt is None
+    assert long.router_state.attempt is None
     assert kinds(host.arrive(host.request(prompt_tokens=200.0, prefix=None, prefix_tokens=0.0))) == [
         messages.StartAttempt
     ]
@@ -469,7 +469,7 @@
         request, attempt = host.written(session=f"s{i}", prefix=f"o{i}")
         host.first(request, attempt.server, after=5.0)
     host.tell(after=600.0)
-    engines = [host.servers[name]._router_state for name in ("w0", "w1")]
+    engines = [host.servers[name].router_state for name in ("w0", "w1")]
     held = sum(share for engine in engines for _, share in engine.reservations.values()) / 2
     assert held > 0 and engines[0].fleet.memory_level > 0.9 * 2 * held  # two gateways that do alike
 
@@ -487,22 +487,22 @@
 
 
 def test_servers_that_went_and_openings_of_old_are_forgotten(host: FakeHost) -> None:
-    endpoints = host.router.scheduler.endpoints
+    endpoints = host.router.scheduler.rules.endpoints
     busy, attempt = host.written()
     for turn in range(300):
         new = Server("east", 0, messages.Role.PREFILL, 200e3, hash_key=turn)
         host.tell(messages.EndpointsUpdated((new,)))
         new.status = EndpointStatus.REMOVED
         host.tell(messages.EndpointsUpdated((new,)))
-        host.router.scheduler.affinity.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
+        host.router.scheduler.rules.affinity.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
         host.tell(messages.TimerFired(True), after=100.0)
-    assert len(endpoints) < 20 and len(host.router.scheduler.affinity.prefix_popularity) <= 4096 + 200
+    assert len(endpoints) < 20 and len(host.router.scheduler.rules.affinity.prefix_popularity) <= 4096 + 200
     attempt.server.status = EndpointStatus.REMOVED  # one that still has a leg stays until it has ended
     host.tell(messages.EndpointsUpdated((attempt.server,)))
     for _ in range(8):
         host.tell(messages.TimerFired(True), after=100.0)
-    assert attempt.server._router_state in endpoints
+    assert attempt.server.router_state in endpoints
     host.end(busy, attempt.server, AttemptOutcome.RESET, over=True)
     for _ in range(8):
         host.tell(messages.TimerFired(True), after=100.0)
-    assert attempt.server._router_state not in endpoints
+    assert attempt.server.router_state not in endpoints
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -66,7 +66,7 @@
         )
         made = Router(router_config)
         self.mine = getattr(self, "mine", {})
-        self.mine[nth] = [replace(s, _router_state=None) for s in self.servers]
+        self.mine[nth] = [replace(s, router_state=None) for s in self.servers]
         self.act(nth, made.take(self.now, [messages.EndpointsUpdated(tuple(self.mine[nth]))]))
         return made
 
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -108,7 +108,9 @@
     host = build(gateways=200)
     streaming(host, 8)
     host.tell(after=3000.0)
-    assert host.router.scheduler.fleet.stats[messages.Role.DECODE].memory_level > 1.0  # the guess: all of them are full
+    assert (
+        host.router.scheduler.rules.fleet.stats[messages.Role.DECODE].memory_level > 1.0
+    )  # the guess: all of them are full
     assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
@@ -118,7 +120,7 @@
         sent(host.arrive(host.request(prefix=None, prefix_tokens=0.0), after=50.0))
     host.tell(after=300.0)
     assert (
-        host.router.scheduler.fleet.stats[messages.Role.PREFILL].queue_ms > 1000.0
+        host.router.scheduler.rules.fleet.stats[messages.Role.PREFILL].queue_ms > 1000.0
     )  # the guess: longer than the SLO time
     assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
@@ -145,11 +147,11 @@
     host = build(extra=tuple(f"r{n}" for n in range(2, 90)), gateways=200)
     request = host.request(prefix="new")
     host.arrive(request)
-    assert len(request._router_state.preferred) == 2
+    assert len(request.router_state.preferred) == 2
     for _ in range(20):
         request = host.request(prefix="new")
         host.arrive(request)
-    assert len(request._router_state.preferred) > 20  # it is popular by now
+    assert len(request.router_state.preferred) > 20  # it is popular by now
 
 
 def late_request(host: FakeHost) -> list[Any]:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -187,7 +187,7 @@
     first = Request(request_class, "a", None, 0.0, 800.0, 400.0, 7000.0)
     fleet.of[first] = ClientRequest("chat", first, "a", fleet.now)
     fleet.tell(0, messages.RequestArrived(first))
-    home = fleet.routers[0].scheduler.placement.homes["a"]  # type: ignore[attr-defined]
+    home = fleet.routers[0].scheduler.rules.placement.homes["a"]  # type: ignore[attr-defined]
     fleet.held[fleet.servers[0].index(home.decode_server.server)] = MEMORY_TOKENS
     for _ in range(8):
         turn = Request(request_class, "a", None, 0.0, 800.0, 400.0, 7000.0)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -194,7 +194,7 @@
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
     request, attempt = host.written(session="s")
-    home = request._router_state.prefill_server.server
+    home = request.router_state.prefill_server.server
     host.first(request, attempt.server)
     host.end(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
     host.tell(
@@ -231,7 +231,7 @@
     while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
         answered = host.now
-    assert answered <= request._router_state.deadline - 0.5 * patience
+    assert answered <= request.router_state.deadline - 0.5 * patience
 
 
 @pytest.mark.parametrize(
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -140,11 +140,13 @@
     async with platform("r0", "w0", told=settings(name)) as p:
         scheduler = p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         p.gateway.begin_drain()
-        assert scheduler.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
+        assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
         short = [one | {"deadline": 900.0} for one in settings(name)["profiles"]]
         p.gateway.node.alter(Deployment(1, settings(name) | {"profiles": short}))
         p.gateway.begin_drain()
-        assert scheduler.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(900.0 + process.ENDS_MS, abs=50)
+        assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(
+            900.0 + process.ENDS_MS, abs=50
+        )
 
 
 def test_servers_that_do_both_are_known_where_a_variant_has_them() -> None:
@@ -191,11 +193,11 @@
         await switch(p, other)
         assert not mine & set(node.deployment.request_classes.values())
         assert not mine & (
-            scheduler.latency.mean_prompt_tokens.keys()
-            | scheduler.latency.learnt_at.keys()
-            | scheduler.affinity.cached_share.keys()
+            scheduler.rules.latency.mean_prompt_tokens.keys()
+            | scheduler.rules.latency.learnt_at.keys()
+            | scheduler.rules.affinity.cached_share.keys()
         )
-        assert not mine & {request_class for request_class, _ in scheduler.latency.usual}
+        assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
         client.sock.close()
@@ -206,7 +208,7 @@
         await until(lambda: not node.active_requests)
         kept = set(node.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
-        assert {request_class for request_class in scheduler.latency.mean_prompt_tokens} <= kept
+        assert {request_class for request_class in scheduler.rules.latency.mean_prompt_tokens} <= kept
         await p.settled()
 
 
