--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -329,7 +329,7 @@
         scheduler = p.gateway.node.chooser.scheduler  # type: ignore[attr-defined]
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
         await until(lambda: p.gateway.node.endpoint_registry.servers["r0"].status.name == "DRAINING")
-        scheduler.admission.has_servers_for = lambda course: True  # it waits, rather than being rejected at once
+        scheduler.rules.admission.has_servers_for = lambda course: True  # it waits, rather than being rejected at once
         clients = [Client(p.address) for _ in range(40)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="10"))
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -280,15 +280,19 @@
         for _ in range(3):
             assert (await p.ask()).status == 200
         old = node.deployment.request_classes["summary"]
-        assert old in scheduler.latency.mean_prompt_tokens
+        assert old in scheduler.rules.latency.mean_prompt_tokens
         other = [profile | {"aim": 700.0} for profile in TOLD["profiles"]]
         reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
         new = node.deployment.request_classes["summary"]
-        tables = scheduler.latency.mean_prompt_tokens, scheduler.latency.learnt_at, scheduler.affinity.cached_share
+        tables = (
+            scheduler.rules.latency.mean_prompt_tokens,
+            scheduler.rules.latency.learnt_at,
+            scheduler.rules.affinity.cached_share,
+        )
         assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
-        assert scheduler.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # as if nothing had been met yet
+        assert scheduler.rules.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # as if nothing had been met yet
         reload(p, tmp_path, monkeypatch, TOLD)  # and back: its terms are new ones again
-        assert scheduler.latency.usual_ms(node.deployment.request_classes["summary"], Stage.PREFILL) == 500.0 / 8
+        assert scheduler.rules.latency.usual_ms(node.deployment.request_classes["summary"], Stage.PREFILL) == 500.0 / 8
         assert (await p.ask()).status == 200
         await p.settled()
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -76,7 +76,7 @@
         await until(lambda: replies)
         assert replies[0].status == 200
         assert [n for n, k, _ in p.fleet.seen if n in (name, other)] == [other]
-        assert not p.gateway.node.chooser.scheduler.endpoints[servers[name]._router_state].ejected  # type: ignore[attr-defined]
+        assert not p.gateway.node.chooser.scheduler.rules.endpoints[servers[name].router_state].ejected  # type: ignore[attr-defined]
         await p.settled()
 
 
@@ -131,7 +131,7 @@
         request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
     )  # 400 of 500 ms, and 250 to connect
     assert messages.Release in kinds(said) and sent(said).server.role is messages.Role.PREFILL
-    assert not host.router.scheduler.endpoints[attempt.server._router_state].ejected
+    assert not host.router.scheduler.rules.endpoints[attempt.server.router_state].ejected
 
 
 # -- the time that is left
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -217,8 +217,8 @@
         stream.socket.close()
         await trio.sleep(0.3)
         assert p.fleet.count("read") == 0 and p.gateway.node.counts["read MOOT"] == 1
-        assert not p.gateway.node.chooser.scheduler.endpoints[  # type: ignore[attr-defined]
-            p.gateway.node.endpoint_registry.servers["r0"]._router_state
+        assert not p.gateway.node.chooser.scheduler.rules.endpoints[  # type: ignore[attr-defined]
+            p.gateway.node.endpoint_registry.servers["r0"].router_state
         ].ejected  # it did nothing wrong
         assert (await p.ask()).status == 200 and opened.count(p.servers["r0"].address) == 1
         await p.settled()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -226,7 +226,7 @@
             for _ in range(12):
                 nursery.start_soon(p.ask)
             await trio.sleep(0.2)
-            endpoints = p.gateway.node.chooser.scheduler.endpoints  # type: ignore[attr-defined]
+            endpoints = p.gateway.node.chooser.scheduler.rules.endpoints  # type: ignore[attr-defined]
             names = {s: endpoint.name for s, endpoint in p.gateway.node.endpoint_registry.endpoints.items()}
             believed = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
             assert believed == dict(+p.fleet.open) and sum(believed.values()) >= 8
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -56,14 +56,14 @@
                     nursery.start_soon(client, turn * each + nth)
         assert outcomes.count(200) > rounds * each / 2
         await p.settled()
-        scheduler.placement.homes.update(
+        scheduler.rules.placement.homes.update(
             {
-                f"old{n}": scheduler.placement.homes[next(iter(scheduler.placement.homes))]
+                f"old{n}": scheduler.rules.placement.homes[next(iter(scheduler.rules.placement.homes))]
                 for n in range(3 * MAX_COUNTED_PREFIXES)
             }
         )
         with trio.fail_after(3):  # at the module's next looks
-            while len(scheduler.placement.homes) > MAX_HOMES or len(scheduler.endpoints) > len(
+            while len(scheduler.rules.placement.homes) > MAX_HOMES or len(scheduler.rules.endpoints) > len(
                 node.endpoint_registry.servers
             ):
                 await trio.sleep(0.02)
@@ -73,27 +73,27 @@
             and not node.idents
             and not node.ended
             and not node.releasing
-            and not scheduler.queue
+            and not scheduler.rules.queue
         )
         assert (
             len(node.records) == TRAILS
-            and sum(scheduler.affinity.prefix_popularity.values()) <= 2 * MAX_COUNTED_PREFIXES
+            and sum(scheduler.rules.affinity.prefix_popularity.values()) <= 2 * MAX_COUNTED_PREFIXES
         )
         assert (
             len(node.engines.heard) <= len(node.endpoint_registry.endpoints) == len(node.endpoint_registry.servers) == 3
         )
-        assert all(not e.attempts and not e.reservations for e in scheduler.endpoints)
+        assert all(not e.attempts and not e.reservations for e in scheduler.rules.endpoints)
         assert front.conns == len(front.idle) == 0 and len(pool.open) == len(pool.resting)
         for name in list(p.servers):
             p.discovery.put(name, "", "writer", "DELETED")
         with trio.fail_after(3):
-            while scheduler.endpoints or pool.open or node.engines.heard:
+            while scheduler.rules.endpoints or pool.open or node.engines.heard:
                 await trio.sleep(0.02)
 
 
 async def test_what_is_in_memory_does_not_follow_the_number_of_clients() -> None:
     async with platform("r0", "w0") as p:
-        homes = p.gateway.node.chooser.scheduler.placement.homes  # type: ignore[attr-defined]
+        homes = p.gateway.node.chooser.scheduler.rules.placement.homes  # type: ignore[attr-defined]
 
         async def some(count: int) -> int:
             for _ in range(count // 40):
@@ -118,8 +118,10 @@
         for last in "aab":
             info = f"prefix={'p' * 3000}{last},prompt_len=20,prefix_len=8"
             assert (await p.ask(Affinity_Key="k" * 9000 + last, Request_Info=info)).status == 200
-        assert len(scheduler.placement.homes) == len(scheduler.affinity.prefix_popularity) == 2
-        assert all(len(name) == 64 for name in [*scheduler.placement.homes, *scheduler.affinity.prefix_popularity])
+        assert len(scheduler.rules.placement.homes) == len(scheduler.rules.affinity.prefix_popularity) == 2
+        assert all(
+            len(name) == 64 for name in [*scheduler.rules.placement.homes, *scheduler.rules.affinity.prefix_popularity]
+        )
 
 
 async def test_what_was_learnt_of_products_that_a_reload_took_away_is_forgotten(
@@ -133,11 +135,11 @@
             for name in ("summary", "note"):
                 assert (await p.ask(Request_Class=name)).status == 200
         assert (
-            len(scheduler.latency.mean_prompt_tokens)
-            == len(scheduler.latency.learnt_at)
-            == len(scheduler.affinity.cached_share)
+            len(scheduler.rules.latency.mean_prompt_tokens)
+            == len(scheduler.rules.latency.learnt_at)
+            == len(scheduler.rules.affinity.cached_share)
             == 2
-            and len(scheduler.latency.usual) <= 6
+            and len(scheduler.rules.latency.usual) <= 6
         )
         await p.settled()
 
@@ -372,7 +374,7 @@
         w1=lambda i: "first_not_json" if i.endswith("6") else "",
     ) as p:
         node = p.gateway.node
-        endpoints = node.chooser.scheduler.endpoints  # type: ignore[attr-defined]
+        endpoints = node.chooser.scheduler.rules.endpoints  # type: ignore[attr-defined]
         for server in p.servers.values():
             server.events, server.event_ms = 20, 10.0
         agreed = 0
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -222,7 +222,7 @@
             out = super().take(now, events)
             for action in list(out):
                 if isinstance(action, messages.StartAttempt) and action.server.role is messages.Role.PREFILL:
-                    out.append(messages.Reserve(action.request, action.request._router_state.decode_server.server))
+                    out.append(messages.Reserve(action.request, action.request.router_state.decode_server.server))
             told.extend(e for e in events if isinstance(e, messages.ReservationResult))
             return out
 
