--- a/ternlane/config/__init__.py
+++ b/ternlane/config/__init__.py
@@ -2,27 +2,27 @@
 
 from ternlane.config.gateway import (
     ConsulSource,
-    ServerLimits,
     FileSource,
     FleetConfig,
     GatewayConfig,
     InlineSource,
     NodeLine,
     RequestClassConfig,
+    ServerLimits,
     StreamConfig,
 )
 from ternlane.config.reading import ConfigError, checked, read_config, read_text
 
 __all__ = [
+    "ConfigError",
     "ConsulSource",
-    "ServerLimits",
     "FileSource",
     "FleetConfig",
     "GatewayConfig",
     "InlineSource",
     "NodeLine",
-    "ConfigError",
     "RequestClassConfig",
+    "ServerLimits",
     "StreamConfig",
     "checked",
     "read_config",
--- /dev/null
+++ b/ternlane/config/field_lines.py
@@ -0,0 +1,66 @@
+"""The line on which each field of a JSON5 text begins, for the messages of refused documents."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass, field
+
+TOKEN = re.compile(r"""//[^\n]*|/\*.*?\*/|"(?:\\.|[^"\\])*"|'(?:\\.|[^'\\])*'|[{}\[\]:,]|[^\s{}\[\]:,"'/]+""", re.S)
+COMMENT = ("//", "/*")
+QUOTES = "\"'"
+
+
+def field_lines(text: str) -> dict[str, int]:
+    """The lines, from 1, by path (`$.a.b[0]`). The text must be well-formed; of a field that stands twice the first
+    counts."""
+    walk = _Walk()
+    line = 1
+    position = 0
+    for found in TOKEN.finditer(text):
+        line += text.count("\n", position, found.start())
+        position = found.start()
+        if not found.group().startswith(COMMENT):
+            walk.token(found.group(), line)
+    return walk.lines
+
+
+@dataclass
+class _Container:
+    """An object or array that is open."""
+
+    path: str
+    is_array: bool
+    index: int = 0  # of the next value in an array
+
+
+@dataclass
+class _Walk:
+    """Where in the document a sequence of tokens has come to."""
+
+    lines: dict[str, int] = field(default_factory=lambda: {"$": 1})
+    open: list[_Container] = field(default_factory=list)
+    key: str | None = None  # path of the key whose value is to come
+
+    def token(self, token: str, line: int) -> None:
+        inner = self.open[-1] if self.open else None
+        if token in "}]":
+            self.open.pop()
+            self.key = None
+        elif token == ",":
+            self.key = None
+            if inner is not None:
+                inner.index += 1
+        elif token == ":":
+            return
+        elif inner is not None and not inner.is_array and self.key is None:
+            self.key = f"{inner.path}.{token.strip(QUOTES)}"
+            self.lines.setdefault(self.key, line)
+        else:
+            self._value(token, line, inner)
+
+    def _value(self, token: str, line: int, inner: _Container | None) -> None:
+        path = self.key or ("$" if inner is None else f"{inner.path}[{inner.index}]")
+        self.lines.setdefault(path, line)
+        if token in "{[":
+            self.open.append(_Container(path, is_array=token == "["))
+            self.key = None
--- a/ternlane/document_keys.py
+++ b/ternlane/document_keys.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-# The field of a struct -> the key of the document.
+# The field of a struct -> the key of the document. A field that is not here has its own name as its key.
 DOCUMENT_KEYS = {
     "answer_tokens": "answer_toks",
     "block_tokens": "block_toks",
