--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from ternlane.http1 import ConnectionPool, ConnectError
+from ternlane.http1 import ConnectError, ConnectionPool
 from ternlane.http1.connection_age import OFTEN, ConnectionAge
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
@@ -51,7 +51,7 @@
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, peer.serve, [listener])
-        address = "127.0.0.1:%d" % listener.socket.getsockname()[1]
+        address = f"127.0.0.1:{listener.socket.getsockname()[1]}"
         pool = ConnectionPool(1000, 10_000)
         outcomes = []
         for _ in range(12):
@@ -89,7 +89,7 @@
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, serve, [listener])
-        caller = await ConnectionPool(1000, 1000).take("127.0.0.1:%d" % listener.socket.getsockname()[1])
+        caller = await ConnectionPool(1000, 1000).take(f"127.0.0.1:{listener.socket.getsockname()[1]}")
         with pytest.raises(trio.BrokenResourceError if reads_all else ConnectError):
             await caller.ask("POST", "/", [], body)
         assert caller.written is reads_all
@@ -112,7 +112,7 @@
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, serve, [listener])
-        pool, peer = ConnectionPool(1000, 1000), "127.0.0.1:%d" % listener.socket.getsockname()[1]
+        pool, peer = ConnectionPool(1000, 1000), f"127.0.0.1:{listener.socket.getsockname()[1]}"
         for turn in range(3):
             caller = await pool.take(peer)
             await caller.ask("GET", "/", [])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -29,18 +29,23 @@
 import pytest
 
 import ternlane
-from ternlane.scenarios.parts import Scene as DayScene
-from ternlane.scenarios.play import rules_of as day_rules
-from ternlane.scenarios.report import report_of as day_report
-from ternlane.scenarios.script import DayScript as DayDocument
+from ternlane.config import ConfigError as DocumentError
+from ternlane.config import GatewayConfig as GatewayDocument
+from ternlane.config import NodeLine
+from ternlane.config import read_config as read_document
+from ternlane.config import read_text as read_document_text
 from ternlane.deployment import Deployment
+from ternlane.discovery.endpoint_cache import Torn as TornFile
+from ternlane.discovery.endpoint_cache import keep as write_node_list
+from ternlane.discovery.endpoint_cache import kept as read_node_list
 from ternlane.emulator.describe import EngineKind as EmulatorDocument
+from ternlane.gateway.active_request import Failed as TerminatedAnswer
+from ternlane.gateway.active_request import Streamed as StreamedAnswer
 from ternlane.gateway.daemon import drop_pid as drop_process_id
 from ternlane.gateway.daemon import write_pid as write_process_id
-from ternlane.gateway.journal_writer import JOURNAL, JournalWriter as JournalKeeper
+from ternlane.gateway.journal_writer import JOURNAL
+from ternlane.gateway.journal_writer import JournalWriter as JournalKeeper
 from ternlane.gateway.journal_writer import final_of as final_answer_of
-from ternlane.gateway.active_request import Streamed as StreamedAnswer
-from ternlane.gateway.active_request import Failed as TerminatedAnswer
 from ternlane.ledger import BillingLedger as Store
 from ternlane.ledger import Disk
 from ternlane.ledger import SegmentedLog as Segmented
@@ -48,24 +53,21 @@
 from ternlane.ledger.billing_report import read_entries as entries_of
 from ternlane.ledger.quota_lease_file import open_quota_leases as lender_file
 from ternlane.load.plan import LoadConfig as LoadDocument
-from ternlane.discovery.endpoint_cache import Torn as TornFile
-from ternlane.discovery.endpoint_cache import keep as write_node_list
-from ternlane.discovery.endpoint_cache import kept as read_node_list
-from ternlane.config import GatewayConfig as GatewayDocument
-from ternlane.config import NodeLine, ConfigError as DocumentError
-from ternlane.config import read_config as read_document
-from ternlane.config import read_text as read_document_text
 from ternlane.platform.endpoint_registry import EndpointList, read_listing
 from ternlane.platform.settings import File as PlatformDocument
 from ternlane.platform.settings import Unfit as UnfitError
 from ternlane.platform.settings import read_post as read_platform_configuration
 from ternlane.recovery.inflight import Record as JournalRecord
 from ternlane.rules.check import check_folder as judge_folder
-from ternlane.testing.traffic import Progress as ProgressLines
-from ternlane.testing.traffic import Traffic as TrafficLines
+from ternlane.scenarios.parts import Scene as DayScene
+from ternlane.scenarios.play import rules_of as day_rules
+from ternlane.scenarios.report import report_of as day_report
+from ternlane.scenarios.script import DayScript as DayDocument
 from ternlane.tenants.billing import LedgerEntry as BillEntry
 from ternlane.tenants.tenant_registry import TenantRegistry as Tenants
 from ternlane.tenants.tenant_registry import TenantRegistryConfig as TenantsDocument
+from ternlane.testing.traffic import Progress as ProgressLines
+from ternlane.testing.traffic import Traffic as TrafficLines
 
 ROOT = Path(__file__).parent.parent
 STORED = Path(__file__).parent / "data" / "stored"
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -6,15 +6,15 @@
 import os
 import subprocess
 import sys
+from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any, AsyncIterator
+from typing import Any
 
 import msgspec
 import pytest
 import trio
 
-from tests.world import BUILD, Reply, World, replace, world
 from ternlane.gateway.active_request import ActiveRequest
 from ternlane.ledger import BillingLedger, Disk
 from ternlane.ledger.billing_report import bill_rows, read_entries
@@ -22,6 +22,7 @@
 from ternlane.ledger.reconciliation import reconcile
 from ternlane.tenants import ApiKey, Budget, Prices, Tenant, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
+from tests.world import BUILD, Reply, World, replace, world
 
 
 class Bank:
