--- a/ternlane/cli/day.py
+++ b/ternlane/cli/day.py
@@ -34,7 +34,8 @@
     from ternlane.scenarios.play import CantPlay, Player
     from ternlane.scenarios.script import DayScript
 
-    script, text = load_document(file, DayScript), Path(file).read_text()
+    script = load_document(file, DayScript)
+    text = Path(file).read_text()
     if seed is not None or without:
         script, text = changed_script(script, seed, without)
     folder = Path(out) if out else Path("found") / "days" / script.name
--- a/ternlane/config/field_lines.py
+++ b/ternlane/config/field_lines.py
@@ -42,6 +42,7 @@
     key: str | None = None  # path of the key whose value is to come
 
     def token(self, token: str, line: int) -> None:
+        """Takes in the next token, which stands on this line."""
         inner = self.open[-1] if self.open else None
         if token in "}]":
             self.open.pop()
--- a/ternlane/tenants/usage_accounting.py
+++ b/ternlane/tenants/usage_accounting.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ternlane.tenants.answer_length import AnswerLengthEstimator
 from ternlane.tenants.billing import Bill, LedgerEntry
@@ -25,6 +26,26 @@
 ALL_CLASSES = ""
 
 
+class SettledTwiceError(RuntimeError):
+    """A reservation was settled again, which would bill its request twice: a defect of the caller."""
+
+
+class LeaseDemand(NamedTuple):
+    """Tokens to draw from the shared bucket (negative: to give back), and how many the meter has room for then."""
+
+    tokens: float
+    target: float
+
+
+class PeriodShortage(NamedTuple):
+    """A meter that has spent most of what it may of its period, whose budget is so many tokens."""
+
+    tenant: str
+    request_class: str
+    period: str
+    budget: int
+
+
 @dataclass
 class UsageAccounting:
     """Budgets of all tenants at one gateway, which has `gateways` in all. With `leases_quota` a shared table can be
@@ -142,9 +163,9 @@
         key: str = "",
         pieces: int | None = None,
     ) -> LedgerEntry:
-        """Charges the budgets with what was used; the entry is for the ledger. Raises AssertionError for a reservation
-        that was settled before, which would bill it twice."""
-        assert not reservation.settled, f"{request} settled twice"
+        """Charges the budgets with what was used; the entry is for the ledger. Raises SettledTwiceError."""
+        if reservation.settled:
+            raise SettledTwiceError(request)
         reservation.settled = True
         tenant = reservation.tenant
         billed, odd = plausible_usage(reservation, bill.billed, pieces)
@@ -184,13 +205,13 @@
             found = self.borrowers[tenant.name] = QuotaBorrower()
         return found
 
-    def wants(self, tenant: Tenant, now: float, wall: float) -> tuple[float, float]:
-        """Tokens to draw from the shared bucket (negative: to give back, taken out here at once), and the target of
-        this look. Only the tenant's budget for all request classes is leased."""
+    def wants(self, tenant: Tenant, now: float, wall: float) -> LeaseDemand:
+        """What the tenant's traffic demands until the next look. Tokens to give back are taken out here at once. Only
+        the tenant's budget for all request classes is leased."""
         borrower = self.borrowers.get(tenant.name)
         meter = self.meters.get((tenant.name, ALL_CLASSES))
         if borrower is None or meter is None or meter.budget.minute is None:
-            return 0.0, 0.0
+            return LeaseDemand(0.0, 0.0)
         meter.advance(now, wall)
         shared_burst = (1 - RESERVED_SHARE) * meter.budget.most_saved
         target = borrower.target(IDLE_BURST_SHARE * shared_burst / self.gateways)
@@ -199,7 +220,7 @@
             meter.draw(-surplus, target)
         if not target and not meter.leased:
             del self.borrowers[tenant.name]
-        return -surplus, target
+        return LeaseDemand(-surplus, target)
 
     def least(self, tenant: str) -> float:
         """Tokens that let one more request of the tenant in."""
@@ -209,13 +230,12 @@
             return 0.0
         return borrower.missing_for_one(meter.level)
 
-    def short_of_period(self) -> list[tuple[str, str, str, int]]:
-        """Meters that have spent most of what they may of their period: tenant, request class, period, the budget's
-        tokens of the period."""
+    def short_of_period(self) -> list[PeriodShortage]:
+        """Meters that need another chunk of their period's pool."""
         if not self.leases_quota:
             return []
         return [
-            (tenant, request_class, meter.period.name, meter.budget.period)
+            PeriodShortage(tenant, request_class, meter.period.name, meter.budget.period)
             for (tenant, request_class), meter in self.meters.items()
             if meter.budget.period and meter.period is not None and meter.spent > DRAW_CHUNK_SHARE * meter.allowed
         ]
