--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -20,6 +20,7 @@
 from ternlane.config import GatewayConfig, ConfigError, read_config
 from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, TenantRegistry, UsageAccounting, bill_for
 from ternlane.tenants.tenant_registry import Budget, TenantRegistryConfig
+from ternlane.tenants.usage_accounting import PeriodShortage
 from ternlane.event_loop import now_ms
 
 LOOK_S = 0.5
@@ -95,7 +96,7 @@
                     meter.allowed += chunk
 
     def ask_lender(
-        self, asks: list[tuple[str, float, float, Budget, float]], periods: list[tuple[str, str, str, int]]
+        self, asks: list[tuple[str, float, float, Budget, float]], periods: list[PeriodShortage]
     ) -> tuple[list[float], list[float]]:
         """In a thread: one change of the lender's table for all tenants that want something."""
         with open_quota_leases(
