--- a/ternlane/cli/day.py
+++ b/ternlane/cli/day.py
@@ -35,7 +35,8 @@
     from ternlane.scenarios.runner import ScenarioRunner
     from ternlane.scenarios.scenario import Scenario
 
-    script, text = load_document(file, Scenario), Path(file).read_text()
+    script = load_document(file, Scenario)
+    text = Path(file).read_text()
     if seed is not None or without:
         script, text = changed_script(script, seed, without)
     folder = Path(out) if out else Path("found") / "days" / script.name
