--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -38,13 +38,24 @@
 from ternlane.discovery.endpoint_cache import Torn as TornFile
 from ternlane.discovery.endpoint_cache import keep as write_node_list
 from ternlane.discovery.endpoint_cache import kept as read_node_list
-from ternlane.config import GatewayConfig as GatewayDocument
-from ternlane.config import NodeLine, ConfigError as DocumentError
-from ternlane.config import read_config as read_document
-from ternlane.config import read_text as read_document_text
+from ternlane.emulator.engine_kind import EngineKind as EmulatorDocument
+from ternlane.gateway.active_request import Failed as TerminatedAnswer
+from ternlane.gateway.active_request import Streamed as StreamedAnswer
+from ternlane.gateway.daemon import drop_pid as drop_process_id
+from ternlane.gateway.daemon import write_pid as write_process_id
+from ternlane.gateway.journal_writer import JOURNAL
+from ternlane.gateway.journal_writer import JournalWriter as JournalKeeper
+from ternlane.gateway.journal_writer import final_of as final_answer_of
+from ternlane.ledger import BillingLedger as Store
+from ternlane.ledger import Disk
+from ternlane.ledger import SegmentedLog as Segmented
+from ternlane.ledger.billing_report import bill_rows as rows_of
+from ternlane.ledger.billing_report import read_entries as entries_of
+from ternlane.ledger.quota_lease_file import open_quota_leases as lender_file
+from ternlane.load.load_config import LoadConfig as LoadDocument
 from ternlane.platform.endpoint_list import EndpointList, parse_endpoint_list
-from ternlane.platform.settings import ConfigurationFile as PlatformDocument
 from ternlane.platform.errors import ConfigurationError
+from ternlane.platform.settings import ConfigurationFile as PlatformDocument
 from ternlane.platform.settings import read_configuration as read_platform_configuration
 from ternlane.recovery.inflight import Record as JournalRecord
 from ternlane.rules.check import check_folder as judge_folder
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -98,8 +98,9 @@
         )
         assert router_config.drain_grace_ms == raw["rules"]["drain_grace_ms"]
         assert pool.connect_ms == connection["connect_timeout_ms"] and pool.limit == 225
-        assert pool.idle_ms == pytest.approx(900.0 * connection["idle_s"]) and pool.wear.span_ms == pool.idle_ms
-        assert (front.conn_limit, front.open_limit) == (225, 200) and front.held_bytes == int(20 * 2**20)
+        assert pool.idle_ms == pytest.approx(900.0 * connection["idle_s"]) and pool.age.span_ms == pool.idle_ms
+        limits_of_requests = (chat_server.connection_limit, chat_server.request_limit)
+        assert limits_of_requests == (225, 200) and chat_server.body_bytes_limit == int(20 * 2**20)
         limits = p.gateway.runtime.router.scheduler.context.limits  # type: ignore[attr-defined]
         assert limits.min_slo_ms == min(one["aim_ms"] for one in raw["class"])
         assert (
@@ -149,7 +150,7 @@
         p.gateway.runtime.apply_settings(Deployment(1, settings(name) | {"profiles": short}))
         p.gateway.begin_drain()
         assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(
-            900.0 + process.ENDS_MS, abs=50
+            900.0 + gateway_module.ENDS_MS, abs=50
         )
 
 
