--- a/ternlane/policy/congestion.py
+++ b/ternlane/policy/congestion.py
@@ -52,14 +52,14 @@
 
     def is_congested(self, known: EndpointSnapshot, state: RequestState) -> bool:
         """Whether the server should not be sent this request while another one could be."""
+        if not self.accepts(known, state):
+            return True
+        if known.open_requests > MAX_TIMES_MEDIAN_OPEN * max(known.fleet.median_open, MIN_MEDIAN_OPEN):
+            return True
         endpoint = known.endpoint
         trust = min(1.0, LATE_SHARE_TO_TRUST * self.late_share[endpoint.server.role])
         free = known.known_free + trust * (known.free - known.known_free)
-        return (
-            not self.accepts(known, state)
-            or known.open_requests > MAX_TIMES_MEDIAN_OPEN * max(known.fleet.median_open, MIN_MEDIAN_OPEN)
-            or free * endpoint.server.kv_capacity_tokens <= memory_tokens(state.request, endpoint)
-        )
+        return free * endpoint.server.kv_capacity_tokens <= memory_tokens(state.request, endpoint)
 
     def accepts(self, known: EndpointSnapshot, state: RequestState) -> bool:
         """Whether the server is healthy, or half-open and free to try this request. It is tried with one attempt at a
--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -61,11 +61,7 @@
 
     def is_healthy(self) -> bool:
         """Neither ejected nor half-open, and not far behind its peers."""
-        return not self.ejected and not self.half_open and self.keeps_pace()
-
-    def keeps_pace(self) -> bool:
-        """Whether it makes as much progress as its peers, or at least a good part of it."""
-        return self.progress >= MIN_PROGRESS * self.fleet.median_progress
+        return not self.ejected and not self.half_open and self.progress >= MIN_PROGRESS * self.fleet.median_progress
 
 
 class PrefillOvertaken(NamedTuple):
@@ -100,6 +96,8 @@
     def handle(self, message: EndpointMessage) -> None:
         """Takes the message in, and tells the scheduler what has come of it."""
         match message:
+            case FleetStats():
+                self._fleet_told(message)
             case CapacityReserved(request, tokens):
                 share = tokens / max(self.server.kv_capacity_tokens, 1.0)
                 self.reservations[request] = Reservation(self.context.now, share)
@@ -117,8 +115,6 @@
                 self._eject(self.context.limits.memory_ms, "far behind its peers")
             case LoadReported(memory_share, open_requests):
                 self.last_report = LoadReport(self.context.now, memory_share, open_requests)
-            case FleetStats():
-                self._fleet_told(message)
             case EndpointChanged():
                 started = self.server.started_ms
                 self.warm_at = started + self.context.limits.slow_start_ms if started > 0 else 0.0
@@ -173,17 +169,17 @@
             self.context.actions.append(messages.Log(self.server, text))
 
     def _own_load(self) -> OwnLoad:
+        memory_share = 0.0
         since_report = 0.0
-        if self.last_report is not None:
-            cut = self.last_report.at - self.context.limits.tick_ms
-            since_report = sum(entry.memory_share for entry in self.reservations.values() if entry.at > cut)
-        return OwnLoad(
-            memory_share=sum(entry.memory_share for entry in self.reservations.values()),
-            memory_share_since_report=since_report,
-            # A lost answer is no load: its prefill has been done.
-            queue_ms=sum(a.prefill_work_ms for a in self.attempts if a.started_at >= self.prefilled_up_to),
-            sent=self.sent,
-        )
+        if self.reservations:
+            memory_share = sum(entry.memory_share for entry in self.reservations.values())
+            if self.last_report is not None:
+                cut = self.last_report.at - self.context.limits.tick_ms
+                since_report = sum(entry.memory_share for entry in self.reservations.values() if entry.at > cut)
+        queue_ms = 0.0
+        if self.attempts:  # a lost answer is no load: its prefill has been done
+            queue_ms = sum(a.prefill_work_ms for a in self.attempts if a.started_at >= self.prefilled_up_to)
+        return OwnLoad(memory_share, since_report, queue_ms, self.sent)
 
     def snapshot(self) -> EndpointSnapshot:
         """The state at this moment."""
--- a/ternlane/policy/placement.py
+++ b/ternlane/policy/placement.py
@@ -222,11 +222,12 @@
         would need a new connection cost the share of those that fail lately, as a slow handshake times out."""
         prefill_server = prefill.endpoint.server
         decode_server = decode.endpoint.server
-        if prefill_server is decode_server or prefill_server.cell == decode_server.cell:
-            distance = 0
-        else:
-            distance = 1 if prefill_server.zone == decode_server.zone else 2
-        new_connections = (not prefill.connected) + (prefill_server is not decode_server and not decode.connected)
-        connect_cost = self._failures.connect_failure_share * new_connections
-        free = min(prefill.free, decode.free)
-        return free - DISTANCE_COST * distance - cost - connect_cost, prefill.free + decode.free
+        score = min(prefill.free, decode.free)
+        if prefill_server is not decode_server and prefill_server.cell != decode_server.cell:
+            score -= DISTANCE_COST if prefill_server.zone == decode_server.zone else 2 * DISTANCE_COST
+        score -= cost
+        connect_cost = self._failures.connect_failure_share
+        if connect_cost:
+            new_connections = (not prefill.connected) + (prefill_server is not decode_server and not decode.connected)
+            score -= connect_cost * new_connections
+        return score, prefill.free + decode.free
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One tiny fake host: a few servers, a clock, and what the module said last."""
+"""One tiny fake host: a few servers, a clock, and what the router said last."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     servers: dict[str, Server]
     request_classes: dict[Effect, RequestClass]
     now: float = 0.0
-    alarm: float = inf  # when the module wants to be woken besides its beat
+    alarm: float = inf  # when the router wants to be woken besides its tick
 
     def take(self, *events: Any) -> list[Any]:
         said = self.router.take(self.now, list(events))
@@ -37,16 +37,16 @@
         return said
 
     def tell(self, *events: Any, after: float = 0.0) -> list[Any]:
-        """Lets time pass beat by beat, then hands over the events; answers the actions that are not timers."""
+        """Lets time pass tick by tick, then hands over the events; answers the actions that are not timers."""
         until, said = self.now + after, []
-        beat = self.now + 50.0
-        while min(beat, self.alarm) <= until:
-            self.now = max(self.now, min(beat, self.alarm))
-            if self.alarm <= beat:
+        tick = self.now + 50.0
+        while min(tick, self.alarm) <= until:
+            self.now = max(self.now, min(tick, self.alarm))
+            if self.alarm <= tick:
                 self.alarm = inf
                 said += self.take(messages.TimerFired(False))
             else:
-                beat += 50.0
+                tick += 50.0
                 said += self.take(messages.TimerFired(True))
         self.now = until
         said += self.take(*events)
@@ -74,15 +74,15 @@
         outcome: AttemptOutcome,
         after: float = 100.0,
         over: bool = False,
-        **note: Any,
+        **fields: Any,
     ) -> list[Any]:
-        return self.tell(messages.AttemptEnded(request, server, outcome, after, over, **note), after=after)
+        return self.tell(messages.AttemptEnded(request, server, outcome, after, over, **fields), after=after)
 
     def first(self, request: messages.Request, server: Server, after: float = 100.0) -> list[Any]:
         return self.tell(messages.FirstToken(request, server, after), after=after)
 
     def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[messages.Request, messages.StartAttempt]:
-        """A generation whose state has just been sent on to a writer, and that leg."""
+        """A request whose state has just been sent on to a decode server, and that attempt."""
         request = self.request(effect, **own)
         attempt = sent(self.arrive(request))
         return request, sent(self.end(request, attempt.server, AttemptOutcome.PREFILLED))
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -30,7 +30,7 @@
     assert sent(host.arrive(again)).server is not taken
 
 
-def test_a_read_that_breaks_is_read_elsewhere(host: FakeHost) -> None:
+def test_a_prefill_that_breaks_is_made_elsewhere(host: FakeHost) -> None:
     request = host.request(Effect.SIDE_EFFECTING)
     attempt = sent(host.arrive(request))
     said = host.end(request, attempt.server, AttemptOutcome.RESET)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.SIDE_EFFECTING])
-def test_a_read_overtaken_by_a_later_one_at_its_reader_is_read_elsewhere(effect: Effect) -> None:
+def test_a_prefill_overtaken_by_a_later_one_at_its_server_is_made_elsewhere(effect: Effect) -> None:
     host = build()
     mute = host.request(effect, session="a")
     first = sent(host.arrive(mute))
@@ -54,8 +54,8 @@
     assert sent(host.end(mute, again.server, AttemptOutcome.PREFILLED)).server.role is messages.Role.DECODE
 
 
-def test_reads_whose_answers_are_lost_do_not_make_their_reader_look_full() -> None:
-    host = build(max_attempts=2)  # none is called off
+def test_prefills_whose_answers_are_lost_do_not_make_their_prefill_server_look_full() -> None:
+    host = build(max_attempts=2)  # none is cancelled
     prefill_server = sent(host.arrive(host.request(session="a", prompt_tokens=3e3))).server
     full = host.router.scheduler.rules.endpoints[prefill_server.router_state].queue_ms
     later = host.request(session="a", prompt_tokens=100.0)
@@ -67,8 +67,8 @@
     )
 
 
-def test_a_writer_on_trial_is_sent_the_state_that_was_read_for_it(host: FakeHost) -> None:
-    """What the generation itself had booked there barred it, so nothing ever found out that the writer is well."""
+def test_a_half_open_decode_server_is_sent_the_state_that_was_prefilled_for_it(host: FakeHost) -> None:
+    """What the request itself had booked there barred it, so nothing ever found out that the decode server is well."""
     kept, attempt = host.written(session="a")
     decode_server = attempt.server
     host.first(kept, decode_server)
@@ -84,7 +84,9 @@
     assert sent(host.end(found, prefill_server, AttemptOutcome.PREFILLED)).server is decode_server
 
 
-def test_streams_begun_before_do_not_keep_a_writer_on_trial_and_its_trial_is_one_leg(host: FakeHost) -> None:
+def test_streams_begun_before_do_not_bar_a_half_open_decode_server_and_its_half_open_trial_is_one_attempt(
+    host: FakeHost,
+) -> None:
     begun, attempt = host.written(session="a")
     decode_server = attempt.server
     host.first(begun, decode_server)  # streams on for long
@@ -99,7 +101,7 @@
     assert sent(said).server is not decode_server  # until the first has ended well
 
 
-def test_a_read_is_not_called_off_where_no_legs_are_left_for_another_pair() -> None:
+def test_a_prefill_is_not_cancelled_where_no_attempts_are_left_for_another_pair() -> None:
     host = build(max_attempts=2)
     mute, later = host.request(session="a"), host.request(session="a")
     first = sent(host.arrive(mute))
@@ -107,7 +109,7 @@
     assert messages.CancelAttempt not in kinds(host.end(later, first.server, AttemptOutcome.PREFILLED, after=50.0))
 
 
-def test_a_state_goes_straight_to_another_writer_when_one_is_full(host: FakeHost) -> None:
+def test_a_state_goes_straight_to_another_decode_server_when_one_is_full(host: FakeHost) -> None:
     request, attempt = host.written(Effect.SIDE_EFFECTING)
     other = sent(host.end(request, attempt.server, AttemptOutcome.OVERLOADED)).server
     assert other.role is attempt.server.role and other is not attempt.server
@@ -127,13 +129,13 @@
     assert (
         sent(other.end(request, second, AttemptOutcome.CONNECT_FAILED, after=250.0)).server.role is messages.Role.DECODE
     )
-    request, attempt = host.written()  # a writer that refuses has answered: the time counts from then
+    request, attempt = host.written()  # a decode server that refuses has answered: the time counts from then
     second = sent(host.end(request, attempt.server, AttemptOutcome.OVERLOADED, after=400.0)).server
     assert sent(host.end(request, second, AttemptOutcome.OVERLOADED, after=400.0)).server.role is messages.Role.DECODE
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.OVERLOADED])
-def test_a_read_that_never_ran_left_nothing_to_release(host: FakeHost, outcome: AttemptOutcome) -> None:
+def test_a_prefill_that_never_ran_left_nothing_to_release(host: FakeHost, outcome: AttemptOutcome) -> None:
     request = host.request()
     said = host.end(request, sent(host.arrive(request)).server, outcome)
     assert kinds(said) == [messages.StartAttempt]
@@ -141,7 +143,7 @@
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.RESET])
-def test_what_a_read_may_yet_leave_is_released_once_more_when_nothing_follows_it(
+def test_what_a_prefill_may_yet_leave_is_released_once_more_when_nothing_follows_it(
     host: FakeHost, outcome: AttemptOutcome
 ) -> None:
     """It ended unheard, its state came after the first release, and nobody was left for another read."""
@@ -165,7 +167,7 @@
     request, attempt = host.written()
     said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
     assert sent(said).server.role is messages.Role.PREFILL
-    assert messages.Release in kinds(said)  # its reader may only be cut off from that writer
+    assert messages.Release in kinds(said)  # its prefill server may only be cut off from that decode server
 
 
 @pytest.mark.parametrize(
@@ -177,7 +179,7 @@
     assert host.tell(after=3000.0) == []
 
 
-def test_a_deduplicated_generation_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
+def test_a_deduplicated_request_is_repeated_only_in_its_group_and_window(host: FakeHost) -> None:
     request, attempt = host.written(Effect.DEDUPLICATED)
     assert kinds(host.end(request, attempt.server, AttemptOutcome.RESET)) == [messages.Release, messages.Fail]
     request, attempt = host.written(Effect.IDEMPOTENT)
@@ -193,7 +195,7 @@
     assert kinds(host.arrive(host.request(client_timeout_ms=0.0))) == [messages.Reject]
 
 
-def test_a_draining_writer_gets_nothing_new(host: FakeHost) -> None:
+def test_a_draining_decode_server_gets_nothing_new(host: FakeHost) -> None:
     request = host.request()
     attempt = sent(host.arrive(request))
     home = request.router_state.decode_server.server
@@ -214,7 +216,7 @@
     assert kinds(host.end(request, attempt.server, AttemptOutcome.PREFILLED, over=True)) == [messages.Release]
 
 
-def test_a_state_that_a_writer_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
+def test_a_state_that_a_decode_server_did_not_take_is_released_after_the_client_left(host: FakeHost) -> None:
     request, attempt = host.written()
     assert kinds(host.tell(messages.ClientDisconnected(request))) == [messages.CancelAttempt]
     assert kinds(host.end(request, attempt.server, AttemptOutcome.CANCELLED, over=True)) == [messages.Release]
@@ -234,7 +236,7 @@
     assert 1 <= sum(s is host.servers["w0"] for s in attempts) <= 16
 
 
-def test_a_silent_writer_loses_its_sessions(host: FakeHost) -> None:
+def test_a_silent_decode_server_loses_its_sessions(host: FakeHost) -> None:
     mute = None
     for i in range(8):
         request, attempt = host.written(session=f"s{i}", prefix=f"o{i}")
@@ -246,7 +248,7 @@
     assert mute not in later
 
 
-def test_bursts_wait_and_are_thrown_off_before_the_slo_time_is_lost(host: FakeHost) -> None:
+def test_bursts_wait_and_are_rejected_before_the_slo_time_is_lost(host: FakeHost) -> None:
     big = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0, max_tokens=0.0) for _ in range(4)]
     said = [a for request in big for a in host.arrive(request)]
     assert messages.Reject not in kinds(said)
@@ -255,21 +257,21 @@
     assert waiting and {a.request for a in late if isinstance(a, messages.Reject)} == set(waiting)
 
 
-def test_a_generation_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
+def test_a_request_with_hardly_any_time_left_does_not_wait(host: FakeHost) -> None:
     crowd = [host.request(prompt_tokens=90e3, prefix=None, prefix_tokens=0.0) for _ in range(6)]
     for request in crowd:
         host.arrive(request)
     assert kinds(host.arrive(host.request(client_timeout_ms=30.0))) == [messages.Reject]
 
 
-def test_a_reader_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
-    ill, hits = host.servers["r0"], 0
+def test_a_prefill_server_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
+    failing, hits = host.servers["r0"], 0
     for _ in range(30):
         request = host.request(prefix=None)
         attempt = sent(host.arrive(request, after=60.0))
-        hits += attempt.server is ill
-        if attempt.server is ill:
-            attempt = sent(host.end(request, ill, AttemptOutcome.ERROR, after=4.0))
+        hits += attempt.server is failing
+        if attempt.server is failing:
+            attempt = sent(host.end(request, failing, AttemptOutcome.ERROR, after=4.0))
         attempt = sent(host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=60.0))
         host.first(request, attempt.server, after=20.0)
         host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
@@ -288,23 +290,23 @@
     assert kinds(host.arrive(host.request())) == [messages.StartAttempt]
 
 
-def test_one_generation_does_not_fill_a_server_for_a_hundred_gateways() -> None:
+def test_one_request_does_not_fill_a_server_for_a_hundred_gateways() -> None:
     host = build(gateways=130)
     for _ in range(3):  # one's own count times 130 would be several times each server's memory
         assert kinds(host.arrive(host.request())) == [messages.StartAttempt]
 
 
-def test_gateways_that_know_nothing_do_not_all_take_the_same_writer() -> None:
+def test_gateways_that_know_nothing_do_not_all_take_the_same_decode_server() -> None:
     chosen = set()
     for seed in range(12):
         host = build(extra=("w0a", "w0b", "w1a", "w1b"), gateways=130, seed=seed)
         request = host.request(session="s")
         host.arrive(request)
         chosen.add(next(name for name, s in host.servers.items() if s is request.router_state.decode_server.server))
-    assert len(chosen) == 3  # all in the cell of the one reader that they agree on
+    assert len(chosen) == 3  # all in the cell of the one prefill server that they agree on
 
 
-def test_gateways_agree_on_the_readers_of_an_opening() -> None:
+def test_gateways_agree_on_the_prefill_servers_of_a_prefix() -> None:
     prefill_servers = [f"r{i % 2}{letter}" for i, letter in enumerate("abcdefgh")]
     taken = set()
     for seed in range(20):
@@ -318,27 +320,27 @@
         assert len({attempt.server.hash_key for attempt in attempts}) == 1
 
 
-def test_a_handful_of_generations_does_not_make_an_opening_popular() -> None:
+def test_a_handful_of_requests_does_not_make_a_prefix_popular() -> None:
     prefill_servers = tuple(f"r{i % 2}{letter}" for i, letter in enumerate("abcdefghijkl"))
     seen: list[set[int]] = []
-    for seed in range(6):  # gateways that have met one opening, or six others before it
+    for seed in range(6):  # gateways that have met one prefix, or six others before it
         host = build(extra=prefill_servers, gateways=90, seed=seed)
         for i in range(seed):
             host.arrive(host.request(prefix=f"x{i}"))
         request = host.request(session="s", prefix="shared")
         host.arrive(request)
-        seen.append({engine.server.hash_key for engine in request.router_state.preferred})
+        seen.append({endpoint.server.hash_key for endpoint in request.router_state.preferred})
     assert all(marks == seen[0] for marks in seen) and len(seen[0]) <= 4
 
 
-def serve(host: FakeHost, request: messages.Request, ill: Server, outcome: AttemptOutcome | None) -> bool:
-    """Plays it to its end, with `verdict` wherever it meets `ill`; was that so?"""
+def serve(host: FakeHost, request: messages.Request, failing: Server, outcome: AttemptOutcome | None) -> bool:
+    """Plays it to its end, with `outcome` wherever it meets `failing`; was that so?"""
     said, met = host.arrive(request, after=60.0), False
     while any(isinstance(a, messages.StartAttempt) for a in said):
         attempt = sent(said)
-        met = met or attempt.server is ill
-        if attempt.server is ill and outcome is not None:
-            said = host.end(request, ill, outcome, after=20.0)
+        met = met or attempt.server is failing
+        if attempt.server is failing and outcome is not None:
+            said = host.end(request, failing, outcome, after=20.0)
         elif attempt.server.role is messages.Role.PREFILL:
             said = host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0)
         else:
@@ -348,27 +350,27 @@
 
 
 @pytest.mark.parametrize("name, outcome", [("w0", AttemptOutcome.ERROR), ("r0", AttemptOutcome.OVERLOADED)])
-def test_what_fails_one_product_or_refuses_one_tenant_serves_the_rest(name: str, outcome: AttemptOutcome) -> None:
+def test_what_fails_one_request_class_or_refuses_one_tenant_serves_the_rest(name: str, outcome: AttemptOutcome) -> None:
     host, met = build(gateways=50), {True: 0, False: 0}
-    ill, tenants = host.servers[name], (messages.Tenant(), messages.Tenant())
+    failing, tenants = host.servers[name], (messages.Tenant(), messages.Tenant())
     for i in range(60):
         struck = bool(i % 2)
         effect = Effect.SIDE_EFFECTING if struck and outcome is AttemptOutcome.ERROR else Effect.IDEMPOTENT
         request = host.request(effect, prefix=None, tenant=tenants[struck])
-        met[struck] += serve(host, request, ill, outcome if struck else None)
+        met[struck] += serve(host, request, failing, outcome if struck else None)
     assert met[True] <= 4 and met[False] >= 8
 
 
 def test_what_has_not_failed_leaves_nothing_behind(host: FakeHost) -> None:
-    ill = host.servers["w0"]
+    failing = host.servers["w0"]
     for _ in range(30):
-        serve(host, host.request(prefix=None, tenant=messages.Tenant()), ill, None)
+        serve(host, host.request(prefix=None, tenant=messages.Tenant()), failing, None)
     assert not host.router.scheduler.rules.failures.any_known()  # type: ignore[attr-defined]
-    while not serve(host, host.request(prefix=None), ill, AttemptOutcome.ERROR):
+    while not serve(host, host.request(prefix=None), failing, AttemptOutcome.ERROR):
         pass
     assert host.router.scheduler.rules.failures.any_known()  # type: ignore[attr-defined]
     for _ in range(60):
-        serve(host, host.request(prefix=None), ill, None)
+        serve(host, host.request(prefix=None), failing, None)
     assert not host.router.scheduler.rules.failures.any_known()  # type: ignore[attr-defined]
 
 
@@ -394,10 +396,10 @@
     scheduler, tries = host.router.scheduler, 0
     best = scheduler.rules.placement.best_pair  # type: ignore[attr-defined]
 
-    def counted(course: object) -> None:
+    def counted(state: object) -> None:
         nonlocal tries
         tries += 1
-        return best(course)
+        return best(state)
 
     scheduler.rules.placement.best_pair = counted  # type: ignore[attr-defined]
     host.tell(
@@ -437,7 +439,7 @@
     assert len(linked) > 20 and tries < 100  # three tries each, where chance would need five and more
 
 
-def test_reads_that_run_out_of_time_make_the_next_ones_more_patient(host: FakeHost) -> None:
+def test_prefills_that_run_out_of_time_make_the_next_ones_more_patient(host: FakeHost) -> None:
     patience = []
     for _ in range(8):
         request = host.request(client_timeout_ms=30e3)
@@ -448,7 +450,7 @@
     assert patience[-1] > patience[0]
 
 
-def test_what_waits_at_a_cold_reader_does_not_make_a_warm_one_look_full() -> None:
+def test_what_waits_at_a_cold_prefill_server_does_not_make_a_warm_one_look_full() -> None:
     host = build(gateways=14)
     host.tell(after=20e3)
     cold = host.servers["r0"]
@@ -464,17 +466,17 @@
             host.end(request, attempt.server, AttemptOutcome.STREAMED, over=True)
 
 
-def test_a_burst_is_believed_soon_where_many_generations_are_open(host: FakeHost) -> None:
+def test_a_burst_is_counted_soon_where_many_requests_are_open(host: FakeHost) -> None:
     for i in range(16):
         request, attempt = host.written(session=f"s{i}", prefix=f"o{i}")
         host.first(request, attempt.server, after=5.0)
     host.tell(after=600.0)
-    engines = [host.servers[name].router_state for name in ("w0", "w1")]
-    held = sum(share for engine in engines for _, share in engine.reservations.values()) / 2
-    assert held > 0 and engines[0].fleet.memory_level > 0.9 * 2 * held  # two gateways that do alike
+    endpoints = [host.servers[name].router_state for name in ("w0", "w1")]
+    held = sum(share for endpoint in endpoints for _, share in endpoint.reservations.values()) / 2
+    assert held > 0 and endpoints[0].fleet.memory_level > 0.9 * 2 * held  # two gateways that do alike
 
 
-def test_a_gateway_that_goes_throttles_what_it_could_not_finish_and_finishes_the_rest(host: FakeHost) -> None:
+def test_a_gateway_that_goes_rejects_what_it_could_not_finish_and_finishes_the_rest(host: FakeHost) -> None:
     streams, attempt = host.written()
     prefills = host.request(Effect.SIDE_EFFECTING)
     read = sent(host.arrive(prefills))
@@ -486,7 +488,7 @@
     assert not kinds(host.end(streams, attempt.server, AttemptOutcome.STREAMED, over=True))
 
 
-def test_servers_that_went_and_openings_of_old_are_forgotten(host: FakeHost) -> None:
+def test_servers_that_went_and_prefixes_of_old_are_forgotten(host: FakeHost) -> None:
     endpoints = host.router.scheduler.rules.endpoints
     busy, attempt = host.written()
     for turn in range(300):
@@ -497,7 +499,7 @@
         host.router.scheduler.rules.affinity.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
         host.tell(messages.TimerFired(True), after=100.0)
     assert len(endpoints) < 20 and len(host.router.scheduler.rules.affinity.prefix_popularity) <= 4096 + 200
-    attempt.server.status = EndpointStatus.REMOVED  # one that still has a leg stays until it has ended
+    attempt.server.status = EndpointStatus.REMOVED  # one that still has an attempt stays until it has ended
     host.tell(messages.EndpointsUpdated((attempt.server,)))
     for _ in range(8):
         host.tell(messages.TimerFired(True), after=100.0)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -145,7 +145,7 @@
 
 
 def capacity(fleet: Fleet, since: float) -> dict[Role, float]:
-    """What a warm server of each duty took each ms: no more than it could do."""
+    """What a warm server of each role took each ms: no more than it could do."""
     took = Counter(a.server.role for a in fleet.sent if a.at >= since)
     return {role: n / fleet.peers / (fleet.now - since) for role, n in took.items()}
 
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -121,7 +121,7 @@
     host.tell(after=300.0)
     assert (
         host.router.scheduler.rules.fleet.stats[messages.Role.PREFILL].queue_ms > 1000.0
-    )  # the guess: longer than the SLO time
+    )  # the guess: longer than the latency objective
     assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
@@ -155,7 +155,7 @@
 
 
 def late_request(host: FakeHost) -> list[Any]:
-    """What is done about a request whose read has taken all of its SLO time."""
+    """What is done about a request whose read has taken all of its latency objective."""
     request = host.request(prefix=None, prefix_tokens=0.0)
     attempt = sent(host.arrive(request, after=100.0))
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
--- /dev/null
+++ b/tests/test_request_state.py
@@ -0,0 +1,87 @@
+"""The phases of a request: every move that the table lists, and no other."""
+
+from __future__ import annotations
+
+from itertools import product
+
+import pytest
+
+from ternlane.policy import messages
+from ternlane.policy.messages import AttemptOutcome, Effect
+from ternlane.policy.request_state import TRANSITIONS, IllegalTransition, Phase, RequestState, UnknownRequest, state_of
+from tests.conftest import FakeHost, sent
+
+
+def state_in(host: FakeHost, phase: Phase) -> RequestState:
+    state = RequestState(host.request(), first_token_due=1000.0, deadline=5000.0)
+    state.phase = phase
+    return state
+
+
+@pytest.mark.parametrize("before, after", list(product(Phase, Phase)))
+def test_only_listed_moves_are_made(host: FakeHost, before: Phase, after: Phase) -> None:
+    state = state_in(host, before)
+    if after in TRANSITIONS[before]:
+        state.move_to(after)
+        assert state.phase is after
+        return
+    with pytest.raises(IllegalTransition) as raised:
+        state.move_to(after)
+    assert (raised.value.before, raised.value.after) == (before, after)
+    assert state.phase is before
+
+
+def test_every_phase_leads_to_the_end_and_nothing_leads_out_of_it() -> None:
+    assert TRANSITIONS.keys() == set(Phase) and not TRANSITIONS[Phase.DONE]
+    reaching = {Phase.DONE}
+    for _ in Phase:
+        reaching |= {phase for phase, after in TRANSITIONS.items() if after & reaching}
+    assert reaching == set(Phase)
+
+
+def test_a_served_request_goes_through_prefill_handover_and_decode(host: FakeHost) -> None:
+    request = host.request()
+    prefill = sent(host.arrive(request))
+    state = state_of(request)
+    seen = [state.phase]
+    decode = sent(host.end(request, prefill.server, AttemptOutcome.PREFILLED))
+    seen.append(state.phase)
+    host.first(request, decode.server)
+    host.end(request, decode.server, AttemptOutcome.STREAMED, over=True)
+    assert [*seen, state.phase] == [Phase.PREFILLING, Phase.DECODING, Phase.DONE]
+
+
+def test_a_client_that_leaves_during_a_prefill_leaves_a_request_that_releases(host: FakeHost) -> None:
+    """The client is gone while a prefill is out. The request is over for it, but the prefill may yet leave a state at
+    its server, which has to be released when the attempt has ended."""
+    request = host.request()
+    prefill = sent(host.arrive(request))
+    host.tell(messages.ClientDisconnected(request))
+    state = state_of(request)
+    assert state.over and state.phase is Phase.RELEASING
+    said = host.end(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
+    assert messages.Release in [type(action) for action in said]
+    assert state.phase is Phase.DONE
+
+
+def test_a_failed_prefill_without_another_server_ends_its_request(host: FakeHost) -> None:
+    """The other prefill server drains while the only prefill fails: nobody is left to serve the request."""
+    request = host.request(client_timeout_ms=60e3)
+    prefill = sent(host.arrive(request))
+    other = "r1" if prefill.server is host.servers["r0"] else "r0"
+    host.list(**{other: messages.EndpointStatus.DRAINING})
+    said = host.end(request, prefill.server, AttemptOutcome.CONNECT_FAILED)
+    assert messages.Reject in [type(action) for action in said]
+    assert state_of(request).phase is Phase.DONE
+
+
+def test_an_effect_that_may_have_happened_ends_its_request(host: FakeHost) -> None:
+    request, decode = host.written(Effect.SIDE_EFFECTING)
+    said = host.end(request, decode.server, AttemptOutcome.RESET)
+    assert messages.Fail in [type(action) for action in said]
+    assert state_of(request).phase is Phase.DONE
+
+
+def test_a_request_that_has_not_arrived_has_no_state(host: FakeHost) -> None:
+    with pytest.raises(UnknownRequest):
+        state_of(host.request())
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("effect", Effect)
-def test_where_nothing_may_be_called_off_the_answer_claims_no_more_than_is_known(effect: Effect) -> None:
+def test_where_nothing_may_be_cancelled_the_answer_claims_no_more_than_is_known(effect: Effect) -> None:
     """Of an attempt that is out nothing is known, so what may run only once is failed."""
     host = build(may_cancel=False)
     learn_short_streams(host, effect)
@@ -110,7 +110,7 @@
     for name in ("r0", "r1"):
         host.list(**{name: messages.EndpointStatus.DRAINING})
     waiting = host.request(client_timeout_ms=9000.0)
-    host.router.scheduler.rules.admission.has_servers_for = lambda course: True  # type: ignore[method-assign]
+    host.router.scheduler.rules.admission.has_servers_for = lambda state: True  # type: ignore[method-assign]
     host.arrive(waiting)
     host.tell(messages.ShutdownStarted(TIMES))
     said = host.tell(after=TIMES.answers_ms)
@@ -149,7 +149,7 @@
         assert answer.startswith(b"HTTP/1.1 502 ") and (trio.current_time() - since) * 1000 < longest_ms + ENDS_MS
 
 
-async def test_an_attempt_that_waits_for_a_release_is_called_off_at_once() -> None:
+async def test_an_attempt_that_waits_for_a_release_is_cancelled_at_once() -> None:
     """No server confirms the release, and the connect time-out, for which it is waited, is long."""
     told = TOLD | {"limits": TOLD["limits"] | {"connect_timeout": 8000.0}}
     async with platform("r0", "w0", told=told, w0=always("gone_410")) as p:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -29,7 +29,7 @@
 
 
 def other_shape(config: GatewayConfig) -> GatewayConfig:
-    """Loads told to probes only, no advice, fewer legs, other terms, one product gone and one new."""
+    """Loads told to probes only, no advice, fewer attempts, other terms, one product gone and one new."""
     fleet = msgspec.structs.replace(
         TERMS,
         ask_load=True,
@@ -51,7 +51,7 @@
 
 
 def written(w: World) -> Counter[str]:
-    """Answers begun at writers, by generation, as the engines saw it."""
+    """Answers begun at decode servers, by request, as the engines saw it."""
     return Counter(str(line["gen"]) for line in w.said("leg", stage="write"))
 
 
@@ -97,7 +97,7 @@
         assert len(written(w)) == 14 and set(written(w).values()) == {1}
 
 
-async def test_what_breaks_after_a_switch_goes_on_or_ends_as_its_old_product_says() -> None:
+async def test_what_breaks_after_a_switch_goes_on_or_ends_as_its_old_request_class_says() -> None:
     replies: dict[str, Reply] = {}
     async with world(("r0", "w0", "w1", "w2"), build=SLOW) as w, trio.open_nursery() as nursery:
 
@@ -127,7 +127,7 @@
     assert sorted(written(w).values()) == [1, 2]
 
 
-async def test_a_library_switches_too_and_a_wrong_paper_changes_nothing() -> None:
+async def test_a_library_switches_too_and_a_wrong_document_changes_nothing() -> None:
     async with world() as w:
         config = w.gateway.config
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
@@ -183,7 +183,7 @@
     assert [set(fields) for fields in taken] == [{"gateways", "products", "fleet"}] * 2
 
 
-def test_fewer_legs_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
+def test_fewer_attempts_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
     assert host.tell(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
     assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
@@ -214,7 +214,7 @@
     assert host.tell(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
     said = host.tell(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
     attempt = next(a for a in said if isinstance(a, messages.StartAttempt))
-    assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its SLO time
+    assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its latency objective
     assert sent(build().arrive(request)).timeout_ms == 1000.0
     late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
@@ -223,10 +223,10 @@
 
 
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
-def test_nobody_waits_for_loads_beyond_its_clients_patience(patience: float) -> None:
+def test_nobody_waits_for_loads_beyond_its_clients_timeout(patience: float) -> None:
     host = build(may_probe=True, reports_on_probe=True)
     request = host.request(client_timeout_ms=patience)
-    said = host.arrive(request, after=20.0)  # between two beats
+    said = host.arrive(request, after=20.0)  # between two ticks
     answered = host.now
     while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
         said = host.tell(after=50.0)  # no engine says its load
