--- a/ternlane/policy/held_state.py
+++ b/ternlane/policy/held_state.py
@@ -7,7 +7,7 @@
 from ternlane.policy.actors import RouterContext
 from ternlane.policy.endpoint_messages import CapacityReleased
 from ternlane.policy.lease import ReleaseSchedule
-from ternlane.policy.messages import Release, ReleaseReason, StartTimer
+from ternlane.policy.messages import Release, ReleaseReason, StartTimer, TimerKind
 from ternlane.policy.request_state import RequestState
 
 
@@ -38,7 +38,7 @@
             return
         at = state.lease.since + limits.release_unconfirmed_ms
         if self._schedule.add(state, state.lease, at):
-            self._context.actions.append(StartTimer(at, False))
+            self._context.actions.append(StartTimer(at, TimerKind.DEADLINE))
 
     def release_due(self) -> None:
         """Releases what was neither taken nor released so far, though a decode attempt may be out for it. A prefill
@@ -50,4 +50,4 @@
             self._context.actions.append(Release(state.request, why=ReleaseReason.UNCONFIRMED))
         at = self._schedule.next_at()
         if at < inf:
-            self._context.actions.append(StartTimer(at, False))
+            self._context.actions.append(StartTimer(at, TimerKind.DEADLINE))
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -81,6 +81,13 @@
     UNKNOWN = auto()
 
 
+class TimerKind(Enum):
+    """Which of the router's two timers."""
+
+    TICK = auto()  # comes from time to time, whatever happens
+    DEADLINE = auto()  # the next release or final answer that is due
+
+
 class ReleaseReason(Enum):
     """Why what is held for a request is released; for logs and metrics."""
 
@@ -301,9 +308,9 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A time asked for by StartTimer has come. `beat`: it is the tick; otherwise the next deadline of the router."""
+    """A time asked for by StartTimer has come."""
 
-    beat: bool
+    timer: TimerKind
 
 
 Event = (
@@ -401,7 +408,7 @@
     """Asks for TimerFired at `at_ms`; each of the two kinds has one time at most, the newest."""
 
     at_ms: float
-    beat: bool
+    timer: TimerKind
 
 
 @dataclass(slots=True, frozen=True)
--- a/ternlane/policy/router.py
+++ b/ternlane/policy/router.py
@@ -11,7 +11,7 @@
 
 from ternlane.policy.actors import RouterContext
 from ternlane.policy.limits import limits_from
-from ternlane.policy.messages import Action, Event, RouterConfig, TimerFired
+from ternlane.policy.messages import Action, Event, RouterConfig, TimerFired, TimerKind
 from ternlane.policy.scheduler import Scheduler
 
 
@@ -28,7 +28,7 @@
         self._context.now = now
         self._context.actions = []
         if first_call:  # asks for the first tick
-            self._handle(TimerFired(True))
+            self._handle(TimerFired(TimerKind.TICK))
         for event in events:
             self._handle(event)
         while self.scheduler.serve_queue():  # once all is heard, lest a batch of thousands cost as many tries
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -16,7 +16,7 @@
     endpoint_of,
 )
 from ternlane.policy.limits import limits_from
-from ternlane.policy.messages import RouterConfig, Server
+from ternlane.policy.messages import RouterConfig, Server, TimerKind
 from ternlane.policy.request_flow import RequestFlow, take_report
 from ternlane.policy.request_state import state_of
 from ternlane.policy.rules import Rules
@@ -86,14 +86,14 @@
             case messages.ShutdownStarted(times):
                 self.rules.shutdown.begin(self.context.now, times)
                 self.rules.queue.try_all()
-                self.context.actions.append(messages.StartTimer(self.rules.shutdown.answers_by, False))
+                self.context.actions.append(messages.StartTimer(self.rules.shutdown.answers_by, TimerKind.DEADLINE))
             case messages.EndpointListFailed():
                 self._watching = False
             case messages.ProbeResult(server, _, report):
                 self._probe_answered(endpoint_of(server), report)
-            case messages.TimerFired(True):
+            case messages.TimerFired(TimerKind.TICK):
                 self._tick()
-            case messages.TimerFired(False):
+            case messages.TimerFired(TimerKind.DEADLINE):
                 self.rules.held_state.release_due()
                 self.requests.answer_before_the_end()
 
@@ -120,7 +120,7 @@
 
     def _tick(self) -> None:
         """Does what is due from time to time, whatever happens."""
-        self.context.actions.append(messages.StartTimer(self.context.now + self.context.limits.tick_ms, True))
+        self.context.actions.append(messages.StartTimer(self.context.now + self.context.limits.tick_ms, TimerKind.TICK))
         if self.rules.config.must_subscribe and not self._watching:
             self._watching = True
             self.context.actions.append(messages.WatchEndpoints())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,6 +20,7 @@
     Server,
     RouterConfig,
     AttemptOutcome,
+    TimerKind,
 )
 
 
@@ -33,7 +34,8 @@
 
     def take(self, *events: Any) -> list[Any]:
         said = self.router.take(self.now, list(events))
-        self.alarm = min([self.alarm, *(a.at_ms for a in said if isinstance(a, messages.StartTimer) and not a.beat)])
+        asked = [a for a in said if isinstance(a, messages.StartTimer) and a.timer is TimerKind.DEADLINE]
+        self.alarm = min([self.alarm, *(a.at_ms for a in asked)])
         return said
 
     def tell(self, *events: Any, after: float = 0.0) -> list[Any]:
@@ -44,10 +46,10 @@
             self.now = max(self.now, min(tick, self.alarm))
             if self.alarm <= tick:
                 self.alarm = inf
-                said += self.take(messages.TimerFired(False))
+                said += self.take(messages.TimerFired(TimerKind.DEADLINE))
             else:
                 tick += 50.0
-                said += self.take(messages.TimerFired(True))
+                said += self.take(messages.TimerFired(TimerKind.TICK))
         self.now = until
         said += self.take(*events)
         return [a for a in said if not isinstance(a, (messages.StartTimer, messages.Log))]
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -58,6 +58,8 @@
         return " ".join([str(ACTION_KINDS.index(type(action))), *values])
 
     def value(self, value: Any) -> str:
+        if isinstance(value, messages.TimerKind):
+            return str(value is messages.TimerKind.TICK)  # recorded as a truth value
         if isinstance(value, Enum):
             return f"e{value.value}"
         if isinstance(value, (bool, str)) or value is None:
@@ -181,8 +183,8 @@
 
     def carry_out(self, action: Any) -> None:
         match action:
-            case messages.StartTimer(at, beat):
-                self.at(at, lambda: [messages.TimerFired(beat)])
+            case messages.StartTimer(at, timer):
+                self.at(at, lambda: [messages.TimerFired(timer)])
             case messages.StartAttempt(request, server):
                 self.begin(request, server, action)
             case messages.CancelAttempt(request):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -497,14 +497,14 @@
         new.status = EndpointStatus.REMOVED
         host.tell(messages.EndpointsUpdated((new,)))
         host.router.scheduler.rules.affinity.prefix_popularity.update(f"{turn}.{i}" for i in range(50))
-        host.tell(messages.TimerFired(True), after=100.0)
+        host.tell(messages.TimerFired(messages.TimerKind.TICK), after=100.0)
     assert len(endpoints) < 20 and len(host.router.scheduler.rules.affinity.prefix_popularity) <= 4096 + 200
     attempt.server.status = EndpointStatus.REMOVED  # one that still has an attempt stays until it has ended
     host.tell(messages.EndpointsUpdated((attempt.server,)))
     for _ in range(8):
-        host.tell(messages.TimerFired(True), after=100.0)
+        host.tell(messages.TimerFired(messages.TimerKind.TICK), after=100.0)
     assert attempt.server.router_state in endpoints
     host.end(busy, attempt.server, AttemptOutcome.RESET, over=True)
     for _ in range(8):
-        host.tell(messages.TimerFired(True), after=100.0)
+        host.tell(messages.TimerFired(messages.TimerKind.TICK), after=100.0)
     assert attempt.server.router_state not in endpoints
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -76,7 +76,7 @@
     def act(self, nth: int, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, messages.StartTimer):
-                self.at(action.at_ms, nth, messages.TimerFired(action.beat))
+                self.at(action.at_ms, nth, messages.TimerFired(action.timer))
             elif isinstance(action, messages.StartAttempt):
                 request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -85,8 +85,8 @@
     def tell(self, nth: int, event: messages.Event) -> None:
         for action in self.routers[nth].take(self.now, [event]):
             match action:
-                case messages.StartTimer(at, beat):
-                    self.at(at, nth, messages.TimerFired(beat))
+                case messages.StartTimer(at, timer):
+                    self.at(at, nth, messages.TimerFired(timer))
                 case messages.StartAttempt(request, server, timeout):
                     self.attempt(nth, request, server, timeout)
                 case messages.Reject(request) | messages.Fail(request):
