--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -211,8 +211,8 @@
 
     def carry_out(self, action: messages.Action) -> None:
         match action:
-            case messages.StartTimer(at, beat):
-                self.at(at, partial(self.hear, messages.TimerFired(beat)))
+            case messages.StartTimer(at, timer):
+                self.at(at, partial(self.hear, messages.TimerFired(timer)))
             case messages.StartAttempt(request, server):
                 self.send(self.active_requests[request], server, action)
             case messages.CancelAttempt(request):
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -38,6 +38,7 @@
     AttemptOutcome,
     StartTimer,
     TimerFired,
+    TimerKind,
 )
 
 OUTCOMES = {
@@ -146,7 +147,7 @@
             self.requests[int(corr)], self.request_ids[request] = request, int(corr)
             return RequestArrived(request)
         if what == "DEADLINE_HIT":
-            return TimerFired(int(part[2]) == BEAT)
+            return TimerFired(TimerKind.TICK if int(part[2]) == BEAT else TimerKind.DEADLINE)
         if what == "CHECK_RESULT":
             server = self.server(part[3])
             return (
@@ -213,8 +214,8 @@
                     yield f"ASK_LOAD {number_} {self.server_ids[server]}"
                 case WatchEndpoints():
                     yield f"SUBSCRIBE {number_} 1"
-                case StartTimer(at, beat):
-                    yield f"ARM {number_} {BEAT if beat else DUE} {ms(at)}"
+                case StartTimer(at, timer):
+                    yield f"ARM {number_} {BEAT if timer is TimerKind.TICK else DUE} {ms(at)}"
                 case Log(server, text):
                     yield f"SAY_LOG {number_} {self.server_ids[server]} {text}"
         for request in list(self.closed):
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -31,7 +31,7 @@
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
         self.heard += sum(isinstance(e, messages.TimerFired) for e in events)
-        return [messages.StartTimer(now + 5, True)]
+        return [messages.StartTimer(now + 5, messages.TimerKind.TICK)]
 
 
 class Quiet(EventLoop[Any]):
