--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -229,8 +229,8 @@
     def execute(self, action: messages.Action) -> None:
         """Executes one action; those that differ between gateways go to `execute_host_action`."""
         match action:
-            case messages.StartTimer(at, beat):
-                self.call_at(at, partial(self.enqueue, messages.TimerFired(beat)))
+            case messages.StartTimer(at, timer):
+                self.call_at(at, partial(self.enqueue, messages.TimerFired(timer)))
             case messages.StartAttempt(request, server):
                 self.start_attempt(self.active_requests[request], server, action)
             case messages.CancelAttempt(request):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -76,7 +76,7 @@
     def act(self, nth: int, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, messages.StartTimer):
-                self.at(action.at_ms, nth, messages.TimerFired(action.beat))
+                self.at(action.at_ms, nth, messages.TimerFired(action.timer))
             elif isinstance(action, messages.StartAttempt):
                 request, server = action.request, action.server
                 true_server = self.servers[self.mine[nth].index(server)]
@@ -145,7 +145,7 @@
 
 
 def capacity(fleet: Fleet, since: float) -> dict[Role, float]:
-    """What a warm server of each duty took each ms: no more than it could do."""
+    """What a warm server of each role took each ms: no more than it could do."""
     took = Counter(a.server.role for a in fleet.sent if a.at >= since)
     return {role: n / fleet.peers / (fleet.now - since) for role, n in took.items()}
 
