--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.test_tenants import CrashError, FakeDisk
+from tests.fake_disk import CrashError, FakeDisk
 from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, world
 from ternlane.gateway import open_gateway
 from ternlane.gateway.journal_writer import JOURNAL
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -13,7 +13,8 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, invariant, rule
 
 from tests.test_chat import ask
-from tests.test_tenants import NOON, FakeDisk, tenant
+from tests.fake_disk import FakeDisk
+from tests.tenant_data import NOON, tenant
 from tests.world import BUILD, TERMS, heard, replace, world
 from ternlane.policy import messages
 from ternlane.chat import Intake
@@ -208,7 +209,7 @@
 def test_segments_beyond_those_to_be_kept_are_dropped(n: int) -> None:
     disk = FakeDisk()
     store = BillingLedger(disk, 300, keep_segments=n)  # type: ignore[arg-type]
-    from tests.test_tenants import entry
+    from tests.tenant_data import entry
 
     for i in range(1, 40):
         store.append(entry(i))
