--- a/ternlane/ledger/record.py
+++ b/ternlane/ledger/record.py
@@ -30,10 +30,8 @@
     if len(raw) - offset < HEADER.size:
         return None
     length, crc, sequence = HEADER.unpack_from(raw, offset)
-    if length > MAX_BODY_BYTES:
-        return None
     start = offset + HEADER.size
-    body = raw[start : start + length]
-    if len(body) != length or checksum(body, sequence) != crc:
+    if length > MAX_BODY_BYTES or length > len(raw) - start:
         return None
-    return sequence, body
+    body = raw[start : start + length]
+    return (sequence, body) if checksum(body, sequence) == crc else None
