--- a/ternlane/log_output.py
+++ b/ternlane/log_output.py
@@ -6,7 +6,8 @@
 import select
 from typing import TextIO, cast
 
-PIPE_BYTES = select.PIPE_BUF  # so much can be written without waiting once a pipe is writable
+# So much can be written without waiting once a pipe is writable.
+PIPE_BYTES = select.PIPE_BUF
 
 
 class LogOutput:
@@ -18,6 +19,7 @@
         self.dropped = 0
 
     def write(self, text: str) -> int:
+        """Writes a line, or drops what can't be written at once. Never raises OSError; returns the text's length."""
         rest = text.encode("utf-8", "replace")
         try:
             while rest:
--- a/ternlane/platform/request_history.py
+++ b/ternlane/platform/request_history.py
@@ -24,9 +24,11 @@
     transitions: list[Transition] = field(default_factory=list)
 
     def record(self, now_ms: float, event: str) -> None:
+        """Adds a transition that happens now."""
         self.transitions.append(Transition(now_ms - self.received_ms, event))
 
     def lines(self) -> list[str]:
+        """The transitions as they stand in the log."""
         return [str(transition) for transition in self.transitions]
 
 
