--- a/ternlane/policy/admission_queue.py
+++ b/ternlane/policy/admission_queue.py
@@ -61,7 +61,8 @@
         while nothing is due and nothing shorter has come, lest a long queue be gone through for each event."""
         if self._context.now < self._next_due and self._shortest_prompt >= self._no_room_from:
             return False
-        pending, self._entries = self._entries, []
+        pending = self._entries
+        self._entries = []
         while pending and not self._context.ready:
             self._try(heapq.heappop(pending), place, expire)
         self._entries += pending
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -51,6 +51,7 @@
     # -- from arrival to the first attempt
 
     def request_arrived(self, request: Request) -> None:
+        """A new request: it is placed, asks servers for their load first, or queues."""
         now = self._context.now
         request_class = request.request_class
         objective_ms = request_class.slo_ms or request.client_timeout_ms
@@ -148,6 +149,7 @@
         self._context.actions.append(action)
 
     def first_token(self, state: RequestState, attempt: Attempt, took_ms: float) -> None:
+        """The answer has begun, `took_ms` after its attempt was sent: the decode server has taken the state."""
         request = state.request
         endpoint = endpoint_of(attempt.server)
         state.lease.attempt_answered()
@@ -159,6 +161,7 @@
         endpoint.post(StageEnded(attempt, True, stream_ms))
 
     def attempt_ended(self, ended: messages.AttemptEnded) -> None:
+        """An attempt has ended: its outcome teaches, its lease is brought up to date, and the next step chosen."""
         state = state_of(ended.request)
         endpoint = endpoint_of(ended.server)
         attempt = state.attempt
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -31,6 +31,8 @@
 
 
 def test_a_prefill_that_breaks_is_made_elsewhere(host: FakeHost) -> None:
+    """A connection breaks while a prompt is prefilled. Whether the server goes on is not known, so another one is
+    asked, and what the first may leave is released."""
     request = host.request(Effect.SIDE_EFFECTING)
     attempt = sent(host.arrive(request))
     said = host.end(request, attempt.server, AttemptOutcome.RESET)
@@ -40,6 +42,8 @@
 
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.SIDE_EFFECTING])
 def test_a_prefill_overtaken_by_a_later_one_at_its_server_is_made_elsewhere(effect: Effect) -> None:
+    """The answer of a prefill gets lost. Its server works in turn and has answered a later one, so waiting is of no
+    use: the prefill is cancelled and made at another server."""
     host = build()
     mute = host.request(effect, session="a")
     first = sent(host.arrive(mute))
@@ -55,6 +59,8 @@
 
 
 def test_prefills_whose_answers_are_lost_do_not_make_their_prefill_server_look_full() -> None:
+    """Answers get lost and no prefill may be cancelled. Were they counted as a queue, their server would look full
+    and get nothing more until they time out."""
     host = build(max_attempts=2)  # none is cancelled
     prefill_server = sent(host.arrive(host.request(session="a", prompt_tokens=3e3))).server
     full = host.router.scheduler.rules.endpoints[prefill_server.router_state].queue_ms
@@ -87,6 +93,8 @@
 def test_streams_begun_before_do_not_bar_a_half_open_decode_server_and_its_half_open_trial_is_one_attempt(
     host: FakeHost,
 ) -> None:
+    """A decode server was ejected while it streamed. The streams from before go on for seconds and say nothing new:
+    one attempt is sent to it beside them, and no second one."""
     begun, attempt = host.written(session="a")
     decode_server = attempt.server
     host.first(begun, decode_server)  # streams on for long
@@ -237,6 +245,8 @@
 
 
 def test_a_silent_decode_server_loses_its_sessions(host: FakeHost) -> None:
+    """A decode server stops answering without an error. It falls behind its peers, is ejected, and its sessions go
+    elsewhere."""
     mute = None
     for i in range(8):
         request, attempt = host.written(session=f"s{i}", prefix=f"o{i}")
@@ -265,6 +275,7 @@
 
 
 def test_a_prefill_server_that_fails_fast_does_not_draw_everything(host: FakeHost) -> None:
+    """A server that fails at once has a short queue and looks free. It must not draw all requests for that."""
     failing, hits = host.servers["r0"], 0
     for _ in range(30):
         request = host.request(prefix=None)
@@ -279,6 +290,7 @@
 
 
 def test_servers_that_all_came_back_cold_are_used_again(host: FakeHost) -> None:
+    """All servers restart together. Their slow-start quotas must not leave a request without any server."""
     for _ in range(10):
         request, attempt = host.written(prefix=None)
         host.first(request, attempt.server, after=20.0)
@@ -418,6 +430,7 @@
 
 
 def test_where_connections_fail_the_connected_servers_are_nearer() -> None:
+    """New connections run into their time-out. Servers that are connected already are chosen before the others."""
     host = build(extra=("r0a", "w0a"), gateways=130)
     known = host.servers["r0"], host.servers["w0"]
     linked, tries = [], 0
@@ -451,6 +464,8 @@
 
 
 def test_what_waits_at_a_cold_prefill_server_does_not_make_a_warm_one_look_full() -> None:
+    """Requests wait at a server that has just started. They count for that one only, or the warm ones would look full
+    too."""
     host = build(gateways=14)
     host.tell(after=20e3)
     cold = host.servers["r0"]
