--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -105,6 +105,8 @@
                     for _ in range(40):
                         nursery.start_soon(p.ask)
             await p.settled()
+            # A request stays scheduled for its release until that time has come, over or not.
+            await trio.sleep(p.gateway.runtime.deployment.router_config.release_ms / 1000)
             p.fleet.seen.clear()
             p.fleet.ran.clear()
             homes.clear()  # bounded by number and age, see above
