--- a/ternlane/rules/__init__.py
+++ b/ternlane/rules/__init__.py
@@ -1,5 +1,6 @@
-"""The five rules, judged by what crossed the sockets. Shares no code with the gateway."""
+"""The rules that a gateway must keep, judged by what crossed the sockets. Shares no code with the gateway."""
 
-from ternlane.rules.check import Finding, Findings, check, check_folder, read_lines
+from ternlane.rules.check import check, check_folder, read_lines
+from ternlane.rules.findings import Finding, Findings
 
 __all__ = ["Finding", "Findings", "check", "check_folder", "read_lines"]
--- /dev/null
+++ b/ternlane/rules/held_state.py
@@ -0,0 +1,64 @@
+"""Rule 5: a state that a prefill left is taken or released in time while its request has no attempt out.
+
+Excused are what a killed gateway held, and servers that died. A connection that is being tried is an attempt that no
+server sees, so the time for that is granted too.
+"""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from collections.abc import Iterator
+
+from ternlane.rules.findings import Finding, Line
+from ternlane.rules.limits import CLOCK_TOLERANCE_MS, RuleLimits
+from ternlane.rules.run_log import Attempt, RunLog
+
+RULE = 5
+# A zone that was cut off so long before a state was left may still keep its release from arriving.
+ZONE_CUT_EXCUSES_MS = 20e3
+
+
+def judge_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+    """Judges each state that a server held."""
+    ends_ms: defaultdict[tuple[str, str], list[float]] = defaultdict(list)  # by server and request
+    for kind in ("taken", "released", "lost"):
+        for line in run.by_kind[kind]:
+            ends_ms[line["id"], line["gen"]].append(line["t"])
+    allowed_ms = limits["release_ms"] + limits["connect_ms"] + CLOCK_TOLERANCE_MS
+    zone_cuts_ms = [line["t"] for line in run.by_kind["trouble"] if line["trouble"] == "zone_cut"]
+    for state in run.by_kind["state"]:
+        counts["states"] += 1
+        begin_ms = state["t"]
+        end_ms = min(
+            (at_ms for at_ms in ends_ms[state["id"], state["gen"]] if at_ms >= begin_ms),
+            default=run.next_stop_ms(state["id"], begin_ms),
+        )
+        attempts = run.attempts.get(state["gen"], [])
+        idle_ms = _longest_idle_ms(attempts, begin_ms, end_ms)
+        if idle_ms <= allowed_ms or _excused(run, attempts, zone_cuts_ms, begin_ms, end_ms):
+            continue
+        yield _finding(state, attempts, idle_ms)
+
+
+def _longest_idle_ms(attempts: list[Attempt], begin_ms: float, end_ms: float) -> float:
+    """The longest time within begin and end in which no attempt was out."""
+    idle_ms = 0.0
+    since_ms = begin_ms
+    for attempt in attempts:
+        if attempt.begin_ms >= end_ms:
+            break
+        idle_ms = max(idle_ms, attempt.begin_ms - since_ms)
+        since_ms = max(since_ms, attempt.end_ms)
+    return max(idle_ms, end_ms - since_ms)
+
+
+def _excused(run: RunLog, attempts: list[Attempt], zone_cuts_ms: list[float], begin_ms: float, end_ms: float) -> bool:
+    gateway = attempts[0].gateway if attempts else None
+    if run.gateway_was_down(gateway, begin_ms, end_ms):
+        return True
+    return any(begin_ms - ZONE_CUT_EXCUSES_MS <= cut_ms <= end_ms for cut_ms in zone_cuts_ms)
+
+
+def _finding(state: Line, attempts: list[Attempt], idle_ms: float) -> Finding:
+    why = f"held at {state['id']} for {idle_ms:.0f} ms with no leg out"
+    return Finding(RULE, state["gen"], why, [state, *(attempt.as_line() for attempt in attempts)])
--- a/ternlane/scenarios/play.py
+++ b/ternlane/scenarios/play.py
@@ -23,6 +23,7 @@
 from ternlane.config import GatewayConfig
 from ternlane.config.gateway import ConsulSource
 from ternlane.rules import check_folder
+from ternlane.rules.limits import RuleLimits
 from ternlane.testing.registry import EndpointList, Registry
 from ternlane.testing.traffic import Traffic, clock_ms
 from ternlane.tenants import KeyLine, Prices, TenantLine, new_key
@@ -54,7 +55,7 @@
     raise CantPlay(f"no {many} free ports in a row between {FIRST_PORT} and {LAST_PORT}")
 
 
-def rules_of(day: DayScript) -> dict[str, Any]:
+def rules_of(day: DayScript) -> RuleLimits:
     """The figures by which the checker judges."""
     return {
         "release_ms": day.terms.release_ms,
