--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -26,10 +26,10 @@
 
 from ternlane.engine.protocol import read_body, write_body
 from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
-from ternlane.testing.engine import Build, Engine
+from ternlane.testing.engine import EngineProfile, FakeEngine
 from ternlane.testing.traffic import Traffic
 
-QUICK = Build(
+QUICK = EngineProfile(
     slots=4000,
     queue=4000,
     kv_capacity_tokens=1e9,
@@ -61,7 +61,7 @@
 async def engines(port: int, count: int, index: int) -> None:
     async with trio.open_nursery() as nursery:
         for i in range(count):
-            engine = Engine(
+            engine = FakeEngine(
                 f"e{index}-{i}",
                 "read" if i % 2 == 0 else "write",
                 "hall",
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -12,7 +12,7 @@
 
 from ternlane.client import Client
 from ternlane.scenarios.play import free_ports
-from ternlane.testing.engine import Build, Engine
+from ternlane.testing.engine import EngineProfile, FakeEngine
 from ternlane.testing.traffic import Traffic
 
 
@@ -20,8 +20,8 @@
     async def serve() -> None:
         async with trio.open_nursery() as nursery:
             for i, role in enumerate(("read", "write")):
-                build = Build(answer_tokens=(5, 5))
-                engine = Engine(role, role, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
+                build = EngineProfile(answer_tokens=(5, 5))
+                engine = FakeEngine(role, role, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
                 nursery.start_soon(engine.run, nursery)
 
     trio.run(serve)
--- a/ternlane/scenarios/parts.py
+++ b/ternlane/scenarios/parts.py
@@ -29,7 +29,7 @@
 )
 from ternlane.config import read_config
 from ternlane.testing.clients import Clients
-from ternlane.testing.engine import Engine
+from ternlane.testing.engine import FakeEngine
 from ternlane.testing.front import Front
 from ternlane.testing.traffic import Progress, Traffic, clock_ms
 
@@ -91,32 +91,32 @@
 # -- the fleet
 
 
-def strike(engine: Engine, act: Act, zone_number: int) -> None:
+def strike(engine: FakeEngine, act: Act, zone_number: int) -> None:
     """Lets a trouble begin, turn or end at one engine."""
     how, _, kind = act.what.partition(" ")
-    on, t = how != "end", engine.trouble
+    on, t = how != "end", engine.fault
     match act.trouble:
         case Slow(times=times):
-            t.slow = times if on else 1.0
+            t.slowdown = times if on else 1.0
         case Pauses(pause_ms=pause):
-            t.pause_until = clock_ms() + pause if on else 0.0
+            t.paused_until_ms = clock_ms() + pause if on else 0.0
         case Neighbour(share=share):
-            t.taken = share if on and not (act.args and act.args[0] % 2) else 0.0
+            t.cpu_taken_share = share if on and not (act.args and act.args[0] % 2) else 0.0
         case AnswerLost(share=share, how=way):
-            t.lost, t.lost_by_reset = (share, way == "reset") if on else (0.0, False)
+            t.lost_answer_share, t.lost_by_reset = (share, way == "reset") if on else (0.0, False)
         case StreamBroken(share=share, how=by):
-            t.breaks, t.breaks_by = share if on else 0.0, by
+            t.broken_stream_share, t.broken_by = share if on else 0.0, by
         case HandshakeSlow(added_ms=added):
-            t.handshake_ms = added if on else 0.0
+            t.handshake_delay_ms = added if on else 0.0
         case OriginSlow(times=times):
-            t.links = times if on else 1.0
+            t.link_slowdown = times if on else 1.0
         case ZoneCut():
             cut_zone: int = act.args[0]
 
             def cut(peer: str) -> bool:
                 return (int(peer.split(".")[2]) - 1 == cut_zone) != (zone_number == cut_zone)
 
-            t.cut = cut if on else (lambda _: False)
+            t.is_cut_off = cut if on else (lambda _: False)
             engine.cut_open()
         case _ if kind == "hang":
             t.hung = on
@@ -131,7 +131,7 @@
     zones = zones_of(scene.day)
     lines = {e.number: e for e in engines_of(scene.day) if e.number % of == index}
     engines = {
-        n: Engine(
+        n: FakeEngine(
             e.ident,
             e.role,
             e.zone,
--- a/ternlane/scenarios/plan.py
+++ b/ternlane/scenarios/plan.py
@@ -22,7 +22,7 @@
 )
 from ternlane.config import FleetConfig
 from ternlane.testing.clients import Habits, Talk
-from ternlane.testing.engine import Build
+from ternlane.testing.engine import EngineProfile
 
 ENGINE_NET, GATEWAY_NET = "127.0", "127.1"  # loopback: zones are told apart by the third figure
 
@@ -35,7 +35,7 @@
     zone: str
     cell: int
     host: str
-    build: Build
+    build: EngineProfile
 
 
 @dataclass(frozen=True)
@@ -57,8 +57,8 @@
     return f"{net}.{zone + 1}.1"
 
 
-def build_of(kind: Kind, terms: FleetConfig, speed: float) -> Build:
-    return Build(
+def build_of(kind: Kind, terms: FleetConfig, speed: float) -> EngineProfile:
+    return EngineProfile(
         slots=kind.slots,
         queue=kind.queue,
         kv_capacity_tokens=kind.kv_capacity_tokens,
--- a/ternlane/testing/engine.py
+++ b/ternlane/testing/engine.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Build:
+class EngineProfile:
     """What a kind of engine can do. Speeds are tokens a second, memory tokens."""
 
     slots: int = 8
@@ -49,23 +49,23 @@
 
 
 @dataclass(eq=False)
-class Trouble:
+class EngineFault:
     """What ails an engine now."""
 
     hung: bool = False
-    slow: float = 1.0  # times slower
-    taken: float = 0.0  # part of the machine that another program has
-    pause_until: float = 0.0
-    lost: float = 0.0  # part of answers that never arrive
+    slowdown: float = 1.0  # times slower
+    cpu_taken_share: float = 0.0  # part of the machine that another program has
+    paused_until_ms: float = 0.0
+    lost_answer_share: float = 0.0  # part of answers that never arrive
     lost_by_reset: bool = False
-    breaks: float = 0.0  # part of answers that break off after some piece, the last included
-    breaks_by: str = "reset"  # or stall
-    handshake_ms: float = 0.0
-    links: float = 1.0  # times slower
+    broken_stream_share: float = 0.0  # part of answers that break off after some piece, the last included
+    broken_by: str = "reset"  # or stall
+    handshake_delay_ms: float = 0.0
+    link_slowdown: float = 1.0  # times slower
     script: str = ""  # what happens to each leg: full, error, reset, midway, stall, silent, nostate, ...
-    at: int = 2  # pieces before `midway` and `stall`
-    metering: str = "true"  # what it says of usage: true, none or absurd
-    cut: Callable[[str], bool] = field(default=lambda _: False)  # by the peer's address
+    break_after_events: int = 2  # pieces before `midway` and `stall`
+    usage_reporting: str = "true"  # what it says of usage: true, none or absurd
+    is_cut_off: Callable[[str], bool] = field(default=lambda _: False)  # by the peer's address
 
 
 class Refused(Exception):
@@ -94,7 +94,7 @@
     return {"index": 0, "delta": {"tool_calls": [call]}, "finish_reason": None}
 
 
-class Engine:
+class FakeEngine:
     def __init__(
         self,
         ident: str,
@@ -103,20 +103,20 @@
         cell: int,
         host: str,
         port: int,
-        build: Build,
+        build: EngineProfile,
         traffic: Traffic,
         seed: int,
         source: str | None = None,
     ) -> None:
         self.ident, self.role, self.zone, self.cell = ident, role, zone, cell
-        self.host, self.port, self.build, self.traffic = host, port, build, traffic
+        self.host, self.port, self.profile, self.traffic = host, port, build, traffic
         self.rng = random.Random(zlib.crc32(f"{seed} {ident}".encode()))
-        self.trouble = Trouble()
+        self.fault = EngineFault()
         self.pool = ConnectionPool(500.0, 20e3, source)
         self.open: dict[Exchange, trio.CancelScope] = {}
         self.life = trio.CancelScope()
         self.changed = trio.Event()
-        self.refusing = False  # told to drain
+        self.draining = False  # told to drain
         self.started_ms = 0.0
         self.clear()
 
@@ -125,7 +125,7 @@
         self.states: dict[str, tuple[float, float]] = {}  # generation -> tokens, when
         self.busy = 0
         self.queue: deque[trio.Event] = deque()
-        self.used = 0.0
+        self.used_tokens = 0.0
         self.arrived: deque[tuple[float, float]] = deque()
         self.done: OrderedDict[str, tuple[float, str]] = OrderedDict()  # deduplication key -> when, text
         self.fallen = False
@@ -144,11 +144,11 @@
             cold=self.started_ms > 0,
             zone=self.zone,
             cell=self.cell,
-            slots=self.build.slots,
-            cold_ms=self.build.slow_start_ms,
-            cold_from=self.build.slow_start_share,
-            fall_multiple=self.build.fall_multiple,
-            fall_ms=self.build.fall_ms,
+            slots=self.profile.slots,
+            cold_ms=self.profile.slow_start_ms,
+            cold_from=self.profile.slow_start_share,
+            fall_multiple=self.profile.fall_multiple,
+            fall_ms=self.profile.fall_ms,
         )
         if started is not None:
             started.set()
@@ -177,12 +177,12 @@
                     self.drop_state(request, "lost")
 
     async def connection(self, stream: trio.SocketStream) -> None:
-        if self.trouble.cut(stream.socket.getpeername()[0]):
+        if self.fault.is_cut_off(stream.socket.getpeername()[0]):
             stream.setsockopt(1, 13, LINGER_0)
             stream.socket.close()
             return
-        if self.trouble.handshake_ms:
-            await trio.sleep(self.trouble.handshake_ms / 1000)
+        if self.fault.handshake_delay_ms:
+            await trio.sleep(self.fault.handshake_delay_ms / 1000)
         stream.setsockopt(6, 1, 1)
         try:
             await serve_connection(
@@ -205,19 +205,19 @@
     def warmth(self) -> float:
         if not self.started_ms:
             return 1.0
-        age = (clock_ms() - self.started_ms) / self.build.slow_start_ms
-        return min(1.0, self.build.slow_start_share + (1 - self.build.slow_start_share) * age)
+        age = (clock_ms() - self.started_ms) / self.profile.slow_start_ms
+        return min(1.0, self.profile.slow_start_share + (1 - self.profile.slow_start_share) * age)
 
     def speed(self) -> float:
-        t = self.trouble
-        if t.hung or clock_ms() < t.pause_until:
+        fault = self.fault
+        if fault.hung or clock_ms() < fault.paused_until_ms:
             return 0.0
-        return self.warmth() * (1 - t.taken) / t.slow
+        return self.warmth() * (1 - fault.cpu_taken_share) / fault.slowdown
 
     def cut_open(self) -> None:
         """Breaks what is open to peers that are cut off from now on."""
         for exchange, scope in list(self.open.items()):
-            if self.trouble.cut(exchange.peer[0]):
+            if self.fault.is_cut_off(exchange.peer[0]):
                 exchange.stream.setsockopt(1, 13, LINGER_0)
                 scope.cancel()
 
@@ -243,7 +243,7 @@
 
     def weigh(self, work_ms: float) -> None:
         """Counts what was sent against what a cold engine can do; too much of it and the process falls over."""
-        now, b = clock_ms(), self.build
+        now, b = clock_ms(), self.profile
         self.arrived.append((now, work_ms))
         while self.arrived[0][0] < now - b.fall_ms:
             self.arrived.popleft()
@@ -254,17 +254,17 @@
             self.die()
 
     def figures(self) -> Load:
-        return Load(self.busy, len(self.queue), min(1.0, self.used / self.build.kv_capacity_tokens))
+        return Load(self.busy, len(self.queue), min(1.0, self.used_tokens / self.profile.kv_capacity_tokens))
 
     def load(self) -> tuple[str, str]:
         return "endpoint-load-metrics", self.figures().header()
 
     async def enter(self) -> None:
         """A slot, at once or after the queue. Raises Refused."""
-        if self.busy < self.build.slots and not self.queue:
+        if self.busy < self.profile.slots and not self.queue:
             self.busy += 1
             return
-        if len(self.queue) >= self.build.queue:
+        if len(self.queue) >= self.profile.queue:
             raise Refused(429, "queue-full")
         turn = trio.Event()
         self.queue.append(turn)
@@ -279,14 +279,14 @@
 
     def leave(self) -> None:
         self.busy -= 1
-        if self.queue and self.busy < self.build.slots:
+        if self.queue and self.busy < self.profile.slots:
             self.busy += 1
             self.queue.popleft().set()
 
     # -- what is asked
 
     async def handle(self, exchange: Exchange) -> None:
-        if self.trouble.cut(exchange.peer[0]):
+        if self.fault.is_cut_off(exchange.peer[0]):
             exchange.reset()
             return
         if exchange.path == "/v1/chat/completions":
@@ -300,13 +300,13 @@
             fits = (
                 self.role != "read"
                 and not self.queue
-                and self.busy < self.build.slots
-                and self.used + tokens <= self.build.kv_capacity_tokens
+                and self.busy < self.profile.slots
+                and self.used_tokens + tokens <= self.profile.kv_capacity_tokens
                 and request not in self.states
             )
             if fits:
                 self.states[request] = tokens, clock_ms()
-                self.used += tokens
+                self.used_tokens += tokens
                 self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
             await exchange.answer(200 if fits else 409, [self.load()], b"{}")
         elif exchange.path == "/metrics":
@@ -320,7 +320,7 @@
     def drop_state(self, request: str, how: str) -> bool:
         held = self.states.pop(request, None)
         if held is not None:
-            self.used -= held[0]
+            self.used_tokens -= held[0]
             self.traffic.line(how, id=self.ident, gen=request)
         return held is not None
 
@@ -342,7 +342,7 @@
         agent = exchange.header(b"user-agent") or ""
         who = agent[agent.find("(") + 1 : -1]
         text = "".join(m["content"] for m in body["messages"] if isinstance(m.get("content"), str)).encode()
-        if self.trouble.script == "deaf" and body.get("continue_final_message"):  # it knows no such field
+        if self.fault.script == "deaf" and body.get("continue_final_message"):  # it knows no such field
             text = text[: len(text) - len(body["messages"].pop()["content"].encode())]
             del body["continue_final_message"]
         self.traffic.line(
@@ -378,7 +378,7 @@
 
     async def play(self, exchange: Exchange) -> str:
         """The scripted ends that come before any text."""
-        match self.trouble.script:
+        match self.fault.script:
             case "full":
                 raise Refused(429, "queue-full")
             case "nostate":
@@ -400,16 +400,16 @@
 
     async def silence(self, exchange: Exchange) -> str:
         """The answer is lost: nothing comes back, or the connection breaks."""
-        if self.trouble.lost_by_reset:
+        if self.fault.lost_by_reset:
             exchange.stream.setsockopt(1, 13, LINGER_0)
             return "lost"
         await trio.sleep_forever()
         raise AssertionError
 
     def usage(self, tokens: float, kept: float, out: int) -> dict[str, Any] | None:
-        if self.trouble.metering == "none":
+        if self.fault.usage_reporting == "none":
             return None
-        times = -(10**6) if self.trouble.metering == "absurd" else 1
+        times = -(10**6) if self.fault.usage_reporting == "absurd" else 1
         return {
             "prompt_tokens": int(tokens) * times,
             "completion_tokens": out * times,
@@ -426,7 +426,7 @@
             kept += all_kept
             self.kept[key] = None
             self.kept.move_to_end(key)
-        limit = int(self.build.kv_capacity_tokens / 2 * TOKEN_BYTES / KEPT_BLOCK)
+        limit = int(self.profile.kv_capacity_tokens / 2 * TOKEN_BYTES / KEPT_BLOCK)
         while len(self.kept) > limit:
             self.kept.popitem(last=False)
         found = kept * KEPT_BLOCK / TOKEN_BYTES
@@ -436,28 +436,28 @@
         tokens = len(text) / TOKEN_BYTES
         if self.role == "write":
             raise Refused(400, "not-a-reader")
-        if self.refusing:
+        if self.draining:
             raise Refused(503, "draining")
-        if self.used + tokens > self.build.kv_capacity_tokens:
+        if self.used_tokens + tokens > self.profile.kv_capacity_tokens:
             raise Refused(429, "memory-full")
-        if self.trouble.script not in ("", "deaf", "other"):
+        if self.fault.script not in ("", "deaf", "other"):
             return await self.play(exchange)
         unread, kept = self.unkept(text)
-        work = 2.0 + unread / self.build.prefill_tokens_per_s * 1000
+        work = 2.0 + unread / self.profile.prefill_tokens_per_s * 1000
         self.weigh(work)
         await self.enter()
-        self.used += tokens
+        self.used_tokens += tokens
         try:
             await self.work(work)
         except BaseException:
-            self.used -= tokens
+            self.used_tokens -= tokens
             raise
         finally:
             self.leave()
         self.traffic.line("made", id=self.ident, gen=request, prompt=int(tokens), kept=int(kept), answer=0)
         self.states[request] = tokens, clock_ms()
         self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
-        if self.rng.random() < self.trouble.lost:
+        if self.rng.random() < self.fault.lost_answer_share:
             return await self.silence(exchange)
         answer = {
             "id": request,
@@ -505,16 +505,16 @@
         if head.status_code != 200:
             raise Refused(409, "no-state")
         near = params.get("standin_cell") == self.cell
-        rate = self.build.near_tokens_per_s if near else self.build.far_tokens_per_s / self.trouble.links
+        rate = self.profile.near_tokens_per_s if near else self.profile.far_tokens_per_s / self.fault.link_slowdown
         await self.work(said["toks"] / rate * 1000)
 
     def break_of(self, out: int) -> tuple[int | None, str]:
         """After how many pieces the answer breaks off, if it does, and how."""
-        t = self.trouble
-        if t.script in ("midway", "stall"):
-            return t.at, "reset" if t.script == "midway" else "stall"
-        if out and self.rng.random() < t.breaks:
-            return self.rng.randint(1, out), t.breaks_by
+        fault = self.fault
+        if fault.script in ("midway", "stall"):
+            return fault.break_after_events, "reset" if fault.script == "midway" else "stall"
+        if out and self.rng.random() < fault.broken_stream_share:
+            return self.rng.randint(1, out), fault.broken_by
         return None, ""
 
     def answer(self, body: dict[str, Any], text: bytes) -> tuple[str, list[str]]:
@@ -524,9 +524,9 @@
         if body.get("continue_final_message"):
             begun = body["messages"][-1]["content"]
             text = text[: len(text) - len(begun.encode())]
-        if self.trouble.script == "other":
+        if self.fault.script == "other":
             text = text + b"!"
-        low, high = self.build.answer_tokens
+        low, high = self.profile.answer_tokens
         many = low + zlib.crc32(text) % (high - low + 1)
         words = [f"{zlib.crc32(text + bytes([i % 256])) % 9973} " for i in range(many)]
         rest = begun
@@ -541,44 +541,46 @@
     ) -> str:
         if self.role == ("write" if stage == "whole" else "read"):
             raise Refused(409, "no-state")
-        if self.refusing:
+        if self.draining:
             raise Refused(503, "draining")
-        if self.trouble.script in ("full", "nostate"):
+        if self.fault.script in ("full", "nostate"):
             return await self.play(exchange)
         tokens, most = len(text) / TOKEN_BYTES, int(body.get("max_tokens") or 1024)
-        if self.used + tokens > self.build.kv_capacity_tokens:
+        if self.used_tokens + tokens > self.profile.kv_capacity_tokens:
             raise Refused(429, "memory-full")
         self.drop_state(request, "taken")  # the place that was held for it, if one was
         after, words = self.answer(body, text)
         words = words[:most]
         out, said = len(words), 0
         break_at, break_by = self.break_of(out)
-        self.weigh(out * self.build.token_ms + tokens / self.build.near_tokens_per_s * 1000)
+        self.weigh(out * self.profile.token_ms + tokens / self.profile.near_tokens_per_s * 1000)
         await self.enter()
         held = tokens + out
-        self.used += held
+        self.used_tokens += held
         written, read, kept = 0, 0, 0.0
         try:
             unread, kept = self.unkept(text) if stage == "whole" else (0.0, tokens)
             if stage == "whole":
-                await self.work(2.0 + unread / self.build.prefill_tokens_per_s * 1000)
+                await self.work(2.0 + unread / self.profile.prefill_tokens_per_s * 1000)
                 read = int(tokens)
             else:
                 await self.fetch(request, body["kv_transfer_params"])
             key = exchange.header(b"idempotency-key") or request
             known = self.done.get(key)
-            if known is None or clock_ms() - known[0] > self.build.dedup_ms:
+            if known is None or clock_ms() - known[0] > self.profile.dedup_ms:
                 self.traffic.line(
                     "effect", id=self.ident, gen=request, n=number, key=key, cell=self.cell, zone=self.zone
                 )
                 self.done[key] = clock_ms(), ""
                 while len(self.done) > 10000:
                     self.done.popitem(last=False)
-            if self.trouble.script in ("error", "reset", "silent"):
+            if self.fault.script in ("error", "reset", "silent"):
                 return await self.play(exchange)
-            lost = self.rng.random() < self.trouble.lost
+            lost = self.rng.random() < self.fault.lost_answer_share
             for i, word in enumerate(words):
-                await self.work(self.build.token_ms * (1 + self.build.token_growth * self.busy / self.build.slots))
+                await self.work(
+                    self.profile.token_ms * (1 + self.profile.token_growth * self.busy / self.profile.slots)
+                )
                 if i == break_at:
                     return await self.break_off(exchange, break_by)
                 written += 1
@@ -636,5 +638,5 @@
                 self.traffic.line(
                     "made", id=self.ident, gen=request, prompt=read, kept=int(kept) if read else 0, answer=written
                 )
-            self.used -= held
+            self.used_tokens -= held
             self.leave()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -51,7 +51,7 @@
             w.nursery.start_soon(fill)
         if scene == "lost":
             for ident in ("w0", "w0b"):
-                w.engines[ident].trouble.lost = 1.0
+                w.engines[ident].fault.lost_answer_share = 1.0
         said = await node(w, "test/against.mjs", scene)
         assert json.loads(said.splitlines()[-1]) == {"scene": scene, "passed": True}
         assert len(w.said("effect")) == effects
@@ -116,7 +116,7 @@
 async def test_the_python_client_repeats_only_what_can_not_have_run() -> None:
     async with world(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
-            w.engines[ident].trouble.lost = 1.0
+            w.engines[ident].fault.lost_answer_share = 1.0
 
         def lost() -> None:
             with Client(f"http://{w.gateway.address}", retries=3) as client, pytest.raises(Failed) as why:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -187,13 +187,13 @@
             while not w.said("effect"):
                 await trio.sleep(0.005)
             await trio.sleep(0.06)
-            w.engines["w0"].trouble.hung = True
+            w.engines["w0"].fault.hung = True
 
         w.nursery.start_soon(hang)
         reply = await w.ask("note")
         assert reply.status == 200 and reply.done == 0 and reply.error is not None and not reply.broke
         assert len(w.said("leg", stage="write")) == 1
-        w.engines["w0"].trouble.hung = False
+        w.engines["w0"].fault.hung = False
         await w.settled()
 
 
@@ -246,7 +246,7 @@
 async def test_a_lost_answer_is_never_written_twice_where_that_matters(model: str) -> None:
     async with world(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
-            w.engines[ident].trouble.lost = 1.0
+            w.engines[ident].fault.lost_answer_share = 1.0
         since = trio.current_time()
         reply = await w.ask(model)
         assert reply.status in (429, 504) and trio.current_time() - since < 2.05
@@ -258,8 +258,8 @@
 
 async def test_a_reader_that_dies_holding_the_state_is_replaced() -> None:
     async with world(("r0", "r0b", "w0")) as w:
-        w.engines["w0"].trouble.slow = 1.0
-        w.engines["w0"].busy = w.engines["w0"].build.slots  # the writer lets it wait before it fetches
+        w.engines["w0"].fault.slowdown = 1.0
+        w.engines["w0"].busy = w.engines["w0"].profile.slots  # the writer lets it wait before it fetches
 
         async def kill() -> None:
             while not w.said("leg", stage="write"):
@@ -409,11 +409,11 @@
 async def test_an_effect_that_may_have_happened_is_remembered_under_its_key() -> None:
     async with world(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
-            w.engines[ident].trouble.lost = 1.0
+            w.engines[ident].fault.lost_answer_share = 1.0
         key = {"Idempotency-Key": "folder-18"}
         assert (await w.ask("note", headers=key)).status == 504
         for ident in ("w0", "w0b"):
-            w.engines[ident].trouble.lost = 0.0
+            w.engines[ident].fault.lost_answer_share = 0.0
         again = await w.ask("note", headers=key)
         assert again.status == 502 and again.headers["idempotency-replayed"] == "true"
         assert len(w.said("effect")) == 1
@@ -559,7 +559,7 @@
     async with world(request_classes=patient(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
         prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
-        prefill_server.trouble.script = "silent"
+        prefill_server.fault.script = "silent"
         replies: list[Reply] = []
 
         async def mute() -> None:
@@ -570,7 +570,7 @@
             while len(w.said("leg", stage="read", id=prefill_server.ident)) < 2:
                 await trio.sleep(0.001)
             request = w.said("leg", stage="read")[-1]["gen"]
-            prefill_server.trouble.script = ""
+            prefill_server.fault.script = ""
             while not replies:
                 await w.ask(text="the same")
         prefills = [line["id"] for line in w.said("leg", stage="read", gen=request)]
@@ -589,7 +589,7 @@
                 return heard.count(ident) > 1 and bool(real(request, how))
 
             monkeypatch.setattr(w.engines[ident], "drop_state", too_early)
-            w.engines[ident].trouble.lost = 1.0
+            w.engines[ident].fault.lost_answer_share = 1.0
         reply = await w.ask()
         assert reply.status == 429 and w.said("state")
         await w.settled()
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -232,9 +232,9 @@
 
 async def test_an_idempotent_one_that_was_terminated_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        w.engines["w0"].trouble.script = "midway"
+        w.engines["w0"].fault.script = "midway"
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 0
-        w.engines["w0"].trouble.script = ""
+        w.engines["w0"].fault.script = ""
         await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
         async with next_gateway(w, tmp_path / "j") as address:
             assert (await ask_at(address, "summary", "k1")).done == 1
@@ -243,7 +243,7 @@
 
 async def test_states_that_the_lost_gateway_held_are_released(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        w.engines["w0"].busy = w.engines["w0"].build.slots  # writes wait: the state stays at its reader
+        w.engines["w0"].busy = w.engines["w0"].profile.slots  # writes wait: the state stays at its reader
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.ask)
             with trio.fail_after(2):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -118,10 +118,10 @@
         async def stall() -> None:
             await trio.sleep(0.4)
             for engine in w.engines.values():
-                engine.trouble.hung = True
+                engine.fault.hung = True
             await trio.sleep(0.9)
             for engine in w.engines.values():
-                engine.trouble.hung = False
+                engine.fault.hung = False
 
         w.nursery.start_soon(stall)
         tally = await Load(config(seconds=1.2, arrivals=Arrivals(rate=20.0), late_ms=1000.0), w.gateway.address).run()
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -46,7 +46,7 @@
     """Every writer breaks off after so many pieces."""
     for ident, engine in w.engines.items():
         if ident[0] == "w":
-            engine.trouble.script, engine.trouble.at = script, at
+            engine.fault.script, engine.fault.break_after_events = script, at
 
 
 async def others(w: World, script: str = "") -> None:
@@ -55,7 +55,7 @@
         await trio.sleep(0.0005)
     for engine in w.engines.values():
         if engine.ident != w.said("effect")[0]["id"]:
-            engine.trouble.script = script
+            engine.fault.script = script
 
 
 def attempts_at(w: World, stage: str = "write") -> list[str]:
@@ -173,7 +173,7 @@
     async with world(("r0", "r0b", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 4)
         for ident in ("r0", "r0b"):
-            w.engines[ident].trouble.script = "deaf"
+            w.engines[ident].fault.script = "deaf"
         reply = await w.ask()
         assert reply.done == 0 and whole.text.startswith(reply.text) and len(reply.text.split()) == 4
         await w.settled()
@@ -203,13 +203,13 @@
         async def hang() -> None:
             while not w.said("effect"):
                 await trio.sleep(0.0005)
-            w.engines["r0"].trouble.hung = True
+            w.engines["r0"].fault.hung = True
 
         w.nursery.start_soon(hang)
         since = trio.current_time()
         reply = await w.ask(headers={"X-Ternlane-Time-Limit-Ms": "600"})
         assert reply.done == 0 and reply.error is not None and trio.current_time() - since < 0.65
-        w.engines["r0"].trouble.hung = False
+        w.engines["r0"].fault.hung = False
         await w.settled()
 
 
@@ -559,7 +559,7 @@
         rest = await w.ask(temperature=0, headers={"Last-Event-ID": str(ids[1])})
         assert rest.text == whole.text[ids[1] :] and rest.done == 1
         for engine in w.engines.values():
-            engine.trouble.script = ""
+            engine.fault.script = ""
         beyond = await w.ask(temperature=0, headers={"Last-Event-ID": str(len(whole.text) + 5)})
         assert beyond.done == 0 and beyond.error is not None
 
@@ -631,11 +631,11 @@
                 await trio.sleep(0.001)
             old = w.engines[w.said("effect")[0]["id"]]
             await trio.sleep(0.1)
-            old.trouble.hung = True
+            old.fault.hung = True
             while len(attempts_at(w)) < 2:
                 await trio.sleep(0.001)
             await trio.sleep(0.04)  # the other streams by now
-            old.trouble.hung = False
+            old.fault.hung = False
             old.alter()
 
         w.nursery.start_soon(stand_still_and_heal)
@@ -648,7 +648,7 @@
 async def test_a_writer_that_never_ends_an_answer_is_found_by_outcomes_alone(script: str) -> None:
     """Its list entry, its handshake and its reads of the prompt are all well."""
     async with world(("r0", "w0", "w0b", "w1"), terms=terms()) as w:
-        w.engines["w0"].trouble.script, w.engines["w0"].trouble.at = script, 2
+        w.engines["w0"].fault.script, w.engines["w0"].fault.break_after_events = script, 2
         replies: list[Reply] = []
 
         async def ask(i: int) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -211,15 +211,15 @@
     """Answers get lost, engines die, clients leave: what every host must stand."""
     async with world(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
-            w.engines[ident].trouble.lost = 0.25
+            w.engines[ident].fault.lost_answer_share = 0.25
 
         async def strike() -> None:
             await trio.sleep(0.7)
             for engine in w.engines.values():
-                engine.trouble.lost_by_reset = True
-            w.engines["w0"].trouble.hung = True
+                engine.fault.lost_by_reset = True
+            w.engines["w0"].fault.hung = True
             await trio.sleep(0.5)
-            w.engines["w0"].trouble.hung = False
+            w.engines["w0"].fault.hung = False
             w.engines["r0b"].die()
 
         w.nursery.start_soon(strike)
@@ -262,7 +262,7 @@
     terms = replace_paper(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
     async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].build = BUILD
+            w.engines[ident].profile = BUILD
         told(w)
 
         async def restart() -> None:
@@ -298,7 +298,7 @@
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].build = BUILD
+            w.engines[ident].profile = BUILD
         told(w)
 
         async def strike() -> None:
@@ -321,7 +321,7 @@
 async def torn(host: type[Host]) -> Findings:
     async with world(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
-            w.engines[ident].trouble.breaks = 0.3
+            w.engines[ident].fault.broken_stream_share = 0.3
         await talk(w, 60, 1200)
         return check(w.traffic.lines, RULES)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -30,7 +30,7 @@
 from ternlane.http1 import ConnectionPool
 from ternlane.config import GatewayConfig, NodeLine
 from ternlane.config.gateway import InlineSource
-from ternlane.testing.engine import Engine
+from ternlane.testing.engine import FakeEngine
 from ternlane.testing.traffic import Traffic
 
 ROOT = Path(__file__).parent.parent
@@ -229,7 +229,7 @@
     traffic, ports = Traffic(None), {}
     async with trio.open_nursery() as nursery:
         for ident in IDENTS:
-            engine = Engine(
+            engine = FakeEngine(
                 ident,
                 "read" if ident[0] == "r" else "write",
                 "hall",
@@ -241,9 +241,9 @@
                 1,
             )
             ail = ails.get(ident, "")
-            engine.trouble.script = "" if ail in ("dead", "gone", "drains", "slow", "handshake", "flushed") else ail
-            engine.trouble.slow = 6.0 if ail == "slow" else 1.0
-            engine.trouble.handshake_ms = 20.0 if ail == "handshake" else 0.0
+            engine.fault.script = "" if ail in ("dead", "gone", "drains", "slow", "handshake", "flushed") else ail
+            engine.fault.slowdown = 6.0 if ail == "slow" else 1.0
+            engine.fault.handshake_delay_ms = 20.0 if ail == "handshake" else 0.0
             up = trio.Event()
             nursery.start_soon(engine.run, nursery, up)
             await up.wait()
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -165,7 +165,7 @@
 ) -> None:
     async with banked(tmp_path) as (w, bank):
         for engine in w.engines.values():
-            engine.trouble.metering = metering
+            engine.fault.usage_reporting = metering
         assert (await bank.ask(w, "noto", text="x" * 400)).done == 1
         await w.settled()
         await w.gateway.budget_enforcer.writer.flush(1.0)
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -31,7 +31,7 @@
 from ternlane.config import GatewayConfig, NodeLine, ConfigError, read_text
 from ternlane.config.gateway import InlineSource
 from ternlane.policy.messages import AttemptOutcome
-from ternlane.testing.engine import Engine
+from ternlane.testing.engine import FakeEngine
 
 
 class Local:
@@ -96,8 +96,8 @@
         self.local[server].trouble = what
         if self.kind == "sockets":
             engine = self.world.engines[server]
-            engine.trouble.hung = what == "hung"
-            engine.refusing = what == "full"
+            engine.fault.hung = what == "hung"
+            engine.draining = what == "full"
 
     def held(self) -> int:
         return len(self.local["r0"].states) if self.kind == "local" else len(self.world.engines["r0"].states)
@@ -254,7 +254,7 @@
     assert not issubclass(Unreached, Refuses)
 
 
-class Public(Engine):
+class Public(FakeEngine):
     """A server of the public chat API that knows nothing of ours, and says so."""
 
     async def handle(self, exchange: Exchange) -> None:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -44,7 +44,7 @@
 async def test_engines_whose_new_connections_are_slow_still_serve() -> None:
     async with world(build=replace(BUILD)) as w:
         for engine in w.engines.values():
-            engine.trouble.handshake_ms = 80.0
+            engine.fault.handshake_delay_ms = 80.0
         since = trio.current_time()
         assert (await w.ask("note")).done == 1
         assert trio.current_time() - since > 0.15 and len(w.said("effect")) == 1
@@ -231,8 +231,8 @@
     async with world(("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=Holds, terms=terms) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
         assert [e.held for e in told] == [True]
-        assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used == 0
+        assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
         with trio.move_on_after(0.05):  # a client that leaves within the read
             await w.ask("note", "y" * 1600)
         await w.settled()
-        assert len(w.said("released", id="w0")) == 1 and w.engines["w0"].used == 0
+        assert len(w.said("released", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
 from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
 from ternlane.config.gateway import ServerLimits, InlineSource
-from ternlane.testing.engine import Build, Engine
+from ternlane.testing.engine import EngineProfile, FakeEngine
 from ternlane.testing.traffic import Traffic
 
 REQUEST_CLASSES = [
@@ -39,7 +39,7 @@
     ]
 
 
-BUILD = Build(
+BUILD = EngineProfile(
     slots=8,
     prefill_tokens_per_s=40e3,
     token_ms=3.0,
@@ -82,13 +82,13 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
         self.traffic = Traffic(None)
-        self.engines: dict[str, Engine] = {}
+        self.engines: dict[str, FakeEngine] = {}
         self.gateway: Gateway
         self.pool = ConnectionPool(1000, 1000)
 
-    async def add(self, ident: str, build: Build = BUILD, zone: str = "hall") -> Engine:
+    async def add(self, ident: str, build: EngineProfile = BUILD, zone: str = "hall") -> FakeEngine:
         role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
-        engine = Engine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
+        engine = FakeEngine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
         self.engines[ident] = engine
         up = trio.Event()
         self.nursery.start_soon(engine.run, self.nursery, up)
@@ -108,7 +108,7 @@
                 zone=e.zone,
                 cell=e.cell,
                 role=e.role,
-                kv_capacity_tokens=e.build.kv_capacity_tokens,
+                kv_capacity_tokens=e.profile.kv_capacity_tokens,
                 state=changes.get(e.ident, "up"),
             )
             for e in self.engines.values()
@@ -178,7 +178,7 @@
 @asynccontextmanager
 async def world(
     engines: tuple[str, ...] = ("r0", "w0", "r1", "w1"),
-    build: Build = BUILD,
+    build: EngineProfile = BUILD,
     host_type: type[Host] = Host,
     chooser: Any = Router,
     terms: FleetConfig = TERMS,
