--- a/ternlane/scenarios/parts.py
+++ b/ternlane/scenarios/parts.py
@@ -28,7 +28,7 @@
     ZoneCut,
 )
 from ternlane.config import read_config
-from ternlane.testing.clients import Clients
+from ternlane.testing.clients import Clients, Tenant
 from ternlane.testing.engine import FakeEngine
 from ternlane.testing.front import Front
 from ternlane.testing.traffic import Progress, Traffic, clock_ms
@@ -117,12 +117,12 @@
                 return (int(peer.split(".")[2]) - 1 == cut_zone) != (zone_number == cut_zone)
 
             t.is_cut_off = cut if on else (lambda _: False)
-            engine.cut_open()
+            engine.close_cut_off()
         case _ if kind == "hang":
             t.hung = on
         case _ if kind == "flush":
-            engine.kept.clear()
-    engine.alter()
+            engine.prefix_cache.clear()
+    engine.speed_changed()
 
 
 async def fleet_part(folder: Path, index: int, of: int) -> None:
@@ -175,7 +175,7 @@
 
 
 def weather_acts(clients: Clients, act: Act) -> None:
-    on, w = act.what.startswith("begin"), clients.weather
+    on, w = act.what.startswith("begin"), clients.conditions
     match act.trouble:
         case Burst(times=times):
             w.rate = times if on else 1.0
@@ -198,11 +198,11 @@
         f"c{index}", f"{host}:{port}", talks_of(scene.day), habits_of(scene.day), traffic, scene.day.seed * 1000 + index
     )
     if (folder / "keys.json").exists():
-        clients.tenants = [(name, key) for name, key in json.loads((folder / "keys.json").read_text())]
+        clients.set_tenants([Tenant(name, key) for name, key in json.loads((folder / "keys.json").read_text())])
 
     async def progress() -> None:
         while True:
-            shown.add({"open": clients.open, **clients.tally})
+            shown.add({"open": clients.open, **clients.outcomes})
             await trio.sleep(0.5)
 
     async def weather() -> None:
@@ -217,7 +217,7 @@
         nursery.start_soon(weather)
         async with trio.open_nursery() as talks:
             await clients.run(lambda ms: scene.day.rate_at(ms) / of, scene.day.length_s * 1000, talks)
-        shown.add({"open": 0, **clients.tally})
+        shown.add({"open": 0, **clients.outcomes})
 
     try:
         await until_signal(run)
--- a/ternlane/scenarios/plan.py
+++ b/ternlane/scenarios/plan.py
@@ -21,7 +21,7 @@
     ZoneCut,
 )
 from ternlane.config import FleetConfig
-from ternlane.testing.clients import Habits, Talk
+from ternlane.testing.clients import ClientBehaviour, ClientWorkload
 from ternlane.testing.engine import EngineProfile
 
 ENGINE_NET, GATEWAY_NET = "127.0", "127.1"  # loopback: zones are told apart by the third figure
@@ -101,10 +101,10 @@
     return out
 
 
-def talks_of(day: DayScript) -> list[Talk]:
+def talks_of(day: DayScript) -> list[ClientWorkload]:
     terms = {p.name: p for p in day.request_classes}
     return [
-        Talk(
+        ClientWorkload(
             u.request_class,
             terms[u.request_class].effect,
             u.share,
@@ -123,9 +123,9 @@
     ]
 
 
-def habits_of(day: DayScript) -> Habits:
+def habits_of(day: DayScript) -> ClientBehaviour:
     c = day.clients
-    return Habits(c.try_share, c.retries, c.backoff_ms, c.honour, c.leave_part, c.leave_ms)
+    return ClientBehaviour(c.try_share, c.retries, c.backoff_ms, c.honour, c.leave_part, c.leave_ms)
 
 
 def drawn(rng: random.Random, among: list[int], part: float) -> tuple[int, ...]:
--- a/ternlane/scenarios/play.py
+++ b/ternlane/scenarios/play.py
@@ -24,7 +24,7 @@
 from ternlane.config.gateway import ConsulSource
 from ternlane.rules import check_folder
 from ternlane.rules.limits import RuleLimits
-from ternlane.testing.registry import EndpointList, Registry
+from ternlane.testing.registry import RegisteredEndpoint, Registry
 from ternlane.testing.traffic import Traffic, clock_ms
 from ternlane.tenants import KeyLine, Prices, TenantLine, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
@@ -99,7 +99,7 @@
         self.idents = {e.number: e.ident for e in engines}
         for e in engines:
             self.registry.put(
-                EndpointList(
+                RegisteredEndpoint(
                     e.ident,
                     e.host,
                     self.scene.engine_port + e.number,
@@ -297,16 +297,16 @@
                 self.registry.restart()
         elif trouble.how == "empty":
             if act.what.startswith("begin"):
-                self.emptied = dict(self.registry.listings)
-                self.registry.listings.clear()
+                self.emptied = dict(self.registry.endpoints)
+                self.registry.endpoints.clear()
             else:
-                self.registry.listings.update(
-                    {k: v for k, v in self.emptied.items() if k not in self.registry.listings}
+                self.registry.endpoints.update(
+                    {k: v for k, v in self.emptied.items() if k not in self.registry.endpoints}
                 )
-            self.registry.bump()
+            self.registry.notify()
         else:
             self.registry.failing = trouble.how if act.what.startswith("begin") else None
-            self.registry.bump()
+            self.registry.notify()
 
     async def list_act(self, act: Act) -> None:
         """The registry hears late: soon of what is announced, later of what died silently."""
@@ -315,9 +315,9 @@
         await trio.sleep(late / 1000)
         state = {"drain": "draining", "die": "gone", "live": "up"}[act.what]
         for n in act.on:
-            if self.idents[n] in self.registry.listings:
+            if self.idents[n] in self.registry.endpoints:
                 extra = {"started": started} if act.what == "live" else {}
-                self.registry.alter(self.idents[n], state=state, **extra)
+                self.registry.update(self.idents[n], state=state, **extra)
 
     async def watch(self, clients: int) -> None:
         """Shows how it goes until all clients have ended."""
--- /dev/null
+++ b/ternlane/testing/engine_prefill.py
@@ -0,0 +1,82 @@
+"""How a fake engine runs a prefill: it reads the prompt and holds its state for a decode server."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from ternlane.http1 import Exchange
+from ternlane.testing.engine_breakage import lose_answer, play_script
+from ternlane.testing.engine_core import EngineCore, Refused
+from ternlane.testing.engine_profile import DECODE_ROLE, AttemptOutcome
+from ternlane.testing.engine_request import EngineRequest, usage_of
+
+PREFILL_BASE_MS = 2.0  # however short the prompt
+# Scripts that change only what a decode answers.
+DECODE_SCRIPTS = ("", "deaf", "other")
+
+
+def prefill_ms(engine: EngineCore, uncached_tokens: float) -> float:
+    """What reading so many tokens takes at full speed."""
+    return PREFILL_BASE_MS + uncached_tokens / engine.profile.prefill_tokens_per_s * 1000
+
+
+async def run_prefill(engine: EngineCore, exchange: Exchange, request: EngineRequest) -> AttemptOutcome:
+    """Answers the attempt. Raises Refused."""
+    if engine.role == DECODE_ROLE:
+        raise Refused(400, "not-a-reader")
+    if engine.draining:
+        raise Refused(503, "draining")
+    engine.require_memory(request.tokens)
+    if engine.fault.script not in DECODE_SCRIPTS:
+        return await play_script(engine.fault, exchange)
+    prefix = engine.look_up_prefix(request.prompt)
+    work_ms = prefill_ms(engine, prefix.uncached_tokens)
+    engine.record_arrival(work_ms)
+    await _read_prompt(engine, request.tokens, work_ms)
+    engine.traffic.line(
+        "made",
+        id=engine.ident,
+        gen=request.request,
+        prompt=int(request.tokens),
+        kept=int(prefix.cached_tokens),
+        answer=0,
+    )
+    engine.hold_state(request.request, request.tokens)
+    if engine.rng.random() < engine.fault.lost_answer_share:
+        return await lose_answer(engine.fault, exchange)
+    answer = _answer(engine, request, prefix.cached_tokens)
+    await exchange.answer(200, [engine.load_header()], msgspec.json.encode(answer))
+    return AttemptOutcome.PREFILLED
+
+
+async def _read_prompt(engine: EngineCore, tokens: float, work_ms: float) -> None:
+    """Leaves the memory used where it ends well: the state stays."""
+    async with engine.slot():
+        engine.used_tokens += tokens
+        try:
+            await engine.work(work_ms)
+        except BaseException:
+            engine.used_tokens -= tokens
+            raise
+
+
+def _answer(engine: EngineCore, request: EngineRequest, cached_tokens: float) -> dict[str, Any]:
+    message = {"role": "assistant", "content": "."}
+    return {
+        "id": request.request,
+        "object": "chat.completion",
+        "choices": [{"index": 0, "message": message, "finish_reason": "length"}],
+        "kv_transfer_params": {
+            "do_remote_prefill": True,
+            "do_remote_decode": False,
+            "remote_engine_id": engine.ident,
+            "remote_block_ids": [],
+            "remote_host": engine.host,
+            "remote_port": engine.port,
+            "remote_request_id": request.request,
+            "standin_cell": engine.cell,
+        },
+        "usage": usage_of(engine.fault, request.tokens, cached_tokens, 1),
+    }
--- /dev/null
+++ b/ternlane/testing/platform/model_server.py
@@ -0,0 +1,205 @@
+"""A fake model server of the platform."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from itertools import pairwise
+
+import trio
+
+from ternlane.http1 import Exchange, serve_connection
+from ternlane.testing.platform.answers import DONE, EVENT, GOOD, USAGE, WRONG
+from ternlane.testing.platform.fleet import Fleet
+from ternlane.testing.platform.gate import Gate
+from ternlane.testing.sockets import address_of, listen_on_loopback
+
+PREFILL_ROLE = "read"
+DECODE_ROLE = "write"
+LEASES_PATH = "/kv/leases/"
+MAX_BODY_BYTES = 2**18
+REQUEST_TIMEOUT_MS = 5e3  # for a head or a body to arrive, or an answer to be taken
+IDLE_TIMEOUT_MS = 30e3
+LATE_STATE_S = 0.05  # by how much a prefill outlasts its client
+SPOILED_TIMEOUT_S = 5  # for the gateway to leave after a wrong answer
+PIECES = 13  # of an answer that is cut at random places
+PIECE_PAUSE_S = 0.001
+
+
+@dataclass(eq=False)
+class ModelServer:
+    """Listens on loopback; what it does wrong is set at any time."""
+
+    name: str
+    role: str  # "read" (prefill) or "write" (decode)
+    fleet: Fleet
+    script: Callable[[str], str] = lambda _: ""  # by id: how this attempt goes wrong
+    prefill_ms: float = 1.0
+    event_ms: float = 1.0
+    events: int = 2
+    accepts_only: bool = False  # takes connections, and reads and sends nothing
+    lease_fault: str = ""  # how calls for leases go wrong: "silent", or a name of WRONG
+    # Where it holds: "request" (complete, nothing done yet), "queue" (a decode waits for its state), "event" (one event
+    # has been sent), "end" (all but the last chunk has been sent), "lease" (a call for a lease has come), "second"
+    # (before a second answer).
+    gates: dict[str, Gate] = field(default_factory=dict)
+    address: str = ""
+    listener: trio.SocketListener | None = None
+
+    async def start(self) -> None:
+        """Listens, again at the address of before where it has one."""
+        self.listener = await listen_on_loopback(self.address)
+        self.address = address_of(self.listener)
+        self.fleet.nursery.start_soon(self._accept, self.listener)
+
+    def stop(self) -> None:
+        """Takes no new connections; open ones go on."""
+        assert self.listener is not None
+        self.listener.socket.close()
+
+    async def _accept(self, listener: trio.SocketListener) -> None:
+        while True:
+            try:
+                stream = await listener.accept()
+            except (trio.ClosedResourceError, OSError):
+                return
+            self.fleet.nursery.start_soon(self._serve, stream)
+
+    async def _serve(self, stream: trio.SocketStream) -> None:
+        self.fleet.conns[self.name] += 1
+        try:
+            if self.accepts_only:
+                await trio.sleep_forever()
+            await serve_connection(
+                stream,
+                self._handle,
+                body_bytes=MAX_BODY_BYTES,
+                head_ms=REQUEST_TIMEOUT_MS,
+                body_ms=REQUEST_TIMEOUT_MS,
+                idle_ms=IDLE_TIMEOUT_MS,
+                send_ms=REQUEST_TIMEOUT_MS,
+            )
+        finally:
+            self.fleet.conns[self.name] -= 1
+
+    async def _pass_gate(self, point: str) -> None:
+        if point in self.gates:
+            await self.gates[point].hold()
+
+    async def _handle(self, exchange: Exchange) -> None:
+        if exchange.path.startswith(LEASES_PATH):
+            await self._lease(exchange, exchange.path.removeprefix(LEASES_PATH))
+        elif exchange.path == "/stats":
+            self.fleet.seen.append((self.name, "probe", ""))
+            await exchange.answer(200, [], b"inflight=1,x0=0.1", "text/plain")
+        else:
+            await self._request(exchange, exchange.header(b"request-id") or "")
+
+    async def _lease(self, exchange: Exchange, ident: str) -> None:
+        self.fleet.seen.append((self.name, exchange.method, ident))
+        await self._pass_gate("lease")
+        if self.lease_fault:
+            await self._spoil(exchange, self.lease_fault)
+            return
+        await trio.sleep(self.fleet.release_delay_ms / 1000)
+        if exchange.method == "DELETE" and ident not in self.fleet.awaited:
+            self.fleet.end_hold(ident)
+        await exchange.answer(204, [], b"")
+
+    async def _request(self, exchange: Exchange, ident: str) -> None:
+        self.fleet.seen.append((self.name, self.role, ident))
+        if self.role == DECODE_ROLE and self.fleet.ran[ident]:
+            self.fleet.repeated.add(ident)
+        self.fleet.stated_timeouts_s.append(float(exchange.header(b"request-timeout") or "nan"))
+        self.fleet.open[self.name] += 1
+        try:
+            await self._pass_gate("request")
+            await self._attempt(exchange, ident, self.script(ident))
+        finally:
+            self.fleet.open[self.name] -= 1
+
+    async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
+        if fault == "silent":
+            await exchange.until_left()
+        elif fault == "late_state":  # its client has gone, and it reads on for a while
+            await exchange.until_left()
+            await trio.sleep(LATE_STATE_S)
+            self.fleet.hold(ident, self.name)
+        elif self.role == PREFILL_ROLE and not fault:
+            await self._prefill(exchange, ident)
+        elif self.role == DECODE_ROLE:
+            await self._decode(exchange, ident, fault)
+        else:
+            await self._answer(exchange, ident, fault)
+
+    async def _prefill(self, exchange: Exchange, ident: str) -> None:
+        with trio.move_on_after(self.prefill_ms / 1000):
+            await exchange.until_left()
+            return  # it was cancelled
+        self.fleet.hold(ident, self.name)
+        await exchange.answer(202, [("Server-Load", "inflight=1,x0=0.1")], b'{"cached_tokens":4}')
+
+    async def _decode(self, exchange: Exchange, ident: str, fault: str) -> None:
+        if not fault.startswith(("status_", "full_", "gone_")):  # it refuses before it looks for the state
+            if await self._take_state(ident):
+                self.fleet.ran[ident] += 1
+            else:
+                fault = "gone_410"
+        await self._answer(exchange, ident, fault)
+
+    async def _take_state(self, ident: str) -> bool:
+        """Waits in the queue and takes the state. While it waits, no DELETE releases that state (users' page)."""
+        self.fleet.awaited.add(ident)
+        try:
+            await self._pass_gate("queue")
+            return self.fleet.end_hold(ident)
+        finally:
+            self.fleet.awaited.discard(ident)
+
+    async def _answer(self, exchange: Exchange, ident: str, fault: str) -> None:
+        match fault:
+            case "pieces":
+                await self._send_in_pieces(exchange, ident)
+            case "interim":
+                await exchange.stream.send_all(b"HTTP/1.1 102 Processing\r\n\r\n" * 3)
+                await self._stream(exchange, [])
+            case "odd_load":
+                await self._stream(exchange, [("Server-Load", "inflight=,,=%$")])
+            case "second_answer":
+                await self._stream(exchange, [])
+                await self._pass_gate("second")
+                await exchange.stream.send_all(GOOD)
+            case "":
+                await self._stream(exchange, [])
+            case _:
+                await self._spoil(exchange, fault)
+
+    async def _stream(self, exchange: Exchange, more_headers: list[tuple[str, str]]) -> None:
+        headers = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked"), *more_headers]
+        await exchange.begin(200, headers, EVENT)
+        await self._pass_gate("event")
+        for _ in range(self.events - 1):
+            await trio.sleep(self.event_ms / 1000)
+            await exchange.chunk(EVENT)
+        await exchange.chunk(USAGE)
+        await self._pass_gate("end")
+        await exchange.end(DONE + b": Server-Load: inflight=2,x0=0.2\n\n")
+
+    async def _send_in_pieces(self, exchange: Exchange, ident: str) -> None:
+        """A good answer, in pieces that are cut at random places: the same for the same id."""
+        whole = GOOD.replace(b"transfer", b"connection: close\r\ntransfer", 1)
+        cuts = sorted(random.Random(ident).sample(range(1, len(whole)), PIECES - 1))
+        for begin, end in pairwise([0, *cuts, len(whole)]):
+            await exchange.stream.send_all(whole[begin:end])
+            await trio.sleep(PIECE_PAUSE_S)
+        exchange.reset()
+
+    async def _spoil(self, exchange: Exchange, fault: str) -> None:
+        """`fault`: "silent", or a name of WRONG."""
+        if fault != "silent":
+            await exchange.stream.send_all(WRONG[fault])
+        if not fault.endswith("cut"):
+            with trio.move_on_after(SPOILED_TIMEOUT_S):
+                await exchange.until_left()
+        exchange.reset()
--- a/ternlane/testing/proxy.py
+++ b/ternlane/testing/proxy.py
@@ -7,20 +7,20 @@
 
 from __future__ import annotations
 
-import socket
-import struct
-
 import trio
 
+from ternlane.testing.sockets import STREAM_CLOSED, address_of, listen_on_loopback, reset_when_closed
+
 CHUNK_BYTES = 65536
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of no time: closing resets the connection
 
 
 class StallingProxy:
     """Listens at `address` and forwards to `upstream` (host:port)."""
 
     def __init__(self, nursery: trio.Nursery, upstream: str) -> None:
-        self.nursery, self.upstream = nursery, upstream
+        """`upstream`: host:port."""
+        self.nursery = nursery
+        self.upstream = upstream
         self.address = ""
         self.swallowed_bytes = 0  # taken from either side while stalled
         self._flowing = trio.Event()
@@ -28,13 +28,14 @@
         self._streams: set[trio.SocketStream] = set()
 
     async def start(self) -> None:
-        listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
-        name = listener.socket.getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        """Listens on a free port and forwards in the nursery."""
+        listener = await listen_on_loopback()
+        self.address = address_of(listener)
         self.nursery.start_soon(self._accept, listener)
 
     @property
     def stalled(self) -> bool:
+        """Whether nothing arrives at present."""
         return not self._flowing.is_set()
 
     def stall(self) -> None:
@@ -47,9 +48,10 @@
 
     def reset_all(self) -> None:
         """Ends a stall as a network does that has forgotten its connections: they are reset, new ones work."""
-        streams, self._streams = self._streams, set()  # a second reset meets only newer ones
+        streams = self._streams
+        self._streams = set()  # a second reset meets only newer ones
         for stream in streams:
-            stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_when_closed(stream)
             stream.socket.close()
         self._flowing.set()
 
@@ -68,7 +70,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._forward, client, server, nursery.cancel_scope)
                 nursery.start_soon(self._forward, server, client, nursery.cancel_scope)
-        except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
+        except (OSError, *STREAM_CLOSED):
             pass
         finally:
             for stream in filter(None, (client, server)):
@@ -84,6 +86,6 @@
                     await self._flowing.wait()
                 await sink.send_all(data)
             await self._flowing.wait()
-        except (trio.BrokenResourceError, trio.ClosedResourceError):
+        except STREAM_CLOSED:
             pass
         both.cancel()
--- a/ternlane/testing/registry.py
+++ b/ternlane/testing/registry.py
@@ -1,9 +1,9 @@
-"""A stand-in registry that speaks Consul's health API with blocking queries (from its published description)."""
+"""A fake registry that speaks Consul's health API with blocking queries, written from its published description."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, Literal
 from urllib.parse import parse_qs
 
 import msgspec
@@ -12,9 +12,20 @@
 from ternlane.http1 import Exchange, serve_connection
 from ternlane.testing.traffic import Traffic
 
+Failure = Literal["errors", "silence", "garbage", "partial"]
+SILENCE_S = 60
+DEFAULT_WAIT = "10000ms"
+FIRST_INDEX = 10
+MAX_BODY_BYTES = 1024
+REQUEST_TIMEOUT_MS = 60e3
+IDLE_TIMEOUT_MS = 300e3
+SEND_TIMEOUT_MS = 10e3
+
 
 @dataclass(frozen=True)
-class EndpointList:
+class RegisteredEndpoint:
+    """One engine as the registry has it."""
+
     ident: str
     address: str
     port: int
@@ -26,6 +37,7 @@
     state: str = "up"  # up, draining, gone
 
     def entry(self) -> dict[str, Any]:
+        """In the form of the API."""
         checks = [{"CheckID": "service:engine", "Status": "critical" if self.state == "gone" else "passing"}]
         if self.state == "draining":
             checks.append({"CheckID": f"_service_maintenance:{self.ident}", "Status": "critical"})
@@ -50,64 +62,86 @@
 
 
 class Registry:
+    """Holds the endpoints and answers gateways; each list that it gives out is a line of traffic."""
+
     def __init__(self, traffic: Traffic) -> None:
+        """Empty, until endpoints are put into it."""
         self.traffic = traffic
-        self.index = 10
-        self.listings: dict[str, EndpointList] = {}
-        self.changed = trio.Event()
-        self.failing: str | None = None  # None, "errors", "silence", "garbage" or "partial"
+        self.index = FIRST_INDEX
+        self.endpoints: dict[str, RegisteredEndpoint] = {}
+        self.failing: Failure | None = None
+        self._changed = trio.Event()
 
-    def put(self, listing: EndpointList) -> None:
-        self.listings[listing.ident] = listing
-        self.bump()
+    def put(self, endpoint: RegisteredEndpoint) -> None:
+        """Adds or replaces an endpoint."""
+        self.endpoints[endpoint.ident] = endpoint
+        self.notify()
 
-    def alter(self, ident: str, **fields: Any) -> None:
-        self.put(replace(self.listings[ident], **fields))
+    def update(self, ident: str, **fields: Any) -> None:
+        """Changes fields of an endpoint."""
+        self.put(replace(self.endpoints[ident], **fields))
 
     def drop(self, ident: str) -> None:
-        self.listings.pop(ident, None)
-        self.bump()
+        """Removes an endpoint."""
+        self.endpoints.pop(ident, None)
+        self.notify()
 
-    def bump(self) -> None:
+    def notify(self) -> None:
+        """Answers the queries that wait for a change."""
         self.index += 1
-        self.changed.set()
-        self.changed = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     def restart(self) -> None:
         """Comes back with its index counted anew, as the API allows."""
         self.index = 0
-        self.bump()
+        self.notify()
 
     async def serve(self, listeners: list[trio.SocketListener]) -> None:
-        await trio.serve_listeners(self.connection, listeners)
+        """Until it is cancelled."""
+        await trio.serve_listeners(self._connection, listeners)
 
-    async def connection(self, stream: trio.SocketStream) -> None:
+    async def _connection(self, stream: trio.SocketStream) -> None:
         await serve_connection(
-            stream, self.handle, body_bytes=1024, head_ms=60e3, body_ms=60e3, idle_ms=300e3, send_ms=10e3
+            stream,
+            self._handle,
+            body_bytes=MAX_BODY_BYTES,
+            head_ms=REQUEST_TIMEOUT_MS,
+            body_ms=REQUEST_TIMEOUT_MS,
+            idle_ms=IDLE_TIMEOUT_MS,
+            send_ms=SEND_TIMEOUT_MS,
         )
 
-    async def handle(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         if self.failing == "silence":
-            await trio.sleep(60)
+            await trio.sleep(SILENCE_S)
         if self.failing == "errors":
             await exchange.answer(500, [], b"no cluster leader", "text/plain")
             return
         query = parse_qs(exchange.query)
-        known, wait = int(query.get("index", ["0"])[0]), query.get("wait", ["10000ms"])[0]
-        if known and known >= self.index:
-            with trio.move_on_after(float(wait.removesuffix("ms")) / 1000):
-                while known >= self.index and self.failing is None:
-                    await self.changed.wait()
+        known_index = int(query.get("index", ["0"])[0])
+        wait = query.get("wait", [DEFAULT_WAIT])[0]
+        if known_index and known_index >= self.index:
+            await self._wait_for_change(known_index, float(wait.removesuffix("ms")))
         if self.failing == "garbage":
             await exchange.answer(200, [("X-Consul-Index", str(self.index))], b'[{"Service": 7')
             return
-        listings = [v for v in self.listings.values()]
+        await self._answer_list(exchange, known_index)
+
+    async def _wait_for_change(self, known_index: int, wait_ms: float) -> None:
+        with trio.move_on_after(wait_ms / 1000):
+            while known_index >= self.index and self.failing is None:
+                await self._changed.wait()
+
+    async def _answer_list(self, exchange: Exchange, known_index: int) -> None:
+        endpoints = list(self.endpoints.values())
         if self.failing == "partial":  # half of the list only
-            listings = listings[: len(listings) // 2]
+            endpoints = endpoints[: len(endpoints) // 2]
         agent = exchange.header(b"user-agent") or ""
-        who, index = agent[agent.find("(") + 1 : -1], self.index
-        body = msgspec.json.encode([v.entry() for v in listings])
-        told = {v.ident: [v.state, v.started] for v in listings}
+        gateway = agent[agent.find("(") + 1 : -1]
+        index = self.index
+        states = {endpoint.ident: [endpoint.state, endpoint.started] for endpoint in endpoints}
+        body = msgspec.json.encode([endpoint.entry() for endpoint in endpoints])
         await exchange.answer(200, [("X-Consul-Index", str(index))], body)
-        if index != known:
-            self.traffic.line("told", gw=who, index=index, states=told)
+        if index != known_index:
+            self.traffic.line("told", gw=gateway, index=index, states=states)
--- a/ternlane/testing/scripted.py
+++ b/ternlane/testing/scripted.py
@@ -1,4 +1,4 @@
-"""A peer that answers every request with the same bytes and pauses: for what no honest engine would say."""
+"""A peer that answers every request with the same bytes and pauses: for what no sound server would send."""
 
 from __future__ import annotations
 
@@ -6,45 +6,52 @@
 
 import trio
 
-from ternlane.testing.engine import LINGER_0
+from ternlane.testing.sockets import STREAM_CLOSED, address_of, listen_on_loopback, reset_when_closed
 
 Step = bytes | float | str  # send, wait (ms), or "reset", "close", "hold"
+READ_BYTES = 65536
 
 
 class Scripted:
-    """Takes a whole request head and body roughly, then plays its steps."""
+    """Reads the head of a request, then plays its steps and closes the connection."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
-        self.steps, self.asked, self.heads = steps, 0, list[bytes]()
+        """The same steps for every connection."""
+        self.steps = steps
+        self.asked = 0  # requests so far
+        self.heads: list[bytes] = []  # what came of each before its steps were played
         self.listeners: list[trio.SocketListener] = []
         self.address = ""
 
     async def run(self, nursery: trio.Nursery) -> None:
-        self.listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        host, port = self.listeners[0].socket.getsockname()[:2]
-        self.address = f"{host}:{port}"
-        nursery.start_soon(trio.serve_listeners, self.connection, self.listeners)
-
-    async def connection(self, stream: trio.SocketStream) -> None:
-        got = b""
-        while b"\r\n\r\n" not in got:
-            more = await stream.receive_some(65536)
-            if not more:
+        """Listens, and serves in the nursery."""
+        self.listeners = [await listen_on_loopback()]
+        self.address = address_of(self.listeners[0])
+        nursery.start_soon(trio.serve_listeners, self._connection, self.listeners)
+
+    async def _connection(self, stream: trio.SocketStream) -> None:
+        received = b""
+        while b"\r\n\r\n" not in received:
+            data = await stream.receive_some(READ_BYTES)
+            if not data:
                 return
-            got += more
+            received += data
         self.asked += 1
-        self.heads.append(got)
+        self.heads.append(received)
         try:
             for step in self.steps:
-                if isinstance(step, bytes):
-                    await stream.send_all(step)
-                elif isinstance(step, float):
-                    await trio.sleep(step / 1000)
-                elif step == "hold":
-                    await trio.sleep_forever()
-                elif step == "reset":
-                    stream.setsockopt(1, 13, LINGER_0)
-        except (trio.BrokenResourceError, trio.ClosedResourceError):
+                await self._play(stream, step)
+        except STREAM_CLOSED:
             pass
         finally:
             stream.socket.close()
+
+    async def _play(self, stream: trio.SocketStream, step: Step) -> None:
+        if isinstance(step, bytes):
+            await stream.send_all(step)
+        elif isinstance(step, float):
+            await trio.sleep(step / 1000)
+        elif step == "hold":
+            await trio.sleep_forever()
+        elif step == "reset":
+            reset_when_closed(stream)
--- a/ternlane/testing/traffic.py
+++ b/ternlane/testing/traffic.py
@@ -1,4 +1,4 @@
-"""What crossed a socket, as JSON lines: one file a stand-in process, times in milliseconds of the machine's clock."""
+"""What crossed a socket, as JSON lines: one file a process, times in milliseconds of the machine's clock."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 import msgspec
 
+BUFFER_BYTES = 1 << 16
+
 
 def clock_ms() -> float:
     """The same on all processes of a machine."""
@@ -15,31 +17,42 @@
 
 
 class Traffic:
-    def __init__(self, path: Path | None) -> None:
-        self.out = None if path is None else open(path, "ab", buffering=1 << 16)
-        self.lines: list[dict[str, Any]] = []  # kept only where there is no file
+    """Writes lines to a file, or keeps them where there is none."""
 
-    def line(self, kind: str, **said: Any) -> None:
-        said = {"k": kind, "t": round(clock_ms(), 2), **said}
-        if self.out is None:
-            self.lines.append(said)
+    def __init__(self, path: Path | None) -> None:
+        """Lines are added to the file."""
+        self.lines: list[dict[str, Any]] = []  # only where there is no file
+        self._file = None if path is None else open(path, "ab", buffering=BUFFER_BYTES)
+
+    def line(self, kind: str, **fields: Any) -> None:
+        """Writes a line with the kind, the time and these fields."""
+        line = {"k": kind, "t": round(clock_ms(), 2), **fields}
+        if self._file is None:
+            self.lines.append(line)
         else:
-            self.out.write(msgspec.json.encode(said) + b"\n")
+            self._file.write(msgspec.json.encode(line) + b"\n")
 
     def close(self) -> None:
-        if self.out is not None:
-            self.out.close()
+        """Writes what is still in the buffer."""
+        if self._file is not None:
+            self._file.close()
 
 
 class Progress:
-    """How far a process is, a line at a time. Lines are only ever added: a file that is cut and written anew is flushed
-    by some file systems as it closes, which held up all clients of the process for a tenth of a second each time."""
+    """How far a process is, a line at a time.
+
+    Lines are only ever added: some file systems flush a file that is cut and written anew as it closes, which held up
+    all clients of the process for a tenth of a second each time.
+    """
 
     def __init__(self, path: Path) -> None:
-        self.out = open(path, "ab", buffering=0)
+        """Lines are added to the file."""
+        self._file = open(path, "ab", buffering=0)
 
-    def add(self, said: dict[str, Any]) -> None:
-        self.out.write(msgspec.json.encode(said) + b"\n")
+    def add(self, line: dict[str, Any]) -> None:
+        """Writes a line at once."""
+        self._file.write(msgspec.json.encode(line) + b"\n")
 
     def close(self) -> None:
-        self.out.close()
+        """Closes the file."""
+        self._file.close()
