--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -141,7 +141,7 @@
 
     def script(self, name: str) -> Callable[[str], str]:
         def way(ident: str) -> str:
-            told_s = self.p.fleet.told_s[-1]  # its own: nothing comes between the two
+            told_s = self.p.fleet.stated_timeouts_s[-1]  # its own: nothing comes between the two
             self.attempts.append(Attempt(name, ident, trio.current_time(), self.ways[name], told_s))
             return self.ways[name]
 
@@ -188,7 +188,7 @@
                 self.ways[server] = self.plan.rng.choice(FAILING)
                 self.faulty.add(server)
             case "slow":
-                self.p.servers[server].read_ms = 400.0
+                self.p.servers[server].prefill_ms = 400.0
                 self.p.servers[server].event_ms = 120.0
             case "stall":
                 self.faulty.add(server)
@@ -211,7 +211,7 @@
                     self.drained_at.setdefault(server, trio.current_time())
             case "hush":
                 self.agent_well = False
-                self.p.discovery.hush()
+                self.p.discovery.silence_open_watches()
             case "agent silent":
                 self.agent_well = False
                 self.p.discovery.silent = True
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -116,7 +116,7 @@
             discovery.garbage = b'{"index":9,"snapshot":false,"endpo'
             discovery.put("w1", "127.0.0.1:2", "writer")
             await until(lambda: not discovery.garbage)
-        discovery.hush()  # open watches say no more, new ones are served
+        discovery.silence_open_watches()  # open watches say no more, new ones are served
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
         await until(heard.is_set)
@@ -187,7 +187,7 @@
 async def test_a_drain_that_only_the_new_agent_tells_is_heard_though_the_old_one_is_silent() -> None:
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
-        p.discovery.hush()
+        p.discovery.silence_open_watches()
         other = Discovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, list(p.discovery.log), dict(p.discovery.entries)
         await other.start()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -148,8 +148,8 @@
         await gate.reached.wait()
         await trio.sleep(0.2)  # the time that passes, not the order, is the matter here
         gate.open()
-        await until(lambda: len(p.fleet.told_s) > 2)
-        assert p.fleet.told_s[2] <= 1.5 - (trio.current_time() - since) + 0.1
+        await until(lambda: len(p.fleet.stated_timeouts_s) > 2)
+        assert p.fleet.stated_timeouts_s[2] <= 1.5 - (trio.current_time() - since) + 0.1
         await until(lambda: replies)
         assert replies[0].status == 200
 
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -57,7 +57,7 @@
         await trio.sleep(0.1)
         discovery.break_off(silent=how == "silent", listening=how == "silent")
         await trio.sleep(0.3 + 0.05 * nth)
-        await discovery.mend()
+        await discovery.restore()
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
         await heard.wait()
@@ -268,7 +268,7 @@
     for server in reversed(servers):
         await server.start()
         engines.has_answered(server.address)  # the silent ones were heard last
-        server.mute = server in servers[:16]
+        server.accepts_only = server in servers[:16]
     fleet.states["ab"] = "w19"
     with trio.move_on_after(deployment.router_config.release_ms / 1000):
         nursery.start_soon(engines.release, "ab", [s.address for s in servers], deployment.router_config.release_ms)
@@ -402,7 +402,7 @@
                 await trio.sleep(0.01)
         assert p.gateway.front.conns <= p.gateway.front.conn_limit == 45
         assert (await p.ask()).status == 200  # a new one takes an idle one's place, at once
-        await p.discovery.mend()
+        await p.discovery.restore()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(registry.TOLD_MS / 1000):
             while p.gateway.node.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from ternlane.config import ConsulSource, NodeLine
 from ternlane.config.gateway import ServerLimits
 from ternlane.policy.messages import AttemptOutcome
-from ternlane.testing.registry import EndpointList, Registry
+from ternlane.testing.registry import RegisteredEndpoint, Registry
 from ternlane.testing.scripted import Scripted
 from ternlane.testing.traffic import Traffic
 
@@ -267,7 +267,7 @@
             w.engines[w.said("state")[0]["id"]].die()
             await trio.sleep(0.05)
             w.engines["w0"].busy = 1
-            w.engines["w0"].leave()
+            w.engines["w0"].free_slot()
 
         w.nursery.start_soon(kill)
         reply = await w.ask("note")
@@ -474,21 +474,23 @@
                 while not condition():
                     await trio.sleep(0.005)
 
-        registry.put(EndpointList("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
+        registry.put(RegisteredEndpoint("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
         await until(lambda: found and [n.id for n in found[-1]] == ["a"])
-        registry.alter("a", state="draining")
+        registry.update("a", state="draining")
         await until(lambda: found[-1][0].state == "draining")
         for how in ("errors", "garbage"):
             before, kept = len(failed), found[-1]
             registry.failing = how
-            registry.bump()
+            registry.notify()
             await until(lambda n=before: len(failed) > n)
             assert found[-1] == kept
             registry.failing = None
         registry.restart()
-        registry.put(EndpointList("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
+        registry.put(RegisteredEndpoint("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
         await until(lambda: {n.id for n in found[-1]} == {"a", "b"})
-        registry.put(EndpointList("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))  # one bad entry costs only itself
+        registry.put(
+            RegisteredEndpoint("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5)
+        )  # one bad entry costs only itself
         await until(lambda: any("c:" in why for why in failed))
         assert {n.id for n in found[-1]} == {"a", "b"}
         nursery.cancel_scope.cancel()
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -134,7 +134,7 @@
     told = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("w9", told=told) as p:
         proxies = [await p.add_behind_proxy(name) for name in ("w0", "w1", "w2")]
-        await p.add("r0", lease_way="silent")
+        await p.add("r0", lease_fault="silent")
         async with running(p, tmp_path, settings=told):
             await warm_up(p, proxies)
             p.servers["r0"].gates["request"] = prefill = Gate()
@@ -191,7 +191,7 @@
     """In the test's own process, as a server's way of answering changes meanwhile."""
     async with platform("r0", "w0", w0=always("status_500")) as p:
         for server in p.servers.values():
-            server.lease_way = "silent"
+            server.lease_fault = "silent"
         p.fleet.hold("00000000000000cc", "r0")
         assert (await p.ask(Request_Class="note", Request_Id="00000000000000cc")).status == 502
         p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state waits
@@ -199,6 +199,6 @@
         await until(lambda: counts["release unheard"] >= 2)
         assert p.gateway.node.releasing == 1
         for server in p.servers.values():
-            server.lease_way = ""
+            server.lease_fault = ""
         await until(lambda: counts["release heard"] == 1)
         await p.settled()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -164,8 +164,8 @@
     """The DELETE for what a failed writer left was still under way when the prompt had been read anew. One server alone
     takes it: of two that are asked at once, a slow machine lets the other's come behind the read."""
     async with platform("r0", "w0", "w1", w0=once("gone_410"), w1=once("gone_410")) as p:
-        p.fleet.spread_ms = 20.0
-        p.servers["w1"].lease_way = "silent"
+        p.fleet.release_delay_ms = 20.0
+        p.servers["w1"].lease_fault = "silent"
         reply = await p.ask()
         assert reply.status == 200 and p.fleet.count("DELETE") >= 1
         await p.settled()
@@ -179,7 +179,7 @@
         assert (await p.ask(Request_Class="note")).status == 502
         await p.settled()
         for name in ("r0", "r1"):
-            p.servers[name].mute = True
+            p.servers[name].accepts_only = True
             await p.gateway.node.engines.pool.connect(p.servers[name].address)
         p.fleet.states["00000000000000aa"] = "r0"
         for name in ("r1", "r0"):
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -308,7 +308,7 @@
 async def test_a_server_that_garbles_or_is_too_busy_does_not_keep_a_state_from_being_released(way: str) -> None:
     async with platform("r0", "w0", "w1", w0=always("status_500"), w1=always("status_500")) as p:
         for name in ("r0", "w0"):
-            p.servers[name].lease_way = way
+            p.servers[name].lease_fault = way
         assert (await p.ask(Request_Class="note")).status == 502
         await p.settled()
         assert not p.gateway.node.counts["release unheard"] and p.fleet.count("DELETE") >= 1
@@ -316,12 +316,12 @@
 
 async def test_one_server_that_spoils_its_first_answer_is_told_again() -> None:
     async with platform("r0", "w0", w0=always("status_500")) as p:
-        p.servers["r0"].lease_way = p.servers["w0"].lease_way = "noise"
+        p.servers["r0"].lease_fault = p.servers["w0"].lease_fault = "noise"
         assert (await p.ask(Request_Class="note")).status == 502
         with trio.fail_after(1):
             while p.fleet.count("DELETE") < 3:
                 await trio.sleep(0.002)
-        p.servers["r0"].lease_way = ""
+        p.servers["r0"].lease_fault = ""
         await p.settled()
         assert not p.gateway.node.counts["release unheard"]
 
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -636,7 +636,7 @@
                 await trio.sleep(0.001)
             await trio.sleep(0.04)  # the other streams by now
             old.fault.hung = False
-            old.alter()
+            old.speed_changed()
 
         w.nursery.start_soon(stand_still_and_heal)
         reply = await w.ask()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
 from ternlane.recovery import StreamJoin
 from ternlane.rules import Findings, check
-from ternlane.testing.clients import Clients, Habits, Talk
+from ternlane.testing.clients import ClientBehaviour, Clients, ClientWorkload
 from ternlane.testing.traffic import clock_ms
 
 RULES: dict[str, Any] = {
@@ -29,7 +29,10 @@
     "fall_ms": TERMS.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
-TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100)) for p in REQUEST_CLASSES]
+WORKLOADS = [
+    ClientWorkload(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100))
+    for p in REQUEST_CLASSES
+]
 
 
 class Honest(Host):
@@ -185,7 +188,7 @@
 
 
 async def talk(w: World, rate: float, length_ms: float, **habits: Any) -> None:
-    clients = Clients("c", w.gateway.address, TALKS, Habits(**habits), w.traffic, 3)
+    clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**habits), w.traffic, 3)
     async with trio.open_nursery() as nursery:
         await clients.run(lambda _: rate, length_ms, nursery)
 
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -154,7 +154,7 @@
     told = TOLD | {"limits": TOLD["limits"] | {"connect_timeout": 8000.0}}
     async with platform("r0", "w0", told=told, w0=always("gone_410")) as p:
         for server in p.servers.values():
-            server.lease_way = "silent"
+            server.lease_fault = "silent"
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="9"))
         await until(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -89,11 +89,11 @@
     """Looks at each of so many attempts as it arrives: it is told at most what is left then, and not far less. A loop
     that was late by `lag_s` expects to be so again as the time ends."""
     for count in range(1, attempts + 1):
-        await until(lambda count=count: len(p.fleet.told_s) >= count)
+        await until(lambda count=count: len(p.fleet.stated_timeouts_s) >= count)
         left_s = sent_at + timeout_s - trio.current_time()
-        assert left_s - SLACK_S - lag_s <= p.fleet.told_s[count - 1] <= left_s + SLACK_S, (
+        assert left_s - SLACK_S - lag_s <= p.fleet.stated_timeouts_s[count - 1] <= left_s + SLACK_S, (
             count,
-            p.fleet.told_s,
+            p.fleet.stated_timeouts_s,
             left_s,
         )
 
@@ -136,7 +136,7 @@
     full = once("full_503")
     async with platform("r0", "r1", "w0", told=unhurried(), r0=full, r1=full) as p:
         for name in ("r0", "r1"):
-            p.servers[name].read_ms = 1000 * LATE_S
+            p.servers[name].prefill_ms = 1000 * LATE_S
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="2.0"))
         await check_told(p, trio.current_time(), 2.0, attempts=3)
@@ -161,5 +161,5 @@
         for step in (-3600.0, 3600.0):
             monkeypatch.setattr(time, "time", lambda step=step: now() + step)
             assert (await p.ask(Request_Timeout="5.0")).status == 200
-        read, write, read_again, write_again = p.fleet.told_s
+        read, write, read_again, write_again = p.fleet.stated_timeouts_s
         assert abs(read - read_again) < SLACK_S and abs(write - write_again) < SLACK_S and 2.0 < write <= read <= 5.0
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -128,7 +128,7 @@
         assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
         assert reply.status == 502 and p.fleet.count("write") == 1
-        assert p.fleet.told_s[0] <= unsafe["deadline"] / 1000
+        assert p.fleet.stated_timeouts_s[0] <= unsafe["deadline"] / 1000
         await p.settled()
 
 
