--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -228,7 +228,7 @@
     if told.load:
         trio.run(load, told.load, told.seconds, told.width)
         return
-    from ternlane.scenarios.play import free_ports
+    from ternlane.scenarios.ports import free_ports
 
     port = free_ports(24)
     with tempfile.TemporaryDirectory() as name:
@@ -294,7 +294,7 @@
 
 def profile(seconds: float) -> None:
     """A gateway in this process under cProfile, engines and load outside."""
-    from ternlane.scenarios.play import free_ports
+    from ternlane.scenarios.ports import free_ports
     from ternlane.gateway import open_gateway
     from ternlane.config import GatewayConfig, read_config
 
--- /dev/null
+++ b/ternlane/scenarios/account_report.py
@@ -0,0 +1,65 @@
+"""What a run's gateways billed, against the engines' own counts, and what each tenant spent of its budget."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from pathlib import Path
+from typing import Any
+
+from ternlane.ledger.bills import entries_of, reconcile, rows_of
+from ternlane.rules.findings import Line
+from ternlane.scenarios.request_report import Revenue
+from ternlane.scenarios.scenario import Scenario
+
+SHOWN_DIFFERENCES = 20
+
+
+def accounts_of(
+    folder: Path, scenario: Scenario, lines: list[Line], span_s: float, revenues: dict[str, Revenue]
+) -> dict[str, Any]:
+    """`span_s`: for how long requests came, as budgets grow with time; `revenues`: by tenant."""
+    ledgers = sorted((folder / "ledgers").iterdir())
+    found = reconcile(entries_of(ledgers), [line for line in lines if line["k"] == "made"])
+    spent: Counter[str] = Counter()
+    for row in rows_of(ledgers, None, None):
+        spent[row["tenant"]] += row["prompt"] + row["answer"]
+    return {
+        "made": found.made,
+        "billed": found.billed,
+        "house": found.house,
+        "off": round(found.off, 5),
+        "doubled": found.doubled,
+        "differing": len(found.differing),
+        "differ": dict(list(found.differing.items())[:SHOWN_DIFFERENCES]),
+        "unsettled": len(found.unsettled),
+        "unsettled_toks": sum(usage.prompt + usage.answer for usage in found.unsettled.values()),
+        "others_in_time": round(_share_in_time(scenario, revenues), 4),
+        "allowed_each": _allowed_tokens(scenario, span_s),
+        "most_spent": max(spent.values(), default=0),
+        "tenants": {tenant: {"spent": spent[tenant], **counts} for tenant, counts in sorted(_outcomes(lines).items())},
+    }
+
+
+def _allowed_tokens(scenario: Scenario, span_s: float) -> float | None:
+    """What a tenant may spend in this time; None where budgets have no bound."""
+    budget = scenario.budget
+    if budget.minute is None:
+        return None
+    burst = budget.minute if budget.burst is None else budget.burst
+    return burst + budget.minute * span_s / 60
+
+
+def _share_in_time(scenario: Scenario, revenues: dict[str, Revenue]) -> float:
+    """Of the possible revenue of all tenants but the last, whose traffic a rush is."""
+    last = f"t{scenario.tenants - 1:03}"
+    others = [revenue for tenant, revenue in revenues.items() if tenant != last]
+    return sum(revenue.earned for revenue in others) / max(1e-9, sum(revenue.possible for revenue in others))
+
+
+def _outcomes(lines: list[Line]) -> dict[str, Counter[str]]:
+    """By tenant."""
+    outcomes: defaultdict[str, Counter[str]] = defaultdict(Counter)
+    for line in lines:
+        if line["k"] == "task":
+            outcomes[line["tenant"]][line["outcome"]] += 1
+    return outcomes
--- /dev/null
+++ b/ternlane/scenarios/clients_process.py
@@ -0,0 +1,83 @@
+"""A process of a run that holds a part of its clients."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import trio
+
+from ternlane.scenarios.fault_plan import FaultAction, fault_actions_of
+from ternlane.scenarios.faults import Burst, HeavyTail, HotKey, TenantRush
+from ternlane.scenarios.fleet_plan import behaviour_of, workloads_of
+from ternlane.scenarios.layout import KEYS_FILE, RunLayout
+from ternlane.scenarios.signals import run_until_signal
+from ternlane.testing.client_workload import Tenant, TrafficConditions
+from ternlane.testing.clients import Clients
+from ternlane.testing.traffic import Progress, Traffic
+
+PROGRESS_EVERY_S = 0.5
+
+
+async def run_clients(folder: Path, index: int, of: int) -> None:
+    """Part `index` of `of`, until all its requests have ended."""
+    layout = RunLayout.load(folder)
+    scenario = layout.scenario
+    traffic = Traffic(folder / f"clients-{index}.jsonl")
+    progress = Progress(folder / f"clients-{index}.progress")
+    clients = _clients(layout, index, traffic)
+
+    async def show_progress() -> None:
+        while True:
+            progress.add({"open": clients.open, **clients.outcomes})
+            await trio.sleep(PROGRESS_EVERY_S)
+
+    async def play_faults() -> None:
+        for action in fault_actions_of(scenario):
+            await layout.sleep_until(action.at_ms)
+            _strike(clients.conditions, action)
+
+    async def run(nursery: trio.Nursery) -> None:
+        (folder / f"clients-{index}.ready").touch()
+        nursery.start_soon(show_progress)
+        await layout.sleep_until(0)
+        nursery.start_soon(play_faults)
+        async with trio.open_nursery() as sessions:
+            await clients.run(lambda ms: scenario.rate_at(ms) / of, scenario.length_s * 1000, sessions)
+        progress.add({"open": 0, **clients.outcomes})
+
+    try:
+        await run_until_signal(run)
+    finally:
+        traffic.close()
+        progress.close()
+
+
+def _clients(layout: RunLayout, index: int, traffic: Traffic) -> Clients:
+    host, port = layout.front
+    scenario = layout.scenario
+    seed = scenario.seed * 1000 + index
+    clients = Clients(f"c{index}", f"{host}:{port}", workloads_of(scenario), behaviour_of(scenario), traffic, seed)
+    keys = layout.folder / KEYS_FILE
+    if keys.exists():
+        clients.set_tenants([Tenant(name, api_key) for name, api_key in json.loads(keys.read_text())])
+    return clients
+
+
+def _strike(conditions: TrafficConditions, action: FaultAction) -> None:
+    """Lets a fault of the traffic begin or end."""
+    on = action.begins
+    match action.fault:
+        case Burst(times=times):
+            conditions.rate = times if on else 1.0
+        case HeavyTail(share=share, times=times, request_class=request_class):
+            conditions.long_part = share if on else 0.0
+            conditions.long_times = times if on else 1.0
+            conditions.long_request_class = request_class if on else ""
+        case TenantRush(share=share):
+            conditions.rush_part = share if on else 0.0
+        case HotKey(share=share, keys=keys, tokens=tokens):
+            conditions.hot_part = share if on else 0.0
+            conditions.hot_keys = keys if on else 1
+            conditions.hot_tokens = tokens
+            conditions.hot_seed += on
--- /dev/null
+++ b/ternlane/scenarios/front_process.py
@@ -0,0 +1,32 @@
+"""The process of a run that is its front layer."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import trio
+
+from ternlane.scenarios.layout import RunLayout
+from ternlane.scenarios.signals import run_until_signal
+from ternlane.testing.front import Front
+from ternlane.testing.traffic import Traffic
+
+LISTEN_BACKLOG = 4096
+
+
+async def run_front(folder: Path, index: int, of: int) -> None:
+    """Until the process is asked to stop; there is one front layer, whatever `of` says."""
+    layout = RunLayout.load(folder)
+    traffic = Traffic(folder / "front.jsonl")
+    front = Front(layout.gateways, layout.scenario.front_notice_ms, traffic)
+
+    async def run(nursery: trio.Nursery) -> None:
+        host, port = layout.front
+        listeners = await trio.open_tcp_listeners(port, host=host, backlog=LISTEN_BACKLOG)
+        (folder / f"front-{index}.ready").touch()
+        await front.run(listeners)
+
+    try:
+        await run_until_signal(run)
+    finally:
+        traffic.close()
--- /dev/null
+++ b/ternlane/scenarios/report_table.py
@@ -0,0 +1,73 @@
+"""A run's report as text."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any
+
+OUTCOMES = ("streamed", "throttled", "terminated", "left", "unreachable", "broken", "none")
+SHOWN_FINDINGS = 12
+
+
+def table_of(report: dict[str, Any]) -> str:
+    """Several lines; `report` as `report_of` gives it."""
+    return "\n".join(
+        [
+            *_request_lines(report),
+            *_stream_lines(report["streams"]),
+            *(_account_lines(report["accounts"]) if "accounts" in report else []),
+            *_rule_lines(report),
+        ]
+    )
+
+
+def _request_lines(report: dict[str, Any]) -> list[str]:
+    names = "".join(f"{outcome:>12}" for outcome in OUTCOMES)
+    lines = [
+        f"{report['day']}  seed {report['seed']}  {report['gateways']} gateways  {report['generations']} "
+        f"generations, {report['per_second']} a second  (stand-in servers)",
+        f"{'product':<16}{'asked':>7}{names}{'in time':>9}{'p50 ms':>9}{'p99 ms':>9}",
+    ]
+    for name, figures in report["products"].items():
+        waits_ms = figures["first_token_ms"]
+        counts = "".join(f"{figures['outcomes'].get(outcome, 0):>12}" for outcome in OUTCOMES)
+        lines.append(
+            f"{name:<16}{figures['asked']:>7}{counts}"
+            f"{figures['in_time']:>9}{waits_ms['0.5']:>9.0f}{waits_ms['0.99']:>9.0f}"
+        )
+    judged = ", ".join(f"{count} {what}" for what, count in report["judged"].items())
+    lines.append(
+        f"revenue within the SLO time: {report['revenue_in_time']:.3f}   "
+        f"legs a try: {report['legs_each']:.2f}   judged: {judged}"
+    )
+    return lines
+
+
+def _stream_lines(streams: dict[str, Any]) -> list[str]:
+    if not streams["broke"]:
+        return []
+    outcomes = ", ".join(
+        f"{effect} {counts.get('whole', 0)} / {counts.get('in part', 0)}" for effect, counts in streams["broke"].items()
+    )
+    medians = " / ".join(f"{streams['gap_ms'][kind]['0.5']:.0f}" for kind in ("unbroken", "joined"))
+    return [f"streams that broke, whole / in part: {outcomes}; longest pause, ms, unbroken / joined, median: {medians}"]
+
+
+def _account_lines(accounts: dict[str, Any]) -> list[str]:
+    made = accounts["made"]
+    billed = accounts["billed"]
+    house = accounts["house"]
+    return [
+        f"engines made {made.prompt} + {made.answer} tokens; billed {billed.prompt} + {billed.answer}, "
+        f"house {house.prompt} + {house.answer}; off by {accounts['off']:.3%}, {accounts['unsettled']} died unsettled "
+        f"({accounts['unsettled_toks']} tokens), {len(accounts['doubled'])} doubled",
+        f"most spent by a tenant {accounts['most_spent']}, allowed {accounts['allowed_each']}; revenue in time of all "
+        f"but the last tenant: {accounts['others_in_time']:.4f}",
+    ]
+
+
+def _rule_lines(report: dict[str, Any]) -> list[str]:
+    if report["rules_kept"]:
+        return ["rules: all five kept"]
+    counts = Counter(f"rule {finding['rule']}: {finding['why']}" for finding in report["broken"])
+    return ["RULES BROKEN", *(f"  {count} x {why}" for why, count in counts.most_common(SHOWN_FINDINGS))]
--- /dev/null
+++ b/ternlane/scenarios/request_report.py
@@ -0,0 +1,98 @@
+"""What became of a run's requests, by request class: outcomes, revenue within the latency objective, waits."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from dataclasses import dataclass, field
+from typing import Any
+
+from ternlane.config import RequestClassConfig
+from ternlane.rules.findings import Line
+from ternlane.scenarios.quantiles import shown_quantiles
+
+
+@dataclass
+class RequestLines:
+    """A run's lines about requests. A task is a client's request over all its retries."""
+
+    asks: defaultdict[str, list[Line]] = field(default_factory=lambda: defaultdict(list))  # by task
+    first_tokens_ms: dict[str, float] = field(default_factory=dict)  # by request
+    finals: dict[str, Line] = field(default_factory=dict)  # by request
+    tasks: dict[str, Line] = field(default_factory=dict)
+    attempts: int = 0
+    attempt_outcomes: Counter[str] = field(default_factory=Counter)
+
+    @classmethod
+    def of(cls, lines: list[Line]) -> RequestLines:
+        """Sorts a run's lines."""
+        found = cls()
+        for line in lines:
+            match line["k"]:
+                case "ask":
+                    found.asks[line["task"]].append(line)
+                case "first":
+                    found.first_tokens_ms[line["gen"]] = line["t"]
+                case "final":
+                    found.finals[line["gen"]] = line
+                case "task":
+                    found.tasks[line["task"]] = line
+                case "leg":
+                    found.attempts += 1
+                case "leg_end":
+                    found.attempt_outcomes[line["how"].split(" ")[0]] += 1
+        return found
+
+    def span_s(self) -> float:
+        """From the first ask to the last."""
+        asked_ms = [ask["t"] for asks in self.asks.values() for ask in asks]
+        return (max(asked_ms, default=0) - min(asked_ms, default=0)) / 1000
+
+    def answered(self, task: str) -> Line | None:
+        """The ask of a task that was answered whole."""
+        return next((a for a in self.asks[task] if self.finals.get(a["gen"], {}).get("outcome") == "streamed"), None)
+
+
+@dataclass
+class Revenue:
+    """In units of the request classes' priority weights."""
+
+    earned: float = 0.0
+    possible: float = 0.0
+
+
+def request_classes_of(
+    run: RequestLines, request_classes: list[RequestClassConfig]
+) -> tuple[dict[str, dict[str, Any]], dict[str, Revenue]]:
+    """The figures of each request class, and the revenue of each tenant."""
+    revenues: dict[str, Revenue] = defaultdict(Revenue)
+    by_name = {request_class.name: request_class for request_class in request_classes}
+    figures = {name: _figures(run, request_class, revenues) for name, request_class in by_name.items()}
+    return figures, revenues
+
+
+def _figures(run: RequestLines, request_class: RequestClassConfig, revenues: dict[str, Revenue]) -> dict[str, Any]:
+    weight = request_class.priority_weight
+    tasks = [task for task in run.tasks.values() if task["product"] == request_class.name]
+    waits_ms: list[float] = []
+    in_time = 0
+    for task in tasks:
+        revenue = revenues[task.get("tenant", "")]
+        revenue.possible += weight
+        answered = run.answered(task["task"])
+        if answered is None or answered["gen"] not in run.first_tokens_ms:
+            continue
+        wait_ms = run.first_tokens_ms[answered["gen"]] - run.asks[task["task"]][0]["t"]
+        waits_ms.append(wait_ms)
+        slo_ms = request_class.slo_ms + request_class.slo_per_1000_tokens_ms * answered["toks"] / 1000
+        in_time += wait_ms <= slo_ms
+        revenue.earned += weight if wait_ms <= slo_ms else weight * request_class.late_value_share
+    late = len(waits_ms) - in_time
+    return {
+        "asked": len(tasks),
+        "outcomes": dict(Counter(task["outcome"] for task in tasks)),
+        "in_time": in_time,
+        "late": late,
+        "earned": round(weight * (in_time + request_class.late_value_share * late), 1),
+        "could_earn": round(weight * len(tasks), 1),
+        "first_token_ms": shown_quantiles(waits_ms),
+    }
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -16,8 +16,9 @@
 import trio
 
 from tests.world import BUILD, replace, world
-from ternlane.scenarios.plan import acts_of, engines_of
-from ternlane.scenarios.script import DayScript
+from ternlane.scenarios.fault_plan import fault_actions_of
+from ternlane.scenarios.fleet_plan import engines_of
+from ternlane.scenarios.scenario import Scenario
 from ternlane.config import read_config
 
 DAYS = Path(__file__).parent.parent / "days"
@@ -62,9 +63,9 @@
 def test_shipped_days_hold_every_kind_of_trouble_and_are_the_same_each_time() -> None:
     seen = set()
     for path in DAYS.glob("*.json5"):
-        day = read_config(path, DayScript)
+        day = read_config(path, Scenario)
         seen |= {str(t.__struct_config__.tag) for t in day.troubles}
-        assert acts_of(day) == acts_of(day) and engines_of(day) == engines_of(day)
+        assert fault_actions_of(day) == fault_actions_of(day) and engines_of(day) == engines_of(day)
     assert seen == KINDS
 
 
@@ -251,7 +252,7 @@
     done = run("day", "from-bench", str(tmp_path / "day.json"), "--speed", "2", "--engines", "8")
     assert done.returncode == 0, done.stderr
     (tmp_path / "d.json5").write_text(done.stdout)
-    day = read_config(tmp_path / "d.json5", DayScript)
+    day = read_config(tmp_path / "d.json5", Scenario)
     assert [(str(t.__struct_config__.tag), t.at_s) for t in day.troubles] == [
         ("crash", 2.0),
         ("zone_cut", 3.0),
@@ -261,6 +262,6 @@
         0
     ].slo_ms == 500
     assert sorted(e.role for e in engines_of(day)) == ["read"] * 4 + ["write"] * 4
-    assert sum(a.what == "drain" for a in acts_of(day)) == 2
+    assert sum(a.what == "drain" for a in fault_actions_of(day)) == 2
     (tmp_path / "day.json").write_text('{"family": "web"}')
     assert run("day", "from-bench", str(tmp_path / "day.json")).returncode == 65
