--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -11,7 +11,7 @@
 import trio
 
 from ternlane.client import Client
-from ternlane.scenarios.play import free_ports
+from ternlane.scenarios.ports import free_ports
 from ternlane.testing.engine import EngineProfile, FakeEngine
 from ternlane.testing.traffic import Traffic
 
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -112,23 +112,26 @@
     """Plays FILE and judges it: exit code 1 if a rule was broken."""
     import msgspec
 
-    from ternlane.scenarios.play import CantPlay, Player
-    from ternlane.scenarios.script import DayScript
+    from ternlane.scenarios.errors import RunError
+    from ternlane.scenarios.runner import ScenarioRunner
+    from ternlane.scenarios.scenario import Scenario
 
-    script = load_document(file, DayScript)
+    script = load_document(file, Scenario)
     text = Path(file).read_text()
     if seed is not None or without:
         troubles = [t for t in script.troubles if str(t.__struct_config__.tag) not in without]
         script = msgspec.structs.replace(script, seed=script.seed if seed is None else seed, troubles=troubles)
         text = msgspec.json.encode(script).decode()
-    player = Player(script, text, run_folder(script.name, out), chooser, (lambda _: None) if quiet else click.echo)
+    runner = ScenarioRunner(
+        script, text, run_folder(script.name, out), chooser, (lambda _: None) if quiet else click.echo
+    )
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # so that every process started is ended
     try:
-        report = trio.run(player.play)
-    except* CantPlay as group:
+        report = trio.run(runner.run)
+    except* RunError as group:
         click.echo(f"ternlane: the day could not be played: {group.exceptions[0]}", err=True)
         sys.exit(UNAVAILABLE)
-    click.echo(f"report: {player.folder / 'report.json'}")
+    click.echo(f"report: {runner.folder / 'report.json'}")
     sys.exit(0 if report["rules_kept"] else 1)
 
 
@@ -136,16 +139,17 @@
 @click.argument("files", nargs=-1, required=True)
 def day_check(files: tuple[str, ...]) -> None:
     """Checks scripts and shows what they come to."""
-    from ternlane.scenarios.plan import acts_of, engines_of
-    from ternlane.scenarios.script import DayScript
+    from ternlane.scenarios.fault_plan import fault_actions_of
+    from ternlane.scenarios.fleet_plan import engines_of
+    from ternlane.scenarios.scenario import Scenario
 
     for file in files:
-        script = load_document(file, DayScript)
+        script = load_document(file, Scenario)
         click.echo(
             f"{file}: good; {script.gateways} gateways, {len(engines_of(script))} engines, "
             f"{script.rate:g} generations a second for {script.length_s:g} s, seed {script.seed}"
         )
-        for act in acts_of(script):
+        for act in fault_actions_of(script):
             click.echo(f"  {act.at_ms / 1000:7.2f} s  {act.what:<22} {' '.join(map(str, act.on))}")
 
 
@@ -157,11 +161,11 @@
 @click.option("--speed", type=click.FloatRange(min=0.1), default=2.0, help="times faster than the day was drawn")
 def day_from_bench(file: str, engines: int, gateways: int, rate: float, speed: float) -> None:
     """Turns a bench day's description (JSON) into a script, scaled down to one machine."""
-    from ternlane.scenarios.bench import script_from_bench
+    from ternlane.scenarios.bench_import import scenario_from_bench
 
     try:
         raw = json.loads(Path(file).read_text())
-        click.echo(script_from_bench(raw, engines, gateways, rate, speed))
+        click.echo(scenario_from_bench(raw, engines, gateways, rate, speed))
     except (OSError, ValueError, KeyError, TypeError) as why:
         click.echo(f"ternlane: {file} is no bench day that can be turned: {why!r}", err=True)
         sys.exit(DATA)
@@ -173,9 +177,9 @@
 @click.argument("index", type=int)
 @click.argument("of", type=int)
 def day_part(kind: str, folder: str, index: int, of: int) -> None:
-    from ternlane.scenarios.parts import PARTS
+    from ternlane.scenarios.processes import PROCESSES
 
-    trio.run(PARTS[kind], Path(folder), index, of)
+    trio.run(PROCESSES[kind], Path(folder), index, of)
 
 
 @main.group()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -29,10 +29,10 @@
 import pytest
 
 import ternlane
-from ternlane.scenarios.parts import Scene as DayScene
-from ternlane.scenarios.play import rules_of as day_rules
+from ternlane.scenarios.layout import RunLayout as DayScene
+from ternlane.scenarios.setup import limits_of as day_rules
 from ternlane.scenarios.report import report_of as day_report
-from ternlane.scenarios.script import DayScript as DayDocument
+from ternlane.scenarios.scenario import Scenario as DayDocument
 from ternlane.deployment import Deployment
 from ternlane.emulator.describe import EngineKind as EmulatorDocument
 from ternlane.gateway.daemon import drop_pid as drop_process_id
