--- a/ternlane/testing/platform/discovery.py
+++ b/ternlane/testing/platform/discovery.py
@@ -34,9 +34,9 @@
         self.cut_at = 0  # the next change breaks off after so many bytes, and its connection with it
         self.gates: dict[str, Gate] = {}  # "watch": a watch was asked for; "list": before its next line
         self.address = ""
-        self._changed = trio.Event()
+        self.changed = trio.Event()
         self._silenced_watches = 0  # those that were asked for by then say nothing more
-        self._streams: set[trio.SocketStream] = set()
+        self.conns: set[trio.SocketStream] = set()
 
     def put(
         self, name: str, address: str, kind: str, status: str = "SERVING", group: int = 0, since_ms: float = 0.0
@@ -58,8 +58,8 @@
             self.entries[name] = entry
         self.index += 1
         self.log.append(entry)
-        self._changed.set()
-        self._changed = trio.Event()
+        self.changed.set()
+        self.changed = trio.Event()
 
     def listing(self) -> dict[str, Any]:
         """The whole list as it says it."""
@@ -76,7 +76,7 @@
         self.silent = silent
         if not listening:
             self.listener.socket.close()
-            for stream in list(self._streams):
+            for stream in list(self.conns):
                 stream.socket.close()
 
     def silence_open_watches(self) -> None:
@@ -99,7 +99,7 @@
             self.nursery.start_soon(self._serve, stream)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self._streams.add(stream)
+        self.conns.add(stream)
         try:
             await serve_connection(
                 stream,
@@ -111,7 +111,7 @@
                 send_ms=REQUEST_TIMEOUT_MS,
             )
         finally:
-            self._streams.discard(stream)
+            self.conns.discard(stream)
 
     async def _handle(self, exchange: Exchange) -> None:
         if "stream=1" not in exchange.query:
@@ -173,6 +173,6 @@
     async def _wait_or_heartbeat(self, exchange: Exchange, number: int) -> None:
         """Until the list changes; after a while without a change, an empty line."""
         with trio.move_on_after(self.heartbeat_ms / 1000) as wait:
-            await self._changed.wait()
+            await self.changed.wait()
         if wait.cancelled_caught and not self._is_silent(number):
             await exchange.chunk(b"\n")
