--- a/bench/load.py
+++ b/bench/load.py
@@ -10,8 +10,7 @@
 import time
 import tracemalloc
 
-from ternlane.load import LoadConfig, Sketch, asks
-from ternlane.load.plan import Arrivals, Mix
+from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, planned_requests
 
 
 def sketch_against_list(many: int) -> None:
@@ -20,13 +19,13 @@
     true = sorted(values)
     for name in ("sketch", "list"):
         tracemalloc.start()
-        it, kept = Sketch(0.01), list[float]()
+        it, kept = QuantileSketch(0.01), list[float]()
         add = it.add if name == "sketch" else kept.append
         for value in values:
             add(value * 1.0)
         held = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        it, kept = Sketch(0.01), []
+        it, kept = QuantileSketch(0.01), []
         add = it.add if name == "sketch" else kept.append
         since = time.perf_counter()
         for value in values:
@@ -48,10 +47,12 @@
 
 def drawn() -> None:
     told = LoadConfig(
-        request_classes=[Mix("summary", turns=2.0, prefixes=50)], seconds=20.0, arrivals=Arrivals(rate=200.0)
+        request_classes=[RequestMix("summary", turns=2.0, prefixes=50)],
+        seconds=20.0,
+        arrivals=ArrivalsConfig(rate=200.0),
     )
     since = time.perf_counter()
-    many = sum(1 for _ in asks(told))
+    many = sum(1 for _ in planned_requests(told))
     print(f"{many / (time.perf_counter() - since):.0f} sessions drawn a second")
 
 
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -512,7 +512,7 @@
     Times count from when a request was due. Where the tool itself could not keep its schedule it says so, reports
     nothing and ends with 75."""
     from ternlane.load import LoadConfig
-    from ternlane.load.run import Load, NotLocal, TooSlow
+    from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError
 
     told = load_document(file, LoadConfig)
     sink = open(out, "w", encoding="utf-8") if out else None
@@ -521,7 +521,7 @@
         if sink is not None:
             sink.write(json.dumps(said) + "\n")
 
-    async def play(it: Load) -> None:
+    async def play(it: LoadGenerator) -> None:
         async def progress() -> None:
             while True:
                 await trio.sleep(1.0)
@@ -538,15 +538,15 @@
                     click.echo(err=True)
 
     try:
-        it = Load(told, url, line)
-    except NotLocal as why:
+        it = LoadGenerator(told, url, line)
+    except NotLoopbackError as why:
         raise click.UsageError(str(why)) from None
     try:
         trio.run(play, it)
-    except* TooSlow as group:
+    except* ScheduleMissedError as group:
         click.echo(f"ternlane: {group.exceptions[0]}", err=True)
         sys.exit(75)
     finally:
         if sink is not None:
             sink.close()
-    click.echo(json.dumps(it.tally.told()))
+    click.echo(json.dumps(it.tally.summary()))
--- a/ternlane/load/__init__.py
+++ b/ternlane/load/__init__.py
@@ -1,7 +1,21 @@
 """The load tool: what is asked and when, sent in time whatever the answers do, and honest figures of it."""
 
 from ternlane.load.arrivals import Bursty, Diurnal, poisson, recorded, thinned
-from ternlane.load.plan import Ask, LoadConfig, asks, times_of
-from ternlane.load.sketch import Sketch
+from ternlane.load.load_config import ArrivalsConfig, LoadConfig, RequestMix
+from ternlane.load.plan import PlannedRequest, arrival_times, planned_requests
+from ternlane.load.sketch import QuantileSketch
 
-__all__ = ["Ask", "Bursty", "Diurnal", "LoadConfig", "Sketch", "asks", "poisson", "recorded", "thinned", "times_of"]
+__all__ = [
+    "ArrivalsConfig",
+    "Bursty",
+    "Diurnal",
+    "LoadConfig",
+    "PlannedRequest",
+    "QuantileSketch",
+    "RequestMix",
+    "arrival_times",
+    "planned_requests",
+    "poisson",
+    "recorded",
+    "thinned",
+]
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -1,4 +1,4 @@
-"""What a load is made of (JSON5): products, sessions with turns, shared openings, lengths, tenants. Free of I/O."""
+"""Draws what is asked and when. The same seed gives the same requests, whatever the answers do. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,77 +8,28 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 from math import log, sqrt
-from typing import Annotated, Any, Literal
-
-import msgspec
-from msgspec import Meta
-
-from ternlane.document_keys import document_key
+from typing import Any
 
 from ternlane.load.arrivals import Bursty, Diurnal, poisson, recorded, thinned
+from ternlane.load.load_config import LoadConfig, RequestMix, Spread
 
-Positive = Annotated[float, Meta(gt=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
 WORDS = ("folder", "plan", "wall", "stair", "deed", "permit", "north", "cubic", "survey", "line")
 
 
-class Arrivals(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """`rate` a second on the mean. Bursty: `times` of it for the first `part` of each `period_s`; diurnal: `swing`."""
-
-    kind: Literal["poisson", "bursty", "diurnal", "recorded"] = "poisson"
-    rate: Positive = 1.0
-    times: Annotated[float, Meta(ge=1)] = 4.0
-    part: Annotated[float, Meta(gt=0, lt=1)] = 0.1
-    swing: Part = 0.5
-    period_s: Positive = 60.0
-    recorded_s: list[float] = []
-    faster: Positive = 1.0
-
-
-class Mix(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """One product's requests. Words of the prompt and tokens of the answer: median, and spread as a part of it."""
-
-    model: str
-    share: Positive = 1.0
-    turns: Annotated[float, Meta(ge=1)] = 1.0
-    think_s: Positive = 2.0
-    prompt_words: tuple[Positive, float] = (60.0, 0.6)
-    answer_tokens: tuple[Positive, float] = (80.0, 0.5)
-    prefixes: Annotated[int, Meta(ge=0)] = 0
-    prefix_words: Annotated[int, Meta(ge=1)] = 200
-    zipf: Annotated[float, Meta(ge=0)] = 1.0
-    stream: bool = True
-
-
-class LoadConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """`at_once`: that many clients, each asking anew when answered (closed loop); else requests come by `arrivals`,
-    whatever the answers do. `late_ms`: by how much the tool itself may be late for one request in a hundred. `tenants`:
-    keys, and the weight of each."""
-
-    request_classes: Annotated[list[Mix], Meta(min_length=1)]
-    seconds: Positive = 10.0
-    arrivals: Arrivals = Arrivals()
-    at_once: Annotated[int, Meta(ge=0)] = 0
-    tenants: dict[str, Positive] = {}
-    seed: int = 1
-    late_ms: Positive = 20.0
-    wait_s: Positive = 60.0
-
-
 @dataclass(slots=True)
-class Ask:
-    """A request that is due `at_s` after the start. `then`: a later turn of the same session, due `think_s` after its
-    answer."""
+class PlannedRequest:
+    """A request that is due `at_s` after the start."""
 
     at_s: float
-    mix: Mix
+    mix: RequestMix
     messages: list[dict[str, str]]
     max_tokens: int
-    key: str = ""
+    api_key: str = ""
     turns_left: int = 0
-    more: list[str] = field(default_factory=list)  # what the later turns say
+    later_turns: list[str] = field(default_factory=list)  # what the client will say in them
 
     def body(self) -> dict[str, Any]:
+        """Of the chat request."""
         return {
             "model": self.mix.model,
             "messages": self.messages,
@@ -86,76 +37,115 @@
             "max_tokens": self.max_tokens,
         }
 
+    def next_turn(self, answer: str, at_s: float) -> PlannedRequest:
+        """The session's next request, after this answer."""
+        said = {"role": "user", "content": self.later_turns[0]}
+        return PlannedRequest(
+            at_s=at_s,
+            mix=self.mix,
+            messages=[*self.messages, {"role": "assistant", "content": answer}, said],
+            max_tokens=self.max_tokens,
+            api_key=self.api_key,
+            turns_left=self.turns_left - 1,
+            later_turns=self.later_turns[1:],
+        )
+
 
-def times_of(config: LoadConfig, rng: random.Random) -> Iterator[float]:
-    """When requests are due, seconds from the start, up to the end of the load."""
-    a = config.arrivals
-    if a.kind == "recorded":
-        times = recorded(a.recorded_s, a.faster)
-    elif a.kind == "bursty":
-        bursty = Bursty(a.rate, a.times, a.part, a.period_s)
-        times = thinned(rng, max(bursty.high, bursty.low), bursty)
-    elif a.kind == "diurnal":
-        times = thinned(rng, a.rate * (1 + a.swing), Diurnal(a.rate, a.swing, a.period_s))
-    else:
-        times = poisson(rng, a.rate)
-    for at in times:
-        if at >= config.seconds:
+def arrival_times(config: LoadConfig, rng: random.Random) -> Iterator[float]:
+    """When sessions begin, seconds from the start, up to the end of the load."""
+    for at_s in _endless_times(config, rng):
+        if at_s >= config.seconds:
             return
-        yield at
+        yield at_s
+
+
+def _endless_times(config: LoadConfig, rng: random.Random) -> Iterator[float]:
+    arrivals = config.arrivals
+    match arrivals.kind:
+        case "recorded":
+            return recorded(arrivals.recorded_s, arrivals.faster)
+        case "bursty":
+            bursty = Bursty(arrivals.rate, arrivals.times, arrivals.part, arrivals.period_s)
+            return thinned(rng, max(bursty.high, bursty.low), bursty)
+        case "diurnal":
+            diurnal = Diurnal(arrivals.rate, arrivals.swing, arrivals.period_s)
+            return thinned(rng, arrivals.rate * (1 + arrivals.swing), diurnal)
+        case "poisson":
+            return poisson(rng, arrivals.rate)
+
 
+def planned_requests(config: LoadConfig) -> Iterator[PlannedRequest]:
+    """The first requests of an open loop's sessions, in order of time."""
+    times_rng = random.Random(f"{config.seed} when")
+    source = SessionSource(config, random.Random(f"{config.seed} what"))
+    for at_s in arrival_times(config, times_rng):
+        yield source.next(at_s)
 
-def drawn(rng: random.Random, told: tuple[float, float]) -> int:
+
+def _drawn_length(rng: random.Random, spread: Spread) -> int:
     """Log-normal about the median."""
-    spread = sqrt(log(1 + told[1] ** 2))
-    return max(1, round(told[0] * rng.lognormvariate(0.0, spread))) if spread else max(1, round(told[0]))
+    median, part = spread
+    sigma = sqrt(log(1 + part**2))
+    if not sigma:
+        return max(1, round(median))
+    return max(1, round(median * rng.lognormvariate(0.0, sigma)))
 
 
-def words(rng: random.Random, many: int) -> str:
-    return " ".join(rng.choice(WORDS) + str(rng.randrange(1000)) for _ in range(many))
+def _random_words(rng: random.Random, count: int) -> str:
+    return " ".join(rng.choice(WORDS) + str(rng.randrange(1000)) for _ in range(count))
 
 
-class Drawer:
-    """Draws sessions; the same seed gives the same ones, whatever the answers do."""
+def _drawn_index(rng: random.Random, sums: list[float]) -> int:
+    """By weights, of which these are the running sums."""
+    return bisect(sums, rng.random() * sums[-1])
 
-    def __init__(self, config: LoadConfig, rng: random.Random) -> None:
-        self.config, self.rng = config, rng
-        self.shares = list(accumulate(m.share for m in config.request_classes))
-        self.zipf = [list(accumulate(1 / (i + 1) ** m.zipf for i in range(m.prefixes))) for m in config.request_classes]
-        self.tenants = list(accumulate(config.tenants.values()))
 
-    def ask(self, at_s: float) -> Ask:
+class SessionSource:
+    """New sessions, one after the other."""
+
+    def __init__(self, config: LoadConfig, rng: random.Random) -> None:
+        """All but the texts of prefixes is drawn from `rng`."""
+        self.config = config
+        self.rng = rng
+        self._class_sums = list(accumulate(mix.share for mix in config.request_classes))
+        self._prefix_sums = [
+            list(accumulate(1 / (rank + 1) ** mix.zipf for rank in range(mix.prefixes)))
+            for mix in config.request_classes
+        ]
+        self._tenant_sums = list(accumulate(config.tenants.values()))
+
+    def next(self, at_s: float) -> PlannedRequest:
+        """Draws a session, whose first request is due then."""
         rng = self.rng
-        at = bisect(self.shares, rng.random() * self.shares[-1])
-        mix = self.config.request_classes[min(at, len(self.shares) - 1)]
-        messages: list[dict[str, str]] = []
-        if mix.prefixes:
-            sums = self.zipf[self.config.request_classes.index(mix)]
-            which = bisect(sums, rng.random() * sums[-1])
-            own = random.Random(f"{self.config.seed} {mix.model} {which}")
-            messages.append({"role": "system", "content": words(own, mix.prefix_words)})
+        class_index = min(_drawn_index(rng, self._class_sums), len(self._class_sums) - 1)
+        mix = self.config.request_classes[class_index]
+        messages = self._prefix(mix)
         turns = 1
         while rng.random() < 1 - 1 / mix.turns:
             turns += 1
-        said = [words(rng, drawn(rng, mix.prompt_words)) for _ in range(turns)]
-        key = ""
-        if self.tenants:
-            at = bisect(self.tenants, rng.random() * self.tenants[-1])
-            key = list(self.config.tenants)[min(at, len(self.tenants) - 1)]
-        return Ask(
-            at_s,
-            mix,
-            [*messages, {"role": "user", "content": said[0]}],
-            drawn(rng, mix.answer_tokens),
-            key,
-            turns - 1,
-            said[1:],
+        said = [_random_words(rng, _drawn_length(rng, mix.prompt_words)) for _ in range(turns)]
+        api_key = self._api_key()
+        return PlannedRequest(
+            at_s=at_s,
+            mix=mix,
+            messages=[*messages, {"role": "user", "content": said[0]}],
+            max_tokens=_drawn_length(rng, mix.answer_tokens),
+            api_key=api_key,
+            turns_left=turns - 1,
+            later_turns=said[1:],
         )
 
-
-def asks(config: LoadConfig) -> Iterator[Ask]:
-    """The first turns of an open loop's sessions, in order of time."""
-    rng = random.Random(f"{config.seed} when")
-    drawer = Drawer(config, random.Random(f"{config.seed} what"))
-    for at in times_of(config, rng):
-        yield drawer.ask(at)
+    def _prefix(self, mix: RequestMix) -> list[dict[str, str]]:
+        """A message that sessions share, where the request class has such."""
+        if not mix.prefixes:
+            return []
+        sums = self._prefix_sums[self.config.request_classes.index(mix)]
+        number = _drawn_index(self.rng, sums)
+        text_rng = random.Random(f"{self.config.seed} {mix.model} {number}")
+        return [{"role": "system", "content": _random_words(text_rng, mix.prefix_words)}]
+
+    def _api_key(self) -> str:
+        if not self._tenant_sums:
+            return ""
+        index = _drawn_index(self.rng, self._tenant_sums)
+        return list(self.config.tenants)[min(index, len(self._tenant_sums) - 1)]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,16 +15,15 @@
 
 from tests.world import BUILD, replace, world
 from ternlane.cli import main
-from ternlane.load import LoadConfig, Sketch, asks, times_of
-from ternlane.load.plan import Arrivals, Mix
-from ternlane.load.run import Load, NotLocal, TooSlow, address_of
+from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, arrival_times, planned_requests
+from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError, address_of
 import trio.lowlevel
 
 
 @given(st.lists(st.floats(1e-6, 1e9), min_size=1, max_size=300), st.floats(0, 1), st.integers(0, 300))
 @settings(max_examples=200, deadline=None)
 def test_a_quantile_is_within_the_stated_error_merged_or_not(values: list[float], part: float, cut: int) -> None:
-    one, two, whole = Sketch(0.01), Sketch(0.01), Sketch(0.01)
+    one, two, whole = QuantileSketch(0.01), QuantileSketch(0.01), QuantileSketch(0.01)
     for i, value in enumerate(values):
         (one if i < cut else two).add(value)
         whole.add(value)
@@ -32,11 +31,11 @@
     true = sorted(values)[int(part * (len(values) - 1))]
     for it in (one, whole):
         assert abs(it.quantile(part) - true) <= 0.0101 * true
-    assert one.counts == whole.counts and one.many == whole.many == len(values)
+    assert one.counts == whole.counts and one.count == whole.count == len(values)
 
 
 def test_a_sketch_keeps_its_bounds_and_the_upper_quantiles_and_refuses_what_is_no_time() -> None:
-    it, rng = Sketch(0.01, buckets=100), random.Random(1)
+    it, rng = QuantileSketch(0.01, buckets=100), random.Random(1)
     values = [10 ** rng.uniform(-3, 6) for _ in range(5000)]
     for value in values:
         it.add(value)
@@ -46,24 +45,24 @@
         with pytest.raises(ValueError, match="not a time"):
             it.add(wrong)
     with pytest.raises(ValueError, match="different errors"):
-        it.merge(Sketch(0.02))
+        it.merge(QuantileSketch(0.02))
 
 
 def config(**changes: object) -> LoadConfig:
-    return LoadConfig(request_classes=[Mix("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
+    return LoadConfig(request_classes=[RequestMix("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     "arrivals",
     [
-        Arrivals("poisson", 50.0),
-        Arrivals("bursty", 50.0, times=5.0, part=0.1, period_s=10.0),
-        Arrivals("diurnal", 50.0, swing=0.8, period_s=20.0),
+        ArrivalsConfig("poisson", 50.0),
+        ArrivalsConfig("bursty", 50.0, times=5.0, part=0.1, period_s=10.0),
+        ArrivalsConfig("diurnal", 50.0, swing=0.8, period_s=20.0),
     ],
 )
-def test_arrivals_have_the_rate_that_was_asked_for_and_their_shape(arrivals: Arrivals) -> None:
-    told = LoadConfig(request_classes=[Mix("summary")], seconds=200.0, arrivals=arrivals)
-    times = list(times_of(told, random.Random(3)))
+def test_arrivals_have_the_rate_that_was_asked_for_and_their_shape(arrivals: ArrivalsConfig) -> None:
+    told = LoadConfig(request_classes=[RequestMix("summary")], seconds=200.0, arrivals=arrivals)
+    times = list(arrival_times(told, random.Random(3)))
     assert times == sorted(times) and len(times) == pytest.approx(10_000, rel=0.06)
     peak = {"poisson": 0.1, "bursty": 0.5, "diurnal": 0.18}[arrivals.kind]
     period = arrivals.period_s if arrivals.kind != "poisson" else 10.0
@@ -73,25 +72,25 @@
         else sum(1 for t in times if 0.2 <= (t % period) / period < 0.3)
     )
     assert high / len(times) == pytest.approx(peak, rel=0.15)
-    recorded = config(seconds=3.0, arrivals=Arrivals("recorded", recorded_s=[0.0, 2.0, 3.0, 8.0], faster=2.0))
-    assert list(times_of(recorded, random.Random(1))) == [0.0, 1.0, 1.5]
+    recorded = config(seconds=3.0, arrivals=ArrivalsConfig("recorded", recorded_s=[0.0, 2.0, 3.0, 8.0], faster=2.0))
+    assert list(arrival_times(recorded, random.Random(1))) == [0.0, 1.0, 1.5]
 
 
 def test_what_is_asked_does_not_hang_on_answers_and_popular_openings_come_by_zipf() -> None:
-    mix = Mix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
+    mix = RequestMix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
     told = LoadConfig(
-        request_classes=[mix, Mix("note", share=0.25)],
+        request_classes=[mix, RequestMix("note", share=0.25)],
         seconds=100.0,
-        arrivals=Arrivals(rate=40.0),
+        arrivals=ArrivalsConfig(rate=40.0),
         tenants={"a": 3.0, "b": 1.0},
     )
-    first, again = list(asks(told)), list(asks(told))
-    assert [(a.at_s, a.messages, a.key) for a in first] == [(a.at_s, a.messages, a.key) for a in again]
+    first, again = list(planned_requests(told)), list(planned_requests(told))
+    assert [(a.at_s, a.messages, a.api_key) for a in first] == [(a.at_s, a.messages, a.api_key) for a in again]
     seen = [a.messages[0]["content"] for a in first if a.mix is mix]
     often = sorted((seen.count(text) for text in set(seen)), reverse=True)
     assert len(often) == 20 and often[0] / often[9] == pytest.approx(10, rel=0.5)
     assert len(seen) / len(first) == pytest.approx(0.8, abs=0.03)
-    assert sum(a.key == "a" for a in first) / len(first) == pytest.approx(0.75, abs=0.03)
+    assert sum(a.api_key == "a" for a in first) / len(first) == pytest.approx(0.75, abs=0.03)
     assert sum(a.turns_left for a in first if a.mix is mix) / len(seen) == pytest.approx(1.0, rel=0.15)
 
 
@@ -99,15 +98,18 @@
     async with world() as w:
         lines: list[dict[str, object]] = []
         told = LoadConfig(
-            request_classes=[Mix("summary", turns=2.0, think_s=0.05, prefixes=2), Mix("note", stream=False)],
+            request_classes=[
+                RequestMix("summary", turns=2.0, think_s=0.05, prefixes=2),
+                RequestMix("note", stream=False),
+            ],
             seconds=1.0,
-            arrivals=Arrivals(rate=30.0),
+            arrivals=ArrivalsConfig(rate=30.0),
             late_ms=1000.0,
         )
-        tally = await Load(told, f"http://{w.gateway.address}/v1", lines.append).run()
+        tally = await LoadGenerator(told, f"http://{w.gateway.address}/v1", lines.append).run()
         assert tally.outcomes["streamed"] == len(lines) > 20 and set(tally.outcomes) == {"streamed"}
         assert tally.tokens == 6 * len(lines) and len(w.said("effect")) >= len(lines)
-        assert tally.first.many and 0 < tally.first.quantile(0.5) < tally.whole.quantile(0.9)
+        assert tally.first_token_ms.count and 0 < tally.first_token_ms.quantile(0.5) < tally.complete_ms.quantile(0.9)
         await w.settled()
 
 
@@ -124,11 +126,15 @@
                 engine.fault.hung = False
 
         w.nursery.start_soon(stall)
-        tally = await Load(config(seconds=1.2, arrivals=Arrivals(rate=20.0), late_ms=1000.0), w.gateway.address).run()
+        tally = await LoadGenerator(
+            config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0), late_ms=1000.0), w.gateway.address
+        ).run()
         due = sum(tally.outcomes.values())
-        assert due == len(list(asks(config(seconds=1.2, arrivals=Arrivals(rate=20.0)))))  # none was left out
-        assert tally.first.many >= tally.outcomes["streamed"] > 0  # each that was answered has its time
-        slow = sum(n for at, n in tally.first.counts.items() if tally.first.gamma**at > 300.0)
+        assert due == len(
+            list(planned_requests(config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0))))
+        )  # none was left out
+        assert tally.first_token_ms.count >= tally.outcomes["streamed"] > 0  # each that was answered has its time
+        slow = sum(n for at, n in tally.first_token_ms.counts.items() if tally.first_token_ms.gamma**at > 300.0)
         assert slow + due - tally.outcomes["streamed"] > due / 4
 
 
@@ -141,13 +147,15 @@
                 await trio.lowlevel.checkpoint()
 
         w.nursery.start_soon(hog)
-        with pytest.raises(TooSlow, match="late for one request in a hundred"):
-            await Load(config(seconds=0.5, arrivals=Arrivals(rate=100.0), late_ms=5.0), w.gateway.address).run()
+        with pytest.raises(ScheduleMissedError, match="late for one request in a hundred"):
+            await LoadGenerator(
+                config(seconds=0.5, arrivals=ArrivalsConfig(rate=100.0), late_ms=5.0), w.gateway.address
+            ).run()
 
 
 async def test_clients_of_a_closed_loop_ask_one_at_a_time() -> None:
     async with world() as w:
-        load = Load(config(seconds=0.4, at_once=3), w.gateway.address)
+        load = LoadGenerator(config(seconds=0.4, at_once=3), w.gateway.address)
         most = 0
 
         async def watch() -> None:
@@ -165,7 +173,7 @@
     assert address_of("http://127.0.0.1:8080/v1") == ("127.0.0.1:8080", "/v1/chat/completions")
     assert address_of("localhost:81") == ("localhost:81", "/v1/chat/completions")
     for wrong in ("http://192.0.2.1/v1", "https://127.0.0.1", "http://example.com", "http://[2001:db8::1]:80"):
-        with pytest.raises(NotLocal):
+        with pytest.raises(NotLoopbackError):
             address_of(wrong)
     path = tmp_path / "load.json5"
     for text, word in (
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -44,7 +44,7 @@
 from ternlane.ledger import Disk, Segmented, Store
 from ternlane.ledger.bills import entries_of, rows_of
 from ternlane.ledger.lending import lender_file
-from ternlane.load.plan import LoadConfig as LoadDocument
+from ternlane.load.load_config import LoadConfig as LoadDocument
 from ternlane.discovery.endpoint_cache import Torn as TornFile
 from ternlane.discovery.endpoint_cache import keep as write_node_list
 from ternlane.discovery.endpoint_cache import kept as read_node_list
