--- a/bench/lab.py
+++ b/bench/lab.py
@@ -12,21 +12,33 @@
 import tracemalloc
 from pathlib import Path
 
-from ternlane.emulator import Batch, Blocks, Build, Course, Engine, Fleet, Job, Nature, Seat, What, chain
-from ternlane.emulator.describe import EngineKind
+from ternlane.emulator import (
+    Batch,
+    BlockPool,
+    BatchConfig,
+    BatchSequence,
+    EmulatedEngine,
+    EmulatedFleet,
+    Job,
+    EngineTraits,
+    PlacedEngine,
+    JobEventKind,
+    block_keys,
+)
+from ternlane.emulator.engine_kind import EngineKind
 from ternlane.config import read_config
 
 
 def one_engine(seconds: float, rate: float, seed: int) -> tuple[float, int, float]:
     """An engine under Poisson arrivals: simulated against real seconds, steps, and courses ended a simulated second."""
-    rng, it, now, due, steps, ended = random.Random(seed), Batch(Build(blocks=8000)), 0.0, 0.0, 0, 0
-    texts = [chain(rng.randbytes(4 * 600), 64) for _ in range(40)]
+    rng, it, now, due, steps, ended = random.Random(seed), Batch(BatchConfig(blocks=8000)), 0.0, 0.0, 0, 0
+    texts = [block_keys(rng.randbytes(4 * 600), 64) for _ in range(40)]
     since = time.perf_counter()
     while now < seconds * 1000:
         while due <= now:
             due += rng.expovariate(rate / 1000)
             keys = texts[min(39, int(rng.paretovariate(0.9)) - 1)]
-            it.add(Course(600 + rng.randrange(400), rng.randrange(20, 200), keys))
+            it.add(BatchSequence(600 + rng.randrange(400), rng.randrange(20, 200), keys))
         step = it.step()
         if step is None:
             now = due
@@ -38,34 +50,37 @@
 def a_fleet(many: int, seconds: float, seed: int) -> tuple[float, int, int]:
     """So many engines, two readers for three writers, a generation a second for each: simulated against real seconds,
     tokens written, and bytes an engine. Pairs are drawn by chance, half of them within a cell."""
-    rng, fleet = random.Random(seed), Fleet(300.0, 600.0)
+    rng, fleet = random.Random(seed), EmulatedFleet(300.0, 600.0)
     tracemalloc.start()
-    seats = [fleet.add(Engine(Build(blocks=8000), Nature(jitter=0.05), i), "a", i // 5) for i in range(many)]
+    seats = [
+        fleet.add(EmulatedEngine(BatchConfig(blocks=8000), EngineTraits(jitter=0.05), i), "a", i // 5)
+        for i in range(many)
+    ]
     size = tracemalloc.get_traced_memory()[0] // many
     tracemalloc.stop()
     prefill_servers = [s for i, s in enumerate(seats) if i % 5 < 2]
     decode_servers = [s for i, s in enumerate(seats) if i % 5 >= 2]
-    texts = [chain(rng.randbytes(4 * 600), 64) for _ in range(40)]
-    due, wrote, held = 0.0, 0, dict[Job, Seat]()
+    texts = [block_keys(rng.randbytes(4 * 600), 64) for _ in range(40)]
+    due, wrote, held = 0.0, 0, dict[Job, PlacedEngine]()
     since = time.perf_counter()
     while True:
         at = min(due, fleet.next_at())
         if at > seconds * 1000:
             return seconds / (time.perf_counter() - since), wrote, size
         for seat, told in fleet.advance(at):
-            if told.what is What.READ:
+            if told.kind is JobEventKind.PREFILLED:
                 near = [w for w in decode_servers if w.cell == seat.cell]
-                job = Job(Course(told.job.course.prompt, rng.randrange(20, 200)))
+                job = Job(BatchSequence(told.job.sequence.prompt_tokens, rng.randrange(20, 200)))
                 decode_server = rng.choice(near if rng.random() < 0.5 else decode_servers)
-                if not fleet.write(at, decode_server, job, held[told.job], told.job):
+                if not fleet.decode(at, decode_server, job, held[told.job], told.job):
                     fleet.release(at, seat, told.job)
                 del held[told.job]
-            wrote += told.what is What.TOKEN
+            wrote += told.kind is JobEventKind.TOKEN
         while due <= at:
             due += rng.expovariate(many / 1000)
-            read = Job(Course(600 + rng.randrange(400), 0, texts[min(39, int(rng.paretovariate(0.9)) - 1)]))
+            read = Job(BatchSequence(600 + rng.randrange(400), 0, texts[min(39, int(rng.paretovariate(0.9)) - 1)]))
             prefill_server = rng.choice(prefill_servers)
-            if fleet.read(at, prefill_server, read):
+            if fleet.prefill(at, prefill_server, read):
                 held[read] = prefill_server
 
 
@@ -89,19 +104,19 @@
         tracemalloc.start()
         begin = tracemalloc.get_traced_memory()[0]
         if name == "blocks":
-            it = Blocks(many)
+            it = BlockPool(many)
         else:
             plain: dict[tuple[int, int], int] = {}
         since = time.perf_counter()
         for at in range(0, many, 64):
             some = keys[at : at + 64]
             if name == "blocks":
-                held = it.take(some, len(some))
+                held = it.allocate(some, len(some))
                 assert held is not None
                 for i, key in enumerate(some):
-                    it.seal(held, i, key)
+                    it.register(held, i, key)
                 it.give_back(held)
-                assert it.find(some) == len(some)
+                assert it.count_cached(some) == len(some)
             else:
                 for key in some:
                     plain[key] = plain.get(key, 0) + 1
--- a/ternlane/cli.py
+++ b/ternlane/cli.py
@@ -463,7 +463,7 @@
 )
 def lab_fit(files: tuple[str, ...], within: tuple[float, float]) -> None:
     """Fits emulated engines to described latency curves and holds them against the points left out of the fit."""
-    from ternlane.emulator.describe import EngineKind
+    from ternlane.emulator.engine_kind import EngineKind
 
     kinds = [load_document(file, EngineKind) for file in files]
     try:
@@ -478,21 +478,21 @@
         except ValueError as why:
             click.echo(f"ternlane: {file}: {why}", err=True)
             sys.exit(DATA)
-        pace = found.build.pace
+        cost = found.config.cost
         click.echo(
-            f"{kind.name}: a step {pace.step_ms:.3f} ms, {pace.write_ms:.4f} a writer, {pace.read_ms:.4f} a "
-            f"token read beyond {pace.free_tokens}, {pace.back_ms:.4f} a thousand looked back at; spread "
-            f"{found.nature.jitter:.1%}"
+            f"{kind.name}: a step {cost.step_ms:.3f} ms, {cost.decode_ms:.4f} a writer, {cost.prefill_ms:.4f} a "
+            f"token read beyond {cost.free_tokens}, {cost.context_ms:.4f} a thousand looked back at; spread "
+            f"{found.traits.jitter:.1%}"
         )
         click.echo("  at once  prompt  answer       first token    between tokens   off: median, 99th percentile")
-        for point, off in found.off:
+        for point, off in found.errors:
             click.echo(
                 f"{point.at_once:>9}{point.prompt:>8}{point.answer:>8}{point.first_ms[0]:>9.1f}"
                 f"{point.first_ms[1]:>9.1f}{point.between_ms[0]:>9.2f}{point.between_ms[1]:>9.2f}   "
                 + " ".join(f"{part:>+7.1%}" for part in off)
                 + ("  held out" if point.held_out else "")
             )
-        held = any(point.held_out for point, _ in found.off)
+        held = any(point.held_out for point, _ in found.errors)
         median, tail = found.worst(held)
         click.echo(
             f"  worst {'held out' if held else 'of the fit'}: {median:.1%} at medians, {tail:.1%} at 99th percentiles"
--- a/ternlane/emulator/__init__.py
+++ b/ternlane/emulator/__init__.py
@@ -1,29 +1,30 @@
-"""An engine of the field in figures. Free of I/O and of any clock of its own."""
+"""An emulated engine and fleet in figures: continuous batching, memory in blocks, links. Free of I/O and clock."""
 
-from ternlane.emulator.batch import Batch, Build, Course, Pace, Step
-from ternlane.emulator.blocks import Blocks, HostedRequest, chain
-from ternlane.emulator.engine import Ailment, Engine, Job, Load, Nature, Told, What
-from ternlane.emulator.fleet import Fleet, Seat
-from ternlane.emulator.links import Link, Transfer
+from ternlane.emulator.batch import Batch, BatchConfig, BatchSequence, BatchStep, StepCost
+from ternlane.emulator.blocks import BlockAllocation, BlockPool, block_keys
+from ternlane.emulator.engine import EmulatedEngine, EmulatedFault, EngineTraits, Job, JobEvent, JobEventKind
+from ternlane.emulator.fleet import EmulatedFleet, PlacedEngine
+from ternlane.emulator.links import Link, LinkTransfer
+from ternlane.emulator.load_report import LoadReport
 
 __all__ = [
-    "Ailment",
     "Batch",
-    "Blocks",
-    "Build",
-    "Course",
-    "Engine",
-    "Fleet",
-    "HostedRequest",
+    "BatchConfig",
+    "BatchSequence",
+    "BatchStep",
+    "BlockAllocation",
+    "BlockPool",
+    "EmulatedEngine",
+    "EmulatedFault",
+    "EmulatedFleet",
+    "EngineTraits",
     "Job",
+    "JobEvent",
+    "JobEventKind",
     "Link",
-    "Load",
-    "Nature",
-    "Pace",
-    "Seat",
-    "Step",
-    "Told",
-    "Transfer",
-    "What",
-    "chain",
+    "LinkTransfer",
+    "LoadReport",
+    "PlacedEngine",
+    "StepCost",
+    "block_keys",
 ]
--- a/ternlane/emulator/batch.py
+++ b/ternlane/emulator/batch.py
@@ -1,6 +1,6 @@
-"""Continuous batching: at each step every running sequence writes a token, and what is left of the step's tokens goes
-to reading prompts, in chunks. Whoever comes joins at the next step; where memory runs out, the youngest is put back and
-read anew. Free of I/O; a step says how long it takes, and whoever drives it has the clock."""
+"""Continuous batching: at each step every running sequence decodes a token, and what is left of the step's tokens goes
+to prefilling prompts, in chunks. Whoever comes joins at the next step; where memory runs out, the youngest is preempted
+and recomputed later. Free of I/O; a step says how long it takes, and whoever drives it has the clock."""
 
 from __future__ import annotations
 
@@ -8,183 +8,237 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ternlane.emulator.blocks import Blocks, HostedRequest, Key
+from ternlane.emulator.blocks import BlockAllocation, BlockKey, BlockPool
 
 
 @dataclass(frozen=True)
-class Pace:
-    """What a step takes, ms: `step_ms`, and for each sequence that writes, each token that is read, and each thousand
-    tokens that are looked back at. The first `free_toks` of a step cost no reading: weights are fetched anyway."""
-
-    step_ms: float = 6.0
-    write_ms: float = 0.15
-    read_ms: float = 0.02
-    back_ms: float = 0.01
-    free_tokens: int = 0
-
-    def ms(self, wrote: int, read: int, back: int) -> float:
-        """A step in which so many write, so many tokens are read, and so many are looked back at."""
-        charged = max(0, wrote + read - self.free_tokens) if self.free_tokens else read
-        return self.step_ms + self.write_ms * wrote + self.read_ms * charged + self.back_ms * back / 1000
+class StepCost:
+    """What a step takes, in milliseconds."""
+
+    step_ms: float = 6.0  # every step
+    decode_ms: float = 0.15  # each sequence that decodes a token
+    prefill_ms: float = 0.02  # each token that is prefilled
+    context_ms: float = 0.01  # each thousand tokens of context that are attended to
+    free_tokens: int = 0  # the first of a step cost no prefill time: weights are fetched anyway
+
+    def ms(self, decoded: int, prefilled: int, context_tokens: int) -> float:
+        """Of a step that decodes, prefills and attends to so many tokens."""
+        charged = max(0, decoded + prefilled - self.free_tokens) if self.free_tokens else prefilled
+        return (
+            self.step_ms
+            + self.decode_ms * decoded
+            + self.prefill_ms * charged
+            + self.context_ms * context_tokens / 1000
+        )
 
 
 @dataclass(frozen=True)
-class Build:
-    """Blocks of `block_toks` tokens; at most `slots` sequences at once, `step_toks` tokens a step, `queue` waiting."""
+class BatchConfig:
+    """The size of an engine."""
 
     blocks: int
     block_tokens: int = 16
-    slots: int = 64
-    step_tokens: int = 512
-    queue: int = 1000
-    pace: Pace = Pace()
+    slots: int = 64  # sequences that run at once
+    step_tokens: int = 512  # tokens that a step may decode and prefill
+    queue: int = 1000  # sequences that may wait
+    cost: StepCost = StepCost()
 
 
 @dataclass(slots=True, eq=False)
-class Course:
-    """A prompt of `prompt` tokens, of which full blocks have `keys`, and an answer of `answer` tokens; 0: read only."""
-
-    prompt: int
-    answer: int
-    keys: Sequence[Key] = ()
-    read: int = 0  # tokens of prompt, and of the answer so far after a preemption, that are in memory
-    made: int = 0
-    held: HostedRequest | None = None
-    kept: int = 0  # tokens found kept when it was first let in
-    preempted: int = 0
+class BatchSequence:
+    """A prompt and the answer to it, as far as it has come."""
+
+    prompt_tokens: int
+    answer_tokens: int  # 0: prefill only
+    keys: Sequence[BlockKey] = ()  # of the prompt's full blocks
+    computed_tokens: int = 0  # of the prompt, and of the answer before a preemption, that are in memory
+    output_tokens: int = 0
+    allocation: BlockAllocation | None = None
+    cached_tokens: int = 0  # found cached when it was first admitted
+    preemptions: int = 0
     ended: bool = False
-    stays: bool = False  # its memory is kept once it is read, until it is released
-    fetches: bool = False  # its prompt comes from elsewhere: it holds slot and memory until `came`
+    keeps_state: bool = False  # its memory stays used once it is prefilled, until it is released
+    awaits_state: bool = False  # its prompt comes from elsewhere: it has slot and memory until it has arrived
 
     @property
-    def to_read(self) -> int:
-        """What has to be in memory before the next token can be written."""
-        return self.prompt + self.made
+    def needed_tokens(self) -> int:
+        """What has to be in memory before the next token can be decoded."""
+        return self.prompt_tokens + self.output_tokens
+
+    @property
+    def is_prefilled(self) -> bool:
+        """Whether the next token can be decoded."""
+        return self.computed_tokens >= self.needed_tokens
 
 
 @dataclass(slots=True)
-class Step:
-    ms: float
-    wrote: list[Course] = field(default_factory=list)  # a token each
-    finished: list[Course] = field(default_factory=list)
-    preempted: list[Course] = field(default_factory=list)
-    read_tokens: int = 0
+class BatchStep:
+    """What one step did."""
+
+    ms: float = 0.0
+    decoded: list[BatchSequence] = field(default_factory=list)  # a token each
+    finished: list[BatchSequence] = field(default_factory=list)
+    preempted: list[BatchSequence] = field(default_factory=list)
+    prefilled_tokens: int = 0
+    context_tokens: int = 0
 
 
 class Batch:
-    def __init__(self, build: Build, memory: Blocks | None = None) -> None:
-        self.build, self.memory = build, memory or Blocks(build.blocks)
-        self.queue: deque[Course] = deque()
-        self.running: list[Course] = []  # the oldest first
-        self.entered: list[Course] = []  # let in, and waiting for what they fetch, since the driver last looked
+    """The sequences of an engine."""
 
-    def blocks_for(self, tokens: int) -> int:
-        return -(-tokens // self.build.block_tokens)
+    def __init__(self, config: BatchConfig, memory: BlockPool | None = None) -> None:
+        """Empty; `memory` is one of its own where none is given."""
+        self.config = config
+        self.memory = memory or BlockPool(config.blocks)
+        self.queue: deque[BatchSequence] = deque()
+        self.running: list[BatchSequence] = []  # the oldest first
+        self.awaiting: list[BatchSequence] = []  # admitted since the driver last looked, and waiting for their state
 
-    def add(self, it: Course) -> bool:
+    def _blocks_for(self, tokens: int) -> int:
+        return -(-tokens // self.config.block_tokens)
+
+    def add(self, sequence: BatchSequence) -> bool:
         """False where the queue is full, or where it could never fit."""
-        if len(self.queue) >= self.build.queue or self.blocks_for(it.prompt + it.answer) > self.memory.total:
+        blocks = self._blocks_for(sequence.prompt_tokens + sequence.answer_tokens)
+        if len(self.queue) >= self.config.queue or blocks > self.memory.total:
             return False
-        self.queue.append(it)
+        self.queue.append(sequence)
         return True
 
-    def cancel(self, it: Course) -> None:
+    def cancel(self, sequence: BatchSequence) -> None:
         """Its client has left, at whatever step."""
-        if it in self.running:
-            self.running.remove(it)
-        elif it in self.queue:
-            self.queue.remove(it)
-        self.release(it)
-
-    def release(self, it: Course) -> None:
-        it.ended = True
-        if it.held is not None:
-            self.memory.give_back(it.held)
-            it.held = None
-
-    def let_in(self) -> None:
-        """From the queue in order, while there are slots, and memory for what has to be read."""
-        while self.queue and len(self.running) < self.build.slots:
-            it = self.queue[0]
-            held = self.memory.take(it.keys, self.blocks_for(it.to_read))
-            if held is None:
-                return
-            self.queue.popleft()
-            found = held.kept * self.build.block_tokens
-            if it.fetches:
-                self.entered.append(it)
-            it.held, it.read = held, min(found, it.to_read - 1)  # at least one token is read: the next hangs on it
-            it.kept = found if not it.preempted else it.kept
-            self.running.append(it)
-
-    def came(self, it: Course) -> None:
-        """What it fetched is there: it writes from the next step on."""
-        if it.fetches and it.held is not None:
-            it.fetches, it.read = False, it.to_read
-
-    def put_back(self, it: Course, step: Step) -> None:
-        """Recomputed later: its memory goes, what it has written stays."""
-        assert it.held is not None
-        self.running.remove(it)
-        self.memory.give_back(it.held)
-        it.held, it.read = None, 0
-        it.preempted += 1
-        self.queue.appendleft(it)
-        step.preempted.append(it)
-
-    def room_for(self, it: Course, step: Step) -> bool:
-        """A block for the token that `it` writes next, at the cost of the youngest others if need be."""
-        assert it.held is not None
-        while len(it.held.blocks) < self.blocks_for(it.read + 1):
-            if self.memory.grow(it.held, 1):
-                return True
-            youngest = next(r for r in reversed(self.running) if not r.fetches)
-            self.put_back(youngest, step)
-            if youngest is it:
-                return False
-        return True
-
-    def step(self) -> Step | None:
+        if sequence in self.running:
+            self.running.remove(sequence)
+        elif sequence in self.queue:
+            self.queue.remove(sequence)
+        self.release(sequence)
+
+    def release(self, sequence: BatchSequence) -> None:
+        """Gives its memory back."""
+        sequence.ended = True
+        if sequence.allocation is not None:
+            self.memory.give_back(sequence.allocation)
+            sequence.allocation = None
+
+    def state_arrived(self, sequence: BatchSequence) -> None:
+        """What it waited for is there: it decodes from the next step on."""
+        if sequence.awaits_state and sequence.allocation is not None:
+            sequence.awaits_state = False
+            sequence.computed_tokens = sequence.needed_tokens
+
+    def step(self) -> BatchStep | None:
         """One step; None where there is nothing to do."""
-        self.let_in()
-        if all(it.fetches for it in self.running):
+        self._admit()
+        if all(sequence.awaits_state for sequence in self.running):
             return None
-        out, budget, back = Step(0.0), self.build.step_tokens, 0
-        for it in [r for r in self.running if r.read >= r.to_read and r.made < r.answer and not r.fetches]:
-            if budget <= 0 or it not in self.running or not self.room_for(it, out):
+        step = BatchStep()
+        left_tokens = self._decode(step, self.config.step_tokens)
+        self._prefill(step, left_tokens)
+        self._finish(step)
+        step.ms = self.config.cost.ms(len(step.decoded), step.prefilled_tokens, step.context_tokens)
+        return step
+
+    def _admit(self) -> None:
+        """From the queue in order, while there are slots, and memory for what has to be prefilled."""
+        while self.queue and len(self.running) < self.config.slots:
+            sequence = self.queue[0]
+            allocation = self.memory.allocate(sequence.keys, self._blocks_for(sequence.needed_tokens))
+            if allocation is None:
+                return
+            self.queue.popleft()
+            cached_tokens = allocation.cached * self.config.block_tokens
+            if sequence.awaits_state:
+                self.awaiting.append(sequence)
+            sequence.allocation = allocation
+            # At least one token is prefilled: the next one comes out of it.
+            sequence.computed_tokens = min(cached_tokens, sequence.needed_tokens - 1)
+            if not sequence.preemptions:
+                sequence.cached_tokens = cached_tokens
+            self.running.append(sequence)
+
+    def _decode(self, step: BatchStep, budget_tokens: int) -> int:
+        """A token for each sequence that is prefilled; gives what is left of the budget."""
+        ready = [
+            sequence
+            for sequence in self.running
+            if sequence.is_prefilled and sequence.output_tokens < sequence.answer_tokens and not sequence.awaits_state
+        ]
+        for sequence in ready:
+            preempted = sequence not in self.running  # by one before it
+            if budget_tokens <= 0 or preempted or not self._ensure_block(sequence, step):
                 continue
-            it.made += 1
-            it.read += 1
-            budget -= 1
-            back += it.read
-            out.wrote.append(it)
-        for it in [r for r in self.running if r.read < r.to_read and not r.fetches]:
-            chunk = min(budget, it.to_read - it.read)
-            if it.held is None:  # put back by one before it
+            self._decode_token(sequence, step)
+            step.context_tokens += sequence.computed_tokens
+            budget_tokens -= 1
+        return budget_tokens
+
+    def _decode_token(self, sequence: BatchSequence, step: BatchStep) -> None:
+        sequence.output_tokens += 1
+        sequence.computed_tokens += 1
+        step.decoded.append(sequence)
+
+    def _prefill(self, step: BatchStep, budget_tokens: int) -> None:
+        """Chunks of prompts, the oldest first."""
+        unready = [sequence for sequence in self.running if not sequence.is_prefilled and not sequence.awaits_state]
+        for sequence in unready:
+            chunk = min(budget_tokens, sequence.needed_tokens - sequence.computed_tokens)
+            if sequence.allocation is None:  # preempted by one before it
                 continue
             if chunk <= 0:
                 break
-            it.read += chunk
-            budget -= chunk
-            out.read_tokens += chunk
-            self.seal(it)
-            if it.read == it.to_read and it.made < it.answer and self.room_for(it, out):
-                it.made += 1  # the reading's last token gives the first of the answer
-                it.read += 1
-                out.wrote.append(it)
-        for it in [r for r in self.running if r.made >= r.answer and r.read >= r.to_read and not r.fetches]:
-            self.running.remove(it)
-            if it.stays:
-                it.ended = True
+            sequence.computed_tokens += chunk
+            budget_tokens -= chunk
+            step.prefilled_tokens += chunk
+            self._register_blocks(sequence)
+            complete = sequence.computed_tokens == sequence.needed_tokens
+            if complete and sequence.output_tokens < sequence.answer_tokens and self._ensure_block(sequence, step):
+                self._decode_token(sequence, step)  # the prompt's last token gives the first of the answer
+
+    def _finish(self, step: BatchStep) -> None:
+        done = [
+            sequence
+            for sequence in self.running
+            if sequence.output_tokens >= sequence.answer_tokens and sequence.is_prefilled and not sequence.awaits_state
+        ]
+        for sequence in done:
+            self.running.remove(sequence)
+            if sequence.keeps_state:
+                sequence.ended = True
             else:
-                self.release(it)
-            out.finished.append(it)
-        out.ms = self.build.pace.ms(len(out.wrote), out.read_tokens, back)
-        return out
-
-    def seal(self, it: Course) -> None:
-        """Full blocks of the prompt that have been read are known from now on."""
-        assert it.held is not None
-        for at in range(it.held.kept, min(it.read // self.build.block_tokens, len(it.keys))):
-            if self.memory.keys[it.held.blocks[at]] is None:
-                self.memory.seal(it.held, at, it.keys[at])
+                self.release(sequence)
+            step.finished.append(sequence)
+
+    def _ensure_block(self, sequence: BatchSequence, step: BatchStep) -> bool:
+        """A block for the token that is decoded next, at the cost of the youngest others if need be.
+
+        False where the sequence itself was the youngest, and was preempted.
+        """
+        assert sequence.allocation is not None
+        while len(sequence.allocation.blocks) < self._blocks_for(sequence.computed_tokens + 1):
+            if self.memory.grow(sequence.allocation, 1):
+                return True
+            youngest = next(other for other in reversed(self.running) if not other.awaits_state)
+            self._preempt(youngest, step)
+            if youngest is sequence:
+                return False
+        return True
+
+    def _preempt(self, sequence: BatchSequence, step: BatchStep) -> None:
+        """Its memory goes, and is recomputed later; what it has decoded stays."""
+        assert sequence.allocation is not None
+        self.running.remove(sequence)
+        self.memory.give_back(sequence.allocation)
+        sequence.allocation = None
+        sequence.computed_tokens = 0
+        sequence.preemptions += 1
+        self.queue.appendleft(sequence)
+        step.preempted.append(sequence)
+
+    def _register_blocks(self, sequence: BatchSequence) -> None:
+        """Full blocks of the prompt that have been prefilled are cached from now on."""
+        allocation = sequence.allocation
+        assert allocation is not None
+        full_blocks = min(sequence.computed_tokens // self.config.block_tokens, len(sequence.keys))
+        for index in range(allocation.cached, full_blocks):
+            if self.memory.keys[allocation.blocks[index]] is None:
+                self.memory.register(allocation, index, sequence.keys[index])
--- a/ternlane/emulator/engine.py
+++ b/ternlane/emulator/engine.py
@@ -1,7 +1,8 @@
-"""One emulated engine: a batch with warmth, troubles, a clock that is handed in, and reports as real nodes make them.
+"""One emulated engine: a batch with a slow start, faults, a clock that is handed in, and reports as real engines make.
 
-Whoever drives it says when it is, in virtual or real time: `advance(now)` says what has happened until then, `next_at`
-when to come again. Free of I/O. What a step takes is settled when it begins; a change of speed counts from the next.
+Whoever drives it says when it is, in virtual or real time: `advance(now)` gives what has happened until then, `next_at`
+when to come again. Free of I/O; all times are milliseconds. What a step takes is settled when it begins; a change of
+speed counts from the next.
 """
 
 from __future__ import annotations
@@ -14,226 +15,240 @@
 from math import exp, inf
 from typing import NamedTuple
 
-from ternlane.emulator.batch import Batch, Build, Course, Step
-from ternlane.emulator.blocks import Blocks
+from ternlane.emulator.batch import Batch, BatchConfig, BatchSequence, BatchStep
+from ternlane.emulator.blocks import BlockPool, EvictionPolicy
+from ternlane.emulator.load_report import LoadReport
 
 
-class What(Enum):
-    """What an engine tells of a job: FETCH (it has slot and memory here, its state may come), READ (its state waits
-    here), TOKEN, PUT_BACK (out of memory, read anew), DONE."""
+class JobEventKind(Enum):
+    """What happens to a job at an engine."""
 
-    FETCH = auto()
-    READ = auto()
+    FETCHING = auto()  # it has slot and memory, its state may come
+    PREFILLED = auto()  # its state waits here
     TOKEN = auto()
-    PUT_BACK = auto()
+    PREEMPTED = auto()  # out of memory, recomputed later
     DONE = auto()
 
 
-class Told(NamedTuple):
-    at: float
-    what: What
-    job: Job
-
-
 @dataclass(slots=True, eq=False)
 class Job:
-    """A generation's stay at an engine."""
+    """A request's stay at an engine."""
 
-    course: Course
-    since: float = 0.0
+    sequence: BatchSequence
+    since_ms: float = 0.0
 
 
-@dataclass(frozen=True)
-class Nature:
-    """What an engine is like beside its batch. `jitter`: spread of steps (log-normal). It starts at `cold_from` of its
-    speed and is warm after `cold_ms`. Reports are made anew each `report_ms`, `lag_ms` late and off by `noise`."""
-
-    jitter: float = 0.0
-    slow_start_ms: float = 10e3
-    slow_start_share: float = 0.3
-    report_ms: float = 200.0
-    lag_ms: float = 50.0
-    noise: float = 0.05
-
-
-class Load(NamedTuple):
-    """A report: sequences that run and wait, and the share of memory that is held."""
-
-    running: int = 0
-    waiting: int = 0
-    memory: float = 0.0
-
-    def header(self) -> str:
-        """As an `endpoint-load-metrics` header says it (ORCA, JSON form)."""
-        return (
-            'JSON {"named_metrics": {"kv_cache_usage_perc": %.4f, "num_requests_running": %d, '
-            '"num_requests_waiting": %d}}' % (self.memory, self.running, self.waiting)
-        )
+class JobEvent(NamedTuple):
+    """Something that has happened to a job."""
 
-    def metrics(self) -> str:
-        """As a `/metrics` page says it (Prometheus text)."""
-        return (
-            f"vllm:num_requests_running {self.running}\nvllm:num_requests_waiting {self.waiting}\n"
-            f"vllm:kv_cache_usage_perc {self.memory:.4f}\n"
-        )
+    at_ms: float
+    kind: JobEventKind
+    job: Job
 
 
-@dataclass(slots=True)
-class Ailment:
-    """What ails an engine now: `slow` times slower, `hung`, part of the memory `taken` by another program."""
+@dataclass(frozen=True)
+class EngineTraits:
+    """What an engine is like beside its batch."""
 
-    slow: float = 1.0
-    hung: bool = False
-    taken: float = 0.0
+    jitter: float = 0.0  # spread of steps (log-normal)
+    slow_start_ms: float = 10e3  # for how long a started process is cold
+    slow_start_share: float = 0.3  # of its speed, at the start
+    report_ms: float = 200.0  # between two reports
+    lag_ms: float = 50.0  # by which a report is late
+    noise: float = 0.05  # by which a report is off, as a part (standard deviation)
 
 
-class Engine:
-    """`started` < 0: it has been warm for ever."""
+@dataclass(slots=True)
+class EmulatedFault:
+    """What is wrong with an engine at present."""
 
-    def __init__(self, build: Build, nature: Nature, seed: int, policy: str = "lru", started: float = -inf) -> None:
-        self.build, self.nature, self.policy = build, nature, policy
+    slowdown: float = 1.0  # times slower
+    hung: bool = False
+    memory_taken_share: float = 0.0  # by another program
+
+
+class EmulatedEngine:
+    """One process, which may die and start again."""
+
+    def __init__(
+        self,
+        config: BatchConfig,
+        traits: EngineTraits,
+        seed: int,
+        policy: EvictionPolicy = "lru",
+        started_ms: float = -inf,
+    ) -> None:
+        """`started_ms` below 0: it has been warm for ever."""
+        self.config = config
+        self.traits = traits
+        self.policy: EvictionPolicy = policy
         self.rng = random.Random(zlib.crc32(b"%d" % seed))
-        self.ailment = Ailment()
-        self.jobs: dict[Course, Job] = {}
-        self.states: dict[Job, None] = {}  # read, and waiting to be fetched or released
-        self.told: list[Told] = []
-        self.begin(started)
-
-    def begin(self, now: float) -> None:
-        """A process that has just started: empty, and cold unless `now` is long ago."""
-        self.started, self.now = now, max(now, 0.0)
-        self.memory = Blocks(self.build.blocks, "clock" if self.policy == "clock" else "lru")
-        self.batch = Batch(self.build, self.memory)
-        self.step: Step | None = None
-        self.step_ends = inf
-        self.views: deque[tuple[float, Load]] = deque([(-inf, Load())])
-        self.seen_at = self.now
-        if self.ailment.taken:
-            self.take(self.ailment.taken)
-
-    def die(self, now: float) -> list[Job]:
-        """The process is gone with all it held; the jobs that were lost with it."""
-        self.advance(now)
+        self.fault = EmulatedFault()
+        self.jobs: dict[BatchSequence, Job] = {}
+        self.states: dict[Job, None] = {}  # prefilled, and waiting to be fetched or released
+        self._events: list[JobEvent] = []  # not yet given to the driver
+        self.start(started_ms)
+
+    def start(self, now_ms: float) -> None:
+        """A process that has just started: empty, and cold unless `now_ms` is long ago."""
+        self.started_ms = now_ms
+        self.now_ms = max(now_ms, 0.0)
+        self.memory = BlockPool(self.config.blocks, self.policy)
+        self.batch = Batch(self.config, self.memory)
+        self._step: BatchStep | None = None
+        self._step_ends_ms = inf
+        self._reports: deque[tuple[float, LoadReport]] = deque([(-inf, LoadReport())])
+        self._reported_ms = self.now_ms
+        if self.fault.memory_taken_share:
+            self.take_memory(self.fault.memory_taken_share)
+
+    def die(self, now_ms: float) -> list[Job]:
+        """The process is gone with all it held; gives the jobs that were lost with it."""
+        self.advance(now_ms)
         lost = [*self.jobs.values(), *self.states]
         for job in lost:
-            job.course.ended = True
+            job.sequence.ended = True
         self.jobs.clear()
         self.states.clear()
-        self.step, self.step_ends = None, inf
+        self._step = None
+        self._step_ends_ms = inf
         return lost
 
-    # -- what is asked of it
+    # What is asked of it
 
-    def submit(self, now: float, job: Job) -> bool:
-        """A job for the next step; false where it is full, or it could never fit."""
-        if not self.batch.add(job.course):
+    def submit(self, now_ms: float, job: Job) -> bool:
+        """A job for the next step; False where the queue is full, or it could never fit."""
+        if not self.batch.add(job.sequence):
             return False
-        job.since, self.jobs[job.course] = now, job
-        self.go_on(now)
+        job.since_ms = now_ms
+        self.jobs[job.sequence] = job
+        self._start_step(now_ms)
         return True
 
-    def cancel(self, now: float, job: Job) -> None:
+    def cancel(self, now_ms: float, job: Job) -> None:
         """Nobody waits for it any more, at whatever moment of a step."""
-        if self.jobs.pop(job.course, None) is not None:
-            self.batch.cancel(job.course)
-            self.go_on(now)
+        if self.jobs.pop(job.sequence, None) is not None:
+            self.batch.cancel(job.sequence)
+            self._start_step(now_ms)
 
-    def came(self, now: float, job: Job) -> None:
+    def state_arrived(self, now_ms: float, job: Job) -> None:
         """What the job fetched is here."""
-        if job.course in self.jobs:
-            self.batch.came(job.course)
-            self.go_on(now)
+        if job.sequence in self.jobs:
+            self.batch.state_arrived(job.sequence)
+            self._start_step(now_ms)
 
-    def release(self, now: float, job: Job) -> bool:
-        """Frees the state that waits here; false where there is none."""
+    def release(self, now_ms: float, job: Job) -> bool:
+        """Frees the state that waits here; False where there is none."""
         if job not in self.states:
             return False
         del self.states[job]
-        self.batch.release(job.course)
-        self.go_on(now)
+        self.batch.release(job.sequence)
+        self._start_step(now_ms)
         return True
 
-    def take(self, part: float) -> None:
-        """Another program has this part of the memory from now on; what is in use is owed."""
-        self.ailment.taken = part
-        self.memory.cut(round(part * self.memory.total))
+    def take_memory(self, share: float) -> None:
+        """Another program has this share of the memory from now on; what is in use is owed."""
+        self.fault.memory_taken_share = share
+        self.memory.take_memory(round(share * self.memory.total))
+
+    def fault_changed(self, now_ms: float) -> None:
+        """What stood still may go on."""
+        self._start_step(now_ms)
+
+    # Reports
+
+    def current_load(self) -> LoadReport:
+        """As it is, not as it is reported."""
+        memory_share = self.memory.used / max(1, self.memory.total)
+        return LoadReport(len(self.batch.running), len(self.batch.queue), memory_share)
 
-    def load(self, now: float) -> Load:
+    def reported_load(self, now_ms: float) -> LoadReport:
         """The report that can be had now: late and a little off."""
-        self.now = max(self.now, now)
-        self.look()
-        seen = Load()
-        for at, view in self.views:
-            if at <= now - self.nature.lag_ms:
-                seen = view
-        off = max(0.0, 1.0 + self.rng.gauss(0.0, self.nature.noise))
-        return Load(round(seen.running * off), round(seen.waiting * off), min(1.0, seen.memory * off))
-
-    # -- time
-
-    def speed(self, now: float) -> float:
-        age = (now - self.started) / max(self.nature.slow_start_ms, 1e-9)
-        warmth = min(1.0, self.nature.slow_start_share + (1 - self.nature.slow_start_share) * age)
-        return 0.0 if self.ailment.hung else warmth / self.ailment.slow
+        self.now_ms = max(self.now_ms, now_ms)
+        self._report()
+        latest = LoadReport()
+        for at_ms, report in self._reports:
+            if at_ms <= now_ms - self.traits.lag_ms:
+                latest = report
+        factor = max(0.0, 1.0 + self.rng.gauss(0.0, self.traits.noise))
+        return LoadReport(
+            round(latest.running * factor), round(latest.waiting * factor), min(1.0, latest.memory * factor)
+        )
+
+    def _report(self) -> None:
+        """Makes the report that is due, of what is now, and drops those that nobody can be given any more."""
+        if self.now_ms - self._reported_ms < self.traits.report_ms:
+            return
+        self._reported_ms = self.now_ms
+        self._reports.append((self.now_ms, self.current_load()))
+        while len(self._reports) > 2 and self._reports[1][0] <= self.now_ms - self.traits.lag_ms:
+            self._reports.popleft()
+
+    # Time
+
+    def speed(self, now_ms: float) -> float:
+        """As a share of its full speed."""
+        age = (now_ms - self.started_ms) / max(self.traits.slow_start_ms, 1e-9)
+        warmth = min(1.0, self.traits.slow_start_share + (1 - self.traits.slow_start_share) * age)
+        return 0.0 if self.fault.hung else warmth / self.fault.slowdown
 
     def next_at(self) -> float:
         """When something happens next if nothing is asked of it."""
-        return self.now if self.told else self.step_ends
+        return self.now_ms if self._events else self._step_ends_ms
 
-    def advance(self, now: float) -> list[Told]:
+    def advance(self, now_ms: float) -> list[JobEvent]:
         """What has happened until now, in order. A time before the last one changes nothing."""
-        while (due := self.step_ends) <= now:
-            self.told += self.end_step()
-            self.go_on(due)
-        self.now = max(self.now, now)
-        self.look()
-        out, self.told = self.told, []
-        return out
-
-    def alter(self, now: float) -> None:
-        """The ailment has changed: what stood still may go on."""
-        self.go_on(now)
-
-    def go_on(self, now: float) -> None:
-        """Begins a step, if none is under way and there is something to do."""
-        self.now = max(self.now, now)
-        if self.step is not None:
+        while (due_ms := self._step_ends_ms) <= now_ms:
+            self._events += self._end_step()
+            self._start_step(due_ms)
+        self.now_ms = max(self.now_ms, now_ms)
+        self._report()
+        events = self._events
+        self._events = []
+        return events
+
+    def _start_step(self, now_ms: float) -> None:
+        """If none is under way and there is something to do."""
+        self.now_ms = max(self.now_ms, now_ms)
+        if self._step is not None:
             return
-        speed = self.speed(now)
+        speed = self.speed(now_ms)
         step = self.batch.step() if speed > 0 else None
-        for course in self.batch.entered:
-            if course in self.jobs:
-                self.told.append(Told(now, What.FETCH, self.jobs[course]))
-        self.batch.entered.clear()
+        for sequence in self.batch.awaiting:
+            if sequence in self.jobs:
+                self._events.append(JobEvent(now_ms, JobEventKind.FETCHING, self.jobs[sequence]))
+        self.batch.awaiting.clear()
         if step is not None:
-            spread = exp(self.rng.gauss(0.0, self.nature.jitter)) if self.nature.jitter else 1.0
-            self.step, self.step_ends = step, now + step.ms * spread / speed
+            spread = exp(self.rng.gauss(0.0, self.traits.jitter)) if self.traits.jitter else 1.0
+            self._step = step
+            self._step_ends_ms = now_ms + step.ms * spread / speed
 
-    def end_step(self) -> list[Told]:
-        step, at, out = self.step, self.step_ends, list[Told]()
+    def _end_step(self) -> list[JobEvent]:
+        step = self._step
+        at_ms = self._step_ends_ms
         assert step is not None
-        self.step, self.step_ends = None, inf
-        for what, courses in ((What.TOKEN, step.wrote), (What.PUT_BACK, step.preempted), (What.DONE, step.finished)):
-            for course in courses:
-                job = self.jobs.get(course)
-                if job is None:  # cancelled while the step ran
-                    if course.stays:
-                        self.batch.release(course)
-                    continue
-                if what is What.DONE:
-                    del self.jobs[course]
-                    if course.stays:
-                        self.states[job] = None
-                out.append(Told(at, What.READ if what is What.DONE and course.stays else what, job))
-        return out
-
-    def look(self) -> None:
-        """Makes the reports that were due, of what is now."""
-        if self.now - self.seen_at >= self.nature.report_ms:
-            self.seen_at = self.now
-            self.views.append((self.now, self.true_load()))
-            while len(self.views) > 2 and self.views[1][0] <= self.now - self.nature.lag_ms:
-                self.views.popleft()
-
-    def true_load(self) -> Load:
-        return Load(len(self.batch.running), len(self.batch.queue), self.memory.used / max(1, self.memory.total))
+        self._step = None
+        self._step_ends_ms = inf
+        events: list[JobEvent] = []
+        for kind, sequences in (
+            (JobEventKind.TOKEN, step.decoded),
+            (JobEventKind.PREEMPTED, step.preempted),
+            (JobEventKind.DONE, step.finished),
+        ):
+            for sequence in sequences:
+                job = self.jobs.get(sequence)
+                if job is not None:
+                    events.append(JobEvent(at_ms, self._settle(job, kind), job))
+                elif sequence.keeps_state:  # cancelled while the step ran
+                    self.batch.release(sequence)
+        return events
+
+    def _settle(self, job: Job, kind: JobEventKind) -> JobEventKind:
+        """A job that is done leaves the engine; its state stays where it is kept."""
+        if kind is not JobEventKind.DONE:
+            return kind
+        del self.jobs[job.sequence]
+        if not job.sequence.keeps_state:
+            return kind
+        self.states[job] = None
+        return JobEventKind.PREFILLED
--- a/ternlane/emulator/links.py
+++ b/ternlane/emulator/links.py
@@ -1,7 +1,7 @@
 """Ports and cell links: what moves over one shares its bandwidth evenly, at every moment. Free of I/O and clock.
 
-Kept in virtual time: all that moves gets on alike, so each transfer ends where the common progress reaches a mark that
-is known when it begins. Joining, leaving and ending cost the logarithm of what is on the way, not its number.
+Kept in virtual time: all transfers make the same progress, so each ends where the common progress reaches a mark that
+is known when it begins. Joining, leaving and ending cost the logarithm of the transfers' number, not the number.
 """
 
 from __future__ import annotations
@@ -12,67 +12,77 @@
 
 
 @dataclass(slots=True, eq=False)
-class Transfer:
-    """`toks` tokens of read state on their way; `job` is the caller's."""
+class LinkTransfer:
+    """So many tokens of prefilled state on their way; `job` is the caller's."""
 
     tokens: float
     job: object
-    mark: float = 0.0
-    left: bool = False  # called off, or over
+    mark: float = 0.0  # the link's progress at which it ends
+    over: bool = False  # cancelled or ended
 
 
 class Link:
-    """Carries `rate` tokens a ms, shared evenly by what is on it. Times are ms, and never go back."""
+    """Carries `rate` tokens a millisecond, shared evenly. Times are milliseconds, and never go back."""
 
     def __init__(self, rate: float) -> None:
-        self.rate, self.progress, self.at, self.many = rate, 0.0, 0.0, 0
-        self.heap: list[tuple[float, int, Transfer]] = []
-        self.turn = 0
-        self.carried = 0.0
-
-    def forward(self, now: float) -> None:
-        now = max(now, self.at)  # a clock that jumps back moves nothing
-        if self.many:
-            self.progress += (now - self.at) * self.rate / self.many
-            self.carried += (now - self.at) * self.rate
-        self.at = now
-
-    def begin(self, now: float, tokens: float, job: object) -> Transfer:
-        """Puts a transfer on the link. What has ended by now must have been taken off by `ended` before."""
-        self.forward(now)
-        it = Transfer(tokens, job, self.progress + tokens)
-        self.turn, self.many = self.turn + 1, self.many + 1
-        heapq.heappush(self.heap, (it.mark, self.turn, it))
-        return it
-
-    def cancel(self, now: float, it: Transfer) -> None:
+        """Nothing moves."""
+        self.rate = rate
+        self.active = 0  # transfers
+        self.carried_tokens = 0.0
+        self._progress = 0.0  # tokens that a transfer from the beginning on would have moved
+        self._now_ms = 0.0
+        self._marks: list[tuple[float, int, LinkTransfer]] = []  # a heap
+        self._order = 0  # of transfers with the same mark
+
+    def move_to(self, now_ms: float) -> None:
+        """Lets time pass. A clock that jumps back moves nothing."""
+        now_ms = max(now_ms, self._now_ms)
+        if self.active:
+            self._progress += (now_ms - self._now_ms) * self.rate / self.active
+            self.carried_tokens += (now_ms - self._now_ms) * self.rate
+        self._now_ms = now_ms
+
+    def begin(self, now_ms: float, tokens: float, job: object) -> LinkTransfer:
+        """Puts a transfer on the link. What has ended by now must have been taken off by `take_ended` before."""
+        self.move_to(now_ms)
+        transfer = LinkTransfer(tokens, job, self._progress + tokens)
+        self._order += 1
+        self.active += 1
+        heapq.heappush(self._marks, (transfer.mark, self._order, transfer))
+        return transfer
+
+    def cancel(self, now_ms: float, transfer: LinkTransfer) -> None:
         """Nobody waits for it any more; the others have its share from now on."""
-        if not it.left:
-            self.forward(now)
-            it.left, self.many = True, self.many - 1
+        if not transfer.over:
+            self.move_to(now_ms)
+            self._leave(transfer)
+
+    def _leave(self, transfer: LinkTransfer) -> None:
+        transfer.over = True
+        self.active -= 1
 
-    def alter(self, now: float, rate: float) -> None:
+    def set_rate(self, now_ms: float, rate: float) -> None:
         """Another bandwidth from now on; what has moved has moved."""
-        self.forward(now)
+        self.move_to(now_ms)
         self.rate = rate
 
     def next_at(self) -> float:
         """When the next transfer ends if nothing joins; infinite where nothing moves."""
-        while self.heap and self.heap[0][2].left:
-            heapq.heappop(self.heap)
-        if not self.heap or self.rate <= 0:
+        while self._marks and self._marks[0][2].over:
+            heapq.heappop(self._marks)
+        if not self._marks or self.rate <= 0:
             return inf
-        return self.at + max(0.0, self.heap[0][0] - self.progress) * self.many / self.rate
+        return self._now_ms + max(0.0, self._marks[0][0] - self._progress) * self.active / self.rate
 
-    def ended(self, now: float) -> list[tuple[float, Transfer]]:
+    def take_ended(self, now_ms: float) -> list[tuple[float, LinkTransfer]]:
         """What has ended by now, each with its time, in order."""
-        out: list[tuple[float, Transfer]] = []
-        while (due := self.next_at()) <= now:
-            it = self.heap[0][2]
-            self.forward(due)
-            self.progress = it.mark  # exactly, whatever rounding made of it
-            heapq.heappop(self.heap)
-            it.left, self.many = True, self.many - 1
-            out.append((due, it))
-        self.forward(now)
-        return out
+        ended: list[tuple[float, LinkTransfer]] = []
+        while (due_ms := self.next_at()) <= now_ms:
+            transfer = self._marks[0][2]
+            self.move_to(due_ms)
+            self._progress = transfer.mark  # exactly, whatever rounding made of it
+            heapq.heappop(self._marks)
+            self._leave(transfer)
+            ended.append((due_ms, transfer))
+        self.move_to(now_ms)
+        return ended
--- a/ternlane/testing/engine_core.py
+++ b/ternlane/testing/engine_core.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from ternlane.emulator import Load
+from ternlane.emulator import LoadReport
 from ternlane.http1 import ConnectionPool
 from ternlane.testing.engine_profile import PREFILL_ROLE, EngineFault, EngineProfile
 from ternlane.testing.prefix_cache import PrefixCache, PrefixLookup
@@ -180,10 +180,10 @@
             self.busy += 1
             self._queue.popleft().set()
 
-    def load(self) -> Load:
+    def load(self) -> LoadReport:
         """What it reports of itself."""
         memory_share = min(1.0, self.used_tokens / self.profile.kv_capacity_tokens)
-        return Load(self.busy, len(self._queue), memory_share)
+        return LoadReport(self.busy, len(self._queue), memory_share)
 
     def load_header(self) -> tuple[str, str]:
         """The header that carries its load with an answer."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,13 +13,26 @@
 from hypothesis import strategies as st
 
 from ternlane.cli import main
-from ternlane.emulator import Build, Course, Engine, Fleet, Job, Link, Nature, Pace, Seat, Told, Transfer, What
-from ternlane.emulator.describe import EngineKind
+from ternlane.emulator import (
+    BatchConfig,
+    BatchSequence,
+    EmulatedEngine,
+    EmulatedFleet,
+    Job,
+    Link,
+    EngineTraits,
+    StepCost,
+    PlacedEngine,
+    JobEvent,
+    LinkTransfer,
+    JobEventKind,
+)
+from ternlane.emulator.engine_kind import EngineKind
 from ternlane.emulator.fit import fit
 from ternlane.config import read_config
 
-PACE = Pace(step_ms=5.0, write_ms=0.1, read_ms=0.02, back_ms=0.0)
-BUILD = Build(blocks=400, slots=8, step_tokens=256, queue=20, pace=PACE)
+COST = StepCost(step_ms=5.0, decode_ms=0.1, prefill_ms=0.02, context_ms=0.0)
+BUILD = BatchConfig(blocks=400, slots=8, step_tokens=256, queue=20, cost=COST)
 
 
 def slowly(sizes: list[tuple[float, float]], rate: float) -> list[float]:
@@ -43,16 +56,18 @@
 @settings(max_examples=150, deadline=None)
 def test_transfers_share_a_link_evenly_and_none_is_lost(told: list[tuple[int, int]], rate: int) -> None:
     sizes = sorted((float(a), float(b)) for a, b in told)
-    link, ends, jobs = Link(float(rate)), dict[int, float](), list[Transfer]()
+    link, ends, jobs = Link(float(rate)), dict[int, float](), list[LinkTransfer]()
     for i, (at, tokens) in enumerate(sizes):
-        for when, it in link.ended(at):
+        for when, it in link.take_ended(at):
             ends[it.job] = when  # type: ignore[index]
         jobs.append(link.begin(at, tokens, i))
-    for when, it in link.ended(1e9):
+    for when, it in link.take_ended(1e9):
         ends[it.job] = when  # type: ignore[index]
     assert [ends[i] for i in range(len(sizes))] == pytest.approx(slowly(sizes, float(rate)), abs=1e-6)
     assert (
-        link.carried == pytest.approx(sum(tokens for _, tokens in sizes)) and link.many == 0 and link.next_at() == inf
+        link.carried_tokens == pytest.approx(sum(tokens for _, tokens in sizes))
+        and link.active == 0
+        and link.next_at() == inf
     )
 
 
@@ -61,22 +76,24 @@
     gone, stays = link.begin(0.0, 1000.0, "a"), link.begin(0.0, 1000.0, "b")
     link.cancel(100.0, gone)  # each has 500 by now
     link.cancel(100.0, gone)
-    link.forward(20.0)
-    assert link.ended(149.0) == [] and link.ended(150.0) == [(150.0, stays)]
+    link.move_to(20.0)
+    assert link.take_ended(149.0) == [] and link.take_ended(150.0) == [(150.0, stays)]
     link.begin(200.0, 100.0, "c")
-    link.alter(205.0, 0.0)
+    link.set_rate(205.0, 0.0)
     assert link.next_at() == inf
-    link.alter(300.0, 50.0)
+    link.set_rate(300.0, 50.0)
     assert link.next_at() == 301.0
 
 
-def cell(fleet: Fleet, build: Build = BUILD, nature: Nature | None = None, zone: str = "a", at: int = 0) -> Seat:
-    return fleet.add(Engine(build, nature or Nature(), 1), zone, at)
+def cell(
+    fleet: EmulatedFleet, build: BatchConfig = BUILD, nature: EngineTraits | None = None, zone: str = "a", at: int = 0
+) -> PlacedEngine:
+    return fleet.add(EmulatedEngine(build, nature or EngineTraits(), 1), zone, at)
 
 
-def run(fleet: Fleet, until: float = 1e7) -> list[tuple[Seat, Told]]:
+def run(fleet: EmulatedFleet, until: float = 1e7) -> list[tuple[PlacedEngine, JobEvent]]:
     """Lets time jump from event to event until nothing is left to do."""
-    out: list[tuple[Seat, Told]] = []
+    out: list[tuple[PlacedEngine, JobEvent]] = []
     for _ in range(100_000):
         at = fleet.next_at()
         if at > until:
@@ -85,74 +102,76 @@
     raise AssertionError("it does not come to rest")
 
 
-def counted(told: list[tuple[Seat, Told]], what: What) -> Counter[Job]:
-    return Counter(t.job for _, t in told if t.what is what)
+def counted(told: list[tuple[PlacedEngine, JobEvent]], what: JobEventKind) -> Counter[Job]:
+    return Counter(t.job for _, t in told if t.kind is what)
 
 
 def test_a_state_is_read_moved_and_written_and_the_readers_memory_released() -> None:
-    fleet = Fleet(port_rate=200.0, link_rate=100.0)
+    fleet = EmulatedFleet(port_rate=200.0, link_rate=100.0)
     prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, zone="b", at=1)
     ends: list[float] = []
     for target in (near, far):
-        held, job = Job(Course(1000, 0)), Job(Course(1000, 20))
-        assert fleet.read(fleet.now, prefill_server, held)
-        assert counted(run(fleet), What.READ) == {held: 1} and prefill_server.engine.memory.used == 63
-        since = fleet.now
-        assert fleet.write(since, target, job, prefill_server, held)
-        assert not fleet.write(since, near, Job(Course(1000, 5)), prefill_server, held)  # it is promised already
+        held, job = Job(BatchSequence(1000, 0)), Job(BatchSequence(1000, 20))
+        assert fleet.prefill(fleet.now_ms, prefill_server, held)
+        assert counted(run(fleet), JobEventKind.PREFILLED) == {held: 1} and prefill_server.engine.memory.used == 63
+        since = fleet.now_ms
+        assert fleet.decode(since, target, job, prefill_server, held)
+        assert not fleet.decode(
+            since, near, Job(BatchSequence(1000, 5)), prefill_server, held
+        )  # it is promised already
         told = run(fleet)
-        assert counted(told, What.TOKEN) == {job: 20} and counted(told, What.DONE) == {job: 1}
+        assert counted(told, JobEventKind.TOKEN) == {job: 20} and counted(told, JobEventKind.DONE) == {job: 1}
         assert prefill_server.engine.memory.used == target.engine.memory.used == 0
-        ends.append(next(t.at for _, t in told if t.what is What.TOKEN) - since)
+        ends.append(next(t.at_ms for _, t in told if t.kind is JobEventKind.TOKEN) - since)
     assert ends[0] == pytest.approx(5.0 + 5.1, abs=0.2) and ends[1] == pytest.approx(20.0 + 5.1, abs=0.2)
 
 
 def test_a_cells_link_that_is_full_slows_all_that_leave_it_and_nothing_else() -> None:
-    fleet = Fleet(port_rate=1000.0, link_rate=100.0)
+    fleet = EmulatedFleet(port_rate=1000.0, link_rate=100.0)
     prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, at=1)
-    helds, jobs = [Job(Course(500, 0)) for _ in range(6)], [Job(Course(500, 1)) for _ in range(6)]
+    helds, jobs = [Job(BatchSequence(500, 0)) for _ in range(6)], [Job(BatchSequence(500, 1)) for _ in range(6)]
     for held in helds:
-        assert fleet.read(0.0, prefill_server, held)
+        assert fleet.prefill(0.0, prefill_server, held)
     run(fleet)
-    since = fleet.now
+    since = fleet.now_ms
     for i, (held, job) in enumerate(zip(helds, jobs)):
-        assert fleet.write(since, near if i == 5 else far, job, prefill_server, held)
-    first = {t.job: t.at - since for _, t in run(fleet) if t.what is What.TOKEN}
+        assert fleet.decode(since, near if i == 5 else far, job, prefill_server, held)
+    first = {t.job: t.at_ms - since for _, t in run(fleet) if t.kind is JobEventKind.TOKEN}
     assert first[jobs[5]] < 7.0 and all(25.0 < first[job] < 37.0 for job in jobs[:5])
 
 
 @given(st.data())
 @settings(max_examples=80, deadline=None, phases=(Phase.explicit, Phase.generate))
 def test_whatever_is_cancelled_cut_or_lost_memory_comes_back_and_tokens_add_up(data: st.DataObject) -> None:
-    fleet = Fleet(port_rate=200.0, link_rate=60.0)
-    small = Build(blocks=40, slots=4, step_tokens=64, queue=6, pace=PACE)
+    fleet = EmulatedFleet(port_rate=200.0, link_rate=60.0)
+    small = BatchConfig(blocks=40, slots=4, step_tokens=64, queue=6, cost=COST)
     prefill_servers, decode_servers = (
         [cell(fleet, small, at=i) for i in range(2)],
         [cell(fleet, small, at=i) for i in range(2)],
     )
-    helds: dict[Job, Seat] = {}
-    jobs: dict[Job, Seat] = {}
+    helds: dict[Job, PlacedEngine] = {}
+    jobs: dict[Job, PlacedEngine] = {}
     stopped: set[Job] = set()
-    told: list[tuple[Seat, Told]] = []
+    told: list[tuple[PlacedEngine, JobEvent]] = []
     for _ in range(data.draw(st.integers(5, 40))):
-        now = fleet.now + data.draw(st.integers(0, 30))
+        now = fleet.now_ms + data.draw(st.integers(0, 30))
         told += fleet.advance(now)
         what = data.draw(st.sampled_from(["read", "write", "cancel", "die", "cut", "place", "release", "hang"]))
         seat = data.draw(
             st.sampled_from(decode_servers if what in ("write", "place") else prefill_servers + decode_servers)
         )
         if what == "read":
-            job = Job(Course(data.draw(st.integers(1, 300)), 0))
-            if fleet.read(now, data.draw(st.sampled_from(prefill_servers)), job):
-                helds[job] = next(s for s in prefill_servers if job.course in s.engine.jobs or job in s.engine.states)
+            job = Job(BatchSequence(data.draw(st.integers(1, 300)), 0))
+            if fleet.prefill(now, data.draw(st.sampled_from(prefill_servers)), job):
+                helds[job] = next(s for s in prefill_servers if job.sequence in s.engine.jobs or job in s.engine.states)
         elif what == "write" and helds:
             held = data.draw(st.sampled_from(list(helds)))
-            job = Job(Course(held.course.prompt, data.draw(st.integers(0, 40))))
-            if fleet.write(now, seat, job, helds[held], held):
+            job = Job(BatchSequence(held.sequence.prompt_tokens, data.draw(st.integers(0, 40))))
+            if fleet.decode(now, seat, job, helds[held], held):
                 jobs[job] = seat
         elif what == "place":
-            job = Job(Course(data.draw(st.integers(1, 300)), data.draw(st.integers(0, 40))))
-            if fleet.write(now, seat, job):
+            job = Job(BatchSequence(data.draw(st.integers(1, 300)), data.draw(st.integers(0, 40))))
+            if fleet.decode(now, seat, job):
                 jobs[job] = seat
         elif what == "cancel" and jobs:
             job = data.draw(st.sampled_from(list(jobs)))
@@ -163,78 +182,87 @@
             fleet.release(now, helds[held], held)
         elif what == "die":
             stopped |= set(fleet.die(now, seat))
-            seat.engine.begin(now)
+            seat.engine.start(now)
         elif what == "cut":
-            seat.engine.take(data.draw(st.sampled_from([0.0, 0.3, 0.5])))
+            seat.engine.take_memory(data.draw(st.sampled_from([0.0, 0.3, 0.5])))
         elif what == "hang":
-            seat.engine.ailment.hung = not seat.engine.ailment.hung
-            fleet.alter(now, seat)
+            seat.engine.fault.hung = not seat.engine.fault.hung
+            fleet.fault_changed(now, seat)
     for seat in prefill_servers + decode_servers:
-        seat.engine.ailment.hung = False
-        seat.engine.take(0.0)
-        fleet.alter(fleet.now, seat)
+        seat.engine.fault.hung = False
+        seat.engine.take_memory(0.0)
+        fleet.fault_changed(fleet.now_ms, seat)
     told += run(fleet)
-    wrote, done = counted(told, What.TOKEN), counted(told, What.DONE)
+    wrote, done = counted(told, JobEventKind.TOKEN), counted(told, JobEventKind.DONE)
     for job in jobs:
-        assert done[job] <= 1 and wrote[job] <= job.course.answer
+        assert done[job] <= 1 and wrote[job] <= job.sequence.answer_tokens
         if job not in stopped:
-            assert done[job] == 1 and wrote[job] == job.course.answer
+            assert done[job] == 1 and wrote[job] == job.sequence.answer_tokens
     for _ in helds:  # what is released makes room for reads that waited
         for held, seat in helds.items():
-            fleet.release(fleet.now, seat, held)
+            fleet.release(fleet.now_ms, seat, held)
         run(fleet)
     for seat in prefill_servers + decode_servers:
         memory = seat.engine.memory
-        assert memory.used == 0 and memory.room == memory.total and not seat.engine.jobs and not seat.engine.batch.queue
+        assert (
+            memory.used == 0
+            and memory.available == memory.total
+            and not seat.engine.jobs
+            and not seat.engine.batch.queue
+        )
     assert not fleet.moves and not fleet.claimed
 
 
 def test_an_answer_longer_than_memory_is_turned_away_and_an_empty_one_ends() -> None:
-    fleet = Fleet(100.0, 100.0)
-    seat = cell(fleet, Build(blocks=10, pace=PACE))
-    assert not fleet.write(0.0, seat, Job(Course(100, 61)))
-    empty = Job(Course(100, 0))
-    assert fleet.write(0.0, seat, empty)
+    fleet = EmulatedFleet(100.0, 100.0)
+    seat = cell(fleet, BatchConfig(blocks=10, cost=COST))
+    assert not fleet.decode(0.0, seat, Job(BatchSequence(100, 61)))
+    empty = Job(BatchSequence(100, 0))
+    assert fleet.decode(0.0, seat, empty)
     told = run(fleet)
-    assert counted(told, What.DONE) == {empty: 1} and not counted(told, What.TOKEN)
+    assert counted(told, JobEventKind.DONE) == {empty: 1} and not counted(told, JobEventKind.TOKEN)
 
 
 def test_a_cold_engine_is_slow_and_empty_and_warms() -> None:
-    fleet = Fleet(100.0, 100.0)
-    seat = cell(fleet, nature=Nature(slow_start_ms=1000.0, slow_start_share=0.25))
+    fleet = EmulatedFleet(100.0, 100.0)
+    seat = cell(fleet, nature=EngineTraits(slow_start_ms=1000.0, slow_start_share=0.25))
     keys = [(i, i) for i in range(60)]
     times: list[float] = []
     for at in (0.0, 5000.0, 10_000.0, 15_000.0):
         if at == 10_000.0:
             fleet.die(at, seat)
-            seat.engine.begin(at)
-        job = Job(Course(960, 0, keys))
-        assert fleet.write(at, seat, job)
-        times.append(next(t.at for _, t in run(fleet) if t.what is What.DONE) - at)
+            seat.engine.start(at)
+        job = Job(BatchSequence(960, 0, keys))
+        assert fleet.decode(at, seat, job)
+        times.append(next(t.at_ms for _, t in run(fleet) if t.kind is JobEventKind.DONE) - at)
     warm, kept, cold, again = times
     assert kept < warm / 3 and again == pytest.approx(kept) and cold > 3 * warm
 
 
 def test_reports_are_late_and_off_and_said_in_the_fields_usual_words() -> None:
-    fleet = Fleet(100.0, 100.0)
-    seat = cell(fleet, nature=Nature(report_ms=100.0, lag_ms=40.0, noise=0.0))
+    fleet = EmulatedFleet(100.0, 100.0)
+    seat = cell(fleet, nature=EngineTraits(report_ms=100.0, lag_ms=40.0, noise=0.0))
     for _ in range(4):
-        assert fleet.write(0.0, seat, Job(Course(300, 60)))
-    assert seat.engine.load(10.0).running == 0
+        assert fleet.decode(0.0, seat, Job(BatchSequence(300, 60)))
+    assert seat.engine.reported_load(10.0).running == 0
     run(fleet, until=130.0)
-    assert seat.engine.load(130.0).running == 0 and seat.engine.load(145.0).running == 4
-    assert "vllm:num_requests_running 4" in seat.engine.load(150.0).metrics()
-    assert '"num_requests_running": 4' in seat.engine.load(150.0).header()
+    assert seat.engine.reported_load(130.0).running == 0 and seat.engine.reported_load(145.0).running == 4
+    assert "vllm:num_requests_running 4" in seat.engine.reported_load(150.0).metrics()
+    assert '"num_requests_running": 4' in seat.engine.reported_load(150.0).header()
     run(fleet)
-    assert seat.engine.true_load().running == 0 and seat.engine.load(fleet.now).running == 4  # it has not heard yet
+    assert (
+        seat.engine.current_load().running == 0 and seat.engine.reported_load(fleet.now_ms).running == 4
+    )  # it has not heard yet
 
 
 def test_a_driver_whose_clock_jumps_back_sees_nothing_twice() -> None:
-    fleet = Fleet(100.0, 100.0)
-    seat, job = cell(fleet), Job(Course(100, 30))
-    assert fleet.write(0.0, seat, job)
+    fleet = EmulatedFleet(100.0, 100.0)
+    seat, job = cell(fleet), Job(BatchSequence(100, 30))
+    assert fleet.decode(0.0, seat, job)
     told = fleet.advance(60.0) + fleet.advance(20.0) + fleet.advance(0.0) + fleet.advance(61.0) + run(fleet)
-    assert counted(told, What.TOKEN) == {job: 30} and [t.at for _, t in told] == sorted(t.at for _, t in told)
+    assert counted(told, JobEventKind.TOKEN) == {job: 30} and [t.at_ms for _, t in told] == sorted(
+        t.at_ms for _, t in told
+    )
 
 
 # -- kinds of engines, fitted to curves
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -34,7 +34,7 @@
 from ternlane.scenarios.report import report_of as day_report
 from ternlane.scenarios.scenario import Scenario as DayDocument
 from ternlane.deployment import Deployment
-from ternlane.emulator.describe import EngineKind as EmulatorDocument
+from ternlane.emulator.engine_kind import EngineKind as EmulatorDocument
 from ternlane.gateway.daemon import drop_pid as drop_process_id
 from ternlane.gateway.daemon import write_pid as write_process_id
 from ternlane.gateway.journal_writer import JOURNAL, JournalWriter as JournalKeeper
