--- a/bench/lab.py
+++ b/bench/lab.py
@@ -1,5 +1,6 @@
-"""What emulated engines cost: simulated seconds a real second, time and bytes a block, against a plain dict in one run;
-and how near those fitted to the described curves come.
+"""What emulated engines cost, and how near those fitted to the described curves come, in one run.
+
+Simulated seconds a real second; time and bytes a block, against a plain dict.
 
     python -m bench.lab [--seconds 20] [--blocks 1000000] [--no-fit]
 """
@@ -10,149 +11,228 @@
 import random
 import time
 import tracemalloc
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 
+from ternlane.config import read_config
 from ternlane.emulator import (
     Batch,
-    BlockPool,
     BatchConfig,
     BatchSequence,
+    BlockPool,
     EmulatedEngine,
     EmulatedFleet,
-    Job,
     EngineTraits,
-    PlacedEngine,
+    Job,
     JobEventKind,
+    PlacedEngine,
     block_keys,
 )
+from ternlane.emulator.blocks import BlockKey
 from ternlane.emulator.engine_kind import EngineKind
-from ternlane.config import read_config
 
-
-def one_engine(seconds: float, rate: float, seed: int) -> tuple[float, int, float]:
-    """An engine under Poisson arrivals: simulated against real seconds, steps, and courses ended a simulated second."""
-    rng, it, now, due, steps, ended = random.Random(seed), Batch(BatchConfig(blocks=8000)), 0.0, 0.0, 0, 0
-    texts = [block_keys(rng.randbytes(4 * 600), 64) for _ in range(40)]
-    since = time.perf_counter()
-    while now < seconds * 1000:
-        while due <= now:
-            due += rng.expovariate(rate / 1000)
-            keys = texts[min(39, int(rng.paretovariate(0.9)) - 1)]
-            it.add(BatchSequence(600 + rng.randrange(400), rng.randrange(20, 200), keys))
-        step = it.step()
+KINDS = Path(__file__).parent.parent / "examples" / "engines"
+CONFIG = BatchConfig(blocks=8000)
+PREFIXES = 40
+PREFIX_TOKENS = 600
+TOKEN_BYTES = 4
+BLOCK_BYTES = 64
+PORT_RATE = 300.0  # tokens a ms
+LINK_RATE = 600.0
+ENGINES_A_CELL = 5
+PREFILL_SERVERS_A_CELL = 2
+KEYS_A_SEQUENCE = 64
+MAX_FLEET_SECONDS = 10.0
+
+
+def prefix_keys(rng: random.Random) -> list[list[BlockKey]]:
+    """Block keys of the texts that prompts begin with."""
+    return [block_keys(rng.randbytes(TOKEN_BYTES * PREFIX_TOKENS), BLOCK_BYTES) for _ in range(PREFIXES)]
+
+
+def drawn_prefix(rng: random.Random, prefixes: list[list[BlockKey]], alpha: float) -> list[BlockKey]:
+    """The first are the most popular (Pareto)."""
+    return prefixes[min(PREFIXES - 1, int(rng.paretovariate(alpha)) - 1)]
+
+
+@dataclass(frozen=True)
+class EngineRun:
+    """An engine under Poisson arrivals."""
+
+    speed: float  # simulated seconds a real one
+    steps: int
+    ended_per_s: float  # sequences a simulated second
+
+
+def run_engine(seconds: float, rate: float, seed: int) -> EngineRun:
+    """`rate`: sequences a simulated second."""
+    rng = random.Random(seed)
+    batch = Batch(CONFIG)
+    prefixes = prefix_keys(rng)
+    now_ms = due_ms = 0.0
+    steps = ended = 0
+    begin_s = time.perf_counter()
+    while now_ms < seconds * 1000:
+        while due_ms <= now_ms:
+            due_ms += rng.expovariate(rate / 1000)
+            keys = drawn_prefix(rng, prefixes, 0.9)
+            batch.add(BatchSequence(PREFIX_TOKENS + rng.randrange(400), rng.randrange(20, 200), keys))
+        step = batch.step()
         if step is None:
-            now = due
+            now_ms = due_ms
             continue
-        now, steps, ended = now + step.ms, steps + 1, ended + len(step.finished)
-    return now / 1000 / (time.perf_counter() - since), steps, ended / (now / 1000)
-
-
-def a_fleet(many: int, seconds: float, seed: int) -> tuple[float, int, int]:
-    """So many engines, two readers for three writers, a generation a second for each: simulated against real seconds,
-    tokens written, and bytes an engine. Pairs are drawn by chance, half of them within a cell."""
-    rng, fleet = random.Random(seed), EmulatedFleet(300.0, 600.0)
-    tracemalloc.start()
-    seats = [
-        fleet.add(EmulatedEngine(BatchConfig(blocks=8000), EngineTraits(jitter=0.05), i), "a", i // 5)
-        for i in range(many)
-    ]
-    size = tracemalloc.get_traced_memory()[0] // many
-    tracemalloc.stop()
-    prefill_servers = [s for i, s in enumerate(seats) if i % 5 < 2]
-    decode_servers = [s for i, s in enumerate(seats) if i % 5 >= 2]
-    texts = [block_keys(rng.randbytes(4 * 600), 64) for _ in range(40)]
-    due, wrote, held = 0.0, 0, dict[Job, PlacedEngine]()
-    since = time.perf_counter()
-    while True:
-        at = min(due, fleet.next_at())
-        if at > seconds * 1000:
-            return seconds / (time.perf_counter() - since), wrote, size
-        for seat, told in fleet.advance(at):
-            if told.kind is JobEventKind.PREFILLED:
-                near = [w for w in decode_servers if w.cell == seat.cell]
-                job = Job(BatchSequence(told.job.sequence.prompt_tokens, rng.randrange(20, 200)))
-                decode_server = rng.choice(near if rng.random() < 0.5 else decode_servers)
-                if not fleet.decode(at, decode_server, job, held[told.job], told.job):
-                    fleet.release(at, seat, told.job)
-                del held[told.job]
-            wrote += told.kind is JobEventKind.TOKEN
-        while due <= at:
-            due += rng.expovariate(many / 1000)
-            read = Job(BatchSequence(600 + rng.randrange(400), 0, texts[min(39, int(rng.paretovariate(0.9)) - 1)]))
-            prefill_server = rng.choice(prefill_servers)
-            if fleet.prefill(at, prefill_server, read):
-                held[read] = prefill_server
-
-
-def fits() -> None:
+        now_ms += step.ms
+        steps += 1
+        ended += len(step.finished)
+    return EngineRun(now_ms / 1000 / (time.perf_counter() - begin_s), steps, ended / (now_ms / 1000))
+
+
+class FleetRun:
+    """Engines in cells of five, two prefill for three decode servers, a request a second for each engine.
+
+    Pairs are drawn by chance, half of them within a cell.
+    """
+
+    def __init__(self, engines: int, seed: int) -> None:
+        self.rng = random.Random(seed)
+        self.fleet = EmulatedFleet(PORT_RATE, LINK_RATE)
+        tracemalloc.start()
+        placed = [self._engine(number) for number in range(engines)]
+        self.engine_bytes = tracemalloc.get_traced_memory()[0] // engines
+        tracemalloc.stop()
+        self.prefill_servers = [p for i, p in enumerate(placed) if i % ENGINES_A_CELL < PREFILL_SERVERS_A_CELL]
+        self.decode_servers = [p for i, p in enumerate(placed) if i % ENGINES_A_CELL >= PREFILL_SERVERS_A_CELL]
+        self.prefixes = prefix_keys(self.rng)
+        self.rate_per_ms = engines / 1000
+        self.tokens = 0
+        self._states: dict[Job, PlacedEngine] = {}
+
+    def _engine(self, number: int) -> PlacedEngine:
+        engine = EmulatedEngine(CONFIG, EngineTraits(jitter=0.05), number)
+        return self.fleet.add(engine, "a", number // ENGINES_A_CELL)
+
+    def run(self, seconds: float) -> float:
+        """Simulated seconds a real one."""
+        due_ms = 0.0
+        begin_s = time.perf_counter()
+        while True:
+            at_ms = min(due_ms, self.fleet.next_at())
+            if at_ms > seconds * 1000:
+                return seconds / (time.perf_counter() - begin_s)
+            for placed, event in self.fleet.advance(at_ms):
+                if event.kind is JobEventKind.PREFILLED:
+                    self._decode(at_ms, placed, event.job)
+                self.tokens += event.kind is JobEventKind.TOKEN
+            while due_ms <= at_ms:
+                due_ms += self.rng.expovariate(self.rate_per_ms)
+                self._prefill(at_ms)
+
+    def _decode(self, at_ms: float, source: PlacedEngine, held: Job) -> None:
+        same_cell = [placed for placed in self.decode_servers if placed.cell == source.cell]
+        job = Job(BatchSequence(held.sequence.prompt_tokens, self.rng.randrange(20, 200)))
+        target = self.rng.choice(same_cell if self.rng.random() < 0.5 else self.decode_servers)
+        if not self.fleet.decode(at_ms, target, job, self._states[held], held):
+            self.fleet.release(at_ms, source, held)
+        del self._states[held]
+
+    def _prefill(self, at_ms: float) -> None:
+        prompt_tokens = PREFIX_TOKENS + self.rng.randrange(400)
+        job = Job(BatchSequence(prompt_tokens, 0, drawn_prefix(self.rng, self.prefixes, 0.9)))
+        prefill_server = self.rng.choice(self.prefill_servers)
+        if self.fleet.prefill(at_ms, prefill_server, job):
+            self._states[job] = prefill_server
+
+
+def print_fits() -> None:
+    """How near the fits of the described kinds come."""
     from ternlane.emulator.fit import fit
 
-    for path in sorted((Path(__file__).parent.parent / "examples" / "engines").glob("*.json5")):
-        since = time.perf_counter()
-        found = fit(read_config(path, EngineKind))
-        (a, b), (c, d) = found.worst(False), found.worst(True)
+    for path in sorted(KINDS.glob("*.json5")):
+        begin_s = time.perf_counter()
+        fitted = fit(read_config(path, EngineKind))
+        median, tail = fitted.worst(False)
+        held_out_median, held_out_tail = fitted.worst(True)
         print(
-            f"{path.stem:<14} off at most {a:.1%} and {b:.1%} (median, 99th percentile) at points of the fit, "
-            f"{c:.1%} and {d:.1%} at those held out; {time.perf_counter() - since:.0f} s"
+            f"{path.stem:<14} off at most {median:.1%} and {tail:.1%} (median, 99th percentile) at points of the fit, "
+            f"{held_out_median:.1%} and {held_out_tail:.1%} at those held out; {time.perf_counter() - begin_s:.0f} s"
         )
 
 
-def blocks_against_dict(many: int) -> None:
-    """Take, know and give back every block once, then find them all again; a dict of hashes to counts beside it."""
-    keys = [(i * 2654435761 % 2**64, i % 2**32) for i in range(many)]
-    for name in ("blocks", "dict"):
+def use_pool(keys: list[BlockKey]) -> Callable[[], None]:
+    """Allocates, registers and gives back every block, and finds them again."""
+    pool = BlockPool(len(keys))
+
+    def run() -> None:
+        for begin in range(0, len(keys), KEYS_A_SEQUENCE):
+            some = keys[begin : begin + KEYS_A_SEQUENCE]
+            allocation = pool.allocate(some, len(some))
+            assert allocation is not None
+            for index, key in enumerate(some):
+                pool.register(allocation, index, key)
+            pool.give_back(allocation)
+            assert pool.count_cached(some) == len(some)
+
+    return run
+
+
+def use_dict(keys: list[BlockKey]) -> Callable[[], None]:
+    """The same in a dict of counts, which neither evicts nor shares."""
+    counts: dict[BlockKey, int] = {}
+
+    def run() -> None:
+        for begin in range(0, len(keys), KEYS_A_SEQUENCE):
+            some = keys[begin : begin + KEYS_A_SEQUENCE]
+            for key in some:
+                counts[key] = counts.get(key, 0) + 1
+            for key in some:
+                counts[key] -= 1
+            assert all(key in counts for key in some)
+
+    return run
+
+
+def print_blocks_against_dict(blocks: int) -> None:
+    """Time and memory of each."""
+    keys = [(i * 2654435761 % 2**64, i % 2**32) for i in range(blocks)]
+    for name, make in (("blocks", use_pool), ("dict", use_dict)):
         tracemalloc.start()
-        begin = tracemalloc.get_traced_memory()[0]
-        if name == "blocks":
-            it = BlockPool(many)
-        else:
-            plain: dict[tuple[int, int], int] = {}
-        since = time.perf_counter()
-        for at in range(0, many, 64):
-            some = keys[at : at + 64]
-            if name == "blocks":
-                held = it.allocate(some, len(some))
-                assert held is not None
-                for i, key in enumerate(some):
-                    it.register(held, i, key)
-                it.give_back(held)
-                assert it.count_cached(some) == len(some)
-            else:
-                for key in some:
-                    plain[key] = plain.get(key, 0) + 1
-                for key in some:
-                    plain[key] -= 1
-                assert all(key in plain for key in some)
-        took = time.perf_counter() - since
-        held_bytes = tracemalloc.get_traced_memory()[0] - begin
+        before_bytes = tracemalloc.get_traced_memory()[0]
+        run = make(keys)
+        begin_s = time.perf_counter()
+        run()
+        took_s = time.perf_counter() - begin_s
+        held_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
         tracemalloc.stop()
         print(
-            f"{name:<8}{took / many * 1e6:>8.2f} us a block taken, known, given back and found"
-            f"{held_bytes / many:>8.0f} bytes a block"
+            f"{name:<8}{took_s / blocks * 1e6:>8.2f} us a block taken, known, given back and found"
+            f"{held_bytes / blocks:>8.0f} bytes a block"
         )
 
 
 def main() -> None:
-    args = argparse.ArgumentParser()
-    args.add_argument("--seconds", type=float, default=20.0)
-    args.add_argument("--blocks", type=int, default=1_000_000)
-    args.add_argument("--no-fit", action="store_true")
-    told = args.parse_args()
+    """Reads the command line and prints all figures."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--seconds", type=float, default=20.0)
+    parser.add_argument("--blocks", type=int, default=1_000_000)
+    parser.add_argument("--no-fit", action="store_true")
+    options = parser.parse_args()
     for rate in (2.0, 10.0, 40.0):
-        ratio, steps, ended = one_engine(told.seconds, rate, 1)
+        engine = run_engine(options.seconds, rate, 1)
         print(
-            f"one engine, {rate:>4.0f} a second: {ratio:>7.1f} simulated seconds a real one, {steps} steps, "
-            f"{ended:.1f} ended a second"
+            f"one engine, {rate:>4.0f} a second: {engine.speed:>7.1f} simulated seconds a real one, {engine.steps} "
+            f"steps, {engine.ended_per_s:.1f} ended a second"
         )
-    for many in (20, 75, 300):
-        ratio, wrote, size = a_fleet(many, min(told.seconds, 10.0), 1)
+    for engines in (20, 75, 300):
+        fleet = FleetRun(engines, 1)
+        speed = fleet.run(min(options.seconds, MAX_FLEET_SECONDS))
         print(
-            f"{many:>3} engines: {ratio:>6.2f} simulated seconds a real one, {wrote} tokens, "
-            f"{size} bytes an engine at rest"
+            f"{engines:>3} engines: {speed:>6.2f} simulated seconds a real one, {fleet.tokens} tokens, "
+            f"{fleet.engine_bytes} bytes an engine at rest"
         )
-    blocks_against_dict(told.blocks)
-    if not told.no_fit:
-        fits()
+    print_blocks_against_dict(options.blocks)
+    if not options.no_fit:
+        print_fits()
 
 
 if __name__ == "__main__":
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""What the load tool costs: its sketch against all times kept in a list, and how many requests a second it draws.
+"""What the load tool costs: its sketch against all times kept in a list, and how many sessions a second it draws.
 
 python -m bench.load [--times 1000000]
 """
@@ -9,58 +9,88 @@
 import random
 import time
 import tracemalloc
+from typing import Protocol
 
 from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, planned_requests
 
+PARTS = (0.5, 0.9, 0.99, 0.999)
 
-def sketch_against_list(many: int) -> None:
+
+class Times(Protocol):
+    """What keeps times and gives their quantiles."""
+
+    def add(self, value: float) -> None:
+        """One more."""
+
+    def quantile(self, part: float) -> float:
+        """The value below which this part of the times lie."""
+        ...
+
+
+class TimeList:
+    """Keeps all times, and sorts them anew for each quantile."""
+
+    def __init__(self) -> None:
+        self._values: list[float] = []
+        self.add = self._values.append
+
+    def quantile(self, part: float) -> float:
+        """Exact."""
+        return sorted(self._values)[int(part * (len(self._values) - 1))]
+
+
+def held_bytes(times: Times, values: list[float]) -> int:
+    """What is held after all values have been added."""
+    tracemalloc.start()
+    for value in values:
+        times.add(value * 1.0)  # a float of its own
+    held = tracemalloc.get_traced_memory()[0]
+    tracemalloc.stop()
+    return held
+
+
+def print_sketch_against_list(count: int) -> None:
+    """Time, memory and error of each."""
     rng = random.Random(1)
-    values = [rng.lognormvariate(4.0, 1.2) for _ in range(many)]
-    true = sorted(values)
-    for name in ("sketch", "list"):
-        tracemalloc.start()
-        it, kept = QuantileSketch(0.01), list[float]()
-        add = it.add if name == "sketch" else kept.append
-        for value in values:
-            add(value * 1.0)
-        held = tracemalloc.get_traced_memory()[0]
-        tracemalloc.stop()
-        it, kept = QuantileSketch(0.01), []
-        add = it.add if name == "sketch" else kept.append
-        since = time.perf_counter()
+    values = [rng.lognormvariate(4.0, 1.2) for _ in range(count)]
+    ordered = sorted(values)
+    exact = [ordered[int(part * (count - 1))] for part in PARTS]
+    for name, make in (("sketch", QuantileSketch), ("list", TimeList)):
+        held = held_bytes(make(), values)
+        times: Times = make()
+        add = times.add
+        begin_s = time.perf_counter()
         for value in values:
             add(value)
-        took = time.perf_counter() - since
-        since = time.perf_counter()
-        found = (
-            [it.quantile(p) for p in (0.5, 0.9, 0.99, 0.999)]
-            if name == "sketch"
-            else [sorted(kept)[int(p * (many - 1))] for p in (0.5, 0.9, 0.99, 0.999)]
-        )
-        asked = (time.perf_counter() - since) / 4
-        off = max(abs(f / true[int(p * (many - 1))] - 1) for f, p in zip(found, (0.5, 0.9, 0.99, 0.999)))
+        add_s = (time.perf_counter() - begin_s) / count
+        begin_s = time.perf_counter()
+        quantiles = [times.quantile(part) for part in PARTS]
+        quantile_s = (time.perf_counter() - begin_s) / len(PARTS)
+        error = max(abs(found / true - 1) for found, true in zip(quantiles, exact, strict=True))
         print(
-            f"{name:<7}{took / many * 1e6:>7.2f} us a time{held:>12} bytes{asked * 1e3:>10.2f} ms a quantile, "
-            f"off at most {off:.2%}"
+            f"{name:<7}{add_s * 1e6:>7.2f} us a time{held:>12} bytes{quantile_s * 1e3:>10.2f} ms a quantile, "
+            f"off at most {error:.2%}"
         )
 
 
-def drawn() -> None:
-    told = LoadConfig(
+def print_drawing_rate() -> None:
+    """Sessions that are drawn a second."""
+    config = LoadConfig(
         request_classes=[RequestMix("summary", turns=2.0, prefixes=50)],
         seconds=20.0,
         arrivals=ArrivalsConfig(rate=200.0),
     )
-    since = time.perf_counter()
-    many = sum(1 for _ in planned_requests(told))
-    print(f"{many / (time.perf_counter() - since):.0f} sessions drawn a second")
+    begin_s = time.perf_counter()
+    sessions = sum(1 for _ in planned_requests(config))
+    print(f"{sessions / (time.perf_counter() - begin_s):.0f} sessions drawn a second")
 
 
 def main() -> None:
-    args = argparse.ArgumentParser()
-    args.add_argument("--times", type=int, default=1_000_000)
-    sketch_against_list(args.parse_args().times)
-    drawn()
+    """Reads the command line and prints all figures."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--times", type=int, default=1_000_000)
+    print_sketch_against_list(parser.parse_args().times)
+    print_drawing_rate()
 
 
 if __name__ == "__main__":
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,208 +1,301 @@
-"""Losses by the thousand, in one process over direct calls and in virtual time: effects, mass losses, reading anew.
+"""Losses by the thousand, in one process over direct calls and in virtual time: effects, mass losses, recomputing.
 
     python -m bench.losses [--effects 100000] [--streams 1000]
 
-First, side-effecting and deduplicated generations over writers that fail before, at and after the effect; every effect
-is counted at the engines. Then many open streams of which a third, or half, of the writers go at once: how many come
-through, and how much is read anew at which rate, against what the readers had done before.
+First, many open streams of which a third, or half, of the decode servers go at once: how many come through, and how
+much is prefilled again at which rate, against what was prefilled before. Then side-effecting and deduplicated requests
+over decode servers that fail before, at and after the effect; every effect is counted at the servers.
 """
 
 from __future__ import annotations
 
 import argparse
+import logging
 import random
 import statistics
 import time
 from collections import Counter, defaultdict
 from collections.abc import AsyncIterator
+from dataclasses import dataclass, field
 
 import structlog
 import trio
 from trio.testing import MockClock
 
 import ternlane
-from ternlane.engine import Kept, AttemptRequest, LocalTransport, Refuses, Unreached
-
-
-class Fleet:
-    def __init__(self, seed: int) -> None:
-        self.rng = random.Random(seed)
-        self.effects: dict[str, list[str]] = defaultdict(list)  # by key, the cells where it took effect
-        self.seen: dict[tuple[str, str], None] = {}  # cell and key: where repeats are dropped
-        self.prefills: list[tuple[float, int, bool]] = []  # when, tokens, anew?
-
-
-class Engine:
-    """A server of a fleet whose writers fail by chance, or all at once from `dead_from` on."""
-
-    def __init__(
-        self,
-        fleet: Fleet,
-        ident: str,
-        faults: float,
-        tokens: int = 8,
-        tokens_per_s: float = 0.0,
-        prefill_tokens_per_s: float = 1e9,
-        slots: int = 10_000,
-    ) -> None:
-        self.fleet, self.ident, self.faults, self.tokens, self.tokens_per_s = fleet, ident, faults, tokens, tokens_per_s
-        self.prefill_tokens_per_s, self.dead, self.busy = (
-            prefill_tokens_per_s,
-            trio.CancelScope(),
-            trio.CapacityLimiter(slots),
-        )
+from ternlane.engine import AttemptRequest, Kept, LocalTransport, Refuses, Unreached
+
+CELLS = 3
+SERVERS_A_CELL = 4
+PROMPT_TOKENS = 100
+EFFECT_WORDS = 8  # of an answer
+EFFECT_FAULT_SHARE = 0.25  # of decode attempts that fail
+EFFECTS_AT_ONCE = 50
+MASS_WORDS = 240
+MASS_WORD_S = 0.05
+MASS_PREFILL_TOKENS_PER_S = 20_000.0
+MASS_SLOTS = 4
+MASS_START_S = 8.0  # over which the streams begin
+MASS_LOSS_AFTER_S = 0.5  # after the last has begun
+RATE_WINDOWS_PER_S = 4
+
+
+@dataclass
+class Prefill:
+    """One that a server did."""
+
+    at_s: float
+    tokens: int
+    again: bool  # for a stream that is continued
+
+
+@dataclass
+class FleetLog:
+    """What the servers of a fleet did."""
+
+    rng: random.Random
+    effects: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))  # by key: cells
+    seen: set[tuple[str, str]] = field(default_factory=set)  # cell and key: there, repeats are dropped
+    prefills: list[Prefill] = field(default_factory=list)
+
+
+@dataclass(frozen=True)
+class ServerSpeed:
+    """Without times, a server answers at once."""
+
+    words: int = EFFECT_WORDS  # of an answer
+    word_s: float = 0.0
+    prefill_tokens_per_s: float = 0.0
+    slots: int = 10_000
+
+
+class Server:
+    """A server of a fleet whose decode servers fail by chance, or all at once."""
+
+    def __init__(self, log: FleetLog, ident: str, fault_share: float, speed: ServerSpeed) -> None:
+        """`fault_share`: of decode attempts that fail."""
+        self.log = log
+        self.ident = ident
+        self.fault_share = fault_share
+        self.speed = speed
+        self.process = trio.CancelScope()
+        self._slots = trio.CapacityLimiter(speed.slots)
 
     async def read(self, ask: AttemptRequest) -> Kept:
-        done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
-        tokens = 100 + done
-        async with self.busy:
-            if self.prefill_tokens_per_s < 1e9:
-                await trio.sleep(tokens / self.prefill_tokens_per_s)
-        self.fleet.prefills.append((trio.current_time(), tokens, ask.goes_on))
+        """A prefill."""
+        tokens = PROMPT_TOKENS + words_done(ask)
+        async with self._slots:
+            if self.speed.prefill_tokens_per_s:
+                await trio.sleep(tokens / self.speed.prefill_tokens_per_s)
+        self.log.prefills.append(Prefill(trio.current_time(), tokens, ask.goes_on))
         return Kept({}, tokens)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
-        recovery_outcome = self.fleet.rng.random() / max(self.faults, 1e-9)
-        if self.dead.cancel_called or recovery_outcome < 0.2:
+        """A decode; fails at a point that is drawn."""
+        draw = self.log.rng.random() / max(self.fault_share, 1e-9)  # above 1: no fault
+        if self.process.cancel_called or draw < 0.2:
             raise Unreached("refused")
-        if recovery_outcome < 0.3:
+        if draw < 0.3:
             raise Refuses("full")
-        if recovery_outcome < 0.4:
+        if draw < 0.4:
             raise RuntimeError("before its effect")
-        cell = self.ident[1]
-        if (cell, ask.key) not in self.fleet.seen:
-            self.fleet.seen[cell, ask.key] = None
-            self.fleet.effects[ask.key].append(cell)
-        if recovery_outcome < 0.6:
+        self._take_effect(ask.key)
+        if draw < 0.6:
             raise RuntimeError("after its effect")
-        done = len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
-        for i in range(done, self.tokens):
-            if recovery_outcome < 1 and i == done + int(recovery_outcome * 10) % 5:
+        begin = words_done(ask)
+        for index in range(begin, self.speed.words):
+            if draw < 1 and index == begin + int(draw * 10) % 5:
                 raise RuntimeError("midway")
-            if self.tokens_per_s:
-                gone = False
-                with trio.move_on_after(self.tokens_per_s):
-                    while not self.dead.cancel_called:
-                        await trio.sleep(self.tokens_per_s / 4)
-                    gone = True
-                if gone:
-                    raise RuntimeError("the writer died")
-            yield f"w{i} "
+            if self.speed.word_s:
+                await self._decode_word()
+            yield f"w{index} "
+
+    def _take_effect(self, key: str) -> None:
+        cell = self.ident[1]
+        if (cell, key) not in self.log.seen:
+            self.log.seen.add((cell, key))
+            self.log.effects[key].append(cell)
+
+    async def _decode_word(self) -> None:
+        with trio.move_on_after(self.speed.word_s):
+            while not self.process.cancel_called:
+                await trio.sleep(self.speed.word_s / 4)
+            raise RuntimeError("the decode server died")
 
     async def release(self, ident: str) -> None:
-        pass
+        """Nothing is held."""
 
 
-def config(**streams: bool) -> ternlane.GatewayConfig:
-    nodes = [
+def words_done(ask: AttemptRequest) -> int:
+    """Of the answer that is continued."""
+    return len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
+
+
+def answer_text(words: int) -> str:
+    """What every server answers."""
+    return "".join(f"w{index} " for index in range(words))
+
+
+def server_names() -> list[str]:
+    """Role, cell and number."""
+    return [f"{role}{cell}{number}" for role in "rw" for cell in range(CELLS) for number in range(SERVERS_A_CELL)]
+
+
+def config(resume: bool = True) -> ternlane.GatewayConfig:
+    """`resume`: whether broken streams are continued."""
+    servers = [
         ternlane.NodeLine(
-            id=f"{d}{c}{n}", address="127.0.0.1:9", cell=c, kv_capacity_tokens=1e9, role="read" if d == "r" else "write"
+            id=name,
+            address="127.0.0.1:9",
+            cell=int(name[1]),
+            kv_capacity_tokens=1e9,
+            role="read" if name[0] == "r" else "write",
         )
-        for d in "rw"
-        for c in range(3)
-        for n in range(4)
+        for name in server_names()
+    ]
+    request_classes = [
+        ternlane.RequestClassConfig(
+            name="summary", effect="idempotent", slo_ms=2000.0, deadline_ms=20_000.0, max_tokens=400
+        ),
+        ternlane.RequestClassConfig(
+            name="form",
+            effect="deduplicated",
+            group="cell",
+            window_ms=20_000,
+            slo_ms=2000.0,
+            deadline_ms=20_000.0,
+            max_tokens=400,
+        ),
+        ternlane.RequestClassConfig(
+            name="note", effect="side-effecting", slo_ms=2000.0, deadline_ms=20_000.0, max_tokens=400
+        ),
     ]
-    common = {"slo_ms": 2000.0, "limit_ms": 20_000.0, "max_toks": 400}
     return ternlane.GatewayConfig(
         name="b",
         listen="127.0.0.1:0",
-        nodes=ternlane.InlineSource(nodes=nodes),
+        nodes=ternlane.InlineSource(nodes=servers),
         fleet=ternlane.FleetConfig(max_attempts=10),
-        streams=ternlane.StreamConfig(**streams),
-        request_classes=[
-            ternlane.RequestClassConfig(name="summary", effect="idempotent", **common),  # type: ignore[arg-type]
-            ternlane.RequestClassConfig(name="form", effect="deduplicated", group="cell", window_ms=20_000, **common),  # type: ignore[arg-type]
-            ternlane.RequestClassConfig(name="note", effect="side-effecting", **common),  # type: ignore[arg-type]
-        ],
+        streams=ternlane.StreamConfig(resume=resume),
+        request_classes=request_classes,
     )
 
 
-async def effects(many: int) -> None:
-    fleet, outcomes = Fleet(1), Counter[str]()
-    names = [f"{d}{c}{n}" for d in "rw" for c in range(3) for n in range(4)]
-    engines = {i: Engine(fleet, i, 0.25 if i[0] == "w" else 0.0) for i in names}
-    since = time.perf_counter()
-    async with ternlane.open_routing(config(), LocalTransport(dict(engines))) as routing:
+def chat_request(model: str, number: int) -> dict[str, object]:
+    """A chat request that no other is like."""
+    return {"model": model, "messages": [{"role": "user", "content": f"case {number}"}], "stream": True}
+
+
+async def count_effects(requests: int) -> None:
+    """Prints what became of so many requests with effects; fails where one happened twice."""
+    log = FleetLog(random.Random(1))
+    outcomes: Counter[str] = Counter()
+    servers = {
+        name: Server(log, name, EFFECT_FAULT_SHARE if name[0] == "w" else 0.0, ServerSpeed()) for name in server_names()
+    }
+    begin_s = time.perf_counter()
+    async with ternlane.open_routing(config(), LocalTransport(dict(servers))) as routing:
 
-        async def one(i: int, model: str) -> None:
-            request = {"model": model, "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
+        async def send(number: int, model: str) -> None:
+            key = f"{model}-{number}"
             try:
-                async with routing.request(request, key=f"{model}-{i}") as stream:
+                async with routing.request(chat_request(model, number), key=key) as stream:
                     text = await stream.text()
                 outcomes[f"{model} streamed"] += 1
-                assert text == "".join(f"w{k} " for k in range(8)), text
+                assert text == answer_text(EFFECT_WORDS), text
             except ternlane.RejectedError:
                 outcomes[f"{model} throttled"] += 1
-                assert model == "summary" or not fleet.effects.get(f"{model}-{i}"), "throttled although it ran"
+                assert not log.effects.get(key), "rejected although it ran"
             except ternlane.FailedError:
                 outcomes[f"{model} terminated"] += 1
 
-        for begin in range(0, many, 50):
+        for begin in range(0, requests, EFFECTS_AT_ONCE):
             async with trio.open_nursery() as nursery:
-                for i in range(begin, min(many, begin + 50)):
-                    nursery.start_soon(one, i, "note" if i % 5 else "form")
-    ran = Counter(
-        {model: sum(bool(v) for k, v in fleet.effects.items() if k.startswith(model)) for model in ("note", "form")}
-    )
-    twice = sum(len(v) > 1 for k, v in fleet.effects.items())
+                for number in range(begin, min(requests, begin + EFFECTS_AT_ONCE)):
+                    nursery.start_soon(send, number, "note" if number % 5 else "form")
+    happened = {
+        model: sum(bool(cells) for key, cells in log.effects.items() if key.startswith(model))
+        for model in ("note", "form")
+    }
+    twice = sum(len(cells) > 1 for cells in log.effects.values())
     print(
-        f"{many} generations with effects, a quarter of writers' legs failing, {time.perf_counter() - since:.0f} s: "
-        f"{dict(sorted(outcomes.items()))}; took effect {dict(ran)}; twice {twice}"
+        f"{requests} generations with effects, a quarter of writers' legs failing, "
+        f"{time.perf_counter() - begin_s:.0f} s: {dict(sorted(outcomes.items()))}; took effect {happened}; "
+        f"twice {twice}"
     )
     assert twice == 0
 
 
-async def mass(streams: int, part: float, resume: bool) -> None:
-    fleet, outcomes = Fleet(2), Counter[str]()
-    names = [f"{d}{c}{n}" for d in "rw" for c in range(3) for n in range(4)]
-    engines = {i: Engine(fleet, i, 0.0, 240, 0.05, 20_000.0, 4) for i in names}
-    pauses: list[float] = []
-    async with ternlane.open_routing(config(resume=resume), LocalTransport(dict(engines))) as routing:
+class MassLoss:
+    """Many open streams of which a part of the decode servers go at once."""
 
-        async def one(i: int) -> None:
-            request = {"model": "summary", "messages": [{"role": "user", "content": f"case {i}"}], "stream": True}
-            try:
-                async with routing.request(request) as stream:
-                    last, longest, text = 0.0, 0.0, ""
-                    async for piece in stream:
-                        now = trio.current_time()
-                        longest, last, text = max(longest, now - (last or now)), now, text + piece
-                whole = text == "".join(f"w{k} " for k in range(240))
-                outcomes["whole" if whole else "WRONG"] += 1
-                pauses.append(longest * 1000)
-            except (ternlane.RejectedError, ternlane.FailedError) as why:
-                outcomes["in part" if isinstance(why, ternlane.FailedError) and why.begun else "not begun"] += 1
-
-        async with trio.open_nursery() as nursery:
-            for i in range(streams):
-                nursery.start_soon(one, i)
-                await trio.sleep(8.0 / streams)
-            await trio.sleep(0.5)
-            struck = [f"w{c}{n}" for n in range(4) for c in range(3)][: round(12 * part)]
-            for ident in struck:
-                engines[ident].dead.cancel()
-            at = trio.current_time()
-    anew = [(t - at, n) for t, n, again in fleet.prefills if again]
-    first = sum(n for t, n, again in fleet.prefills if not again)
-    rates = Counter(int(t * 4) for t, _ in anew)
-    print(
-        f"{streams} streams, {len(struck)} of 12 writers go at once, resume {resume}: {dict(outcomes)}; read first "
-        f"{first} tokens, anew {sum(n for _, n in anew)}, at most {max(rates.values(), default=0) * 4} resumes a "
-        f"second; longest pause of a stream, ms: median {statistics.median(pauses):.0f}, most {max(pauses):.0f}"
-    )
+    def __init__(self, streams: int, part: float, resume: bool) -> None:
+        """`part`: of the decode servers; `resume`: whether broken streams are continued."""
+        self.streams = streams
+        self.resume = resume
+        self.struck = [f"w{cell}{number}" for number in range(SERVERS_A_CELL) for cell in range(CELLS)]
+        self.struck = self.struck[: round(len(self.struck) * part)]
+        self.log = FleetLog(random.Random(2))
+        self.outcomes: Counter[str] = Counter()
+        self.pauses_ms: list[float] = []  # the longest of each stream
+        self._lost_at_s = 0.0
 
+    async def run(self) -> None:
+        """Plays it and prints what came of it."""
+        speed = ServerSpeed(MASS_WORDS, MASS_WORD_S, MASS_PREFILL_TOKENS_PER_S, MASS_SLOTS)
+        servers = {name: Server(self.log, name, 0.0, speed) for name in server_names()}
+        transport = LocalTransport(dict(servers))
+        async with ternlane.open_routing(config(self.resume), transport) as routing, trio.open_nursery() as nursery:
+            for number in range(self.streams):
+                nursery.start_soon(self._stream, routing, number)
+                await trio.sleep(MASS_START_S / self.streams)
+            await trio.sleep(MASS_LOSS_AFTER_S)
+            for name in self.struck:
+                servers[name].process.cancel()
+            self._lost_at_s = trio.current_time()
+        self._print()
 
-def main() -> None:
-    args = argparse.ArgumentParser()
-    args.add_argument("--effects", type=int, default=100_000)
-    args.add_argument("--streams", type=int, default=1000)
-    told = args.parse_args()
-    import logging
+    async def _stream(self, routing: ternlane.Routing, number: int) -> None:
+        try:
+            async with routing.request(chat_request("summary", number)) as stream:
+                last_s: float | None = None
+                longest_s = 0.0
+                text = ""
+                async for piece in stream:
+                    now_s = trio.current_time()
+                    longest_s = max(longest_s, now_s - (now_s if last_s is None else last_s))
+                    last_s = now_s
+                    text += piece
+            self.outcomes["whole" if text == answer_text(MASS_WORDS) else "WRONG"] += 1
+            self.pauses_ms.append(longest_s * 1000)
+        except ternlane.RejectedError:
+            self.outcomes["not begun"] += 1
+        except ternlane.FailedError as error:
+            self.outcomes["in part" if error.begun else "not begun"] += 1
 
+    def _print(self) -> None:
+        again = [prefill for prefill in self.log.prefills if prefill.again]
+        first_tokens = sum(prefill.tokens for prefill in self.log.prefills if not prefill.again)
+        rates = Counter(int((prefill.at_s - self._lost_at_s) * RATE_WINDOWS_PER_S) for prefill in again)
+        highest_rate = max(rates.values(), default=0) * RATE_WINDOWS_PER_S
+        print(
+            f"{self.streams} streams, {len(self.struck)} of 12 writers go at once, resume {self.resume}: "
+            f"{dict(self.outcomes)}; read first {first_tokens} tokens, anew "
+            f"{sum(prefill.tokens for prefill in again)}, at most {highest_rate} "
+            f"resumes a second; longest pause of a stream, ms: median {statistics.median(self.pauses_ms):.0f}, "
+            f"most {max(self.pauses_ms):.0f}"
+        )
+
+
+def main() -> None:
+    """Reads the command line and prints all figures."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--effects", type=int, default=100_000)
+    parser.add_argument("--streams", type=int, default=1000)
+    options = parser.parse_args()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     for part, resume in ((1 / 3, True), (1 / 3, False), (1 / 2, True)):
-        trio.run(mass, told.streams, part, resume, clock=MockClock(autojump_threshold=0))
-    trio.run(effects, told.effects, clock=MockClock(autojump_threshold=0))
+        trio.run(MassLoss(options.streams, part, resume).run, clock=MockClock(autojump_threshold=0))
+    trio.run(count_effects, options.effects, clock=MockClock(autojump_threshold=0))
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -2,9 +2,9 @@
 
     python -m bench.recovery [--streams 8000]
 
-Waits between pieces are drawn for writers of three tempers, each with paces of its own that drift; every rule hears the
-same streams. One stream in fifty stalls at a random piece. A rule is judged by streams given up that were well, a
-thousand, and by the silence before it gave up those that had stalled. A resume takes 150 ms.
+Waits between events are drawn for decode servers of three kinds, each server with a pace of its own that drifts; every
+rule hears the same streams. One stream in fifty stalls at a random event. A rule is judged by streams given up that
+were sound, a thousand, and by the silence before it gave up those that had stalled. A resume takes 150 ms.
 """
 
 from __future__ import annotations
@@ -14,116 +14,232 @@
 import statistics
 from collections import deque
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from functools import partial
 from math import erfc, log10, sqrt
+from typing import NamedTuple, Protocol
 
 from ternlane.recovery import StreamPacing
 
-SERVERS, TOKENS, RESUME_MS, STALLS = 24, 48, 150.0, 0.02
-TEMPERS = {"steady": (0.25, 0.0, 0.0), "batches": (0.4, 0.02, 6.0), "pauses": (0.5, 0.004, 30.0)}
-Rule = Callable[[int, deque[float]], float]
+SERVERS = 24
+EVENTS = 48  # of a stream
+RESUME_MS = 150.0
+STALLED_SHARE = 0.02
+PATIENCE_MS = 1000.0  # where a rule says nothing
+LEARNING_SHARE = 1 / 5  # of the streams: they teach, and are not judged
+SEED = 11
+REMEMBERED_WAITS = 30
+LEAST_WAITS = 4  # before accrual judges
+BISECTIONS = 14
 
 
-def streams(temper: str, many: int, seed: int) -> Iterator[tuple[int, list[float], int | None]]:
-    """Server, waits, and after which of them it stalls."""
-    spread, part, times = TEMPERS[temper]
-    rng = random.Random(seed)
-    paces = [8.0 * 2 ** rng.uniform(-1, 1) for _ in range(SERVERS)]
-    for _ in range(many):
-        server = rng.randrange(SERVERS)
-        paces[server] = min(40.0, max(4.0, paces[server] * rng.lognormvariate(0, 0.03)))
-        waits = [
-            paces[server]
-            * rng.lognormvariate(0, spread)
-            * (rng.uniform(0.5, 1.5) * times if rng.random() < part else 1.0)
-            for _ in range(TOKENS)
-        ]
-        yield server, waits, rng.randrange(1, TOKENS) if rng.random() < STALLS else None
+class ServerKind(NamedTuple):
+    """How waits of a server spread, and which part of them is so many times longer."""
+
+    spread: float
+    long_share: float
+    long_times: float
+
+
+SERVER_KINDS = {
+    "steady": ServerKind(0.25, 0.0, 0.0),
+    "batches": ServerKind(0.4, 0.02, 6.0),
+    "pauses": ServerKind(0.5, 0.004, 30.0),
+}
+
+
+@dataclass(frozen=True)
+class DrawnStream:
+    """One stream."""
+
+    server: int
+    waits_ms: list[float]
+    stalls_at: int | None  # after which of them it stalls
+
+
+class Rule(Protocol):
+    """Says how long a silence may last."""
+
+    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
+        """`waits_ms`: the last of this stream."""
+        ...
+
+    def explores(self) -> bool:
+        """Whether the next stream is left alone, to learn from it."""
+        ...
+
+    def heard(self, server: int, wait_ms: float, explored: bool) -> None:
+        """Learns from a wait."""
 
 
-def fixed(ms: float) -> Rule:
-    return lambda server, seen: ms
+class Unlearning:
+    """A rule that does not learn."""
 
+    def explores(self) -> bool:
+        """Never."""
+        return False
 
-def accrual(phi: float) -> Rule:
-    """Phi-accrual over the stream's own last 30 waits, taken as normal (Hayashibara and others, 2004)."""
+    def heard(self, server: int, wait_ms: float, explored: bool) -> None:
+        """Learns nothing."""
 
-    def quiet(server: int, seen: deque[float]) -> float:
-        if len(seen) < 4:
-            return 1000.0
-        mean, dev = statistics.fmean(seen), max(statistics.pstdev(seen), 0.1)
-        low, high = 0.0, 60.0
-        for _ in range(14):  # deviations at which -log10 of the chance of a longer wait is phi
-            mid = (low + high) / 2
-            late = 0.5 * erfc(mid / sqrt(2))
-            low, high = (mid, high) if late > 0 and -log10(late) < phi else (low, mid)
-        return mean + high * dev
 
-    return quiet
+class Fixed(Unlearning):
+    """The same time for every stream."""
 
+    def __init__(self, timeout_ms: float) -> None:
+        """`timeout_ms`: that time."""
+        self.timeout_ms = timeout_ms
 
-def plain(make: Callable[[float], Rule], figure: float) -> tuple[Rule, StreamPacing | None]:
-    return make(figure), None
+    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
+        """The fixed time."""
+        return self.timeout_ms
 
 
-def play(temper: str, many: int, rule: Rule, learn: StreamPacing | None = None) -> tuple[float, float, float]:
-    """False alarms a thousand streams that were well, median and 99th percentile of the silence seen as a stall."""
-    well = wrong = 0
-    delays = []
-    for i, (server, waits, stalls_at) in enumerate(streams(temper, many, 11)):
-        seen: deque[float] = deque(maxlen=30)
-        judged, given_up = i > many // 5, False  # the first fifth teaches
-        explored = learn is not None and learn.explores()
-        for n, wait in enumerate(waits):
-            quiet = 1000.0 if explored else rule(server, seen)
-            if n == stalls_at:
+class Accrual(Unlearning):
+    """Phi-accrual over the stream's own last waits, taken as normal (Hayashibara and others, 2004)."""
+
+    def __init__(self, phi: float) -> None:
+        """A silence has lasted too long where the chance of a longer wait is below `10 ** -phi`."""
+        self.phi = phi
+
+    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
+        """By the mean and the deviation of the waits."""
+        if len(waits_ms) < LEAST_WAITS:
+            return PATIENCE_MS
+        deviation_ms = max(statistics.pstdev(waits_ms), 0.1)
+        return statistics.fmean(waits_ms) + self._deviations() * deviation_ms
+
+    def _deviations(self) -> float:
+        """At which -log10 of the chance of a longer wait is phi, by bisection."""
+        low = 0.0
+        high = 60.0
+        for _ in range(BISECTIONS):
+            middle = (low + high) / 2
+            chance = 0.5 * erfc(middle / sqrt(2))
+            if chance > 0 and -log10(chance) < self.phi:
+                low = middle
+            else:
+                high = middle
+        return high
+
+
+class Peers:
+    """What the gateway does: by the waits of all streams of the server."""
+
+    def __init__(self, alarms: float, resume_ms: float = RESUME_MS) -> None:
+        """`alarms`: false ones that a stream may have; `resume_ms`: what a resume costs."""
+        self.pacing = StreamPacing(alarms)
+        self.pacing.tokens = EVENTS
+        self.pacing.resumed(RESUME_MS)
+        if resume_ms != RESUME_MS:
+            self.pacing.resume_ms = resume_ms
+
+    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
+        """By the server's distribution, once it is known."""
+        return self.pacing.idle_timeout_ms(server) or PATIENCE_MS
+
+    def explores(self) -> bool:
+        """Now and then."""
+        return self.pacing.explores()
+
+    def heard(self, server: int, wait_ms: float, explored: bool) -> None:
+        """Learns from every wait."""
+        self.pacing.heard(server, wait_ms, explored)
+
+
+def drawn_streams(kind: ServerKind, count: int, seed: int) -> Iterator[DrawnStream]:
+    """The same for the same seed."""
+    rng = random.Random(seed)
+    paces_ms = [8.0 * 2 ** rng.uniform(-1, 1) for _ in range(SERVERS)]
+    for _ in range(count):
+        server = rng.randrange(SERVERS)
+        paces_ms[server] = min(40.0, max(4.0, paces_ms[server] * rng.lognormvariate(0, 0.03)))
+        waits_ms = [
+            paces_ms[server]
+            * rng.lognormvariate(0, kind.spread)
+            * (rng.uniform(0.5, 1.5) * kind.long_times if rng.random() < kind.long_share else 1.0)
+            for _ in range(EVENTS)
+        ]
+        yield DrawnStream(server, waits_ms, rng.randrange(1, EVENTS) if rng.random() < STALLED_SHARE else None)
+
+
+@dataclass(frozen=True)
+class Judgement:
+    """Of one rule on the streams of one kind."""
+
+    false_alarms: float  # a thousand sound streams
+    median_ms: float  # silence before a stall was seen
+    tail_ms: float  # at the 99th percentile
+
+
+class RulePlay:
+    """One rule on the streams of one kind."""
+
+    def __init__(self, rule: Rule) -> None:
+        """`rule`: a new one, if it learns."""
+        self.rule = rule
+        self._sound = 0
+        self._given_up = 0
+        self._delays_ms: list[float] = []
+
+    def run(self, kind: ServerKind, count: int) -> Judgement:
+        """Plays so many streams."""
+        for number, stream in enumerate(drawn_streams(kind, count, SEED)):
+            self._play(stream, judged=number > count * LEARNING_SHARE)
+        return Judgement(
+            1000 * self._given_up / self._sound,
+            statistics.median(self._delays_ms),
+            statistics.quantiles(self._delays_ms, n=100)[98],
+        )
+
+    def _play(self, stream: DrawnStream, judged: bool) -> None:
+        waits_ms: deque[float] = deque(maxlen=REMEMBERED_WAITS)
+        explored = self.rule.explores()
+        given_up = False
+        for number, wait_ms in enumerate(stream.waits_ms):
+            timeout_ms = PATIENCE_MS if explored else self.rule.idle_timeout_ms(stream.server, waits_ms)
+            if number == stream.stalls_at:
                 if judged:
-                    delays.append(quiet)
+                    self._delays_ms.append(timeout_ms)
                 break
-            if wait > quiet:
+            if wait_ms > timeout_ms:
                 given_up = True
                 break
-            seen.append(wait)
-            if learn is not None:
-                learn.heard(server, wait, explored)
-        if stalls_at is None and judged:
-            well, wrong = well + 1, wrong + given_up
-    return 1000 * wrong / well, statistics.median(delays), statistics.quantiles(delays, n=100)[98]
+            waits_ms.append(wait_ms)
+            self.rule.heard(stream.server, wait_ms, explored)
+        if stream.stalls_at is None and judged:
+            self._sound += 1
+            self._given_up += given_up
+
+
+def rules() -> dict[str, Callable[[], Rule]]:
+    """By name; each is made anew for each kind of server."""
+    found: dict[str, Callable[[], Rule]] = {}
+    for timeout_ms in (50, 100, 200, 500):
+        found[f"fixed {timeout_ms} ms"] = partial(Fixed, timeout_ms)
+    found["module's: half the patience of 2 s"] = partial(Fixed, PATIENCE_MS)
+    for phi in (3, 8, 16):
+        found[f"accrual, own stream, phi {phi}"] = partial(Accrual, phi)
+    for alarms in (1e-2, 1e-3, 1e-4):
+        found[f"peers, {alarms:g} a stream"] = partial(Peers, alarms, resume_ms=1e-6)  # by likelihood alone
+    for alarms in (1e-2, 1e-3):
+        found[f"peers, {alarms:g}, never under a resume"] = partial(Peers, alarms)
+    return found
 
 
 def main() -> None:
-    args = argparse.ArgumentParser()
-    args.add_argument("--streams", type=int, default=8000)
-    many = args.parse_args().streams
+    """Reads the command line and prints all figures."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--streams", type=int, default=8000)
+    count = parser.parse_args().streams
     print(f"{'false alarms a 1000 streams | silence before a stall is seen, ms: median, p99':<30}")
-    print(f"{'rule':<34}" + "".join(f"{t:>30}" for t in TEMPERS))
-    rules: list[tuple[str, Callable[[], tuple[Rule, StreamPacing | None]]]] = [
-        *((f"fixed {ms} ms", partial(plain, fixed, ms)) for ms in (50, 100, 200, 500)),
-        ("module's: half the patience of 2 s", partial(plain, fixed, 1000)),
-        *((f"accrual, own stream, phi {phi}", partial(plain, accrual, phi)) for phi in (3, 8, 16)),
-    ]
-
-    def learnt(alarms: float) -> tuple[Rule, StreamPacing | None]:
-        stream_pacing = StreamPacing(alarms)
-        stream_pacing.tokens = TOKENS
-        stream_pacing.resumed(RESUME_MS)
-        return (lambda server, seen: stream_pacing.idle_timeout_ms(server) or 1000.0), stream_pacing
-
-    def unlikely(alarms: float) -> tuple[Rule, StreamPacing | None]:
-        rule, stream_pacing = learnt(alarms)
-        assert stream_pacing is not None
-        stream_pacing.resume_ms = 1e-6  # by likelihood alone
-        return rule, stream_pacing
-
-    rules += [(f"peers, {a:g} a stream", partial(unlikely, a)) for a in (1e-2, 1e-3, 1e-4)]
-    rules += [(f"peers, {a:g}, never under a resume", partial(learnt, a)) for a in (1e-2, 1e-3)]
-    for name, make in rules:
-        out = []
-        for temper in TEMPERS:
-            rule, learn = make()
-            wrong, mid, high = play(temper, many, rule, learn)
-            out.append(f"{wrong:>10.2f} | {mid:>6.0f} {high:>6.0f}")
-        print(f"{name:<34}" + "".join(f"{o:>30}" for o in out))
+    print(f"{'rule':<34}" + "".join(f"{name:>30}" for name in SERVER_KINDS))
+    for name, make in rules().items():
+        columns = []
+        for kind in SERVER_KINDS.values():
+            judgement = RulePlay(make()).run(kind, count)
+            columns.append(f"{judgement.false_alarms:>10.2f} | {judgement.median_ms:>6.0f} {judgement.tail_ms:>6.0f}")
+        print(f"{name:<34}" + "".join(f"{column:>30}" for column in columns))
 
 
 if __name__ == "__main__":
