--- a/ternlane/rules/draining.py
+++ b/ternlane/rules/draining.py
@@ -75,7 +75,7 @@
     known: set[str] = set()
     ready: dict[str, bool] = {}
 
-    def note(server: str, at_ms: float, now_ready: bool) -> None:
+    def record(server: str, at_ms: float, now_ready: bool) -> None:
         if ready.get(server, True) != now_ready:
             changes.setdefault((gateway, server), []).append(Change(at_ms, now_ready))
             ready[server] = now_ready
@@ -88,7 +88,7 @@
                     changes[key].append(Change(notice.at_ms, True))
             continue
         for server in known - set(notice.states):
-            note(server, notice.at_ms, False)
+            record(server, notice.at_ms, False)
         for server, (state, _) in notice.states.items():
-            note(server, notice.at_ms, state == READY)
+            record(server, notice.at_ms, state == READY)
         known |= set(notice.states)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,9 +1,10 @@
-"""The short bad day, played through processes and sockets; the published OpenAI client; the daemon's signals."""
+"""Scenarios run through processes and sockets; the published OpenAI client; the daemon's signals."""
 
 from __future__ import annotations
 
 import json
 import signal
+import socket
 import subprocess
 import sys
 import time
@@ -22,7 +23,7 @@
 from ternlane.config import read_config
 
 DAYS = Path(__file__).parent.parent / "days"
-KINDS = {
+FAULT_KINDS = {
     "burst",
     "crash",
     "hang",
@@ -52,6 +53,8 @@
 
 
 def test_the_short_bad_day_breaks_no_rule(tmp_path: Path) -> None:
+    """Engines crash and lose answers, a zone is cut off, a gateway is killed, engines are released anew. Clients still
+    get one answer each, effects happen once, and no state stays held."""
     done = run("day", "play", str(DAYS / "short.json5"), "--quiet", "--out", str(tmp_path / "run"))
     assert done.returncode == 0, done.stdout[-3000:] + done.stderr[-2000:]
     report = json.loads((tmp_path / "run" / "report.json").read_text())
@@ -60,25 +63,24 @@
     assert run("rules", "check", str(tmp_path / "run")).returncode == 0
 
 
-def test_shipped_days_hold_every_kind_of_trouble_and_are_the_same_each_time() -> None:
+def test_shipped_scenarios_hold_every_kind_of_fault_and_are_the_same_each_time() -> None:
     seen = set()
     for path in DAYS.glob("*.json5"):
-        day = read_config(path, Scenario)
-        seen |= {str(t.__struct_config__.tag) for t in day.troubles}
-        assert fault_actions_of(day) == fault_actions_of(day) and engines_of(day) == engines_of(day)
-    assert seen == KINDS
+        scenario = read_config(path, Scenario)
+        seen |= {fault.kind for fault in scenario.troubles}
+        assert fault_actions_of(scenario) == fault_actions_of(scenario) and engines_of(scenario) == engines_of(scenario)
+    assert seen == FAULT_KINDS
 
 
-def test_a_wrong_script_is_refused_by_line_and_field(tmp_path: Path) -> None:
+def test_a_wrong_scenario_is_refused_by_line_and_field(tmp_path: Path) -> None:
     text = (DAYS / "short.json5").read_text().replace('kind: "crash"', 'kind: "crahs"')
     (tmp_path / "d.json5").write_text(text)
     done = run("day", "play", str(tmp_path / "d.json5"))
     assert done.returncode == 65 and "d.json5:" in done.stderr and "troubles[1]" in done.stderr
 
 
-def gate(tmp_path: Path, **more: Any) -> tuple[Path, int]:
-    import socket
-
+def gateway_config(tmp_path: Path, **more: Any) -> tuple[Path, int]:
+    """A configuration without servers, and the free port that it names."""
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         port = s.getsockname()[1]
@@ -108,7 +110,9 @@
 
 
 def test_the_daemon_reloads_drains_and_says_what_is_wrong(tmp_path: Path) -> None:
-    path, port = gate(tmp_path)
+    """An operator reloads a configuration with a deadline that is shorter than the objective. The gateway refuses it,
+    serves on by the one before, and ends in order on SIGTERM."""
+    path, port = gateway_config(tmp_path)
     process = subprocess.Popen(
         [sys.executable, "-m", "ternlane", "serve", str(path)], text=True, stderr=subprocess.PIPE
     )
@@ -130,9 +134,8 @@
 
 
 def test_a_port_that_is_taken_is_said(tmp_path: Path) -> None:
-    import socket
-
-    path, port = gate(tmp_path)
+    """Another process listens on the port already: the gateway ends at once and says so."""
+    path, port = gateway_config(tmp_path)
     with socket.socket() as s:
         s.bind(("127.0.0.1", port))
         s.listen()
@@ -167,7 +170,7 @@
         assert models == ["summary", "note", "form"] and code == "model_not_found"
         await w.settled()
 
-        def throttled_once() -> str:
+        def rejected_once() -> str:
             with openai.OpenAI(api_key="none", base_url=base, max_retries=2) as client:
                 return client.chat.completions.create(model="note", messages=messages).choices[0].message.content or ""
 
@@ -178,7 +181,7 @@
             w.list()
 
         w.nursery.start_soon(back)
-        assert await trio.to_thread.run_sync(throttled_once) == text
+        assert await trio.to_thread.run_sync(rejected_once) == text
         assert len(w.said("effect")) == 4
 
 
@@ -247,21 +250,20 @@
     }
 
 
-def test_a_bench_day_becomes_a_script_that_can_be_played(tmp_path: Path) -> None:
+def test_a_bench_day_becomes_a_scenario_that_can_be_run(tmp_path: Path) -> None:
     (tmp_path / "day.json").write_text(json.dumps(bench_day()))
     done = run("day", "from-bench", str(tmp_path / "day.json"), "--speed", "2", "--engines", "8")
     assert done.returncode == 0, done.stderr
     (tmp_path / "d.json5").write_text(done.stdout)
-    day = read_config(tmp_path / "d.json5", Scenario)
-    assert [(str(t.__struct_config__.tag), t.at_s) for t in day.troubles] == [
+    scenario = read_config(tmp_path / "d.json5", Scenario)
+    assert [(fault.kind, fault.at_s) for fault in scenario.troubles] == [
         ("crash", 2.0),
         ("zone_cut", 3.0),
         ("preempt", 3.5),
     ]
-    assert [p.effect for p in day.request_classes] == ["idempotent", "side-effecting"] and day.request_classes[
-        0
-    ].slo_ms == 500
-    assert sorted(e.role for e in engines_of(day)) == ["read"] * 4 + ["write"] * 4
-    assert sum(a.what == "drain" for a in fault_actions_of(day)) == 2
+    assert [request_class.effect for request_class in scenario.request_classes] == ["idempotent", "side-effecting"]
+    assert scenario.request_classes[0].slo_ms == 500
+    assert sorted(e.role for e in engines_of(scenario)) == ["read"] * 4 + ["write"] * 4
+    assert sum(action.what == "drain" for action in fault_actions_of(scenario)) == 2
     (tmp_path / "day.json").write_text('{"family": "web"}')
     assert run("day", "from-bench", str(tmp_path / "day.json")).returncode == 65
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -61,7 +61,7 @@
     assert it.available == it.total
 
 
-def test_equal_beginnings_share_blocks_and_ends_go_before_beginnings() -> None:
+def test_equal_prefixes_share_blocks_and_ends_are_evicted_before_beginnings() -> None:
     it, keys = BlockPool(6), block_keys(b"abcdefgh" * 4, 8)
     first = it.allocate(keys, 4)
     assert first is not None and first.cached == 0
@@ -78,6 +78,7 @@
 
 
 def test_another_text_with_the_same_hash_is_not_read_as_ones_own() -> None:
+    """Two prompts have one hash. The second must not be given the blocks of the first, nor hide them."""
     it = BlockPool(4)
     held = it.allocate([], 1)
     assert held is not None
@@ -90,6 +91,8 @@
 
 
 def test_memory_that_is_cut_below_its_use_is_owed_until_it_is_given_back() -> None:
+    """Another program takes memory that sequences still use. They keep it, and what they give back
+    goes to the program."""
     it = BlockPool(10)
     held = it.allocate([], 8)
     assert held is not None
@@ -161,7 +164,7 @@
     assert it.memory.used == 0 and it.memory.available == blocks
 
 
-def test_a_batch_grows_slower_with_each_that_writes_and_a_long_prompt_is_read_between_them() -> None:
+def test_a_batch_grows_slower_with_each_that_decodes_and_a_long_prompt_is_prefilled_between_them() -> None:
     it = Batch(BatchConfig(blocks=4000, slots=32, step_tokens=128))
     for _ in range(8):
         it.add(BatchSequence(10, 400))
@@ -176,7 +179,7 @@
     assert all(s is not None and s.ms > alone.ms for s in steps[:8])
 
 
-def test_what_was_put_back_is_written_on_not_anew() -> None:
+def test_a_preempted_sequence_continues_where_it_was() -> None:
     it = Batch(BatchConfig(blocks=6, block_tokens=16, slots=4, step_tokens=64))
     courses = [BatchSequence(20, 50), BatchSequence(20, 50)]
     for course in courses:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -71,7 +71,7 @@
     )
 
 
-def test_a_transfer_called_off_gives_its_share_to_the_others_and_a_clock_that_jumps_back_moves_nothing() -> None:
+def test_a_cancelled_transfer_gives_its_share_to_the_others_and_a_clock_that_jumps_back_moves_nothing() -> None:
     link = Link(10.0)
     gone, stays = link.begin(0.0, 1000.0, "a"), link.begin(0.0, 1000.0, "b")
     link.cancel(100.0, gone)  # each has 500 by now
@@ -106,7 +106,7 @@
     return Counter(t.job for _, t in told if t.kind is what)
 
 
-def test_a_state_is_read_moved_and_written_and_the_readers_memory_released() -> None:
+def test_a_state_is_prefilled_moved_and_decoded_and_the_prefill_servers_memory_released() -> None:
     fleet = EmulatedFleet(port_rate=200.0, link_rate=100.0)
     prefill_server, near, far = cell(fleet), cell(fleet), cell(fleet, zone="b", at=1)
     ends: list[float] = []
@@ -143,6 +143,8 @@
 @given(st.data())
 @settings(max_examples=80, deadline=None, phases=(Phase.explicit, Phase.generate))
 def test_whatever_is_cancelled_cut_or_lost_memory_comes_back_and_tokens_add_up(data: st.DataObject) -> None:
+    """Jobs are sent, cancelled and released, engines die, hang and lose memory, in any order. In the end no block is
+    used, and each job that was not stopped has ended once with all its tokens."""
     fleet = EmulatedFleet(port_rate=200.0, link_rate=60.0)
     small = BatchConfig(blocks=40, slots=4, step_tokens=64, queue=6, cost=COST)
     prefill_servers, decode_servers = (
@@ -213,7 +215,7 @@
     assert not fleet.moves and not fleet.claimed
 
 
-def test_an_answer_longer_than_memory_is_turned_away_and_an_empty_one_ends() -> None:
+def test_an_answer_longer_than_memory_is_rejected_and_an_empty_one_ends() -> None:
     fleet = EmulatedFleet(100.0, 100.0)
     seat = cell(fleet, BatchConfig(blocks=10, cost=COST))
     assert not fleet.decode(0.0, seat, Job(BatchSequence(100, 61)))
@@ -239,7 +241,7 @@
     assert kept < warm / 3 and again == pytest.approx(kept) and cold > 3 * warm
 
 
-def test_reports_are_late_and_off_and_said_in_the_fields_usual_words() -> None:
+def test_load_reports_are_late_and_off_and_in_the_usual_forms() -> None:
     fleet = EmulatedFleet(100.0, 100.0)
     seat = cell(fleet, nature=EngineTraits(report_ms=100.0, lag_ms=40.0, noise=0.0))
     for _ in range(4):
@@ -256,6 +258,7 @@
 
 
 def test_a_driver_whose_clock_jumps_back_sees_nothing_twice() -> None:
+    """Whoever drives the fleet asks for times before the last one: nothing happens again, and nothing is lost."""
     fleet = EmulatedFleet(100.0, 100.0)
     seat, job = cell(fleet), Job(BatchSequence(100, 30))
     assert fleet.decode(0.0, seat, job)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,7 +17,6 @@
 from ternlane.cli import main
 from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, arrival_times, planned_requests
 from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError, address_of
-import trio.lowlevel
 
 
 @given(st.lists(st.floats(1e-6, 1e9), min_size=1, max_size=300), st.floats(0, 1), st.integers(0, 300))
@@ -76,7 +75,7 @@
     assert list(arrival_times(recorded, random.Random(1))) == [0.0, 1.0, 1.5]
 
 
-def test_what_is_asked_does_not_hang_on_answers_and_popular_openings_come_by_zipf() -> None:
+def test_what_is_asked_does_not_depend_on_answers_and_popular_prefixes_come_by_zipf() -> None:
     mix = RequestMix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
     told = LoadConfig(
         request_classes=[mix, RequestMix("note", share=0.25)],
@@ -114,7 +113,8 @@
 
 
 async def test_a_stall_is_seen_by_all_that_were_due_in_it() -> None:
-    """A closed loop asks less while a server stalls, and its median hides it; an open one must not."""
+    """All engines hang for most of a second. A closed loop would ask less meanwhile, and its median would hide the
+    stall; an open one must not."""
     async with world(build=replace(BUILD, slots=2)) as w:
 
         async def stall() -> None:
@@ -130,15 +130,15 @@
             config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0), late_ms=1000.0), w.gateway.address
         ).run()
         due = sum(tally.outcomes.values())
-        assert due == len(
-            list(planned_requests(config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0))))
-        )  # none was left out
+        planned = list(planned_requests(config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0))))
+        assert due == len(planned)  # none was left out
         assert tally.first_token_ms.count >= tally.outcomes["streamed"] > 0  # each that was answered has its time
         slow = sum(n for at, n in tally.first_token_ms.counts.items() if tally.first_token_ms.gamma**at > 300.0)
         assert slow + due - tally.outcomes["streamed"] > due / 4
 
 
 async def test_a_tool_slower_than_its_schedule_says_so_and_reports_nothing() -> None:
+    """Another task keeps the tool's process busy, so that requests go out late. Their times would be the tool's own."""
     async with world() as w:
 
         async def hog() -> None:
@@ -169,7 +169,7 @@
         assert most == 3 and tally.outcomes["streamed"] >= 6
 
 
-def test_only_loopback_is_asked_and_wrong_papers_are_named(tmp_path: Path) -> None:
+def test_only_loopback_is_asked_and_wrong_documents_are_named(tmp_path: Path) -> None:
     assert address_of("http://127.0.0.1:8080/v1") == ("127.0.0.1:8080", "/v1/chat/completions")
     assert address_of("localhost:81") == ("localhost:81", "/v1/chat/completions")
     for wrong in ("http://192.0.2.1/v1", "https://127.0.0.1", "http://example.com", "http://[2001:db8::1]:80"):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,16 +1,19 @@
-"""The checker is proved: gateways that are wrong in just one way are caught, by what crossed the sockets alone."""
+"""The rules prove themselves: gateways that are wrong in just one way are caught, by what crossed the sockets alone."""
 
 from __future__ import annotations
 
+import time
 from dataclasses import asdict
 from typing import Any
 
+import msgspec
 import pytest
 import trio
 
 from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
 from ternlane.policy import messages
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
+from ternlane.config import FleetConfig, NodeLine
 from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import Host
 from ternlane.gateway.chat_api import StreamResponseWriter
@@ -40,7 +43,7 @@
 
 
 class Mute(Host):
-    """Rule 1: never says that a generation is throttled or terminated."""
+    """Rule 1: never says that a request is rejected or failed."""
 
     def settle(self, active_request: ActiveRequest | None, final: Final) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
@@ -90,7 +93,7 @@
 
 
 class Twice(Host):
-    """Rule 2: begins a second leg of each generation beside the first."""
+    """Rule 2: begins a second attempt of each request beside the first."""
 
     def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         super().send(active_request, server, times)
@@ -127,7 +130,7 @@
 
 
 class Careless(Host):
-    """Rule 4: takes every server for warm."""
+    """Rule 4: believes every server to be warm."""
 
     def tell(self, event: messages.Event) -> None:
         if isinstance(event, messages.EndpointsUpdated):
@@ -187,31 +190,32 @@
     how = "anew"
 
 
-async def talk(w: World, rate: float, length_ms: float, **habits: Any) -> None:
-    clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**habits), w.traffic, 3)
+async def send_requests(w: World, rate: float, length_ms: float, **behaviour: Any) -> None:
+    clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**behaviour), w.traffic, 3)
     async with trio.open_nursery() as nursery:
         await clients.run(lambda _: rate, length_ms, nursery)
 
 
-def told(w: World, **states: str) -> None:
-    """Lists the servers and writes down that the gateway was told."""
-    lines = [replace_line(line, states) for line in w.lines()]
+def notify(w: World, **states: str) -> None:
+    """Gives the gateway an endpoint list with these states, and writes the line that says so."""
+    lines = [with_state(line, states.get(line.id, "up")) for line in w.lines()]
     w.gateway.found(lines)
-    w.traffic.line("told", gw="g1", index=1, states={n.id: [n.state, n.started] for n in lines})
+    w.traffic.line("told", gw="g1", index=1, states={line.id: [line.state, line.started] for line in lines})
 
 
-def replace_line(line: Any, states: dict[str, str]) -> Any:
-    import time
+def with_state(line: NodeLine, state: str) -> NodeLine:
+    """`state`: as endpoint lists say it, or "cold": up, and started just now."""
+    if state == "cold":
+        return msgspec.structs.replace(line, started=time.time())
+    return msgspec.structs.replace(line, state=state)
 
-    import msgspec
 
-    if states.get(line.id) == "cold":
-        return msgspec.structs.replace(line, started=time.time())
-    return msgspec.structs.replace(line, state=states.get(line.id, "up"))
+def fleet_config(**changes: Any) -> FleetConfig:
+    return msgspec.structs.replace(TERMS, **changes)
 
 
 async def troubled(host: type[Host]) -> Findings:
-    """Answers get lost, engines die, clients leave: what every host must stand."""
+    """Answers get lost, an engine hangs and another dies, clients leave and retry."""
     async with world(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
             w.engines[ident].fault.lost_answer_share = 0.25
@@ -226,32 +230,34 @@
             w.engines["r0b"].die()
 
         w.nursery.start_soon(strike)
-        await talk(w, 40, 1200, retries=1, leave_part=0.2, leave_ms=(5.0, 60.0))
+        await send_requests(w, 40, 1200, retries=1, leave_part=0.2, leave_ms=(5.0, 60.0))
         await trio.sleep(0.9)
         return check(w.traffic.lines, RULES)
 
 
 async def slowly_read(host: type[Host]) -> Findings:
+    """Prompts are prefilled so slowly that a second attempt of the same request overlaps the first."""
     async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
-        await talk(w, 15, 600)
+        await send_requests(w, 15, 600)
         return check(w.traffic.lines, RULES)
 
 
 async def drained(host: type[Host]) -> Findings:
+    """While requests come, one decode server begins to drain and another is gone from the list."""
     async with world(("r0", "w0", "w0b", "w1"), host_type=host) as w:
-        told(w)
+        notify(w)
 
         async def drain() -> None:
             await trio.sleep(0.3)
-            told(w, w0="draining", w1="gone")
+            notify(w, w0="draining", w1="gone")
 
         w.nursery.start_soon(drain)
-        await talk(w, 40, 1200)
+        await send_requests(w, 40, 1200)
         return check(w.traffic.lines, RULES)
 
 
 async def restarted(host: type[Host]) -> Findings:
-    """One writer of two restarts cold, weak, under a load that it could not carry alone."""
+    """One of two decode servers restarts cold, under a load that it could not carry alone."""
     build = replace(
         BUILD,
         slots=8,
@@ -262,30 +268,30 @@
         fall_multiple=1.0,
         fall_ms=500,
     )
-    terms = replace_paper(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
+    terms = fleet_config(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
     async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
             w.engines[ident].profile = BUILD
-        told(w)
+        notify(w)
 
         async def restart() -> None:
             await trio.sleep(0.4)
-            told(w, w0="draining")  # an orderly restart: no failed leg warns of it
+            notify(w, w0="draining")  # an orderly restart: no failed leg warns of it
             while w.engines["w0"].busy:
                 await trio.sleep(0.01)
             w.engines["w0"].die()
             await trio.sleep(0.02)
             w.engines["w0"].started_ms = clock_ms()
             await w.revive("w0")
-            told(w, w0="cold")
+            notify(w, w0="cold")
 
         w.nursery.start_soon(restart)
-        await talk(w, 60, 1600)
+        await send_requests(w, 60, 1600)
         return check(w.traffic.lines, RULES | {"fall_ms": 500.0})
 
 
 async def refilled(host: type[Host]) -> Findings:
-    """Half the writers die with their streams open and come back cold while those go on."""
+    """Half the decode servers die with their streams open, and come back cold while those streams are resumed."""
     build = replace(
         BUILD,
         slow_start_ms=3000,
@@ -296,13 +302,13 @@
         token_ms=12.0,
         answer_tokens=(20, 20),
     )
-    terms = replace_paper(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
+    terms = fleet_config(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
         for ident in ("r0", "r0b"):
             w.engines[ident].profile = BUILD
-        told(w)
+        notify(w)
 
         async def strike() -> None:
             await trio.sleep(0.6)
@@ -312,29 +318,24 @@
             for ident in ("w0", "w1"):
                 w.engines[ident].started_ms = clock_ms()
                 await w.revive(ident)
-            told(w, w0="cold", w1="cold")
+            notify(w, w0="cold", w1="cold")
 
         w.nursery.start_soon(strike)
-        await talk(w, 25, 1600)
+        await send_requests(w, 25, 1600)
         findings = check(w.traffic.lines, RULES | {"fall_ms": 500.0})
         assert findings.counted["texts of several legs"] >= 1 and findings.counted["cold starts"] == 2
         return findings
 
 
 async def torn(host: type[Host]) -> Findings:
+    """Three answers in ten break off midway, and the gateway continues them elsewhere."""
     async with world(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
             w.engines[ident].fault.broken_stream_share = 0.3
-        await talk(w, 60, 1200)
+        await send_requests(w, 60, 1200)
         return check(w.traffic.lines, RULES)
 
 
-def replace_paper(**changes: Any) -> Any:
-    import msgspec
-
-    return msgspec.structs.replace(TERMS, **changes)
-
-
 SCENES = {
     scene.__name__.replace("_", " "): scene for scene in (troubled, slowly_read, drained, restarted, torn, refilled)
 }
@@ -342,6 +343,7 @@
 
 @pytest.mark.parametrize("scene", list(SCENES))
 async def test_the_honest_gateway_breaks_none(scene: str) -> None:
+    """The rules must not accuse a gateway that is right, whatever fails around it."""
     for _ in range(3):  # a machine busy with other work may hold an answer up beyond the client's time
         findings = await SCENES[scene](Honest)
         if any(f.why != "answered after the client's time" for f in findings.broken) or not findings.broken:
@@ -368,8 +370,9 @@
     ],
 )
 async def test_a_wrong_gateway_is_caught(host: type[Host], scene: str, rule: int, word: str) -> None:
-    seen = []
-    for _ in range(4):  # on a machine busy with other work a scene's load may come too thin to do the harm at once
+    """The gateway breaks one rule in one way; the lines of clients and engines alone must show it."""
+    seen: list[str] = []
+    for _ in range(4):  # on a busy machine a scene's load may come too thin to do the harm at once
         findings = await SCENES[scene](host)
         seen += [f.why for f in findings.broken[:5]]
         if any(f.rule == rule and word in f.why for f in findings.broken):
