--- /dev/null
+++ b/bench/budget_decisions.py
@@ -0,0 +1,117 @@
+"""What admitting a request against a tenant's budget costs, beside a dict of fixed windows behind a lock."""
+
+from __future__ import annotations
+
+import random
+import threading
+import time
+import tracemalloc
+from collections.abc import Callable
+from typing import Protocol
+
+from ternlane.tenants.billing import Billed, Used
+from ternlane.tenants.tenant_registry import Budget, TenantLine
+from ternlane.tenants.usage_accounting import Hold, UsageAccounting
+
+WALL_S = 1_796_000_000.0  # seconds since 1970
+TENANT_COUNTS = (10, 10_000, 1_000_000)
+LEAST_ROUNDS = 50_000
+MOST_DRAWN = 10_000  # with more tenants, each is asked for once
+MINUTE_TOKENS = 10**9
+PERIOD_TOKENS = 10**12
+PROMPT_TOKENS = 100
+ANSWER_TOKENS = 100
+USED = Billed(Used(100, 0, 50), Used())
+
+
+class Admission(Protocol):
+    """Reserves tokens, and settles what was used of them."""
+
+    def reserve(self, tenant: TenantLine) -> object:
+        """What `settle` needs."""
+        ...
+
+    def settle(self, tenant: TenantLine, reservation: object) -> None:
+        """The request has ended."""
+
+
+class ByUsageAccounting:
+    """What the gateway does."""
+
+    def __init__(self) -> None:
+        self._accounting = UsageAccounting()
+
+    def reserve(self, tenant: TenantLine) -> object:
+        """A hold."""
+        return self._accounting.reserve(tenant, "s", PROMPT_TOKENS, ANSWER_TOKENS, 0.0, WALL_S)
+
+    def settle(self, tenant: TenantLine, reservation: object) -> None:
+        """With a bill."""
+        assert isinstance(reservation, Hold)
+        self._accounting.settle(reservation, "g", "streamed", USED, 2, 0.0, WALL_S)
+
+
+class ByFixedWindows:
+    """A dict behind a lock: tokens of the present minute."""
+
+    def __init__(self) -> None:
+        self._lock = threading.Lock()
+        self._windows: dict[str, tuple[int, int]] = {}  # minute and tokens, by tenant
+
+    def reserve(self, tenant: TenantLine) -> object:
+        """Whether it was admitted."""
+        minute = int(WALL_S // 60)
+        tokens = PROMPT_TOKENS + ANSWER_TOKENS
+        with self._lock:
+            window_minute, spent = self._windows.get(tenant.name, (minute, 0))
+            spent = spent if window_minute == minute else 0
+            if spent + tokens > MINUTE_TOKENS:
+                return False
+            self._windows[tenant.name] = minute, spent + tokens
+            return True
+
+    def settle(self, tenant: TenantLine, reservation: object) -> None:
+        """Gives back what was not used."""
+        unused = PROMPT_TOKENS + ANSWER_TOKENS - 150
+        with self._lock:
+            minute, spent = self._windows[tenant.name]
+            self._windows[tenant.name] = minute, spent - unused
+
+
+def print_decisions() -> None:
+    """A line for each number of tenants and each way."""
+    print(f"{'tenants':>9}{'':<14}{'us a reserve':>13}{'us a settle':>13}{'bytes a tenant':>16}")
+    for count in TENANT_COUNTS:
+        budget = Budget(minute=MINUTE_TOKENS, period=PERIOD_TOKENS)
+        tenants = [TenantLine(name=f"t{number}", budget=budget) for number in range(count)]
+        rng = random.Random(1)
+        asked = tenants
+        if count <= MOST_DRAWN:
+            asked = [tenants[rng.randrange(count)] for _ in range(max(count, LEAST_ROUNDS))]
+        _print_way("usage accounting", ByUsageAccounting, tenants, asked)
+        _print_way("fixed windows", ByFixedWindows, tenants, asked)
+
+
+def _print_way(name: str, make: Callable[[], Admission], tenants: list[TenantLine], asked: list[TenantLine]) -> None:
+    held_bytes = _held_bytes(make, tenants) / len(tenants)
+    admission = make()
+    begin_s = time.perf_counter()
+    reservations = [admission.reserve(tenant) for tenant in asked]
+    reserve_us = (time.perf_counter() - begin_s) / len(asked) * 1e6
+    begin_s = time.perf_counter()
+    for tenant, reservation in zip(asked, reservations, strict=True):
+        admission.settle(tenant, reservation)
+    settle_us = (time.perf_counter() - begin_s) / len(asked) * 1e6
+    print(f"{len(tenants):>9}  {name:<18}{reserve_us:>7.2f}{settle_us:>13.2f}{held_bytes:>16.0f}")
+
+
+def _held_bytes(make: Callable[[], Admission], tenants: list[TenantLine]) -> int:
+    """What is held after a request of each tenant."""
+    tracemalloc.start()
+    before = tracemalloc.get_traced_memory()[0]
+    admission = make()
+    for tenant in tenants:
+        admission.reserve(tenant)
+    held = tracemalloc.get_traced_memory()[0] - before
+    tracemalloc.stop()
+    return held
