--- a/ternlane/scenarios/bench_import.py
+++ b/ternlane/scenarios/bench_import.py
@@ -10,20 +10,13 @@
 from __future__ import annotations
 
 import json
-import re
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
 
 from ternlane.config import read_text
+from ternlane.scenarios.bench_faults import MAX_PROMPT_TOKENS, BenchFaults, Json, run_seconds, scenario_name
 from ternlane.scenarios.scenario import Scenario
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
 ROLES = {"read": "readers", "write": "writers", "both": "mixed"}  # as scenarios name the counts of a cell
-# Faults that strike something else than a part of the servers.
-NOT_OF_SERVERS = {"balancer_crash", "balancer_roll", "burst", "hot_key", "heavy_tail", "origin_slow", "zone_cut"}
-MAX_PROMPT_TOKENS = 4000  # so that one machine can carry the day
-MAX_NAME_CHARACTERS = 64
 MAX_TOKENS = 400  # that a request may ask for,
 USED_MAX_TOKENS = 64  # and that clients ask for
 MAX_THINK_MS = 4000.0
@@ -33,9 +26,6 @@
 DECODE_ANSWER_TOKENS = 22  # on the mean
 DECODE_GROWTH = 1.5  # by which a token takes longer with many streams
 LEAST_LOAD = 0.05  # the load divides
-LEAST_FAULT_S = 0.3
-
-Json = dict[str, Any]
 
 
 def scenario_from_bench(raw: Json, engines: int, gateways: int, rate: float, speed: float) -> str:
@@ -48,11 +38,6 @@
     return _Import(raw, engines, gateways, rate, speed).text()
 
 
-def _name(text: str) -> str:
-    """A name that scenarios allow."""
-    return re.sub(r"[^A-Za-z0-9._-]", "-", text)[:MAX_NAME_CHARACTERS] or "day"
-
-
 class _Import:
     """One day, its scale and its speed."""
 
@@ -74,18 +59,14 @@
         read_text(text, Scenario, "the turned day")
         return text
 
-    def _seconds(self, microseconds: float) -> float:
-        """A time of the day in seconds of the run."""
-        return microseconds / 1e6 / self.speed
-
     def _scenario(self) -> Json:
         raw = self.raw
         pairs = list(zip(raw["classes"], self.family["talks"], strict=True))
         uses = [self._use(request_class, talk) for request_class, talk in pairs]
         return {
-            "name": _name(f"{raw['site']}-{raw['kind']}"),
+            "name": scenario_name(f"{raw['site']}-{raw['kind']}"),
             "seed": int(raw["noise"]) % 100000,
-            "length_s": round(self._seconds(raw["length"]), 1),
+            "length_s": round(run_seconds(raw["length"], self.speed), 1),
             "rate": self.rate,
             "load": [[round(at / self.speed, 2), round(times, 3)] for at, times in raw["traffic"]["shape"]],
             "gateways": self.gateways,
@@ -101,7 +82,7 @@
                 "silent_ms": round(raw["discovery"]["silent_notice"] / 1000 / self.speed, 1),
             },
             "front_notice_ms": max(200.0, round(raw["front_notice"] / 1000 / self.speed, 1)),
-            "troubles": self._faults(),
+            "troubles": BenchFaults(raw, self.speed, self.zones).read(),
         }
 
     # The fleet
@@ -119,7 +100,7 @@
         cells: list[Json] = []
         for (zone, _), cell_counts in sorted(counts.items())[:kept]:
             shrunk = {role: round(cell_counts.get(role, 0) * shrink) for role in ROLES.values()}
-            cells.append({"zone": _name(self.raw["zones"][zone]), **shrunk})
+            cells.append({"zone": scenario_name(self.raw["zones"][zone]), **shrunk})
         for role in {ROLES[role] for role in roles}:
             if not any(cell[role] for cell in cells):
                 cells[0][role] = 1
@@ -180,7 +161,7 @@
     def _request_class(self, request_class: Json, talk: Json) -> Json:
         speed = self.speed
         return {
-            "name": _name(request_class["name"]),
+            "name": scenario_name(request_class["name"]),
             "effect": EFFECTS[request_class["effect"]],
             "group": request_class["group"],
             "window_ms": request_class["window"] / 1000 / speed,
@@ -196,7 +177,7 @@
     def _use(self, request_class: Json, talk: Json) -> Json:
         shrink = self._prompt_shrink(talk)
         return {
-            "product": _name(request_class["name"]),
+            "product": scenario_name(request_class["name"]),
             "share": round(request_class["share"], 4),
             "turns": [1.0, max(1.0, 2 * talk["turns"] - 1)],
             "adds": [round(talk["new_tokens"] * shrink * 0.5), round(talk["new_tokens"] * shrink * 1.5)],
@@ -237,118 +218,3 @@
             "honour": round(clients["honour"], 3),
             "leave_part": round(min(1.0, clients["impatient"]), 4),
         }
-
-    # Faults
-
-    def _faults(self) -> list[Json]:
-        """Those of a known kind that begin within the day; a cut needs a second zone."""
-        length_s = self._seconds(self.raw["length"])
-        faults = [self._fault(_BenchFault.read(raw)) for raw in self.raw["troubles"]]
-        return [
-            fault
-            for fault in faults
-            if fault is not None
-            and fault["at_s"] < length_s
-            and not (fault["kind"] == "zone_cut" and len(self.zones) < 2)
-        ]
-
-    def _fault(self, fault: _BenchFault) -> Json | None:
-        read_fields = self._fault_fields().get(fault.kind)
-        if read_fields is None:
-            return None
-        common: Json = {
-            "kind": fault.kind,
-            "at_s": round(self._seconds(fault.raw["at"]), 3),
-            "for_s": max(LEAST_FAULT_S, round(self._seconds(fault.raw["len"]), 3)),
-        }
-        if fault.kind not in NOT_OF_SERVERS:
-            common["part"] = self._part_of(fault, len(self.raw["servers"]))
-        return common | read_fields(fault)
-
-    def _part_of(self, fault: _BenchFault, total: int) -> float:
-        return round(min(1.0, fault.struck / max(1, total)), 3)
-
-    def _fault_fields(self) -> dict[str, Callable[[_BenchFault], Json]]:
-        """By kind: what a fault has beside kind, times and part, or instead of them."""
-        speed = self.speed
-        gateways = len(self.raw["balancers"])
-        return {
-            "crash": lambda fault: {},
-            "hang": lambda fault: {},
-            "flush": self._flush,
-            "slow": lambda fault: {"times": round(max(fault.size, 1.0), 2)},
-            "origin_slow": lambda fault: {"times": round(max(fault.size, 1.0), 2)},
-            "burst": lambda fault: {"times": round(max(fault.size, 0.1), 2)},
-            "pauses": lambda fault: {
-                "pause_ms": round(fault.size / speed, 1),
-                "every_s": round(max(0.2, fault.extra) / speed, 2),
-            },
-            "neighbour": lambda fault: {
-                "share": round(min(fault.size, 0.95), 3),
-                "turn_s": round(max(0.3, fault.extra) / speed, 2),
-            },
-            "answer_lost": lambda fault: {"share": round(fault.size, 3), "how": fault.raw.get("how", "silence")},
-            "handshake_slow": lambda fault: {"added_ms": round(fault.size / speed, 1) or 50.0},
-            "heavy_tail": self._heavy_tail,
-            "hot_key": self._hot_key,
-            "zone_cut": lambda fault: {"zone": self.zones[fault.which % len(self.zones)]},
-            "mass_restart": lambda fault: {"within_s": 0.2},
-            "preempt": self._preemption,
-            "balancer_crash": lambda fault: {"part": self._part_of(fault, gateways)},
-            "balancer_roll": lambda fault: {
-                "part": self._part_of(fault, gateways),
-                "batch": round(min(1.0, fault.size or 0.2), 3),
-                "down_s": round(max(0.2, fault.extra) / speed, 2),
-                "killed": True,
-            },
-        }
-
-    def _flush(self, fault: _BenchFault) -> Json:
-        part = self._part_of(fault, len(self.raw["servers"]))
-        return {"part": round(min(1.0, fault.size or part), 3), "for_s": 1.0}
-
-    def _heavy_tail(self, fault: _BenchFault) -> Json:
-        classes = self.raw["classes"]
-        return {
-            "share": round(min(1.0, fault.extra), 4),
-            "times": round(max(fault.size, 1.0), 1),
-            "product": _name(classes[fault.which % len(classes)]["name"]),
-        }
-
-    def _hot_key(self, fault: _BenchFault) -> Json:
-        return {
-            "share": round(min(1.0, fault.size), 3),
-            "keys": max(1, int(fault.extra)),
-            "toks": min(MAX_PROMPT_TOKENS, float(self.family.get("hot_tokens", 3000))),
-        }
-
-    def _preemption(self, fault: _BenchFault) -> Json:
-        return {
-            "notice_s": round(max(0.3, fault.size) / self.speed, 2),
-            "waves": max(1, len(fault.raw["steps"])),
-            "for_s": round(max(0.5, fault.extra) / self.speed, 2),
-        }
-
-
-@dataclass(frozen=True)
-class _BenchFault:
-    """A fault of the day. What size, extra and which mean depends on the kind."""
-
-    raw: Json
-    kind: str
-    size: float
-    extra: float
-    which: int
-    struck: int  # servers or balancers
-
-    @classmethod
-    def read(cls, raw: Json) -> _BenchFault:
-        stopped = {number for step in raw.get("steps", []) for number in step["stop"]}
-        return cls(
-            raw=raw,
-            kind=raw["kind"],
-            size=raw.get("size", 0.0),
-            extra=raw.get("extra", 0.0),
-            which=int(raw.get("which", 0)),
-            struck=max(1, len(stopped or raw["on"])),
-        )
