--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -15,7 +15,9 @@
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
 
-__version__ = "0.2.0"
+from ternlane.version import VERSION
+
+__version__ = VERSION
 
 _PLACES = {
     "Router": "policy.router",
--- a/ternlane/chat/__init__.py
+++ b/ternlane/chat/__init__.py
@@ -1,31 +1,39 @@
-"""From a chat request to a Generation and back to an answer. Free of I/O."""
+"""From a chat request to a Request and back to an answer. Free of I/O."""
 
-from ternlane.chat.answers import ErrorBody, answer_body, chunk, error_body, usage_chunk
-from ternlane.chat.intake import Intake, Known
+from ternlane.chat.response_body import ErrorBody, answer_body, chunk, error_body, usage_chunk
+from ternlane.chat.intake import RequestIntake, IntakeRecord
 from ternlane.chat.prefixes import PrefixIndex
-from ternlane.chat.repeats import Busy, Differs, Done, Fresh, Keep, Repeats, kept_for_repeats
-from ternlane.chat.request import ChatAsk, InvalidRequestError, read_chat
-from ternlane.chat.sessions import Sessions, chain
+from ternlane.chat.idempotency_cache import (
+    RequestInProgress,
+    BodyMismatch,
+    StoredAnswer,
+    FirstRequest,
+    RepeatPolicy,
+    IdempotencyCache,
+    repeat_policy,
+)
+from ternlane.chat.request import ChatRequest, InvalidRequestError, parse_chat_request
+from ternlane.chat.session_index import SessionIndex, chain
 
 __all__ = [
-    "Busy",
-    "ChatAsk",
-    "Differs",
-    "Done",
+    "RequestInProgress",
+    "ChatRequest",
+    "BodyMismatch",
+    "StoredAnswer",
     "ErrorBody",
-    "Fresh",
-    "Intake",
-    "Keep",
-    "Known",
+    "FirstRequest",
+    "RequestIntake",
+    "RepeatPolicy",
+    "IntakeRecord",
     "PrefixIndex",
-    "Repeats",
-    "Sessions",
+    "IdempotencyCache",
+    "SessionIndex",
     "InvalidRequestError",
     "answer_body",
     "chain",
     "chunk",
     "error_body",
-    "kept_for_repeats",
-    "read_chat",
+    "repeat_policy",
+    "parse_chat_request",
     "usage_chunk",
 ]
--- a/ternlane/chat/beyond.py
+++ b/ternlane/chat/message_extras.py
@@ -5,11 +5,11 @@
 
 from typing import Any
 
-TEXTS = ("refusal", "reasoning_content", "reasoning")  # fields of a delta whose pieces are joined end to end
-More = dict[str, Any]  # {"delta": further fields of a delta, "logprobs": of its tokens}
+TEXT_FIELDS = ("refusal", "reasoning_content", "reasoning")  # fields of a delta whose pieces are joined end to end
+Extras = dict[str, Any]  # {"delta": further fields of a delta, "logprobs": of its tokens}
 
 
-class Beyond:
+class MessageExtras:
     """Puts the pieces together. Truth: is there anything?"""
 
     def __init__(self) -> None:
@@ -20,27 +20,29 @@
     def __bool__(self) -> bool:
         return bool(self.texts or self.calls or self.probs)
 
-    def add(self, more: More) -> None:
+    def add(self, more: Extras) -> None:
+        """Takes one piece in."""
         delta = more.get("delta") or {}
-        for name in TEXTS:
+        for name in TEXT_FIELDS:
             if isinstance(delta.get(name), str):
                 self.texts[name] = self.texts.get(name, "") + delta[name]
         for call in delta.get("tool_calls") or ():
-            self.call(call)
-        for name, said in (more.get("logprobs") or {}).items():
-            if isinstance(said, list):
-                self.probs.setdefault(name, []).extend(said)
+            self.add_call(call)
+        for name, values in (more.get("logprobs") or {}).items():
+            if isinstance(values, list):
+                self.probs.setdefault(name, []).extend(values)
 
-    def call(self, piece: dict[str, Any]) -> None:
+    def add_call(self, piece: dict[str, Any]) -> None:
         """A piece of the call at its `index`: name and id come whole, arguments bit by bit."""
-        it = self.calls.setdefault(int(piece.get("index", len(self.calls))), {"type": "function", "function": {}})
+        index = int(piece.get("index", len(self.calls)))
+        call = self.calls.setdefault(index, {"type": "function", "function": {}})
         for name in ("id", "type"):
             if piece.get(name):
-                it[name] = piece[name]
+                call[name] = piece[name]
         function = piece.get("function") or {}
         if function.get("name"):
-            it["function"]["name"] = function["name"]
-        it["function"]["arguments"] = it["function"].get("arguments", "") + (function.get("arguments") or "")
+            call["function"]["name"] = function["name"]
+        call["function"]["arguments"] = call["function"].get("arguments", "") + (function.get("arguments") or "")
 
     def message(self, text: str) -> dict[str, Any]:
         """The assistant's message; its content is null where it has calls and no text."""
@@ -51,19 +53,20 @@
             **self.texts,
         }
         if self.calls:
-            out["tool_calls"] = [it for _, it in sorted(self.calls.items())]
+            out["tool_calls"] = [call for _, call in sorted(self.calls.items())]
         return out
 
     def echoed(self, text: str) -> dict[str, Any]:
         """The message as clients send it back in the next turn."""
-        return {k: v for k, v in self.message(text).items() if k not in TEXTS}
+        return {k: v for k, v in self.message(text).items() if k not in TEXT_FIELDS}
 
     def logprobs(self) -> dict[str, Any] | None:
+        """The probabilities of all tokens; None for none."""
         return dict(self.probs) or None
 
-    def whole(self) -> More:
+    def combined(self) -> Extras:
         """All of it as one piece, to be told again."""
         delta: dict[str, Any] = dict(self.texts)
         if self.calls:
-            delta["tool_calls"] = [{"index": i, **it} for i, it in sorted(self.calls.items())]
+            delta["tool_calls"] = [{"index": i, **call} for i, call in sorted(self.calls.items())]
         return {"delta": delta, **({"logprobs": self.probs} if self.probs else {})}
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -23,10 +23,14 @@
 
 
 class Node:
+    """A run of blocks, and the run before it. `owner` is a session's number, or SHARED."""
+
     __slots__ = ("run", "parent", "children", "owner", "older", "newer")
 
     def __init__(self, run: array[int], parent: Node | None, owner: int) -> None:
-        self.run, self.parent, self.owner = run, parent, owner
+        self.run = run
+        self.parent = parent
+        self.owner = owner
         self.children: dict[int, Node] | None = None
         self.older: Node | None = None  # neighbours in the order of last use
         self.newer: Node | None = None
@@ -36,14 +40,19 @@
     """`meet` takes a prompt's blocks and its session's number, and says how many of them others have begun with."""
 
     def __init__(self, block_limit: int) -> None:
-        self.block_limit, self.held, self.nodes = block_limit, 0, 0
+        self.block_limit = block_limit
+        self.held = 0  # blocks
+        self.nodes = 0
         self.root = Node(array("Q"), None, SHARED)
         self.oldest: Node | None = None
         self.newest: Node | None = None
 
     def meet(self, run: array[int], session: int) -> int:
         """Blocks at the start of `run` that another session's prompt began with; `run` is remembered."""
-        node, at, shared, all_shared = self.root, 0, 0, True
+        node = self.root
+        at = 0
+        shared = 0
+        all_shared = True
         path: list[Node] = []
         while at < len(run):
             child = node.children.get(run[at]) if node.children else None
@@ -76,7 +85,8 @@
         n = min(len(edge), len(run) - at)
         if edge[:n] == run[at : at + n]:
             return n
-        low, high = 0, n  # the first difference lies in [low, high)
+        low = 0  # the first difference lies in [low, high)
+        high = n
         while high - low > 1:
             mid = (low + high) // 2
             if edge[low:mid] == run[at + low : at + mid]:
@@ -86,6 +96,7 @@
         return low
 
     def add(self, parent: Node, run: array[int], session: int) -> Node:
+        """A new leaf, of one session."""
         node = Node(run, parent, session)
         if parent.children is None:
             parent.children = {}
@@ -100,20 +111,24 @@
         upper = Node(node.run[:at], node.parent, node.owner)
         assert node.parent is not None and node.parent.children is not None
         node.parent.children[upper.run[0]] = upper
-        node.run, node.parent = node.run[at:], upper
+        node.run = node.run[at:]
+        node.parent = upper
         upper.children = {node.run[0]: node}
         self.nodes += 1
         self.link(upper)
         return upper
 
     def link(self, node: Node) -> None:
-        node.older, node.newer = self.newest, None
+        """Puts a node at the end of the order of last use."""
+        node.older = self.newest
+        node.newer = None
         if self.newest is not None:
             self.newest.newer = node
         self.newest = node
         self.oldest = self.oldest or node
 
     def unlink(self, node: Node) -> None:
+        """Takes a node out of the order of last use."""
         if node.older is not None:
             node.older.newer = node.newer
         else:
@@ -139,6 +154,7 @@
         return True
 
     def walk(self) -> Iterator[Node]:
+        """All nodes, the root first."""
         stack = [self.root]
         while stack:
             node = stack.pop()
@@ -154,12 +170,16 @@
         self.known: OrderedDict[int, int] = OrderedDict()
 
     def meet(self, run: array[int], session: int) -> int:
-        shared, all_shared, key = 0, True, 0
+        """As `PrefixIndex.meet`."""
+        shared = 0
+        all_shared = True
+        key = 0
         for i, block in enumerate(run):
             key = xxh3_64_intdigest(block.to_bytes(8, "little"), key)
             owner = self.known.pop(key, None)
             if owner is None:
-                owner, all_shared = session, False
+                owner = session
+                all_shared = False
             elif owner != session and all_shared:
                 shared = i + 1
             else:
--- a/ternlane/chat/request.py
+++ b/ternlane/chat/request.py
@@ -8,7 +8,7 @@
 import msgspec
 
 ROLES = {"system", "developer", "user", "assistant", "tool", "function"}
-TOKENS_LIMIT = 10_000_000
+MAX_TOKENS = 10_000_000  # of an answer: more is a mistake, not a wish
 
 
 class InvalidRequestError(Exception):
@@ -16,11 +16,14 @@
 
     def __init__(self, param: str | None, why: str, code: str = "invalid_value", status: int = 400) -> None:
         super().__init__(why)
-        self.param, self.why, self.code, self.status = param, why, code, status
+        self.param = param
+        self.why = why
+        self.code = code
+        self.status = status
 
 
 @dataclass(slots=True)
-class ChatAsk:
+class ChatRequest:
     """A checked request. `raw` is the whole body: fields unknown here are passed on to the engines."""
 
     raw: dict[str, Any]
@@ -47,9 +50,11 @@
 
 
 def check_message(message: Any, at: str) -> None:
+    """Raises InvalidRequestError for a message that the API does not have; `at` is its place in the body."""
     if not isinstance(message, dict):
         raise InvalidRequestError(at, f"{at} must be an object", "invalid_type")
-    role, content = message.get("role"), message.get("content")
+    role = message.get("role")
+    content = message.get("content")
     if role not in ROLES:
         raise InvalidRequestError(f"{at}.role", f"{at}.role must be one of {', '.join(sorted(ROLES))}")
     if content is None:
@@ -57,19 +62,21 @@
             raise InvalidRequestError(f"{at}.content", f"{at}.content is required", "missing_required_parameter")
     elif isinstance(content, list):
         for i, part in enumerate(content):
-            if not isinstance(part, dict) or not isinstance(part.get("type"), str):
-                raise InvalidRequestError(
-                    f"{at}.content[{i}]", f"{at}.content[{i}] must be an object with a type", "invalid_type"
-                )
-            if part["type"] == "text" and not isinstance(part.get("text"), str):
-                raise InvalidRequestError(
-                    f"{at}.content[{i}].text", f"{at}.content[{i}].text must be a string", "invalid_type"
-                )
+            check_part(part, f"{at}.content[{i}]")
     elif not isinstance(content, str):
         raise InvalidRequestError(f"{at}.content", f"{at}.content must be a string or a list of parts", "invalid_type")
 
 
-def typed(raw: dict[str, Any], name: str, kind: type, what: str) -> Any:
+def check_part(part: Any, at: str) -> None:
+    """Raises InvalidRequestError for a part of a message's content that the API does not have."""
+    if not isinstance(part, dict) or not isinstance(part.get("type"), str):
+        raise InvalidRequestError(at, f"{at} must be an object with a type", "invalid_type")
+    if part["type"] == "text" and not isinstance(part.get("text"), str):
+        raise InvalidRequestError(f"{at}.text", f"{at}.text must be a string", "invalid_type")
+
+
+def optional_field(raw: dict[str, Any], name: str, kind: type, what: str) -> Any:
+    """A field's value, None where it is not given. Raises InvalidRequestError for another type."""
     value = raw.get(name)
     if value is None:
         return None
@@ -78,50 +85,87 @@
     return value
 
 
-def read_chat(body: bytes) -> ChatAsk:
-    """Raises InvalidRequestError, which names the field."""
+def parse_chat_request(body: bytes) -> ChatRequest:
+    """Checks a body. Raises InvalidRequestError, which names the first wrong field."""
+    raw = parse_object(body)
+    model = parse_model(raw)
+    messages = parse_messages(raw)
+    max_tokens = parse_max_tokens(raw)
+    if raw.get("n") not in (None, 1):
+        raise InvalidRequestError("n", "only one answer a request is given here: n must be 1", "unsupported_value")
+    stream = optional_field(raw, "stream", bool, "true or false") or False
+    include_usage = parse_include_usage(raw, stream)
+    return ChatRequest(
+        raw,
+        model,
+        messages,
+        stream,
+        include_usage,
+        max_tokens,
+        texts=canonical_texts(messages),
+        user=optional_field(raw, "user", str, "a string"),
+        cache_key=optional_field(raw, "prompt_cache_key", str, "a string"),
+    )
+
+
+def parse_object(body: bytes) -> dict[str, Any]:
+    """The body as a JSON object. Raises InvalidRequestError."""
     try:
         raw = msgspec.json.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
-        raise InvalidRequestError(None, f"the body is not JSON: {why}", "invalid_json") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidRequestError(None, f"the body is not JSON: {error}", "invalid_json") from None
     if not isinstance(raw, dict):
         raise InvalidRequestError(None, "the body must be a JSON object", "invalid_type")
-    model = typed(raw, "model", str, "a string")
+    return raw
+
+
+def parse_model(raw: dict[str, Any]) -> str:
+    """The model's name. Raises InvalidRequestError."""
+    model: str | None = optional_field(raw, "model", str, "a string")
     if not model:
         raise InvalidRequestError("model", "model is required", "missing_required_parameter")
-    messages = typed(raw, "messages", list, "a list")
+    return model
+
+
+def parse_messages(raw: dict[str, Any]) -> list[dict[str, Any]]:
+    """The messages, each checked. Raises InvalidRequestError."""
+    messages: list[dict[str, Any]] | None = optional_field(raw, "messages", list, "a list")
     if not messages:
         raise InvalidRequestError("messages", "messages must hold at least one message", "missing_required_parameter")
     for i, message in enumerate(messages):
         check_message(message, f"messages[{i}]")
+    return messages
+
+
+def parse_max_tokens(raw: dict[str, Any]) -> int | None:
+    """The lesser of the two limits that the API has; None for no limit. Raises InvalidRequestError."""
     limits = []
     for name in ("max_completion_tokens", "max_tokens"):
-        value = typed(raw, name, int, "a whole number")
-        if value is not None and not 1 <= value <= TOKENS_LIMIT:
-            raise InvalidRequestError(name, f"{name} must be from 1 to {TOKENS_LIMIT}", "integer_out_of_range")
-        if value is not None:
-            limits.append(value)
-    if raw.get("n") not in (None, 1):
-        raise InvalidRequestError("n", "only one answer a request is given here: n must be 1", "unsupported_value")
-    stream = typed(raw, "stream", bool, "true or false") or False
-    options = typed(raw, "stream_options", dict, "an object")
-    if options is not None and not stream:
+        value = optional_field(raw, name, int, "a whole number")
+        if value is None:
+            continue
+        if not 1 <= value <= MAX_TOKENS:
+            raise InvalidRequestError(name, f"{name} must be from 1 to {MAX_TOKENS}", "integer_out_of_range")
+        limits.append(value)
+    return min(limits, default=None)
+
+
+def parse_include_usage(raw: dict[str, Any], stream: bool) -> bool:
+    """Whether a stream ends with its usage. Raises InvalidRequestError."""
+    options = optional_field(raw, "stream_options", dict, "an object")
+    if options is None:
+        return False
+    if not stream:
         raise InvalidRequestError("stream_options", "stream_options goes with stream: true only")
-    usage = (options or {}).get("include_usage")
+    usage = options.get("include_usage")
     if usage is not None and not isinstance(usage, bool):
         raise InvalidRequestError("stream_options.include_usage", "include_usage must be true or false", "invalid_type")
+    return bool(usage)
+
+
+def canonical_texts(messages: list[dict[str, Any]]) -> list[bytes]:
+    """Each message in canonical form. Raises InvalidRequestError."""
     try:
-        texts = [canonical(m) for m in messages]
-    except (UnicodeEncodeError, TypeError) as why:
-        raise InvalidRequestError("messages", f"a message can't be read: {why}") from None
-    return ChatAsk(
-        raw,
-        model,
-        messages,
-        stream,
-        bool(usage),
-        min(limits, default=None),
-        typed(raw, "user", str, "a string"),
-        typed(raw, "prompt_cache_key", str, "a string"),
-        texts,
-    )
+        return [canonical(message) for message in messages]
+    except (UnicodeEncodeError, TypeError) as error:
+        raise InvalidRequestError("messages", f"a message can't be read: {error}") from None
--- a/ternlane/chat/answers.py
+++ b/ternlane/chat/response_body.py
@@ -6,12 +6,14 @@
 
 import msgspec
 
-from ternlane.chat.beyond import Beyond, More
+from ternlane.chat.message_extras import MessageExtras, Extras
 
 encode = msgspec.json.encode
 
 
 class ErrorInfo(msgspec.Struct):
+    """What went wrong, in the API's form."""
+
     message: str
     type: str
     param: str | None = None
@@ -19,15 +21,21 @@
 
 
 class ErrorBody(msgspec.Struct):
+    """The body of an answer that is an error."""
+
     error: ErrorInfo
 
 
 class Delta(msgspec.Struct, omit_defaults=True):
+    """What one event adds to the answer."""
+
     role: str | None = None
     content: str | None = None
 
 
 class Choice(msgspec.Struct):
+    """The one choice of an event."""
+
     index: int
     delta: Delta
     finish_reason: str | None
@@ -35,6 +43,8 @@
 
 
 class Chunk(msgspec.Struct, omit_defaults=True):
+    """One event of a stream."""
+
     id: str
     object: str
     created: int
@@ -43,7 +53,7 @@
     usage: Any = None
 
 
-TYPES = {
+ERROR_TYPES = {
     400: "invalid_request_error",
     401: "authentication_error",
     404: "invalid_request_error",
@@ -56,33 +66,36 @@
 
 
 def error_body(status: int, why: str, code: str | None, param: str | None = None) -> bytes:
-    return encode(ErrorBody(ErrorInfo(why, TYPES.get(status, "server_error"), param, code)))
+    """The body of an error: `code` and the field `param` as the API has them."""
+    return encode(ErrorBody(ErrorInfo(why, ERROR_TYPES.get(status, "server_error"), param, code)))
 
 
 def chunk(
-    ident: str, created: int, model: str, text: str | None, finish: str | None, first: bool, more: More | None = None
+    ident: str, created: int, model: str, text: str | None, finish: str | None, first: bool, more: Extras | None = None
 ) -> bytes:
     """One event; `more` is what it has besides the text."""
     if more:
-        said = {
-            **({"role": "assistant"} if first else {}),
-            **({"content": text} if text else {}),
-            **(more.get("delta") or {}),
-        }
-        return encode(
-            {
-                "id": ident,
-                "object": "chat.completion.chunk",
-                "created": created,
-                "model": model,
-                "choices": [{"index": 0, "delta": said, "finish_reason": finish, "logprobs": more.get("logprobs")}],
-            }
-        )
+        return extended_chunk(ident, created, model, text, finish, first, more)
     delta = Delta("assistant" if first else None, text)
     return encode(Chunk(ident, "chat.completion.chunk", created, model, [Choice(0, delta, finish)]))
 
 
+def extended_chunk(
+    ident: str, created: int, model: str, text: str | None, finish: str | None, first: bool, more: Extras
+) -> bytes:
+    """An event that has more than text."""
+    delta: dict[str, Any] = {"role": "assistant"} if first else {}
+    if text:
+        delta["content"] = text
+    delta.update(more.get("delta") or {})
+    choice = {"index": 0, "delta": delta, "finish_reason": finish, "logprobs": more.get("logprobs")}
+    return encode(
+        {"id": ident, "object": "chat.completion.chunk", "created": created, "model": model, "choices": [choice]}
+    )
+
+
 def usage_chunk(ident: str, created: int, model: str, usage: dict[str, Any]) -> bytes:
+    """The event that tells the usage of the whole."""
     return encode(
         {
             "id": ident,
@@ -96,10 +109,11 @@
 
 
 def answer_body(
-    ident: str, created: int, model: str, text: str, finish: str, usage: dict[str, Any], more: More | None = None
+    ident: str, created: int, model: str, text: str, finish: str, usage: dict[str, Any], more: Extras | None = None
 ) -> bytes:
-    beyond = Beyond()
-    beyond.add(more or {})
+    """A whole answer; `more` is what it has besides the text."""
+    extras = MessageExtras()
+    extras.add(more or {})
     return encode(
         {
             "id": ident,
@@ -107,7 +121,7 @@
             "created": created,
             "model": model,
             "choices": [
-                {"index": 0, "message": beyond.message(text), "logprobs": beyond.logprobs(), "finish_reason": finish}
+                {"index": 0, "message": extras.message(text), "logprobs": extras.logprobs(), "finish_reason": finish}
             ],
             "usage": usage,
         }
--- a/ternlane/chat/sessions.py
+++ b/ternlane/chat/session_index.py
@@ -9,14 +9,15 @@
 
 def chain(texts: list[bytes], root: bytes = b"") -> list[bytes]:
     """The hash of each beginning of a conversation: the i-th stands for messages 0 to i together."""
-    out, last = [], xxh3_128_digest(root)
+    hashes = []
+    last = xxh3_128_digest(root)
     for text in texts:
         last = xxh3_128_digest(last + text)
-        out.append(last)
-    return out
+        hashes.append(last)
+    return hashes
 
 
-class Sessions:
+class SessionIndex:
     """Ends of conversations seen lately, and whose they were. Holds `limit` at most, the oldest go first.
 
     A conversation is known by its last prompt and by that prompt with our answer. The next turn repeats both and
@@ -37,6 +38,7 @@
         return session
 
     def remember(self, end: bytes, session: str) -> None:
+        """A conversation that ends so is this session's."""
         self.ends[end] = session
         self.ends.move_to_end(end)
         if len(self.ends) > self.limit:
--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -4,7 +4,7 @@
         for text in client.stream({"model": "summary", "messages": [...]}):
             print(text, end="")
 
-It repeats as the JavaScript one does: after a throttle when it was told to; after a connection that was refused, as
+It repeats as the JavaScript one does: after a rejection when it was told to; after a connection that was refused, as
 nothing was sent; anything else only for requests said to be `idempotent`; never a stream that has begun.
 """
 
@@ -21,6 +21,11 @@
 import httpx
 
 
+DEFAULT_RETRY_AFTER_MS = 500.0  # after a rejection that does not say when to come back
+FIRST_BACKOFF_MS = 100.0  # doubled with each further try
+BACKOFF_JITTER = 0.1  # share of a pause, so that clients do not come back together
+
+
 class ClientError(Exception):
     """`may_have_run`: an effect may have happened. `begun`: part of a stream had come."""
 
@@ -35,8 +40,12 @@
         retry_after_ms: float | None = None,
     ) -> None:
         super().__init__(why)
-        self.status, self.code, self.param = status, code, param
-        self.may_have_run, self.begun, self.retry_after_ms = may_have_run, begun, retry_after_ms
+        self.status = status
+        self.code = code
+        self.param = param
+        self.may_have_run = may_have_run
+        self.begun = begun
+        self.retry_after_ms = retry_after_ms
 
 
 class RequestError(ClientError):
@@ -56,6 +65,7 @@
 
 
 def failure(response: httpx.Response) -> ClientError:
+    """The error that an answer without success stands for."""
     try:
         info = response.json().get("error") or {}
     except (ValueError, AttributeError):
@@ -70,16 +80,17 @@
 
 
 def return_ms(headers: httpx.Headers) -> float:
+    """When to come back, in ms."""
     for name, scale in (("retry-after-ms", 1.0), ("retry-after", 1000.0)):
         try:
             return max(0.0, float(headers[name]) * scale)
         except (KeyError, ValueError):
             continue
-    return 500.0
+    return DEFAULT_RETRY_AFTER_MS
 
 
 class Client:
-    """`retries`: further tries at the most. A longer return time than `longest_pause_ms` is not waited for."""
+    """`retries`: further tries at the most. A longer return time than `max_retry_after_ms` is not waited for."""
 
     def __init__(
         self,
@@ -91,7 +102,8 @@
     ) -> None:
         headers = {"authorization": f"Bearer {api_key}"} if api_key else {}
         self.http = httpx.Client(base_url=base_url.rstrip("/"), headers=headers, timeout=timeout_s)
-        self.retries, self.max_retry_after_ms = retries, max_retry_after_ms
+        self.retries = retries
+        self.max_retry_after_ms = max_retry_after_ms
 
     def __enter__(self) -> Client:
         return self
@@ -109,7 +121,7 @@
         if request_timeout_ms:
             headers["x-ternlane-time-limit-ms"] = f"{request_timeout_ms:.1f}"
         for attempt in range(self.retries + 1):
-            pause = 100.0 * 2**attempt
+            pause = FIRST_BACKOFF_MS * 2**attempt
             try:
                 response = self.http.send(
                     self.http.build_request("POST", "/v1/chat/completions", json=body, headers=headers), stream=True
@@ -136,7 +148,7 @@
                 or not (harmless or (idempotent and error.may_have_run))
             ):
                 raise error
-            time.sleep(pause * (1 + 0.1 * random.random()) / 1000)
+            time.sleep(pause * (1 + BACKOFF_JITTER * random.random()) / 1000)
 
     def stream(
         self,
@@ -145,7 +157,7 @@
         idempotent: bool = False,
         request_timeout_ms: float | None = None,
     ) -> Iterator[str]:
-        """The text, piece by piece. Leaving the loop and closing the iterator ends the generation at the gateway."""
+        """The text, piece by piece. Leaving the loop and closing the iterator ends the request at the gateway."""
         begun = done = False
         with self.answer(request, True, key, idempotent, request_timeout_ms) as response:
             try:
@@ -183,6 +195,7 @@
         return {"text": choice["message"]["content"], "finish": choice["finish_reason"], "usage": said["usage"]}
 
     def models(self) -> list[str]:
+        """The names under which the gateway offers models."""
         response = self.http.get("/v1/models")
         if response.status_code != 200:
             raise failure(response)
--- a/ternlane/discovery/consul.py
+++ b/ternlane/discovery/consul.py
@@ -14,11 +14,15 @@
 
 
 class Check(msgspec.Struct, rename="pascal"):
+    """A health check of a service or of its node."""
+
     status: str = "passing"
     check_id: str = msgspec.field(default="", name="CheckID")
 
 
 class Service(msgspec.Struct, rename="pascal"):
+    """A registered model server."""
+
     address: str
     port: int
     ident: str = msgspec.field(name="ID")
@@ -26,19 +30,24 @@
 
 
 class Node(msgspec.Struct, rename="pascal", frozen=True):
+    """The machine of a service; its address counts where the service has none."""
+
     address: str = ""
 
 
 class Entry(msgspec.Struct, rename="pascal"):
+    """One service with its checks."""
+
     service: Service
     checks: list[Check] = []
     node: Node = Node()
 
 
-entries = msgspec.json.Decoder(list[Entry])
+decode_entries = msgspec.json.Decoder(list[Entry]).decode
 
 
 def state_of(checks: list[Check]) -> str:
+    """The state of a node line, by the checks of its service."""
     for check in checks:
         if "_maintenance" in check.check_id and check.status == "critical":
             return "draining"
@@ -47,9 +56,11 @@
 
 def nodes_from_health(body: bytes) -> tuple[list[NodeLine], list[str]]:
     """Node lines, and why entries were left out. Raises ValueError if the whole can't be read."""
-    lines, left_out = [], []
-    for entry in entries.decode(body):
-        service, meta = entry.service, entry.service.meta
+    lines = []
+    left_out = []
+    for entry in decode_entries(body):
+        service = entry.service
+        meta = service.meta
         address = f"{service.address or entry.node.address}:{service.port}"
         raw: dict[str, Any] = {
             "id": service.ident,
--- a/ternlane/discovery/endpoint_registry.py
+++ b/ternlane/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Node lines become the Server objects that host and decisions share. Free of I/O."""
+"""Node lines become the Server objects that runtime and decisions share. Free of I/O."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
-    """A server's id and address, for the door and the legs alone."""
+class Endpoint:
+    """A server's id and address, which the decisions do not see."""
 
     ident: str
     address: str
@@ -23,46 +23,65 @@
 
 
 class EndpointRegistry:
-    """`wall` gives seconds since 1970 and `now` the router's milliseconds, both of the same moment."""
+    """The listed servers by their ids, and their endpoints. `wall` gives seconds since 1970 and `now` the router's
+    milliseconds, both of the same moment."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
-        self.places: dict[Server, Place] = {}
+        self.endpoints: dict[Server, Endpoint] = {}
 
-    def whole(self, lines: Iterable[NodeLine], wall: float, now: float) -> EndpointsUpdated:
-        """A whole list: what it leaves out is gone. Only what changed is told."""
-        news, named = [], set()
+    def update(self, lines: Iterable[NodeLine], wall: float, now: float) -> EndpointsUpdated:
+        """A whole list: what it leaves out is removed. Only what changed is told."""
+        changed: list[Server] = []
+        listed: set[str] = set()
         for line in lines:
-            named.add(line.id)
+            listed.add(line.id)
             server = self.servers.get(line.id)
-            place = None if server is None else self.places[server]
-            if server is not None and place is not None and place.line == line:
+            if server is not None and self.endpoints[server].line == line:
                 continue
-            if server is None or server.role is not ROLES[line.role]:  # another duty makes it another server
+            if server is None or server.role is not ROLES[line.role]:  # another role makes it another server
                 if server is not None:
                     server.status = EndpointStatus.REMOVED
-                    news.append(server)
-                server = self.servers[line.id] = Server(
-                    line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, hash_key=crc32(line.id.encode())
-                )
-            server.zone, server.cell, server.kv_capacity_tokens, server.size = (
-                line.zone,
-                line.cell,
-                line.kv_capacity_tokens,
-                line.size,
-            )
-            server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
-            server.status = STATUSES[line.state]
-            self.places[server] = Place(line.id, line.address, line)
-            news.append(server)
+                    changed.append(server)
+                server = self.add(line)
+            self.apply(server, line, wall, now)
+            changed.append(server)
+        changed.extend(self.remove_unlisted(listed))
+        return EndpointsUpdated(tuple(changed))
+
+    def add(self, line: NodeLine) -> Server:
+        """A server that was not listed before, or not in this role."""
+        server = Server(
+            line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, hash_key=crc32(line.id.encode())
+        )
+        self.servers[line.id] = server
+        return server
+
+    def apply(self, server: Server, line: NodeLine, wall: float, now: float) -> None:
+        """Sets what a line says of a server."""
+        server.zone = line.zone
+        server.cell = line.cell
+        server.kv_capacity_tokens = line.kv_capacity_tokens
+        server.size = line.size
+        server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
+        server.status = STATUSES[line.state]
+        self.endpoints[server] = Endpoint(line.id, line.address, line)
+
+    def remove_unlisted(self, listed: set[str]) -> list[Server]:
+        """Removes the servers that a list leaves out. One that comes back is another line, and told anew."""
+        removed = []
         for ident, server in self.servers.items():
-            if ident not in named and server.status is not EndpointStatus.REMOVED:
-                server.status = EndpointStatus.REMOVED
-                self.places[server].line = NodeLine(
-                    id=ident, address=self.places[server].address, role="both", kv_capacity_tokens=1, state="gone"
-                )
-                news.append(server)
-        return EndpointsUpdated(tuple(news))
+            if ident in listed or server.status is EndpointStatus.REMOVED:
+                continue
+            server.status = EndpointStatus.REMOVED
+            endpoint = self.endpoints[server]
+            endpoint.line = NodeLine(
+                id=ident, address=endpoint.address, role="both", kv_capacity_tokens=1, state="gone"
+            )
+            removed.append(server)
+        return removed
 
     def lines(self) -> list[NodeLine]:
-        return [self.places[s].line for s in self.servers.values() if s.status is not EndpointStatus.REMOVED]
+        """The lines of all servers that are listed."""
+        listed = (server for server in self.servers.values() if server.status is not EndpointStatus.REMOVED)
+        return [self.endpoints[server].line for server in listed]
--- a/ternlane/discovery/follow.py
+++ b/ternlane/discovery/follow.py
@@ -18,18 +18,24 @@
 from ternlane.config import ConsulSource, FileSource, NodeLine, ConfigError, read_text
 from ternlane.config.gateway import ConfigDocument
 
-LIST_LIMIT = 64 * 2**20
+MAX_LIST_BYTES = 64 * 2**20  # of Consul's answer: more is no list of servers
+CONNECT_TIMEOUT_MS = 1000.0  # Consul's agent is near
+MAX_BACKOFF = 8  # times the first pause: a source that comes back must be noticed soon
+WAIT_JITTER = 1.1  # Consul may lengthen a wait by 1/16
+ANSWER_TIME_MS = 2000  # beside the wait itself
 
-Found = Callable[[list[NodeLine]], None]
-Failed = Callable[[str], None]
+OnList = Callable[[list[NodeLine]], None]
+OnFailure = Callable[[str], None]
 
 
 class NodeFile(ConfigDocument, frozen=True, kw_only=True):
+    """The document of a followed file."""
+
     nodes: list[NodeLine]
 
 
 def read_nodes(text: str, name: str) -> list[NodeLine]:
-    """Raises PaperError, also for an id that is given twice."""
+    """Raises ConfigError, also for an id that is given twice."""
     lines = read_text(text, NodeFile, name).nodes
     seen: set[str] = set()
     for i, line in enumerate(lines):
@@ -39,32 +45,35 @@
     return lines
 
 
-async def follow_file(source: FileSource, found: Found, failed: Failed) -> None:
+async def follow_file(source: FileSource, found: OnList, failed: OnFailure) -> None:
     """Looks at the file's identity, size and time; reads it when they have changed."""
-    path, last = Path(source.path), None
+    path = Path(source.path)
+    last = None
     while True:
         try:
             stat = os.stat(path)
-            mark = stat.st_ino, stat.st_size, stat.st_mtime_ns
-            if mark != last:
+            identity = stat.st_ino, stat.st_size, stat.st_mtime_ns
+            if identity != last:
                 found(read_nodes(path.read_text(encoding="utf-8"), str(path)))
-                last = mark
+                last = identity
         except (OSError, UnicodeDecodeError, ConfigError) as why:
             failed(str(why))
         await trio.sleep(source.look_ms / 1000)
 
 
-async def follow_consul(source: ConsulSource, found: Found, failed: Failed, agent: str) -> None:
+async def follow_consul(source: ConsulSource, found: OnList, failed: OnFailure, agent: str) -> None:
     """Blocking queries. An index that goes back or to nought starts anew, as the API's description asks."""
-    pool, index, pause = ConnectionPool(1000.0, 2 * source.wait_ms), 0, source.retry_ms
+    pool = ConnectionPool(CONNECT_TIMEOUT_MS, 2 * source.wait_ms)
+    index = 0
+    pause_ms = source.retry_ms
     try:
         while True:
             try:
-                with trio.fail_after((source.wait_ms * 1.1 + 2000) / 1000):  # the wait may be lengthened by 1/16
+                with trio.fail_after((source.wait_ms * WAIT_JITTER + ANSWER_TIME_MS) / 1000):
                     index, lines = await ask_consul(pool, source, index, agent, failed)
                 if lines is not None:
                     found(lines)
-                pause = source.retry_ms
+                pause_ms = source.retry_ms
             except (
                 ConnectError,
                 OSError,
@@ -76,23 +85,25 @@
             ) as why:
                 failed(f"{source.address}: {why!r}")
                 index = 0  # it may have restarted with another count
-                await trio.sleep(pause / 1000)
-                pause = min(2 * pause, 8 * source.retry_ms)
+                await trio.sleep(pause_ms / 1000)
+                pause_ms = min(2 * pause_ms, MAX_BACKOFF * source.retry_ms)
     finally:
         pool.close()
 
 
 async def ask_consul(
-    pool: ConnectionPool, source: ConsulSource, index: int, agent: str, failed: Failed
+    pool: ConnectionPool, source: ConsulSource, index: int, agent: str, failed: OnFailure
 ) -> tuple[int, list[NodeLine] | None]:
-    caller = await pool.take(source.address)
+    """One blocking query: the next index, and the list or None for nothing new. Raises ValueError, and what a
+    connection raises."""
+    connection = await pool.take(source.address)
     try:
         target = f"/v1/health/service/{source.service}?index={index}&wait={source.wait_ms:.0f}ms"
-        head = await caller.ask("GET", target, [("User-Agent", agent)])
-        body = await caller.body(LIST_LIMIT)
-        pool.give_back(caller)
+        head = await connection.ask("GET", target, [("User-Agent", agent)])
+        body = await connection.body(MAX_LIST_BYTES)
+        pool.give_back(connection)
     except BaseException:
-        caller.close_now()
+        connection.close_now()
         raise
     if head.status_code != 200:
         raise ValueError(f"status {head.status_code}")
--- a/ternlane/embed/__init__.py
+++ b/ternlane/embed/__init__.py
@@ -1,4 +1,4 @@
-"""Routing inside a program: no door, no daemon, and with a transport of the caller's no socket either."""
+"""Routing inside a program: no HTTP server, no daemon, and with a transport of the caller's no socket either."""
 
 from ternlane.embed.blocking import Blocking, Bridged
 from ternlane.embed.routing import Routing, Stream, FailedError, RejectedError, open_routing
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -5,6 +5,7 @@
 import asyncio
 import queue
 import threading
+from contextlib import suppress
 from types import TracebackType
 from typing import Any, AsyncIterator, Callable, Iterator
 
@@ -15,8 +16,50 @@
 from ternlane.engine import Transport
 from ternlane.config import GatewayConfig
 
-END = object()
-AHEAD = 64  # pieces that wait for a slow caller; beyond that the writer waits
+END = object()  # after the last piece
+MAX_PIECES_AHEAD = 64  # that wait for a slow caller; beyond that the decode server waits
+FULL_QUEUE_POLL_S = 0.002  # while a slow caller's queue is full
+ROUTER_CHECK_S = 0.5  # between two looks whether the router's thread still runs
+
+
+def cancel_from_thread(scope: trio.CancelScope, token: trio.lowlevel.TrioToken) -> None:
+    """Cancels a scope of the router's thread; nothing where that has ended."""
+    with suppress(trio.RunFinishedError):
+        trio.from_thread.run_sync(scope.cancel, trio_token=token)
+
+
+class BlockingCall:
+    """One request between a thread that asks and the router's thread."""
+
+    def __init__(self, request: dict[str, Any], request_timeout_ms: float | None) -> None:
+        self.request = request
+        self.request_timeout_ms = request_timeout_ms
+        self.pieces: queue.Queue[Any] = queue.Queue(maxsize=MAX_PIECES_AHEAD)
+        self.scope = trio.CancelScope()
+        self.caller_gone = threading.Event()
+
+    async def route(self, routing: Routing) -> None:
+        """Runs in the router's thread; what ends the request comes last."""
+        end: Any = END
+        try:
+            with self.scope:
+                async with routing.request(self.request, self.request_timeout_ms) as stream:
+                    async for text in stream:
+                        await self._put(text)
+        except Exception as error:
+            end = error
+        finally:
+            with trio.CancelScope(shield=True):
+                await self._put(end)
+
+    async def _put(self, piece: Any) -> None:
+        """Waits for a slow caller without holding the loop."""
+        while not self.caller_gone.is_set():
+            try:
+                self.pieces.put_nowait(piece)
+                return
+            except queue.Full:
+                await trio.sleep(FULL_QUEUE_POLL_S)
 
 
 class Blocking(RenamedMethods):
@@ -29,7 +72,9 @@
     _RENAMED_METHODS = {"generation": "request"}
 
     def __init__(self, config: GatewayConfig, make_transport: Callable[[], Transport], log: Any = None) -> None:
-        self.config, self.make_transport, self.log = config, make_transport, log
+        self.config = config
+        self.make_transport = make_transport
+        self.log = log
         self.ready = threading.Event()
         self.token: trio.lowlevel.TrioToken | None = None
         self.routing: Routing | None = None
@@ -67,61 +112,36 @@
         token = self.token
         if token is None:
             raise RuntimeError("the router has ended")
-        pieces: queue.Queue[Any] = queue.Queue(maxsize=AHEAD)
-        scope = trio.CancelScope()
-        gone = threading.Event()
-
-        async def put(piece: Any) -> None:
-            while not gone.is_set():  # a slow caller holds its pieces, not the loop
-                try:
-                    pieces.put_nowait(piece)
-                    return
-                except queue.Full:
-                    await trio.sleep(0.002)
-
-        async def route() -> None:
-            assert self.routing is not None
-            end: Any = END
-            try:
-                with scope:
-                    async with self.routing.request(request, request_timeout_ms) as stream:
-                        async for text in stream:
-                            await put(text)
-            except Exception as why:
-                end = why
-            finally:
-                with trio.CancelScope(shield=True):
-                    await put(end)
-
-        trio.from_thread.run_sync(trio.lowlevel.spawn_system_task, route, trio_token=token)
+        call = BlockingCall(request, request_timeout_ms)
+        assert self.routing is not None
+        trio.from_thread.run_sync(trio.lowlevel.spawn_system_task, call.route, self.routing, trio_token=token)
         try:
-            while True:
-                try:
-                    piece = pieces.get(timeout=0.5)
-                except queue.Empty:
-                    if self.token is None:
-                        raise RuntimeError("the router has ended") from self.failed
-                    continue
-                if piece is END:
-                    return
-                if isinstance(piece, BaseException):
-                    raise piece
-                yield piece
+            yield from self._pieces_of(call)
         finally:
-            gone.set()
+            call.caller_gone.set()
             if self.token is not None:
-                try:
-                    trio.from_thread.run_sync(scope.cancel, trio_token=token)
-                except trio.RunFinishedError:
-                    pass
+                cancel_from_thread(call.scope, token)
+
+    def _pieces_of(self, call: BlockingCall) -> Iterator[str]:
+        """The pieces of a call until its end. Raises what ended it, and RuntimeError once the router has ended."""
+        while True:
+            try:
+                piece = call.pieces.get(timeout=ROUTER_CHECK_S)
+            except queue.Empty:
+                if self.token is None:
+                    raise RuntimeError("the router has ended") from self.failed
+                continue
+            if piece is END:
+                return
+            if isinstance(piece, BaseException):
+                raise piece
+            yield piece
 
     def __exit__(self, kind: type[BaseException] | None, why: BaseException | None, at: TracebackType | None) -> None:
-        token, scope = self.token, self.scope
+        token = self.token
+        scope = self.scope
         if token is not None and scope is not None:
-            try:
-                trio.from_thread.run_sync(scope.cancel, trio_token=token)
-            except trio.RunFinishedError:
-                pass
+            cancel_from_thread(scope, token)
         if self.thread is not None:
             self.thread.join()
         if self.failed is not None and kind is None:
@@ -134,7 +154,8 @@
 
     async def agenerate(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
         """`request` for an asyncio task. Cancelling the task is a client's leaving."""
-        loop, pieces = asyncio.get_running_loop(), self.request(request, request_timeout_ms)
+        loop = asyncio.get_running_loop()
+        pieces = self.request(request, request_timeout_ms)
         pending: asyncio.Future[Any] | None = None
         try:
             while True:
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -6,11 +6,12 @@
                 ...
 
 When the outer block ends nothing is left: no task, timer, descriptor or module state. Leaving the inner block early is
-what a client's leaving is to a gateway: the legs are called off and everything held is released.
+what a client's leaving is to a gateway: the attempts are cancelled and everything held is released.
 """
 
 from __future__ import annotations
 
+import time
 from contextlib import asynccontextmanager
 from itertools import count
 from typing import Any, AsyncIterator, Callable
@@ -18,13 +19,13 @@
 import msgspec
 import trio
 
-from ternlane.chat import ChatAsk, Intake, read_chat
-from ternlane.chat.beyond import More
+from ternlane.chat import ChatRequest, RequestIntake, parse_chat_request
+from ternlane.chat.message_extras import Extras
 from ternlane.policy.router import Router
 from ternlane.embed.renamed_methods import RenamedMethods
 from ternlane.engine import Transport
-from ternlane.gateway.router_config import offer_of
-from ternlane.gateway.host import Host
+from ternlane.gateway.router_config import configure_models
+from ternlane.gateway.runtime import GatewayRuntime
 from ternlane.gateway.logs import library_log
 from ternlane.gateway.metrics import GatewayMetrics
 from ternlane.gateway.active_request import ResponseWriter, Streamed, Failed, Rejected, ActiveRequest
@@ -51,17 +52,17 @@
 
 
 class Stream(ResponseWriter):
-    """The text of one generation, piece by piece. `usage` and `finish` are there once it has ended."""
+    """The text of one request, piece by piece. `usage` and `finish` are there once it has ended."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.sends, self.gets = trio.open_memory_channel[str](0)  # the writer waits for a slow reader
+        self.sends, self.gets = trio.open_memory_channel[str](0)  # the decode server waits for a slow caller
         self.active_request: ActiveRequest | None = None
         self.usage: dict[str, Any] = {}
         self.finish = ""
 
-    async def piece(self, text: str, first: bool, more: More | None = None) -> None:
-        """The host's side: waits until the reader has taken it."""
+    async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
+        """The runtime's side: waits until the reader has taken it."""
         await self.sends.send(text)
 
     def __aiter__(self) -> AsyncIterator[str]:
@@ -99,14 +100,17 @@
         chooser: Callable[[RouterConfig], RouterProtocol],
         log: Any,
     ) -> None:
-        self.config, self.count, self.offer, self.book = config, count(1), offer_of(config), EndpointRegistry()
-        self.router_config = self.offer.router_config
-        self.intake = Intake(self.offer.models, self.offer.max_tokens, config.door.session_limit)
-        self.host = Host(
+        self.config = config
+        self.count = count(1)
+        self.configured = configure_models(config)
+        self.registry = EndpointRegistry()
+        self.router_config = self.configured.router_config
+        self.intake = RequestIntake(self.configured.models, self.configured.max_tokens, config.door.session_limit)
+        self.runtime = GatewayRuntime(
             chooser(self.router_config),
             self.router_config,
             transport,
-            self.book,
+            self.registry,
             self.intake,
             nursery,
             GatewayMetrics(),
@@ -116,43 +120,45 @@
 
     def nodes(self, lines: list[NodeLine]) -> None:
         """The whole list of model servers, now and whenever it changes."""
-        import time
-
-        self.host.listed(self.book.whole(lines, time.time(), now_ms()))
+        self.runtime.endpoints_changed(self.registry.update(lines, time.time(), now_ms()))
 
     def alter(self, config: GatewayConfig) -> None:
-        """Takes over `products`, `fleet`, `gateways`, `zone` and inline nodes of another paper, and back by the same
-        call; what was taken in keeps its product's terms. Raises ConfigError, and then nothing has changed."""
+        """Takes over request classes, `fleet`, `gateways`, `zone` and inline nodes of another config, and back by the
+        same call; what was taken in keeps its request class. Raises ConfigError, and then nothing has changed."""
         self.config = checked(config)
-        self.offer = offer_of(self.config, self.offer.request_classes)
-        self.router_config = self.offer.router_config
-        self.host.alter(self.offer)
+        self.configured = configure_models(self.config, self.configured.request_classes)
+        self.router_config = self.configured.router_config
+        self.runtime.alter(self.configured)
         if isinstance(self.config.nodes, InlineSource):
             self.nodes(self.config.nodes.nodes)
 
     @asynccontextmanager
     async def request(
-        self, request: dict[str, Any] | ChatAsk, request_timeout_ms: float | None = None, key: str | None = None
+        self, request: dict[str, Any] | ChatRequest, request_timeout_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
         """`request` as the chat API has it; `request_timeout_ms` at most the deadline of its request class; `key` under
         which engines drop repeats. Raises InvalidRequestError, which names the field, before anything is sent."""
-        ask = request if isinstance(request, ChatAsk) else read_chat(msgspec.json.encode(request))
-        request_class = self.intake.models.get(ask.model)
-        limit = request_class.deadline_ms if request_class is not None else 0.0
-        known = self.intake.take(ask, limit if request_timeout_ms is None else min(limit, request_timeout_ms))
-        known.request.whole = False  # the caller sees the text as it comes
-        stream, ident = Stream(), f"{self.config.name}-{next(self.count)}"
-        active_request = stream.active_request = ActiveRequest(
-            ident, ask, known, stream, now_ms(), key or ident, self.host.join_for(ask.raw, known.request)
-        )
+        chat_request = request
+        if not isinstance(chat_request, ChatRequest):
+            chat_request = parse_chat_request(msgspec.json.encode(chat_request))
+        request_class = self.intake.models.get(chat_request.model)
+        deadline_ms = request_class.deadline_ms if request_class is not None else 0.0
+        client_timeout_ms = deadline_ms if request_timeout_ms is None else min(deadline_ms, request_timeout_ms)
+        record = self.intake.take(chat_request, client_timeout_ms)
+        record.request.whole = False  # the caller sees the text as it comes
+        ident = f"{self.config.name}-{next(self.count)}"
+        join = self.runtime.join_for(chat_request.raw, record.request)
+        stream = Stream()
+        active_request = ActiveRequest(ident, chat_request, record, stream, now_ms(), key or ident, join)
+        stream.active_request = active_request
         active_request.when_over = stream.sends.close
         try:
-            self.host.arrived(active_request)
+            self.runtime.arrived(active_request)
             yield stream
         finally:
             stream.gets.close()
             if active_request.final is None:
-                self.host.client_left(active_request)
+                self.runtime.client_left(active_request)
 
 
 @asynccontextmanager
@@ -162,14 +168,14 @@
     chooser: Callable[[RouterConfig], RouterProtocol] = Router,
     log: Any = None,
 ) -> AsyncIterator[Routing]:
-    """A router without a door. Inline nodes of the paper are listed at once; others by `Routing.nodes`. Raises
+    """A router without a server. Inline nodes of the config are listed at once; others by `Routing.nodes`. Raises
     ConfigError for settings that no document could hold."""
     config = checked(config)
     async with trio.open_nursery() as nursery:
         routing = Routing(config, transport, nursery, chooser, log or library_log())
         if isinstance(config.nodes, InlineSource):
             routing.nodes(config.nodes.nodes)
-        nursery.start_soon(routing.host.clock)
+        nursery.start_soon(routing.runtime.clock)
         try:
             yield routing
         finally:
--- a/ternlane/engine/local_transport.py
+++ b/ternlane/engine/local_transport.py
@@ -26,6 +26,7 @@
         result = AttemptResult(AttemptOutcome.TIMED_OUT)
 
         async def call() -> None:
+            """The engine's own code."""
             prefill = await self._engine(ask).read(ask)
             result.outcome = AttemptOutcome.PREFILLED
             result.state = prefill.state
@@ -40,6 +41,7 @@
         last_s = trio.current_time() + ask.plan.total_timeout_ms / 1000
 
         async def call() -> None:
+            """The engine's own code, and the client's side of each piece."""
             pieces = self._engine(ask).write(ask)
             try:
                 written = await self._forward(pieces, ask, result, pass_on, last_s)
--- a/ternlane/engine/prefill_attempt.py
+++ b/ternlane/engine/prefill_attempt.py
@@ -15,6 +15,7 @@
     result = AttemptResult(AttemptOutcome.TIMED_OUT)
 
     async def exchange() -> None:
+        """One request and its answer."""
         connection = await take_connection(pool, plan)
         try:
             head = await connection.ask("POST", CHAT_PATH, plan.headers, plan.body)
--- a/ternlane/engine/stream_attempt.py
+++ b/ternlane/engine/stream_attempt.py
@@ -45,6 +45,7 @@
                 connection.close_now()
 
     async def exchange(self, connection: ClientConnection) -> None:
+        """Sends the request, and notes in `result` how its answer ended."""
         head = await connection.ask("POST", CHAT_PATH, self.plan.headers, self.plan.body)
         if record_rejection(head, self.result):
             await connection.body(MAX_RESPONSE_BYTES)
@@ -88,6 +89,7 @@
         return True
 
     async def take_choice(self, choice: StreamChoice) -> None:
+        """Passes on what the event adds to the answer."""
         self.result.finish = choice.finish_reason or self.result.finish
         text = choice.delta.content if choice.delta is not None else None
         extras = choice.extras()
--- a/ternlane/gateway/__init__.py
+++ b/ternlane/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""The running gateway: a door for clients, a host for the decisions, legs to the model servers."""
+"""The running chat gateway: an HTTP API for clients, a runtime for the decisions, attempts at the model servers."""
 
 from ternlane.gateway.gateway import Gateway, open_gateway
-from ternlane.gateway.host import Host
+from ternlane.gateway.runtime import GatewayRuntime
 
-__all__ = ["Gateway", "Host", "open_gateway"]
+__all__ = ["Gateway", "GatewayRuntime", "open_gateway"]
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -1,4 +1,4 @@
-"""One generation on the gateway, between its client and the decisions."""
+"""One request on the gateway, between its client and the decisions."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import trio
 
-from ternlane.chat import ChatAsk, Keep, Known, kept_for_repeats
-from ternlane.chat.beyond import Beyond, More
+from ternlane.chat import ChatRequest, RepeatPolicy, IntakeRecord, repeat_policy
+from ternlane.chat.message_extras import MessageExtras, Extras
 from ternlane.engine import AttemptPlan
 from ternlane.policy.messages import Request, Server
 from ternlane.recovery import StreamJoin
@@ -27,85 +27,96 @@
     text: str
     finish: str
     usage: dict[str, Any]
-    more: More | None = None  # besides the text
+    more: Extras | None = None  # besides the text
 
 
 Final = Rejected | Failed | Streamed
 
 
 class ResponseWriter(ABC):
-    """Where a generation's text goes; the door's answers are its kinds. `extra`: further fields of its head."""
+    """Where a request's text goes. `extra`: further fields of its head."""
 
     def __init__(self) -> None:
         self.extra: list[tuple[str, str]] = []
 
     @abstractmethod
-    async def piece(self, text: str, first: bool, more: More | None = None) -> None: ...
+    async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
+        """Takes one piece; `more` is what it has besides text."""
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """`final` is set once, by the host; the door, which watches for the client's leaving, is then woken."""
+    """One request in flight. `final` is set once, by the runtime; the chat API, which watches for the client's leaving,
+    is then woken. Times are in ms of the event loop's clock."""
 
     ident: str
-    ask: ChatAsk
-    known: Known
+    chat_request: ChatRequest
+    intake_record: IntakeRecord
     response_writer: ResponseWriter
     since: float
     key: str  # under which engines drop repeats
-    join: StreamJoin  # its text, over all legs
+    join: StreamJoin  # its text, over all attempts
     repeat_key: str = ""  # Idempotency-Key with its owner; "": none
     mark: bytes = b""  # digest of the body
     noted: str = ""  # its name in the journal
-    hold: Any = None  # tenants.Hold, settled when the ticket is done
-    made: list[Used] = field(default_factory=list)  # by each leg, as far as it is known
+    hold: Any = None  # tenants.Hold, settled when the request is done
+    made: list[Used] = field(default_factory=list)  # by each attempt, as far as it is known
     final: Final | None = None
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
     when_over: Callable[[], None] = lambda: None
-    left: bool = False
-    taken: float = 0.0  # by the decisions, ms
+    left: bool = False  # the client has gone
+    taken: float = 0.0  # when the decisions heard of it
     begun: bool = False  # the client has a part
-    flowing: bool = False  # the present leg streams
+    flowing: bool = False  # the present attempt streams
     prompt_said: int = 0  # tokens of the prompt, by the first engine that said
-    kept_said: int = 0  # of them found kept
-    broke_at: int | None = None  # legs in `made` when its stream broke first
+    kept_said: int = 0  # of them found cached
+    broke_at: int | None = None  # attempts in `made` when its stream broke first
     attempt: AttemptPlan | None = None
     attempts: int = 0
-    trail: list[str] = field(default_factory=list)  # server and verdict of each leg
+    trail: list[str] = field(default_factory=list)  # server, stage and outcome of each attempt
     why: str = ""
-    beyond: Beyond = field(default_factory=Beyond)  # its text apart
-    state: dict[str, Any] | None = None  # as the reader gave it, to hand to a writer
+    extras: MessageExtras = field(default_factory=MessageExtras)  # of the answer, besides its text
+    state: dict[str, Any] | None = None  # as the prefill server gave it, to hand to a decode server
     holders: dict[Server, None] = field(default_factory=dict)  # servers that may hold a state for it
 
     @property
     def request(self) -> Request:
-        return self.known.request
+        """The request as the decisions see it."""
+        return self.intake_record.request
+
+    @property
+    def is_over(self) -> bool:
+        """Has it its final answer, or has its client gone? Nothing is owed any more."""
+        return self.final is not None or self.left
 
     @property
     def unanswered(self) -> bool:
+        """Is its client there, and has nothing of its answer yet?"""
         return self.final is None and not self.left and not self.begun
 
     @property
     def deadline_ms(self) -> float:
+        """By when its client has to have the answer."""
         return self.taken + self.request.client_timeout_ms
 
     @property
     def pieces(self) -> list[str]:
+        """The text that the client has, as it came."""
         return self.join.pieces
 
     def for_repeats(self) -> Final | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else self.final.recorded_as
-        match kept_for_repeats(self.request.request_class.effect, outcome, self.attempts):
-            case Keep.NOTHING:
+        match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
+            case RepeatPolicy.NOTHING:
                 return None
-            case Keep.UNSURE:
+            case RepeatPolicy.UNSURE:
                 return Failed("the first client left; it may have run")
         return self.final
 
     def settle(self, final: Final) -> bool:
         """The one final answer; a second one is refused."""
-        if self.final is not None or self.left:
+        if self.is_over:
             return False
         self.final = final
         self.watch.cancel()
--- /dev/null
+++ b/ternlane/gateway/api_errors.py
@@ -0,0 +1,52 @@
+"""Why the chat API does not take a request that is valid as it stands."""
+
+from __future__ import annotations
+
+from ternlane.tenants import RejectReason
+from ternlane.tenants.usage_accounting import wait_s
+
+DEFAULT_BUDGET_WAIT_MS = 1000.0  # where the budget does not say when it has room again
+MAX_BUDGET_WAIT_MS = 1e9  # a bound on what is said to clients, not on what is waited for
+
+BUDGETS = {
+    "minute": "tokens a minute",
+    "period": "tokens of the billing period",
+    "at_once": "generations at once",
+    "overdraft": "tokens a minute, the overdraft is used up",
+}
+
+
+class RequestNotAdmittedError(Exception):
+    """A request that is rejected before any attempt: nothing ran. `after_s` says when to come back, in s."""
+
+    def __init__(
+        self,
+        status: int,
+        why: str,
+        code: str,
+        after_s: int | None = None,
+        param: str | None = None,
+        extra: list[tuple[str, str]] | None = None,
+    ) -> None:
+        super().__init__(why)
+        self.status = status
+        self.why = why
+        self.code = code
+        self.param = param
+        self.extra = list(extra or [])
+        if after_s is not None:
+            self.extra.append(("Retry-After", str(after_s)))
+
+
+class OverBudgetError(RequestNotAdmittedError):
+    """The tenant's budget has no room: a rejection, which promises that nothing ran."""
+
+    def __init__(self, reason: RejectReason) -> None:
+        wait_ms = reason.wait_ms if reason.wait_ms > 0 else DEFAULT_BUDGET_WAIT_MS
+        super().__init__(
+            429,
+            f"Over budget: {BUDGETS[reason.kind]}",
+            reason.code,
+            wait_s(wait_ms),
+            extra=[("retry-after-ms", f"{min(wait_ms, MAX_BUDGET_WAIT_MS):.0f}")],
+        )
--- /dev/null
+++ b/ternlane/gateway/attempts.py
@@ -0,0 +1,69 @@
+"""Builds attempts out of the decisions, and says what one is known to have made. No I/O."""
+
+from __future__ import annotations
+
+from ternlane.discovery import Endpoint
+from ternlane.engine import AttemptPlan, AttemptRequest, AttemptResult, Stage, cached_tokens
+from ternlane.event_loop import begin_check
+from ternlane.gateway.active_request import ActiveRequest
+from ternlane.policy.messages import AttemptOutcome, Role, Server, StartAttempt
+from ternlane.tenants.billing import Used
+
+NOTHING_RAN = (
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.CLIENT_GONE,
+    AttemptOutcome.NOT_STARTED,
+)
+
+
+def stage_at(server: Server, active_request: ActiveRequest) -> Stage:
+    """Which part of the request this server is asked for."""
+    if server.role is Role.PREFILL:
+        return Stage.PREFILL
+    if server.role is Role.DECODE and active_request.state is not None:
+        return Stage.DECODE
+    return Stage.WHOLE
+
+
+def plan_attempt(active_request: ActiveRequest, server: Server, endpoint: Endpoint, times: StartAttempt) -> AttemptPlan:
+    """Where the attempt goes and for how long. It must not begin once its client has left or has its answer."""
+    may_begin = begin_check(server, times.start_within_ms, lambda: active_request.is_over)
+    return AttemptPlan(
+        endpoint.address, [], b"", times.timeout_ms, times.idle_timeout_ms, times.total_timeout_ms, may_begin
+    )
+
+
+def build_attempt(
+    active_request: ActiveRequest, endpoint: Endpoint, stage: Stage, number: int, plan: AttemptPlan
+) -> AttemptRequest:
+    """What the server is asked. An attempt that continues a text is another request than the first, and no repeat of
+    it: it has a key of its own."""
+    join = active_request.join
+    key = f"{active_request.key}.{join.attempts}" if join.continues else active_request.key
+    return AttemptRequest(
+        endpoint.ident,
+        endpoint.address,
+        stage,
+        active_request.ident,
+        number,
+        key,
+        join.request(active_request.chat_request.raw),
+        active_request.state,
+        join.remaining_tokens(),
+        plan,
+        endpoint.line.protocol,
+        join.continues,
+    )
+
+
+def tokens_made(stage: Stage, result: AttemptResult, pieces: int) -> Used:
+    """What an attempt is known to have made: by its usage, or, of a stream that broke, the pieces that came."""
+    usage = result.usage
+    if stage is Stage.PREFILL:
+        return Used(usage.prompt_tokens, cached_tokens(usage), 0) if usage is not None else Used()
+    if usage is None:
+        return Used(0, 0, pieces if result.begun else 0)
+    if stage is Stage.DECODE:
+        return Used(0, 0, usage.completion_tokens)
+    return Used(usage.prompt_tokens, cached_tokens(usage), usage.completion_tokens)
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -1,199 +1,81 @@
-"""The clients' side: OpenAI-style chat over HTTP/1.1. Each generation taken gets exactly one final answer."""
+"""The clients' side: the chat completions API over HTTP/1.1. Each request taken gets exactly one final answer."""
 
 from __future__ import annotations
 
-import re
 import time
-from contextlib import suppress
-from itertools import count
 from typing import Any
 
 import msgspec
 import trio
-from xxhash import xxh3_128_digest, xxh3_64_hexdigest
 
-from ternlane.chat import (
-    Busy,
-    ChatAsk,
-    Differs,
-    Done,
-    Intake,
-    Repeats,
-    InvalidRequestError,
-    answer_body,
-    chunk,
-    error_body,
-    read_chat,
-    usage_chunk,
-)
-from ternlane.chat.beyond import More
-from ternlane.gateway.host import Host
-from ternlane.gateway.metrics import GatewayMetrics
-from ternlane.gateway.journal_writer import final_of
+from ternlane.chat import InvalidRequestError, RequestIntake, error_body, parse_chat_request
+from ternlane.config import GatewayConfig
+from ternlane.event_loop import now_ms
+from ternlane.gateway.active_request import ActiveRequest
+from ternlane.gateway.api_errors import RequestNotAdmittedError
 from ternlane.gateway.budget_enforcer import BudgetEnforcer
-from ternlane.gateway.active_request import Final, ResponseWriter, Streamed, Failed, Rejected, ActiveRequest
-from ternlane.http1 import BadRequest, Exchange, event_bytes, serve_connection
-from ternlane.config import ServerLimits, GatewayConfig
+from ternlane.gateway.client_connections import ClientConnections
+from ternlane.gateway.final_responses import send_final, send_replayed
+from ternlane.gateway.metrics import GatewayMetrics
+from ternlane.gateway.request_admission import RequestAdmission
+from ternlane.gateway.response_writers import StreamResponseWriter
+from ternlane.gateway.runtime import GatewayRuntime
+from ternlane.http1 import Exchange
 from ternlane.policy.messages import RequestClass
-from ternlane.recovery import comes_out_the_same
-from ternlane.recovery.inflight import Known
-from ternlane.tenants import Hold, RejectReason, TenantLine, Unknown
-from ternlane.tenants.usage_accounting import wait_s
-from ternlane.event_loop import now_ms
-
-IDENT = re.compile(r"[A-Za-z0-9._:-]{1,80}")
-TIME_LIMIT = b"x-ternlane-time-limit-ms"
-STREAM_HEAD = [
-    ("Content-Type", "text/event-stream; charset=utf-8"),
-    ("Cache-Control", "no-store"),
-    ("Transfer-Encoding", "chunked"),
-]
-
+from ternlane.recovery.inflight import KnownAnswer
 
-class NotTaken(Exception):
-    """A request that is refused before it became a generation; `after_s` says when to come back."""
-
-    def __init__(
-        self,
-        status: int,
-        why: str,
-        code: str,
-        after_s: int | None = None,
-        param: str | None = None,
-        extra: list[tuple[str, str]] | None = None,
-    ) -> None:
-        super().__init__(why)
-        self.status, self.why, self.code, self.param = status, why, code, param
-        self.extra = [*(extra or []), *([] if after_s is None else [("Retry-After", str(after_s))])]
-
-
-def over_budget(no: RejectReason) -> NotTaken:
-    """Refused before any leg: a throttle, which promises that nothing ran."""
-    why = {
-        "minute": "tokens a minute",
-        "period": "tokens of the billing period",
-        "at_once": "generations at once",
-        "overdraft": "tokens a minute, the overdraft is used up",
-    }[no.kind]
-    wait = no.wait_ms if no.wait_ms > 0 else 1000.0
-    return NotTaken(
-        429, f"Over budget: {why}", no.code, wait_s(wait), extra=[("retry-after-ms", f"{min(wait, 1e9):.0f}")]
-    )
-
-
-class StreamResponseWriter(ResponseWriter):
-    """Text goes out as server-sent events while it comes."""
-
-    def __init__(
-        self, exchange: Exchange, ident: str, model: str, include_usage: bool, after: int | None = None
-    ) -> None:
-        """`after`: characters that the client has already; None where events carry no ids."""
-        self.after = after
-        self.exchange, self.ident, self.model, self.include_usage = exchange, ident, model, include_usage
-        super().__init__()
-        self.created = int(time.time())
-
-    async def piece(self, text: str, first: bool, more: More | None = None) -> None:
-        if self.after is not None:
-            self.after += len(text)
-        data = event_bytes(chunk(self.ident, self.created, self.model, text, None, first, more), self.after)
-        if first:
-            await self.exchange.begin(200, [*STREAM_HEAD, ("X-Request-Id", self.ident), *self.extra], data)
-        else:
-            await self.exchange.chunk(data)
-
-    async def end(self, final: Final) -> None:
-        if isinstance(final, Streamed):
-            out = event_bytes(chunk(self.ident, self.created, self.model, None, final.finish, False))
-            if self.include_usage:
-                out += event_bytes(usage_chunk(self.ident, self.created, self.model, final.usage))
-            await self.exchange.end(out + event_bytes(b"[DONE]"))
-        else:  # the error event takes the place of [DONE]
-            why = final.why if isinstance(final, Failed) else "throttled"
-            await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
-
-
-class PlainResponseWriter(ResponseWriter):
-    """Text is kept by the ticket until the answer is whole."""
-
-    async def piece(self, text: str, first: bool, more: More | None = None) -> None:
-        pass
+CHAT_PATH = "/v1/chat/completions"
+MODELS_PATH = "/v1/models"
+HEALTH_PATH = "/healthz"
 
 
 class ChatApi:
+    """The routes of the API. `busy`: requests that are being answered."""
+
     def __init__(
         self,
         config: GatewayConfig,
-        host: Host,
-        intake: Intake,
+        runtime: GatewayRuntime,
+        intake: RequestIntake,
         models: dict[str, RequestClass],
         metrics: GatewayMetrics,
         log: Any,
         budget_enforcer: BudgetEnforcer | None = None,
     ) -> None:
-        self.config, self.host, self.intake, self.models = config, host, intake, models
-        self.metrics, self.log, self.budget_enforcer = metrics, log, budget_enforcer
-        self.terms: ServerLimits = config.door
-        self.names = {request_class: name for name, request_class in reversed(models.items())}
-        self.repeats = Repeats(config.door.repeat_bytes)
-        self.count = count(1)
+        self.runtime = runtime
+        self.metrics = metrics
+        self.admission = RequestAdmission(config, runtime, intake, models, budget_enforcer)
+        self.connections = ClientConnections(config.door, self.handle, lambda: self.draining, metrics, log)
         self.started = int(time.time())
-        self.birth = xxh3_64_hexdigest(f"{config.name} {time.time_ns()}".encode())[:10]
-        self.draining = False
-        self.conns = self.busy = 0  # connections, and requests being answered
+        self.busy = 0
+
+    @property
+    def draining(self) -> bool:
+        """Is nothing new admitted any more?"""
+        return self.admission.draining
+
+    def drain(self) -> None:
+        """From here on nothing new is admitted."""
+        self.admission.draining = True
 
     def alter(self, config: GatewayConfig, models: dict[str, RequestClass]) -> None:
-        """New limits, from the next connection on, and other products, from the next request on; the answers kept for
-        repeats stay."""
-        self.config, self.terms, self.models = config, config.door, models
-        self.names = {request_class: name for name, request_class in reversed(models.items())}
-        self.repeats.byte_limit = config.door.repeat_bytes
+        """New limits, from the next connection on, and other request classes, from the next request on; the answers
+        kept for repeats stay."""
+        self.admission.alter(config, models)
+        self.connections.limits = config.door
+
+    def restore(self, known_answers: list[KnownAnswer]) -> None:
+        """What a process before this one had answered, or had out when it was lost."""
+        self.admission.restore(known_answers)
 
     async def connection(self, stream: trio.SocketStream) -> None:
         """Serves one client's connection."""
-        if self.conns >= self.terms.conn_limit:
-            stream.socket.close()
-            self.metrics.refused.labels("conn_limit").inc()
-            return
-        self.conns += 1
-        self.metrics.conns.set(self.conns)
-        with suppress(OSError):
-            stream.setsockopt(6, 1, 1)  # TCP_NODELAY: each token is a segment of its own
-        try:
-            await serve_connection(
-                stream,
-                self.handle,
-                body_bytes=self.terms.body_bytes,
-                head_ms=self.terms.head_ms,
-                body_ms=self.terms.body_ms,
-                idle_ms=self.terms.idle_ms,
-                send_ms=self.terms.send_ms,
-                reject_reason=self.reject_reason,
-                draining=lambda: self.draining,
-            )
-        except Exception:  # a fault of this program must not take the other connections with it
-            self.log.exception("connection")
-        finally:
-            self.conns -= 1
-            self.metrics.conns.set(self.conns)
+        await self.connections.serve(stream)
 
-    def reject_reason(self, _: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
-        self.metrics.refused.labels(bad.code).inc()
-        return error_body(bad.status, bad.why, bad.code), "application/json"
-
-    async def refuse(
-        self,
-        exchange: Exchange,
-        status: int,
-        why: str,
-        code: str,
-        param: str | None = None,
-        extra: list[tuple[str, str]] | None = None,
-    ) -> None:
-        self.metrics.refused.labels(code).inc()
-        await exchange.answer(status, extra or [], error_body(status, why, code, param))
+    # -- routes
 
     async def handle(self, exchange: Exchange) -> None:
+        """Answers one request of any route."""
         self.busy += 1
         try:
             await self.route(exchange)
@@ -201,287 +83,111 @@
             self.busy -= 1
 
     async def route(self, exchange: Exchange) -> None:
-        route = exchange.method, exchange.path
-        if route == ("POST", "/v1/chat/completions"):
+        """Answers by method and path."""
+        method = exchange.method
+        path = exchange.path
+        if (method, path) == ("POST", CHAT_PATH):
             await self.chat(exchange)
-        elif route == ("GET", "/v1/models"):
-            data = [self.model(name) for name in self.models]
+        elif (method, path) == ("GET", MODELS_PATH):
+            data = [self.model(name) for name in self.admission.models]
             await exchange.answer(200, [], msgspec.json.encode({"object": "list", "data": data}))
-        elif route[0] == "GET" and route[1].startswith("/v1/models/"):
-            name = route[1].removeprefix("/v1/models/")
-            if name in self.models:
-                await exchange.answer(200, [], msgspec.json.encode(self.model(name)))
-            else:
-                await self.refuse(exchange, 404, f"The model `{name}` does not exist", "model_not_found", "model")
-        elif route == ("GET", "/healthz"):
-            ready = not self.draining
-            await exchange.answer(200 if ready else 503, [], b'{"ready":%s}' % (b"true" if ready else b"false"))
+        elif method == "GET" and path.startswith(f"{MODELS_PATH}/"):
+            await self.show_model(exchange, path.removeprefix(f"{MODELS_PATH}/"))
+        elif (method, path) == ("GET", HEALTH_PATH):
+            status, ready = (503, b"false") if self.draining else (200, b"true")
+            await exchange.answer(status, [], b'{"ready":%s}' % ready)
+        else:
+            status = 405 if path in (CHAT_PATH, MODELS_PATH, HEALTH_PATH) else 404
+            await self.reject(exchange, status, f"Unknown request: {method} {path}", "unknown_url")
+
+    async def show_model(self, exchange: Exchange, name: str) -> None:
+        """Answers with one model, 404 where there is none of the name."""
+        if name in self.admission.models:
+            await exchange.answer(200, [], msgspec.json.encode(self.model(name)))
         else:
-            known = route[1] in ("/v1/chat/completions", "/v1/models", "/healthz")
-            await self.refuse(exchange, 405 if known else 404, f"Unknown request: {route[0]} {route[1]}", "unknown_url")
+            await self.reject(exchange, 404, f"The model `{name}` does not exist", "model_not_found", "model")
 
     def model(self, name: str) -> dict[str, Any]:
+        """One model as the API lists it."""
         return {"id": name, "object": "model", "created": self.started, "owned_by": "ternlane"}
 
+    async def reject(
+        self,
+        exchange: Exchange,
+        status: int,
+        why: str,
+        code: str,
+        param: str | None = None,
+        extra: list[tuple[str, str]] | None = None,
+    ) -> None:
+        """Answers a request that was never taken."""
+        self.metrics.refused.labels(code).inc()
+        await exchange.answer(status, extra or [], error_body(status, why, code, param))
+
+    # -- chat
+
     async def chat(self, exchange: Exchange) -> None:
-        """From the request to its one answer. What is refused here was never taken."""
+        """From a chat request to its one answer."""
+        try:
+            admitted = await self.admit(exchange)
+        except InvalidRequestError as error:
+            await self.reject(exchange, error.status, error.why, error.code, error.param)
+            return
+        except RequestNotAdmittedError as error:
+            await self.reject(exchange, error.status, error.why, error.code, error.param, error.extra)
+            return
+        if admitted is not None:
+            await self.run(exchange, admitted)
+
+    async def admit(self, exchange: Exchange) -> ActiveRequest | None:
+        """The request that is to run; None for a repeat, which is answered here. Raises InvalidRequestError and
+        RequestNotAdmittedError."""
         since = now_ms()
-        begun: str | None = None  # the repeat key whose first request this is: it must be ended
-        active_request: ActiveRequest | None = None
+        admission = self.admission
+        tenant = admission.tenant(exchange)
+        chat_request = parse_chat_request(exchange.body)
+        admission.check_open_limit()
+        client_timeout_ms = admission.client_timeout_ms(exchange, chat_request.model)
+        after = admission.resume_position(exchange, chat_request)
+        key = admission.repeat_key(exchange, tenant) if chat_request.model in admission.models else None
+        if key is not None:
+            final = admission.stored_answer(key, exchange.body, since)
+            if final is not None:
+                ident = f"chatcmpl-{admission.new_id()}"
+                event_ids = admission.config.streams.ids
+                await send_replayed(exchange, final, chat_request, ident, after, event_ids)
+                return None
         try:
-            tenant = self.tenant(exchange)
-            ask = read_chat(exchange.body)
-            if len(self.host.active_requests) >= self.terms.open_limit:
-                raise NotTaken(503, "This gateway holds as many generations as it may", "open_limit", 1)
-            patience = self.patience(exchange, self.models.get(ask.model))
-            after = self.resumes_after(exchange, ask)
-            key = self.repeat_key(exchange, tenant) if ask.model in self.models else None
-            if key is not None:
-                done = self.repeated(key, exchange.body, since)
-                if done is not None:
-                    return await self.replay(exchange, done, ask, after)
-                begun = key
-            active_request = self.active_request(exchange, ask, tenant, key, patience, since, after)
-        except InvalidRequestError as bad:
-            return await self.refuse(exchange, bad.status, bad.why, bad.code, bad.param)
-        except NotTaken as no:
-            return await self.refuse(exchange, no.status, no.why, no.code, no.param, no.extra)
-        finally:
-            if begun is not None and active_request is None:
-                self.repeats.end(begun, None, 0, 0.0)
+            return admission.admit(exchange, chat_request, tenant, key, client_timeout_ms, since, after)
+        except BaseException:
+            if key is not None:  # the key's first request did not come to run: the next one is the first
+                admission.forget(key)
+            raise
+
+    async def run(self, exchange: Exchange, active_request: ActiveRequest) -> None:
+        """Has the request run, and answers it."""
         try:
-            self.host.arrived(active_request)
+            self.runtime.arrived(active_request)
             await self.answer(exchange, active_request)
         finally:
-            if not active_request.left and active_request.final is None:  # the connection's task was ended from outside
-                self.host.client_left(active_request)
-            if begun is not None:
-                self.remember(begun, active_request)
-
-    def tenant(self, exchange: Exchange) -> TenantLine | None:
-        """Who asks; None where the gateway has no tenants. Raises NotTaken."""
-        if self.draining:
-            raise NotTaken(503, "This gateway is going down", "draining", 1)
-        if self.budget_enforcer is None:
-            return None
-        try:
-            tenant = self.budget_enforcer.whose(exchange.header(b"authorization"))
-        except Unknown:
-            raise NotTaken(401, "Incorrect API key provided", "invalid_api_key") from None
-        if not self.budget_enforcer.writer.may_take:
-            raise NotTaken(503, "Bills can't be kept now", "ledger_full", 5)
-        return tenant
-
-    def repeat_key(self, exchange: Exchange, tenant: TenantLine | None) -> str | None:
-        """The Idempotency-Key with its owner: one owner's keys are no other's."""
-        said = exchange.header(b"idempotency-key")
-        if said is None:
-            return None
-        if not 1 <= len(said) <= 255:
-            raise InvalidRequestError("Idempotency-Key", "Idempotency-Key must have 1 to 255 characters")
-        if (
-            self.host.journal_writer is not None and not self.host.journal_writer.ready
-        ):  # a repeat's first may be out there
-            raise NotTaken(503, "The journal of the process before is being taken over", "taking_over", 1)
-        owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
-        return f"{owner}\0{said}"
-
-    def repeated(self, key: str, body: bytes, now: float) -> Final | None:
-        """The answer that a repeat hears; None for the first of its key, which `remember` or `Repeats.end` then ends.
-        Raises NotTaken."""
-        match self.repeats.begin(key, xxh3_128_digest(body), now):
-            case Busy():
-                raise NotTaken(
-                    409,
-                    "The first request with this Idempotency-Key is still out",
-                    "idempotency_key_in_use",
-                    param="Idempotency-Key",
-                )
-            case Differs():
-                raise NotTaken(
-                    422,
-                    "This Idempotency-Key came with another body before",
-                    "idempotency_key_reused",
-                    param="Idempotency-Key",
-                )
-            case Done(answer):
-                final: Final = answer
-                return final
-        return None
-
-    def resumes_after(self, exchange: Exchange, ask: ChatAsk) -> int:
-        """How much of its answer the client has, by Last-Event-ID: the rest is what it asks for. Raises NotTaken."""
-        said = exchange.header(b"last-event-id")
-        if not said:
-            return 0
-        if not self.config.streams.ids or not ask.stream:
-            raise NotTaken(409, "Streams can't be taken up again here", "resume_not_offered", param="Last-Event-ID")
-        if not said.isascii() or not said.isdecimal() or len(said) > 9:
-            raise InvalidRequestError("Last-Event-ID", "must be the id of an event of this stream")
-        return int(said)
-
-    def active_request(
-        self,
-        exchange: Exchange,
-        ask: ChatAsk,
-        tenant: TenantLine | None,
-        key: str | None,
-        patience: float,
-        since: float,
-        after: int,
-    ) -> ActiveRequest:
-        """Makes the request and reserves for it. Raises InvalidRequestError; NotTaken where the budget has no room."""
-        owner = tenant.name if tenant is not None else ""
-        known = self.intake.take(ask, patience, owner)
-        if after and not comes_out_the_same(ask.raw, known.request.request_class.effect):
-            raise NotTaken(
-                409,
-                "The rest of this answer can't be had: it is not kept, and another run must not be, or "
-                "would not come out the same",
-                "resume_not_possible",
-                param="Last-Event-ID",
-            )
-        hold: Hold | None = None
-        if self.budget_enforcer is not None and tenant is not None:
-            got = self.budget_enforcer.reserve(
-                tenant,
-                self.names[known.request.request_class],
-                known.request.prompt_tokens,
-                int(known.request.max_tokens),
-            )
-            if isinstance(got, RejectReason):
-                raise over_budget(got)
-            hold = got
-        ident = self.ident(exchange, owner)
-        response_writer: ResponseWriter = PlainResponseWriter()
-        if ask.stream:
-            response_writer = StreamResponseWriter(
-                exchange, f"chatcmpl-{ident}", ask.model, ask.include_usage, after if self.config.streams.ids else None
-            )
-        if self.budget_enforcer is not None and hold is not None:
-            response_writer.extra = self.budget_enforcer.headers(hold)
-        # Engines drop repeats by this key; a key of the gateway's own can't meet another gateway's.
-        engine_key = f"{self.birth}-{ident}-{next(self.count)}" if key is None else xxh3_64_hexdigest(key.encode())
-        join = self.host.join_for(ask.raw, known.request)
-        join.ahead = after
-        return ActiveRequest(
-            ident,
-            ask,
-            known,
-            response_writer,
-            since,
-            engine_key,
-            join,
-            key or "",
-            xxh3_128_digest(exchange.body) if key is not None else b"",
-            hold=hold,
-        )
-
-    def ident(self, exchange: Exchange, tenant: str) -> str:
-        """The client's own name for it if it is a plain one that is not in use; a tenant's go by the tenant, as a
-        stranger who guessed one could otherwise have its state released."""
-        said = exchange.header(b"x-request-id") or ""
-        ident = f"{tenant}:{said}" if tenant else said  # no tenant's name holds a colon
-        if not IDENT.fullmatch(said) or ident in self.host.idents:
-            ident = f"{self.birth}-{next(self.count)}"
-        return ident
-
-    def patience(self, exchange: Exchange, request_class: RequestClass | None) -> float:
-        """The client's time limit where it states a shorter one, less what the answer's way back may take."""
-        limit = request_class.deadline_ms if request_class is not None else 0.0
-        said = exchange.header(TIME_LIMIT)
-        if said is not None:
-            try:
-                stated = float(said)
-            except ValueError:
-                stated = -1.0
-            if not 0 < stated < 1e9:
-                raise InvalidRequestError("X-Ternlane-Time-Limit-Ms", "must be a positive number of milliseconds")
-            limit = min(limit, stated)
-        spent = now_ms() - exchange.arrived * 1000
-        return max(0.0, limit - spent - self.config.door.answer_ms)
+            if not active_request.is_over:  # the connection's task was ended from outside
+                self.runtime.client_left(active_request)
+            if active_request.repeat_key:
+                self.admission.remember(active_request.repeat_key, active_request)
 
     async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
+        """Waits for the final answer, or for the client to leave, and gives it."""
         if active_request.final is None:
             with active_request.watch:  # cancelled when the answer is settled
                 await exchange.until_left()
-                self.host.client_left(active_request)
+                self.runtime.client_left(active_request)
         if active_request.left or active_request.final is None:
             return  # the connection ends without an answer, or without its last chunk
         try:
-            if isinstance(active_request.response_writer, StreamResponseWriter) and active_request.begun:
-                await active_request.response_writer.end(active_request.final)
+            writer = active_request.response_writer
+            if isinstance(writer, StreamResponseWriter) and active_request.begun:
+                await writer.end(active_request.final)
             else:
-                await self.whole(exchange, active_request, active_request.final)
+                await send_final(exchange, active_request, active_request.final)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass  # gone before it took its answer: the answer was given all the same
-
-    async def whole(self, exchange: Exchange, active_request: ActiveRequest, final: Final) -> None:
-        """An answer of which the client has nothing yet."""
-        ident, extra = ("X-Request-Id", active_request.ident), active_request.response_writer.extra
-        match final:
-            case Streamed(text, finish, usage, more):
-                body = answer_body(
-                    f"chatcmpl-{active_request.ident}",
-                    int(time.time()),
-                    active_request.ask.model,
-                    text,
-                    finish,
-                    usage,
-                    more,
-                )
-                await exchange.answer(200, [ident, *extra], body)
-            case Rejected(pause):
-                seconds = max(1, -(-int(pause) // 1000))
-                await exchange.answer(
-                    429,
-                    [ident, ("Retry-After", str(seconds)), ("retry-after-ms", f"{max(pause, 1.0):.0f}")],
-                    error_body(
-                        429, "The model servers are busy; nothing has run and a new try does no harm", "throttled"
-                    ),
-                )
-            case Failed(why, timed_out):
-                status = 504 if timed_out else 502
-                await exchange.answer(
-                    status,
-                    [ident, ("x-should-retry", "false")],
-                    error_body(status, f"Terminated: {why or 'no server could finish it'}", "terminated"),
-                )
-
-    def restore(self, found: list[Known]) -> None:
-        """What a process before this one had answered, or had out when it was lost."""
-        now, wall = now_ms(), time.time() * 1000
-        for it in found:
-            self.repeats.restore(
-                it.taken.key, it.taken.mark, final_of(it), len(it.ended.text), now + it.taken.until - wall
-            )
-
-    def remember(self, key: str, active_request: ActiveRequest) -> None:
-        """Ends the key's first request with what a repeat will hear."""
-        request_class, final = active_request.request.request_class, active_request.for_repeats()
-        cost = len(final.text) if isinstance(final, Streamed) else 0
-        self.repeats.end(key, final, cost, now_ms() + max(request_class.window_ms, request_class.deadline_ms))
-        self.repeats.sweep(now_ms())
-
-    async def replay(self, exchange: Exchange, final: Final, ask: ChatAsk, after: int) -> None:
-        """The first request's answer again, or what comes `after` so many characters of it, in the form that is asked
-        for now; nothing runs."""
-        ident = f"chatcmpl-{self.birth}-{next(self.count)}"
-        mark = ("Idempotency-Replayed", "true")
-        match final:
-            case Streamed(text, finish, usage, more) if ask.stream:
-                response_writer = StreamResponseWriter(
-                    exchange, ident, ask.model, ask.include_usage, after if self.config.streams.ids else None
-                )
-                response_writer.extra = [mark]
-                await response_writer.piece(text[after:], True, more)
-                await response_writer.end(final)
-            case Streamed(text, finish, usage, more):
-                await exchange.answer(
-                    200, [mark], answer_body(ident, int(time.time()), ask.model, text, finish, usage, more)
-                )
-            case _:
-                why = final.why if isinstance(final, Failed) else ""
-                await exchange.answer(
-                    502, [mark, ("x-should-retry", "false")], error_body(502, f"Terminated: {why}", "terminated")
-                )
--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -5,28 +5,33 @@
 import os
 import signal
 import socket
+from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any, Callable
 
 import structlog
 import trio
 
-from ternlane import GatewayConfig, ConfigError, Router, open_gateway, read_config
+from ternlane.config import ConfigError, GatewayConfig, read_config
+from ternlane.gateway.gateway import Gateway, open_gateway
+from ternlane.policy.router import Router
 
+FIRST_INHERITED_FD = 3  # of the LISTEN_FDS protocol: after the standard streams
 
-def passed_in() -> list[trio.SocketListener] | None:
+
+def inherited_listeners() -> list[trio.SocketListener] | None:
     """Listening sockets handed over by whoever started this process (the LISTEN_FDS protocol), or None."""
     if os.environ.get("LISTEN_PID") not in (None, str(os.getpid())) or not os.environ.get("LISTEN_FDS"):
         return None
     count = int(os.environ.pop("LISTEN_FDS"))
     os.environ.pop("LISTEN_PID", None)
-    out = []
-    for fd in range(3, 3 + count):
+    listeners = []
+    for fd in range(FIRST_INHERITED_FD, FIRST_INHERITED_FD + count):
         os.set_inheritable(fd, False)
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
-        out.append(trio.SocketListener(trio.socket.from_stdlib_socket(sock)))
-    return out
+        listeners.append(trio.SocketListener(trio.socket.from_stdlib_socket(sock)))
+    return listeners
 
 
 def notify(state: str) -> None:
@@ -63,33 +68,44 @@
     takes over what can change without a restart."""
     log = structlog.get_logger(gateway=config.name)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        async with open_gateway(config, chooser or Router, log, listeners=passed_in()) as gateway:
+        async with open_gateway(config, chooser or Router, log, listeners=inherited_listeners()) as gateway:
             if pid_file is not None:
                 write_pid(Path(pid_file))
             notify(f"READY=1\nSTATUS=serving at {gateway.address}\nMAINPID={os.getpid()}")
-            async for number in signals:
-                if number != signal.SIGHUP:
-                    break
-                notify("RELOADING=1")
-                try:
-                    changed, kept = gateway.reload(read_config(path, GatewayConfig))
-                    log.info("reloaded", changed=changed, needs_restart=kept)
-                except ConfigError as why:
-                    log.error("reload refused", why=str(why))
-                notify("READY=1")
+            await reload_until_end(path, gateway, signals, log)
             notify("STOPPING=1")
-            log.info("draining", open=len(gateway.host.active_requests))
-            async with trio.open_nursery() as nursery:
-
-                async def at_once() -> None:
-                    async for number in signals:
-                        if number != signal.SIGHUP:
-                            nursery.cancel_scope.cancel()
-                            return
-
-                nursery.start_soon(at_once)
-                await gateway.drain()
-                nursery.cancel_scope.cancel()
+            log.info("draining", open=len(gateway.runtime.active_requests))
+            await drain(gateway, signals)
             if pid_file is not None:
                 drop_pid(Path(pid_file))
             log.info("ended")
+
+
+async def reload_until_end(path: str, gateway: Gateway, signals: AsyncIterator[int], log: Any) -> None:
+    """Takes the document over at each SIGHUP, until another signal comes. A wrong document changes nothing."""
+    async for number in signals:
+        if number != signal.SIGHUP:
+            return
+        notify("RELOADING=1")
+        try:
+            changed, waiting = gateway.reload(read_config(path, GatewayConfig))
+            log.info("reloaded", changed=changed, needs_restart=waiting)
+        except ConfigError as error:
+            log.error("reload refused", why=str(error))
+        notify("READY=1")
+
+
+async def drain(gateway: Gateway, signals: AsyncIterator[int]) -> None:
+    """Drains the gateway; a further signal to end cuts that short."""
+    async with trio.open_nursery() as nursery:
+
+        async def end_at_once() -> None:
+            """Waits for the further signal."""
+            async for number in signals:
+                if number != signal.SIGHUP:
+                    nursery.cancel_scope.cancel()
+                    return
+
+        nursery.start_soon(end_at_once)
+        await gateway.drain()
+        nursery.cancel_scope.cancel()
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -13,40 +13,55 @@
 from ternlane.gateway.active_request import Final, Streamed, Failed, ActiveRequest
 from ternlane.ledger import Disk, Kind, Segmented, Writer
 from ternlane.policy.messages import Effect
-from ternlane.recovery.inflight import Ended, Freed, InFlight, Known, Record, Sent, Taken, decode_record
-
-JOURNAL: Kind[Record, InFlight] = Kind("takes", b"TLTAKES1", decode_record, InFlight)
-SEGMENT = 4 << 20
+from ternlane.recovery.inflight import (
+    RequestEnded,
+    StateFreed,
+    InFlightRequests,
+    KnownAnswer,
+    Record,
+    AttemptSent,
+    RequestTaken,
+    decode_record,
+)
+
+JOURNAL: Kind[Record, InFlightRequests] = Kind("takes", b"TLTAKES1", decode_record, InFlightRequests)
+SEGMENT_BYTES = 4 << 20  # a start reads the last one: some tens of ms
 GATHER_MS = 20.0  # what nobody waits for may share a sync
 
 
 class JournalWriter:
-    """`until_kept` is waited for where an effect must not be doubled: such a leg goes out only once the disk has it."""
+    """`until_kept` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
+    has it."""
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
-        self.store = Segmented(JOURNAL, Disk(folder), SEGMENT, keep_segments=1)
-        self.writer: Writer[Record, InFlight] = Writer(
+        self.store = Segmented(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
+        self.writer: Writer[Record, InFlightRequests] = Writer(
             self.store, log, on_own=self.taken_up, what="journal", gather_ms=GATHER_MS
         )
-        self.lost: InFlight | None = None  # what the process before had open
-        self.up, self.ready = trio.Event(), False  # the folder is ours; repeats know what they hear
-        self.birth, self.count = f"{time.time_ns():x}", count(1)
+        self.lost: InFlightRequests | None = None  # what the process before had open
+        self.folder_is_ours = trio.Event()
+        self.ready = False  # repeats know what they hear
+        self.birth = f"{time.time_ns():x}"
+        self.count = count(1)
 
-    def taken_up(self, found: InFlight) -> None:
-        self.lost = InFlight(dict(found.opened), dict(found.known), found.at)
-        self.up.set()
+    def taken_up(self, found: InFlightRequests) -> None:
+        """The folder is this process's; `found` is what the one before had open."""
+        self.lost = InFlightRequests(dict(found.opened), dict(found.known), found.at)
+        self.folder_is_ours.set()
 
     # -- what happens
 
     def took(self, active_request: ActiveRequest) -> None:
-        request_class, now = active_request.request.request_class, time.time() * 1000
+        """A request was taken."""
+        request_class = active_request.request.request_class
+        now = time.time() * 1000
         if not active_request.repeat_key:  # nobody can ask for it again: only what it holds need be known
             active_request.noted = ""
             return
         active_request.noted = f"{self.birth}.{next(self.count)}"
         self.writer.add(
-            Taken(
+            RequestTaken(
                 active_request.noted,
                 active_request.ident,
                 active_request.repeat_key,
@@ -60,12 +75,12 @@
     def sends(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
-        """Gives the number to wait for, where the leg must not go out before it is kept."""
+        """Gives the number to wait for, where the attempt must not go out before it is kept."""
         if not active_request.repeat_key and not prefills:
             return None
         active_request.noted = active_request.noted or f"{self.birth}.{next(self.count)}"
         number = self.writer.add(
-            Sent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
+            AttemptSent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
         )
         needed = (
             decodes
@@ -75,16 +90,18 @@
         return number if needed else None
 
     def freed(self, active_request: ActiveRequest) -> None:
+        """No server holds anything for it any more."""
         if active_request.noted:
-            self.writer.add(Freed(active_request.noted))
+            self.writer.add(StateFreed(active_request.noted))
 
     def ended(self, active_request: ActiveRequest, outcome: str) -> None:
+        """It has its final answer, or its client has left."""
         if not active_request.repeat_key:
             return
-        kept = Ended(active_request.noted, outcome)
+        kept = RequestEnded(active_request.noted, outcome)
         match active_request.for_repeats():
             case Streamed(text, finish, usage, more):
-                kept = Ended(
+                kept = RequestEnded(
                     active_request.noted,
                     outcome,
                     True,
@@ -94,15 +111,16 @@
                     more=more or {},
                 )
             case Failed(why):
-                kept = Ended(active_request.noted, "terminated", True, why=why)
+                kept = RequestEnded(active_request.noted, "terminated", True, why=why)
         self.writer.add(kept)
 
     # -- after a loss
 
-    async def take_up(self, transport: Transport, within_ms: float) -> list[Known]:
+    async def take_up(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
         """Waits until the folder is this process's; releases what servers hold still. Gives what repeats hear."""
-        await self.up.wait()
-        lost, self.lost = self.lost or InFlight(), None
+        await self.folder_is_ours.wait()
+        lost = self.lost or InFlightRequests()
+        self.lost = None
         answers = lost.answers(time.time() * 1000)  # before the ends below come to the same objects
         async with trio.open_nursery() as nursery:
             for ident, held in lost.held():
@@ -110,7 +128,7 @@
         for ident, it in lost.opened.items():
             if not it.ended:
                 self.writer.add(it.lost())
-            self.writer.add(Freed(ident))
+            self.writer.add(StateFreed(ident))
         if lost.opened:
             self.log.warning("generations were open when the process before was lost", open=len(lost.opened))
         return answers
@@ -118,18 +136,21 @@
     async def release(
         self, transport: Transport, ident: str, held: list[tuple[str, str, str]], within_ms: float
     ) -> None:
+        """Releases what servers hold still for a request of the process before."""
         for server, address, protocol in held:
             if not await transport.release(server, address, ident, within_ms, protocol):
                 self.log.warning("release unheard", gen=ident, server=server)
 
     async def close(self, within_s: float = 2.0) -> None:
+        """Keeps what waits. A disk that fails to the end keeps its lock on the folder."""
         if self.writer.own and not await self.writer.flush(within_s):
             self.log.error("journal not kept at the end", waiting=self.writer.waiting)
             return
         self.store.close()
 
 
-def final_of(known: Known) -> Final:
+def final_of(known: KnownAnswer) -> Final:
+    """The answer that a repeat of this request hears."""
     it = known.ended
     if it.outcome != "streamed":
         return Failed(it.why)
--- a/ternlane/gateway/logs.py
+++ b/ternlane/gateway/logs.py
@@ -12,6 +12,7 @@
 
 
 def library_log() -> Any:
+    """A log to the standard logger, filtered by that logger's level."""
     return structlog.wrap_logger(
         logging.getLogger("ternlane"),
         wrapper_class=structlog.stdlib.BoundLogger,
--- a/ternlane/gateway/metrics.py
+++ b/ternlane/gateway/metrics.py
@@ -6,6 +6,7 @@
 
 from ternlane.engine import Stage
 from ternlane.policy.messages import EndpointStatus
+from ternlane.recovery import RecoveryOutcome
 from ternlane.wire_names import OUTCOME_NAMES
 
 # Label values of the metrics. Dashboards were built on them: they keep their form whatever the code calls a thing.
@@ -15,10 +16,17 @@
     EndpointStatus.REMOVED: "gone",
 }
 STAGE_LABELS = {Stage.PREFILL: "read", Stage.DECODE: "write", Stage.WHOLE: "whole"}
+RECOVERY_LABELS = {
+    RecoveryOutcome.RESUMES: "goes_on",
+    RecoveryOutcome.COMPLETE: "whole",
+    RecoveryOutcome.ENDS: "ends",
+}
 OUTCOME_LABELS = {outcome: name.lower() for outcome, name in OUTCOME_NAMES.items()}
 
 
 class GatewayMetrics:
+    """The counters of one gateway. Their names are what dashboards were built on, and stay."""
+
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         r = self.registry
@@ -40,4 +48,5 @@
         self.servers = Gauge("ternlane_servers", "Model servers on the list", ["life"], registry=r)
 
     def text(self) -> bytes:
+        """All of them in the Prometheus text format."""
         return generate_latest(self.registry)
--- /dev/null
+++ b/ternlane/gateway/metrics_server.py
@@ -0,0 +1,34 @@
+"""Serves the gateway's metrics to a scraper, on a listener of their own."""
+
+from __future__ import annotations
+
+import trio
+
+from ternlane.gateway.metrics import GatewayMetrics
+from ternlane.http1 import Exchange, serve_connection
+
+METRICS_PATH = "/metrics"
+MAX_BODY_BYTES = 1024  # a scrape has none
+READ_TIMEOUT_MS = 5e3  # for a scrape's head, its body and the answer each: scrapers are near
+IDLE_TIMEOUT_MS = 60e3  # longer than the usual interval of scrapes
+
+
+async def serve_metrics(metrics: GatewayMetrics, stream: trio.SocketStream) -> None:
+    """Serves one connection."""
+
+    async def handle(exchange: Exchange) -> None:
+        """Answers one scrape."""
+        if exchange.path == METRICS_PATH:
+            await exchange.answer(200, [], metrics.text(), "text/plain; version=0.0.4")
+        else:
+            await exchange.answer(404, [], b"")
+
+    await serve_connection(
+        stream,
+        handler=handle,
+        body_bytes=MAX_BODY_BYTES,
+        head_ms=READ_TIMEOUT_MS,
+        body_ms=READ_TIMEOUT_MS,
+        idle_ms=IDLE_TIMEOUT_MS,
+        send_ms=READ_TIMEOUT_MS,
+    )
--- /dev/null
+++ b/ternlane/gateway/response_writers.py
@@ -0,0 +1,60 @@
+"""How the text of an answer reaches its client: as a stream of events, or in one piece at the end."""
+
+from __future__ import annotations
+
+import time
+
+from ternlane.chat import chunk, error_body, usage_chunk
+from ternlane.chat.message_extras import Extras
+from ternlane.gateway.active_request import Failed, Final, ResponseWriter, Streamed
+from ternlane.http1 import Exchange, event_bytes
+
+STREAM_HEAD = [
+    ("Content-Type", "text/event-stream; charset=utf-8"),
+    ("Cache-Control", "no-store"),
+    ("Transfer-Encoding", "chunked"),
+]
+
+
+class StreamResponseWriter(ResponseWriter):
+    """Text goes out as server-sent events while it comes."""
+
+    def __init__(
+        self, exchange: Exchange, ident: str, model: str, include_usage: bool, after: int | None = None
+    ) -> None:
+        """`after`: characters that the client has already; None where events carry no ids."""
+        super().__init__()
+        self.exchange = exchange
+        self.ident = ident
+        self.model = model
+        self.include_usage = include_usage
+        self.after = after
+        self.created = int(time.time())
+
+    async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
+        """Sends one event, the first with the answer's head."""
+        if self.after is not None:
+            self.after += len(text)
+        data = event_bytes(chunk(self.ident, self.created, self.model, text, None, first, more), self.after)
+        if first:
+            await self.exchange.begin(200, [*STREAM_HEAD, ("X-Request-Id", self.ident), *self.extra], data)
+        else:
+            await self.exchange.chunk(data)
+
+    async def end(self, final: Final) -> None:
+        """Ends the stream. Where the answer broke off, the error event takes the place of [DONE]."""
+        if not isinstance(final, Streamed):
+            why = final.why if isinstance(final, Failed) else "throttled"
+            await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
+            return
+        data = event_bytes(chunk(self.ident, self.created, self.model, None, final.finish, False))
+        if self.include_usage:
+            data += event_bytes(usage_chunk(self.ident, self.created, self.model, final.usage))
+        await self.exchange.end(data + event_bytes(b"[DONE]"))
+
+
+class BufferedResponseWriter(ResponseWriter):
+    """Text is kept by the request until the answer is whole."""
+
+    async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
+        """Nothing is sent before the end."""
--- a/ternlane/gateway/router_config.py
+++ b/ternlane/gateway/router_config.py
@@ -5,16 +5,16 @@
 from dataclasses import astuple, dataclass
 
 from ternlane.chat.intake import EFFECTS, GROUPS
-from ternlane.config import GatewayConfig
+from ternlane.config import GatewayConfig, RequestClassConfig
 from ternlane.policy.messages import RequestClass, RouterConfig
 
-STEP_MS = 1.0  # the host hands events over as they come
+STEP_MS = 1.0  # the runtime hands events over as they come
 
 
 @dataclass(slots=True, frozen=True)
-class Offer:
-    """What a document comes to: products by their names and by all model names, the longest answer of each, and what
-    the decisions are told."""
+class ConfiguredModels:
+    """What a document comes to: request classes by their names and by all model names, the longest answer of each (in
+    tokens), and what the decisions are told."""
 
     request_classes: dict[str, RequestClass]
     models: dict[str, RequestClass]
@@ -22,33 +22,40 @@
     router_config: RouterConfig
 
 
-def offer_of(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> Offer:
-    """A product of `held` whose terms are the same stays the object that it is, with all that was learnt of it; a
+def configure_models(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> ConfiguredModels:
+    """A request class of `held` whose terms are the same stays the object that it is, with all that was learnt of it; a
     changed one is another, and what was taken before keeps its own."""
-    request_classes: dict[str, RequestClass] = {}
-    for p in config.request_classes:
-        new = RequestClass(
-            EFFECTS[p.effect],
-            GROUPS[p.group],
-            p.window_ms,
-            p.slo_ms,
-            p.slo_per_1000_tokens_ms,
-            p.token_slo_ms,
-            p.deadline_ms,
-            p.priority_weight,
-            p.late_value_share,
-        )
-        old = (held or {}).get(p.name)
-        request_classes[p.name] = old if old is not None and astuple(old) == astuple(new) else new
-    return Offer(
-        request_classes,
-        {model: request_classes[p.name] for p in config.request_classes for model in (p.name, *p.models)},
-        {request_classes[p.name]: p.max_tokens for p in config.request_classes},
-        facts_of(config, request_classes),
+    request_classes = {
+        line.name: request_class_of(line, (held or {}).get(line.name)) for line in config.request_classes
+    }
+    models: dict[str, RequestClass] = {}
+    max_tokens: dict[RequestClass, int] = {}
+    for line in config.request_classes:
+        request_class = request_classes[line.name]
+        max_tokens[request_class] = line.max_tokens
+        for model in (line.name, *line.models):
+            models[model] = request_class
+    return ConfiguredModels(request_classes, models, max_tokens, build_router_config(config, request_classes))
+
+
+def request_class_of(line: RequestClassConfig, held: RequestClass | None) -> RequestClass:
+    """The terms of one line of the document, or `held` where they are its own."""
+    new = RequestClass(
+        EFFECTS[line.effect],
+        GROUPS[line.group],
+        line.window_ms,
+        line.slo_ms,
+        line.slo_per_1000_tokens_ms,
+        line.token_slo_ms,
+        line.deadline_ms,
+        line.priority_weight,
+        line.late_value_share,
     )
+    return held if held is not None and astuple(held) == astuple(new) else new
 
 
-def facts_of(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> RouterConfig:
+def build_router_config(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> RouterConfig:
+    """What the decisions are told of the fleet."""
     fleet = config.fleet
     return RouterConfig(
         seed=config.seed,
--- /dev/null
+++ b/ternlane/gateway/runtime_port.py
@@ -0,0 +1,46 @@
+"""What the parts of the gateway's runtime ask of it, so that none of them imports it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+import trio
+
+from ternlane.discovery import EndpointRegistry
+from ternlane.engine import Transport, Usage
+from ternlane.gateway.active_request import ActiveRequest, Failed, Rejected, Streamed
+from ternlane.gateway.journal_writer import JournalWriter
+from ternlane.gateway.metrics import GatewayMetrics
+from ternlane.policy import messages
+from ternlane.recovery import StreamRecovery
+
+
+class RuntimePort(Protocol):
+    """The runtime as its parts see it. Times are in ms of the event loop's clock."""
+
+    router_config: messages.RouterConfig
+    transport: Transport
+    registry: EndpointRegistry
+    nursery: trio.Nursery
+    metrics: GatewayMetrics
+    log: Any
+    stream_recovery: StreamRecovery[ActiveRequest]
+    journal_writer: JournalWriter | None
+    active_requests: dict[messages.Request, ActiveRequest]
+    affords: Callable[[ActiveRequest], bool]
+
+    def tell(self, event: messages.Event) -> None:
+        """Tells the decisions of an event."""
+
+    def at(self, when_ms: float, call: Callable[[], None]) -> None:
+        """Has `call` made at that time."""
+
+    def settle(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
+        """Gives the one final answer."""
+
+    def settle_streamed(self, active_request: ActiveRequest, finish: str, usage: Usage | None) -> None:
+        """Gives the whole answer."""
+
+    def resume_streams(self) -> None:
+        """Lets broken streams go on whose turn it is."""
--- /dev/null
+++ b/ternlane/gateway/stream_resumer.py
@@ -0,0 +1,65 @@
+"""Has broken streams resumed: what becomes of each, and when the next may go."""
+
+from __future__ import annotations
+
+from math import inf
+
+from ternlane.engine import AttemptResult, Usage
+from ternlane.event_loop import now_ms
+from ternlane.gateway.active_request import ActiveRequest, Failed
+from ternlane.gateway.metrics import RECOVERY_LABELS
+from ternlane.gateway.runtime_port import RuntimePort
+from ternlane.policy import messages
+from ternlane.policy.messages import EndpointStatus, Role
+from ternlane.recovery import RecoveryOutcome
+
+
+class StreamResumer:
+    """Carries out what `StreamRecovery` says. `due_ms`: when it is asked again; inf while nothing waits."""
+
+    def __init__(self, runtime: RuntimePort) -> None:
+        self.runtime = runtime
+        self.due_ms = inf
+
+    def attempt_broke(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
+        """Whether another attempt may give the rest; if so it waits for its turn."""
+        if active_request.broke_at is None:
+            active_request.broke_at = len(active_request.made)
+        outcome = self.runtime.stream_recovery.attempt_broke(
+            active_request,
+            active_request.join,
+            active_request.request,
+            None if result.usage is None else result.usage.completion_tokens,
+            now_ms(),
+            active_request.deadline_ms,
+            self.prefill_servers(),
+        )
+        self.runtime.metrics.breaks.labels(RECOVERY_LABELS[outcome]).inc()
+        if outcome is RecoveryOutcome.ENDS:
+            result.why = f"{result.why or 'the stream broke'}; {active_request.join.why}"
+        elif outcome is RecoveryOutcome.COMPLETE:
+            self.runtime.settle_streamed(active_request, "length", Usage())
+        return outcome is RecoveryOutcome.RESUMES
+
+    def prefill_servers(self) -> int:
+        """Servers at which a prompt may be prefilled."""
+        servers = self.runtime.registry.servers.values()
+        return sum(s.status is EndpointStatus.READY and s.role is not Role.DECODE for s in servers)
+
+    def resume(self) -> None:
+        """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
+        ready, late = self.runtime.stream_recovery.next(now_ms())
+        for active_request in ready:
+            self.runtime.tell(messages.ResumeStream(active_request.request))
+        for active_request in late:
+            self.runtime.settle(active_request, Failed(active_request.why or "the stream broke"))
+            self.runtime.tell(messages.ClientDisconnected(active_request.request))
+        due_ms = self.runtime.stream_recovery.due(now_ms())
+        if due_ms < self.due_ms:
+            self.due_ms = due_ms
+            self.runtime.at(due_ms, self.resume_due)
+
+    def resume_due(self) -> None:
+        """The time has come that `resume` asked for."""
+        self.due_ms = inf
+        self.resume()
--- a/ternlane/recovery/__init__.py
+++ b/ternlane/recovery/__init__.py
@@ -1,20 +1,24 @@
-"""What becomes of a stream that breaks off: may it go on, where does its text join, when is its turn. Free of I/O."""
+"""What becomes of a stream that breaks off: may it be resumed, where does its text join, when is its turn. No I/O."""
 
-from ternlane.recovery.stream_join import Differs, StreamJoin, ReplayBuffer
-from ternlane.recovery.stream_recovery import RecoveryOutcome, StreamRecovery
+from ternlane.recovery.errors import RecoveryError, ReplayMismatchError
 from ternlane.recovery.recovery_pace import RecoveryPace
+from ternlane.recovery.replay_buffer import ReplayBuffer
+from ternlane.recovery.resume_strategy import ResumeDecision, ResumeStrategy, choose_resume_strategy, is_reproducible
+from ternlane.recovery.stream_join import StreamJoin
 from ternlane.recovery.stream_pacing import StreamPacing
-from ternlane.recovery.resume_strategy import ResumeStrategy, comes_out_the_same, way_of
+from ternlane.recovery.stream_recovery import RecoveryOutcome, StreamRecovery
 
 __all__ = [
-    "Differs",
+    "RecoveryError",
     "RecoveryOutcome",
-    "StreamJoin",
-    "StreamRecovery",
     "RecoveryPace",
-    "StreamPacing",
     "ReplayBuffer",
+    "ReplayMismatchError",
+    "ResumeDecision",
     "ResumeStrategy",
-    "comes_out_the_same",
-    "way_of",
+    "StreamJoin",
+    "StreamPacing",
+    "StreamRecovery",
+    "choose_resume_strategy",
+    "is_reproducible",
 ]
--- a/ternlane/recovery/recovery_pace.py
+++ b/ternlane/recovery/recovery_pace.py
@@ -1,94 +1,120 @@
-"""Keeps the reading anew of broken streams within a share of what readers can do for this gateway.
+"""Keeps the prefill work of resumed streams within a share of what prefill servers can do for this gateway.
 
-When a cell is lost its streams all break at once. Each would be read anew at once, on fewer servers, before anything
-new: that storm is what takes the rest of the fleet down. So they go in turn, out of a bucket that fills at `share` of
-what readers can do: what they were seen to do in the best span of late, or, if that is more, each doing one prompt
-after the other at the pace of late, divided among the gateways. As queues at readers slow that pace, a crowded fleet is
-given less. One at a time always may, or nothing would ever be learnt.
+The failure it guards against: when a cell is lost its streams all break at once. Each would be prefilled anew at once,
+on fewer servers, before anything new, and that storm takes the rest of the fleet down. So they go in turn, out of a
+token bucket that fills at `share` of what prefill servers can do: what they were seen to do in the best span of late,
+or, if that is more, each doing one prompt after the other at the speed of late, divided among the gateways. As queues
+at prefill servers slow that speed, a crowded fleet is given less. One at a time always may, or nothing would be learnt.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from typing import Generic, TypeVar
 
+SPEED_WEIGHT = 1 / 32  # of one more prefill in the mean speed: some dozens of prompts set it
+PEAK_HALF_LIFE_SPANS = 64  # a best span counts half after so many spans, so that a shrunken fleet is noticed
+MIN_WAIT_MS = 1.0  # until the bucket is asked again
+
 T = TypeVar("T")
 
 
+@dataclass(slots=True, order=True)
+class WaitingStream(Generic[T]):
+    """A broken stream in its queue: by priority weight, then by what was streamed, then first come."""
+
+    negative_weight: float
+    negative_streamed: float
+    number: int
+    deadline_ms: float = field(compare=False)
+    tokens: float = field(compare=False)
+    item: T = field(compare=False)
+
+
 class RecoveryPace(Generic[T]):
-    """Over any time t no more is read anew than `share` * `able` * (t + `span_ms`), one prompt for each try that is
-    alone, and the last prompt's excess. Tokens; ms. What waits is ordered by revenue, then by what was streamed."""
+    """Over any time t no more is prefilled anew than `share` * `capacity` * (t + `span_ms`), one prompt for each resume
+    that is alone, and the last prompt's excess. Units: tokens, ms, tokens a ms."""
 
     def __init__(self, share: float, span_ms: float, gateways: int = 1) -> None:
-        self.share, self.span_ms, self.gateways = share, span_ms, gateways
-        self.prefill_servers = 0  # that may be read at
-        self.speed = 0.0  # tokens a ms of one prompt's reading, its wait included; mean
+        self.share = share
+        self.span_ms = span_ms
+        self.gateways = gateways
+        self.prefill_servers = 0  # that may be asked
+        self.speed = 0.0  # tokens a ms of one prompt's prefill, its wait included; mean
         self.peak = 0.0  # tokens a ms, the best span of late
-        self.level = 0.0  # tokens that may be read anew now
-        self.at = 0.0
-        self.span_at, self.span_tokens = 0.0, 0.0
-        self.out: dict[T, None] = {}
-        self.turn = 0
-        self.queue: list[tuple[float, float, int, float, float, T]] = []
-
-    def able(self) -> float:
-        """Tokens a ms that readers can do for this gateway."""
+        self.level = 0.0  # tokens that may be prefilled anew now
+        self.updated_ms = 0.0
+        self.span_start_ms = 0.0
+        self.span_tokens = 0.0
+        self.resuming: dict[T, None] = {}
+        self.count = 0
+        self.queue: list[WaitingStream[T]] = []
+
+    def capacity(self) -> float:
+        """Tokens a ms that prefill servers can do for this gateway."""
         return max(self.peak, self.speed * self.prefill_servers / self.gateways)
 
-    def clock(self, now: float) -> None:
-        spent = now - self.at
-        self.at = now
-        rate = self.share * self.able()
-        self.level = min(rate * self.span_ms, self.level + rate * spent)
-        passed = now - self.span_at
-        if passed >= self.span_ms:
-            rate = self.span_tokens / passed
-            self.peak = max(rate, self.peak * 0.5 ** (passed / (64 * self.span_ms)))
-            self.span_at, self.span_tokens = now, 0.0
-
-    def read(self, now: float, tokens: float, took_ms: float) -> None:
-        """A reader has read an ordinary prompt, of which so many tokens were not kept."""
-        self.clock(now)
+    def update(self, now: float) -> None:
+        """Fills the bucket up to `now`, and closes the span that is over."""
+        elapsed = now - self.updated_ms
+        self.updated_ms = now
+        rate = self.share * self.capacity()
+        self.level = min(rate * self.span_ms, self.level + rate * elapsed)
+        span = now - self.span_start_ms
+        if span >= self.span_ms:
+            seen = self.span_tokens / span
+            self.peak = max(seen, self.peak * 0.5 ** (span / (PEAK_HALF_LIFE_SPANS * self.span_ms)))
+            self.span_start_ms = now
+            self.span_tokens = 0.0
+
+    def prefilled(self, now: float, tokens: float, took_ms: float) -> None:
+        """A server has prefilled an ordinary prompt, of which so many tokens were not cached."""
+        self.update(now)
         self.span_tokens += tokens
         if tokens > 0 and took_ms > 0:
             speed = tokens / took_ms
-            self.speed = speed if not self.speed else self.speed + (speed - self.speed) / 32
+            self.speed = speed if not self.speed else self.speed + (speed - self.speed) * SPEED_WEIGHT
 
-    def wait(self, item: T, tokens: float, priority_weight: float, streamed: float, until: float) -> None:
-        """Queues what broke. After `until` its client can't be helped any more."""
-        self.turn += 1
-        heappush(self.queue, (-priority_weight, -streamed, self.turn, until, tokens, item))
+    def wait(self, item: T, tokens: float, priority_weight: float, streamed: float, deadline_ms: float) -> None:
+        """Queues a broken stream. After `deadline_ms` its client can't be helped any more."""
+        self.count += 1
+        heappush(self.queue, WaitingStream(-priority_weight, -streamed, self.count, deadline_ms, tokens, item))
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
-        """Which may go on now, and which have waited too long."""
-        self.clock(now)
-        go: list[T] = []
-        late = [e[5] for e in self.queue if e[3] <= now]
-        if late:
-            self.queue = [e for e in self.queue if e[3] > now]
-            self.queue.sort()
-        while self.queue and (self.level > 0 or not self.out):
-            *_, tokens, item = heappop(self.queue)
+        """Which may be resumed now, and which have waited too long."""
+        self.update(now)
+        late = self.take_late(now)
+        ready: list[T] = []
+        while self.queue and (self.level > 0 or not self.resuming):
+            waiting = heappop(self.queue)
             if self.level > 0:  # one that goes because it is alone is not charged, or a debt would only grow
-                self.level -= tokens
-            self.out[item] = None
-            go.append(item)
-        return go, late
+                self.level -= waiting.tokens
+            self.resuming[waiting.item] = None
+            ready.append(waiting.item)
+        return ready, late
+
+    def take_late(self, now: float) -> list[T]:
+        """Takes those out of the queue whose deadline has passed."""
+        late = [waiting.item for waiting in self.queue if waiting.deadline_ms <= now]
+        if late:
+            self.queue = sorted(waiting for waiting in self.queue if waiting.deadline_ms > now)
+        return late
 
-    def landed(self, item: T) -> None:
+    def resumed(self, item: T) -> None:
         """It streams again: the place is free."""
-        self.out.pop(item, None)
+        self.resuming.pop(item, None)
 
-    def gone(self, item: T) -> None:
-        """It has ended, be it in the queue: nothing is read for it."""
-        self.landed(item)
-        if any(e[5] is item for e in self.queue):
-            self.queue = sorted(e for e in self.queue if e[5] is not item)
+    def remove(self, item: T) -> None:
+        """It has ended, be it in the queue: nothing is prefilled for it."""
+        self.resumed(item)
+        if any(waiting.item is item for waiting in self.queue):
+            self.queue = sorted(waiting for waiting in self.queue if waiting.item is not item)
 
     def due(self, now: float) -> float | None:
-        """When to ask again, if nothing else happens before."""
+        """When to call `next` again (ms), if nothing else happens before; None while nothing waits."""
         if not self.queue:
             return None
-        rate = self.share * self.able()
-        wait = max(1.0, -self.level / rate) if rate > 0 else self.span_ms
-        return min(now + wait, min(e[3] for e in self.queue))
+        rate = self.share * self.capacity()
+        wait_ms = max(MIN_WAIT_MS, -self.level / rate) if rate > 0 else self.span_ms
+        return min(now + wait_ms, min(waiting.deadline_ms for waiting in self.queue))
--- a/ternlane/reference.py
+++ b/ternlane/reference.py
@@ -28,6 +28,7 @@
 
 
 def signature(name: str, of: Callable[..., Any]) -> str:
+    """A callable as the page shows it."""
     try:
         said = inspect.signature(of)
     except (TypeError, ValueError):
@@ -47,6 +48,7 @@
 
 
 def tidy(annotation: Any) -> str:
+    """A type without the modules that it comes from."""
     return annotation if isinstance(annotation, str) else getattr(annotation, "__name__", str(annotation))
 
 
@@ -72,6 +74,7 @@
 
 
 def shown(name: str, kind: type, attribute: str, needed: bool, default: Any) -> str:
+    """One field with its type, and its default where it has one."""
     typed = next(
         (k.__annotations__[attribute] for k in kind.__mro__ if attribute in k.__dict__.get("__annotations__", {})), ""
     )
@@ -95,6 +98,7 @@
 
 
 def page_of(name: str, it: Any) -> Iterator[str]:
+    """The lines of one public name."""
     if not isinstance(it, type):
         yield f"### `{signature(name, it)}`\n"
         yield own_doc(it) + "\n"
@@ -126,6 +130,7 @@
 
 
 def one_line(of: Any) -> str:
+    """A docstring without its line breaks."""
     return " ".join((inspect.getdoc(of) or "").split())
 
 
@@ -142,6 +147,7 @@
 
 
 def page() -> Iterator[str]:
+    """The lines of the whole page."""
     yield f"# API of ternlane {ternlane.__version__}\n"
     yield (
         "Made by `python -m ternlane.reference` from the docstrings. Times are milliseconds, memory is in tokens,\n"
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -9,7 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ternlane.chat import Busy, Differs, Done, Fresh, Intake, PrefixIndex, Repeats, Sessions, read_chat
+from ternlane.chat import (
+    RequestInProgress,
+    BodyMismatch,
+    StoredAnswer,
+    FirstRequest,
+    RequestIntake,
+    PrefixIndex,
+    IdempotencyCache,
+    SessionIndex,
+    parse_chat_request,
+)
 from ternlane.chat.prefixes import BLOCK, WholePrefixes, blocks
 from ternlane.http1 import EventReader
 from ternlane.engine.load_report import load_from_header
@@ -27,12 +37,12 @@
     roles = ("user", "assistant")
     messages = [{"role": roles[i % 2], "content": c} for i, c in enumerate(contents)]
     body = {"model": "m", "messages": messages, "user": user}
-    return read_chat(msgspec.json.encode(body | ({"prompt_cache_key": key} if key else {})))
+    return parse_chat_request(msgspec.json.encode(body | ({"prompt_cache_key": key} if key else {})))
 
 
-def intake(limit: int = 1000) -> Intake:
+def intake(limit: int = 1000) -> RequestIntake:
     p = request_class()
-    return Intake({"m": p}, {p: 100}, limit)
+    return RequestIntake({"m": p}, {p: 100}, limit)
 
 
 def test_a_conversation_is_recognised_by_what_was_said() -> None:
@@ -47,14 +57,14 @@
 
 
 def test_how_a_message_is_laid_out_does_not_matter() -> None:
-    plain = read_chat(b'{"model":"m","messages":[{"role":"user","content":"a\\u00e9"}]}')
-    parts = read_chat(
+    plain = parse_chat_request(b'{"model":"m","messages":[{"role":"user","content":"a\\u00e9"}]}')
+    parts = parse_chat_request(
         '{"messages":[{"content":[{"type":"text","text":"aé"}],"role":"user","name":null}],"model":"m"}'.encode()
     )
     assert plain.texts == parts.texts
 
 
-def test_an_opening_is_what_another_session_began_with() -> None:
+def test_a_shared_prefix_is_what_another_session_began_with() -> None:
     known, shared = intake(), "the rules of the bonus " * 60
     requests = [known.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
     assert requests[0].prefix is None and requests[1].prefix == requests[2].prefix is not None
@@ -73,7 +83,7 @@
 
 
 def test_known_ends_of_conversations_are_bounded() -> None:
-    sessions = Sessions(50)
+    sessions = SessionIndex(50)
     for i in range(500):
         sessions.find([i.to_bytes(8, "big")])
     assert len(sessions.ends) == 50
@@ -109,27 +119,27 @@
     assert len(blocks(b"x" * (3 * BLOCK + 1))) == 3
 
 
-def test_a_key_is_busy_then_done_then_forgotten() -> None:
-    repeats = Repeats(10_000)
-    assert isinstance(repeats.begin("k", b"1", 0), Fresh)
-    assert isinstance(repeats.begin("k", b"1", 0), Busy)
-    assert isinstance(repeats.begin("k", b"2", 0), Differs)
+def test_a_key_is_in_progress_then_answered_then_forgotten() -> None:
+    repeats = IdempotencyCache(10_000)
+    assert isinstance(repeats.begin("k", b"1", 0), FirstRequest)
+    assert isinstance(repeats.begin("k", b"1", 0), RequestInProgress)
+    assert isinstance(repeats.begin("k", b"2", 0), BodyMismatch)
     repeats.end("k", "answer", 6, until=100)
     found = repeats.begin("k", b"1", 50)
-    assert isinstance(found, Done) and found.answer == "answer"
-    assert isinstance(repeats.begin("k", b"1", 100), Fresh)
+    assert isinstance(found, StoredAnswer) and found.answer == "answer"
+    assert isinstance(repeats.begin("k", b"1", 100), FirstRequest)
     repeats.end("k", None, 0, 0)  # throttled: free again
-    assert isinstance(repeats.begin("k", b"3", 100), Fresh)
+    assert isinstance(repeats.begin("k", b"3", 100), FirstRequest)
 
 
 def test_answers_kept_for_repeats_are_bounded_and_those_out_are_not_dropped() -> None:
-    repeats = Repeats(5_000)
+    repeats = IdempotencyCache(5_000)
     repeats.begin("out", b"", 0)
     for i in range(100):
         repeats.begin(str(i), b"", 0)
         repeats.end(str(i), "x" * 500, 500, until=1e9)
-    assert repeats.bytes <= 5_000 and repeats.bytes == sum(r.cost for r in repeats.ended.values())
-    assert isinstance(repeats.begin("out", b"", 0), Busy)
+    assert repeats.bytes <= 5_000 and repeats.bytes == sum(r.size_bytes for r in repeats.ended.values())
+    assert isinstance(repeats.begin("out", b"", 0), RequestInProgress)
 
 
 @settings(max_examples=100, deadline=None)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -27,7 +27,7 @@
 SLOW = replace(BUILD, token_ms=80.0, answer_tokens=(8, 8))
 
 
-async def test_a_chat_is_read_and_written_and_streamed() -> None:
+async def test_a_chat_is_prefilled_decoded_and_streamed() -> None:
     async with world() as w:
         reply = await w.ask(stream_options={"include_usage": True})
         assert (reply.status, reply.done, reply.broke) == (200, 1, False)
@@ -45,14 +45,14 @@
         assert body["usage"]["completion_tokens"] == 6
 
 
-async def test_a_mixed_server_reads_and_writes_in_one_leg() -> None:
+async def test_a_mixed_server_prefills_and_decodes_in_one_attempt() -> None:
     async with world(("m0",)) as w:
         reply = await w.ask()
         assert reply.done == 1
         assert [v["stage"] for v in w.said("leg")] == ["whole"]
 
 
-async def test_the_next_turn_of_a_conversation_goes_to_the_reader_that_keeps_it() -> None:
+async def test_the_next_turn_goes_to_the_prefill_server_that_caches_the_conversation() -> None:
     async with world(("r0", "r1", "r2", "w0", "w1", "w2")) as w:
         messages = [{"role": "user", "content": "tell me of the bonus " * 100}]
         for turn in range(4):
@@ -83,14 +83,17 @@
     caller.close_now()
 
 
-async def test_a_client_gone_midway_frees_its_writer() -> None:
+async def test_a_client_that_leaves_midway_frees_its_decode_server() -> None:
+    """A client closes its connection while its answer streams. Nobody reads the rest: the attempt is cancelled."""
     async with world(build=SLOW) as w:
         await leave(w, 250)
         await w.settled()
         assert [v["how"] for v in w.said("leg_end")] == ["read", "dropped"]
 
 
-async def test_a_client_gone_before_the_first_event_leaves_no_state_behind() -> None:
+async def test_a_client_that_leaves_before_the_first_event_leaves_no_state_behind() -> None:
+    """A client closes its connection before any text has come. A prefill server may hold a state by then, which has to
+    be released."""
     async with world(build=replace(BUILD, prefill_tokens_per_s=2000.0)) as w:
         await leave(w, 100, text="x" * 1600)  # 200 ms to read
         await trio.sleep(0.15)
@@ -98,7 +101,8 @@
         assert len(w.said("leg")) == 1
 
 
-async def test_a_client_gone_while_its_generation_waits_costs_nothing() -> None:
+async def test_a_client_that_leaves_while_its_request_waits_costs_nothing() -> None:
+    """A client closes its connection while its request waits for a server. Nothing may be sent for it any more."""
     async with world(("r0", "w0"), build=replace(BUILD, kv_capacity_tokens=3000.0, token_ms=60.0)) as w:
         async with trio.open_nursery() as nursery:
             for _ in range(2):
@@ -108,13 +112,13 @@
                     await trio.sleep(0.005)
             await leave(w, 80, text="z" * 8000, headers={"X-Request-Id": "gone"})
             with trio.fail_after(1):
-                while "gone" in w.gateway.host.idents:
+                while "gone" in w.gateway.runtime.idents:
                     await trio.sleep(0.005)
             assert w.said("leg", gen="gone") == []
         await w.settled()
 
 
-async def test_a_client_that_sends_a_second_request_early_is_answered_once_and_refused_once() -> None:
+async def test_a_client_that_sends_a_second_request_early_is_answered_once_and_rejected_once() -> None:
     async with world() as w:
         body = json.dumps({"model": "summary", "messages": [{"role": "user", "content": "a"}]}).encode()
         request = b"POST /v1/chat/completions HTTP/1.1\r\nHost: g\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -128,7 +132,7 @@
         assert len(w.said("effect")) == 1
 
 
-async def test_large_slow_and_broken_requests_are_refused_with_a_reason() -> None:
+async def test_large_slow_and_broken_requests_are_rejected_with_a_reason() -> None:
     async with world(door=ServerLimits(body_bytes=2000, head_ms=80, body_ms=80)) as w:
         assert (await w.ask(text="x" * 3000)).status == 413
         for begun, status in (
@@ -182,7 +186,8 @@
 # -- engines that fail
 
 
-async def test_a_writer_that_stalls_after_its_first_event_ends_in_an_error_event() -> None:
+async def test_a_decode_server_that_stalls_after_its_first_event_ends_in_an_error_event() -> None:
+    """A decode server falls silent within a stream, its connection open. The client must not wait for ever."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=30.0)) as w:
 
         async def hang() -> None:
@@ -200,7 +205,7 @@
 
 
 @pytest.mark.parametrize("model, served", [("summary", True), ("note", False), ("form", True)])
-async def test_a_writer_that_dies_before_the_first_event(model: str, served: bool) -> None:
+async def test_a_decode_server_that_dies_before_the_first_event(model: str, served: bool) -> None:
     """An idempotent generation goes elsewhere, a deduplicated one within its cell, a side-effecting one nowhere."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=150.0)) as w:
 
@@ -217,7 +222,7 @@
         await w.settled()
 
 
-async def test_a_deduplicated_generation_does_not_leave_its_cell() -> None:
+async def test_a_deduplicated_request_does_not_leave_its_cell() -> None:
     async with world(("r0", "r1", "w0", "w1"), build=replace(BUILD, token_ms=150.0)) as w:
 
         async def kill() -> None:
@@ -230,7 +235,8 @@
         assert reply.status in (502, 504) and len(w.said("effect")) == 1
 
 
-async def test_a_writer_that_dies_midway_ends_in_an_error_event() -> None:
+async def test_a_decode_server_that_dies_midway_ends_in_an_error_event() -> None:
+    """A decode server dies within a stream that may not be resumed. The client hears that there is no more."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=40.0)) as w:
 
         async def kill() -> None:
@@ -245,7 +251,8 @@
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
-async def test_a_lost_answer_is_never_written_twice_where_that_matters(model: str) -> None:
+async def test_a_lost_answer_is_never_decoded_twice_where_that_matters(model: str) -> None:
+    """A decode server has done its work, and its answer is lost on the way. What has effects must not run again."""
     async with world(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
             w.engines[ident].trouble.lost = 1.0
@@ -258,7 +265,8 @@
         await w.settled()
 
 
-async def test_a_reader_that_dies_holding_the_state_is_replaced() -> None:
+async def test_a_prefill_server_that_dies_with_the_state_is_replaced() -> None:
+    """A prefill server dies after its answer, before its state was fetched. Another has to prefill."""
     async with world(("r0", "r0b", "w0")) as w:
         w.engines["w0"].trouble.slow = 1.0
         w.engines["w0"].busy = w.engines["w0"].build.slots  # the writer lets it wait before it fetches
@@ -277,7 +285,8 @@
         assert len({v["id"] for v in w.said("leg", stage="read")}) == 2 and len(w.said("effect")) == 1
 
 
-async def test_a_writer_that_is_listed_but_dead_is_passed_over() -> None:
+async def test_a_decode_server_that_is_listed_but_dead_is_passed_over() -> None:
+    """A decode server is on the list, and nothing listens at its address. Requests go to another."""
     async with world(("r0", "w0", "w0b")) as w:
         w.engines["w0"].die()
         await trio.sleep(0.02)
@@ -336,7 +345,7 @@
         ([HEAD, chunked(b"data: [DONE]\n\n") + b"0\r\n\r\n"], AttemptOutcome.STREAMED, True),
     ],
 )
-async def test_what_the_end_of_a_leg_proves(steps: list[Any], outcome: AttemptOutcome, begun: bool) -> None:
+async def test_what_the_end_of_an_attempt_proves(steps: list[Any], outcome: AttemptOutcome, begun: bool) -> None:
     async with trio.open_nursery() as nursery:
         peer, pool, got = Scripted(steps), ConnectionPool(200, 1000), []
         await peer.run(nursery)
@@ -352,7 +361,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b"[1]", b"{", b'{"kv_transfer_params": 7}'])
-async def test_a_reader_that_answers_nonsense_has_failed(body: bytes) -> None:
+async def test_a_prefill_server_that_answers_nonsense_has_failed(body: bytes) -> None:
     async with trio.open_nursery() as nursery:
         peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
@@ -368,14 +377,14 @@
             async def drain() -> None:
                 while not w.said("leg"):
                     await trio.sleep(0.005)
-                home = next(iter(w.gateway.host.active_requests)).seat.decode_server.server
-                w.list(**{w.gateway.book.places[home].ident: "draining"})
+                home = next(iter(w.gateway.runtime.active_requests)).seat.decode_server.server
+                w.list(**{w.gateway.registry.endpoints[home].ident: "draining"})
 
             nursery.start_soon(drain)
             reply = await w.ask("note", "x" * 1600)
-        drained = next(s for s in w.gateway.book.servers.values() if s.status.name == "DRAINING")
+        drained = next(s for s in w.gateway.registry.servers.values() if s.status.name == "DRAINING")
         assert reply.done == 1
-        assert w.said("effect")[0]["id"] != w.gateway.book.places[drained].ident
+        assert w.said("effect")[0]["id"] != w.gateway.registry.endpoints[drained].ident
 
 
 async def test_a_list_that_empties_and_fills_again() -> None:
@@ -512,7 +521,7 @@
             await w.ask()
 
 
-async def test_what_outlasts_the_drain_is_terminated() -> None:
+async def test_what_outlasts_the_drain_is_failed() -> None:
     async with world(build=replace(BUILD, token_ms=400.0), door=ServerLimits(drain_ms=100)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
@@ -557,7 +566,7 @@
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
-async def test_a_read_whose_answer_is_lost_is_told_by_a_later_one(model: str) -> None:
+async def test_a_prefill_whose_answer_is_lost_is_told_by_a_later_one(model: str) -> None:
     async with world(request_classes=patient(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
         prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
@@ -581,7 +590,7 @@
         await w.settled()
 
 
-async def test_a_state_that_a_read_left_late_is_released_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_state_that_a_prefill_left_late_is_released_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async with world(("r0", "r0b", "w0")) as w:
         heard: list[str] = []
         for ident in ("r0", "r0b"):  # each hears the first word of it too early
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -23,7 +23,7 @@
 from ternlane.http1 import ConnectionPool, ConnectError
 from ternlane.ledger import Damaged, Disk, Segmented
 from ternlane.ledger.store import read_segment
-from ternlane.recovery.inflight import Ended, Freed, InFlight, Record, Sent, Taken
+from ternlane.recovery.inflight import RequestEnded, StateFreed, InFlightRequests, Record, AttemptSent, RequestTaken
 
 ROOT = Path(__file__).parent.parent
 NOW, LATER = 1000.0, 5000.0
@@ -35,11 +35,11 @@
     for i, (upto, effect, keyed) in enumerate(draws):
         ident, kind = f"g{i}", ("IDEMPOTENT", "DEDUPLICATED", "SIDE_EFFECTING")[effect]
         course = [
-            Taken(ident, f"n{i}", f"k{i}" if keyed else "", b"m", kind, NOW, LATER),
-            Sent(ident, f"n{i}", "r0", "a", "d", True, False),
-            Sent(ident, f"n{i}", "w0", "b", "d", False, True),
-            Freed(ident),
-            Ended(ident, "streamed", True, f"text {i}"),
+            RequestTaken(ident, f"n{i}", f"k{i}" if keyed else "", b"m", kind, NOW, LATER),
+            AttemptSent(ident, f"n{i}", "r0", "a", "d", True, False),
+            AttemptSent(ident, f"n{i}", "w0", "b", "d", False, True),
+            StateFreed(ident),
+            RequestEnded(ident, "streamed", True, f"text {i}"),
         ]
         courses.append(course[:upto])
     out: list[Record] = []
@@ -50,17 +50,17 @@
     return out
 
 
-def store_of(disk: Any, **sizes: int) -> Segmented[Record, InFlight]:
+def store_of(disk: Any, **sizes: int) -> Segmented[Record, InFlightRequests]:
     return Segmented(JOURNAL, disk, **sizes)
 
 
-def must_be_safe(found: InFlight, records: list[Record]) -> None:
+def must_be_safe(found: InFlightRequests, records: list[Record]) -> None:
     """What is recovered, against the records that it was recovered from, gone through one by one."""
-    taken = {r.ident: r for r in records if isinstance(r, Taken)}
-    ended = {r.ident: r for r in records if isinstance(r, Ended)}
-    ran = {r.ident for r in records if isinstance(r, Sent) and r.decodes}
-    held = {r.ident for r in records if isinstance(r, Sent) and r.prefills} - {
-        r.ident for r in records if isinstance(r, Freed)
+    taken = {r.ident: r for r in records if isinstance(r, RequestTaken)}
+    ended = {r.ident: r for r in records if isinstance(r, RequestEnded)}
+    ran = {r.ident for r in records if isinstance(r, AttemptSent) and r.decodes}
+    held = {r.ident for r in records if isinstance(r, AttemptSent) and r.prefills} - {
+        r.ident for r in records if isinstance(r, StateFreed)
     }
     answers = {v.taken.ident: v.ended for v in found.answers(NOW)}
     for ident, it in taken.items():
@@ -90,7 +90,7 @@
         again.recover()
         whole = len(read_segment(raw[:cut], "s", True, JOURNAL)[0])
         must_be_safe(again.totals, records[:whole])
-        again.append(Ended("g0", "lost"))  # and it goes on from there
+        again.append(RequestEnded("g0", "lost"))  # and it goes on from there
         again.commit()
         third = store_of(torn)
         third.recover()
@@ -129,9 +129,9 @@
     for i in range(3000):
         late = NOW + i
         for record in (
-            Taken(f"g{i}", f"n{i}", f"k{i}", b"m", "SIDE_EFFECTING", late, late + 50.0),
-            Sent(f"g{i}", f"n{i}", "w", "a", "d", False, True),
-            Ended(f"g{i}", "streamed", True, "x" * 40),
+            RequestTaken(f"g{i}", f"n{i}", f"k{i}", b"m", "SIDE_EFFECTING", late, late + 50.0),
+            AttemptSent(f"g{i}", f"n{i}", "w", "a", "d", False, True),
+            RequestEnded(f"g{i}", "streamed", True, "x" * 40),
         ):
             store.append(record)
         store.commit()
@@ -208,7 +208,7 @@
             assert other.done == 1
 
 
-async def test_gateway_and_writer_lost_together_double_nothing(tmp_path: Path) -> None:
+async def test_gateway_and_decode_server_lost_together_double_nothing(tmp_path: Path) -> None:
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
         with trio.fail_after(2):
@@ -230,7 +230,7 @@
             assert len(w.said("effect")) == 1
 
 
-async def test_an_idempotent_one_that_was_terminated_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
+async def test_an_idempotent_request_that_failed_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].trouble.script = "midway"
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 0
@@ -279,7 +279,7 @@
         assert (await w.ask("note", headers={"Idempotency-Key": "k1"})).done == 1
 
 
-async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_taken(tmp_path: Path) -> None:
+async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_admitted(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         with trio.fail_after(1):
             while not w.gateway.journal_writer.ready:  # type: ignore[union-attr]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -247,7 +247,7 @@
     ):
         async with a.request(REQUEST) as stream:
             assert await stream.text()
-        assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.host.active_requests
+        assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.runtime.active_requests
         two["r0"].trouble = "hung"
         with trio.move_on_after(0.05):
             async with b.request(REQUEST) as stream:
@@ -281,7 +281,7 @@
                 finally:
                     trio.lowlevel.remove_instrument(counter)
             with trio.fail_after(1):
-                while routing.host.active_requests or routing.host.releasing:
+                while routing.runtime.active_requests or routing.runtime.server_calls.releasing:
                     await trio.sleep(0.002)
             assert made["w0"].effects <= 1 and made["w0"].closed == made["w0"].effects
             assert made["w0"].effects or not made["r0"].states
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -21,7 +21,15 @@
 from ternlane.policy.messages import Effect
 from ternlane.embed import open_routing
 from ternlane.engine import PrefillResult, AttemptRequest, LocalTransport
-from ternlane.recovery import Differs, StreamJoin, RecoveryPace, StreamPacing, ReplayBuffer, ResumeStrategy, way_of
+from ternlane.recovery import (
+    ReplayMismatchError,
+    StreamJoin,
+    RecoveryPace,
+    StreamPacing,
+    ReplayBuffer,
+    ResumeStrategy,
+    choose_resume_strategy,
+)
 from ternlane.rules import check
 from ternlane.tenants import Used, bill_for
 
@@ -63,7 +71,8 @@
 
 
 @pytest.mark.parametrize("at", [1, 2, 3, 5, 6])
-async def test_a_stream_goes_on_elsewhere_wherever_it_broke(at: int) -> None:
+async def test_a_stream_is_resumed_elsewhere_wherever_it_broke(at: int) -> None:
+    """The decode server of a stream dies after some pieces. The client has a part of the text and waits."""
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, at)
@@ -87,7 +96,8 @@
         assert reply.status == 200 and said["choices"] == whole["choices"] and said["usage"] == whole["usage"]
 
 
-async def test_lost_again_and_again_it_goes_on_until_its_legs_are_used_up() -> None:
+async def test_a_stream_lost_again_and_again_is_resumed_until_its_attempts_are_used_up() -> None:
+    """Each decode server that takes a stream over dies too, until the limit on attempts ends it."""
     whole = await unbroken()
     async with world(("r0", "w0", "w0b", "w1", "w1b"), terms=terms()) as w:
         break_all(w, 2)
@@ -102,7 +112,8 @@
         await w.settled()
 
 
-async def test_the_reader_of_a_resume_dies_and_another_reads() -> None:
+async def test_the_prefill_server_of_a_resume_dies_and_another_prefills() -> None:
+    """A stream broke, and the prefill server that reads its prompt anew dies as well."""
     whole = await unbroken()
     async with world(("r0", "r0b", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 4)
@@ -134,7 +145,7 @@
         await w.settled()
 
 
-async def test_a_repeat_that_answers_otherwise_is_not_joined() -> None:
+async def test_a_replay_that_answers_otherwise_is_not_joined() -> None:
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 3)
         w.nursery.start_soon(others, w, "other")
@@ -157,7 +168,7 @@
         ({"stop": ["nowhere"], "max_tokens": 5}, True),
     ],
 )
-async def test_each_kind_of_request_is_joined_or_ended_by_its_rule(more: dict[str, Any], joined: bool) -> None:
+async def test_each_kind_of_request_is_resumed_or_ended_by_its_rule(more: dict[str, Any], joined: bool) -> None:
     whole = await unbroken(**more)
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 3)
@@ -168,7 +179,7 @@
         await w.settled()
 
 
-async def test_readers_that_do_not_know_how_to_go_on_are_found_out() -> None:
+async def test_prefill_servers_that_cannot_continue_a_text_are_found_out() -> None:
     whole = await unbroken()
     async with world(("r0", "r0b", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 4)
@@ -235,8 +246,8 @@
         assert reply.done == 0 and "outgrew" in reply.error["message"]  # type: ignore[index]
         await w.settled()
         assert (
-            w.gateway.host.stream_recovery.replay_buffer.used == 0
-            and w.gateway.host.stream_recovery.replay_buffer.dropped == 1
+            w.gateway.runtime.stream_recovery.replay_buffer.used_bytes == 0
+            and w.gateway.runtime.stream_recovery.replay_buffer.dropped == 1
         )
     async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(resume=False)) as w:
         break_all(w, 4)
@@ -244,7 +255,7 @@
         assert reply.done == 0 and len(attempts_at(w)) == 1
 
 
-async def test_half_the_writers_go_at_once_and_all_streams_come_through() -> None:
+async def test_half_the_decode_servers_go_at_once_and_all_streams_come_through() -> None:
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"),
         build=replace(BUILD, token_ms=25.0, answer_tokens=(20, 20)),
@@ -277,7 +288,7 @@
 
 
 def join(
-    text: str = "", way: ResumeStrategy = ResumeStrategy.GO_ON, stop: Any = None, max_tokens: int = 1000
+    text: str = "", way: ResumeStrategy = ResumeStrategy.CONTINUE, stop: Any = None, max_tokens: int = 1000
 ) -> StreamJoin:
     made = StreamJoin(way, "", ReplayBuffer(10**6, 10**6, 10**6), max_tokens, stop)
     for piece in text.split("|") if text else ():
@@ -287,67 +298,71 @@
 
 @given(st.lists(st.text(min_size=1, max_size=4), min_size=1, max_size=20), st.data())
 @settings(max_examples=200, deadline=None)
-def test_the_client_has_each_piece_once_wherever_legs_break(words: list[str], data: st.DataObject) -> None:
+def test_the_client_has_each_piece_once_wherever_attempts_break(words: list[str], data: st.DataObject) -> None:
     words = [w.replace("\ufffd", "x") for w in words]
-    way = data.draw(st.sampled_from([ResumeStrategy.GO_ON, ResumeStrategy.REPLAY]))
+    way = data.draw(st.sampled_from([ResumeStrategy.CONTINUE, ResumeStrategy.REPLAY]))
     it, seen = join(way=way), ""
     for _ in range(4):
-        said = words[it.tokens :] if way is ResumeStrategy.GO_ON else words
+        said = words[it.tokens :] if way is ResumeStrategy.CONTINUE else words
         upto = data.draw(st.integers(1, max(1, len(said))))
         for piece in said[:upto]:
             seen += it.take(piece)
         assert "".join(words).startswith(seen) and it.text == seen
         if upto >= len(said):
             break
-        assert it.broke(None) is not None
+        assert it.attempt_lost(None) is not None
     else:
-        for piece in words[it.tokens :] if way is ResumeStrategy.GO_ON else words:
+        for piece in words[it.tokens :] if way is ResumeStrategy.CONTINUE else words:
             seen += it.take(piece)
-    assert seen == "".join(words) and it.ends()
+    assert seen == "".join(words) and it.attempt_completed()
 
 
-def test_a_repeat_may_cut_its_pieces_otherwise_but_not_say_other_things() -> None:
+def test_a_replay_may_cut_its_pieces_otherwise_but_not_say_other_things() -> None:
     it = join("ab|cd", ResumeStrategy.REPLAY)
-    it.broke(None)
-    assert [it.take(p) for p in ("a", "bc", "def", "g")] == ["", "", "ef", "g"] and it.ends()
+    it.attempt_lost(None)
+    assert [it.take(p) for p in ("a", "bc", "def", "g")] == ["", "", "ef", "g"] and it.attempt_completed()
     it = join("ab|cd", ResumeStrategy.REPLAY)
-    it.broke(None)
+    it.attempt_lost(None)
     it.take("ab")
-    assert not it.ends() and it.way is ResumeStrategy.END  # it ended before it had said what the client has
+    assert (
+        not it.attempt_completed() and it.strategy is ResumeStrategy.END
+    )  # it ended before it had said what the client has
     it = join("ab|cd", ResumeStrategy.REPLAY)
-    it.broke(None)
-    with pytest.raises(Differs):
+    it.attempt_lost(None)
+    with pytest.raises(ReplayMismatchError):
         it.take("aX")
-    with pytest.raises(Differs):
+    with pytest.raises(ReplayMismatchError):
         it.take("b")
 
 
 def test_a_stop_string_over_the_join_ends_the_text_there() -> None:
     it = join("one |EN", stop=["END", "never"])
-    it.broke(None)
+    it.attempt_lost(None)
     assert it.take("D two") == "" and it.stopped and it.take("three") == "" and it.text == "one EN"
     it = join("one |E", stop="END")
-    it.broke(None)
+    it.attempt_lost(None)
     assert it.take("asy") == "asy" and not it.stopped
 
 
 def test_a_text_is_not_continued_within_a_character_nor_past_its_last_token() -> None:
     it = join("a|\ufffd")
-    assert it.broke(None) is None and it.way is ResumeStrategy.END
+    assert it.attempt_lost(None) is None and it.strategy is ResumeStrategy.END
     it = join("a|b|c", max_tokens=3)
-    assert it.broke(None) == 3 and it.left() == 0
+    assert it.attempt_lost(None) == 3 and it.remaining_tokens() == 0
     it = join("a|b|c", max_tokens=9)
-    assert it.broke(5) == 5 and it.left() == 4  # two pieces were two tokens each, by the engine's word
+    assert (
+        it.attempt_lost(5) == 5 and it.remaining_tokens() == 4
+    )  # two pieces were two tokens each, by the engine's word
 
 
 @pytest.mark.parametrize(
     "raw, effect, way",
     [
-        ({}, Effect.IDEMPOTENT, ResumeStrategy.GO_ON),
+        ({}, Effect.IDEMPOTENT, ResumeStrategy.CONTINUE),
         ({}, Effect.SIDE_EFFECTING, ResumeStrategy.END),
         ({}, Effect.DEDUPLICATED, ResumeStrategy.REPLAY),
         ({"seed": 7}, Effect.IDEMPOTENT, ResumeStrategy.REPLAY),
-        ({"seed": 7, "temperature": 0}, Effect.IDEMPOTENT, ResumeStrategy.GO_ON),
+        ({"seed": 7, "temperature": 0}, Effect.IDEMPOTENT, ResumeStrategy.CONTINUE),
         ({"tools": [{}]}, Effect.IDEMPOTENT, ResumeStrategy.END),
         ({"tools": [{}], "seed": 1}, Effect.IDEMPOTENT, ResumeStrategy.REPLAY),
         ({"response_format": {"type": "json_object"}}, Effect.IDEMPOTENT, ResumeStrategy.END),
@@ -355,21 +370,21 @@
         (
             {"response_format": {"type": "text"}, "stop": ["x"], "max_tokens": 9},
             Effect.IDEMPOTENT,
-            ResumeStrategy.GO_ON,
+            ResumeStrategy.CONTINUE,
         ),
         ({"logprobs": True}, Effect.IDEMPOTENT, ResumeStrategy.END),
         ({"n": 2}, Effect.IDEMPOTENT, ResumeStrategy.END),
     ],
 )
-def test_each_kind_of_request_has_its_way(raw: dict[str, Any], effect: Effect, way: ResumeStrategy) -> None:
-    assert way_of(raw, effect)[0] is way
+def test_each_kind_of_request_has_its_resume_strategy(raw: dict[str, Any], effect: Effect, way: ResumeStrategy) -> None:
+    assert choose_resume_strategy(raw, effect)[0] is way
 
 
 def test_the_next_request_ends_with_what_the_client_has() -> None:
     raw = {"messages": [{"role": "user", "content": "q"}], "stream": True}
     it = join("a |b")
     assert it.request(raw) is raw
-    it.broke(None)
+    it.attempt_lost(None)
     said = it.request(raw)
     assert said["messages"] == [*raw["messages"], {"role": "assistant", "content": "a b"}]
     assert said["continue_final_message"] and not said["add_generation_prompt"] and len(raw["messages"]) == 1
@@ -389,7 +404,7 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_reading_anew_stays_within_its_share(steps: list[tuple[float, str, int, int]]) -> None:
+def test_prefilling_anew_stays_within_its_share(steps: list[tuple[float, str, int, int]]) -> None:
     share, span = 0.25, 500.0
     pace: RecoveryPace[int] = RecoveryPace(share, span, 3)
     pace.prefill_servers = 7
@@ -398,15 +413,15 @@
     for i, (wait, what, tokens, priority_weight) in enumerate(steps):
         now += wait
         if what == "read":
-            pace.read(now, tokens, 10.0 + tokens / 5)
+            pace.prefilled(now, tokens, 10.0 + tokens / 5)
         elif what == "break":
             waiting[i], largest = tokens, max(largest, tokens)
             pace.wait(i, tokens, priority_weight, 1.0, now + 3000)
-        elif pace.out:
-            pace.landed(next(iter(pace.out)))
-        out_before, level = len(pace.out), pace.level
+        elif pace.resuming:
+            pace.resumed(next(iter(pace.resuming)))
+        out_before, level = len(pace.resuming), pace.level
         go, late = pace.next(now)
-        peak = max(peak, pace.able())
+        peak = max(peak, pace.capacity())
         for item in go:
             if out_before == 0 and item == go[0] and level <= 0:
                 alone += 1
@@ -416,14 +431,14 @@
         for item in late:
             waiting.pop(item)
         assert charged <= share * peak * (now + span) + largest * (1 + alone) + 1
-        assert not pace.queue or pace.out  # while anything waits, something is under way
+        assert not pace.queue or pace.resuming  # while anything waits, something is under way
     due = pace.due(now)
     assert (due is None) == (not waiting) and (due is None or due > now - 1)
 
 
 def test_what_earns_most_and_has_streamed_most_goes_first_and_the_late_are_named() -> None:
     pace: RecoveryPace[str] = RecoveryPace(0.5, 1000.0)
-    pace.out["busy"] = None
+    pace.resuming["busy"] = None
     for name, priority_weight, streamed, until in (
         ("low", 1, 9, 99.0),
         ("short", 3, 1, 99.0),
@@ -432,11 +447,11 @@
     ):
         pace.wait(name, 10, priority_weight, streamed, until)
     pace.wait("left", 10, 9, 9, 99.0)
-    pace.gone("left")  # its client has left: nothing is read for it
+    pace.remove("left")  # its client has left: nothing is read for it
     assert pace.next(6.0) == ([], ["late"])
     order = []
     for _ in range(3):
-        pace.out.clear()
+        pace.resuming.clear()
         order += pace.next(7.0)[0]
     assert order == ["long", "short", "low"]
 
@@ -462,7 +477,7 @@
             if limit is not None and wait > limit and n > 20_000 and not explored:
                 alarms += 1
                 continue  # given up: how long it would have been is never known
-            it.heard(name, wait, explored)
+            it.piece_after(name, wait, explored)
         assert alarms <= 40_000 / 30 * 1e-3 * 6 + 2
         quiet[pauses] = it.idle_timeout_ms("w3") or 0.0
         assert quiet[pauses] > (it.idle_timeout_ms("w0") or 0.0)  # each server by its own pace
@@ -473,15 +488,15 @@
     rng, it = random.Random(6), StreamPacing(1e-2)
     it.resumed(400.0)
     for _ in range(5000):
-        it.heard("w0", waits_of(rng, 10.0, 0.0))
+        it.piece_after("w0", waits_of(rng, 10.0, 0.0))
     assert it.idle_timeout_ms("w0") == 400.0
     it.resume_ms = 0.0
-    it.first(300.0)  # until a resume was seen, a first token is what one is taken to cost
+    it.first_piece(300.0)  # until a resume was seen, a first token is what one is taken to cost
     assert it.idle_timeout_ms("w0") == 300.0
     it.resume_ms = 1.0
     before = it.idle_timeout_ms("w0") or 0.0
     for _ in range(60):  # all writers are four times slower from now on
-        it.heard("w0", waits_of(rng, 40.0, 0.0))
+        it.piece_after("w0", waits_of(rng, 40.0, 0.0))
     assert (it.idle_timeout_ms("w0") or 0.0) > 3 * before
     it.forget("w0")
     assert it.idle_timeout_ms("w0") is None
@@ -494,10 +509,10 @@
         terms=terms(),
         streams=StreamConfig(alarms=1e-3),
     ) as w:
-        stream_pacing, rng = w.gateway.host.stream_recovery.stream_pacing, random.Random(1)
+        stream_pacing, rng = w.gateway.runtime.stream_recovery.stream_pacing, random.Random(1)
         for _ in range(4000):
-            for server in w.gateway.host.book.servers.values():
-                stream_pacing.heard(server, waits_of(rng, 4.0, 0.0))
+            for server in w.gateway.runtime.registry.servers.values():
+                stream_pacing.piece_after(server, waits_of(rng, 4.0, 0.0))
         stream_pacing.resumed(30.0)
         stream_pacing.explores = lambda: False  # type: ignore[method-assign]
         break_all(w, 12, "stall")
@@ -506,7 +521,7 @@
         reply = await w.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and trio.current_time() - since < 0.8
         assert (
-            w.gateway.host.router_config.request_classes[0].deadline_ms / 2 == 1000
+            w.gateway.runtime.router_config.request_classes[0].deadline_ms / 2 == 1000
         )  # the silence that the decisions allow
 
 
@@ -546,7 +561,7 @@
 # -- Last-Event-ID
 
 
-async def test_a_stream_is_taken_up_again_where_its_client_had_it() -> None:
+async def test_a_client_resumes_its_stream_where_it_had_it() -> None:
     async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask(temperature=0)
         ids = [int(line[4:]) for line in whole.body.decode().splitlines() if line.startswith("id: ")]
@@ -600,7 +615,7 @@
             yield f"p{i} "
 
 
-async def test_a_client_slower_than_its_writer_holds_the_writer_and_a_loss_is_joined() -> None:
+async def test_a_client_slower_than_its_decode_server_holds_it_and_a_loss_is_joined() -> None:
     broke: list[str] = []
     engines = {i: Counted(broke) for i in ("r0", "w0", "w1")}
     async with open_routing(config(*engines), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
@@ -615,14 +630,14 @@
             assert sum(e.made for e in engines.values()) == 20 and broke == ["once"]
 
 
-async def test_an_old_writer_that_comes_back_while_another_goes_on_adds_nothing() -> None:
+async def test_an_old_decode_server_that_comes_back_while_another_goes_on_adds_nothing() -> None:
     build = replace(BUILD, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), build=build, terms=terms()) as w:
-        stream_pacing, rng = w.gateway.host.stream_recovery.stream_pacing, random.Random(2)
+        stream_pacing, rng = w.gateway.runtime.stream_recovery.stream_pacing, random.Random(2)
         for _ in range(4000):
-            for server in w.gateway.host.book.servers.values():
-                stream_pacing.heard(server, waits_of(rng, 9.0, 0.0))
+            for server in w.gateway.runtime.registry.servers.values():
+                stream_pacing.piece_after(server, waits_of(rng, 9.0, 0.0))
         stream_pacing.resumed(30.0)
         stream_pacing.explores = lambda: False  # type: ignore[method-assign]
 
@@ -645,7 +660,7 @@
 
 
 @pytest.mark.parametrize("script", ["midway", "silent", "stall"])
-async def test_a_writer_that_never_ends_an_answer_is_found_by_outcomes_alone(script: str) -> None:
+async def test_a_decode_server_that_never_ends_an_answer_is_found_by_outcomes_alone(script: str) -> None:
     """Its list entry, its handshake and its reads of the prompt are all well."""
     async with world(("r0", "w0", "w0b", "w1"), terms=terms()) as w:
         w.engines["w0"].trouble.script, w.engines["w0"].trouble.at = script, 2
@@ -681,7 +696,7 @@
     async with world(("r0", "w0", "w1")) as w:
         for _ in range(12):
             await w.ask()
-        paces = w.gateway.host.stream_recovery.stream_pacing.paces
+        paces = w.gateway.runtime.stream_recovery.stream_pacing.paces
         assert paces
         w.list(w0="gone", w1="gone")
         assert not paces
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -220,7 +220,7 @@
         except ternlane.FailedError as why:
             outcome = "broken off" if why.begun else "terminated"
         with trio.fail_after(2):
-            while routing.host.active_requests:
+            while routing.runtime.active_requests:
                 await trio.sleep(0.01)
     return Seen(outcome, len(effects), str(len(said)))
 
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -193,7 +193,7 @@
         with pytest.raises(InvalidRequestError, match="does not exist"):
             async with routing.request(REQUEST | {"model": "x"}):
                 pass
-        assert not routing.host.active_requests and engines["w0"].effects == 1
+        assert not routing.runtime.active_requests and engines["w0"].effects == 1
 
 
 async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
@@ -214,20 +214,20 @@
                 await stream.text()
 
 
-async def test_leaving_early_calls_off_and_releases() -> None:
+async def test_leaving_early_cancels_and_releases() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
     async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
         with trio.fail_after(1):
-            while routing.host.active_requests or engines["w0"].closed < 1:
+            while routing.runtime.active_requests or engines["w0"].closed < 1:
                 await trio.sleep(0.005)
         with pytest.raises(KeyError):
             async with routing.request(REQUEST):
                 raise KeyError("the caller's own")
         with trio.fail_after(1):
-            while routing.host.active_requests or "lib-2" in engines["r0"].states:
+            while routing.runtime.active_requests or "lib-2" in engines["r0"].states:
                 await trio.sleep(0.005)
 
 
@@ -250,7 +250,7 @@
     assert count() == before and len(gc.get_objects()) < objects + 200
 
 
-def test_unreached_is_no_refusal() -> None:
+def test_an_unreachable_engine_is_no_rejection() -> None:
     assert not issubclass(EngineUnreachableError, AttemptRejectedError)
 
 
@@ -301,7 +301,7 @@
             assert not engine.strange
 
 
-def test_a_plain_chat_server_can_not_be_a_reader() -> None:
+def test_a_plain_chat_server_cannot_be_a_prefill_server() -> None:
     with pytest.raises(ConfigError, match="duty both"):
         read_text('{id: "a", address: "h:1", duty: "read", mem_toks: 1, protocol: "chat"}', NodeLine)
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -16,7 +16,7 @@
 from tests.test_tenants import NOON, FakeDisk, tenant
 from tests.world import BUILD, TERMS, heard, replace, world
 from ternlane.policy import messages
-from ternlane.chat import Intake
+from ternlane.chat import RequestIntake
 from ternlane.policy.router import Router
 from ternlane.ledger.store import Store
 from ternlane.discovery import follow_file
@@ -82,7 +82,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_metrics_on_their_own_port_and_a_reload_of_the_doors_limits() -> None:
+async def test_metrics_on_their_own_port_and_a_reload_of_the_servers_limits() -> None:
     async with world(metrics="127.0.0.1:31099") as w:
         assert (await w.ask()).done == 1
         caller = await w.pool.connect("127.0.0.1:31099")
@@ -96,7 +96,7 @@
 
 def test_a_user_of_very_many_sessions_is_held_in_bounds() -> None:
     request_class = RequestClass(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
-    intake = Intake({"m": request_class}, {request_class: 100}, 500)
+    intake = RequestIntake({"m": request_class}, {request_class: 100}, 500)
     for i in range(20_000):
         intake.take(ask(f"folder {i} " * 60), 1000)  # type: ignore[arg-type]
     assert len(intake.sessions.ends) <= 1000 and intake.prefixes.held <= 4000
@@ -214,7 +214,7 @@
     assert sum(name.endswith(".seg") for name in disk.names()) <= n + 1
 
 
-async def test_a_place_held_ahead_is_taken_by_the_write_or_released() -> None:
+async def test_a_reserved_place_is_taken_by_the_decode_or_released() -> None:
     class Holds(Router):
         """The decisions, with a place held at the home writer beside each read."""
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,7 +12,7 @@
 import trio
 
 from ternlane.policy.router import Router
-from ternlane.gateway import Gateway, Host, open_gateway
+from ternlane.gateway import Gateway, GatewayRuntime, open_gateway
 from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
 from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
 from ternlane.config.gateway import ServerLimits, InlineSource
@@ -144,7 +144,7 @@
 
         def left() -> list[Any]:
             return [
-                *self.gateway.host.active_requests.values(),
+                *self.gateway.runtime.active_requests.values(),
                 *((e.ident, e.states, e.busy) for e in self.engines.values() if e.states or e.busy),
             ]
 
@@ -179,7 +179,7 @@
 async def world(
     engines: tuple[str, ...] = ("r0", "w0", "r1", "w1"),
     build: Build = BUILD,
-    host_type: type[Host] = Host,
+    host_type: type[GatewayRuntime] = GatewayRuntime,
     chooser: Any = Router,
     terms: FleetConfig = TERMS,
     request_classes: list[RequestClassConfig] = REQUEST_CLASSES,
