--- a/bench/library.py
+++ b/bench/library.py
@@ -102,13 +102,13 @@
 def decisions_alone(rounds: int) -> list[float]:
     """The same four events fed by hand: what choosing costs without any loop."""
     from ternlane.policy import messages
-    from ternlane.gateway.router_config import offer_of
+    from ternlane.gateway.router_config import configure_models
     from ternlane.discovery import EndpointRegistry
 
     it = config()
-    offer = offer_of(it)
+    offer = configure_models(it)
     router, book, took = ternlane.Router(offer.router_config), EndpointRegistry(), []
-    router.take(0.0, [book.whole(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
+    router.take(0.0, [book.update(it.nodes.nodes, 0.0, 0.0)])  # type: ignore[union-attr]
     for i in range(rounds):
         since, now = time.perf_counter(), 1.0 + i * 3
         request = messages.Request(offer.request_classes["summary"], f"s{i}", None, 0.0, 100.0, 8.0, 5000.0)
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -85,7 +85,7 @@
                 break
             seen.append(wait)
             if learn is not None:
-                learn.heard(server, wait, explored)
+                learn.piece_after(server, wait, explored)
         if stalls_at is None and judged:
             well, wrong = well + 1, wrong + given_up
     return 1000 * wrong / well, statistics.median(delays), statistics.quantiles(delays, n=100)[98]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,8 +12,8 @@
 from ternlane.policy import messages
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
 from ternlane.engine.attempt import AttemptPlan
-from ternlane.gateway import Host
-from ternlane.gateway.chat_api import StreamResponseWriter
+from ternlane.gateway import GatewayRuntime
+from ternlane.gateway.response_writers import StreamResponseWriter
 from ternlane.gateway.active_request import Final, Streamed, ActiveRequest
 from ternlane.http1 import event_bytes
 from ternlane.policy.messages import EndpointStatus, Server, AttemptOutcome
@@ -32,11 +32,11 @@
 TALKS = [Talk(p.name, p.effect, 1.0, p.deadline_ms, adds=(20, 80), prefix_tokens=(50, 100)) for p in REQUEST_CLASSES]
 
 
-class Honest(Host):
+class Honest(GatewayRuntime):
     """The host as it is."""
 
 
-class Mute(Host):
+class Mute(GatewayRuntime):
     """Rule 1: never says that a generation is throttled or terminated."""
 
     def settle(self, active_request: ActiveRequest | None, final: Final) -> None:
@@ -44,7 +44,7 @@
             super().settle(active_request, final)
 
 
-class Talkative(Host):
+class Talkative(GatewayRuntime):
     """Rule 1: goes on after the end of each stream."""
 
     def arrived(self, active_request: ActiveRequest) -> None:
@@ -61,7 +61,7 @@
         super().arrived(active_request)
 
 
-class Late(Host):
+class Late(GatewayRuntime):
     """Rule 1: believes that clients have more time than they have."""
 
     def arrived(self, active_request: ActiveRequest) -> None:
@@ -69,7 +69,7 @@
         super().arrived(active_request)
 
 
-class Repeats(Host):
+class Repeats(GatewayRuntime):
     """Rule 2: takes a broken connection for one that was never made."""
 
     def attempt_ended(
@@ -77,24 +77,24 @@
         active_request: ActiveRequest,
         server: Server,
         stage: Stage,
-        end: AttemptResult,
-        took: float,
+        result: AttemptResult,
+        took_ms: float,
         plan: AttemptPlan,
     ) -> None:
-        if end.outcome in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not end.begun:
-            end.outcome = AttemptOutcome.CONNECT_FAILED
-        super().attempt_ended(active_request, server, stage, end, took, plan)
+        if result.outcome in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT) and not result.begun:
+            result.outcome = AttemptOutcome.CONNECT_FAILED
+        super().attempt_ended(active_request, server, stage, result, took_ms, plan)
 
 
-class Twice(Host):
+class Twice(GatewayRuntime):
     """Rule 2: begins a second leg of each generation beside the first."""
 
     def send(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         super().send(active_request, server, times)
         plan = active_request.attempt
         if plan is not None and server.role is messages.Role.PREFILL:
-            others = [s for s in self.book.servers.values() if s.role is messages.Role.PREFILL and s is not server]
-            place = self.book.places[others[0]]
+            others = [s for s in self.registry.servers.values() if s.role is messages.Role.PREFILL and s is not server]
+            place = self.registry.endpoints[others[0]]
             again = AttemptPlan(place.address, [], b"", 400, 400)
             self.nursery.start_soon(
                 self.transport.read,
@@ -105,7 +105,7 @@
                     active_request.ident,
                     0,
                     active_request.key,
-                    active_request.ask.raw,
+                    active_request.chat_request.raw,
                     None,
                     1,
                     again,
@@ -113,7 +113,7 @@
             )
 
 
-class Undrained(Host):
+class Undrained(GatewayRuntime):
     """Rule 3: does not pass on that a server drains."""
 
     def tell(self, event: messages.Event) -> None:
@@ -123,7 +123,7 @@
         super().tell(event)
 
 
-class Careless(Host):
+class Careless(GatewayRuntime):
     """Rule 4: takes every server for warm."""
 
     def tell(self, event: messages.Event) -> None:
@@ -133,7 +133,7 @@
         super().tell(event)
 
 
-class Keeper(Host):
+class Keeper(GatewayRuntime):
     """Rule 5: releases nothing."""
 
     def release_all(self, active_request: ActiveRequest | None) -> None:
@@ -156,18 +156,18 @@
     def request(self, raw: dict[str, Any]) -> dict[str, Any]:
         return raw if self.how == "anew" else super().request(raw)
 
-    def took_in(self, prompt: int, first: int) -> bool:
+    def prefill_covers_text(self, prompt_tokens: int, first_prompt_tokens: int) -> bool:
         return True
 
 
-class Stutters(Host):
+class Stutters(GatewayRuntime):
     """Rule 6: says a piece twice."""
 
     how = "twice"
 
     def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
         it = super().join_for(raw, request)
-        wrong = Wrongly(it.way, it.why, it.replay_buffer, it.max_tokens)
+        wrong = Wrongly(it.strategy, it.why, it.replay_buffer, it.max_tokens)
         wrong.how = self.how
         return wrong
 
@@ -207,7 +207,7 @@
     return msgspec.structs.replace(line, state=states.get(line.id, "up"))
 
 
-async def troubled(host: type[Host]) -> Findings:
+async def troubled(host: type[GatewayRuntime]) -> Findings:
     """Answers get lost, engines die, clients leave: what every host must stand."""
     async with world(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
@@ -228,13 +228,13 @@
         return check(w.traffic.lines, RULES)
 
 
-async def slowly_read(host: type[Host]) -> Findings:
+async def slowly_read(host: type[GatewayRuntime]) -> Findings:
     async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
         await talk(w, 15, 600)
         return check(w.traffic.lines, RULES)
 
 
-async def drained(host: type[Host]) -> Findings:
+async def drained(host: type[GatewayRuntime]) -> Findings:
     async with world(("r0", "w0", "w0b", "w1"), host_type=host) as w:
         told(w)
 
@@ -247,7 +247,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def restarted(host: type[Host]) -> Findings:
+async def restarted(host: type[GatewayRuntime]) -> Findings:
     """One writer of two restarts cold, weak, under a load that it could not carry alone."""
     build = replace(
         BUILD,
@@ -281,7 +281,7 @@
         return check(w.traffic.lines, RULES | {"fall_ms": 500.0})
 
 
-async def refilled(host: type[Host]) -> Findings:
+async def refilled(host: type[GatewayRuntime]) -> Findings:
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
         BUILD,
@@ -318,7 +318,7 @@
         return findings
 
 
-async def torn(host: type[Host]) -> Findings:
+async def torn(host: type[GatewayRuntime]) -> Findings:
     async with world(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
             w.engines[ident].trouble.breaks = 0.3
@@ -364,7 +364,7 @@
         (Anew, "torn", 6, "not what"),
     ],
 )
-async def test_a_wrong_gateway_is_caught(host: type[Host], scene: str, rule: int, word: str) -> None:
+async def test_a_wrong_gateway_is_caught(host: type[GatewayRuntime], scene: str, rule: int, word: str) -> None:
     seen = []
     for _ in range(4):  # on a machine busy with other work a scene's load may come too thin to do the harm at once
         findings = await SCENES[scene](host)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -45,9 +45,9 @@
 from ternlane.ledger.bills import entries_of, rows_of
 from ternlane.ledger.lending import lender_file
 from ternlane.load.plan import LoadConfig as LoadDocument
-from ternlane.discovery.endpoint_cache import Torn as TornFile
-from ternlane.discovery.endpoint_cache import keep as write_node_list
-from ternlane.discovery.endpoint_cache import kept as read_node_list
+from ternlane.discovery.endpoint_cache import TornCacheError as TornFile
+from ternlane.discovery.endpoint_cache import write_cache as write_node_list
+from ternlane.discovery.endpoint_cache import read_cache as read_node_list
 from ternlane.config import GatewayConfig as GatewayDocument
 from ternlane.config import NodeLine, ConfigError as DocumentError
 from ternlane.config import read_config as read_document
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -65,7 +65,10 @@
 
         async def some(*models: str) -> None:
             """When it ends all have come, and some stream while the last ones don't."""
-            held, due = w.gateway.host.active_requests, len(replies) + len(w.gateway.host.active_requests) + len(models)
+            held, due = (
+                w.gateway.runtime.active_requests,
+                len(replies) + len(w.gateway.runtime.active_requests) + len(models),
+            )
             with trio.fail_after(5):
                 for i, model in enumerate(models):
                     while i == len(models) - 2 and not any(active_request.flowing for active_request in held.values()):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from ternlane.gateway import gateway as gateway_module
+from ternlane.gateway import listeners as gateway_listeners
 from ternlane.http1 import client_connection as connection_module
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process as process_module
@@ -87,7 +87,7 @@
 
 
 async def test_the_chat_gateway_too_outlives_errors_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gateway_module, "ACCEPT_PAUSE_S", 0.01)
+    monkeypatch.setattr(gateway_listeners, "ACCEPT_PAUSE_S", 0.01)
     async with world() as w:
         failing = FailingAccept(monkeypatch, w.gateway.address, [errno.EINVAL, errno.EBADF, errno.EMFILE])
         with trio.fail_after(5):
--- a/tests/test_till.py
+++ b/tests/test_till.py
@@ -176,13 +176,13 @@
 
 async def test_a_gateway_killed_between_reserve_and_send_owes_and_bills_nothing(tmp_path: Path) -> None:
     async with banked(tmp_path) as (w, bank):
-        w.gateway.host.send = lambda *_: None  # type: ignore[method-assign]
+        w.gateway.runtime.send = lambda *_: None  # type: ignore[method-assign]
         with trio.move_on_after(0.2):
             await bank.ask(w, "noto")
         assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.said("leg") == []
         found = bank.off(w)
         assert not w.said("leg") and not found.unsettled and found.billed.prompt == 0
-        w.gateway.host.active_requests.clear()
+        w.gateway.runtime.active_requests.clear()
 
 
 async def test_one_members_storm_of_repeats_costs_the_others_nothing(tmp_path: Path) -> None:
@@ -286,11 +286,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(bank.ask, w, "avola")
             await trio.sleep(0.1)
-            w.gateway.host.on_done = lambda _: None  # from here on nothing is settled, as after kill -9
+            w.gateway.runtime.on_done = lambda _: None  # from here on nothing is settled, as after kill -9
             await trio.sleep(0.5)
         found = bank.off(w)
         assert list(found.unsettled.values())[0].answer == 6 and found.off == 0
-        assert isinstance(next(iter(w.gateway.host.active_requests.values()), None), ActiveRequest | None)
+        assert isinstance(next(iter(w.gateway.runtime.active_requests.values()), None), ActiveRequest | None)
 
 
 async def test_what_was_spent_is_known_after_a_restart(tmp_path: Path) -> None:
