--- /dev/null
+++ b/ternlane/gateway/attempt_recorder.py
@@ -0,0 +1,75 @@
+"""Records how an attempt ended: in the log, the metrics, the request, and in what is learnt of prompts and servers."""
+
+from __future__ import annotations
+
+from ternlane.chat import RequestIntake
+from ternlane.engine import AttemptResult, Stage
+from ternlane.event_loop import now_ms
+from ternlane.gateway.active_request import ActiveRequest
+from ternlane.gateway.attempts import tokens_made
+from ternlane.gateway.metrics import OUTCOME_LABELS, STAGE_LABELS
+from ternlane.gateway.runtime_port import RuntimePort
+from ternlane.policy.messages import AttemptOutcome, Server
+from ternlane.wire_names import OUTCOME_NAMES
+
+
+class AttemptRecorder:
+    """Notes each attempt's end before the decisions hear of it."""
+
+    def __init__(self, runtime: RuntimePort, intake: RequestIntake) -> None:
+        self.runtime = runtime
+        self.intake = intake
+
+    def record(
+        self, active_request: ActiveRequest, server: Server, stage: Stage, result: AttemptResult, took_ms: float
+    ) -> None:
+        """Notes one end; a prefill that proves useless becomes an error in `result`."""
+        ident = self.runtime.registry.endpoints[server].ident
+        self.log(active_request, ident, stage, result, took_ms)
+        self.check_prefill(active_request, result)
+        self.learn_usage(active_request, stage, result, took_ms)
+        if result.outcome is AttemptOutcome.PREFILLED:
+            active_request.state = result.state
+        elif result.why:
+            active_request.why = f"{ident}: {result.why}"
+
+    def log(
+        self, active_request: ActiveRequest, ident: str, stage: Stage, result: AttemptResult, took_ms: float
+    ) -> None:
+        """Writes the end into the request's trail, the metrics and the log."""
+        stage_name = STAGE_LABELS[stage].upper()
+        outcome_name = OUTCOME_NAMES[result.outcome]
+        active_request.trail.append(f"{ident} {stage_name} {outcome_name}")
+        self.runtime.metrics.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[result.outcome]).inc()
+        self.runtime.log.debug(
+            "leg",
+            gen=active_request.ident,
+            leg=active_request.attempts - 1,
+            server=ident,
+            stage=stage_name,
+            verdict=outcome_name,
+            took_ms=round(took_ms, 1),
+            why=result.why,
+        )
+
+    @staticmethod
+    def check_prefill(active_request: ActiveRequest, result: AttemptResult) -> None:
+        """A prefill for a resumed stream that read the prompt alone is an error: its decode server would begin the
+        answer anew, and the client would have its beginning twice."""
+        if result.outcome is not AttemptOutcome.PREFILLED or result.usage is None:
+            return
+        if not active_request.join.prefill_covers_text(result.usage.prompt_tokens, active_request.prompt_said):
+            result.outcome = AttemptOutcome.ERROR
+            result.why = "it read no more than the prompt, and can't go on with the text"
+
+    def learn_usage(self, active_request: ActiveRequest, stage: Stage, result: AttemptResult, took_ms: float) -> None:
+        """Books what the attempt made, and learns the prompt's length from a first reading."""
+        made = tokens_made(stage, result, active_request.join.attempt_pieces)
+        active_request.made.append(made)
+        if result.usage is None or active_request.join.resumed:
+            return
+        self.intake.learn_prompt(active_request.intake_record, result.usage.prompt_tokens)
+        if stage is not Stage.DECODE:
+            active_request.prompt_said = result.usage.prompt_tokens
+            active_request.kept_said = made.kept
+            self.runtime.stream_recovery.prefilled(now_ms(), made.prompt - made.kept, took_ms)
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -2,7 +2,8 @@
 
 One loop owns the router: `tell` puts an event in, and whoever finds the loop idle empties it. Sockets, timers and the
 endpoint list all come through here. Its parts: `attempts` (what is sent), `stream_forwarder` (text to the client),
-`stream_resumer` (streams that broke), `server_calls` (releases, reservations, probes).
+`attempt_recorder` (what an attempt's end tells), `stream_resumer` (streams that broke), `server_calls` (releases,
+reservations, probes).
 """
 
 from __future__ import annotations
@@ -27,9 +28,10 @@
 )
 from ternlane.event_loop import EventLoop, RouterProtocol, now_ms
 from ternlane.gateway.active_request import ActiveRequest, Failed, Rejected, Streamed
-from ternlane.gateway.attempts import NOTHING_RAN, build_attempt, plan_attempt, stage_at, tokens_made
+from ternlane.gateway.attempt_recorder import AttemptRecorder
+from ternlane.gateway.attempts import NOTHING_RAN, build_attempt, plan_attempt, stage_at
 from ternlane.gateway.journal_writer import JournalWriter
-from ternlane.gateway.metrics import OUTCOME_LABELS, STAGE_LABELS, GatewayMetrics
+from ternlane.gateway.metrics import GatewayMetrics
 from ternlane.gateway.router_config import ConfiguredModels
 from ternlane.gateway.server_calls import ServerCalls
 from ternlane.gateway.stream_forwarder import StreamForwarder
@@ -37,7 +39,6 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Role, RouterConfig, Server
 from ternlane.recovery import StreamJoin, StreamRecovery
-from ternlane.wire_names import OUTCOME_NAMES
 
 
 class GatewayRuntime(EventLoop[ActiveRequest]):
@@ -66,6 +67,7 @@
         self.log = log
         self.stream_recovery: StreamRecovery[ActiveRequest] = StreamRecovery(streams or StreamConfig(), router_config)
         self.stream_resumer = StreamResumer(self)
+        self.attempt_recorder = AttemptRecorder(self, intake)
         self.server_calls = ServerCalls(self)
         self.idents: set[str] = set()
         self.journal_writer: JournalWriter | None = None
@@ -269,13 +271,7 @@
         """Learns from an attempt's end, settles the request where it is its end, and tells the decisions."""
         active_request.attempt = None
         active_request.flowing = False
-        self.log_attempt(active_request, server, stage, result, took_ms)
-        self.check_prefill(active_request, result)
-        self.learn_usage(active_request, stage, result, took_ms)
-        if result.outcome is AttemptOutcome.PREFILLED:
-            active_request.state = result.state
-        elif result.why:
-            active_request.why = f"{self.registry.endpoints[server].ident}: {result.why}"
+        self.attempt_recorder.record(active_request, server, stage, result, took_ms)
         broken = self.settle_attempt(active_request, result, plan)
         if result.outcome in NOTHING_RAN and server.role is Role.PREFILL:
             active_request.holders.pop(server, None)  # it ran nothing, so it left nothing
@@ -297,47 +293,6 @@
         if broken:
             self.resume_streams()
 
-    def log_attempt(
-        self, active_request: ActiveRequest, server: Server, stage: Stage, result: AttemptResult, took_ms: float
-    ) -> None:
-        """Writes down how an attempt ended: in the request's trail, the metrics and the log."""
-        ident = self.registry.endpoints[server].ident
-        stage_name = STAGE_LABELS[stage].upper()
-        outcome_name = OUTCOME_NAMES[result.outcome]
-        active_request.trail.append(f"{ident} {stage_name} {outcome_name}")
-        self.metrics.attempts.labels(STAGE_LABELS[stage], OUTCOME_LABELS[result.outcome]).inc()
-        self.log.debug(
-            "leg",
-            gen=active_request.ident,
-            leg=active_request.attempts - 1,
-            server=ident,
-            stage=stage_name,
-            verdict=outcome_name,
-            took_ms=round(took_ms, 1),
-            why=result.why,
-        )
-
-    def check_prefill(self, active_request: ActiveRequest, result: AttemptResult) -> None:
-        """A prefill for a resumed stream that read the prompt alone is an error: its decode server would begin the
-        answer anew, and the client would have its beginning twice."""
-        if result.outcome is not AttemptOutcome.PREFILLED or result.usage is None:
-            return
-        if not active_request.join.prefill_covers_text(result.usage.prompt_tokens, active_request.prompt_said):
-            result.outcome = AttemptOutcome.ERROR
-            result.why = "it read no more than the prompt, and can't go on with the text"
-
-    def learn_usage(self, active_request: ActiveRequest, stage: Stage, result: AttemptResult, took_ms: float) -> None:
-        """Books what the attempt made, and learns the prompt's length from a first reading."""
-        made = tokens_made(stage, result, active_request.join.attempt_pieces)
-        active_request.made.append(made)
-        if result.usage is None or active_request.join.resumed:
-            return
-        self.intake.learn_prompt(active_request.intake_record, result.usage.prompt_tokens)
-        if stage is not Stage.DECODE:
-            active_request.prompt_said = result.usage.prompt_tokens
-            active_request.kept_said = made.kept
-            self.stream_recovery.prefilled(now_ms(), made.prompt - made.kept, took_ms)
-
     def settle_attempt(self, active_request: ActiveRequest, result: AttemptResult, plan: AttemptPlan) -> bool:
         """Settles the request where its attempt's end is its own; true where its stream waits to be resumed."""
         join = active_request.join
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from tests.world import BUILD, Reply, World, heard, patient, replace, world
+from tests.world import BUILD, Reply, World, heard, patient, replace, until, world
 from ternlane.engine import AttemptPlan
 from ternlane.engine.prefill_attempt import prefill_attempt
 from ternlane.engine.stream_attempt import stream_attempt
@@ -107,13 +107,9 @@
         async with trio.open_nursery() as nursery:
             for _ in range(2):
                 nursery.start_soon(w.ask, "summary", "y" * 4000)
-            with trio.fail_after(2):
-                while len(w.said("leg")) < 2:
-                    await trio.sleep(0.005)
+            await until(lambda: len(w.said("leg")) >= 2, 2)
             await leave(w, 80, text="z" * 8000, headers={"X-Request-Id": "gone"})
-            with trio.fail_after(1):
-                while "gone" in w.gateway.runtime.idents:
-                    await trio.sleep(0.005)
+            await until(lambda: "gone" not in w.gateway.runtime.idents, 1)
             assert w.said("leg", gen="gone") == []
         await w.settled()
 
@@ -437,9 +433,7 @@
     kept, nobody = str(tmp_path / "nodes"), ConsulSource(address="127.0.0.1:9", service="engines", retry_ms=50)
     async with world(state=kept) as w:
         await w.settled()
-        with trio.fail_after(2):
-            while not os.path.exists(kept):
-                await trio.sleep(0.01)
+        await until(lambda: os.path.exists(kept), 2)
         from ternlane.gateway import open_gateway
 
         config = replace_paper(w.gateway.config, nodes=nobody)
@@ -480,27 +474,22 @@
             "ternlane/test (g1)",
         )
 
-        async def until(condition: Any) -> None:
-            with trio.fail_after(2):
-                while not condition():
-                    await trio.sleep(0.005)
-
         registry.put(EndpointList("a", "127.0.0.1", 1, "read", "z", 0, 1e5))
-        await until(lambda: found and [n.id for n in found[-1]] == ["a"])
+        await until(lambda: found and [n.id for n in found[-1]] == ["a"], 2)
         registry.alter("a", state="draining")
-        await until(lambda: found[-1][0].state == "draining")
+        await until(lambda: found[-1][0].state == "draining", 2)
         for how in ("errors", "garbage"):
             before, kept = len(failed), found[-1]
             registry.failing = how
             registry.bump()
-            await until(lambda n=before: len(failed) > n)
+            await until(lambda n=before: len(failed) > n, 2)
             assert found[-1] == kept
             registry.failing = None
         registry.restart()
         registry.put(EndpointList("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
-        await until(lambda: {n.id for n in found[-1]} == {"a", "b"})
+        await until(lambda: {n.id for n in found[-1]} == {"a", "b"}, 2)
         registry.put(EndpointList("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))  # one bad entry costs only itself
-        await until(lambda: any("c:" in why for why in failed))
+        await until(lambda: any("c:" in why for why in failed), 2)
         assert {n.id for n in found[-1]} == {"a", "b"}
         nursery.cancel_scope.cancel()
 
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from tests.test_tenants import CrashError, FakeDisk
-from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, world
+from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, until, world
 from ternlane.gateway import open_gateway
 from ternlane.gateway.journal_writer import JOURNAL
 from ternlane.http1 import ConnectionPool, ConnectError
@@ -166,9 +166,7 @@
     shutil.copytree(folder, copy)
     config = msgspec.structs.replace(w.gateway.config, journal=str(copy), listen="127.0.0.1:0")
     async with open_gateway(config) as gateway:
-        with trio.fail_after(2):
-            while not gateway.journal_writer.ready:  # type: ignore[union-attr]
-                await trio.sleep(0.005)
+        await until(lambda: gateway.journal_writer.ready, 2)  # type: ignore[union-attr]
         yield gateway.address
 
 
@@ -187,6 +185,7 @@
 
 @pytest.mark.parametrize("model", ["note", "form", "summary"])
 async def test_a_repeat_after_the_loss_hears_that_it_may_have_run(model: str, tmp_path: Path) -> None:
+    """A gateway is killed with a keyed request out, whose effect has happened. Its client asks the next process."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         replies: list[Reply] = []
 
@@ -194,9 +193,7 @@
             replies.append(await w.ask(model, headers={"Idempotency-Key": "k1"}))
 
         w.nursery.start_soon(first)
-        with trio.fail_after(2):
-            while not w.said("effect"):
-                await trio.sleep(0.002)
+        await until(lambda: w.said("effect"), 2)
         async with next_gateway(w, tmp_path / "j") as address:
             reply = await ask_at(address, model, "k1")
             if model == "summary":  # harmless: it simply runs
@@ -209,11 +206,10 @@
 
 
 async def test_gateway_and_decode_server_lost_together_double_nothing(tmp_path: Path) -> None:
+    """A gateway and the decode server of its request are lost at once. Nobody left knows how far the request came."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
-        with trio.fail_after(2):
-            while not w.said("effect"):
-                await trio.sleep(0.002)
+        await until(lambda: w.said("effect"), 2)
         async with next_gateway(w, tmp_path / "j") as address:
             w.engines[w.said("effect")[0]["id"]].die()
             reply = await ask_at(address, "form", "k1")
@@ -221,6 +217,7 @@
 
 
 async def test_a_repeat_after_the_loss_hears_the_answer_that_was_given(tmp_path: Path) -> None:
+    """A gateway is killed after it gave an answer. Its client never got it, and asks again."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
         await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
@@ -242,13 +239,12 @@
 
 
 async def test_states_that_the_lost_gateway_held_are_released(tmp_path: Path) -> None:
+    """A gateway is killed between prefill and decode. Its state would stay until the engine's own lease ends."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].busy = w.engines["w0"].build.slots  # writes wait: the state stays at its reader
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.ask)
-            with trio.fail_after(2):
-                while not w.said("leg", stage="write"):
-                    await trio.sleep(0.002)
+            await until(lambda: w.said("leg", stage="write"), 2)
             await trio.sleep(0.05)
             assert len(w.engines["r0"].states) == 1
             async with next_gateway(w, tmp_path / "j"):
@@ -258,12 +254,11 @@
 
 
 async def test_with_a_full_disk_nothing_runs_that_could_not_be_remembered(tmp_path: Path) -> None:
+    """The journal's disk is full. An effect that is not written down could be doubled after a loss."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         journal_writer = w.gateway.journal_writer
         assert journal_writer is not None
-        with trio.fail_after(1):
-            while not journal_writer.ready:
-                await trio.sleep(0.005)
+        await until(lambda: journal_writer.ready, 1)
 
         def full(handle: int, data: bytes) -> int:
             raise OSError(28, "full")
@@ -273,29 +268,25 @@
         assert reply.status == 429 and w.said("effect") == []
         assert (await w.ask("note")).done == 1  # without a key nobody was promised anything
         journal_writer.store.disk.write = write  # type: ignore[method-assign]
-        with trio.fail_after(3):
-            while journal_writer.writer.waiting:
-                await trio.sleep(0.01)
+        await until(lambda: not journal_writer.writer.waiting, 3)
         assert (await w.ask("note", headers={"Idempotency-Key": "k1"})).done == 1
 
 
 async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_admitted(tmp_path: Path) -> None:
+    """The process before still holds the journal's lock. The first request of a key may be out there."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        with trio.fail_after(1):
-            while not w.gateway.journal_writer.ready:  # type: ignore[union-attr]
-                await trio.sleep(0.005)
+        await until(lambda: w.gateway.journal_writer.ready, 1)  # type: ignore[union-attr]
         config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
         async with open_gateway(config) as second:
             reply = await ask_at(second.address, "note", "k1")
             assert reply.status == 503 and reply.error["code"] == "taking_over"  # type: ignore[index]
             await w.gateway.drain()
-            with trio.fail_after(2):
-                while not second.journal_writer.ready:  # type: ignore[union-attr]
-                    await trio.sleep(0.005)
+            await until(lambda: second.journal_writer.ready, 2)  # type: ignore[union-attr]
             assert (await ask_at(second.address, "note", "k1")).done == 1
 
 
 async def test_a_daemon_killed_outright_doubles_nothing(tmp_path: Path) -> None:
+    """A daemon gets SIGKILL with a keyed request out, and is started again."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0)) as w:
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
@@ -329,9 +320,7 @@
         process = await start()
         try:
             w.nursery.start_soon(ask_until_taken)
-            with trio.fail_after(20):
-                while not w.said("effect"):
-                    await trio.sleep(0.002)
+            await until(lambda: w.said("effect"), 20)
             process.send_signal(signal.SIGKILL)
             await process.wait()
             process = await start()
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -16,7 +16,7 @@
 
 from tests.test_rules import RULES
 from tests.test_transports import REQUEST, Local, config
-from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
+from tests.world import BUILD, TERMS, Reply, World, patient, replace, until, world
 from ternlane.config import FleetConfig, StreamConfig
 from ternlane.policy.messages import Effect
 from ternlane.embed import open_routing
@@ -191,6 +191,7 @@
 
 
 async def test_a_client_that_leaves_during_a_resume_leaves_nothing() -> None:
+    """A stream broke and waits to be resumed; meanwhile its client leaves."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=50.0), terms=terms()) as w:
         break_all(w, 2)
         with trio.move_on_after(5):
@@ -225,6 +226,7 @@
 
 
 async def test_a_gateway_that_drains_lets_resumes_end() -> None:
+    """A gateway is told to stop while a broken stream is being resumed."""
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=20.0), terms=terms()) as w:
         break_all(w, 4)
@@ -256,6 +258,7 @@
 
 
 async def test_half_the_decode_servers_go_at_once_and_all_streams_come_through() -> None:
+    """Half the decode servers die at once with their streams open. All are prefilled anew on the rest."""
     async with world(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"),
         build=replace(BUILD, token_ms=25.0, answer_tokens=(20, 20)),
@@ -439,13 +442,13 @@
 def test_what_earns_most_and_has_streamed_most_goes_first_and_the_late_are_named() -> None:
     pace: RecoveryPace[str] = RecoveryPace(0.5, 1000.0)
     pace.resuming["busy"] = None
-    for name, priority_weight, streamed, until in (
+    for name, priority_weight, streamed, deadline_ms in (
         ("low", 1, 9, 99.0),
         ("short", 3, 1, 99.0),
         ("long", 3, 8, 99.0),
         ("late", 9, 9, 5.0),
     ):
-        pace.wait(name, 10, priority_weight, streamed, until)
+        pace.wait(name, 10, priority_weight, streamed, deadline_ms)
     pace.wait("left", 10, 9, 9, 99.0)
     pace.remove("left")  # its client has left: nothing is read for it
     assert pace.next(6.0) == ([], ["late"])
@@ -503,6 +506,7 @@
 
 
 async def test_a_stalled_stream_goes_on_long_before_the_silence_that_was_allowed() -> None:
+    """A decode server stops in mid-stream with its connection open. Its peers show that the silence is no pause."""
     async with world(
         ("r0", "w0", "w0b"),
         build=replace(BUILD, answer_tokens=(30, 30)),
@@ -550,6 +554,7 @@
 
 
 async def test_a_stream_lost_within_a_tool_call_ends_honestly() -> None:
+    """A decode server dies within a tool call, which no other can go on with."""
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 3)
         reply = await w.ask(tools=TOOLS, temperature=0)
@@ -631,6 +636,7 @@
 
 
 async def test_an_old_decode_server_that_comes_back_while_another_goes_on_adds_nothing() -> None:
+    """A stalled decode server wakes up after its stream was resumed elsewhere, and goes on to write."""
     build = replace(BUILD, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
     async with world(("r0", "w0", "w0b"), build=build, terms=terms()) as w:
@@ -678,9 +684,7 @@
             await trio.sleep(0.04)
         late = attempts_at(w)[early:]
         assert len(late) >= 20 and late.count("w0") <= len(late) / 10
-        with trio.fail_after(4):
-            while len(replies) < 90:
-                await trio.sleep(0.05)
+        await until(lambda: len(replies) >= 90, 4)
         assert sum(r.done for r in replies) >= 85
 
 
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -12,7 +12,7 @@
 import trio
 
 import ternlane
-from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
+from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, until, world
 from ternlane.chat import InvalidRequestError
 from ternlane.embed import FailedError, RejectedError, open_routing
 from ternlane.engine import (
@@ -205,9 +205,7 @@
             async with routing.request(REQUEST) as stream:
                 await stream.text()
         assert not bad.value.begun
-        with trio.fail_after(1):  # released in the background
-            while engines["r0"].states:
-                await trio.sleep(0.002)
+        await until(lambda: not engines["r0"].states, 1)  # released in the background
         engines["r0"].trouble = "full"
         with pytest.raises(RejectedError):
             async with routing.request(REQUEST, request_timeout_ms=200) as stream:
@@ -220,15 +218,11 @@
         async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
-        with trio.fail_after(1):
-            while routing.runtime.active_requests or engines["w0"].closed < 1:
-                await trio.sleep(0.005)
+        await until(lambda: not (routing.runtime.active_requests or engines["w0"].closed < 1), 1)
         with pytest.raises(KeyError):
             async with routing.request(REQUEST):
                 raise KeyError("the caller's own")
-        with trio.fail_after(1):
-            while routing.runtime.active_requests or "lib-2" in engines["r0"].states:
-                await trio.sleep(0.005)
+        await until(lambda: not (routing.runtime.active_requests or "lib-2" in engines["r0"].states), 1)
 
 
 async def test_routers_made_and_discarded_leave_nothing() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field, replace
 from typing import Any, AsyncIterator
@@ -156,6 +157,16 @@
             raise AssertionError(f"left: {remains}")
 
 
+POLL_S = 0.002  # between two looks at a condition that a test waits for
+
+
+async def until(condition: Callable[[], object], within_s: float) -> None:
+    """Waits for a condition; fails the test where it does not come true in time."""
+    with trio.fail_after(within_s):
+        while not condition():
+            await trio.sleep(POLL_S)
+
+
 async def heard(
     caller: ClientConnection, body: dict[str, Any] | bytes, headers: dict[str, str], path: str, method: str = "POST"
 ) -> Reply:
