--- a/bench/library.py
+++ b/bench/library.py
@@ -30,7 +30,7 @@
 from ternlane.config.gateway import InlineSource
 from ternlane.discovery import EndpointRegistry
 from ternlane.engine import AttemptRequest, PrefillResult, LocalTransport
-from ternlane.gateway.router_config import offer_of
+from ternlane.gateway.router_config import configure_models
 from ternlane.http1 import ConnectionPool
 from ternlane.policy import messages
 
@@ -132,10 +132,10 @@
     def __init__(self) -> None:
         gateway_config = config()
         assert isinstance(gateway_config.nodes, InlineSource)
-        offer = offer_of(gateway_config)
-        self.request_class = offer.request_classes["summary"]
-        self.router = ternlane.Router(offer.router_config)
-        self.router.take(0.0, [EndpointRegistry().whole(gateway_config.nodes.nodes, 0.0, 0.0)])
+        models = configure_models(gateway_config)
+        self.request_class = models.request_classes["summary"]
+        self.router = ternlane.Router(models.router_config)
+        self.router.take(0.0, [EndpointRegistry().update(gateway_config.nodes.nodes, 0.0, 0.0)])
 
     def _take(self, now_ms: float, event: messages.Event) -> list[messages.Action]:
         return self.router.take(now_ms, [event])
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -144,7 +144,7 @@
 
     def heard(self, server: int, wait_ms: float, explored: bool) -> None:
         """Learns from every wait."""
-        self.pacing.heard(server, wait_ms, explored)
+        self.pacing.piece_after(server, wait_ms, explored)
 
 
 def drawn_streams(kind: ServerKind, count: int, seed: int) -> Iterator[DrawnStream]:
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -16,14 +16,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.fake_disk import CrashError, FakeDisk
-from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, world
+from tests.test_tenants import CrashError, FakeDisk
+from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, until, world
 from ternlane.gateway import open_gateway
 from ternlane.gateway.journal_writer import JOURNAL
 from ternlane.http1 import ConnectionPool, ConnectError
-from ternlane.ledger import CorruptLedgerError, Disk, SegmentedLog
-from ternlane.ledger.segment import read_segment
-from ternlane.recovery.inflight import Ended, Freed, InFlight, Record, Sent, Taken
+from ternlane.ledger import CorruptLedgerError, Disk, Segmented
+from ternlane.ledger.store import read_segment
+from ternlane.recovery.inflight import RequestEnded, StateFreed, InFlightRequests, Record, AttemptSent, RequestTaken
 
 ROOT = Path(__file__).parent.parent
 NOW, LATER = 1000.0, 5000.0
@@ -35,11 +35,11 @@
     for i, (upto, effect, keyed) in enumerate(draws):
         ident, kind = f"g{i}", ("IDEMPOTENT", "DEDUPLICATED", "SIDE_EFFECTING")[effect]
         course = [
-            Taken(ident, f"n{i}", f"k{i}" if keyed else "", b"m", kind, NOW, LATER),
-            Sent(ident, f"n{i}", "r0", "a", "d", True, False),
-            Sent(ident, f"n{i}", "w0", "b", "d", False, True),
-            Freed(ident),
-            Ended(ident, "streamed", True, f"text {i}"),
+            RequestTaken(ident, f"n{i}", f"k{i}" if keyed else "", b"m", kind, NOW, LATER),
+            AttemptSent(ident, f"n{i}", "r0", "a", "d", True, False),
+            AttemptSent(ident, f"n{i}", "w0", "b", "d", False, True),
+            StateFreed(ident),
+            RequestEnded(ident, "streamed", True, f"text {i}"),
         ]
         courses.append(course[:upto])
     out: list[Record] = []
@@ -50,17 +50,17 @@
     return out
 
 
-def store_of(disk: Any, **sizes: int) -> SegmentedLog[Record, InFlight]:
-    return SegmentedLog(JOURNAL, disk, **sizes)
+def store_of(disk: Any, **sizes: int) -> Segmented[Record, InFlightRequests]:
+    return Segmented(JOURNAL, disk, **sizes)
 
 
-def must_be_safe(found: InFlight, records: list[Record]) -> None:
+def must_be_safe(found: InFlightRequests, records: list[Record]) -> None:
     """What is recovered, against the records that it was recovered from, gone through one by one."""
-    taken = {r.ident: r for r in records if isinstance(r, Taken)}
-    ended = {r.ident: r for r in records if isinstance(r, Ended)}
-    ran = {r.ident for r in records if isinstance(r, Sent) and r.decodes}
-    held = {r.ident for r in records if isinstance(r, Sent) and r.prefills} - {
-        r.ident for r in records if isinstance(r, Freed)
+    taken = {r.ident: r for r in records if isinstance(r, RequestTaken)}
+    ended = {r.ident: r for r in records if isinstance(r, RequestEnded)}
+    ran = {r.ident for r in records if isinstance(r, AttemptSent) and r.decodes}
+    held = {r.ident for r in records if isinstance(r, AttemptSent) and r.prefills} - {
+        r.ident for r in records if isinstance(r, StateFreed)
     }
     answers = {v.taken.ident: v.ended for v in found.answers(NOW)}
     for ident, it in taken.items():
@@ -90,7 +90,7 @@
         again.recover()
         whole = len(read_segment(raw[:cut], "s", JOURNAL).records)
         must_be_safe(again.totals, records[:whole])
-        again.append(Ended("g0", "lost"))  # and it goes on from there
+        again.append(RequestEnded("g0", "lost"))  # and it goes on from there
         again.commit()
         third = store_of(torn)
         third.recover()
@@ -129,9 +129,9 @@
     for i in range(3000):
         late = NOW + i
         for record in (
-            Taken(f"g{i}", f"n{i}", f"k{i}", b"m", "SIDE_EFFECTING", late, late + 50.0),
-            Sent(f"g{i}", f"n{i}", "w", "a", "d", False, True),
-            Ended(f"g{i}", "streamed", True, "x" * 40),
+            RequestTaken(f"g{i}", f"n{i}", f"k{i}", b"m", "SIDE_EFFECTING", late, late + 50.0),
+            AttemptSent(f"g{i}", f"n{i}", "w", "a", "d", False, True),
+            RequestEnded(f"g{i}", "streamed", True, "x" * 40),
         ):
             store.append(record)
         store.commit()
@@ -166,9 +166,7 @@
     shutil.copytree(folder, copy)
     config = msgspec.structs.replace(w.gateway.config, journal=str(copy), listen="127.0.0.1:0")
     async with open_gateway(config) as gateway:
-        with trio.fail_after(2):
-            while not gateway.journal_writer.ready:  # type: ignore[union-attr]
-                await trio.sleep(0.005)
+        await until(lambda: gateway.journal_writer.ready, 2)  # type: ignore[union-attr]
         yield gateway.address
 
 
@@ -187,6 +185,7 @@
 
 @pytest.mark.parametrize("model", ["note", "form", "summary"])
 async def test_a_repeat_after_the_loss_hears_that_it_may_have_run(model: str, tmp_path: Path) -> None:
+    """A gateway is killed with a keyed request out, whose effect has happened. Its client asks the next process."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         replies: list[Reply] = []
 
@@ -194,9 +193,7 @@
             replies.append(await w.ask(model, headers={"Idempotency-Key": "k1"}))
 
         w.nursery.start_soon(first)
-        with trio.fail_after(2):
-            while not w.said("effect"):
-                await trio.sleep(0.002)
+        await until(lambda: w.said("effect"), 2)
         async with next_gateway(w, tmp_path / "j") as address:
             reply = await ask_at(address, model, "k1")
             if model == "summary":  # harmless: it simply runs
@@ -208,12 +205,11 @@
             assert other.done == 1
 
 
-async def test_gateway_and_writer_lost_together_double_nothing(tmp_path: Path) -> None:
+async def test_gateway_and_decode_server_lost_together_double_nothing(tmp_path: Path) -> None:
+    """A gateway and the decode server of its request are lost at once. Nobody left knows how far the request came."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
-        with trio.fail_after(2):
-            while not w.said("effect"):
-                await trio.sleep(0.002)
+        await until(lambda: w.said("effect"), 2)
         async with next_gateway(w, tmp_path / "j") as address:
             w.engines[w.said("effect")[0]["id"]].die()
             reply = await ask_at(address, "form", "k1")
@@ -221,6 +217,7 @@
 
 
 async def test_a_repeat_after_the_loss_hears_the_answer_that_was_given(tmp_path: Path) -> None:
+    """A gateway is killed after it gave an answer. Its client never got it, and asks again."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
         await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
@@ -230,7 +227,7 @@
             assert len(w.said("effect")) == 1
 
 
-async def test_an_idempotent_one_that_was_terminated_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
+async def test_an_idempotent_request_that_failed_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].fault.script = "midway"
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 0
@@ -242,13 +239,12 @@
 
 
 async def test_states_that_the_lost_gateway_held_are_released(tmp_path: Path) -> None:
+    """A gateway is killed between prefill and decode. Its state would stay until the engine's own lease ends."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].busy = w.engines["w0"].profile.slots  # writes wait: the state stays at its reader
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.ask)
-            with trio.fail_after(2):
-                while not w.said("leg", stage="write"):
-                    await trio.sleep(0.002)
+            await until(lambda: w.said("leg", stage="write"), 2)
             await trio.sleep(0.05)
             assert len(w.engines["r0"].states) == 1
             async with next_gateway(w, tmp_path / "j"):
@@ -258,12 +254,11 @@
 
 
 async def test_with_a_full_disk_nothing_runs_that_could_not_be_remembered(tmp_path: Path) -> None:
+    """The journal's disk is full. An effect that is not written down could be doubled after a loss."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         journal_writer = w.gateway.journal_writer
         assert journal_writer is not None
-        with trio.fail_after(1):
-            while not journal_writer.ready:
-                await trio.sleep(0.005)
+        await until(lambda: journal_writer.ready, 1)
 
         def full(handle: int, data: bytes) -> int:
             raise OSError(28, "full")
@@ -273,29 +268,25 @@
         assert reply.status == 429 and w.said("effect") == []
         assert (await w.ask("note")).done == 1  # without a key nobody was promised anything
         journal_writer.store.disk.write = write  # type: ignore[method-assign]
-        with trio.fail_after(3):
-            while journal_writer.writer.waiting:
-                await trio.sleep(0.01)
+        await until(lambda: not journal_writer.writer.waiting, 3)
         assert (await w.ask("note", headers={"Idempotency-Key": "k1"})).done == 1
 
 
-async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_taken(tmp_path: Path) -> None:
+async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_admitted(tmp_path: Path) -> None:
+    """The process before still holds the journal's lock. The first request of a key may be out there."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        with trio.fail_after(1):
-            while not w.gateway.journal_writer.ready:  # type: ignore[union-attr]
-                await trio.sleep(0.005)
+        await until(lambda: w.gateway.journal_writer.ready, 1)  # type: ignore[union-attr]
         config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
         async with open_gateway(config) as second:
             reply = await ask_at(second.address, "note", "k1")
             assert reply.status == 503 and reply.error["code"] == "taking_over"  # type: ignore[index]
             await w.gateway.drain()
-            with trio.fail_after(2):
-                while not second.journal_writer.ready:  # type: ignore[union-attr]
-                    await trio.sleep(0.005)
+            await until(lambda: second.journal_writer.ready, 2)  # type: ignore[union-attr]
             assert (await ask_at(second.address, "note", "k1")).done == 1
 
 
 async def test_a_daemon_killed_outright_doubles_nothing(tmp_path: Path) -> None:
+    """A daemon gets SIGKILL with a keyed request out, and is started again."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0)) as w:
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
@@ -329,9 +320,7 @@
         process = await start()
         try:
             w.nursery.start_soon(ask_until_taken)
-            with trio.fail_after(20):
-                while not w.said("effect"):
-                    await trio.sleep(0.002)
+            await until(lambda: w.said("effect"), 20)
             process.send_signal(signal.SIGKILL)
             await process.wait()
             process = await start()
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -12,7 +12,7 @@
 import trio
 
 import ternlane
-from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
+from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, until, world
 from ternlane.chat import InvalidRequestError
 from ternlane.embed import FailedError, RejectedError, open_routing
 from ternlane.engine import (
@@ -193,7 +193,7 @@
         with pytest.raises(InvalidRequestError, match="does not exist"):
             async with routing.request(REQUEST | {"model": "x"}):
                 pass
-        assert not routing.host.active_requests and engines["w0"].effects == 1
+        assert not routing.runtime.active_requests and engines["w0"].effects == 1
 
 
 async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
@@ -205,30 +205,24 @@
             async with routing.request(REQUEST) as stream:
                 await stream.text()
         assert not bad.value.begun
-        with trio.fail_after(1):  # released in the background
-            while engines["r0"].states:
-                await trio.sleep(0.002)
+        await until(lambda: not engines["r0"].states, 1)  # released in the background
         engines["r0"].trouble = "full"
         with pytest.raises(RejectedError):
             async with routing.request(REQUEST, request_timeout_ms=200) as stream:
                 await stream.text()
 
 
-async def test_leaving_early_calls_off_and_releases() -> None:
+async def test_leaving_early_cancels_and_releases() -> None:
     engines = {i: Local() for i in ("r0", "w0")}
     async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
-        with trio.fail_after(1):
-            while routing.host.active_requests or engines["w0"].closed < 1:
-                await trio.sleep(0.005)
+        await until(lambda: not (routing.runtime.active_requests or engines["w0"].closed < 1), 1)
         with pytest.raises(KeyError):
             async with routing.request(REQUEST):
                 raise KeyError("the caller's own")
-        with trio.fail_after(1):
-            while routing.host.active_requests or "lib-2" in engines["r0"].states:
-                await trio.sleep(0.005)
+        await until(lambda: not (routing.runtime.active_requests or "lib-2" in engines["r0"].states), 1)
 
 
 async def test_routers_made_and_discarded_leave_nothing() -> None:
@@ -250,7 +244,7 @@
     assert count() == before and len(gc.get_objects()) < objects + 200
 
 
-def test_unreached_is_no_refusal() -> None:
+def test_an_unreachable_engine_is_no_rejection() -> None:
     assert not issubclass(EngineUnreachableError, AttemptRejectedError)
 
 
@@ -301,7 +295,7 @@
             assert not engine.strange
 
 
-def test_a_plain_chat_server_can_not_be_a_reader() -> None:
+def test_a_plain_chat_server_cannot_be_a_prefill_server() -> None:
     with pytest.raises(ConfigError, match="duty both"):
         read_text('{id: "a", address: "h:1", duty: "read", mem_toks: 1, protocol: "chat"}', NodeLine)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field, replace
 from typing import Any, AsyncIterator
@@ -12,7 +13,7 @@
 import trio
 
 from ternlane.policy.router import Router
-from ternlane.gateway import Gateway, Host, open_gateway
+from ternlane.gateway import Gateway, GatewayRuntime, open_gateway
 from ternlane.http1 import ClientConnection, EventReader, ConnectionPool
 from ternlane.config import FleetConfig, GatewayConfig, NodeLine, RequestClassConfig
 from ternlane.config.gateway import ServerLimits, InlineSource
@@ -144,7 +145,7 @@
 
         def left() -> list[Any]:
             return [
-                *self.gateway.host.active_requests.values(),
+                *self.gateway.runtime.active_requests.values(),
                 *((e.ident, e.states, e.busy) for e in self.engines.values() if e.states or e.busy),
             ]
 
@@ -156,6 +157,16 @@
             raise AssertionError(f"left: {remains}")
 
 
+POLL_S = 0.002  # between two looks at a condition that a test waits for
+
+
+async def until(condition: Callable[[], object], within_s: float) -> None:
+    """Waits for a condition; fails the test where it does not come true in time."""
+    with trio.fail_after(within_s):
+        while not condition():
+            await trio.sleep(POLL_S)
+
+
 async def heard(
     caller: ClientConnection, body: dict[str, Any] | bytes, headers: dict[str, str], path: str, method: str = "POST"
 ) -> Reply:
@@ -179,7 +190,7 @@
 async def world(
     engines: tuple[str, ...] = ("r0", "w0", "r1", "w1"),
     build: EngineProfile = BUILD,
-    host_type: type[Host] = Host,
+    host_type: type[GatewayRuntime] = GatewayRuntime,
     chooser: Any = Router,
     terms: FleetConfig = TERMS,
     request_classes: list[RequestClassConfig] = REQUEST_CLASSES,
