--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -39,9 +39,9 @@
     """Tells a service manager how it stands (the sd_notify protocol: one datagram to NOTIFY_SOCKET)."""
     path = os.environ.get("NOTIFY_SOCKET")
     if path:
-        with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
-            with suppress(OSError):  # who does not listen need not hear
-                sock.sendto(state.encode(), "\0" + path[1:] if path.startswith("@") else path)
+        # Who does not listen need not hear.
+        with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock, suppress(OSError):
+            sock.sendto(state.encode(), "\0" + path[1:] if path.startswith("@") else path)
 
 
 def write_pid(path: Path) -> None:
