--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -1,7 +1,7 @@
 """The event loop of a gateway: it feeds events to the router, executes the router's actions and runs timers.
 
-Both gateways subclass `EventLoop`. A subclass says what an action means on its sockets; what to do is decided by the
-router alone.
+The platform gateway, the chat gateway and the library subclass `EventLoop`. A subclass says what an action means on its
+sockets; what to do is decided by the router alone.
 """
 
 from __future__ import annotations
@@ -45,7 +45,8 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """The final answer "not now": nothing has run, so a retry repeats nothing. `pause_ms`: Retry-After; 0 for none."""
+    """The final answer "not now": a new request does no harm, as nothing has run or a repeat has no effect. `pause_ms`:
+    Retry-After; 0 for none."""
 
     recorded_as: ClassVar[str] = "throttled"  # the word on the wire, in the ledger and in the journal
 
--- a/ternlane/gateway/client_connections.py
+++ b/ternlane/gateway/client_connections.py
@@ -61,7 +61,7 @@
             body_ms=limits.body_ms,
             idle_ms=limits.idle_ms,
             send_ms=limits.send_ms,
-            reject_reason=self._bad_request,
+            error_body=self._bad_request,
             draining=self.is_draining,
         )
 
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -58,7 +58,7 @@
         handler: Handler,
         limits: ServerLimits,
         *,
-        reject_reason: Refuser = plain_refusal,
+        error_body: Refuser = plain_refusal,
         draining: Callable[[], bool] = lambda: False,
         early_ok: bool = False,
         on_idle: Callable[[ServerConnection], None] = lambda _: None,
@@ -67,7 +67,7 @@
         self.stream = stream
         self.handler = handler
         self.limits = limits
-        self.reject_reason = reject_reason
+        self.error_body = error_body
         self.draining = draining
         self.early_ok = early_ok
         self.on_idle = on_idle
@@ -177,7 +177,7 @@
         """The error answer, where none was begun, and the connection's end."""
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        body, content = self.reject_reason(exchange, bad)
+        body, content = self.error_body(exchange, bad)
         head = [("Content-Type", content), ("Content-Length", str(len(body))), ("Connection", "close")]
         out = self.conn.send(h11.Response(status_code=bad.status, headers=head)) or b""
         out += self.conn.send(h11.Data(data=body)) or b""
@@ -300,15 +300,13 @@
     body_ms: float,
     idle_ms: float,
     send_ms: float,
-    reject_reason: Refuser = plain_refusal,
+    error_body: Refuser = plain_refusal,
     draining: Callable[[], bool] = lambda: False,
     early_ok: bool = False,
 ) -> None:
     """Serves one connection until either side ends it. Never raises for what the client does."""
     limits = ServerLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
-    await ServerConnection(
-        stream, handler, limits, reject_reason=reject_reason, draining=draining, early_ok=early_ok
-    ).serve()
+    await ServerConnection(stream, handler, limits, error_body=error_body, draining=draining, early_ok=early_ok).serve()
 
 
 async def linger(stream: trio.SocketStream) -> None:
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -76,7 +76,7 @@
             stream,
             self._handle,
             self.limits,
-            reject_reason=self._error_body,
+            error_body=self._error_body,
             draining=lambda: self.draining,
             on_idle=self._idle_changed,
             on_close=self._closed,
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -151,7 +151,8 @@
     # -- attempts
 
     def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
-        """Begins an attempt; it is sent once there is a connection, and an earlier one's release is confirmed."""
+        """Begins an attempt; it is sent once there is a connection and an earlier one's release is confirmed, or the
+        connect timeout has passed."""
         endpoint = self.endpoint_registry.endpoints.get(server)
         exchange = active_request.exchange
         attempt = Attempt(
--- a/ternlane/policy/actors.py
+++ b/ternlane/policy/actors.py
@@ -33,7 +33,7 @@
 
 
 class RouterContext:
-    """What all rules of one router share. The router alone changes it."""
+    """What all rules of one router share. The router sets the time, the scheduler the limits."""
 
     def __init__(self, now: float, limits: Limits) -> None:
         self.now = now  # milliseconds; the same for all that is decided on one batch of events
--- a/ternlane/policy/admission.py
+++ b/ternlane/policy/admission.py
@@ -57,8 +57,8 @@
         return end - MIN_USUAL_TIMES_LEFT * self._latency.first_token_ms(state.request.request_class)
 
     def _misses_deadline(self, state: RequestState) -> bool:
-        """Clients repeat a request with what is left of their time. Such a last request, with less than the latency
-        objective left, would be prefilled and thrown away, and teach that prefills take as long as it had."""
+        """Clients retry with what is left of their time. A retry with less than the latency objective left would be
+        prefilled and thrown away, and teach that prefills take as long as it had."""
         if state.deadline >= state.first_token_due:
             return False
         now = self._context.now
--- a/ternlane/policy/admission_queue.py
+++ b/ternlane/policy/admission_queue.py
@@ -36,11 +36,11 @@
         return len(self._entries)
 
     def room_may_have_changed(self) -> None:
-        """Has all be tried again, long prompts too."""
+        """Has all be tried again, long prompts too. Latest starts stay as they were computed."""
         self._no_room_from = inf
 
     def try_all(self) -> None:
-        """Has all be tried again, as other limits hold from now on."""
+        """Has all be tried again, as a shutdown has begun."""
         self._no_room_from = inf
         self._next_due = -inf
 
--- a/ternlane/policy/held_state.py
+++ b/ternlane/policy/held_state.py
@@ -47,7 +47,7 @@
             if state.attempt is not None and not state.attempt.decodes:
                 continue
             state.lease.released_early()
-            self._context.actions.append(Release(state.request, why=ReleaseReason.UNCONFIRMED))
+            self._context.actions.append(Release(state.request, why=ReleaseReason.ATTEMPT_SILENT))
         at = self._schedule.next_at()
         if at < inf:
             self._context.actions.append(StartTimer(at, TimerKind.DEADLINE))
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -43,7 +43,12 @@
 
 @dataclass(slots=True, eq=False)
 class Lease(Generic[ServerT]):
-    """What may be held for one request. Times are milliseconds of the decisions' clock."""
+    """What may be held for one request. Times are milliseconds of the decisions' clock.
+
+    When it is released at the latest: `HeldState.schedule_release` sets `release_at`, `Limits.release_unconfirmed_ms`
+    after `since`. That is infinite where servers don't spare the attempts that wait for a state, or keep it whatever
+    happens (RouterConfig); the release then goes out at the request's end or before a new prefill.
+    """
 
     held_at: ServerT | None = None  # the prefill server whose state may be handed on
     may_hold: bool = False  # some server may hold something
@@ -82,8 +87,9 @@
             self.held_at = server
 
     def _renews(self, end: AttemptEnd) -> bool:
-        """Whether the release time begins anew with this outcome: only where the attempt must have been out until now,
-        or has left nothing else: a state that outlasted a confirmed release was kept for an attempt that arrived."""
+        """Whether the release time begins anew with this outcome. It does where a running server must have had the
+        attempt until now: it prefilled, or it answered. It does, too, after a confirmed release: servers then keep only
+        what an attempt waits for that has arrived. It does not for an attempt that may never have arrived."""
         if end.outcome in NEVER_SENT:
             return False
         return end.prefills or end.outcome in ANSWERED or self._release_heard
@@ -97,7 +103,8 @@
             self.release_at = inf
 
     def released_early(self) -> None:
-        """A release goes out because the time is over, whatever attempt is out."""
+        """A release goes out because the time is over, whatever attempt is out. `held_at` stays: where the attempt had
+        arrived, the server keeps the state for it, and another decode may still take it."""
         self._released_early = True
         self._release_heard = False
 
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -51,7 +51,8 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt or a probe ended. OVERLOADED and CONNECT_FAILED: it ran nothing; CLIENT_GONE: its client had
+    """How an attempt or a probe ended. OVERLOADED and CONNECT_FAILED: it ran nothing (the latter also where an attempt
+    was given up before its last byte was written); CLIENT_GONE: its client had
     left; NOT_STARTED: it did not begin, as its server began to drain or `StartAttempt.start_within_ms` passed;
     CANCELLED: by CancelAttempt; PREFILLED: the state is held; ERROR, TIMED_OUT, RESET: it may have run."""
 
@@ -68,16 +69,31 @@
 
 
 class RejectReason(Enum):
-    """Why a request is given its final answer without having been served; for logs and metrics."""
-
-    ATTEMPTS_SPENT = auto()  # no attempt or no time is left
-    DEADLINE_TOO_CLOSE = auto()  # an attempt could no longer answer in time
-    OVERLOAD = auto()  # late already, and it would make others late that earn more
-    SHUTDOWN = auto()  # this gateway would end before its answer does
-    NO_SERVER = auto()  # no server is left that could take it
-    QUEUED_TOO_LONG = auto()  # it waited for room until its time was too short
-    MAY_HAVE_RUN = auto()  # an attempt may have run, and its effect permits no other
+    """Why a request is given its final answer without having been served; for logs and metrics. Whether the answer is
+    rejected or failed is another question (`RetryPolicy.final_answer`)."""
+
+    # Its deadline has passed, its attempts are used up, or a single one is left where a prefill and a decode need two.
+    ATTEMPTS_SPENT = auto()
+    # Its client gave it less time than its latency objective, and less than two usual times to a first token are left.
+    # Look at the clients' timeouts, or at why prefills are slow.
+    DEADLINE_TOO_CLOSE = auto()
+    # It is past its latency objective while many prefills come late; its prefill would delay requests of more weight.
+    # Add prefill servers, or admit less.
+    OVERLOAD = auto()
+    # This gateway is shutting down and might end before the answer does. The client's next request goes elsewhere.
+    SHUTDOWN = auto()
+    # No READY server of some role is left that it was not sent to before and that its effect permits. Look at the list
+    # of endpoints, and at the attempts' outcomes.
+    NO_SERVER = auto()
+    # All servers were congested or ejected until its latest start had passed; a retry may find that passed already.
+    # Add servers, or see why none has room.
+    QUEUED_TOO_LONG = auto()
+    # An attempt may have run, and its effect permits no other one at any known server.
+    MAY_HAVE_RUN = auto()
+    # A host said so by an attempt's outcome alone; else the router is told ClientDisconnected and gives no answer.
     CLIENT_LEFT = auto()
+    # No reason: the request was streamed, or its client left. With a failed request: the event loop gave it up because
+    # nothing was decided in time, a defect of this program.
     UNKNOWN = auto()
 
 
@@ -94,7 +110,7 @@
     REQUEST_OVER = auto()  # answered, failed or left by its client
     BEFORE_NEW_PREFILL = auto()  # the prompt is to be read again, or the request queues for that
     STREAM_BROKE = auto()  # its client has a part of the answer
-    UNCONFIRMED = auto()  # nothing shows in time that the attempt which is to take it has arrived
+    ATTEMPT_SILENT = auto()  # nothing shows in time that the decode attempt which is to take it has arrived
     UNKNOWN = auto()
 
 
@@ -157,7 +173,8 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterConfig:
-    """What a Router is told once: the deployment's limits and rights, and how long things take (ms)."""
+    """What a Router is told at its start, and anew by each ConfigChanged: the deployment's limits and rights, and how
+    long things take (ms)."""
 
     seed: int
     gateways: int
--- a/ternlane/policy/outlier_detection.py
+++ b/ternlane/policy/outlier_detection.py
@@ -17,7 +17,8 @@
 PRIOR_ATTEMPTS = 4.0
 # One attempt can be held against a server as this many missed ones at most.
 MAX_MISSED_PER_ATTEMPT = 8.0
-# Attempts that a failed one counts for. A server that fails fast has a short queue and would draw all requests.
+# Attempts that a failed connection or reset counts for. A server that fails fast has a short queue and would draw all
+# requests. (Errors of the server itself are held against it by `failure_avoidance.py`.)
 FAILURE_PENALTY_ATTEMPTS = 2.0
 # A half-open server is back once an attempt took no more than this many usual times.
 HALF_OPEN_MAX_USUAL_TIMES = 2.0
--- a/ternlane/policy/router.py
+++ b/ternlane/policy/router.py
@@ -2,7 +2,7 @@
 
 A host makes one `Router(RouterConfig)` for each gateway, hands it what happened through `take(now, events)`, and
 carries out the actions that come back, in their order. The interface is `ternlane/policy/messages.py`; the way of a
-request is in `ternlane/policy/scheduler.py`; `docs/design.md` lists every rule and where it stands.
+request is in `ternlane/policy/request_flow.py`; `docs/design.md` lists every rule and where it stands.
 """
 
 from __future__ import annotations
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -94,7 +94,7 @@
     host.written(effect)
     assert host.tell(after=GUARD_MS - 1) == []
     said = host.tell(after=1)
-    assert kinds(said) == [messages.Release] and released(said) == [ReleaseReason.UNCONFIRMED]
+    assert kinds(said) == [messages.Release] and released(said) == [ReleaseReason.ATTEMPT_SILENT]
     assert host.tell(after=100) == []
 
 
@@ -111,7 +111,7 @@
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=GUARD_MS / 2)
     attempt = sent(said)
     assert attempt.server.role is messages.Role.DECODE and not released(said)  # another may still take it
-    assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.UNCONFIRMED]
+    assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.ATTEMPT_SILENT]
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=50.0)  # nobody has heard the release
     assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is messages.Role.PREFILL
 
@@ -120,11 +120,11 @@
     """The servers kept it for the attempt, if that had arrived and was merely slow."""
     host = platform_like("w2")
     request, attempt = host.written()
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
+    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
     host.tell(messages.ReleaseConfirmed(request))
     said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
     assert sent(said).server.role is messages.Role.DECODE and not released(said)
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]  # that one has its own time
+    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]  # that one has its own time
 
 
 def test_no_prefill_begins_that_would_be_the_last_attempt() -> None:
@@ -154,14 +154,14 @@
     assert first.server is not large.server
     said = host.end(request, first.server, AttemptOutcome.RESET)
     assert kinds(said) == [messages.Release]  # no prefill server has room
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
+    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
 
 
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
     host = platform_like(may_cancel=False)
     request, _ = host.written(Effect.SIDE_EFFECTING)
     host.tell(messages.ClientDisconnected(request))
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.UNCONFIRMED]
+    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
 
 
 @pytest.mark.parametrize("router_config", [{"releases_spare_attempts": False}, {"holds_expire_unless_arrived": False}])
