--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -174,7 +174,7 @@
 async def test_a_gateway_killed_between_reserve_and_send_owes_and_bills_nothing(tmp_path: Path) -> None:
     """The budget is reserved, and the attempt is never sent: servers counted nothing, so nothing may be missing."""
     async with banked(tmp_path) as (w, bank):
-        w.gateway.runtime.send = lambda *_: None  # type: ignore[method-assign]
+        w.gateway.runtime.start_attempt = lambda *_: None  # type: ignore[method-assign]
         with trio.move_on_after(0.2):
             await bank.ask(w, "noto")
         assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.said("leg") == []
