--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -235,6 +235,17 @@
         return check(w.traffic.lines, RULES)
 
 
+async def stranded(host: type[GatewayRuntime]) -> Findings:
+    """All decode servers die while the list still has them: what was prefilled is left at its prefill server, and nobody
+    but its gateway can have it released in time."""
+    async with world(("r0", "w0", "w1"), host_type=host) as w:
+        for ident in ("w0", "w1"):
+            w.engines[ident].die()
+        await send_requests(w, 40, 400)
+        await trio.sleep(0.9)
+        return check(w.traffic.lines, RULES)
+
+
 async def slowly_read(host: type[GatewayRuntime]) -> Findings:
     async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
         await send_requests(w, 15, 600)
@@ -334,7 +345,8 @@
 
 
 SCENES = {
-    scene.__name__.replace("_", " "): scene for scene in (troubled, slowly_read, drained, restarted, torn, refilled)
+    scene.__name__.replace("_", " "): scene
+    for scene in (troubled, stranded, slowly_read, drained, restarted, torn, refilled)
 }
 
 
@@ -360,7 +372,7 @@
         (Undrained, "drained", 3, "told that w"),
         (Careless, "restarted", 4, "fell over"),
         (Careless, "refilled", 4, "fell over"),
-        (Keeper, "troubled", 5, "no leg out"),
+        (Keeper, "stranded", 5, "no leg out"),
         (Stutters, "torn", 6, "not what the engines said"),
         (Skips, "torn", 6, "not what the engines said"),
         (Anew, "torn", 6, "not what"),
