--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -236,8 +236,8 @@
 
 
 async def stranded(host: type[GatewayRuntime]) -> Findings:
-    """All decode servers die while the list still has them: what was prefilled is left at its prefill server, and nobody
-    but its gateway can have it released in time."""
+    """All decode servers die while the list still has them. What was prefilled is left at its prefill server, and only
+    its gateway can have it released in time."""
     async with world(("r0", "w0", "w1"), host_type=host) as w:
         for ident in ("w0", "w1"):
             w.engines[ident].die()
