--- a/ternlane/policy/__init__.py
+++ b/ternlane/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Every routing decision, one concern a module.
+"""The routing decisions; each module holds one concern.
 
-`router.py` takes events and gives actions; `scheduler.py` takes a request from its arrival to its final answer, and
-asks the rules of the other modules. Free of I/O, with no clock of its own, and without a host. `docs/design.md` lists
-the rules and where they stand.
+`router.py` turns events into actions. `scheduler.py` handles every event and passes those of single requests to
+`request_flow.py`, which takes a request from its arrival to its final answer and consults the rules in the other
+modules. The package does no I/O, reads no clock and depends on no host. `docs/design.md` lists the rules and the
+modules that implement them.
 """
--- a/ternlane/policy/actors.py
+++ b/ternlane/policy/actors.py
@@ -1,8 +1,8 @@
 """The message loop that the scheduler and the endpoint states run in.
 
-Each of them is an actor: it owns its state, changes it only while it handles a message from its inbox, and never calls
-another actor. The router handles the messages of all inboxes in the order in which they were posted, until none is
-left. So an endpoint's snapshot that the scheduler decides by never changes in the middle of a decision.
+Each of them is an actor: it owns its state, changes it only while handling a message from its inbox, and never calls
+another actor. The router handles the messages of all inboxes in the order in which they were posted, until all inboxes
+are empty. So the snapshots that the scheduler bases a decision on never change during that decision.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class Runnable(Protocol):
-    """Something with a message to handle."""
+    """Something that has a message to handle."""
 
     def handle_next(self) -> None:
-        """Handles the oldest message of its inbox."""
+        """Handles the oldest message in the inbox."""
 
 
 class Inbox(Protocol[PostedT]):
-    """What an actor sees of another one."""
+    """The interface that an actor has to another one."""
 
     def post(self, message: PostedT) -> None:
-        """Has the message handled after all that were posted before."""
+        """Appends the message; it is handled after all messages posted before."""
 
 
 class RouterContext:
-    """What all rules of one router share. The router sets the time, the scheduler the limits."""
+    """State shared by all rules of one router. The router sets the time, the scheduler the limits."""
 
     def __init__(self, now: float, limits: Limits) -> None:
-        self.now = now  # milliseconds; the same for all that is decided on one batch of events
+        self.now = now  # milliseconds; constant within one batch of events
         self.limits = limits
-        self.ready: deque[Runnable] = deque()  # one entry for each message that waits
-        self.actions: list[Action] = []  # what the host is to do, in this order
+        self.ready: deque[Runnable] = deque()  # one entry for each waiting message
+        self.actions: list[Action] = []  # for the host, in this order
 
 
 class Actor(ABC, Generic[MessageT]):
@@ -50,14 +50,14 @@
         self.inbox: deque[MessageT] = deque()
 
     def post(self, message: MessageT) -> None:
-        """Has the message handled after all that were posted before."""
+        """Appends the message; it is handled after all messages posted before."""
         self.inbox.append(message)
         self.context.ready.append(self)
 
     def handle_next(self) -> None:
-        """Handles the oldest message of its inbox."""
+        """Handles the oldest message in the inbox."""
         self.handle(self.inbox.popleft())
 
     @abstractmethod
     def handle(self, message: MessageT) -> None:
-        """Acts on one message."""
+        """Handles one message."""
--- a/ternlane/policy/admission_queue.py
+++ b/ternlane/policy/admission_queue.py
@@ -1,4 +1,5 @@
-"""The queue of requests that wait for room before their prefill, as a state that waits is held only briefly."""
+"""The queue of requests that wait for capacity. They wait before their prefill, since servers hold a prefilled state
+only briefly."""
 
 from __future__ import annotations
 
@@ -13,7 +14,8 @@
 
 
 class QueueEntry(NamedTuple):
-    """A request that waits. Entries sort by what is served first: the highest priority weight, then the earliest."""
+    """A waiting request. Entries sort in the order of service: by priority weight, highest first, then by latest
+    start."""
 
     negative_weight: float
     latest_start: float  # milliseconds
@@ -22,44 +24,46 @@
 
 
 class AdmissionQueue:
-    """Requests in the order in which they are to be placed."""
+    """Waiting requests in the order of service."""
 
     def __init__(self, context: RouterContext, draws: RandomDraws) -> None:
         self._context = context
         self._draws = draws
         self._entries: list[QueueEntry] = []
-        self._next_due = inf  # the earliest latest start
+        self._next_due = inf  # the earliest of the latest starts
         self._shortest_prompt = inf  # tokens
-        self._no_room_from = inf  # no room was found for a prompt of so many tokens, so none is for longer ones
+        self._no_room_from = inf  # no server had capacity for a prompt of this many tokens; longer ones are skipped
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def room_may_have_changed(self) -> None:
-        """Has all be tried again, long prompts too. Latest starts stay as they were computed."""
+        """Has every request tried again, including long prompts. Latest starts are not recomputed."""
         self._no_room_from = inf
 
     def try_all(self) -> None:
-        """Has all be tried again, as a shutdown has begun."""
+        """Has every request tried again and expired entries removed, as a shutdown has begun."""
         self._no_room_from = inf
         self._next_due = -inf
 
     def add(self, state: RequestState, latest_start: float) -> None:
-        """Has the request wait until `latest_start` at most."""
+        """Adds a request, which may wait until `latest_start`."""
         number = self._draws.next_number()
         weight = state.request.request_class.priority_weight
         heapq.heappush(self._entries, QueueEntry(-weight, latest_start, number, state))
         self._next_due = min(self._next_due, latest_start)
-        # One that was not tried yet counts as the shortest, so that it is tried.
+        # A request that was not tried yet counts as the shortest prompt, so that it is tried.
         shortest = state.request.prompt_tokens if state.found_no_room else 0.0
         self._shortest_prompt = min(self._shortest_prompt, shortest)
 
     def drain(self, place: Callable[[RequestState], None], expire: Callable[[RequestState], None]) -> bool:
-        """Places the first request that finds room, and expires those that have waited too long. True while there is
-        more to do once its messages are handled.
+        """Places the first request for which there is capacity, and expires those that have waited too long. Returns
+        True if messages were posted: call again once they are handled.
 
-        A shorter prompt passes a longer one that finds no room: one long prompt had all others expire. Nothing is done
-        while nothing is due and nothing shorter has come, lest a long queue be gone through for each event."""
+        A shorter prompt may overtake a longer one that does not fit; otherwise one long prompt would block the queue
+        until all others expire. To avoid scanning a long queue at each event, it returns at once while no entry is due
+        and no shorter prompt has been added.
+        """
         if self._context.now < self._next_due and self._shortest_prompt >= self._no_room_from:
             return False
         pending = self._entries
--- a/ternlane/policy/attempt.py
+++ b/ternlane/policy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a model server work for a request."""
+"""An attempt: one try of a request at one model server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Stage(StrEnum):
-    """What an attempt waits for. Each stage has a usual time of its own."""
+    """What an attempt is waiting for. Each stage has its own usual time."""
 
     PREFILL = "prefill"  # the end of the prefill
     FIRST_TOKEN = "first token"  # the first token of the answer
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt that is out. Times are milliseconds."""
+    """An attempt in flight. Times are milliseconds."""
 
     server: Server
     request: Request
-    decodes: bool  # its server is to answer, not only to prefill
+    decodes: bool  # the server generates the answer, rather than only the prefill
     started_at: float
     stage_started_at: float
-    usual_ms: float  # what its peers take for the present stage
-    prefill_work_ms: float  # prefill that its server has to do for it
-    expected_ms: float = 0.0  # how long a prefill was expected to take, the queue before it included
-    needs_connection: bool = False  # this gateway had no connection to the server
-    expected_progress: float = 0.0  # part of the stage that the server has been debited with so far
-    overtaken: bool = False  # its answer will not come; it has been cancelled
+    usual_ms: float  # the usual time of the current stage
+    prefill_work_ms: float  # time that its prefill takes, without the wait in the queue
+    expected_ms: float = 0.0  # expected time of the prefill, including the queue ahead of it
+    needs_connection: bool = False  # this gateway had no open connection to the server
+    expected_progress: float = 0.0  # part of the stage already counted as expected from the server
+    overtaken: bool = False  # cancelled, as its answer was lost: a later prefill at the server has ended
--- a/ternlane/policy/congestion.py
+++ b/ternlane/policy/congestion.py
@@ -1,8 +1,8 @@
-"""Congestion: when a server is left for another one.
+"""Congestion: when to choose another server.
 
-A server is congested when it should not be sent the request at hand: it is an outlier, it has far more open requests
-than its peers, or its memory has no room for the request. What other gateways have there is an estimate; it counts as
-far as answers come late, so that a wrong estimate alone refuses nothing.
+A server is congested for a request if it is an outlier, has far more open requests than its peers, or has not enough
+free memory for the request. The load from other gateways is only an estimate. It is weighted by the share of late
+answers, so that a wrong estimate alone rejects no request.
 """
 
 from __future__ import annotations
@@ -12,62 +12,64 @@
 from ternlane.policy.messages import AttemptOutcome, Effect, Request, Role
 from ternlane.policy.request_state import RequestState
 
-# Congested: more open requests of this gateway than this many times the median of the servers of its role.
+# A server is congested if this gateway has more open requests there than this multiple of the median of its role.
 MAX_TIMES_MEDIAN_OPEN = 2.0
-# The median counts as this many requests at least: below, one request more or less is chance.
+# Lower bound of that median: below it, a difference of one request is noise.
 MIN_MEDIAN_OPEN = 2.0
-# The estimate of the others' load counts in full once half of the answers come late.
+# Weight of the estimated load of other gateways per share of late answers: full weight at one half.
 LATE_SHARE_TO_TRUST = 2.0
-# An answer is late when it waited, beyond its own work, for more than one part of so many of the latency objective.
+# An answer is late if it waited longer, beyond its own work, than the latency objective divided by this.
 LATE_WAITS_PER_SLO = 4.0
-# Weight of a new answer in the share of late ones: about the last sixteen count.
+# Weight of a new answer in the moving average of late answers, which covers about the last sixteen.
 LATE_SHARE_WEIGHT = 1 / 16
-# The part of its longest answer that a request is expected to fill. Few answers are as long as they may be.
+# Expected length of an answer as a share of `max_tokens`. Few answers reach the maximum.
 EXPECTED_OUTPUT_SHARE = 0.25
-# Outcomes that tell how long a request waited.
+# Outcomes that show how long a request waited.
 TIMED_OUTCOMES = frozenset({AttemptOutcome.PREFILLED, AttemptOutcome.TIMED_OUT, AttemptOutcome.OVERLOADED})
 
 
 def memory_tokens(request: Request, endpoint: EndpointState) -> float:
-    """The tokens of a server's memory that the request is expected to fill there."""
+    """The memory, in tokens, that the request is expected to use at this server."""
     if endpoint.decodes:
         return request.prompt_tokens + EXPECTED_OUTPUT_SHARE * request.max_tokens
     return request.prompt_tokens
 
 
 class CongestionDetector:
-    """Which servers are congested, and how many answers come late."""
+    """Detects congested servers, and tracks the share of late answers."""
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
-        self.late_share = {role: 0.0 for role in Role}  # of the last answers of each role, refusals counted as late
+        self.late_share = {role: 0.0 for role in Role}  # by role; overloaded servers' refusals count as late
 
     def record(self, endpoint: EndpointState, request: Request, outcome: AttemptOutcome, waited_ms: float) -> None:
-        """Takes in how long an attempt waited beyond its own work. PREFILLED stands for any success."""
+        """Records how long an attempt waited beyond its own work. PREFILLED stands for any success."""
         if outcome not in TIMED_OUTCOMES:
             return
         late = outcome is AttemptOutcome.OVERLOADED or LATE_WAITS_PER_SLO * waited_ms > request.request_class.slo_ms
         role = endpoint.server.role
         self.late_share[role] += LATE_SHARE_WEIGHT * (late - self.late_share[role])
 
-    def is_congested(self, known: EndpointSnapshot, state: RequestState) -> bool:
-        """Whether the server should not be sent this request while another one could be."""
-        if not self.accepts(known, state):
+    def is_congested(self, snapshot: EndpointSnapshot, state: RequestState) -> bool:
+        """Whether the request should not be sent to this server while another one is available."""
+        if not self.accepts(snapshot, state):
             return True
-        if known.open_requests > MAX_TIMES_MEDIAN_OPEN * max(known.fleet.median_open, MIN_MEDIAN_OPEN):
+        if snapshot.open_requests > MAX_TIMES_MEDIAN_OPEN * max(snapshot.fleet.median_open, MIN_MEDIAN_OPEN):
             return True
-        endpoint = known.endpoint
-        trust = min(1.0, LATE_SHARE_TO_TRUST * self.late_share[endpoint.server.role])
-        free = known.known_free + trust * (known.free - known.known_free)
+        endpoint = snapshot.endpoint
+        estimate_weight = min(1.0, LATE_SHARE_TO_TRUST * self.late_share[endpoint.server.role])
+        free = snapshot.known_free + estimate_weight * (snapshot.free - snapshot.known_free)
         return free * endpoint.server.kv_capacity_tokens <= memory_tokens(state.request, endpoint)
 
-    def accepts(self, known: EndpointSnapshot, state: RequestState) -> bool:
-        """Whether the server is healthy, or half-open and free to try this request. It is tried with one attempt at a
-        time, counted since its ejection: requests that were there before say nothing new. A decode is tried only where
-        a failure can be made good by a retry."""
-        if not known.half_open or known.ejected:
-            return known.is_healthy()
-        endpoint = known.endpoint
+    def accepts(self, snapshot: EndpointSnapshot, state: RequestState) -> bool:
+        """Whether the server is healthy, or half-open and available to probe with this request.
+
+        A half-open server gets one attempt at a time. Requests from before its ejection don't count, as they give no
+        new information. A decode is used as a probe only if the request can be retried after a failure.
+        """
+        if not snapshot.half_open or snapshot.ejected:
+            return snapshot.is_healthy()
+        endpoint = snapshot.endpoint
         if endpoint.decodes and state.request.request_class.effect is not Effect.IDEMPOTENT:
             return False
         ejected_until = endpoint.outliers.ejected_until
--- a/ternlane/policy/endpoint_messages.py
+++ b/ternlane/policy/endpoint_messages.py
@@ -9,33 +9,33 @@
 
 
 class EndpointChanged(NamedTuple):
-    """The endpoint list, or the configuration, has said something new of the server."""
+    """The server changed in the endpoint list, or the configuration changed."""
 
 
 class CapacityReserved(NamedTuple):
-    """A request is to be prefilled or decoded here."""
+    """A request will be prefilled or decoded at this server."""
 
     request: Request
-    tokens: float  # of the server's memory
+    tokens: float  # server memory
 
 
 class CapacityReleased(NamedTuple):
-    """The request no longer needs memory here."""
+    """The request no longer needs memory at this server."""
 
     request: Request
 
 
 class AttemptStarted(NamedTuple):
-    """An attempt is sent to the server."""
+    """An attempt is being sent to the server."""
 
     attempt: Attempt
 
 
 class StageEnded(NamedTuple):
-    """An attempt has got through its present stage, or failed in it."""
+    """An attempt has completed its current stage, or failed in it."""
 
     attempt: Attempt
-    success: bool | None  # None: how it ended tells nothing of the server
+    success: bool | None  # None: the outcome says nothing about the server
     next_usual_ms: float | None  # the usual time of the next stage; None: the attempt has ended
 
 
@@ -48,27 +48,27 @@
 
 
 class LoadReported(NamedTuple):
-    """The server has told its load."""
+    """The server has reported its load."""
 
     memory_share: float
     open_requests: float | None
 
 
 class FleetStats(NamedTuple):
-    """What the scheduler makes of all servers of one role."""
+    """Statistics over all servers of one role."""
 
-    median_open: float = 0.0  # this gateway's open requests at the median server
+    median_open: float = 0.0  # median of this gateway's open requests per server
     median_progress: float = 1.0
-    memory_level: float = 0.0  # the part of their memory that all gateways fill on the mean, as estimated
-    queue_ms: float = 0.0  # prefill work that all gateways have given each on the mean, as estimated
-    mean_sent: float = 0.0  # requests of this gateway that each got lately
-    queue_trust: float = 1.0  # how long prefills took, as a multiple of what the estimate foresaw
+    memory_level: float = 0.0  # estimated mean share of a server's memory used by all gateways
+    queue_ms: float = 0.0  # estimated mean prefill work queued at a server by all gateways
+    mean_sent: float = 0.0  # mean number of recent requests of this gateway per server
+    queue_trust: float = 1.0  # measured prefill times as a multiple of the expected ones
     mean_prefill_ms: float = 0.0
 
 
 class Reselect(NamedTuple):
-    """Asks an endpoint for its newest snapshot and comes back to the scheduler, which then chooses the next attempt's
-    server. So that choice sees what the last attempt's end has changed."""
+    """Asks an endpoint for a new snapshot, and is then passed to the scheduler, which chooses the server of the next
+    attempt. So the choice takes into account the end of the previous attempt."""
 
     request: Request
 
--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -1,4 +1,4 @@
-"""The state of one model server, as this gateway knows it, and the snapshot that the scheduler decides by."""
+"""The state of one model server as known to this gateway, and the snapshot of it that the scheduler uses."""
 
 from __future__ import annotations
 
@@ -25,47 +25,48 @@
 from ternlane.policy.messages import EndpointStatus, Request, Role, Server
 from ternlane.policy.outlier_detection import MIN_PROGRESS, OutlierDetector
 
-# Requests sent are remembered over this many of the limits' memories: a gateway of many sends a server few.
+# Time constant of the count of sent requests, in multiples of `Limits.memory_ms`. It is longer than that of other
+# counts, as each of many gateways sends only few requests to a server.
 SENT_MEMORY_SPANS = 4
 
 
 class UnknownServerError(Exception):
-    """The host names a server that no endpoint list has named."""
+    """The host refers to a server that was in no endpoint list."""
 
 
 class Reservation(NamedTuple):
-    """Memory that a request of this gateway needs at a server."""
+    """Memory reserved at a server for a request of this gateway."""
 
     at: float  # milliseconds
     memory_share: float
 
 
 class EndpointSnapshot(NamedTuple):
-    """An endpoint's state at its last message."""
+    """The state of an endpoint after its latest message."""
 
     endpoint: EndpointState
-    ready: bool  # listed, and neither draining nor removed
+    ready: bool  # in the endpoint list, and neither draining nor removed
     free: float  # see LoadEstimate
     known_free: float
-    queue_ms: float  # prefill work that this gateway has given it and that is still out
+    queue_ms: float  # unfinished prefill work from this gateway
     open_requests: int  # of this gateway
-    progress: float  # against its peers; see OutlierDetector
+    progress: float  # relative to its peers; see OutlierDetector
     ejected: bool
     half_open: bool
-    warm_at: float  # when its slow start ends
-    own_memory_share: float  # that this gateway's requests fill
-    sent: float  # requests of this gateway that it got lately
-    total_queue_ms: float  # prefill work that all gateways are thought to have given it
-    connected: bool  # this gateway has a connection to it
-    fleet: FleetStats  # what it was told of its peers
+    warm_at: float  # the end of its slow start
+    own_memory_share: float  # used by requests of this gateway
+    sent: float  # recent requests of this gateway, decayed over time
+    total_queue_ms: float  # estimated unfinished prefill work from all gateways
+    connected: bool  # this gateway has an open connection to it
+    fleet: FleetStats  # statistics of its peers
 
     def is_healthy(self) -> bool:
-        """Neither ejected nor half-open, and not far behind its peers."""
+        """Whether it is neither ejected nor half-open, and its progress is close enough to its peers'."""
         return not self.ejected and not self.half_open and self.progress >= MIN_PROGRESS * self.fleet.median_progress
 
 
 class PrefillOvertaken(NamedTuple):
-    """A prefill that was sent later to the same server has ended before this one, which is overdue."""
+    """This prefill is overdue, and one that was sent later to the same server has ended already."""
 
     attempt: Attempt
 
@@ -74,7 +75,8 @@
 
 
 class EndpointState(Actor[EndpointMessage]):
-    """Counts what this gateway has at one server, and reports to the scheduler after each message. Times are ms."""
+    """Tracks this gateway's attempts and reservations at one server, and posts a snapshot to the scheduler after each
+    message. Times are milliseconds."""
 
     def __init__(self, context: RouterContext, scheduler: Inbox[EndpointReport], server: Server) -> None:
         super().__init__(context)
@@ -83,21 +85,21 @@
         self.prefills = server.role is not Role.DECODE
         self.decodes = server.role is not Role.PREFILL
         self.reservations: dict[Request, Reservation] = {}
-        self.attempts: dict[Attempt, None] = {}  # in the order in which they were sent
+        self.attempts: dict[Attempt, None] = {}  # in the order of sending
         self.last_report: LoadReport | None = None
         self.warm_at = 0.0
         self.connected_until = 0.0
         self.outliers = OutlierDetector()
-        self.prefilled_up_to = -inf  # the latest start of a prefill that has been answered
+        self.prefilled_up_to = -inf  # the latest start time among the completed prefills
         self.fleet = FleetStats()
-        self.fleet_told_at = context.now
+        self.fleet_stats_at = context.now
         self.sent = 0.0
 
     def handle(self, message: EndpointMessage) -> None:
-        """Takes the message in, and tells the scheduler what has come of it."""
+        """Updates the state, and posts the new snapshot to the scheduler."""
         match message:
             case FleetStats():
-                self._fleet_told(message)
+                self._fleet_stats_received(message)
             case CapacityReserved(request, tokens):
                 share = tokens / max(self.server.kv_capacity_tokens, 1.0)
                 self.reservations[request] = Reservation(self.context.now, share)
@@ -144,19 +146,19 @@
         elif success is False and self.outliers.half_open:
             self._eject(self.context.limits.first_ejection_ms, "its trial failed")
 
-    def _fleet_told(self, fleet: FleetStats) -> None:
+    def _fleet_stats_received(self, fleet: FleetStats) -> None:
         now = self.context.now
-        fade = exp((self.fleet_told_at - now) / self.context.limits.memory_ms)
-        self.sent *= fade ** (1 / SENT_MEMORY_SPANS)
+        decay = exp((self.fleet_stats_at - now) / self.context.limits.memory_ms)
+        self.sent *= decay ** (1 / SENT_MEMORY_SPANS)
         self.fleet = fleet
         for attempt in self.attempts:
             self.outliers.expect(attempt, now)
-        self.outliers.fade(fade)
-        self.fleet_told_at = now
+        self.outliers.decay(decay)
+        self.fleet_stats_at = now
 
     def _report_overtaken(self) -> None:
-        """Reports prefills whose answers are lost. A server prefills in turn, so one that is overdue while a later
-        one has ended has been done too; it shows as a request that waits for its whole time-out."""
+        """Reports prefills whose answers were lost. A server prefills in order of arrival, so a prefill that is overdue
+        while a later one has ended is finished as well. Without this, its request would wait until the time-out."""
         now = self.context.now
         for attempt in self.attempts:
             if attempt.started_at < min(self.prefilled_up_to, now - attempt.usual_ms) and not attempt.decodes:
@@ -177,12 +179,12 @@
                 cut = self.last_report.at - self.context.limits.tick_ms
                 since_report = sum(entry.memory_share for entry in self.reservations.values() if entry.at > cut)
         queue_ms = 0.0
-        if self.attempts:  # a lost answer is no load: its prefill has been done
+        if self.attempts:  # a prefill whose answer was lost is finished and no longer a load
             queue_ms = sum(a.prefill_work_ms for a in self.attempts if a.started_at >= self.prefilled_up_to)
         return OwnLoad(memory_share, since_report, queue_ms, self.sent)
 
     def snapshot(self) -> EndpointSnapshot:
-        """The state at this moment."""
+        """The current state."""
         now = self.context.now
         own = self._own_load()
         load = estimate_load(own, self.last_report, self.fleet, self.context.limits, self.prefills, now)
@@ -206,8 +208,8 @@
 
 
 def endpoint_of(server: Server) -> EndpointState:
-    """The state of a server that a list has named; otherwise UnknownServerError."""
+    """The state of a server from an endpoint list. Raises UnknownServerError for any other."""
     endpoint = server.router_state
     if endpoint is None:
-        raise UnknownServerError(f"no endpoint list has named {server}")
+        raise UnknownServerError(f"server is in no endpoint list: {server}")
     return endpoint
--- a/ternlane/policy/failure_avoidance.py
+++ b/ternlane/policy/failure_avoidance.py
@@ -1,4 +1,4 @@
-"""Avoids servers that look well and still fail one request class, refuse one tenant, or lose their answers."""
+"""Avoids servers that look healthy but fail one request class, reject one tenant, or lose their answers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from ternlane.policy.failure_rates import FailureRates
 from ternlane.policy.messages import AttemptOutcome, Effect, Request
 
-# What a failure costs, as the share of a server that its score loses where the failure is certain.
-RETRIED_FAILURE_COST = 0.4  # one attempt's time is lost
-FINAL_FAILURE_COST = 2.0  # the request may have run, so no other attempt may follow: more than any free share weighs
+# Reduction of a server's score if the failure is certain, in the unit of free shares.
+RETRIED_FAILURE_COST = 0.4  # the time of one attempt is lost
+FINAL_FAILURE_COST = 2.0  # no retry, as the request may have run; outweighs any difference of free shares
 REFUSAL_COST = 0.4  # one attempt is lost
-# Weight of a new connection in the share of those that fail: quick, as servers in a row time out together.
+# Weight of a new connection in the moving average of failed ones. It is high, as connections to several servers usually
+# time out together.
 CONNECT_FAILURE_WEIGHT = 1 / 4
 
 
 class FailureAvoidance:
-    """How attempts for one class, for one tenant and without an answer ended at each server."""
+    """Failure rates of each server by request class and by tenant, and of time-outs."""
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
@@ -26,11 +27,12 @@
         self.connect_failure_share = 0.0  # of this gateway's new connections
 
     def any_known(self) -> bool:
-        """Whether anything has failed lately; where not, all costs are 0."""
+        """Whether any recent failure is known; if not, all costs are 0."""
         return bool(self.rates)
 
     def record(self, endpoint: EndpointState, request: Request, outcome: AttemptOutcome) -> None:
-        """Counts an attempt's end for those kinds of failure that it tells of. PREFILLED stands for any success."""
+        """Counts the end of an attempt for each kind of failure that it is evidence of. PREFILLED stands for any
+        success."""
         kinds: tuple[tuple[AttemptOutcome, Hashable], ...] = (
             (AttemptOutcome.ERROR, request.request_class),
             (AttemptOutcome.OVERLOADED, request.tenant),
@@ -48,14 +50,14 @@
         return self.rates.risk(kind, endpoint, endpoint.decodes, self._context.now)
 
     def expected_cost(self, endpoint: EndpointState, request: Request) -> float:
-        """What failures of this request at this server would cost on the mean, as a share of a server."""
+        """The expected cost of failures of this request at this server, in the unit of free shares."""
         final = endpoint.decodes and request.request_class.effect is not Effect.IDEMPOTENT
         fails = self._risk(endpoint, request.request_class) + self._risk(endpoint, AttemptOutcome.TIMED_OUT)
         failure_cost = FINAL_FAILURE_COST if final else RETRIED_FAILURE_COST
         return fails * failure_cost + self._risk(endpoint, request.tenant) * REFUSAL_COST
 
     def fails_mostly(self, endpoint: EndpointState, request: Request) -> bool:
-        """Whether it has failed this class, or refused this tenant, more often than not lately."""
+        """Whether the server recently failed this class, or rejected this tenant, in most attempts."""
         now = self._context.now
         kinds = (request.request_class, request.tenant)
         return any(self.rates.fails_mostly(kind, endpoint, now) for kind in kinds)
--- a/ternlane/policy/fleet_monitor.py
+++ b/ternlane/policy/fleet_monitor.py
@@ -1,4 +1,4 @@
-"""Compares the servers of each role, at intervals, and lets each of them know how its peers do."""
+"""Computes statistics over the servers of each role periodically, and sends them to the endpoint states."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from ternlane.policy.prefix_affinity import PrefixAffinity
 from ternlane.policy.slow_start import SlowStart
 
-# Ticks between two comparisons: each costs time for every server, and loads change little from one tick to the next.
+# Ticks between two comparisons. A comparison takes time for every server, and loads change little within a tick.
 COMPARISON_TICKS = 4
-# Of the idle servers, about so many are told of their peers at each comparison: their own state changes with nothing.
+# About this many idle servers are sent the statistics at each comparison. The state of an idle server hardly changes.
 IDLE_SERVERS_TOLD = 12
-# The failure rates of all servers are remembered for this long.
+# Time constant of the decay of the failure rates over all servers.
 FAILURE_RATE_MEMORY_MS = 60e3
 
 
 class FleetMonitor:
-    """The statistics of each role. Times are milliseconds."""
+    """Compares the servers of each role. Times are milliseconds."""
 
     def __init__(
         self,
@@ -45,23 +45,28 @@
         self.stats = {role: FleetStats() for role in Role}
 
     def tick(self) -> bool:
-        """Compares the servers at every COMPARISON_TICKS-th call. True if there were any to compare."""
+        """Compares the servers at every COMPARISON_TICKS-th call. Returns True if any were compared."""
         self._ticks += 1
         if self._ticks % COMPARISON_TICKS != 1:
             return False
-        self._failures.rates.fade(exp(-COMPARISON_TICKS * self._context.limits.tick_ms / FAILURE_RATE_MEMORY_MS))
+        self._failures.rates.decay(exp(-COMPARISON_TICKS * self._context.limits.tick_ms / FAILURE_RATE_MEMORY_MS))
         self._forget_removed()
         self._affinity.halve_counts()
         compared = False
         for role in Role:
-            peers = [known for known in self._endpoints.values() if known.endpoint.server.role is role and known.ready]
+            peers = [
+                snapshot
+                for snapshot in self._endpoints.values()
+                if snapshot.endpoint.server.role is role and snapshot.ready
+            ]
             if peers:
                 self._compare(role, peers)
                 compared = True
         return compared
 
     def _forget_removed(self) -> None:
-        """Drops servers that are gone once nothing of theirs is open: fleets change for ever."""
+        """Drops removed servers that have no open attempt or reservation, as otherwise the tables would grow without
+        bound."""
         removed = [
             endpoint
             for endpoint in self._endpoints
@@ -72,39 +77,45 @@
             self._failures.rates.forget(endpoint)
 
     def _compare(self, role: Role, peers: list[EndpointSnapshot]) -> None:
-        able = [endpoint for endpoint, known in self._endpoints.items() if known.ready]
-        self._slow_start.update(role, peers, sum(e.decodes if role is Role.DECODE else e.prefills for e in able))
+        ready = [endpoint for endpoint, snapshot in self._endpoints.items() if snapshot.ready]
+        self._slow_start.update(role, peers, sum(e.decodes if role is Role.DECODE else e.prefills for e in ready))
         stats = self._summarize(self.stats[role], peers)
         self.stats[role] = stats
-        for index, known in enumerate(peers):
-            if known.progress < MIN_PROGRESS * stats.median_progress and not known.ejected and not known.half_open:
-                known.endpoint.post(EndpointTooSlow())
-            if self._needs_stats(index, known, len(peers)):
-                known.endpoint.post(stats)
+        for index, snapshot in enumerate(peers):
+            if (
+                snapshot.progress < MIN_PROGRESS * stats.median_progress
+                and not snapshot.ejected
+                and not snapshot.half_open
+            ):
+                snapshot.endpoint.post(EndpointTooSlow())
+            if self._needs_stats(index, snapshot, len(peers)):
+                snapshot.endpoint.post(stats)
 
-    def _needs_stats(self, index: int, known: EndpointSnapshot, servers: int) -> bool:
-        """Idle servers take turns."""
-        if known.open_requests or known.ejected or known.half_open or known.warm_at > self._context.now:
+    def _needs_stats(self, index: int, snapshot: EndpointSnapshot, servers: int) -> bool:
+        """Whether to send the statistics to this server now; idle servers take turns."""
+        if snapshot.open_requests or snapshot.ejected or snapshot.half_open or snapshot.warm_at > self._context.now:
             return True
         return (index + self._ticks // COMPARISON_TICKS) % (servers // IDLE_SERVERS_TOLD or 1) == 0
 
     def _summarize(self, before: FleetStats, peers: list[EndpointSnapshot]) -> FleetStats:
-        """The load of all gateways is the own mean times the number of gateways, over warm servers, as warming ones
-        would make the warm look full. It is smoothed; the more own requests are open, the sooner it is believed."""
+        """Estimates the load of all gateways as this gateway's mean over the warm servers times the number of gateways.
+        Servers in slow start are left out, as they would make the warm ones look full. The estimate is smoothed, the
+        less the more open requests this gateway has."""
         limits = self._context.limits
         now = self._context.now
-        sound = [known for known in peers if not known.ejected and not known.half_open] or peers
-        warm = [known for known in sound if known.warm_at <= now] or sound
-        median_open = median(known.open_requests for known in sound)
+        healthy = [snapshot for snapshot in peers if not snapshot.ejected and not snapshot.half_open] or peers
+        warm = [snapshot for snapshot in healthy if snapshot.warm_at <= now] or healthy
+        median_open = median(snapshot.open_requests for snapshot in healthy)
         interval_ms = COMPARISON_TICKS * limits.tick_ms
         weight = min(1.0, (1 + median_open) * interval_ms / limits.memory_ms)
         scale = weight * limits.gateways / len(warm)
         return FleetStats(
             median_open=median_open,
-            median_progress=min(1.0, median(known.progress for known in sound)),
-            memory_level=(1 - weight) * before.memory_level + scale * sum(known.own_memory_share for known in warm),
-            queue_ms=(1 - weight) * before.queue_ms + scale * sum(known.queue_ms for known in warm),
-            mean_sent=sum(known.sent for known in warm) / len(warm),
+            median_progress=min(1.0, median(snapshot.progress for snapshot in healthy)),
+            memory_level=(1 - weight) * before.memory_level
+            + scale * sum(snapshot.own_memory_share for snapshot in warm),
+            queue_ms=(1 - weight) * before.queue_ms + scale * sum(snapshot.queue_ms for snapshot in warm),
+            mean_sent=sum(snapshot.sent for snapshot in warm) / len(warm),
             queue_trust=self._latency.queue_trust,
             mean_prefill_ms=self._latency.mean_prefill_ms,
         )
--- a/ternlane/policy/held_state.py
+++ b/ternlane/policy/held_state.py
@@ -1,4 +1,4 @@
-"""Releases what servers hold for requests: when they are over, before a new prefill, and before a lease runs out."""
+"""Releases the state that servers hold for requests: at their end, before a new prefill, and before a lease expires."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class HeldState:
-    """Sends the releases that the requests' leases call for."""
+    """Issues the releases required by the leases of the requests."""
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
         self._schedule: ReleaseSchedule[RequestState] = ReleaseSchedule()
 
     def release(self, state: RequestState, reason: ReleaseReason) -> None:
-        """Releases what may be held, also what a prefill may yet leave behind whose end was not heard, and the memory
-        reserved for the request."""
+        """Releases the state that may be held for the request, including one that a prefill of unconfirmed end may
+        still leave, and the memory reserved for it."""
         lease = state.lease
         if lease.may_hold:
-            again = state.over and lease.unheard
+            again = state.over and lease.prefill_unconfirmed
             self._context.actions.append(Release(state.request, again, reason))
             lease.released(state.over)
         for endpoint in (state.prefill_server, state.decode_server):
@@ -31,8 +31,8 @@
                 endpoint.post(CapacityReleased(state.request))
 
     def schedule_release(self, state: RequestState) -> None:
-        """Has what may be held released in time, should nothing show by then that a decode attempt has arrived. Such an
-        attempt can be lost without an error; the state would be held past its release time."""
+        """Schedules a release in case nothing shows in time that a decode attempt has reached its server. An attempt
+        can be lost without an error, and the state would then be held beyond its release time."""
         limits = self._context.limits
         if limits.release_unconfirmed_ms == inf or not state.lease.may_hold:
             return
@@ -41,8 +41,9 @@
             self._context.actions.append(StartTimer(at, TimerKind.DEADLINE))
 
     def release_due(self) -> None:
-        """Releases what was neither taken nor released so far, though a decode attempt may be out for it. A prefill
-        that is out would lose what it is about to leave, and gets its own release when it ends."""
+        """Releases the states that are due and were neither taken nor released, even if a decode attempt is in flight.
+        While a prefill is in flight nothing is released, as that would drop the state that the prefill is about to
+        leave; it is released after the prefill."""
         for state in self._schedule.take_due(self._context.now):
             if state.attempt is not None and not state.attempt.decodes:
                 continue
--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -1,6 +1,6 @@
-"""What is learnt of times: how long each stage of a request usually takes, and how fast servers prefill.
+"""The latency model: the usual time of each stage of a request, and the speed of prefills.
 
-All of it is running means over this gateway's own attempts. Times are milliseconds.
+All values are moving averages over the attempts of this gateway. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -11,70 +11,72 @@
 from ternlane.policy.limits import DEFAULT_SLO_MS
 from ternlane.policy.messages import AttemptEnded, AttemptOutcome, Request, RequestClass
 
-# Weight of a new sample in a running mean: a change shows after about sixteen requests, one odd request does not.
+# Weight of a new sample in a moving average: a change takes about sixteen requests to show, a single outlier has little
+# effect.
 SAMPLE_WEIGHT = 1 / 16
-# Before the first sample, a prefill and a first token are thought to take an eighth of the latency objective each.
+# Before the first sample, the prefill and the first token are each assumed to take the latency objective divided by
+# this.
 INITIAL_STAGES_PER_SLO = 8
-# Before the first sample, an answer is thought to have this many tokens.
+# Before the first sample, an answer is assumed to have this many tokens.
 INITIAL_STREAM_TOKENS = 50
-# Before the first sample, so many tokens are thought to be prefilled within the latency objective.
+# Before the first sample, this many tokens are assumed to be prefilled within the latency objective.
 INITIAL_TOKENS_PER_SLO = 10e3
-# Only prefills of more uncached tokens teach the pace: shorter ones measure queues and batch steps.
+# Only prefills with more uncached tokens update the pace: the time of shorter ones is mostly queueing and batch steps.
 MIN_PACE_SAMPLE_TOKENS = 1000.0
-# The pace follows a faster sample sooner than a slower one, as queues make prefills look slow and nothing makes them
-# look fast.
+# Faster samples have more weight in the pace than slower ones, as queueing makes prefills look slower, and nothing
+# makes them look faster.
 FASTER_PACE_WEIGHT = 1 / 4
 SLOWER_PACE_WEIGHT = 1 / 64
-# Queues are believed to be at most this many times as long as estimated, lest one slow spell shuts all servers out.
+# Upper bound of `queue_trust`, so that a period of slow prefills does not make all servers look congested.
 MAX_QUEUE_TRUST = 4.0
 
 
 class LatencyModel:
-    """The usual times, as learnt so far."""
+    """The usual times, and the speed of prefills."""
 
     def __init__(self, min_slo_ms: float) -> None:
         self.usual: dict[tuple[RequestClass, Stage], float] = {}
         self.learnt_at: dict[RequestClass, float] = {}
         self.mean_prompt_tokens: dict[RequestClass, float] = {}
         self.prefill_ms_per_token = min_slo_ms / INITIAL_TOKENS_PER_SLO
-        self.mean_prefill_ms = 0.0  # prefill work of a mean request, without its wait
-        self.queue_trust = 1.0  # how long prefills took, as a multiple of what was expected
+        self.mean_prefill_ms = 0.0  # mean prefill time of a request, without queueing
+        self.queue_trust = 1.0  # measured prefill times as a multiple of the expected ones
         self._mean_expected_ms = min_slo_ms / INITIAL_STAGES_PER_SLO
         self._mean_measured_ms = self._mean_expected_ms
 
     def usual_ms(self, request_class: RequestClass, stage: Stage) -> float:
-        """What the stage usually takes for requests of this class."""
-        known = self.usual.get((request_class, stage))
-        if known is not None:
-            return known
+        """The usual time of the stage for this class."""
+        mean_ms = self.usual.get((request_class, stage))
+        if mean_ms is not None:
+            return mean_ms
         if stage is Stage.STREAM:
             return request_class.token_slo_ms * INITIAL_STREAM_TOKENS
         return (request_class.slo_ms or DEFAULT_SLO_MS) / INITIAL_STAGES_PER_SLO
 
     def first_token_ms(self, request_class: RequestClass) -> float:
-        """What it usually takes from the start of the prefill to the first token."""
+        """The usual time from the start of the prefill to the first token."""
         return self.usual_ms(request_class, Stage.PREFILL) + self.usual_ms(request_class, Stage.FIRST_TOKEN)
 
-    def since_learnt_ms(self, request_class: RequestClass, now: float) -> float:
-        """The age of the newest sample of this class; infinite where there is none."""
+    def sample_age_ms(self, request_class: RequestClass, now: float) -> float:
+        """The age of the latest sample of this class; infinite if there is none."""
         return now - self.learnt_at.get(request_class, -inf)
 
     def learn(self, request_class: RequestClass, stage: Stage, took_ms: float, now: float) -> None:
-        """Takes in how long a stage took."""
+        """Records the time of a stage."""
         self.learnt_at[request_class] = now
         before = self.usual_ms(request_class, stage)
         self.usual[request_class, stage] = (1 - SAMPLE_WEIGHT) * before + SAMPLE_WEIGHT * took_ms
 
     def learn_prompt(self, request: Request) -> None:
-        """Takes in the prompt's length."""
+        """Records the length of the prompt."""
         request_class = request.request_class
         mean = self.mean_prompt_tokens.setdefault(request_class, max(request.prompt_tokens, 1.0))
         self.mean_prompt_tokens[request_class] = mean + SAMPLE_WEIGHT * (request.prompt_tokens - mean)
 
     def learn_prefill(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
-        """Takes in a prefill that has ended or timed out. One that timed out took at least as long: were it left out,
-        the usual time would stay short, and ever more prefills would time out. But a time-out below the usual time
-        says nothing."""
+        """Records a prefill that has ended or timed out. A prefill that timed out took at least that long; if it were
+        ignored, the usual time would stay too short, and more and more prefills would time out. A time-out shorter than
+        the usual time is ignored, as it gives no information."""
         request = ended.request
         uncached = request.prompt_tokens - ended.kept_tokens
         mean_prompt = self.mean_prompt_tokens.get(request.request_class, request.prompt_tokens)
@@ -97,7 +99,8 @@
         self.prefill_ms_per_token += (pace - self.prefill_ms_per_token) * weight
 
     def keep_only(self, request_classes: set[RequestClass]) -> None:
-        """Forgets the classes that a new configuration no longer has, or they would pile up with each reload."""
+        """Drops the classes that a new configuration no longer has; otherwise they would accumulate with each
+        reload."""
         self.usual = {key: ms for key, ms in self.usual.items() if key[0] in request_classes}
         for table in (self.mean_prompt_tokens, self.learnt_at):
             for request_class in table.keys() - request_classes:
--- a/ternlane/policy/limits.py
+++ b/ternlane/policy/limits.py
@@ -1,4 +1,4 @@
-"""The deployment's limits and rights, in the form in which the rules use them."""
+"""The limits and permissions of the deployment, in the form that the rules use."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 from ternlane.policy.lease import RELEASE_RESERVE
 from ternlane.policy.messages import RouterConfig
 
-# Where no request class has a latency objective, one second is taken as the time scale of the rules.
+# Time scale of the rules if no request class has a latency objective.
 DEFAULT_SLO_MS = 1000.0
-# Progress and rates are remembered over this many latency objectives: long enough to see several requests end.
+# Time constant of progress and rates in latency objectives, long enough for several requests to end.
 MEMORY_SLOS = 2.0
-# The timer fires this often within the latency objective, so that a fault is noticed well before a request is late.
+# Ticks of the timer per latency objective, so that a fault is noticed well before a request is late.
 TICKS_PER_SLO = 20
-# Part of the slow-start quota that is used. All gateways draw by chance, so their sum varies about its mean.
+# Share of the slow-start quota that is used. The gateways choose requests at random, so the sum over all gateways
+# varies around its mean.
 SLOW_START_SAFETY = 0.6
-# A first ejection lasts this many connect time-outs: a server that restarts should have come back by then.
+# Duration of a first ejection in connect time-outs, which is enough for a server to restart.
 FIRST_EJECTION_CONNECTS = 2.0
 
 
@@ -24,21 +25,21 @@
     """Derived from a RouterConfig. Times are milliseconds."""
 
     min_slo_ms: float  # the shortest latency objective of any request class
-    memory_ms: float  # over which progress, load and rates are remembered
-    tick_ms: float  # between two ticks of the timer
-    gateways: float  # how many load the servers as much as this one does, itself included
-    slow_start_share: float  # of an even share of the requests, that a server just started may be sent
+    memory_ms: float  # time constant for the decay of progress, load and rates
+    tick_ms: float  # interval of the tick timer
+    gateways: float  # number of gateways that share the servers, this one included
+    slow_start_share: float  # share of an even distribution that a server may be sent at its start
     slow_start_ms: float
-    first_ejection_ms: float  # the first pause after a server could not be reached
-    connection_idle_ms: float  # idle connections are closed after this
+    first_ejection_ms: float  # duration of the first ejection of an unreachable server
+    connection_idle_ms: float  # idle connections are closed after this time
     max_attempts: int
-    max_retry_after_ms: float  # the longest Retry-After that a client heeds; 0 where none may be given
-    handover_within_ms: float  # after its prefill, a state may be sent so long to a server still to be connected to
-    release_unconfirmed_ms: float  # after its prefill, a state is released although an unanswered attempt is out
+    max_retry_after_ms: float  # the longest Retry-After that clients respect; 0 if none may be sent
+    handover_within_ms: float  # time after the prefill in which a handover over a new connection may start
+    release_unconfirmed_ms: float  # time after the prefill until a state is released despite an unanswered attempt
 
 
 def limits_from(config: RouterConfig) -> Limits:
-    """The limits that a configuration comes to."""
+    """The limits of a configuration."""
     slo_ms = min((kind.slo_ms for kind in config.request_classes if kind.slo_ms), default=DEFAULT_SLO_MS)
     expires = config.holds_expire_unless_arrived
     may_release_early = expires and config.releases_spare_attempts
--- a/ternlane/policy/load_estimate.py
+++ b/ternlane/policy/load_estimate.py
@@ -1,9 +1,9 @@
-"""How full a server is, and how long its prefill queue: what is known, and what is estimated of other gateways.
+"""Estimates the memory use and the prefill queue of a server, including the load from other gateways.
 
-This gateway knows its own requests and the server's last report. What the other gateways send is estimated from the own
-mean over all servers, times the number of gateways, times how much more than its peers this server has been sent. With
-many gateways the estimate is mostly chance. So it orders servers, and it makes one congested only as far as answers
-come late (`congestion.py`).
+This gateway knows its own requests and the latest report of the server. The load from other gateways is estimated as
+this gateway's mean over all servers, times the number of gateways, times the ratio of the requests sent to this server
+to the mean of its peers. With many gateways the estimate is mostly noise. So it is used to rank servers, and it counts
+towards congestion only to the extent that answers are late (`congestion.py`).
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from ternlane.policy.endpoint_messages import FleetStats
 from ternlane.policy.limits import Limits
 
-# Sends that a server is credited with when its part is compared to the mean, so that one send is no crowd.
+# Added to the number of sent requests before it is compared with the mean, so that one more request has little effect.
 CROWDING_PRIOR_SENDS = 2.0
-# This gateway's own queue counts twice: what it has just sent, peers that choose alike have likely sent too.
+# Weight of this gateway's own queue: other gateways choose alike and have probably sent similar requests just now.
 OWN_QUEUE_WEIGHT = 2.0
 
 
 class LoadReport(NamedTuple):
-    """The last report of a server."""
+    """The latest load report of a server."""
 
     at: float  # milliseconds
     memory_share: float
@@ -29,26 +29,27 @@
 
 
 class OwnLoad(NamedTuple):
-    """What this gateway has given a server."""
+    """The load on a server from this gateway."""
 
     memory_share: float  # of the server's memory, reserved for this gateway's requests
-    memory_share_since_report: float  # the part of it that the last report can't know of
-    queue_ms: float  # prefill work that is out
-    sent: float  # requests that it got lately
+    memory_share_since_report: float  # the part of it that is newer than the latest report
+    queue_ms: float  # unfinished prefill work
+    sent: float  # recent requests, decayed over time
 
 
 class LoadEstimate(NamedTuple):
-    """Shares of the server that are free; below 0 where more is asked of it than it has."""
+    """Free shares of the server; negative if the demand exceeds its capacity."""
 
-    free: float  # of its memory, or of its prefill time if that is scarcer, all gateways counted
-    known_free: float  # the same without the estimate of the other gateways' load
-    queue_ms: float  # prefill work that all gateways are thought to have given it
+    free: float  # the smaller of the free memory and the free prefill time, with the load of all gateways
+    known_free: float  # the same without the estimated load of other gateways
+    queue_ms: float  # estimated unfinished prefill work from all gateways
 
 
 def estimate_load(
     own: OwnLoad, report: LoadReport | None, fleet: FleetStats, limits: Limits, prefills: bool, now: float
 ) -> LoadEstimate:
-    """The load of a server. An old report fades into the estimate, as it says less than the mean does by then."""
+    """Estimates the load of a server. The weight of a report decays with its age in favour of the estimate without
+    it."""
     crowding = (own.sent + CROWDING_PRIOR_SENDS) / (fleet.mean_sent + CROWDING_PRIOR_SENDS) * (1 - 1 / limits.gateways)
     used = own.memory_share + fleet.memory_level * crowding
     free = 1 - used
--- a/ternlane/policy/load_probes.py
+++ b/ternlane/policy/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes: where servers report their load only when asked, they are asked before a request is placed."""
+"""Load probes: if servers report their load on request only, they are probed before a request is placed."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 from ternlane.policy.messages import Probe
 from ternlane.policy.request_state import RequestState
 
-# Preferred prefill servers that are asked: the best, and the one to take where that is full.
+# Number of preferred prefill servers to probe: the best one, and an alternative if that is full.
 PROBED_SERVERS = 2
-# A request is placed without asking where its client has no more than this many ticks left.
+# A request with less time left, in ticks, is placed without a probe.
 MIN_TICKS_LEFT = 2.0
 
 
 class LoadProbes:
-    """Requests that wait for reports. A report is fresh for one tick, and nobody waits longer than to the next tick."""
+    """Tracks the requests that wait for load reports. A report is fresh for one tick, and no request waits longer than
+    until the next tick."""
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
         self._waiting: list[RequestState] = []
 
     def has_time(self, state: RequestState) -> bool:
-        """Whether the request's client has time left for asking."""
+        """Whether the request has enough time left for a probe."""
         return state.deadline > self._context.now + MIN_TICKS_LEFT * self._context.limits.tick_ms
 
     def ask(self, endpoint: EndpointState) -> bool:
-        """Probes the server unless its last report is fresh. True if it was probed."""
+        """Probes the server unless its latest report is fresh. Returns True if it was probed."""
         report = endpoint.last_report
         if report is not None and self._context.now - report.at <= self._context.limits.tick_ms:
             return False
@@ -33,14 +34,14 @@
         return True
 
     def ask_preferred(self, state: RequestState) -> bool:
-        """Probes the request's preferred prefill servers. True if it has to wait for a report."""
+        """Probes the preferred prefill servers of the request. Returns True if it has to wait for a report."""
         state.probed = {endpoint for endpoint in state.preferred[:PROBED_SERVERS] if self.ask(endpoint)}
         if state.probed:
             self._waiting.append(state)
         return bool(state.probed)
 
     def answered(self, endpoint: EndpointState) -> list[RequestState]:
-        """The open requests that waited for this server's report alone."""
+        """Handles a report. Returns the open requests that were waiting for this report only."""
         ready = []
         for state in [state for state in self._waiting if endpoint in state.probed]:
             state.probed.discard(endpoint)
@@ -51,7 +52,7 @@
         return ready
 
     def stop_waiting(self) -> list[RequestState]:
-        """The open requests that still wait: a server that does not answer holds nobody up."""
+        """Ends all waiting, as servers may not answer. Returns the open requests that were waiting."""
         waiting = [state for state in self._waiting if not state.over]
         self._waiting = []
         return waiting
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -1,9 +1,9 @@
 """The interface between the router (`ternlane/policy/router.py`) and whatever hosts it.
 
-A host makes one Router from a RouterConfig, hands it what happened through `Router.take(now, events)` and carries out
-the actions that come back, in their order. Servers, request classes and requests are objects that the host and the
-router share; the host alone knows their ids. `router_state` of a server or a request is the router's own; hosts leave
-it alone. Times are milliseconds.
+A host creates one Router from a RouterConfig, passes events to `Router.take(now, events)` and executes the returned
+actions in order. Servers, request classes and requests are objects shared by the host and the router; only the host
+knows their ids. `router_state` of a server or a request belongs to the router, and hosts must not touch it. Times are
+milliseconds.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # the types of the router's own fields; nothing of them is imported at run time
+if TYPE_CHECKING:  # types of the fields that belong to the router; not imported at run time
     from ternlane.policy.endpoint_state import EndpointState
     from ternlane.policy.request_state import RequestState
 
 
 class Effect(Enum):
-    """What a request that runs twice does: nothing more, nothing more within a group and window, or harm."""
+    """The effect of running a request twice: none (IDEMPOTENT), none if the repeat reaches a server of the same group
+    within the window (DEDUPLICATED), or a second side effect (SIDE_EFFECTING)."""
 
     IDEMPOTENT = auto()
     DEDUPLICATED = auto()
@@ -27,7 +28,7 @@
 
 
 class Group(Enum):
-    """Which servers drop the repeats of a deduplicated request."""
+    """The set of servers that drop repeats of a deduplicated request."""
 
     ALL = auto()
     ZONE = auto()
@@ -35,7 +36,7 @@
 
 
 class Role(Enum):
-    """What a server is for: prompts (prefill), answers (decode), or both."""
+    """The work a server does: prefill, decode, or both."""
 
     PREFILL = auto()
     DECODE = auto()
@@ -43,7 +44,7 @@
 
 
 class EndpointStatus(Enum):
-    """A server by the list: to be used, to be given nothing new, or no longer there."""
+    """The status of a server in the endpoint list. A DRAINING server is sent no new attempts."""
 
     READY = auto()
     DRAINING = auto()
@@ -51,10 +52,13 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt or a probe ended. OVERLOADED and CONNECT_FAILED: it ran nothing (the latter also where an attempt
-    was given up before its last byte was written); CLIENT_GONE: its client had
-    left; NOT_STARTED: it did not begin, as its server began to drain or `StartAttempt.start_within_ms` passed;
-    CANCELLED: by CancelAttempt; PREFILLED: the state is held; ERROR, TIMED_OUT, RESET: it may have run."""
+    """How an attempt or a probe ended.
+
+    OVERLOADED and CONNECT_FAILED: nothing ran (CONNECT_FAILED also covers attempts aborted before their last byte was
+    written). CLIENT_GONE: the client had disconnected. NOT_STARTED: the attempt was not sent, as its server began to
+    drain or `StartAttempt.start_within_ms` elapsed. CANCELLED: by CancelAttempt. PREFILLED: the server holds the state
+    of the prompt. ERROR, TIMED_OUT and RESET: the attempt may have run.
+    """
 
     STREAMED = auto()
     ERROR = auto()
@@ -69,57 +73,60 @@
 
 
 class RejectReason(Enum):
-    """Why a request is given its final answer without having been served; for logs and metrics. Whether the answer is
-    rejected or failed is another question (`RetryPolicy.final_answer`)."""
+    """Why a request got its final answer without having been served; for logs and metrics. It does not determine
+    whether the request is rejected or failed; see `RetryPolicy.final_answer`."""
 
-    # Its deadline has passed, its attempts are used up, or a single one is left where a prefill and a decode need two.
+    # The deadline has passed, all attempts are used up, or one is left where a prefill and a decode need two.
     ATTEMPTS_SPENT = auto()
-    # Its client gave it less time than its latency objective, and less than two usual times to a first token are left.
-    # Look at the clients' timeouts, or at why prefills are slow.
+    # The client timeout is shorter than the latency objective, and less than twice the usual time to first token is
+    # left. Check the client timeouts, or why prefills are slow.
     DEADLINE_TOO_CLOSE = auto()
-    # It is past its latency objective while many prefills come late; its prefill would delay requests of more weight.
-    # Add prefill servers, or admit less.
+    # The request is past its latency objective while many prefills are late; its prefill would delay requests of higher
+    # weight. Add prefill servers, or admit fewer requests.
     OVERLOAD = auto()
-    # This gateway is shutting down and might end before the answer does. The client's next request goes elsewhere.
+    # This gateway is shutting down and may exit before the answer is complete. The client can retry at another gateway.
     SHUTDOWN = auto()
-    # No READY server of some role is left that it was not sent to before and that its effect permits. Look at the list
-    # of endpoints, and at the attempts' outcomes.
+    # For some role, every READY server was already tried or is ruled out by the request's effect. Check the endpoint
+    # list and the outcomes of the attempts.
     NO_SERVER = auto()
-    # All servers were congested or ejected until its latest start had passed; a retry may find that passed already.
-    # Add servers, or see why none has room.
+    # All servers were congested or ejected until the latest start time had passed; for a retry it may have passed
+    # already. Add servers, or find out why none has capacity.
     QUEUED_TOO_LONG = auto()
-    # An attempt may have run, and its effect permits no other one at any known server.
+    # An attempt may have run, and the request's effect permits no further attempt at any known server.
     MAY_HAVE_RUN = auto()
-    # A host said so by an attempt's outcome alone; else the router is told ClientDisconnected and gives no answer.
+    # Reported by the outcome of an attempt only; after ClientDisconnected the router gives no answer.
     CLIENT_LEFT = auto()
-    # No reason: the request was streamed, or its client left. With a failed request: the event loop gave it up because
-    # nothing was decided in time, a defect of this program.
+    # No reason: the request was streamed, or its client disconnected. For a failed request: the event loop failed it as
+    # the router decided nothing in time, which is a bug in this program.
     UNKNOWN = auto()
 
 
 class TimerKind(Enum):
-    """Which of the router's two timers."""
+    """The two timers of the router."""
 
-    TICK = auto()  # comes from time to time, whatever happens
-    DEADLINE = auto()  # the next release or final answer that is due
+    TICK = auto()  # periodic
+    DEADLINE = auto()  # the next time at which a release or final answer is due
 
 
 class ReleaseReason(Enum):
-    """Why what is held for a request is released; for logs and metrics."""
+    """Why the state held for a request is released; for logs and metrics."""
 
-    REQUEST_OVER = auto()  # answered, failed or left by its client
-    BEFORE_NEW_PREFILL = auto()  # the prompt is to be read again, or the request queues for that
-    STREAM_BROKE = auto()  # its client has a part of the answer
-    ATTEMPT_SILENT = auto()  # nothing shows in time that the decode attempt which is to take it has arrived
+    REQUEST_OVER = auto()  # answered, failed, or the client disconnected
+    BEFORE_NEW_PREFILL = auto()  # the prompt is prefilled again, or queued for that
+    STREAM_BROKE = auto()  # the client has received part of the answer
+    ATTEMPT_SILENT = auto()  # no sign in time that the decode attempt that needs the state reached its server
     UNKNOWN = auto()
 
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """What is known of a kind of request. Its first token is due after `slo_ms`, and `slo_per_1000_tokens_ms` more
-    for each thousand tokens of the prompt; the others each `token_slo_ms` after the one before; all of it within
-    `deadline_ms`. In time it is worth `priority_weight`, late `late_value_share` of that. Servers of `group` drop
-    repeats for `window_ms`, where the effect is DEDUPLICATED."""
+    """The terms of a class of requests.
+
+    The first token is due after `slo_ms` plus `slo_per_1000_tokens_ms` for each thousand prompt tokens, each further
+    token `token_slo_ms` after the previous one, and the whole answer within `deadline_ms`. An answer in time has the
+    value `priority_weight`; a late one has `late_value_share` of that. If the effect is DEDUPLICATED, the servers of
+    `group` drop repeats for `window_ms`.
+    """
 
     effect: Effect
     group: Group
@@ -134,13 +141,13 @@
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """A customer. Nothing is known of one but that it is not another."""
+    """A customer, identified by the object alone."""
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A model server: room for `kv_capacity_tokens` tokens, `size` times as fast as the usual, up since `started_ms`.
-    `hash_key` is a number of the server's own that every gateway sees alike; it tells nothing else."""
+    """A model server with a KV cache of `kv_capacity_tokens` tokens, `size` times the usual speed, running since
+    `started_ms`. `hash_key` is the same for this server at every gateway and has no other meaning."""
 
     zone: str
     cell: int
@@ -155,9 +162,12 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request to be routed. `session`: turns of one conversation; `prefix`: a beginning of `prefix_tokens` tokens
-    that others share; `client_timeout_ms`: until its client gives up; `whole`: it hears nothing before all of it is
-    there."""
+    """A request to be routed.
+
+    `session` identifies the conversation; `prefix` identifies the first `prefix_tokens` prompt tokens, which other
+    requests share. The client gives up after `client_timeout_ms`. With `whole`, the client receives the answer only
+    once it is complete.
+    """
 
     request_class: RequestClass
     session: str | None
@@ -173,8 +183,8 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterConfig:
-    """What a Router is told at its start, and anew by each ConfigChanged: the deployment's limits and rights, and how
-    long things take (ms)."""
+    """The configuration of a Router, given at its start and replaced by each ConfigChanged: limits and permissions of
+    the deployment, and durations (ms)."""
 
     seed: int
     gateways: int
@@ -199,41 +209,43 @@
     fall_multiple: float
     fall_ms: float
     step_ms: float
-    reports_on_probe: bool = False  # model servers report their load to Probe, and in no answer
-    holds_expire_unless_arrived: bool = True  # only an attempt that has reached a running server stops the release time
-    # A release leaves alone what an attempt waits for that has arrived, so it may be sent while one is out.
+    reports_on_probe: bool = False  # model servers report their load in reply to Probe only
+    holds_expire_unless_arrived: bool = True  # a held state expires unless an attempt has reached a running server
+    # Servers ignore a release of a state that an arrived attempt waits for, so it may be sent while an attempt is in
+    # flight.
     releases_spare_attempts: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """A load report of a server; None where the figure is not reported."""
+    """A load report of a server. A field that the server does not report is None."""
 
     open_requests: float | None = None
     memory_share: float | None = None
 
 
-# Events: what the host tells.
+# Events, from the host to the router.
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointsUpdated:
-    """Something new of these servers, whose fields already hold it. A complete list leaves out removed ones."""
+    """These servers were added or changed; their fields already hold the new values. A complete list omits removed
+    servers."""
 
     servers: tuple[Server, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigChanged:
-    """Other settings from now on. Requests that have arrived keep their class's terms, and attempts that are out
-    theirs."""
+    """A new configuration. Requests that have arrived keep the terms of their class, and attempts in flight keep their
+    time-outs."""
 
     router_config: RouterConfig
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownTimes:
-    """When what ends, from the moment at which the gateway acts on its signal (`ternlane/policy/shutdown.py`)."""
+    """The limits of a graceful shutdown, counted from when the gateway handles the signal; see `shutdown.py`."""
 
     admits_ms: float  # requests that arrive later are rejected
     answers_ms: float  # requests without a first token are given their final answer
@@ -242,26 +254,27 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This gateway shuts down; what is not over by then is cut off. Told again, the earlier times hold."""
+    """This gateway shuts down; whatever is open at `ends_ms` is cut off. If repeated, the earlier of each limit
+    applies."""
 
     times: ShutdownTimes
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListFailed:
-    """A request for the endpoint list, or the watch on its changes, has failed."""
+    """A request for the endpoint list, or the watch on it, has failed."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A request to be answered: by an attempt that streams, a Reject or a Fail."""
+    """A new request. It ends with an attempt that streams, a Reject or a Fail."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The attempt's first token has come, `took_ms` after it was sent."""
+    """The first token arrived, `took_ms` after the attempt was sent."""
 
     request: Request
     server: Server
@@ -270,9 +283,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt has ended. `over`: the client has its final answer by it. `kept_tokens`: so much of the prompt was
-    cached; `state_lost`: a decode server found no state to go on with. `broken`: its client has a part of the answer,
-    and another attempt may give the rest once ResumeStream says so."""
+    """An attempt has ended.
+
+    `over`: the client has got its final answer. `kept_tokens`: prompt tokens that were cached. `state_lost`: the decode
+    server did not find the prefilled state. `broken`: the client has part of the answer; after a ResumeStream another
+    attempt may generate the rest.
+    """
 
     request: Request
     server: Server
@@ -287,14 +303,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ResumeStream:
-    """A request whose stream broke may go on; its prompt has grown by what its client has."""
+    """A request whose stream broke may be resumed. Its prompt now includes the tokens that the client has received."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseConfirmed:
-    """A server has confirmed the newest release of what is held for the request."""
+    """A server has confirmed the latest release of the state held for the request."""
 
     request: Request
 
@@ -318,14 +334,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """Nobody waits for it any more; its attempt is cancelled by the host."""
+    """The client has disconnected; the host cancels the attempt."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A time asked for by StartTimer has come."""
+    """A timer started by StartTimer has expired."""
 
     timer: TimerKind
 
@@ -347,15 +363,17 @@
 )
 
 
-# Actions: what the router asks for.
+# Actions, from the router to the host.
 
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Sends an attempt. `timeout_ms` runs until the first token; after it, a stream that is silent for
-    `idle_timeout_ms` has broken, and one that is not over after `total_timeout_ms`, counted from the send, comes too
-    late for its client. Nothing of it may be sent later than `start_within_ms` from now, as servers drop no repeat
-    after."""
+    """Send an attempt.
+
+    `timeout_ms` limits the time to the first token. After that, a stream without a token for `idle_timeout_ms` counts
+    as broken, and a stream that is not complete `total_timeout_ms` after the send is too late for its client. The
+    attempt must not be sent later than `start_within_ms` from now, when servers no longer drop it as a repeat.
+    """
 
     request: Request
     server: Server
@@ -367,14 +385,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stops the wait for the request's attempt that is out."""
+    """Cancel the attempt of the request that is in flight."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """The final answer "not now": nothing ran that a new request would double. `pause_ms`: its Retry-After."""
+    """The final answer "rejected": a new request repeats no effect. `pause_ms` is the Retry-After."""
 
     request: Request
     pause_ms: float
@@ -383,7 +401,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """The final answer "given up": it may have run, and a new request could double its effect."""
+    """The final answer "failed": the request may have run, and a new one could repeat its effect."""
 
     request: Request
     why: RejectReason = RejectReason.UNKNOWN
@@ -391,9 +409,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Releases what is held for the request, at whichever server, but for what an attempt waits for that has arrived.
-    `again`: once more within the release time, as a prefill that ended unheard may yet leave a state, and nothing
-    else is to come."""
+    """Release the state held for the request at any server, except a state that an arrived attempt waits for. `again`:
+    send the release a second time within the release time, as a prefill whose end was not confirmed may still leave a
+    state, and no other attempt will follow."""
 
     request: Request
     again: bool = False
@@ -402,7 +420,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Asks a decode server to keep capacity free for the request."""
+    """Ask a decode server to reserve capacity for the request."""
 
     request: Request
     server: Server
@@ -410,19 +428,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Asks for a server's load report, outside any request."""
+    """Ask a server for its load report."""
 
     server: Server
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Asks for the changes of the endpoint list from now on."""
+    """Watch the endpoint list for changes."""
 
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Asks for TimerFired at `at_ms`; each of the two kinds has one time at most, the newest."""
+    """Start a timer: TimerFired is due at `at_ms`. Starting a timer of the same kind replaces it."""
 
     at_ms: float
     timer: TimerKind
@@ -430,7 +448,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators about a server."""
+    """Log a line about a server."""
 
     server: Server
     text: str
--- a/ternlane/policy/outcome_recorder.py
+++ b/ternlane/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the router learns from the end of an attempt, and from a first token."""
+"""Updates the models of the router at the first token and at the end of an attempt."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OutcomeRecorder:
-    """Passes outcomes to the models that learn from them."""
+    """Passes outcomes to the models for latency, congestion, failures and prefix caches."""
 
     def __init__(
         self,
@@ -32,18 +32,18 @@
         self._affinity = affinity
 
     def first_token(self, endpoint: EndpointState, request: Request, took_ms: float) -> None:
-        """An answer has begun: as good a sign as a prefill that has ended."""
+        """Handles the start of an answer, which counts as a success like a completed prefill."""
         self._latency.learn(request.request_class, Stage.FIRST_TOKEN, took_ms, self._context.now)
         self._record(endpoint, request, AttemptOutcome.PREFILLED, took_ms)
 
     def attempt_ended(
         self, endpoint: EndpointState, state: RequestState, attempt: Attempt, ended: AttemptEnded
     ) -> None:
-        """An attempt has ended, in whatever way."""
+        """Handles the end of an attempt, with any outcome."""
         outcome = ended.outcome
         conclusive = health_sign(outcome) is not None
         if not ended.state_lost:
-            # That an overtaken prefill was cancelled hides that its answer never came.
+            # The cause of cancelling an overtaken prefill is its missing answer, so it is recorded as timed out.
             recorded = AttemptOutcome.TIMED_OUT if attempt.overtaken and not conclusive else outcome
             self._record(endpoint, state.request, recorded, ended.took_ms - attempt.prefill_work_ms)
         if attempt.needs_connection and conclusive:
--- a/ternlane/policy/random_draws.py
+++ b/ternlane/policy/random_draws.py
@@ -1,4 +1,4 @@
-"""Chance for the decisions, by seed and counter, so that the same events always give the same actions."""
+"""Pseudo-random numbers for the decisions, from a seed and a counter: the same events always give the same actions."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class RandomDraws:
-    """One counter for everything that is drawn or numbered."""
+    """One counter serves all random numbers and sequence numbers."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._count = 0
 
     def next_number(self) -> int:
-        """A number larger than all before."""
+        """A sequence number, larger than all previous ones."""
         self._count += 1
         return self._count
 
     def slow_start_draw(self) -> float:
-        """A number from 0 to 1."""
+        """A number between 0 and 1."""
         return zlib.crc32(b"%d lot %d" % (self._seed, self.next_number())) / 2**32
 
     def tie_breaker(self) -> int:
-        """An odd factor. Multiplied with the servers' hash keys, modulo 2**32, it orders them at random."""
+        """A random odd factor. Multiplying the servers' hash keys by it modulo 2**32 puts them in random order."""
         return zlib.crc32(b"%d %d" % (self._seed, self.next_number())) | 1
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -1,8 +1,8 @@
-"""The way of one request, from its arrival to its final answer.
+"""The steps of a request, from its arrival to its final answer.
 
 In order: `request_arrived`, `_enter`, `_place` (admission, then a pair of servers), `_start_attempt` (the prefill),
 `attempt_ended`, `reselect`, `_hand_over`, `_start_attempt` (the decode), `first_token`, `attempt_ended`. Every final
-answer that no attempt has given comes from `_give_up`.
+answer that does not come from an attempt is given by `_finish`.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 from ternlane.policy.rules import Rules
 from ternlane.policy.timeouts import start_attempt
 
-# The least part of its estimate that a queue is believed to last, when the next prefill's time is foreseen.
+# Lower bound of `queue_trust` when the time of the next prefill is predicted.
 MIN_QUEUE_TRUST = 1 / 16
 
 
-def take_report(endpoint: EndpointState, report: messages.Report | None) -> None:
-    """Passes a load report on to its endpoint, if it tells of the memory."""
+def forward_report(endpoint: EndpointState, report: messages.Report | None) -> None:
+    """Passes a load report to its endpoint, if it contains the memory use."""
     if report is not None and report.memory_share is not None:
         endpoint.post(LoadReported(report.memory_share, report.open_requests))
 
 
 class RequestFlow:
-    """Takes requests through their phases (`request_state.py`), and asks the rules at each step."""
+    """Moves requests through their phases (`request_state.py`), and consults the rules at each step."""
 
     def __init__(self, context: RouterContext, rules: Rules) -> None:
         self._context = context
@@ -51,7 +51,7 @@
     # -- from arrival to the first attempt
 
     def request_arrived(self, request: Request) -> None:
-        """A new request: it is placed, asks servers for their load first, or queues."""
+        """Handles a new request: places it, probes servers for their load first, or queues it."""
         now = self._context.now
         request_class = request.request_class
         objective_ms = request_class.slo_ms or request.client_timeout_ms
@@ -63,16 +63,16 @@
         self._rules.latency.learn_prompt(request)
         self._rules.affinity.request_arrived(request)
         if now >= self._rules.shutdown.admits_until:
-            self._give_up(state, RejectReason.SHUTDOWN)
+            self._finish(state, RejectReason.SHUTDOWN)
             return
         if self._rules.reports_on_probe() and self._rules.probes.has_time(state):
             state.preferred = self._rules.affinity.preferred_servers(request)
             if self._rules.probes.ask_preferred(state):
-                return  # it is placed when they have answered, at the next tick at the latest
+                return  # it is placed once they have answered, at the next tick at the latest
         self._enter(state)
 
     def _enter(self, state: RequestState) -> None:
-        """A new request queues behind those that wait; one that had an attempt already goes first."""
+        """Queues a new request behind waiting ones; a request that had an attempt already is placed at once."""
         if self._rules.queue and not state.attempts:
             self._enqueue(state)
         else:
@@ -81,15 +81,15 @@
     def _enqueue(self, state: RequestState) -> None:
         latest_start = self._rules.admission.latest_start(state)
         if self._context.now >= latest_start:
-            self._give_up(state, RejectReason.QUEUED_TOO_LONG)
+            self._finish(state, RejectReason.QUEUED_TOO_LONG)
         else:
             self._rules.queue.add(state, latest_start)
 
     def _place(self, state: RequestState) -> None:
-        """Sends the request to a pair of servers; where none has room, it waits before its prefill."""
+        """Sends the request to a pair of servers, or queues it if none has capacity."""
         reason = self._rules.admission.reject_reason(state)
         if reason is not None:
-            self._give_up(state, reason)
+            self._finish(state, reason)
             return
         pair = self._rules.placement.choose(state)
         if pair is None:
@@ -97,11 +97,11 @@
             if self._rules.admission.has_servers_for(state):
                 self._enqueue(state)
             else:
-                self._give_up(state, RejectReason.NO_SERVER)
+                self._finish(state, RejectReason.NO_SERVER)
             return
         self._reserve(state, pair)
         if self._rules.reports_on_probe() and pair.decode_server is not pair.prefill_server:
-            self._rules.probes.ask(pair.decode_server)  # its report comes while the prompt is prefilled
+            self._rules.probes.ask(pair.decode_server)  # its report arrives during the prefill
         self._start_attempt(state, pair.prefill_server)
 
     def _reserve(self, state: RequestState, pair: ServerPair) -> None:
@@ -112,17 +112,17 @@
             endpoint.post(CapacityReserved(state.request, memory_tokens(state.request, endpoint)))
 
     def expire_queued(self, state: RequestState) -> None:
-        """It has waited for room until its time was too short."""
-        self._give_up(state, RejectReason.QUEUED_TOO_LONG)
+        """Gives the final answer to a request that has waited in the queue beyond its latest start."""
+        self._finish(state, RejectReason.QUEUED_TOO_LONG)
 
     def serve_queue(self) -> bool:
-        """Places the first request that finds room. True while there may be more to place."""
+        """Places the first request for which there is capacity. Returns True if there may be more to place."""
         return self._rules.queue.drain(self._place, self.expire_queued)
 
     # -- attempts
 
     def _start_attempt(self, state: RequestState, endpoint: EndpointState) -> None:
-        """The only place that sends. Its callers have asked `Placement.is_eligible`."""
+        """Sends an attempt; nothing else does. Callers must have checked `Placement.is_eligible`."""
         assert state.attempt is None and endpoint.server.status is EndpointStatus.READY
         now = self._context.now
         known = self._rules.endpoints[endpoint]
@@ -149,7 +149,7 @@
         self._context.actions.append(action)
 
     def first_token(self, state: RequestState, attempt: Attempt, took_ms: float) -> None:
-        """The answer has begun, `took_ms` after its attempt was sent: the decode server has taken the state."""
+        """Handles the first token, `took_ms` after the attempt was sent: the decode server has taken the state."""
         request = state.request
         endpoint = endpoint_of(attempt.server)
         state.lease.attempt_answered()
@@ -161,14 +161,14 @@
         endpoint.post(StageEnded(attempt, True, stream_ms))
 
     def attempt_ended(self, ended: messages.AttemptEnded) -> None:
-        """An attempt has ended: its outcome teaches, its lease is brought up to date, and the next step chosen."""
+        """Handles the end of an attempt: updates the models and the lease, and chooses the next step."""
         state = state_of(ended.request)
         endpoint = endpoint_of(ended.server)
         attempt = state.attempt
         state.attempt = None
-        take_report(endpoint, ended.report)
+        forward_report(endpoint, ended.report)
         if attempt is None:
-            return  # the host has told of this end before
+            return  # a duplicate event
         outcome = ended.outcome
         endpoint.post(StageEnded(attempt, health_sign(outcome), None))
         if outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET):
@@ -184,15 +184,15 @@
             self._after_attempt(state, endpoint, ended)
 
     def _after_attempt(self, state: RequestState, endpoint: EndpointState, ended: messages.AttemptEnded) -> None:
-        """What follows an attempt whose client waits on."""
+        """Chooses the next step while the client is still waiting."""
         self._rules.held_state.schedule_release(state)
         if ended.outcome is AttemptOutcome.CLIENT_GONE:
-            self._give_up(state, RejectReason.CLIENT_LEFT)
+            self._finish(state, RejectReason.CLIENT_LEFT)
             return
         if ended.outcome is not AttemptOutcome.PREFILLED and not ended.state_lost:
-            state.tried.add(endpoint)  # a server that was full is not asked again either
+            state.tried.add(endpoint)  # this includes overloaded servers
         if ended.broken:
-            # Its client has its first token, so only the deadline binds. The host says when to resume.
+            # The client has got its first token, so only the deadline applies. The host sends ResumeStream to resume.
             state.first_token_due = state.deadline
             self._rules.held_state.release(state, ReleaseReason.STREAM_BROKE)
             state.requeue()
@@ -200,7 +200,7 @@
         endpoint.post(Reselect(state.request))
 
     def prefill_overtaken(self, attempt: Attempt) -> None:
-        """Cancels a prefill whose answer will not come, if attempts for another pair are left."""
+        """Cancels a prefill whose answer was lost, if there are attempts left for another pair."""
         state = state_of(attempt.request)
         if (
             state.attempt is attempt
@@ -212,16 +212,16 @@
             attempt.overtaken = True
             self._context.actions.append(messages.CancelAttempt(state.request))
 
-    # -- between two attempts
+    # -- between attempts
 
     def reselect(self, state: RequestState) -> None:
-        """The next attempt, if the effect permits one: with a state at hand a decode, else a pair anew."""
+        """Starts the next attempt if the effect permits one: a decode if a state is held, else a new pair."""
         if self._context.now >= self._rules.shutdown.answers_by:
-            self._give_up(state, RejectReason.SHUTDOWN)
+            self._finish(state, RejectReason.SHUTDOWN)
         elif self._rules.retries.is_spent(state):
-            self._give_up(state, RejectReason.ATTEMPTS_SPENT)
+            self._finish(state, RejectReason.ATTEMPTS_SPENT)
         elif not any(self._rules.retries.permits(state, endpoint) for endpoint in self._rules.endpoints):
-            self._give_up(state, RejectReason.MAY_HAVE_RUN)
+            self._finish(state, RejectReason.MAY_HAVE_RUN)
         elif self._may_hand_over(state):
             self._hand_over(state)
         else:
@@ -230,16 +230,16 @@
             self._enter(state)
 
     def _may_hand_over(self, state: RequestState) -> bool:
-        """Whether a state is held, and one more connection that never comes up would not outlast its release time."""
+        """Whether a state is held that would outlast one more failed connection."""
         lease = state.lease
         if lease.held_at is None:
             return False
         return self._context.now <= lease.since + self._context.limits.handover_within_ms
 
     def _hand_over(self, state: RequestState) -> None:
-        """The state goes to the chosen decode server, or, if that has congested since, straight to the next best."""
+        """Sends the decode to the chosen server or, if that has become congested, to the next best one."""
         chosen = state.decode_server
-        assert chosen is not None  # a prefill begins only once both servers are chosen
+        assert chosen is not None  # both servers are chosen before a prefill starts
         if self._still_takes_handover(chosen, state):
             self._start_attempt(state, chosen)
             return
@@ -253,7 +253,7 @@
             self._start_attempt(state, pair.decode_server)
         elif self._rules.placement.is_eligible(chosen, state) and self._accepts(chosen, state):
             self._start_attempt(state, chosen)
-        else:  # the state is released, and the prompt, now cached, prefilled again
+        else:  # releases the state and prefills again; the prompt is now cached
             state.lease.held_at = None
             self.reselect(state)
 
@@ -263,17 +263,17 @@
         if self._rules.failures.fails_mostly(endpoint, state.request):
             return False
         if not self._rules.reports_on_probe():
-            return True  # its memory is reserved; only a report that came since could say that there is no room
+            return True  # its memory is reserved; only a newer report could show that there is no capacity
         return not self._rules.congestion.is_congested(self._rules.endpoints[endpoint], state)
 
     def _accepts(self, endpoint: EndpointState, state: RequestState) -> bool:
         return self._rules.congestion.accepts(self._rules.endpoints[endpoint], state)
 
-    # -- the end
+    # -- end of a request
 
-    def answer_before_the_end(self) -> None:
-        """The final answer for all that have no first token shortly before this gateway may be killed. An attempt that
-        is out is cancelled first: whether its request may be called rejected shows only once it has ended."""
+    def answer_before_shutdown(self) -> None:
+        """Gives the final answer to all requests without a first token shortly before the process may be killed. An
+        attempt in flight is cancelled first, as only its outcome shows whether its request may be rejected."""
         if self._context.now < self._rules.shutdown.answers_by:
             return
         for state in list(self.unanswered):
@@ -283,15 +283,15 @@
                 continue
             if attempt is not None and state.may_have_run is None:
                 state.may_have_run = MayHaveRun(attempt.started_at, attempt.server)
-            self._give_up(state, RejectReason.SHUTDOWN)
+            self._finish(state, RejectReason.SHUTDOWN)
 
-    def _give_up(self, state: RequestState, reason: RejectReason) -> None:
-        """The final answer, given at once: rejected wherever that is true, else failed."""
+    def _finish(self, state: RequestState, reason: RejectReason) -> None:
+        """Gives the final answer: Reject if a new request does no harm, else Fail."""
         self._context.actions.append(self._rules.retries.final_answer(state, reason))
         self.close(state)
 
     def close(self, state: RequestState) -> None:
-        """It is over for its client. What an attempt that is out holds is released when it ends."""
+        """Ends the request for its client. The state held for an attempt in flight is released when that ends."""
         state.close()
         self.unanswered.pop(state, None)
         if state.attempt is None:
--- a/ternlane/policy/request_state.py
+++ b/ternlane/policy/request_state.py
@@ -1,7 +1,7 @@
-"""The state of one request, from its arrival to the release of what was held for it.
+"""The state of a request, from its arrival to the release of the state held for it.
 
-A request moves through the phases of `Phase`. `TRANSITIONS` lists every move there is; any other raises
-IllegalTransitionError, which means a fault of the router: two attempts at once, or a second final answer.
+`TRANSITIONS` lists all permitted transitions between the phases; any other raises IllegalTransitionError. That is a bug
+of the router, such as two simultaneous attempts or a second final answer.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 
 class Phase(Enum):
-    """Where a request stands."""
+    """The phase of a request."""
 
-    QUEUED = auto()  # no attempt is out and nothing is ready for a decode: it waits for a pair of servers
-    PREFILLING = auto()  # a prefill attempt is out
-    HANDING_OVER = auto()  # its state is held at a prefill server and goes to a decode server next
-    DECODING = auto()  # an attempt is out that answers
-    RELEASING = auto()  # it is over for its client; an attempt is still out, and its end releases what is held
-    DONE = auto()  # it is over, and nothing is out
+    QUEUED = auto()  # waits for a pair of servers; no attempt is in flight and no state is ready for a decode
+    PREFILLING = auto()  # a prefill attempt is in flight
+    HANDING_OVER = auto()  # a prefill server holds the state, and a decode attempt is next
+    DECODING = auto()  # an attempt that generates the answer is in flight
+    RELEASING = auto()  # over for the client; the held state is released when the attempt in flight ends
+    DONE = auto()  # over, and no attempt is in flight
 
 
 TRANSITIONS: dict[Phase, frozenset[Phase]] = {
-    # A server that does both roles answers without a prefill attempt of its own.
+    # To DECODING: a server with both roles needs no separate prefill attempt.
     Phase.QUEUED: frozenset({Phase.PREFILLING, Phase.DECODING, Phase.DONE}),
     # To QUEUED: the prefill failed.
     Phase.PREFILLING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
     # To QUEUED: the state is released and the prompt prefilled again.
     Phase.HANDING_OVER: frozenset({Phase.DECODING, Phase.QUEUED, Phase.DONE}),
-    # To HANDING_OVER: the decode attempt failed and the state is still held. To QUEUED: it is lost.
+    # To HANDING_OVER: the decode attempt failed, but the state is still held. To QUEUED: the state is lost.
     Phase.DECODING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
     Phase.RELEASING: frozenset({Phase.DONE}),
     Phase.DONE: frozenset(),
@@ -42,20 +42,20 @@
 
 
 class IllegalTransitionError(Exception):
-    """A request was to make a move that TRANSITIONS does not list."""
+    """A transition that TRANSITIONS does not list."""
 
     def __init__(self, before: Phase, after: Phase) -> None:
-        super().__init__(f"a request can't go from {before.name} to {after.name}")
+        super().__init__(f"illegal transition of a request from {before.name} to {after.name}")
         self.before = before
         self.after = after
 
 
 class UnknownRequestError(Exception):
-    """The host names a request that has not arrived."""
+    """The host refers to a request that has not arrived."""
 
 
 class MayHaveRun(NamedTuple):
-    """The first attempt whose effect may have happened."""
+    """The first attempt that may have had an effect."""
 
     started_at: float  # milliseconds
     server: Server
@@ -63,57 +63,59 @@
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """One request on its way. Times are milliseconds."""
+    """The state of one request. Times are milliseconds."""
 
     request: Request
-    first_token_due: float  # by its class's latency objective
-    deadline: float  # when its client gives up
-    slow_start_draw: float = 0.0  # from 0 to 1, for servers that take a quota only
+    first_token_due: float  # by the latency objective of its class
+    deadline: float  # when its client times out
+    slow_start_draw: float = 0.0  # random number from 0 to 1 that is compared with slow-start quotas
     phase: Phase = Phase.QUEUED
     prefill_server: EndpointState | None = None
     decode_server: EndpointState | None = None
-    attempt: Attempt | None = None  # that is out
-    attempts: int = 0  # that were sent
-    lease: Lease[EndpointState] = field(default_factory=Lease)  # what may be held for it
+    attempt: Attempt | None = None  # in flight
+    attempts: int = 0  # number of attempts sent
+    lease: Lease[EndpointState] = field(default_factory=Lease)  # the state that servers may hold for it
     may_have_run: MayHaveRun | None = None
-    found_no_room: bool = False  # no pair of servers was found for it yet
-    probed: set[EndpointState] = field(default_factory=set)  # whose reports the choice of a pair waits for
-    preferred: list[EndpointState] = field(default_factory=list)  # prefill servers that cache its prefix; best first
-    tried: set[EndpointState] = field(default_factory=set)  # not to be tried again
+    found_no_room: bool = False  # no pair of servers with capacity was found so far
+    probed: set[EndpointState] = field(default_factory=set)  # servers whose load reports it waits for
+    preferred: list[EndpointState] = field(
+        default_factory=list
+    )  # prefill servers that may cache its prefix, best first
+    tried: set[EndpointState] = field(default_factory=set)  # servers that must not be tried again
 
     @property
     def over(self) -> bool:
-        """Whether its client has its final answer, or has left."""
+        """Whether the client has got the final answer or has disconnected."""
         return self.phase is Phase.DONE or self.phase is Phase.RELEASING
 
     def move_to(self, phase: Phase) -> None:
-        """The one place where the phase changes. Raises IllegalTransitionError."""
+        """Changes the phase; nothing else does. Raises IllegalTransitionError."""
         if phase not in TRANSITIONS[self.phase]:
             raise IllegalTransitionError(self.phase, phase)
         self.phase = phase
 
     def start(self, attempt: Attempt) -> None:
-        """An attempt goes out."""
+        """Records that an attempt is sent."""
         self.move_to(Phase.DECODING if attempt.decodes else Phase.PREFILLING)
         self.attempt = attempt
         self.attempts += 1
 
     def requeue(self) -> None:
-        """What was held for it is given up; it needs a pair of servers anew."""
+        """Returns to QUEUED: the held state is given up, and a new pair of servers is needed."""
         if self.phase is not Phase.QUEUED:
             self.move_to(Phase.QUEUED)
 
     def attempt_ended(self) -> None:
-        """Its attempt has ended, and its client waits on."""
+        """Records that the attempt has ended while the client still waits."""
         self.move_to(Phase.QUEUED if self.lease.held_at is None else Phase.HANDING_OVER)
 
     def close(self) -> None:
-        """It is over for its client."""
+        """Records that the request is over for its client."""
         self.move_to(Phase.DONE if self.attempt is None else Phase.RELEASING)
 
 
 def state_of(request: Request) -> RequestState:
-    """The state of a request that has arrived; otherwise UnknownRequestError."""
+    """The state of a request that has arrived. Raises UnknownRequestError for any other."""
     state = request.router_state
     if state is None:
         raise UnknownRequestError("the request has not arrived")
--- a/ternlane/policy/retry_policy.py
+++ b/ternlane/policy/retry_policy.py
@@ -1,7 +1,7 @@
-"""What may follow an attempt: another one, elsewhere or anew, or the final answer that is true of the request.
+"""Retry policy: which attempts may follow another one, and which final answer is correct.
 
-A request whose attempt may have run must not have its effect twice. Its class says which servers drop a repeat, and
-for how long; outside of that no other attempt is sent, and the client is not told to come back.
+If an attempt may have run, the request must not have its effect twice. Its class says which servers drop repeats, and
+for how long. Outside of these limits, no further attempt is sent and the client is not told to retry.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ternlane.policy.messages import AttemptOutcome, Effect, Fail, Group, Reject, RejectReason, Server
 from ternlane.policy.request_state import RequestState
 
-# Outcomes which prove that a decode attempt had no effect.
+# Outcomes that prove that a decode attempt had no effect.
 NEVER_RAN = frozenset(
     {
         AttemptOutcome.OVERLOADED,
@@ -23,36 +23,37 @@
         AttemptOutcome.PREFILLED,
     }
 )
-# A prefill and the decode that has to follow it.
+# A prefill, and the decode after it.
 ATTEMPTS_FOR_A_PAIR = 2
-# Retry-After as a part of the latency objective: one half lets an overload pass, and the answer can still be of use.
+# Retry-After as a share of the latency objective. One half gives an overload time to pass while an answer is still
+# useful.
 RETRY_AFTER_SLO_SHARE = 1 / 2
 
 
 class RetryPolicy:
-    """Limits of attempts and of effects."""
+    """Limits the number of attempts, and prevents repeated effects."""
 
     def __init__(self, context: RouterContext, endpoints: dict[EndpointState, EndpointSnapshot]) -> None:
         self._context = context
         self._endpoints = endpoints
 
     def is_spent(self, state: RequestState) -> bool:
-        """Whether no attempt, or no time, is left."""
+        """Whether there are no attempts or no time left."""
         return self._context.now >= state.deadline or state.attempts >= self._context.limits.max_attempts
 
     def lacks_attempts_for_pair(self, state: RequestState) -> bool:
-        """Whether a prefill would be the last attempt, so that no decode could follow. Servers that do both in one
-        attempt don't need a second one."""
+        """Whether a prefill would be the last attempt, so that no decode could follow. If there are servers with both
+        roles, one attempt is enough."""
         if state.attempts == 0 or state.attempts + ATTEMPTS_FOR_A_PAIR <= self._context.limits.max_attempts:
             return False
         return not any(endpoint.prefills and endpoint.decodes for endpoint in self._endpoints)
 
     def has_attempts_for_pair(self, state: RequestState) -> bool:
-        """Whether enough attempts are left for another pair of servers."""
+        """Whether there are enough attempts left for another pair of servers."""
         return state.attempts + ATTEMPTS_FOR_A_PAIR <= self._context.limits.max_attempts
 
     def permits(self, state: RequestState, endpoint: EndpointState) -> bool:
-        """Whether an attempt at this server can't have an effect a second time."""
+        """Whether an attempt at this server cannot repeat an effect."""
         if state.may_have_run is None:
             return True
         window_ms = self.repeat_window_ms(state)
@@ -70,8 +71,8 @@
                 return first.cell == other.cell
 
     def repeat_window_ms(self, state: RequestState) -> float:
-        """For how long a repeat does no harm where servers know it as one: infinite where it never does, 0 or less
-        where it would."""
+        """For how long servers of the same group drop a repeat (ms): infinite if a repeat does no harm, 0 or less if it
+        would have a second effect."""
         request_class = state.request.request_class
         if state.may_have_run is None or request_class.effect is Effect.IDEMPOTENT:
             return inf
@@ -80,8 +81,8 @@
         return -inf
 
     def final_answer(self, state: RequestState, reason: RejectReason) -> Reject | Fail:
-        """Reject, with its promise that a new request does no harm, wherever that is true when the client may come
-        back; else Fail."""
+        """Reject, which states that a new request does no harm, if that is still true when the client may retry; else
+        Fail."""
         request_class = state.request.request_class
         window_ms = self.repeat_window_ms(state)
         pause_ms = min(self._context.limits.max_retry_after_ms, request_class.slo_ms * RETRY_AFTER_SLO_SHARE)
--- a/ternlane/policy/router.py
+++ b/ternlane/policy/router.py
@@ -1,8 +1,8 @@
-"""The router: events in, actions out.
+"""The router: takes events and returns actions.
 
-A host makes one `Router(RouterConfig)` for each gateway, hands it what happened through `take(now, events)`, and
-carries out the actions that come back, in their order. The interface is `ternlane/policy/messages.py`; the way of a
-request is in `ternlane/policy/request_flow.py`; `docs/design.md` lists every rule and where it stands.
+A host creates one `Router(RouterConfig)` for each gateway, passes events to `take(now, events)` and executes the
+returned actions in order. The messages are defined in `ternlane/policy/messages.py`, the steps of a request in
+`ternlane/policy/request_flow.py`; `docs/design.md` lists every rule and the module that implements it.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 
 class Router:
-    """One gateway's decisions, without clock, loop or sockets. Two routers share nothing."""
+    """Makes the decisions of one gateway. It has no clock, event loop or sockets, and routers share no state."""
 
     def __init__(self, router_config: RouterConfig) -> None:
         self._context = RouterContext(-inf, limits_from(router_config))
         self.scheduler = Scheduler(self._context, router_config)
 
     def take(self, now: float, events: list[Event]) -> list[Action]:
-        """What to do about `events`, in this order. `now` is in milliseconds of any clock that never goes back."""
+        """Handles `events` in order and returns the resulting actions. `now`: milliseconds of any monotonic clock."""
         first_call = self._context.now == -inf
         self._context.now = now
         self._context.actions = []
-        if first_call:  # asks for the first tick
+        if first_call:  # starts the tick timer
             self._handle(TimerFired(TimerKind.TICK))
         for event in events:
             self._handle(event)
-        while self.scheduler.serve_queue():  # once all is heard, lest a batch of thousands cost as many tries
+        while self.scheduler.serve_queue():  # once per batch: after each event, large batches would be too costly
             self._run()
         return self._context.actions
 
@@ -40,7 +40,7 @@
         self._run()
 
     def _run(self) -> None:
-        """Handles messages until none is left."""
+        """Handles messages until all inboxes are empty."""
         ready = self._context.ready
         while ready:
             ready.popleft().handle_next()
--- a/ternlane/policy/rules.py
+++ b/ternlane/policy/rules.py
@@ -1,4 +1,4 @@
-"""The rules that one router decides by, wired together."""
+"""Creates and connects the rules of one router."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Rules:
-    """Each rule knows those that it asks, and the endpoints' last snapshots."""
+    """The rules of one router. Each gets the rules that it depends on, and the latest snapshots of the endpoints."""
 
     def __init__(self, context: RouterContext, config: RouterConfig) -> None:
-        self.config = config  # the newest
+        self.config = config  # the current one
         self.endpoints: dict[EndpointState, EndpointSnapshot] = {}  # in the order in which they were listed
         self.draws = RandomDraws(config.seed)
         self.shutdown = ShutdownSchedule()
@@ -56,5 +56,5 @@
         self.recorder = OutcomeRecorder(context, self.latency, self.congestion, self.failures, self.affinity)
 
     def reports_on_probe(self) -> bool:
-        """Whether servers report their load when they are probed, and only then."""
+        """Whether servers report their load in reply to probes only."""
         return self.config.may_probe and self.config.reports_on_probe
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -1,6 +1,6 @@
-"""The scheduler: the actor that hears every event of the host and every report of the endpoints.
+"""The scheduler: the actor that handles all events of the host and all messages of the endpoints.
 
-It passes what concerns one request on to `request_flow.py`, and does itself what concerns the gateway as a whole.
+It passes events of single requests to `request_flow.py`, and handles those of the whole gateway itself.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 )
 from ternlane.policy.limits import limits_from
 from ternlane.policy.messages import RouterConfig, Server, TimerKind
-from ternlane.policy.request_flow import RequestFlow, take_report
+from ternlane.policy.request_flow import RequestFlow, forward_report
 from ternlane.policy.request_state import state_of
 from ternlane.policy.rules import Rules
 
 
 class Scheduler(Actor[messages.Event | EndpointReport]):
-    """Decides by the endpoints' last snapshots only."""
+    """Makes decisions from the latest snapshots of the endpoints only."""
 
     def __init__(self, context: RouterContext, config: RouterConfig) -> None:
         super().__init__(context)
         self.rules = Rules(context, config)
-        self.requests = RequestFlow(context, self.rules)
-        self._watching = False  # the endpoint list's changes were asked for
+        self.request_flow = RequestFlow(context, self.rules)
+        self._watching = False  # a watch on the endpoint list was requested
 
     # -- messages
 
     def handle(self, message: messages.Event | EndpointReport) -> None:
-        """Acts on what an endpoint reports, or on an event of the host."""
+        """Handles a message of an endpoint, or an event of the host."""
         match message:
             case EndpointSnapshot():
                 self.rules.endpoints[message.endpoint] = message
             case Reselect(request):
-                self.requests.reselect(state_of(request))
+                self.request_flow.reselect(state_of(request))
             case PrefillOvertaken(attempt):
-                self.requests.prefill_overtaken(attempt)
+                self.request_flow.prefill_overtaken(attempt)
             case (
                 messages.EndpointsUpdated()
                 | messages.ConfigChanged()
@@ -57,25 +57,25 @@
     def _handle_request_event(self, event: messages.Event) -> None:
         match event:
             case messages.RequestArrived(request):
-                self.requests.request_arrived(request)
+                self.request_flow.request_arrived(request)
             case messages.FirstToken(request, _, took_ms):
                 state = state_of(request)
                 if state.attempt is not None:
-                    self.requests.first_token(state, state.attempt, took_ms)
+                    self.request_flow.first_token(state, state.attempt, took_ms)
             case messages.AttemptEnded():
                 self.rules.queue.room_may_have_changed()
-                self.requests.attempt_ended(event)
+                self.request_flow.attempt_ended(event)
             case messages.ClientDisconnected(request):
-                client_left = request.router_state
-                if client_left is not None and not client_left.over:
-                    self.requests.close(client_left)
+                state_or_none = request.router_state
+                if state_or_none is not None and not state_or_none.over:
+                    self.request_flow.close(state_or_none)
             case messages.ResumeStream(request):
                 state = state_of(request)
                 if not state.over and state.attempt is None:
-                    self.requests.reselect(state)
+                    self.request_flow.reselect(state)
             case messages.ReleaseConfirmed(request):
                 if request.router_state is not None:
-                    request.router_state.lease.release_heard()
+                    request.router_state.lease.release_confirmed()
 
     def _handle_gateway_event(self, event: messages.Event) -> None:
         match event:
@@ -95,9 +95,9 @@
                 self._tick()
             case messages.TimerFired(TimerKind.DEADLINE):
                 self.rules.held_state.release_due()
-                self.requests.answer_before_the_end()
+                self.request_flow.answer_before_shutdown()
 
-    # -- the gateway's own events
+    # -- events of the whole gateway
 
     def _endpoints_updated(self, servers: tuple[Server, ...]) -> None:
         for server in servers:
@@ -119,22 +119,22 @@
             endpoint.post(EndpointChanged())
 
     def _tick(self) -> None:
-        """Does what is due from time to time, whatever happens."""
+        """Does the periodic work."""
         self.context.actions.append(messages.StartTimer(self.context.now + self.context.limits.tick_ms, TimerKind.TICK))
         if self.rules.config.must_subscribe and not self._watching:
             self._watching = True
             self.context.actions.append(messages.WatchEndpoints())
         self.rules.placement.forget_idle_homes()
         for state in self.rules.probes.stop_waiting():
-            self.requests.reselect(state)
+            self.request_flow.reselect(state)
         if self.rules.fleet.tick():
             self.rules.queue.room_may_have_changed()
 
     def _probe_answered(self, endpoint: EndpointState, report: messages.Report | None) -> None:
-        take_report(endpoint, report)
+        forward_report(endpoint, report)
         for state in self.rules.probes.answered(endpoint):
             endpoint.post(Reselect(state.request))
 
     def serve_queue(self) -> bool:
-        """Places the first queued request that finds room. True while there may be more to place."""
-        return self.requests.serve_queue()
+        """Places the first queued request for which there is capacity. Returns True if there may be more to place."""
+        return self.request_flow.serve_queue()
--- a/ternlane/policy/shutdown.py
+++ b/ternlane/policy/shutdown.py
@@ -1,12 +1,12 @@
-"""What a gateway may still take once it is told to end, and by when every request must have its final answer.
+"""Graceful shutdown: until when requests are admitted, and by when every request gets its final answer.
 
-The process may be killed some time after the signal. How long a request takes can only be estimated, and half of all
-requests take longer than the usual one, so an estimate may decide what is worth beginning but never what is owed. Two
-limits hold whatever the estimates say:
+The process may be killed some time after the signal. The time of a request can only be estimated, and about half of all
+requests take longer than the usual time. So estimates may decide which work to start, but two limits do not depend on
+them:
 
-- A request that arrives so late that the kill could come before it has had all of its time is rejected at once.
-  Another gateway may serve it, and a stream that is begun can't be taken back.
-- A request that has no first token shortly before the kill is given its final answer then, whatever is out for it.
+- A request that arrives so late that the process may be killed before its deadline is rejected at once. Another gateway
+  can serve it, whereas a stream that has started cannot be moved.
+- A request without a first token shortly before the kill gets its final answer then, even if an attempt is in flight.
 """
 
 from __future__ import annotations
@@ -17,16 +17,17 @@
 from ternlane.policy.lease import RELEASE_RESERVE
 from ternlane.policy.messages import ShutdownTimes
 
-# A gateway may be held up for so long between looking at its clock and acting (users' page): the signal may be seen so
-# much too late, and an answer may leave so much after its time.
+# The longest stall of a gateway between reading its clock and acting (users' page): the signal may be handled, and an
+# answer sent, this much too late.
 STALL_MS = 150.0
 
 
 def shutdown_times(
     longest_deadline_ms: float, grace_ms: float, release_ms: float, since_signal_ms: float
 ) -> ShutdownTimes:
-    """For a process that may be killed `longest_deadline_ms` and `grace_ms` after its signal, which has come
-    `since_signal_ms` ago. The last answers leave time for one stall and for releasing what their attempts held."""
+    """The limits for a process that received its signal `since_signal_ms` ago and may be killed `longest_deadline_ms`
+    plus `grace_ms` after it. The last answers leave time for a stall before and after them, and for releasing the state
+    that their attempts held."""
     ends_ms = longest_deadline_ms + grace_ms - since_signal_ms
     reserve_ms = min(2 * STALL_MS + RELEASE_RESERVE * release_ms, (longest_deadline_ms + grace_ms) / 2)
     return ShutdownTimes(max(0.0, grace_ms - STALL_MS) - since_signal_ms, ends_ms - reserve_ms, ends_ms)
@@ -34,14 +35,14 @@
 
 @dataclass(slots=True)
 class ShutdownSchedule:
-    """The same on the decisions' clock; infinite while the gateway is not told to end."""
+    """The limits of a shutdown on the router's clock; infinite before a shutdown."""
 
     admits_until: float = inf
     answers_by: float = inf
     ends_at: float = inf
 
     def begin(self, now: float, times: ShutdownTimes) -> None:
-        """Starts the shutdown. Told again, the earlier limits hold."""
+        """Starts the shutdown. If repeated, the earlier of each limit applies."""
         self.admits_until = min(self.admits_until, now + times.admits_ms)
         self.answers_by = min(self.answers_by, now + times.answers_ms)
         self.ends_at = min(self.ends_at, now + times.ends_ms)
--- a/ternlane/policy/slow_start.py
+++ b/ternlane/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: a server that has started lately is sent a quota of this gateway's requests only.
+"""Slow start: a server that was started recently gets only a quota of this gateway's requests.
 
-The users' rule limits the sum of all gateways, which know nothing of each other. So each gives the server a share of
-its own requests by chance: nothing is saved up, and the sum keeps to the limit however many gateways there are.
-Whole sends saved up out of fractions would come from all gateways in the same second.
+The users' rule limits the sum over all gateways, which share no state. So each gateway sends the server a random share
+of its own requests. It does not accumulate fractions of a request until they make a whole one, as then all gateways
+would send theirs in the same second. So the sum stays within the limit for any number of gateways.
 """
 
 from __future__ import annotations
@@ -14,29 +14,30 @@
 from ternlane.policy.messages import Role
 from ternlane.policy.request_state import RequestState
 
-# How far a request's draw moves with each attempt: as far as can be from all draws before (the golden ratio), so that
-# a retry is neither sent to the same warming server again nor kept from all of them.
+# Added to the draw of a request for each attempt. The golden ratio keeps successive values as far apart as possible, so
+# that retries neither hit the same warming server again nor are excluded from all of them.
 DRAW_STEP_PER_ATTEMPT = 0.618
-# The quota of a warm server is one plus this, in quotas of a cold one. It grows with the square of the time.
+# The quota grows with the square of the time, up to (1 + this) times the initial quota.
 QUOTA_GROWTH = 3
 
 
 class Quota(NamedTuple):
-    """The requests whose draw lies within `share` after `start`, around the circle from 0 to 1."""
+    """The requests whose draw lies between `start` and `start + share`, modulo 1."""
 
     start: float
     share: float
 
 
 class SlowStart:
-    """The quotas of all warming servers."""
+    """The quotas of all warming servers, which are those in slow start."""
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
         self._quotas: dict[Role, dict[EndpointState, Quota]] = {role: {} for role in Role}
 
     def admits(self, endpoint: EndpointState, state: RequestState) -> bool:
-        """Whether a warming server may be sent this request's next attempt. A server that was chosen for it stays."""
+        """Whether a warming server may be sent the next attempt of this request. A server that was chosen for it
+        remains allowed."""
         if endpoint is state.prefill_server or endpoint is state.decode_server:
             return True
         quota = self._quotas[endpoint.server.role].get(endpoint)
@@ -44,19 +45,20 @@
             return False
         return (state.slow_start_draw + state.attempts * DRAW_STEP_PER_ATTEMPT - quota.start) % 1 < quota.share
 
-    def update(self, role: Role, peers: list[EndpointSnapshot], able: int) -> None:
-        """Sets the quotas of one role. `able`: the servers that can do its work, of which each would get an even share.
-        Servers that warm up together have their quotas side by side, so that one request fits one of them."""
+    def update(self, role: Role, peers: list[EndpointSnapshot], server_count: int) -> None:
+        """Sets the quotas of one role. `server_count` is the number of servers that can do its work, which determines
+        the even share of each. The quotas of servers that warm up together are spread over the range, so that a request
+        usually fits at most one of them."""
         now = self._context.now
         limits = self._context.limits
         warming = [peer for peer in peers if peer.warm_at > now]
         quotas: dict[EndpointState, Quota] = {}
         for index, peer in enumerate(warming):
             warmth = max(0.0, 1 - (peer.warm_at - now) / max(limits.slow_start_ms, 1.0))
-            share = limits.slow_start_share / able * (1 + QUOTA_GROWTH * warmth**2)
+            share = limits.slow_start_share / server_count * (1 + QUOTA_GROWTH * warmth**2)
             quotas[peer.endpoint] = Quota(index / len(warming), share)
         self._quotas[role] = quotas
 
     def forget(self, endpoint: EndpointState) -> None:
-        """Takes the quota away until the next update: its server may have started again."""
+        """Removes the quota until the next update, as the server may have restarted."""
         self._quotas[endpoint.server.role].pop(endpoint, None)
--- a/ternlane/policy/timeouts.py
+++ b/ternlane/policy/timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may take."""
+"""The time-outs of attempts."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 from ternlane.policy.messages import Effect, StartAttempt
 from ternlane.policy.request_state import RequestState
 
-# An attempt that a retry may follow is given at least this part of the latency objective until it answers.
+# Minimum time-out of a prefill that may be retried, in latency objectives.
 PREFILL_TIMEOUT_SLOS = 1.0
-# Where servers report their load on request, a slow prefill is a queue and not a silent server: giving it up would have
-# the same prompt prefilled again by servers that are full already.
+# The same if servers report their load on request. Then a slow prefill is due to a queue rather than a silent server,
+# and a time-out would only repeat the prefill at servers that are full already.
 REPORTED_PREFILL_TIMEOUT_SLOS = 2.0
-# A first token after its prefill comes soon or not at all, and another server can still give it in time.
+# The same for a decode. After the prefill, a first token arrives soon or not at all, and another server can still
+# produce it in time.
 DECODE_TIMEOUT_SLOS = 0.5
-# The same attempt is given this many usual times, if that is longer: servers that are all slow are not all silent.
+# Minimum time-out of these attempts in usual times, so that attempts don't time out when all servers are slow.
 TIMEOUT_USUAL_TIMES = 4
-# A stream without a token for this many times the objective between two tokens has broken.
+# A stream counts as broken after this many token objectives (`token_slo_ms`) without a token.
 STREAM_IDLE_TOKEN_SLOS = 4.0
 
 
 def start_attempt(
     context: RouterContext, state: RequestState, attempt: Attempt, reports_on_probe: bool, window_ms: float
 ) -> StartAttempt:
-    """The action that sends the attempt, with its time-outs in milliseconds. `window_ms`: see RetryPolicy."""
+    """The action that sends the attempt, with its time-outs in milliseconds. `window_ms`: see
+    `RetryPolicy.repeat_window_ms`."""
     limits = context.limits
     request = state.request
     request_class = request.request_class
     left_ms = state.deadline - context.now
-    total_ms = left_ms if request.whole else inf  # such a client hears nothing before its deadline otherwise
+    total_ms = left_ms if request.whole else inf  # a complete answer is useless after the deadline
     timeout_ms = left_ms
     may_retry = not attempt.decodes or request_class.effect is Effect.IDEMPOTENT
     if may_retry and state.attempts < limits.max_attempts:
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -67,7 +67,7 @@
     said = host.arrive(late, after=20.0)
     assert [type(action) for action in said if action.request is late] == [messages.Reject]
     assert said[-1].why is RejectReason.SHUTDOWN and said[-1].pause_ms > 0
-    assert late not in host.router.scheduler.requests.unanswered
+    assert late not in host.router.scheduler.request_flow.unanswered
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -89,7 +89,7 @@
     said = host.end(decoded, decode.server, AttemptOutcome.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
     assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail]
-    assert messages.Release in kinds(said) and not host.router.scheduler.requests.unanswered
+    assert messages.Release in kinds(said) and not host.router.scheduler.request_flow.unanswered
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -103,7 +103,7 @@
     said = host.tell(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
     assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail] * 2
-    assert messages.CancelAttempt not in kinds(said) and not host.router.scheduler.requests.unanswered
+    assert messages.CancelAttempt not in kinds(said) and not host.router.scheduler.request_flow.unanswered
 
 
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
@@ -114,7 +114,7 @@
     host.arrive(waiting)
     host.tell(messages.ShutdownStarted(TIMES))
     said = host.tell(after=TIMES.answers_ms)
-    assert [type(action) for action in said] == [messages.Reject] and not host.router.scheduler.requests.unanswered
+    assert [type(action) for action in said] == [messages.Reject] and not host.router.scheduler.request_flow.unanswered
 
 
 def test_nothing_is_kept_of_requests_that_are_over(host: FakeHost) -> None:
@@ -128,7 +128,7 @@
     )  # a host that passes answers on whole tells no first token
     failed, attempt = host.written(Effect.SIDE_EFFECTING)
     host.end(failed, attempt.server, AttemptOutcome.ERROR)
-    assert not host.router.scheduler.requests.unanswered
+    assert not host.router.scheduler.request_flow.unanswered
 
 
 async def test_a_gateway_whose_decisions_forget_a_request_answers_it_before_it_may_be_killed() -> None:
