--- a/ternlane/__init__.py
+++ b/ternlane/__init__.py
@@ -1,13 +1,13 @@
-"""ternlane: a router for language-model servers that read and write in two stages.
+"""ternlane: a router for language-model servers with separate prefill and decode.
 
-What is listed in `__all__` is public; everything else may change without notice. Names are loaded when first used, so
-`ternlane.Router` alone brings no HTTP stack and no trio with it.
+The names in `__all__` are public; everything else may change without notice. Names are imported on first use, so
+`ternlane.Router` alone imports neither the HTTP stack nor trio.
 
-    Router, RouterConfig, ...   the decisions: feed events, get actions (ternlane.policy.messages says which)
-    open_routing              a router that owns its tasks, over a transport of the caller's
-    open_gateway              a whole gateway in a trio nursery
-    Blocking, Bridged         the same router for plain threads, and for asyncio
-    GatewayConfig, read_config  the settings, typed or as JSON5, with the same checks
+    Router, RouterConfig, ...   the routing decisions: takes events and returns actions (see ternlane.policy.messages)
+    open_routing                a router that runs its own tasks, on a transport given by the caller
+    open_gateway                a complete gateway in a trio nursery
+    Blocking, Bridged           the same router for plain threads and for asyncio
+    GatewayConfig, read_config  the configuration, as typed objects or JSON5, with the same checks
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 __version__ = VERSION
 
-_PLACES = {
+_MODULES = {
     "Router": "policy.router",
     "RouterConfig": "policy.messages",
     "RequestClass": "policy.messages",
@@ -69,7 +69,7 @@
     "read_text": "config",
 }
 
-# Public names of version 0.2 -> what they are called now (docs/migration.md).
+# Public names of version 0.2 and their current names (docs/migration.md).
 _RENAMED = {
     "DoorTerms": "ServerLimits",
     "Duty": "Role",
@@ -95,9 +95,9 @@
     "read_paper": "read_config",
 }
 
-__all__ = ["__version__", *_PLACES]
+__all__ = ["__version__", *_MODULES]
 
-if TYPE_CHECKING:  # the same names for type checkers
+if TYPE_CHECKING:  # the same names, for type checkers
     from ternlane.chat import InvalidRequestError as InvalidRequestError
     from ternlane.config import ConfigError as ConfigError
     from ternlane.config import ConsulSource as ConsulSource
@@ -149,10 +149,10 @@
 
 def __getattr__(name: str) -> Any:
     if name in _RENAMED:
-        raise AttributeError(f"ternlane.{name} is called ternlane.{_RENAMED[name]} now (docs/migration.md)")
-    if name not in _PLACES:
+        raise AttributeError(f"ternlane.{name} was renamed to ternlane.{_RENAMED[name]} (docs/migration.md)")
+    if name not in _MODULES:
         raise AttributeError(f"module 'ternlane' has no attribute {name!r}")
-    return getattr(import_module(f"ternlane.{_PLACES[name]}"), name)
+    return getattr(import_module(f"ternlane.{_MODULES[name]}"), name)
 
 
 def __dir__() -> list[str]:
--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -1,8 +1,8 @@
-"""From the settings object that a gateway is given to what the router is told. Free of I/O.
+"""Converts the settings object of a gateway into the router's configuration and objects. Does no I/O.
 
-The simulator's adapter and the platform's gateway both come here, so the same settings, list and request give the
-router equal facts on either way. Names of the settings keep their form here, and only here. What is missing has the
-page's default; what has another form raises ValueError.
+The simulator adapter and the platform gateway both use this module, so the same settings, endpoint list and request
+give the router the same input in both. No other module uses the names of the settings. Missing values get the
+documented defaults; malformed ones raise ValueError.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from ternlane.policy.messages import Effect, Group, Report, Request, RequestClass, Role, RouterConfig, Server, Tenant
 
-# Words of the settings.
+# Values in the settings.
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.SIDE_EFFECTING}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.BOTH}
@@ -24,11 +24,11 @@
 
 
 class Deployment:
-    """Request classes, tenants and kinds of servers by their names, and the router's configuration.
+    """The request classes, tenants and server kinds by name, and the router's configuration.
 
-    `before` is the deployment that this one replaces. A class of it whose terms are the same stays the object that it
-    is, with all that was learnt of it, and so does a tenant of the same name. What is learnt of any other belongs to it
-    alone. Raises ValueError for settings that can't be read.
+    `before` is the deployment that this one replaces. A request class with unchanged terms and a tenant of the same
+    name remain the same objects, so that the statistics about them are kept. Other classes and tenants start without
+    statistics. Raises ValueError for malformed settings.
     """
 
     def __init__(self, seed: int, settings: Section, before: Deployment | None = None) -> None:
@@ -44,15 +44,16 @@
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"settings: {type(error).__name__}: {error}") from None
         for name, request_class in self.request_classes.items():
-            _check_figures(name, request_class)
+            _check_numbers(name, request_class)
 
     def server(self, name: str, zone: str, kind: str, cell: int) -> Server:
-        """A server that is new to this gateway."""
+        """Creates the object of a server that this gateway did not know before."""
         role = self.role.get(kind, Role.BOTH)
         return Server(zone, cell, role, self.kv_capacity_tokens.get(kind, 0.0), hash_key=crc32(name.encode()))
 
     def report(self, figures: Mapping[str, float]) -> Report | None:
-        """A load report by the settings' names of its figures; None where none are agreed or given."""
+        """Creates a load report from values under the names of the settings; None if there are none, or if the settings
+        provide no reports."""
         return Report(figures.get("outstanding"), figures.get("x0")) if figures and self.columns else None
 
     def request(
@@ -66,7 +67,7 @@
         client_timeout_ms: float,
         tenant: str = "",
     ) -> Request:
-        """A request as the router knows it; `tenant` is a name, which may be unknown."""
+        """Creates the request object for the router. `tenant` is a name, which may be unknown."""
         return Request(
             request_class,
             session,
@@ -84,7 +85,7 @@
         self.reports_on_probe = how == "on_probe"
 
     def _read_kinds(self, kinds: list[str], specifics: Section) -> None:
-        """Roles and KV memory by the name of a kind of servers."""
+        """Reads the role and the KV capacity of each server kind."""
         roles = specifics.get("duty_by_kind", [])
         capacities = specifics.get("tokens_by_kind", [])
         self.role = {kind: ROLES.get(role, Role.BOTH) for kind, role in zip(kinds, roles, strict=False)}
@@ -96,28 +97,28 @@
         specifics = settings.get("specifics", {})
         return RouterConfig(
             seed=seed,
-            gateways=max(1, int(_figure("gateways", settings, "n_instances", 1))),
+            gateways=max(1, int(_non_negative_number("gateways", settings, "n_instances", 1))),
             zone=settings.get("locality", ""),
             request_classes=tuple(self.request_classes.values()),
-            max_attempts=int(_figure("max_attempts", limits, "most_tries", 1)),
+            max_attempts=int(_non_negative_number("max_attempts", limits, "most_tries", 1)),
             may_cancel=bool(limits.get("cancel")),
             may_reserve=bool(specifics.get("holds_allowed")),
             may_probe=bool(limits.get("probes")),
             may_send_retry_after=bool(limits.get("retry_after")),
             must_subscribe=settings.get("discovery") == "ask",
-            ask_within_ms=_figure("ask_within_ms", rules, "ask_within", 0.0),
+            ask_within_ms=_non_negative_number("ask_within_ms", rules, "ask_within", 0.0),
             decode_servers_prefill=bool(specifics.get("read_in_place")),
             reports_mem="x0" in self.columns,
-            max_retry_after_ms=_figure("max_retry_after_ms", limits, "max_retry_after", 0.0),
-            connect_ms=_figure("connect_ms", limits, "connect_timeout", 0.0),
-            idle_ms=_figure("idle_ms", limits, "conn_idle", 0.0),
-            release_ms=_figure("release_ms", specifics, "release", 0.0),
-            drain_grace_ms=_figure("drain_grace_ms", rules, "drain_grace", 0.0),
-            slow_start_ms=_figure("slow_start_ms", rules, "cold", 0.0),
-            slow_start_share=_figure("slow_start_share", rules, "cold_from", 1.0),
-            fall_multiple=_figure("fall_multiple", rules, "overload_factor", 1.0),
-            fall_ms=_figure("fall_ms", rules, "overload_for", 0.0),
-            step_ms=_figure("step_ms", settings, "step", 1.0),
+            max_retry_after_ms=_non_negative_number("max_retry_after_ms", limits, "max_retry_after", 0.0),
+            connect_ms=_non_negative_number("connect_ms", limits, "connect_timeout", 0.0),
+            idle_ms=_non_negative_number("idle_ms", limits, "conn_idle", 0.0),
+            release_ms=_non_negative_number("release_ms", specifics, "release", 0.0),
+            drain_grace_ms=_non_negative_number("drain_grace_ms", rules, "drain_grace", 0.0),
+            slow_start_ms=_non_negative_number("slow_start_ms", rules, "cold", 0.0),
+            slow_start_share=_non_negative_number("slow_start_share", rules, "cold_from", 1.0),
+            fall_multiple=_non_negative_number("fall_multiple", rules, "overload_factor", 1.0),
+            fall_ms=_non_negative_number("fall_ms", rules, "overload_for", 0.0),
+            step_ms=_non_negative_number("step_ms", settings, "step", 1.0),
             reports_on_probe=self.reports_on_probe,
             releases_spare_attempts=True,
         )
@@ -146,13 +147,13 @@
     return RequestClass(
         effect=EFFECTS.get(profile.get("semantics", ""), Effect.SIDE_EFFECTING),
         group=GROUPS.get(profile.get("group", ""), Group.CELL),
-        window_ms=_figure(f"window_ms {of_class}", profile, "key_ttl", 0.0),
-        slo_ms=_figure(f"slo_ms {of_class}", profile, "aim", None),
+        window_ms=_non_negative_number(f"window_ms {of_class}", profile, "key_ttl", 0.0),
+        slo_ms=_non_negative_number(f"slo_ms {of_class}", profile, "aim", None),
         slo_per_1000_tokens_ms=slo_us_per_1000_tokens / 1000.0,
         token_slo_ms=token_slo_ms,
-        deadline_ms=_figure(f"deadline_ms {of_class}", profile, "deadline", None),
-        priority_weight=_figure(f"priority_weight {of_class}", profile, "worth", 1.0),
-        late_value_share=_figure(f"late_value_share {of_class}", profile, "late_worth", 0.0),
+        deadline_ms=_non_negative_number(f"deadline_ms {of_class}", profile, "deadline", None),
+        priority_weight=_non_negative_number(f"priority_weight {of_class}", profile, "worth", 1.0),
+        late_value_share=_non_negative_number(f"late_value_share {of_class}", profile, "late_worth", 0.0),
     )
 
 
@@ -161,21 +162,21 @@
     return {name: before.get(name) or Tenant() for name in names}
 
 
-def _figure(name: str, section: Section, key: str, default: float | None) -> float:
-    """A figure of the settings: a number that is not negative.
+def _non_negative_number(name: str, section: Section, key: str, default: float | None) -> float:
+    """Returns a non-negative number from the settings.
 
-    Raises ValueError, which names it, for any other, and where it is missing and has no default.
+    Raises ValueError with its name for any other value, and if it is missing without a default.
     """
     value = section.get(key)
     if value is None and default is not None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < inf:
-        raise ValueError(f"settings: {name} ({key}) must be a number, not negative: {value!r}")
+        raise ValueError(f"settings: {name} ({key}) must be a non-negative number, got {value!r}")
     return value
 
 
-def _check_figures(name: str, request_class: RequestClass) -> None:
-    """Also those that stand in lists of the settings. Raises ValueError."""
-    figures = astuple(request_class)[2:]  # behind its effect and group
+def _check_numbers(name: str, request_class: RequestClass) -> None:
+    """Checks the numbers of a class, including those from lists in the settings. Raises ValueError."""
+    figures = astuple(request_class)[2:]  # after effect and group
     if not all(isinstance(value, (int, float)) and 0 <= value < inf for value in figures):
-        raise ValueError(f"settings: a figure of class {name!r} is no number, or negative")
+        raise ValueError(f"settings: class {name!r} has a value that is not a non-negative number")
--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -1,7 +1,7 @@
-"""The event loop of a gateway: it feeds events to the router, executes the router's actions and runs timers.
+"""The event loop of a gateway: passes events to the router, executes its actions and runs timers.
 
-The platform gateway, the chat gateway and the library subclass `EventLoop`. A subclass says what an action means on its
-sockets; what to do is decided by the router alone.
+The platform gateway, the chat gateway and the library subclass `EventLoop`. The router alone decides what to do; a
+subclass implements the actions on its connections.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 
 from ternlane.policy import messages
 
-# A loop that waited at least this long for its sockets was not behind with them.
+# A poll that waited at least this long for I/O shows that the loop had read everything that had arrived.
 RESTED_MS = 0.5
-# A loop that was late is expected to be late again; that expectation decays with this time constant.
+# Time constant of the expected lateness of timers after a late one.
 LATENESS_DECAY_MS = 1000.0
-# The router ends each request by its deadline. Where a fault kept it from that, the request is failed so long after its
-# deadline: users count a request without an answer as lost half a second after its deadline.
+# The router ends each request by its deadline. If a bug prevents that, the event loop fails the request this long after
+# the deadline: for users, a request without an answer half a second after its deadline is lost.
 OVERDUE_GRACE_MS = 250.0
-# Between two checks for overdue requests.
+# Interval of the checks for overdue requests.
 OVERDUE_CHECK_MS = 100.0
-# After a timer whose handling failed, until it fires again: a fault that repeats at once must not fill the log.
+# Delay until a timer whose handling failed fires again, so that a repeated error does not flood the log.
 FAULT_PAUSE_MS = 1000.0
 
 
 class RouterProtocol(Protocol):
-    """What decides: `ternlane.policy.router.Router`, or a baseline to measure against."""
+    """The interface of `ternlane.policy.router.Router` and of the baselines that it is compared with."""
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
-        """The actions that follow from these events, which all happened by `now` (ms, monotonic clock)."""
+        """Handles events that happened no later than `now` (ms, monotonic clock), and returns the resulting actions."""
 
 
 def now_ms() -> float:
-    """The time in milliseconds by trio's monotonic clock."""
+    """The time on trio's clock, which is monotonic, in milliseconds."""
     return trio.current_time() * 1000
 
 
 @dataclass(slots=True)
 class Rejected:
-    """The final answer "not now": a new request does no harm, as nothing has run or a repeat has no effect. `pause_ms`:
-    Retry-After; 0 for none."""
+    """The final answer of a rejected request: a new request does no harm, as nothing has run or a repeat has no effect.
+    `pause_ms` is the Retry-After; 0 for none."""
 
-    recorded_as: ClassVar[str] = "throttled"  # the word on the wire, in the ledger and in the journal
+    recorded_as: ClassVar[str] = "throttled"  # value on the wire, in the ledger and in the journal
 
     pause_ms: float
     reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
@@ -56,29 +56,30 @@
 
 @dataclass(slots=True)
 class Failed:
-    """The final answer "given up": the request may have run."""
+    """The final answer of a failed request, which may have run."""
 
-    recorded_as: ClassVar[str] = "terminated"  # the word on the wire, in the ledger and in the journal
+    recorded_as: ClassVar[str] = "terminated"  # value on the wire, in the ledger and in the journal
 
     why: str
     timed_out: bool = False
     reject_reason: messages.RejectReason = messages.RejectReason.UNKNOWN
 
 
-# Returns why an attempt must not start any more, or None where it may.
+# Returns the outcome of an attempt that must not start any more, or None if it may start.
 StartCheck = Callable[[], messages.AttemptOutcome | None]
 
 
 def always_allowed() -> messages.AttemptOutcome | None:
-    """The start check of an attempt that nothing can forbid."""
+    """The start check of an attempt that may always start."""
     return None
 
 
 def make_start_check(server: messages.Server, start_within_ms: float, client_gone: Callable[[], bool]) -> StartCheck:
-    """The start check of an attempt at this server: CLIENT_GONE, NOT_STARTED, or None.
+    """Returns the start check of an attempt at this server. Its results are CLIENT_GONE, NOT_STARTED, or None.
 
-    Between the decision and the attempt's first byte lie waits for a connection or a release, during which the client
-    may leave or the server begin to drain. Call the check after them, right before that byte is written.
+    Between the decision and the first byte of the attempt, the gateway may wait for a connection or a release.
+    Meanwhile the client may disconnect, or the server may begin to drain. So call the check right before that byte is
+    written.
     """
     start_by_s = trio.current_time() + start_within_ms / 1000
 
@@ -94,63 +95,63 @@
 
 
 class PollTimes(trio.abc.Instrument):
-    """When the loop last polled its sockets.
+    """Tracks when the loop polled for I/O.
 
-    What is read now may have arrived at any time since the poll before: while one round of the loop takes long, nobody
-    notes when bytes come.
+    Data that is read now may have arrived at any time since the previous poll; during a long iteration of the loop, the
+    time of arrival is unknown.
     """
 
     def __init__(self) -> None:
         now_s = trio.current_time()
         self._wait_began_s = now_s
         self._wait_ended_s = now_s
-        self._unseen_since_s = now_s
+        self._unread_since_s = now_s
 
     def before_io_wait(self, timeout: float) -> None:
-        """Trio is about to wait for its sockets."""
+        """Called by trio before it waits for I/O."""
         self._wait_began_s = trio.current_time()
 
     def after_io_wait(self, timeout: float) -> None:
-        """Trio has waited for its sockets."""
+        """Called by trio after it has waited for I/O."""
         now_s = trio.current_time()
-        rested = now_s - self._wait_began_s >= RESTED_MS / 1000  # nothing was there as the wait began
-        self._unseen_since_s = now_s if rested else self._wait_ended_s
+        was_idle = now_s - self._wait_began_s >= RESTED_MS / 1000  # no data was available at the start of the wait
+        self._unread_since_s = now_s if was_idle else self._wait_ended_s
         self._wait_ended_s = now_s
 
     def unseen_ms(self) -> float:
-        """For how long what has just been read may have lain unread."""
-        return (trio.current_time() - self._unseen_since_s) * 1000
+        """The longest time for which data that was just read may have been waiting."""
+        return (trio.current_time() - self._unread_since_s) * 1000
 
 
 class Cancellable(Protocol):
-    """An attempt that is out."""
+    """An attempt in flight."""
 
     def cancel(self) -> None:
-        """Ends the wait for the attempt."""
+        """Stops waiting for the attempt."""
 
 
 class HostedRequest(Protocol):
-    """What every gateway keeps of an active request."""
+    """The state that every gateway keeps of an active request."""
 
-    streaming: bool  # its client has the first bytes of the present attempt; it is not cancelled from then on
-    why: str  # the newest attempt's failure
-    attempt_log: list[str]  # one line for each attempt that has ended
+    streaming: bool  # the client has got the first bytes of the current attempt, which can no longer be cancelled
+    why: str  # the failure of the latest attempt
+    attempt_log: list[str]  # one line for each ended attempt
 
     @property
     def attempt(self) -> Cancellable | None:
-        """The attempt that is out."""
+        """The attempt in flight, if any."""
 
     @property
     def request(self) -> messages.Request:
-        """The request as the router knows it."""
+        """The request object shared with the router."""
 
     @property
     def unanswered(self) -> bool:
-        """Is its client there, and has nothing of its answer yet?"""
+        """Whether its client is connected and has got no part of the answer."""
 
     @property
     def deadline_ms(self) -> float:
-        """By when its answer has to begin, by this loop's clock."""
+        """The deadline for the start of its answer, on this loop's clock."""
 
 
 RequestT = TypeVar("RequestT", bound=HostedRequest)
@@ -158,14 +159,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Lateness:
-    """By how much a timer fired late, and when (ms)."""
+    """How late a timer fired, and when (ms)."""
 
     late_ms: float
     at_ms: float
 
 
 class EventLoop(ABC, Generic[RequestT]):
-    """Events in, actions out, timers in between. All methods run in one trio thread; none of them waits."""
+    """Passes events to the router, executes its actions and runs timers. All methods except `run_timers` are
+    synchronous, and all run in one trio thread."""
 
     def __init__(self, router: RouterProtocol) -> None:
         self.router = router
@@ -173,28 +175,28 @@
         self.pending_events: list[messages.Event] = []
         self.processing = False
         self.checking_overdue = False
-        # A heap of (due ms, sequence number, callback); the number keeps timers of one moment in order.
+        # A heap of (due ms, sequence number, callback); the number keeps timers with equal times in order.
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.timers_set = 0
         self.timer_changed = trio.Event()
-        self.max_lateness_ms = 0.0  # of any timer, since whoever reads it set it back
-        self.answer_all_by_ms = inf  # a shutdown's: whatever is undecided by then is failed
+        self.max_lateness_ms = 0.0  # of any timer since the last reset by a reader
+        self.answer_all_by_ms = inf  # in a shutdown, requests without an answer are failed at this time
         self.recent_lateness = Lateness(0.0, 0.0)
 
     # -- events and actions
 
     def enqueue(self, event: messages.Event) -> None:
-        """Adds an event to the next batch. Looks the list up when called: each batch replaces it."""
+        """Adds an event to the next batch. Callbacks must use this instead of the list, which each batch replaces."""
         self.pending_events.append(event)
 
     def dispatch(self, event: messages.Event) -> None:
-        """Hands an event to the router at once, or after the batch that is being processed."""
+        """Passes an event to the router now, or after the batch that is being processed."""
         self.pending_events.append(event)
         if not self.processing:
             self.process_events()
 
     def process_events(self) -> None:
-        """Executes what the router decides on the pending events, until none is pending."""
+        """Passes pending events to the router and executes its actions, until no event is pending."""
         self.processing = True
         try:
             while self.pending_events:
@@ -206,30 +208,31 @@
             self.processing = False
 
     def decide(self, events: list[messages.Event]) -> list[messages.Action]:
-        """The router's actions for these events: none where it fails on them."""
+        """The router's actions for these events; none if it raises an exception."""
         try:
             return self.router.take(now_ms(), events)
         except Exception as fault:
             self.on_fault(fault)
-        # The router sets its next timer while it handles this one. A batch that failed has not done so, and without
-        # this retry no timer would ever fire again.
+        # The router starts its next timer while it handles this one. A failed batch has not done that, and without this
+        # retry the timer would never fire again.
         for event in events:
             if isinstance(event, messages.TimerFired):
                 self.call_at(now_ms() + FAULT_PAUSE_MS, partial(self.enqueue, event))
         return []
 
     def on_fault(self, fault: Exception) -> None:
-        """Reports a fault of this program. A gateway that goes on after one logs it; it must not end other requests."""
+        """Handles an exception caused by a bug. Gateways override this to log it and continue, so that other requests
+        are not affected."""
         raise fault
 
     def _execute_or_report(self, action: messages.Action) -> None:
         try:
             self.execute(action)
-        except Exception as fault:  # it must not keep the other actions from being executed
+        except Exception as fault:  # the other actions must still be executed
             self.on_fault(fault)
 
     def execute(self, action: messages.Action) -> None:
-        """Executes one action; those that differ between gateways go to `execute_host_action`."""
+        """Executes one action. Actions that differ between gateways are passed to `execute_host_action`."""
         match action:
             case messages.StartTimer(at, timer):
                 self.call_at(at, partial(self.enqueue, messages.TimerFired(timer)))
@@ -260,30 +263,30 @@
 
     @abstractmethod
     def start_attempt(self, active_request: RequestT, server: messages.Server, times: messages.StartAttempt) -> None:
-        """Sends an attempt to this server."""
+        """Starts an attempt at this server."""
 
     @abstractmethod
     def finish_request(self, active_request: RequestT, final: Rejected | Failed) -> None:
-        """Gives the one final answer; a second one is ignored."""
+        """Gives the final answer; further ones are ignored."""
 
     @abstractmethod
     def execute_host_action(self, action: messages.Action) -> None:
-        """Executes an action that is not the same at each gateway."""
+        """Executes an action that differs between gateways."""
 
     # -- requests
 
     def add_request(self, active_request: RequestT) -> None:
-        """Admits a request: the router hears of it, and it is answered in time even where the router fails on it."""
+        """Adds a request and passes it to the router. It is answered in time even if the router fails to decide."""
         self.active_requests[active_request.request] = active_request
         if not self.checking_overdue:
             self.fail_overdue_requests()
         self.dispatch(messages.RequestArrived(active_request.request))
 
     def fail_overdue_requests(self) -> None:
-        """Fails the requests that nothing has answered in time, and checks again as long as any is active.
+        """Fails requests that were not answered in time, and schedules the next check while any request is active.
 
-        Guards against a fault in the router, or an action that was lost: without it such a request would hang until
-        its client gives up.
+        This guards against bugs in the router and lost actions: such a request would otherwise hang until its client
+        times out.
         """
         now = now_ms()
         for active_request in list(self.active_requests.values()):
@@ -295,7 +298,8 @@
             self.call_at(now_ms() + OVERDUE_CHECK_MS, self.fail_overdue_requests)
 
     def abort_request(self, active_request: RequestT, why: str) -> None:
-        """Fails a request without the router, which is told that its client has gone. The request may have run."""
+        """Fails a request, which may have run, without a decision of the router. The router is told that the client has
+        disconnected."""
         if active_request.attempt is not None:
             active_request.attempt.cancel()
         self.finish_request(active_request, Failed(why))
@@ -304,11 +308,11 @@
     # -- timers
 
     def call_at(self, when_ms: float, call: Callable[[], None]) -> None:
-        """Calls back at this time (ms, this loop's clock), or as soon after as the loop can."""
+        """Schedules a callback at this time (ms, on this loop's clock), or as soon as possible after it."""
         self.timers_set += 1
         heappush(self.timers, (when_ms, self.timers_set, call))
         is_next = self.timers[0][1] == self.timers_set
-        if is_next:  # sooner than what `run_timers` waits for
+        if is_next:  # earlier than the timer that `run_timers` is waiting for
             self.timer_changed.set()
 
     @abstractmethod
@@ -316,11 +320,11 @@
         """Called after each batch of timers."""
 
     def expected_lateness_ms(self) -> float:
-        """By how much this loop must be expected to be late: deadlines are taken as so much sooner."""
+        """How late this loop is expected to be; deadlines are brought forward by this."""
         return self.recent_lateness.late_ms * exp((self.recent_lateness.at_ms - now_ms()) / LATENESS_DECAY_MS)
 
     async def run_timers(self) -> None:
-        """Fires each timer at its time; the events of all that are due go to the router in one batch."""
+        """Fires timers when they are due. The events of all timers due are passed to the router in one batch."""
         while True:
             wait_ms = self.timers[0][0] - now_ms() if self.timers else inf
             if wait_ms > 0:
@@ -347,5 +351,5 @@
         while self.timers and self.timers[0][0] <= now_ms():
             try:
                 heappop(self.timers)[2]()
-            except Exception as fault:  # it must not keep the other timers from firing
+            except Exception as fault:  # the other timers must still fire
                 self.on_fault(fault)
--- a/ternlane/port.py
+++ b/ternlane/port.py
@@ -1,10 +1,10 @@
-"""The former place of `ternlane.policy.messages`: using a name of it tells where that is now."""
+"""The former location of `ternlane.policy.messages`. Using a name of it raises an error with the current location."""
 
 from __future__ import annotations
 
 from typing import NoReturn
 
-# Names of version 0.2 -> their names in `ternlane.policy.messages`; all others are called as before.
+# Names of version 0.2 and their names in `ternlane.policy.messages`; all other names are unchanged.
 _RENAMED = {
     "Altered": "ConfigChanged",
     "Arrived": "RequestArrived",
@@ -40,5 +40,5 @@
 
 
 def __getattr__(name: str) -> NoReturn:
-    now = _RENAMED.get(name, name)
-    raise AttributeError(f"ternlane.port.{name} is ternlane.policy.messages.{now} now (docs/migration.md)")
+    current = _RENAMED.get(name, name)
+    raise AttributeError(f"ternlane.port.{name} has moved to ternlane.policy.messages.{current} (docs/migration.md)")
--- a/ternlane/reference.py
+++ b/ternlane/reference.py
@@ -1,4 +1,4 @@
-"""The API reference, made from the docstrings of the public names: `python -m ternlane.reference > docs/api.md`."""
+"""Generates the API reference from the docstrings of the public names: `python -m ternlane.reference > docs/api.md`."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 import ternlane
 from ternlane.policy import messages
 
-PLAIN = ("self", "cls")
+IMPLICIT_PARAMETERS = ("self", "cls")
 EMPTY = inspect.Parameter.empty
 
 
-class Bare:
+class Unquoted:
     """Text that a signature shows without quotes."""
 
     def __init__(self, text: str) -> None:
@@ -27,64 +27,66 @@
         return self.text
 
 
-def signature(name: str, of: Callable[..., Any]) -> str:
-    """A callable as the page shows it."""
+def signature(name: str, target: Callable[..., Any]) -> str:
+    """The signature of a callable as shown on the page."""
     try:
-        said = inspect.signature(of)
+        call_signature = inspect.signature(target)
     except (TypeError, ValueError):
         return name
-    kept = [
+    parameters = [
         p.replace(
-            annotation=p.annotation if p.annotation is EMPTY else Bare(tidy(p.annotation)),
-            default=Bare(p.default.__name__) if isinstance(p.default, type) and p.default is not EMPTY else p.default,
+            annotation=p.annotation if p.annotation is EMPTY else Unquoted(type_name(p.annotation)),
+            default=Unquoted(p.default.__name__)
+            if isinstance(p.default, type) and p.default is not EMPTY
+            else p.default,
         )
-        for p in said.parameters.values()
-        if p.name not in PLAIN
+        for p in call_signature.parameters.values()
+        if p.name not in IMPLICIT_PARAMETERS
     ]
-    back = said.return_annotation
-    said = said.replace(parameters=kept, return_annotation=EMPTY)
-    gives = "" if back in (EMPTY, "None", None) else f" -> {tidy(back)}"
-    return f"{name}{said}{gives}"
+    returned = call_signature.return_annotation
+    call_signature = call_signature.replace(parameters=parameters, return_annotation=EMPTY)
+    arrow = "" if returned in (EMPTY, "None", None) else f" -> {type_name(returned)}"
+    return f"{name}{call_signature}{arrow}"
 
 
-def tidy(annotation: Any) -> str:
-    """A type without the modules that it comes from."""
+def type_name(annotation: Any) -> str:
+    """The name of a type without its module."""
     return annotation if isinstance(annotation, str) else getattr(annotation, "__name__", str(annotation))
 
 
-def own_doc(of: Any) -> str:
+def own_docstring(target: Any) -> str:
     """The docstring, unless it was inherited or generated."""
-    said = inspect.getdoc(of) if not isinstance(of, type) else (of.__dict__.get("__doc__") or "")
-    said = inspect.cleandoc(said or "")
-    generated = isinstance(of, type) and said.startswith(f"{of.__name__}(")
-    return "" if generated else said
+    docstring = inspect.getdoc(target) if not isinstance(target, type) else (target.__dict__.get("__doc__") or "")
+    docstring = inspect.cleandoc(docstring or "")
+    generated = isinstance(target, type) and docstring.startswith(f"{target.__name__}(")
+    return "" if generated else docstring
 
 
-def fields_of(kind: type) -> Iterator[str]:
-    """Name, type and default of each field, for records of either sort."""
+def field_lines(kind: type) -> Iterator[str]:
+    """Name, type and default of each field of a dataclass or msgspec struct."""
     if issubclass(kind, msgspec.Struct):
-        for it in msgspec.structs.fields(kind):
-            needed = it.default is msgspec.NODEFAULT and it.default_factory is msgspec.NODEFAULT
-            yield shown(it.encode_name, kind, it.name, needed, it.default)
+        for info in msgspec.structs.fields(kind):
+            required = info.default is msgspec.NODEFAULT and info.default_factory is msgspec.NODEFAULT
+            yield field_line(info.encode_name, kind, info.name, required, info.default)
     elif dataclasses.is_dataclass(kind):
-        for known in dataclasses.fields(kind):
-            if not known.name.startswith("_") and known.init:
-                needed = known.default is dataclasses.MISSING and known.default_factory is dataclasses.MISSING
-                yield shown(known.name, kind, known.name, needed, known.default)
+        for field in dataclasses.fields(kind):
+            if not field.name.startswith("_") and field.init:
+                required = field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING
+                yield field_line(field.name, kind, field.name, required, field.default)
 
 
-def shown(name: str, kind: type, attribute: str, needed: bool, default: Any) -> str:
-    """One field with its type, and its default where it has one."""
-    typed = next(
+def field_line(name: str, kind: type, attribute: str, required: bool, default: Any) -> str:
+    """One field with its type and its default, if any."""
+    annotation = next(
         (k.__annotations__[attribute] for k in kind.__mro__ if attribute in k.__dict__.get("__annotations__", {})), ""
     )
     plain = isinstance(default, str | int | float | bool | None | tuple)
-    given = "" if needed else f" = {default!r}" if plain else " = ..."
-    return f"{name}: {tidy(typed)}{given}"
+    default_text = "" if required else f" = {default!r}" if plain else " = ..."
+    return f"{name}: {type_name(annotation)}{default_text}"
 
 
-def methods_of(kind: type) -> Iterator[tuple[str, Any]]:
-    """Public methods and properties that the class itself, or a base of this project's, defines."""
+def public_members(kind: type) -> Iterator[tuple[str, Any]]:
+    """Public methods and properties that are defined by the class or by a base class of this project."""
     seen: set[str] = set()
     for base in kind.__mro__:
         if not base.__module__.startswith("ternlane"):
@@ -97,76 +99,78 @@
             yield name, plain
 
 
-def page_of(name: str, it: Any) -> Iterator[str]:
-    """The lines of one public name."""
-    if not isinstance(it, type):
-        yield f"### `{signature(name, it)}`\n"
-        yield own_doc(it) + "\n"
+def lines_of(name: str, item: Any) -> Iterator[str]:
+    """The lines about one public name."""
+    if not isinstance(item, type):
+        yield f"### `{signature(name, item)}`\n"
+        yield own_docstring(item) + "\n"
         return
-    listed = list(fields_of(it))
-    if issubclass(it, Enum):
+    fields = list(field_lines(item))
+    if issubclass(item, Enum):
         yield f"### `{name}`\n"
-        yield own_doc(it) + "\n"
-        yield "Members: " + ", ".join(f"`{m.name}`" for m in it) + "\n"
+        yield own_docstring(item) + "\n"
+        yield "Members: " + ", ".join(f"`{m.name}`" for m in item) + "\n"
         return
     plain = (
-        dataclasses.is_dataclass(it)
-        or listed
-        or issubclass(it, BaseException)
-        or "__init__" not in vars(it)
-        or getattr(it, "_is_protocol", False)
+        dataclasses.is_dataclass(item)
+        or fields
+        or issubclass(item, BaseException)
+        or "__init__" not in vars(item)
+        or getattr(item, "_is_protocol", False)
     )
-    yield f"### `{name}`\n" if plain else f"### `{signature(name, it)}`\n"
-    yield own_doc(it) + "\n"
-    if listed:
-        yield "```python\n" + "\n".join(listed) + "\n```\n"
-    for called, of in methods_of(it):
-        if isinstance(of, property):
-            yield f"- `.{called}`: {one_line(of)}"
+    yield f"### `{name}`\n" if plain else f"### `{signature(name, item)}`\n"
+    yield own_docstring(item) + "\n"
+    if fields:
+        yield "```python\n" + "\n".join(fields) + "\n```\n"
+    for member, target in public_members(item):
+        if isinstance(target, property):
+            yield f"- `.{member}`: {single_line(target)}"
         else:
-            wait = "async " if inspect.iscoroutinefunction(of) else ""
-            yield f"- `{wait}.{signature(called, of)}`: {one_line(of)}"
+            prefix = "async " if inspect.iscoroutinefunction(target) else ""
+            yield f"- `{prefix}.{signature(member, target)}`: {single_line(target)}"
     yield ""
 
 
-def one_line(of: Any) -> str:
-    """A docstring without its line breaks."""
-    return " ".join((inspect.getdoc(of) or "").split())
+def single_line(target: Any) -> str:
+    """The docstring on a single line."""
+    return " ".join((inspect.getdoc(target) or "").split())
 
 
 def without_words() -> list[str]:
-    """Public names, methods and properties that say nothing of themselves."""
-    silent = []
+    """Public names, methods and properties without a docstring."""
+    undocumented = []
     for name in ternlane.__all__[1:]:
-        it = getattr(ternlane, name)
-        silent += [] if own_doc(it) else [name]
-        if isinstance(it, type) and not issubclass(it, Enum):
-            silent += [f"{name}.{called}" for called, of in methods_of(it) if not one_line(of)]
-    silent += [kind.__name__ for kind in (*get_args(messages.Event), *get_args(messages.Action)) if not own_doc(kind)]
-    return silent
+        item = getattr(ternlane, name)
+        undocumented += [] if own_docstring(item) else [name]
+        if isinstance(item, type) and not issubclass(item, Enum):
+            undocumented += [f"{name}.{member}" for member, target in public_members(item) if not single_line(target)]
+    undocumented += [
+        kind.__name__ for kind in (*get_args(messages.Event), *get_args(messages.Action)) if not own_docstring(kind)
+    ]
+    return undocumented
 
 
 def page() -> Iterator[str]:
     """The lines of the whole page."""
     yield f"# API of ternlane {ternlane.__version__}\n"
     yield (
-        "Made by `python -m ternlane.reference` from the docstrings. Times are milliseconds, memory is in tokens,\n"
-        "unless a line says otherwise. What is not here is private.\n"
+        "Generated by `python -m ternlane.reference` from the docstrings. Unless stated otherwise, times are in\n"
+        "milliseconds and memory is in tokens. Names that are not listed here are private.\n"
     )
-    at = ""
+    module = ""
     for name in ternlane.__all__[1:]:
-        home = ternlane._PLACES[name]
-        if home != at:
-            at = home
-            yield f"## From `ternlane.{home}`\n"
-        yield from page_of(name, getattr(ternlane, name))
+        module_of_name = ternlane._MODULES[name]
+        if module_of_name != module:
+            module = module_of_name
+            yield f"## From `ternlane.{module_of_name}`\n"
+        yield from lines_of(name, getattr(ternlane, name))
     for title, kinds in (
         ("Events, from `ternlane.policy.messages`", messages.Event),
         ("Actions, from `ternlane.policy.messages`", messages.Action),
     ):
         yield f"## {title}\n"
         for kind in get_args(kinds):
-            yield from page_of(kind.__name__, kind)
+            yield from lines_of(kind.__name__, kind)
 
 
 if __name__ == "__main__":
