--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -78,16 +78,16 @@
     return f"{total.hexdigest()[:32]} {sum(recorder.count for recorder in recorders)}"
 
 
-def day_digest(scene: fleet.Scene, *faults: fleet.Fault) -> str:
+def simulation_digest(scenario: fleet.Scenario, *faults: fleet.Fault) -> str:
     """The actions of all gateways of a simulated day."""
     recorders: list[Recorder] = []
 
-    class RecordedDay(fleet.Day):
-        def chooser(self, gateway: Any) -> Any:
-            recorders.append(Recorder(super().chooser(gateway)))
+    class RecordedSimulation(fleet.FleetSimulation):
+        def make_router(self, gateway: Any) -> Any:
+            recorders.append(Recorder(super().make_router(gateway)))
             return recorders[-1]
 
-    RecordedDay(scene, "router", faults).play()
+    RecordedSimulation(scenario, "router", faults).run()
     return digest_of(recorders)
 
 
@@ -165,8 +165,8 @@
         for action in self.recorder.take(self.now, list(events)):
             self.carry_out(action)
 
-    def play(self, seconds: float) -> str:
-        end = self.now + seconds * 1000
+    def run(self, duration_s: float) -> str:
+        end = self.now + duration_s * 1000
         self.arrive()
         self.disturb()
         while self.due:
@@ -347,4 +347,4 @@
     host = RandomHost(seed, **router_config)
     if shutdown_ms is not None:
         shut_down_at(host, shutdown_ms, grace_ms=300.0)
-    return host.play(seconds=20.0)
+    return host.run(duration_s=20.0)
--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,21 +1,29 @@
-"""A day of a whole fleet in virtual time: the true decisions of many gateways before emulated model servers.
+"""Simulation of a fleet in virtual time: the decisions of many gateways in front of emulated model servers.
 
-Each gateway is a `Turns` loop around a `Router`, or around a baseline chooser, and shares nothing with the others. All
-draws come from the day's seed, so that a day is the same each time it is played. What is counted is the value of the
-requests whose first token came in time, by class, by third of the day and by tenant.
+Each gateway is an `EventLoop` with a `Router`, or with a baseline policy, and shares no state with the others. All
+random numbers come from the seed of the scenario, so that each run gives the same result. The result is the value of
+the requests whose first token was in time, by class, by third of the simulated time and by tenant.
 """
 
-from tests.fleet.day import Day
-from tests.fleet.faults import Fault, ail, cut_zone, discovery_down, kill_gateways, replace_servers, restart_servers
-from tests.fleet.scene import ClientRequest, Scene
+from tests.fleet.faults import (
+    Fault,
+    degrade_servers,
+    discovery_down,
+    kill_gateways,
+    partition_zone,
+    replace_servers,
+    restart_servers,
+)
+from tests.fleet.scenario import ClientRequest, Scenario
+from tests.fleet.simulation import FleetSimulation
 
 __all__ = [
-    "Day",
+    "FleetSimulation",
     "Fault",
     "ClientRequest",
-    "Scene",
-    "ail",
-    "cut_zone",
+    "Scenario",
+    "degrade_servers",
+    "partition_zone",
     "discovery_down",
     "kill_gateways",
     "replace_servers",
--- a/tests/fleet/baseline.py
+++ b/tests/fleet/baseline.py
@@ -1,4 +1,4 @@
-"""The baseline: a policy that sees every server's true state late, and what text it keeps."""
+"""The baseline: a policy that knows the true state of every server, including its prefix cache, with a delay."""
 
 from __future__ import annotations
 
@@ -9,74 +9,87 @@
 
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, Effect, Request, Role
-from tests.fleet.scene import ClientRequest, Scene
+from tests.fleet.scenario import ClientRequest, Scenario
 from tests.fleet.server import ModelServer
 
 if TYPE_CHECKING:
     from tests.fleet.gateway import Gateway
 
-LATE_VIEW_MS = 250.0  # the age of what it sees
+VIEW_DELAY_MS = 250.0  # maximum age of its view of the servers
 
 
-class LateSeeing:
-    """The baseline: sees every server's true state, LATE_VIEW_MS old, and what all have sent since."""
+class DelayedViewBaseline:
+    """Chooses by the true state of the servers, at most VIEW_DELAY_MS old, plus all attempts sent since."""
 
     def __init__(self, gateway: Gateway) -> None:
-        self.gateway, self.day = gateway, gateway.day
+        self.gateway, self.simulation = gateway, gateway.simulation
         self.attempts: defaultdict[Request, int] = defaultdict(int)
         self.tried: defaultdict[Request, set[ModelServer]] = defaultdict(set)
-        self.ran: set[Request] = set()
+        self.may_have_run: set[Request] = set()
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
-        out: list[messages.Action] = []
+        actions: list[messages.Action] = []
         for event in events:
             match event:
                 case messages.RequestArrived(request):
-                    out.append(self.next(request, Role.PREFILL))
+                    actions.append(self.next_attempt(request, Role.PREFILL))
                 case messages.AttemptEnded(request, server, outcome, _, over) if not over:
                     if outcome is AttemptOutcome.PREFILLED:
-                        out.append(self.next(request, Role.DECODE))
+                        actions.append(self.next_attempt(request, Role.DECODE))
                         continue
-                    model = self.gateway.truth[server]
+                    model = self.gateway.models_by_server[server]
                     self.tried[request].add(model)
                     if server.role is Role.DECODE and outcome not in (
                         AttemptOutcome.CONNECT_FAILED,
                         AttemptOutcome.OVERLOADED,
                     ):
-                        self.ran.add(request)
-                    out.append(self.next(request, Role.PREFILL if server.role is Role.PREFILL else Role.DECODE))
-        return out
+                        self.may_have_run.add(request)
+                    actions.append(
+                        self.next_attempt(request, Role.PREFILL if server.role is Role.PREFILL else Role.DECODE)
+                    )
+        return actions
 
-    def next(self, request: Request, role: Role) -> messages.Action:
-        gateway, day = self.gateway, self.day
+    def next_attempt(self, request: Request, role: Role) -> messages.Action:
+        gateway, simulation = self.gateway, self.simulation
         client_request = gateway.requests[request]
-        left = client_request.came + client_request.patience - day.now
-        unsafe = request.request_class.effect is not Effect.IDEMPOTENT and request in self.ran
-        if unsafe:
+        remaining_ms = client_request.arrived_at + client_request.timeout_ms - simulation.now
+        is_unsafe = request.request_class.effect is not Effect.IDEMPOTENT and request in self.may_have_run
+        if is_unsafe:
             return messages.Fail(request)
-        able = [m for m in day.models if m.role is role and day.view(m).healthy and m not in self.tried[request]]
-        able = [m for m in able if not day.cut(gateway, m)]
-        if left <= 0 or self.attempts[request] >= 5 or not able:
+        candidates = [
+            m
+            for m in simulation.models
+            if m.role is role and simulation.view_of(m).healthy and m not in self.tried[request]
+        ]
+        candidates = [m for m in candidates if not simulation.is_partitioned(gateway, m)]
+        if remaining_ms <= 0 or self.attempts[request] >= 5 or not candidates:
             return messages.Reject(request, 200.0)
         self.attempts[request] += 1
-        best = min(able, key=lambda m: (day.view(m).load + day.view(m).cost(m, client_request), m.number))
-        day.view(best).add(best, client_request)
-        return messages.StartAttempt(request, gateway.know(best), min(left, request.request_class.slo_ms), inf, inf)
+        best = min(
+            candidates,
+            key=lambda m: (simulation.view_of(m).load + simulation.view_of(m).cost(m, client_request), m.number),
+        )
+        simulation.view_of(best).add(best, client_request)
+        return messages.StartAttempt(
+            request, gateway.server_for(best), min(remaining_ms, request.request_class.slo_ms), inf, inf
+        )
 
 
 @dataclass
-class View:
+class ServerView:
+    """The state of a server as known to the baseline."""
+
     healthy: bool
     load: float
-    warmth: float
+    speed: float
     role: Role
-    scene: Scene
+    scenario: Scenario
 
     def cost(self, model: ModelServer, client_request: ClientRequest) -> float:
-        """What the request adds to the load: less work where its text is kept."""
+        """The load added by the request, which is smaller if its prefix is cached."""
         if self.role is Role.PREFILL:
-            return model.unread(client_request) / self.scene.prefill_tokens_per_ms / self.warmth
-        return (client_request.prompt + client_request.answer) / self.scene.decode_memory / self.warmth
+            return model.uncached_tokens(client_request) / self.scenario.prefill_tokens_per_ms / self.speed
+        return (client_request.prompt + client_request.answer) / self.scenario.decode_memory / self.speed
 
     def add(self, model: ModelServer, client_request: ClientRequest) -> None:
         self.load += self.cost(model, client_request)
--- a/tests/fleet/faults.py
+++ b/tests/fleet/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a day; each fault is called with the day before it begins."""
+"""Faults of a simulation. A fault is a function that is called before the start and schedules its events."""
 
 from __future__ import annotations
 
@@ -7,113 +7,117 @@
 from typing import Any
 
 from ternlane.policy.messages import Role
-from tests.fleet.day import Day
 from tests.fleet.gateway import Gateway
 from tests.fleet.server import ModelServer
+from tests.fleet.simulation import FleetSimulation
 
-Fault = Callable[[Day], None]
+Fault = Callable[[FleetSimulation], None]
 
 
-def kill_gateways(part: float, at_ms: float, for_ms: float) -> Fault:
-    """A part of the gateways die at once and come back later."""
+def kill_gateways(share: float, start_ms: float, duration_ms: float) -> Fault:
+    """A share of the gateways crash at the same time, and restart later."""
 
-    def begin(day: Day) -> None:
-        draw = random.Random(day.scene.seed + 3)
-        chosen = draw.sample(day.gateways, round(part * len(day.gateways)))
+    def schedule(simulation: FleetSimulation) -> None:
+        rng = random.Random(simulation.scenario.seed + 3)
+        chosen = rng.sample(simulation.gateways, round(share * len(simulation.gateways)))
         for gateway in chosen:
-            day.at(1000.0 + at_ms, gateway.kill)
+            simulation.schedule_at(1000.0 + start_ms, gateway.kill)
 
-            def back(gateway: Gateway = gateway) -> None:
+            def recover(gateway: Gateway = gateway) -> None:
                 gateway.alive = True
-                gateway.begin()
+                gateway.start()
 
-            day.at(1000.0 + at_ms + for_ms + draw.uniform(0, 2000), back)
+            simulation.schedule_at(1000.0 + start_ms + duration_ms + rng.uniform(0, 2000), recover)
 
-    return begin
+    return schedule
 
 
-def ail(part: float, at_ms: float, for_ms: float, role: Role | None = None, **state: Any) -> Fault:
-    """A part of the model servers have these fields for a while, as `bad=1.0` or `silent=True`."""
+def degrade_servers(share: float, start_ms: float, duration_ms: float, role: Role | None = None, **state: Any) -> Fault:
+    """A share of the model servers have these attribute values for a while, such as `error_rate=1.0` or
+    `silent=True`."""
 
-    def begin(day: Day) -> None:
-        draw = random.Random(day.scene.seed + 4)
-        able = [m for m in day.models if role is None or m.role is role]
-        chosen = draw.sample(able, round(part * len(able)))
+    def schedule(simulation: FleetSimulation) -> None:
+        rng = random.Random(simulation.scenario.seed + 4)
+        candidates = [m for m in simulation.models if role is None or m.role is role]
+        chosen = rng.sample(candidates, round(share * len(candidates)))
 
-        def set_all(values: dict[str, Any]) -> None:
+        def set_state(values: dict[str, Any]) -> None:
             for model in chosen:
                 for name, value in values.items():
                     setattr(model, name, value)
                 if not model.hung:
                     model.resume()
 
-        healthy = {name: {"slow": 1.0, "bad": 0.0, "resetting": 0.0}.get(name, False) for name in state}
-        day.at(1000.0 + at_ms, lambda: set_all(state))
-        day.at(1000.0 + at_ms + for_ms, lambda: set_all(healthy))
+        healthy_state = {
+            name: {"slowdown": 1.0, "error_rate": 0.0, "reset_rate": 0.0}.get(name, False) for name in state
+        }
+        simulation.schedule_at(1000.0 + start_ms, lambda: set_state(state))
+        simulation.schedule_at(1000.0 + start_ms + duration_ms, lambda: set_state(healthy_state))
 
-    return begin
+    return schedule
 
 
-def restart_servers(part: float, at_ms: float, over_ms: float, down_ms: float) -> Fault:
-    """A part of the model servers die one after the other, and come back cold."""
+def restart_servers(share: float, start_ms: float, spread_ms: float, down_ms: float) -> Fault:
+    """A share of the model servers crash one after the other, and restart in slow start."""
 
-    def begin(day: Day) -> None:
-        draw = random.Random(day.scene.seed + 5)
-        chosen = draw.sample(day.models, round(part * len(day.models)))
+    def schedule(simulation: FleetSimulation) -> None:
+        rng = random.Random(simulation.scenario.seed + 5)
+        chosen = rng.sample(simulation.models, round(share * len(simulation.models)))
         for n, model in enumerate(chosen):
-            when = 1000.0 + at_ms + over_ms * n / len(chosen)
+            when = 1000.0 + start_ms + spread_ms * n / len(chosen)
 
-            def back(model: ModelServer = model) -> None:
+            def recover(model: ModelServer = model) -> None:
                 model.start()
 
-            day.at(when, model.die)
-            day.at(when + down_ms, back)
+            simulation.schedule_at(when, model.crash)
+            simulation.schedule_at(when + down_ms, recover)
 
-    return begin
+    return schedule
 
 
-def cut_zone(at_ms: float, for_ms: float) -> Fault:
-    """The first zone and the others do not reach each other."""
+def partition_zone(start_ms: float, duration_ms: float) -> Fault:
+    """A network partition between the first zone and the others."""
 
-    def begin(day: Day) -> None:
-        others = [f"zone-{n}" for n in range(1, day.scene.zones)]
+    def schedule(simulation: FleetSimulation) -> None:
+        others = [f"zone-{n}" for n in range(1, simulation.scenario.zones)]
         pairs = {(a, b) for z in others for a, b in (("zone-0", z), (z, "zone-0"))}
-        day.at(1000.0 + at_ms, lambda: day.cuts.update(pairs))
-        day.at(1000.0 + at_ms + for_ms, day.cuts.clear)
+        simulation.schedule_at(1000.0 + start_ms, lambda: simulation.partitions.update(pairs))
+        simulation.schedule_at(1000.0 + start_ms + duration_ms, simulation.partitions.clear)
 
-    return begin
+    return schedule
 
 
-def replace_servers(part: float, at_ms: float, over_ms: float, grace_ms: float) -> Fault:
-    """A part of the model servers are drained one after the other, and gone after a grace; new ones come, cold."""
+def replace_servers(share: float, start_ms: float, spread_ms: float, grace_ms: float) -> Fault:
+    """A share of the model servers are drained one after the other and stop after a grace time; each is replaced by a
+    new one in slow start."""
 
-    def begin(day: Day) -> None:
-        draw = random.Random(day.scene.seed + 6)
-        chosen = draw.sample(day.models, round(part * len(day.models)))
+    def schedule(simulation: FleetSimulation) -> None:
+        rng = random.Random(simulation.scenario.seed + 6)
+        chosen = rng.sample(simulation.models, round(share * len(simulation.models)))
         for n, model in enumerate(chosen):
 
             def drain(model: ModelServer = model) -> None:
                 model.draining = True
-                day.listed(model)
-                successor = ModelServer(day, len(day.models), model.role)
-                successor.cell, successor.zone, successor.started = model.cell, model.zone, day.now
-                day.models.append(successor)
-                day.seen_at = float("-inf")
-                day.listed(successor)
-                day.after(grace_ms, model.die)
+                simulation.publish(model)
+                successor = ModelServer(simulation, len(simulation.models), model.role)
+                successor.cell, successor.zone, successor.started = model.cell, model.zone, simulation.now
+                simulation.models.append(successor)
+                simulation.views_updated_at = float("-inf")
+                simulation.publish(successor)
+                simulation.schedule_after(grace_ms, model.crash)
 
-            day.at(1000.0 + at_ms + over_ms * n / len(chosen), drain)
+            simulation.schedule_at(1000.0 + start_ms + spread_ms * n / len(chosen), drain)
 
-    return begin
+    return schedule
 
 
-def discovery_down(at_ms: float, for_ms: float) -> Fault:
-    """Nobody hears of a change meanwhile; all of them come at the return."""
+def discovery_down(start_ms: float, duration_ms: float) -> Fault:
+    """Discovery is unreachable; all changes are delivered at the end."""
 
-    def begin(day: Day) -> None:
-        def fall_silent() -> None:
-            day.discovery_back = day.now + for_ms
+    def schedule(simulation: FleetSimulation) -> None:
+        def disable() -> None:
+            simulation.discovery_up_at = simulation.now + duration_ms
 
-        day.at(1000.0 + at_ms, fall_silent)
+        simulation.schedule_at(1000.0 + start_ms, disable)
 
-    return begin
+    return schedule
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -15,30 +15,34 @@
 import pytest
 
 from tests import fleet
-from tests.decision_digests import day_digest, stream_digest
+from tests.decision_digests import simulation_digest, stream_digest
 
 RECORDED = Path(__file__).parent / "data" / "decision_digests.json"
-SMALL = fleet.Scene(gateways=16, prefill_servers=12, decode_servers=8, seconds=8.0, tenants=3, zones=2)
+SMALL = fleet.Scenario(gateways=16, prefill_servers=12, decode_servers=8, duration_s=8.0, tenants=3, zones=2)
 
 DAYS: dict[str, Callable[[], str]] = {
-    "quiet day": lambda: day_digest(SMALL),
-    "reports on request, clients that leave": lambda: day_digest(
-        fleet.Scene(16, 10, 8, seconds=8.0, seed=2, reports_on_probe=True, leave_share=0.1)
+    "quiet day": lambda: simulation_digest(SMALL),
+    "reports on request, clients that leave": lambda: simulation_digest(
+        fleet.Scenario(16, 10, 8, duration_s=8.0, seed=2, reports_on_probe=True, abandon_share=0.1)
     ),
-    "overload with a burst": lambda: day_digest(
-        fleet.Scene(12, 8, 6, seconds=9.0, seed=3, load=1.2, burst=1.6, tenants=2)
+    "overload with a burst": lambda: simulation_digest(
+        fleet.Scenario(12, 8, 6, duration_s=9.0, seed=3, load=1.2, burst=1.6, tenants=2)
     ),
-    "silent and failing servers": lambda: day_digest(
-        SMALL, fleet.ail(0.25, 2000.0, 3000.0, silent=True), fleet.ail(0.2, 3000.0, 3000.0, bad=1.0)
+    "silent and failing servers": lambda: simulation_digest(
+        SMALL,
+        fleet.degrade_servers(0.25, 2000.0, 3000.0, silent=True),
+        fleet.degrade_servers(0.2, 3000.0, 3000.0, error_rate=1.0),
     ),
-    "slow servers and resets": lambda: day_digest(
-        SMALL, fleet.ail(0.25, 2000.0, 4000.0, slow=6.0), fleet.ail(1.0, 3000.0, 3000.0, resetting=0.3)
+    "slow servers and resets": lambda: simulation_digest(
+        SMALL,
+        fleet.degrade_servers(0.25, 2000.0, 4000.0, slowdown=6.0),
+        fleet.degrade_servers(1.0, 3000.0, 3000.0, reset_rate=0.3),
     ),
-    "gateways killed, servers restarted": lambda: day_digest(
+    "gateways killed, servers restarted": lambda: simulation_digest(
         SMALL, fleet.kill_gateways(0.7, 2000.0, 2000.0), fleet.restart_servers(0.4, 2000.0, 2500.0, 800.0)
     ),
-    "a zone cut off": lambda: day_digest(SMALL, fleet.cut_zone(2000.0, 3000.0)),
-    "discovery down while servers are replaced": lambda: day_digest(
+    "a zone cut off": lambda: simulation_digest(SMALL, fleet.partition_zone(2000.0, 3000.0)),
+    "discovery down while servers are replaced": lambda: simulation_digest(
         SMALL, fleet.discovery_down(1500.0, 2000.0), fleet.replace_servers(0.5, 2000.0, 3000.0, 1500.0)
     ),
 }
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -16,31 +16,31 @@
 from ternlane.policy.messages import AttemptOutcome
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.fleet import (
-    Day,
     Fault,
-    Scene,
-    ail,
-    cut_zone,
+    FleetSimulation,
+    Scenario,
+    degrade_servers,
     discovery_down,
     kill_gateways,
+    partition_zone,
     replace_servers,
     restart_servers,
 )
 
-FLOORS = {"day": 1 / 2, "class": 1 / 2, "third": 1 / 5, "tenant": 1 / 3}
+FLOORS = {"total": 1 / 2, "class": 1 / 2, "third": 1 / 5, "tenant": 1 / 3}
 CALM_LOSS = 0.1
 LITTLE = 0.3  # where the baseline itself serves less, a class has no floor
-FLEET = Scene(gateways=200, prefill_servers=24, decode_servers=16, seconds=10.0, tenants=3)
-UNEVEN = replace(FLEET, unevenness=1.2, seconds=15.0)
+FLEET = Scenario(gateways=200, prefill_servers=24, decode_servers=16, duration_s=10.0, tenants=3)
+UNEVEN = replace(FLEET, gateway_load_sigma=1.2, duration_s=15.0)
 
 
-def below_floor(scene: Scene, *faults: Fault) -> dict[str, tuple[float, float]]:
+def below_floor(scenario: Scenario, *faults: Fault) -> dict[str, tuple[float, float]]:
     """What falls below its floor: its share of the value served, and the share that is wanted."""
-    served = Day(scene, "router", faults).play().shares()
-    possible = Day(scene, "late", faults).play().shares()
+    served = FleetSimulation(scenario, "router", faults).run().served_shares()
+    possible = FleetSimulation(scenario, "baseline", faults).run().served_shares()
     wanted = {name: FLOORS[name.split()[0]] * share for name, share in possible.items() if share >= LITTLE}
     if not faults:
-        wanted["day"] = possible["day"] - CALM_LOSS
+        wanted["total"] = possible["total"] - CALM_LOSS
     return {name: (round(served[name], 3), round(least, 3)) for name, least in wanted.items() if served[name] < least}
 
 
@@ -56,10 +56,16 @@
 @pytest.mark.parametrize(
     "faults",
     [
-        pytest.param((ail(0.2, 3000.0, 4000.0, silent=True),), id="silent"),
-        pytest.param((ail(0.25, 3000.0, 4000.0, bad=1.0), ail(0.2, 3000.0, 4000.0, slow=6.0)), id="bad and slow"),
+        pytest.param((degrade_servers(0.2, 3000.0, 4000.0, silent=True),), id="silent"),
+        pytest.param(
+            (degrade_servers(0.25, 3000.0, 4000.0, error_rate=1.0), degrade_servers(0.2, 3000.0, 4000.0, slowdown=6.0)),
+            id="bad and slow",
+        ),
         pytest.param((kill_gateways(0.7, 3000.0, 2500.0), restart_servers(0.3, 3000.0, 3000.0, 1000.0)), id="release"),
-        pytest.param((ail(1.0, 3000.0, 3000.0, resetting=0.3), cut_zone(4000.0, 3000.0)), id="resets and a cut"),
+        pytest.param(
+            (degrade_servers(1.0, 3000.0, 3000.0, reset_rate=0.3), partition_zone(4000.0, 3000.0)),
+            id="resets and a cut",
+        ),
     ],
 )
 def test_a_fleet_in_trouble_serves_its_share(faults: tuple[Fault, ...]) -> None:
@@ -68,8 +74,8 @@
 
 def test_a_release_of_model_servers_in_a_burst_whose_news_comes_late_leaves_its_share() -> None:
     """Discovery is down as it begins, some clients leave early, and the rest is half as much again for a while."""
-    scene = replace(FLEET, notice_ms=2000.0, leave_share=0.1, burst=1.5, load=0.5)
-    assert below_floor(scene, discovery_down(2000.0, 3000.0), replace_servers(0.5, 3000.0, 3000.0, 2500.0)) == {}
+    scenario = replace(FLEET, propagation_ms=2000.0, abandon_share=0.1, burst=1.5, load=0.5)
+    assert below_floor(scenario, discovery_down(2000.0, 3000.0), replace_servers(0.5, 3000.0, 3000.0, 2500.0)) == {}
 
 
 MANY_TEXTS = replace(
@@ -78,9 +84,9 @@
     decode_servers=24,
     decode_memory=600e3,
     prefixes=600,
-    kept_share=0.8,
+    cached_share=0.8,
     load=0.7,
-    seconds=9.0,
+    duration_s=9.0,
     slo_ms=800.0,
     prompt_tokens=6000.0,
     answer_tokens=50.0,
