--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -19,7 +19,7 @@
 from ternlane.policy import messages
 
 # A poll that waited at least this long for I/O shows that the loop had read everything that had arrived.
-RESTED_MS = 0.5
+IDLE_WAIT_MS = 0.5
 # Time constant of the expected lateness of timers after a late one.
 LATENESS_DECAY_MS = 1000.0
 # The router ends each request by its deadline. If a bug prevents that, the event loop fails the request this long after
@@ -114,11 +114,11 @@
     def after_io_wait(self, timeout: float) -> None:
         """Called by trio after it has waited for I/O."""
         now_s = trio.current_time()
-        was_idle = now_s - self._wait_began_s >= RESTED_MS / 1000  # no data was available at the start of the wait
+        was_idle = now_s - self._wait_began_s >= IDLE_WAIT_MS / 1000  # no data was available at the start of the wait
         self._unread_since_s = now_s if was_idle else self._wait_ended_s
         self._wait_ended_s = now_s
 
-    def unseen_ms(self) -> float:
+    def max_unread_ms(self) -> float:
         """The longest time for which data that was just read may have been waiting."""
         return (trio.current_time() - self._unread_since_s) * 1000
 
--- a/ternlane/policy/attempt.py
+++ b/ternlane/policy/attempt.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class InFlightAttempt:
     """An attempt in flight. Times are milliseconds."""
 
     server: Server
--- a/ternlane/policy/congestion.py
+++ b/ternlane/policy/congestion.py
@@ -17,7 +17,7 @@
 # Lower bound of that median: below it, a difference of one request is noise.
 MIN_MEDIAN_OPEN = 2.0
 # Weight of the estimated load of other gateways per share of late answers: full weight at one half.
-LATE_SHARE_TO_TRUST = 2.0
+ESTIMATE_WEIGHT_PER_LATE_SHARE = 2.0
 # An answer is late if it waited longer, beyond its own work, than the latency objective divided by this.
 LATE_WAITS_PER_SLO = 4.0
 # Weight of a new answer in the moving average of late answers, which covers about the last sixteen.
@@ -57,7 +57,7 @@
         if snapshot.open_requests > MAX_TIMES_MEDIAN_OPEN * max(snapshot.fleet.median_open, MIN_MEDIAN_OPEN):
             return True
         endpoint = snapshot.endpoint
-        estimate_weight = min(1.0, LATE_SHARE_TO_TRUST * self.late_share[endpoint.server.role])
+        estimate_weight = min(1.0, ESTIMATE_WEIGHT_PER_LATE_SHARE * self.late_share[endpoint.server.role])
         free = snapshot.known_free + estimate_weight * (snapshot.free - snapshot.known_free)
         return free * endpoint.server.kv_capacity_tokens <= memory_tokens(state.request, endpoint)
 
--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -7,7 +7,7 @@
 
 from ternlane.policy import messages
 from ternlane.policy.actors import Actor, Inbox, RouterContext
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.endpoint_messages import (
     AttemptStarted,
     CapacityReleased,
@@ -68,7 +68,7 @@
 class PrefillOvertaken(NamedTuple):
     """This prefill is overdue, and one that was sent later to the same server has ended already."""
 
-    attempt: Attempt
+    attempt: InFlightAttempt
 
 
 EndpointReport = EndpointSnapshot | PrefillOvertaken | Reselect
@@ -85,7 +85,7 @@
         self.prefills = server.role is not Role.DECODE
         self.decodes = server.role is not Role.PREFILL
         self.reservations: dict[Request, Reservation] = {}
-        self.attempts: dict[Attempt, None] = {}  # in the order of sending
+        self.attempts: dict[InFlightAttempt, None] = {}  # in the order of sending
         self.last_report: LoadReport | None = None
         self.warm_at = 0.0
         self.connected_until = 0.0
--- a/ternlane/policy/fleet_monitor.py
+++ b/ternlane/policy/fleet_monitor.py
@@ -18,7 +18,7 @@
 # Ticks between two comparisons. A comparison takes time for every server, and loads change little within a tick.
 COMPARISON_TICKS = 4
 # About this many idle servers are sent the statistics at each comparison. The state of an idle server hardly changes.
-IDLE_SERVERS_TOLD = 12
+IDLE_SERVERS_UPDATED = 12
 # Time constant of the decay of the failure rates over all servers.
 FAILURE_RATE_MEMORY_MS = 60e3
 
@@ -95,7 +95,7 @@
         """Whether to send the statistics to this server now; idle servers take turns."""
         if snapshot.open_requests or snapshot.ejected or snapshot.half_open or snapshot.warm_at > self._context.now:
             return True
-        return (index + self._ticks // COMPARISON_TICKS) % (servers // IDLE_SERVERS_TOLD or 1) == 0
+        return (index + self._ticks // COMPARISON_TICKS) % (servers // IDLE_SERVERS_UPDATED or 1) == 0
 
     def _summarize(self, before: FleetStats, peers: list[EndpointSnapshot]) -> FleetStats:
         """Estimates the load of all gateways as this gateway's mean over the warm servers times the number of gateways.
--- a/ternlane/policy/held_state.py
+++ b/ternlane/policy/held_state.py
@@ -11,7 +11,7 @@
 from ternlane.policy.request_state import RequestState
 
 
-class HeldState:
+class StateReleaser:
     """Issues the releases required by the leases of the requests."""
 
     def __init__(self, context: RouterContext) -> None:
@@ -23,9 +23,9 @@
         still leave, and the memory reserved for it."""
         lease = state.lease
         if lease.may_hold:
-            again = state.over and lease.prefill_unconfirmed
+            again = state.is_finished and lease.prefill_unconfirmed
             self._context.actions.append(Release(state.request, again, reason))
-            lease.released(state.over)
+            lease.released(state.is_finished)
         for endpoint in (state.prefill_server, state.decode_server):
             if endpoint is not None:
                 endpoint.post(CapacityReleased(state.request))
--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -7,7 +7,7 @@
 
 from math import inf
 
-from ternlane.policy.attempt import Attempt, Stage
+from ternlane.policy.attempt import InFlightAttempt, Stage
 from ternlane.policy.limits import DEFAULT_SLO_MS
 from ternlane.policy.messages import AttemptEnded, AttemptOutcome, Request, RequestClass
 
@@ -28,15 +28,15 @@
 FASTER_PACE_WEIGHT = 1 / 4
 SLOWER_PACE_WEIGHT = 1 / 64
 # Upper bound of `queue_trust`, so that a period of slow prefills does not make all servers look congested.
-MAX_QUEUE_TRUST = 4.0
+MAX_QUEUE_CORRECTION = 4.0
 
 
 class LatencyModel:
     """The usual times, and the speed of prefills."""
 
     def __init__(self, min_slo_ms: float) -> None:
-        self.usual: dict[tuple[RequestClass, Stage], float] = {}
-        self.learnt_at: dict[RequestClass, float] = {}
+        self.usual_stage_ms: dict[tuple[RequestClass, Stage], float] = {}
+        self.last_sample_at: dict[RequestClass, float] = {}
         self.mean_prompt_tokens: dict[RequestClass, float] = {}
         self.prefill_ms_per_token = min_slo_ms / INITIAL_TOKENS_PER_SLO
         self.mean_prefill_ms = 0.0  # mean prefill time of a request, without queueing
@@ -46,7 +46,7 @@
 
     def usual_ms(self, request_class: RequestClass, stage: Stage) -> float:
         """The usual time of the stage for this class."""
-        mean_ms = self.usual.get((request_class, stage))
+        mean_ms = self.usual_stage_ms.get((request_class, stage))
         if mean_ms is not None:
             return mean_ms
         if stage is Stage.STREAM:
@@ -59,13 +59,13 @@
 
     def sample_age_ms(self, request_class: RequestClass, now: float) -> float:
         """The age of the latest sample of this class; infinite if there is none."""
-        return now - self.learnt_at.get(request_class, -inf)
+        return now - self.last_sample_at.get(request_class, -inf)
 
     def learn(self, request_class: RequestClass, stage: Stage, took_ms: float, now: float) -> None:
         """Records the time of a stage."""
-        self.learnt_at[request_class] = now
+        self.last_sample_at[request_class] = now
         before = self.usual_ms(request_class, stage)
-        self.usual[request_class, stage] = (1 - SAMPLE_WEIGHT) * before + SAMPLE_WEIGHT * took_ms
+        self.usual_stage_ms[request_class, stage] = (1 - SAMPLE_WEIGHT) * before + SAMPLE_WEIGHT * took_ms
 
     def learn_prompt(self, request: Request) -> None:
         """Records the length of the prompt."""
@@ -73,7 +73,7 @@
         mean = self.mean_prompt_tokens.setdefault(request_class, max(request.prompt_tokens, 1.0))
         self.mean_prompt_tokens[request_class] = mean + SAMPLE_WEIGHT * (request.prompt_tokens - mean)
 
-    def learn_prefill(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
+    def learn_prefill(self, attempt: InFlightAttempt, ended: AttemptEnded, now: float) -> None:
         """Records a prefill that has ended or timed out. A prefill that timed out took at least that long; if it were
         ignored, the usual time would stay too short, and more and more prefills would time out. A time-out shorter than
         the usual time is ignored, as it gives no information."""
@@ -92,7 +92,7 @@
     def _learn_queue(self, expected_ms: float, measured_ms: float) -> None:
         self._mean_expected_ms += SAMPLE_WEIGHT * (expected_ms - self._mean_expected_ms)
         self._mean_measured_ms += SAMPLE_WEIGHT * (measured_ms - self._mean_measured_ms)
-        self.queue_trust = min(MAX_QUEUE_TRUST, self._mean_measured_ms / self._mean_expected_ms)
+        self.queue_trust = min(MAX_QUEUE_CORRECTION, self._mean_measured_ms / self._mean_expected_ms)
 
     def _learn_pace(self, pace: float) -> None:
         weight = FASTER_PACE_WEIGHT if pace < self.prefill_ms_per_token else SLOWER_PACE_WEIGHT
@@ -101,7 +101,7 @@
     def keep_only(self, request_classes: set[RequestClass]) -> None:
         """Drops the classes that a new configuration no longer has; otherwise they would accumulate with each
         reload."""
-        self.usual = {key: ms for key, ms in self.usual.items() if key[0] in request_classes}
-        for table in (self.mean_prompt_tokens, self.learnt_at):
+        self.usual_stage_ms = {key: ms for key, ms in self.usual_stage_ms.items() if key[0] in request_classes}
+        for table in (self.mean_prompt_tokens, self.last_sample_at):
             for request_class in table.keys() - request_classes:
                 del table[request_class]
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -45,7 +45,7 @@
 class Lease(Generic[ServerT]):
     """The state that may be held for one request. Times are milliseconds on the router's clock.
 
-    `HeldState.schedule_release` sets `release_at`, the latest time of the release, to `since` plus
+    `StateReleaser.schedule_release` sets `release_at`, the latest time of the release, to `since` plus
     `Limits.release_unconfirmed_ms`. That is infinite if a release would harm an attempt that waits for the state, or if
     servers keep the state without a time limit (see RouterConfig); the release is then sent at the end of the request
     or before a new prefill.
@@ -95,11 +95,11 @@
             return False
         return end.prefills or end.outcome in ANSWERED or self._release_confirmed
 
-    def released(self, over: bool) -> None:
+    def released(self, is_finished: bool) -> None:
         """Handles the sending of a release. At the end of the request it is the last one; before that, a prefill of
         unconfirmed end may still leave a state afterwards."""
         self.held_at = None
-        self.may_hold = self.prefill_unconfirmed and not over
+        self.may_hold = self.prefill_unconfirmed and not is_finished
         if not self.may_hold:
             self.release_at = inf
 
--- a/ternlane/policy/outlier_detection.py
+++ b/ternlane/policy/outlier_detection.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.messages import AttemptOutcome
 
 # A server whose progress is below this share of its peers' median is an outlier. This detects slow and silent servers,
@@ -60,7 +60,7 @@
         """Ratio of completed to expected stages; 1 is the pace of the peers."""
         return (self.attempts_done + PRIOR_ATTEMPTS) / (self.attempts_expected + PRIOR_ATTEMPTS)
 
-    def expect(self, attempt: Attempt, now: float) -> None:
+    def expect(self, attempt: InFlightAttempt, now: float) -> None:
         """Adds the part of the current stage that peers would have completed by now."""
         elapsed_ms = now - attempt.stage_started_at
         expected = min(elapsed_ms / max(attempt.usual_ms, 1.0), MAX_MISSED_PER_ATTEMPT)
@@ -79,7 +79,7 @@
         self.attempts_done *= factor
         self.attempts_expected *= factor
 
-    def half_open_passed(self, attempt: Attempt, now: float) -> bool:
+    def half_open_passed(self, attempt: InFlightAttempt, now: float) -> bool:
         """Whether the server is half-open and this successful attempt was fast enough to readmit it."""
         return self.half_open and now - attempt.stage_started_at <= HALF_OPEN_MAX_USUAL_TIMES * attempt.usual_ms
 
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -9,7 +9,7 @@
 
 from ternlane.policy import messages
 from ternlane.policy.actors import RouterContext
-from ternlane.policy.attempt import Attempt, Stage
+from ternlane.policy.attempt import InFlightAttempt, Stage
 from ternlane.policy.congestion import memory_tokens
 from ternlane.policy.endpoint_messages import (
     AttemptStarted,
@@ -28,10 +28,10 @@
 from ternlane.policy.request_state import MayHaveRun, RequestState, state_of
 from ternlane.policy.retry_policy import NEVER_RAN
 from ternlane.policy.rules import Rules
-from ternlane.policy.timeouts import start_attempt
+from ternlane.policy.timeouts import start_attempt_action
 
 # Lower bound of `queue_trust` when the time of the next prefill is predicted.
-MIN_QUEUE_TRUST = 1 / 16
+MIN_QUEUE_CORRECTION = 1 / 16
 
 
 def forward_report(endpoint: EndpointState, report: messages.Report | None) -> None:
@@ -130,7 +130,7 @@
         work_ms = 0.0 if decodes else self._rules.affinity.prefill_work_ms(endpoint, state)
         stage = Stage.FIRST_TOKEN if decodes else Stage.PREFILL
         usual_ms = max(self._rules.latency.usual_ms(state.request.request_class, stage), work_ms + known.queue_ms)
-        attempt = Attempt(
+        attempt = InFlightAttempt(
             server=endpoint.server,
             request=state.request,
             decodes=decodes,
@@ -138,17 +138,17 @@
             stage_started_at=now,
             usual_ms=usual_ms,
             prefill_work_ms=work_ms,
-            expected_ms=work_ms + known.total_queue_ms / max(self._rules.latency.queue_trust, MIN_QUEUE_TRUST),
+            expected_ms=work_ms + known.total_queue_ms / max(self._rules.latency.queue_trust, MIN_QUEUE_CORRECTION),
             needs_connection=not known.connected,
         )
         state.start(attempt)
         state.lease.attempt_begins()
         endpoint.post(AttemptStarted(attempt))
         window_ms = self._rules.retries.repeat_window_ms(state)
-        action = start_attempt(self._context, state, attempt, self._rules.reports_on_probe(), window_ms)
+        action = start_attempt_action(self._context, state, attempt, self._rules.reports_on_probe(), window_ms)
         self._context.actions.append(action)
 
-    def first_token(self, state: RequestState, attempt: Attempt, took_ms: float) -> None:
+    def first_token(self, state: RequestState, attempt: InFlightAttempt, took_ms: float) -> None:
         """Handles the first token, `took_ms` after the attempt was sent: the decode server has taken the state."""
         request = state.request
         endpoint = endpoint_of(attempt.server)
@@ -177,7 +177,7 @@
         if attempt.decodes and outcome not in NEVER_RAN and state.may_have_run is None:
             state.may_have_run = MayHaveRun(attempt.started_at, ended.server)
         state.lease.attempt_ended(AttemptEnd(outcome, endpoint.prefills, ended.state_lost), endpoint, self._context.now)
-        if state.over or ended.over:
+        if state.is_finished or ended.over:
             self.close(state)
         else:
             state.attempt_ended()
@@ -199,13 +199,13 @@
             return
         endpoint.post(Reselect(state.request))
 
-    def prefill_overtaken(self, attempt: Attempt) -> None:
+    def prefill_overtaken(self, attempt: InFlightAttempt) -> None:
         """Cancels a prefill whose answer was lost, if there are attempts left for another pair."""
         state = state_of(attempt.request)
         if (
             state.attempt is attempt
             and not attempt.overtaken
-            and not state.over
+            and not state.is_finished
             and self._rules.config.may_cancel
             and self._rules.retries.has_attempts_for_pair(state)
         ):
--- a/ternlane/policy/request_state.py
+++ b/ternlane/policy/request_state.py
@@ -10,13 +10,13 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.endpoint_state import EndpointState
 from ternlane.policy.lease import Lease
 from ternlane.policy.messages import Request, Server
 
 
-class Phase(Enum):
+class RequestPhase(Enum):
     """The phase of a request."""
 
     QUEUED = auto()  # waits for a pair of servers; no attempt is in flight and no state is ready for a decode
@@ -27,24 +27,28 @@
     DONE = auto()  # over, and no attempt is in flight
 
 
-TRANSITIONS: dict[Phase, frozenset[Phase]] = {
+TRANSITIONS: dict[RequestPhase, frozenset[RequestPhase]] = {
     # To DECODING: a server with both roles needs no separate prefill attempt.
-    Phase.QUEUED: frozenset({Phase.PREFILLING, Phase.DECODING, Phase.DONE}),
+    RequestPhase.QUEUED: frozenset({RequestPhase.PREFILLING, RequestPhase.DECODING, RequestPhase.DONE}),
     # To QUEUED: the prefill failed.
-    Phase.PREFILLING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
+    RequestPhase.PREFILLING: frozenset(
+        {RequestPhase.HANDING_OVER, RequestPhase.QUEUED, RequestPhase.RELEASING, RequestPhase.DONE}
+    ),
     # To QUEUED: the state is released and the prompt prefilled again.
-    Phase.HANDING_OVER: frozenset({Phase.DECODING, Phase.QUEUED, Phase.DONE}),
+    RequestPhase.HANDING_OVER: frozenset({RequestPhase.DECODING, RequestPhase.QUEUED, RequestPhase.DONE}),
     # To HANDING_OVER: the decode attempt failed, but the state is still held. To QUEUED: the state is lost.
-    Phase.DECODING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
-    Phase.RELEASING: frozenset({Phase.DONE}),
-    Phase.DONE: frozenset(),
+    RequestPhase.DECODING: frozenset(
+        {RequestPhase.HANDING_OVER, RequestPhase.QUEUED, RequestPhase.RELEASING, RequestPhase.DONE}
+    ),
+    RequestPhase.RELEASING: frozenset({RequestPhase.DONE}),
+    RequestPhase.DONE: frozenset(),
 }
 
 
 class IllegalTransitionError(Exception):
     """A transition that TRANSITIONS does not list."""
 
-    def __init__(self, before: Phase, after: Phase) -> None:
+    def __init__(self, before: RequestPhase, after: RequestPhase) -> None:
         super().__init__(f"illegal transition of a request from {before.name} to {after.name}")
         self.before = before
         self.after = after
@@ -69,10 +73,10 @@
     first_token_due: float  # by the latency objective of its class
     deadline: float  # when its client times out
     slow_start_draw: float = 0.0  # random number from 0 to 1 that is compared with slow-start quotas
-    phase: Phase = Phase.QUEUED
+    phase: RequestPhase = RequestPhase.QUEUED
     prefill_server: EndpointState | None = None
     decode_server: EndpointState | None = None
-    attempt: Attempt | None = None  # in flight
+    attempt: InFlightAttempt | None = None  # in flight
     attempts: int = 0  # number of attempts sent
     lease: Lease[EndpointState] = field(default_factory=Lease)  # the state that servers may hold for it
     may_have_run: MayHaveRun | None = None
@@ -84,34 +88,34 @@
     tried: set[EndpointState] = field(default_factory=set)  # servers that must not be tried again
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the client has got the final answer or has disconnected."""
-        return self.phase is Phase.DONE or self.phase is Phase.RELEASING
+        return self.phase is RequestPhase.DONE or self.phase is RequestPhase.RELEASING
 
-    def move_to(self, phase: Phase) -> None:
+    def move_to(self, phase: RequestPhase) -> None:
         """Changes the phase; nothing else does. Raises IllegalTransitionError."""
         if phase not in TRANSITIONS[self.phase]:
             raise IllegalTransitionError(self.phase, phase)
         self.phase = phase
 
-    def start(self, attempt: Attempt) -> None:
+    def start(self, attempt: InFlightAttempt) -> None:
         """Records that an attempt is sent."""
-        self.move_to(Phase.DECODING if attempt.decodes else Phase.PREFILLING)
+        self.move_to(RequestPhase.DECODING if attempt.decodes else RequestPhase.PREFILLING)
         self.attempt = attempt
         self.attempts += 1
 
     def requeue(self) -> None:
         """Returns to QUEUED: the held state is given up, and a new pair of servers is needed."""
-        if self.phase is not Phase.QUEUED:
-            self.move_to(Phase.QUEUED)
+        if self.phase is not RequestPhase.QUEUED:
+            self.move_to(RequestPhase.QUEUED)
 
     def attempt_ended(self) -> None:
         """Records that the attempt has ended while the client still waits."""
-        self.move_to(Phase.QUEUED if self.lease.held_at is None else Phase.HANDING_OVER)
+        self.move_to(RequestPhase.QUEUED if self.lease.held_at is None else RequestPhase.HANDING_OVER)
 
     def close(self) -> None:
         """Records that the request is over for its client."""
-        self.move_to(Phase.DONE if self.attempt is None else Phase.RELEASING)
+        self.move_to(RequestPhase.DONE if self.attempt is None else RequestPhase.RELEASING)
 
 
 def state_of(request: Request) -> RequestState:
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -67,11 +67,11 @@
                 self.request_flow.attempt_ended(event)
             case messages.ClientDisconnected(request):
                 state_or_none = request.router_state
-                if state_or_none is not None and not state_or_none.over:
+                if state_or_none is not None and not state_or_none.is_finished:
                     self.request_flow.close(state_or_none)
             case messages.ResumeStream(request):
                 state = state_of(request)
-                if not state.over and state.attempt is None:
+                if not state.is_finished and state.attempt is None:
                     self.request_flow.reselect(state)
             case messages.ReleaseConfirmed(request):
                 if request.router_state is not None:
--- a/ternlane/reference.py
+++ b/ternlane/reference.py
@@ -136,7 +136,7 @@
     return " ".join((inspect.getdoc(target) or "").split())
 
 
-def without_words() -> list[str]:
+def undocumented_names() -> list[str]:
     """Public names, methods and properties without a docstring."""
     undocumented = []
     for name in ternlane.__all__[1:]:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,8 +12,8 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, RouterConfig
 from ternlane.policy.router import Router
-from tests.conftest import FakeHost, build, sent
-from tests.platform_world import TOLD
+from tests.conftest import FakeHost, make_host, started_attempt
+from tests.platform_gateway import PLATFORM_SETTINGS
 
 # Where each figure of the start facts stands in the settings.
 PLACES = {
@@ -36,7 +36,7 @@
 
 def settings(name: str, value: Any) -> dict[str, Any]:
     """The usual settings with another value for one figure, or without it."""
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     *way, last = PLACES[name]
     inner = told
     for step in way:
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("key", ["key_ttl", "aim", "deadline", "worth", "late_worth"])
 @pytest.mark.parametrize("value", ["many", [], -1.0, float("nan"), float("inf"), True])
 def test_a_figure_of_a_class_that_is_no_number_is_named_with_its_class(key: str, value: Any) -> None:
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     told["profiles"][1][key] = value
     with pytest.raises(ValueError, match=rf"settings: .*of class 'note' \({key}\)"):
         Deployment(1, told)
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("key", ["aim", "deadline"])
 def test_a_class_without_its_times_is_named(key: str) -> None:
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     del told["profiles"][0][key]
     with pytest.raises(ValueError, match=rf"settings: .*of class 'summary' \({key}\)"):
         Deployment(1, told)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("key, values", [("token_aim", [60.0, -1.0]), ("aim_us_per_1000_prompt_tokens", [0.0, "x"])])
 def test_a_figure_in_a_list_of_all_classes_is_checked(key: str, values: list[Any]) -> None:
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     told["specifics"][key] = values
     with pytest.raises(ValueError, match="settings: "):
         Deployment(1, told)
@@ -97,33 +97,33 @@
 
 @pytest.mark.parametrize("gateways", [1, 200, 5000])
 def test_requests_are_served_whatever_the_count_of_gateways(gateways: int) -> None:
-    host = build(gateways=gateways)
+    host = make_host(gateways=gateways)
     for _ in range(6):
-        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
-        host.first(request, attempt.server, after=20.0)
-    host.tell(after=2000.0)
-    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
+        request, attempt = host.start_decode(prefix=None, prefix_tokens=0.0)
+        host.first_token(request, attempt.server, after=20.0)
+    host.deliver(after=2000.0)
+    assert started_attempt(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def prefill_servers(host: FakeHost, count: int) -> set[str]:
     """By which readers so many requests are read, one after the other, once r0 has started just now."""
     host.servers["r0"].started_ms = host.now
-    host.list()
-    host.tell(after=500.0)
+    host.update_endpoints()
+    host.deliver(after=500.0)
     used = set[str]()
     for _ in range(count):
         request = host.request(prefix=None, prefix_tokens=0.0)
-        read = sent(host.arrive(request)).server
-        write = sent(host.end(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
-        host.first(request, write, after=5.0)
-        host.end(request, write, AttemptOutcome.STREAMED, after=5.0, over=True)
+        read = started_attempt(host.arrive(request)).server
+        write = started_attempt(host.end_attempt(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
+        host.first_token(request, write, after=5.0)
+        host.end_attempt(request, write, AttemptOutcome.STREAMED, after=5.0, over=True)
         used |= {name for name, server in host.servers.items() if server is read}
     return used
 
 
 def test_where_the_settings_allow_a_cold_server_nothing_it_is_sent_nothing() -> None:
-    assert prefill_servers(build(gateways=200, fall_multiple=0.0, slow_start_ms=60e3), 60) == {"r1"}
+    assert prefill_servers(make_host(gateways=200, fall_multiple=0.0, slow_start_ms=60e3), 60) == {"r1"}
 
 
 def test_where_the_settings_know_no_slow_start_a_new_server_is_used_at_once() -> None:
-    assert "r0" in prefill_servers(build(gateways=200, slow_start_ms=0.0), 60)
+    assert "r0" in prefill_servers(make_host(gateways=200, slow_start_ms=0.0), 60)
--- a/tests/test_variants.py
+++ b/tests/test_site_settings.py
@@ -18,11 +18,11 @@
 from ternlane.deployment import Deployment
 from ternlane.platform import gateway as gateway_module
 from ternlane.platform.protocol import NAME_CHARS
-from ternlane.platform.settings import Limits
+from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import Effect, Role
 from ternlane.testing.platform import Gate
-from tests.crossing import Client, client_request, until
-from tests.platform_world import Platform, always, platform
+from tests.platform_gateway import Platform, fault_always, platform
+from tests.race_helpers import RawClient, client_request, wait_until
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 NAMES = ["porto-atlante", "vigne-alte"]
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("name", NAMES)
 async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
     told, raw = settings(name), site(name)
-    async with platform("r0", "w0", told=told, limits=Limits(sockets=500, memory_mb=100)) as p:
+    async with platform("r0", "w0", told=told, limits=ProcessLimits(sockets=500, memory_mb=100)) as p:
         router_config, pool, chat_server = (
             p.gateway.runtime.deployment.router_config,
             p.gateway.pool,
@@ -123,20 +123,20 @@
             assert (await p.ask(Request_Class=one["name"])).status == 200
         for stranger in ("summary", "case-note", "chat"):
             assert (await p.ask(Request_Class=stranger)).status == 400
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name", NAMES)
 async def test_a_request_without_a_time_of_its_own_has_its_classes_and_one_effect_at_most(name: str) -> None:
     told = settings(name) | {"kinds": ["reader", "writer"]}
     unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
-    async with platform("r0", "w0", told=told, w0=always("opening_cut")) as p:
+    async with platform("r0", "w0", told=told, w0=fault_always("opening_cut")) as p:
         request_class = p.gateway.runtime.deployment.request_classes[unsafe["name"]]
         assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
         assert reply.status == 502 and p.fleet.count("write") == 1
         assert p.fleet.stated_timeouts_s[0] <= unsafe["deadline"] / 1000
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name, least_ms", [("porto-atlante", 3700.0), ("vigne-alte", 3700.0)])
@@ -176,7 +176,7 @@
     told = settings("porto-atlante") | {"kinds": ["reader", "writer"]}
     profiles = [told["profiles"][0] | {"name": name}]
     async with platform("r0", "w0", told=told | {"profiles": profiles}) as p:
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
@@ -191,7 +191,7 @@
         name = first["profiles"][0]["name"]
         assert (await p.ask(Request_Class=name)).status == 200
         gate = p.servers["w0"].gates["request"] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Class=name))
         await gate.reached.wait()
         mine = set(runtime.deployment.request_classes.values())
@@ -199,10 +199,10 @@
         assert not mine & set(runtime.deployment.request_classes.values())
         assert not mine & (
             scheduler.rules.latency.mean_prompt_tokens.keys()
-            | scheduler.rules.latency.learnt_at.keys()
+            | scheduler.rules.latency.last_sample_at.keys()
             | scheduler.rules.affinity.cached_share.keys()
         )
-        assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual}
+        assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual_stage_ms}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
         client.sock.close()
@@ -210,11 +210,11 @@
         assert (await p.ask(Request_Class=other["profiles"][0]["name"])).status == 200
         await switch(p, first)
         assert (await p.ask(Request_Class=name)).status == 200
-        await until(lambda: not runtime.active_requests)
+        await wait_until(lambda: not runtime.active_requests)
         kept = set(runtime.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
         assert {request_class for request_class in scheduler.rules.latency.mean_prompt_tokens} <= kept
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def switch(p: Platform, told: dict[str, Any]) -> None:
