--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -12,7 +12,7 @@
 import trio
 
 from ternlane.http1.nonblocking import is_readable
-from tests.platform_world import BODY, Platform
+from tests.platform_gateway import BODY, Platform
 
 WITHIN_S = 5.0  # for what must happen; no order depends on it
 
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -21,7 +21,7 @@
 from ternlane.testing.platform import DONE
 from ternlane.testing.proxy import StallingProxy
 from tests.crossing import Client, answer_end, client_request
-from tests.platform_world import TOLD, Platform, platform, until_ready
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
 from tests.test_platform_bounds import running
 
 LONGEST_S, GRACE_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, cut to 3 s, and 0.7 s
@@ -92,10 +92,11 @@
             for (name, semantics), deadline in zip(kinds, deadlines, strict=False)
         ]
         profiles[2] |= {"key_ttl": window_ms, "group": "all"}
-        self.settings = TOLD | {
+        self.settings = PLATFORM_SETTINGS | {
             "profiles": profiles,
-            "limits": TOLD["limits"] | {"most_tries": rng.randint(2, 5), "connect_timeout": rng.choice([150.0, 400.0])},
-            "specifics": TOLD["specifics"]
+            "limits": PLATFORM_SETTINGS["limits"]
+            | {"most_tries": rng.randint(2, 5), "connect_timeout": rng.choice([150.0, 400.0])},
+            "specifics": PLATFORM_SETTINGS["specifics"]
             | {"release": rng.choice([300.0, 500.0, 800.0]), "token_aim": [rng.choice([5.0, 20.0, 100.0])] * 2},
         }
         self.users = rng.choice([6, 12, 20, 30])
@@ -402,14 +403,14 @@
 async def play_shutdown(seed: int, folder: Path) -> tuple[ShutdownPlay, list[str]]:
     """The records of this seed's play, and what broke a rule in it."""
     plan = Plan(random.Random(seed))
-    async with platform("r9", told=plan.settings) as p:
+    async with platform("r9", platform_settings=plan.settings) as p:
         p.discovery.put("r9", p.servers.pop("r9").address, "reader", "DELETED")
         proxies = {name: await p.add_behind_proxy(name) for name in (*PREFILL, *DECODE)}
         for name in DECODE:
             p.servers[name].events = plan.rng.choice([2, 10, 60])
             p.servers[name].event_ms = plan.rng.choice([1.0, 20.0, 50.0])
         async with running(p, folder, settings=plan.settings) as (process, log):
-            await until_ready(p)
+            await wait_until_ready(p)
             played = ShutdownPlay(p, plan, process)
             played.proxies = proxies
             for name, server in p.servers.items():
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -105,7 +105,7 @@
         lost = await bank.ask(w, "avola", "note", text="lost midway " * 40)
         again = await bank.ask(w, "avola", text="read again " * 40)
         assert again.done == 1 and lost.status in (200, 502)
-        await w.settled()
+        await w.wait_until_idle()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = bank.off(w)
         assert found.off <= 0.01 and not found.duplicates and not found.unsettled
@@ -164,7 +164,7 @@
         for engine in w.engines.values():
             engine.fault.usage_reporting = metering
         assert (await bank.ask(w, "noto", text="x" * 400)).done == 1
-        await w.settled()
+        await w.wait_until_idle()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = next(read_entries([tmp_path / "ledger"]))
         assert found.note and found.billed.answer == 6 and 80 <= found.billed.prompt <= 120
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -55,7 +55,7 @@
         said = await node(w, "test/against.mjs", scene)
         assert json.loads(said.splitlines()[-1]) == {"scene": scene, "passed": True}
         assert len(w.said("effect")) == effects
-        await w.settled()
+        await w.wait_until_idle()
 
 
 @needs_node
@@ -93,7 +93,7 @@
                 left.close()  # type: ignore[attr-defined]
 
         await trio.to_thread.run_sync(talk)
-        await w.settled()
+        await w.wait_until_idle()
         assert len(w.said("effect")) == 3 and w.said("leg_end")[-1]["how"] == "dropped"
         w.gateway.found([])
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -18,7 +18,7 @@
 from ternlane.platform.settings import Limits
 from ternlane.testing.platform import DONE, EVENT, Gate
 from tests.crossing import Client, LateBytes, Wrapped, arrived, client_request, pair, server_side, until
-from tests.platform_world import BODY, HEAD, TOLD, platform
+from tests.platform_gateway import BODY, HEAD, PLATFORM_SETTINGS, platform
 
 LIMITS = ServerLimits(2**18, head_ms=3000, body_ms=3000, idle_ms=50, send_ms=3000)
 PLAIN = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -69,7 +69,7 @@
             client.send(whole[part:])
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_an_idle_connection_does_make_room() -> None:
@@ -103,7 +103,7 @@
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_client_that_resets_the_connection_as_its_request_is_read_is_no_fault(nursery: trio.Nursery) -> None:
@@ -327,7 +327,7 @@
         client.leave(how)
         await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         gate.open()
-        await p.settled()
+        await p.wait_until_idle()
         assert p.fleet.count("write") == (0 if where == "read" else 1)
         await until(lambda: not p.gateway.chat_server.connections)
 
@@ -335,9 +335,9 @@
 async def test_many_clients_that_leave_while_they_wait_are_none_of_them_sent_on() -> None:
     """They wait for a place while every server is believed full; then they leave, and places come free."""
     patient = [
-        profile | {"aim": 5000.0, "deadline": 10e3} for profile in TOLD["profiles"]
+        profile | {"aim": 5000.0, "deadline": 10e3} for profile in PLATFORM_SETTINGS["profiles"]
     ]  # none is rejected meanwhile
-    async with platform("r0", "w0", told=TOLD | {"profiles": patient}) as p:
+    async with platform("r0", "w0", platform_settings=PLATFORM_SETTINGS | {"profiles": patient}) as p:
         gate = p.servers["r0"].gates["request"] = Gate()
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
@@ -358,12 +358,12 @@
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert p.fleet.count("read") == 1
         client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_bad_requests_in_half_are_ended_within_three_seconds() -> None:
     async with platform("r0", "w0") as p:
-        said = await p.raw(HEAD + b"Content-Length: 9\r\n\r\n{", within=3.0)
+        said = await p.send_raw(HEAD + b"Content-Length: 9\r\n\r\n{", within=3.0)
         assert said.startswith(b"HTTP/1.1 408 ")
 
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -27,7 +27,7 @@
 from ternlane.policy.messages import EndpointStatus
 from ternlane.testing.platform import Discovery, Gate
 from tests.crossing import Client, client_request, until
-from tests.platform_world import TOLD, Platform, platform, until_ready
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
 from tests.test_platform_bounds import reload
 
 
@@ -42,7 +42,12 @@
     """Another process of the same gateway, that knows the servers by an older list; not started yet."""
     host, _, number = p.discovery.address.partition(":")
     post = GatewayConfiguration(
-        "n1", ("127.0.0.1", 0), (host, int(number)), Limits(), parse_endpoint_list(known), Deployment(1, TOLD)
+        "n1",
+        ("127.0.0.1", 0),
+        (host, int(number)),
+        Limits(),
+        parse_endpoint_list(known),
+        Deployment(1, PLATFORM_SETTINGS),
     )
     return gateway_module.Gateway(post, p.nursery, p.log)
 
@@ -260,16 +265,16 @@
         )
         assert first[:2] == (150.0, 0.9 * 2000.0)
         assert (await p.ask()).status == 200
-        limits = TOLD["limits"] | {"conn_idle": 800.0, "connect_timeout": 90.0}
+        limits = PLATFORM_SETTINGS["limits"] | {"conn_idle": 800.0, "connect_timeout": 90.0}
         small = {"sockets": 200, "memory_mb": 64}
-        reload(p, tmp_path, monkeypatch, TOLD | {"limits": limits}, limits=small)
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"limits": limits}, limits=small)
         assert (pool.connect_ms, pool.idle_ms, pool.limit) == (90.0, 720.0, 90)
         assert (chat_server.connection_limit, chat_server.request_limit, chat_server.body_bytes_limit) == (
             90,
             80,
             int(64 * 2**20 * 0.2),
         )
-        reload(p, tmp_path, monkeypatch, TOLD)
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS)
         assert (
             pool.connect_ms,
             pool.idle_ms,
@@ -299,11 +304,11 @@
 ) -> None:
     """Memory of a kind of server, tenants, columns of reports: a reload that changed only these changed nothing."""
     async with platform("r0", "w0") as p:
-        kinds = TOLD["specifics"] | {"tokens_by_kind": [1000, 3000]}
-        reload(p, tmp_path, monkeypatch, TOLD | {"specifics": kinds, "tenants": [{"name": "a"}]})
+        kinds = PLATFORM_SETTINGS["specifics"] | {"tokens_by_kind": [1000, 3000]}
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"specifics": kinds, "tenants": [{"name": "a"}]})
         servers, first = p.gateway.runtime.endpoint_registry.servers, p.gateway.runtime.deployment.tenants["a"]
         assert servers["r0"].kv_capacity_tokens == 1000 and servers["w0"].kv_capacity_tokens == 3000
-        reload(p, tmp_path, monkeypatch, TOLD | {"tenants": [{"name": "a"}, {"name": "b"}]})
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"tenants": [{"name": "a"}, {"name": "b"}]})
         assert p.gateway.runtime.deployment.tenants["a"] is first  # still the same customer
         assert servers["r0"].kv_capacity_tokens == 200000 and len(p.gateway.runtime.deployment.tenants) == 2
 
@@ -317,8 +322,8 @@
             assert (await p.ask()).status == 200
         old = runtime.deployment.request_classes["summary"]
         assert old in scheduler.rules.latency.mean_prompt_tokens
-        other = [profile | {"aim": 700.0} for profile in TOLD["profiles"]]
-        reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
+        other = [profile | {"aim": 700.0} for profile in PLATFORM_SETTINGS["profiles"]]
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"profiles": other})
         new = runtime.deployment.request_classes["summary"]
         tables = (
             scheduler.rules.latency.mean_prompt_tokens,
@@ -327,12 +332,12 @@
         )
         assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
         assert scheduler.rules.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # as if nothing had been met yet
-        reload(p, tmp_path, monkeypatch, TOLD)  # and back: its terms are new ones again
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS)  # and back: its terms are new ones again
         assert (
             scheduler.rules.latency.usual_ms(runtime.deployment.request_classes["summary"], Stage.PREFILL) == 500.0 / 8
         )
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_request_that_is_open_during_a_reload_ends_under_the_terms_it_came_with(
@@ -343,14 +348,14 @@
         client = Client(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
-        other = [profile | {"name": profile["name"] + "-2"} for profile in TOLD["profiles"]]
-        reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
+        other = [profile | {"name": profile["name"] + "-2"} for profile in PLATFORM_SETTINGS["profiles"]]
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"profiles": other})
         assert (await p.ask()).status == 400  # the class is not served any more
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert (await p.ask(Request_Class="summary-2")).status == 200
         client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- the start
@@ -408,7 +413,7 @@
                     "discovery": p.discovery.address,
                     "seed": "ff",
                     "known": p.discovery.listing(),
-                    "settings": TOLD,
+                    "settings": PLATFORM_SETTINGS,
                 }
             )
         )
@@ -418,7 +423,7 @@
                 [sys.executable, "-m", "ternlane.platform"], env=env, stderr=subprocess.DEVNULL
             )
             try:
-                await until_ready(p)
+                await wait_until_ready(p)
                 used_s = processor_s(process_.pid)
                 client = Client(p.address)
                 client.send(client_request(p)[:40])
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -24,12 +24,12 @@
 from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
 from tests.crossing import Client, Wrapped, arrived, client_request, pair, until
-from tests.platform_world import TOLD, Platform, always, once, platform
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
 from tests.world import TERMS, Reply, world
 
 
-def told(**limits: Any) -> dict[str, Any]:
-    return TOLD | {"limits": TOLD["limits"] | limits}
+def platform_settings(**limits: Any) -> dict[str, Any]:
+    return PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | limits}
 
 
 async def asked(p: Platform, into: list[Reply], **headers: str) -> None:
@@ -65,7 +65,7 @@
     name: str, other: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The attempt was decided before; it is judged where it begins."""
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0)) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
         held = HeldConnects(monkeypatch, p.servers[name].address)
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
@@ -79,12 +79,14 @@
         assert replies[0].status == 200
         assert [n for n, k, _ in p.fleet.seen if n in (name, other)] == [other]
         assert not p.gateway.runtime.router.scheduler.rules.endpoints[servers[name].router_state].ejected  # type: ignore[attr-defined]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_server_that_begins_to_drain_while_an_attempt_waits_for_a_release_is_sent_nothing() -> None:
     """An attempt waits for an earlier one's release, and its server begins to drain meanwhile. It is sent nothing."""
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0), w0=once("gone_410")) as p:
+    async with platform(
+        "r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0), w0=fault_once("gone_410")
+    ) as p:
         gates = [server.gates for server in p.servers.values()]
         gate = Gate()
         for each in gates:
@@ -100,7 +102,7 @@
         gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "read"] == ["r0", "r1"]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name, other", [("r0", "r1"), ("w0", "w1")])
@@ -125,7 +127,7 @@
         assert replies[0].status == 200 and replies[0].done == 1
         asked_of = {line["id"] for line in w.said("leg")}
         assert name not in asked_of and other in asked_of
-        await w.settled()
+        await w.wait_until_idle()
 
 
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
@@ -146,7 +148,9 @@
 
 
 async def test_the_time_told_is_what_is_left_also_after_a_wait_for_a_release() -> None:
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0), w0=once("gone_410")) as p:
+    async with platform(
+        "r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0), w0=fault_once("gone_410")
+    ) as p:
         gate = Gate()
         for server in p.servers.values():
             server.gates["lease"] = gate
@@ -223,13 +227,13 @@
         monkeypatch.setattr(ClientConnection, "_receive", at_the_limit)
         reply = await p.ask()
         assert reply.status == 200 and reply.done == 1 and held.opened.is_set()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- windows of repeats
 
-KEYED = TOLD | {
-    "limits": TOLD["limits"] | {"connect_timeout": 1500.0},
+KEYED = PLATFORM_SETTINGS | {
+    "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 1500.0},
     "profiles": [
         {
             "aim": 500.0,
@@ -248,7 +252,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its servers have forgotten the first attempt by then, and would let the second one take effect."""
-    async with platform("r0", "w0", told=KEYED, w0=once("opening_cut")) as p:
+    async with platform("r0", "w0", platform_settings=KEYED, w0=fault_once("opening_cut")) as p:
         replies: list[Reply] = []
         gate = p.servers["w0"].gates["request"] = Gate()
         p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="4"))
@@ -262,7 +266,7 @@
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 502 and p.fleet.count("write") == 1 and second.name == "w1"
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def keyed(window_ms: float, group: Group = Group.ALL) -> FakeHost:
@@ -301,7 +305,7 @@
     """A server answers a request twice, the second time some milliseconds late. The second is not taken for the next
     request's answer."""
     monkeypatch.setattr(client_module, "REST_MS", 60e3)  # so that a slow machine is still within it
-    async with platform("r0", "w0", w0=once("second_answer")) as p:
+    async with platform("r0", "w0", w0=fault_once("second_answer")) as p:
         gate = p.servers["w0"].gates["second"] = Gate()
         assert (await p.ask()).status == 200
         await gate.reached.wait()
@@ -313,7 +317,7 @@
         await until(lambda: replies)
         assert replies[0].status == 200
         assert replies[0].body.endswith(b": Server-Load: inflight=2,x0=0.2\n\n")  # its own answer, not that one
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def test_a_connection_rests_for_longer_than_a_late_answer_takes() -> None:
@@ -327,9 +331,12 @@
     """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
     monkeypatch.setattr(client_module, "REST_MS", 0.0)
     # So that no time-out plays a part, nor the release time: finding the server's side holds the loop up for long.
-    profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in TOLD["profiles"]]
-    told = TOLD | {"profiles": profiles, "specifics": TOLD["specifics"] | {"release": 10e3}}
-    async with platform("r0", "w0", "w1", told=told) as p:
+    profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]]
+    platform_settings = PLATFORM_SETTINGS | {
+        "profiles": profiles,
+        "specifics": PLATFORM_SETTINGS["specifics"] | {"release": 10e3},
+    }
+    async with platform("r0", "w0", "w1", platform_settings=platform_settings) as p:
         for _ in range(4):
             assert (await p.ask(Request_Timeout="15")).status == 200
         dead, closing = ClientConnection.dead.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
@@ -347,7 +354,7 @@
         reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
         assert p.fleet.count("write") - before == (1 if request_class == "summary" else 0)
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def _reset_by_peer(p: Platform, caller: ClientConnection) -> None:
@@ -368,7 +375,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Also where attempts may not be called off: this one has not begun."""
-    async with platform("r0", "w0", told=told(cancel=False)) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(cancel=False)) as p:
         gate, send = Gate(), connection_module.send
 
         async def half(stream: trio.SocketStream, data: bytes) -> None:
@@ -384,7 +391,7 @@
         client.leave("close")
         await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         gate.open()
-        await p.settled()
+        await p.wait_until_idle()
         assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
 
 
@@ -393,7 +400,7 @@
 
 async def test_a_release_that_is_overtaken_by_a_new_read_costs_a_read_and_nothing_else() -> None:
     """A DELETE that a server held up takes the state of the read that came after it."""
-    async with platform("r0", "w0", told=told(most_tries=8), w0=once("gone_410")) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(most_tries=8), w0=fault_once("gone_410")) as p:
         lease, write = Gate(), Gate()
         for server in p.servers.values():
             server.gates["lease"] = lease
@@ -407,21 +414,21 @@
         write.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1 and p.fleet.count("read") == 3
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("way", ["full_503", "gone_410", "status_500", "opening_cut"])
 async def test_a_state_whose_writer_fails_it_in_any_way_is_not_left_behind(way: str) -> None:
     """A decode server fails in any way with a state at hand. The state is taken by another one, or released."""
-    async with platform("r0", "w0", w0=always(way)) as p:
+    async with platform("r0", "w0", w0=fault_always(way)) as p:
         assert (await p.ask(Request_Class="note")).status in (502, 503)
-        await p.settled()
+        await p.wait_until_idle()
         assert not p.fleet.states and not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
 async def test_a_writer_that_dies_as_the_state_is_at_hand_leaves_it_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """A decode server dies as its prefill ends. Another one takes the state."""
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0)) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
         held = HeldConnects(monkeypatch, p.servers["w0"].address)
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
@@ -433,7 +440,7 @@
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- the shutdown
@@ -441,8 +448,8 @@
 
 async def test_a_shutdown_waits_for_a_release_that_is_under_way() -> None:
     """A gateway shuts down while a release is in flight. It waits for it."""
-    slow = TOLD | {"specifics": TOLD["specifics"] | {"release": 5000.0}}
-    async with platform("r0", "w0", told=slow, w0=always("status_500")) as p:
+    slow = PLATFORM_SETTINGS | {"specifics": PLATFORM_SETTINGS["specifics"] | {"release": 5000.0}}
+    async with platform("r0", "w0", platform_settings=slow, w0=fault_always("status_500")) as p:
         gate = Gate()
         for server in p.servers.values():
             server.gates["lease"] = gate
@@ -482,12 +489,12 @@
         out = await client.rest()
         assert out.startswith(b"HTTP/1.1 200 ") and DONE in out and out.endswith(b"0\r\n\r\n")
         assert not client.reset
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_shutdown_while_all_servers_hang_answers_everything_and_ends() -> None:
     """All model servers hang as a gateway shuts down. Each client has its answer, and the process ends in time."""
-    async with platform("r0", "w0", r0=always("silent")) as p:
+    async with platform("r0", "w0", r0=fault_always("silent")) as p:
         clients = [Client(p.address) for _ in range(12)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="1.0"))
@@ -497,7 +504,7 @@
         for client in clients:
             assert (await client.rest()).startswith(b"HTTP/1.1 503 ") and not client.reset
             client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- errors are what they were
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -168,7 +168,7 @@
         plain, text, models, code = await trio.to_thread.run_sync(talk)
         assert plain == text and len(text.split()) == 12
         assert models == ["summary", "note", "form"] and code == "model_not_found"
-        await w.settled()
+        await w.wait_until_idle()
 
         def rejected_once() -> str:
             with openai.OpenAI(api_key="none", base_url=base, max_retries=2) as client:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -16,7 +16,7 @@
 from ternlane.policy import messages
 from ternlane.testing.platform import Gate
 from tests.crossing import Client, client_request, until
-from tests.platform_world import Platform, platform
+from tests.platform_gateway import Platform, platform
 from tests.world import REQUEST_CLASSES, TERMS, world
 
 
@@ -62,7 +62,7 @@
                 nursery.start_soon(client, "1.5")
         assert failed and sorted(statuses) == [200, 502]
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_request_that_the_decisions_forget_is_failed_in_its_time() -> None:
@@ -92,7 +92,7 @@
             said = await client.rest()
         assert said.startswith(b"HTTP/1.1 500 ") and not client.reset
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_stream_that_has_begun_outlasts_its_request_s_time() -> None:
@@ -131,7 +131,7 @@
             and runtime.reporter.counts["overdue"] == 1
         )
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_the_regular_looks_go_on_after_one_that_failed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -192,7 +192,7 @@
         assert reply.status == 502
         w.gateway.runtime.router = chooser
         assert (await w.ask()).done == 1
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_the_chat_gateway_too_answers_before_the_close_where_its_handler_fails(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -34,7 +34,7 @@
         assert len(reply.text.split()) == 6
         assert json.loads(reply.events[-2])["usage"]["completion_tokens"] == 6
         assert [v["stage"] for v in w.said("leg")] == ["read", "write"]
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_plain_answer_has_the_same_text_as_a_streamed_one() -> None:
@@ -87,7 +87,7 @@
     """A client closes its connection while its answer streams. Nobody reads the rest: the attempt is cancelled."""
     async with world(build=SLOW) as w:
         await leave(w, 250)
-        await w.settled()
+        await w.wait_until_idle()
         assert [v["how"] for v in w.said("leg_end")] == ["read", "dropped"]
 
 
@@ -97,7 +97,7 @@
     async with world(build=replace(BUILD, prefill_tokens_per_s=2000.0)) as w:
         await leave(w, 100, text="x" * 1600)  # 200 ms to read
         await trio.sleep(0.15)
-        await w.settled()
+        await w.wait_until_idle()
         assert len(w.said("leg")) == 1
 
 
@@ -111,7 +111,7 @@
             await leave(w, 80, text="z" * 8000, headers={"X-Request-Id": "gone"})
             await until(lambda: "gone" not in w.gateway.runtime.idents, 1)
             assert w.said("leg", gen="gone") == []
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_client_that_sends_a_second_request_early_is_answered_once_and_rejected_once() -> None:
@@ -197,7 +197,7 @@
         assert reply.status == 200 and reply.done == 0 and reply.error is not None and not reply.broke
         assert len(w.said("leg", stage="write")) == 1
         w.engines["w0"].fault.hung = False
-        await w.settled()
+        await w.wait_until_idle()
 
 
 @pytest.mark.parametrize("model, served", [("summary", True), ("note", False), ("form", True)])
@@ -215,7 +215,7 @@
         assert (reply.done == 1) is served
         if not served:
             assert reply.status in (502, 504) and len(w.said("effect")) == 1
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_deduplicated_request_does_not_leave_its_cell() -> None:
@@ -258,7 +258,7 @@
         assert len(w.said("effect")) == 1 if model == "note" else len(w.said("effect")) >= 1
         if model == "note":
             assert reply.status == 504  # a throttle would promise that nothing ran
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_prefill_server_that_dies_with_the_state_is_replaced() -> None:
@@ -432,7 +432,7 @@
 async def test_a_restarted_gateway_serves_by_its_last_list(tmp_path: Path) -> None:
     kept, nobody = str(tmp_path / "nodes"), ConsulSource(address="127.0.0.1:9", service="engines", retry_ms=50)
     async with world(state=kept) as w:
-        await w.settled()
+        await w.wait_until_idle()
         await until(lambda: os.path.exists(kept), 2)
         from ternlane.gateway import open_gateway
 
@@ -524,7 +524,7 @@
             await trio.sleep(0.05)
             await w.gateway.drain()
         assert got[0].status == 502
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_files_tasks_and_sockets_are_back_where_they_were() -> None:
@@ -578,7 +578,7 @@
         prefills = [line["id"] for line in w.said("leg", stage="read", gen=request)]
         assert len(prefills) == 2 and prefills[0] == prefill_server.ident != prefills[1]
         assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=request)) == 1
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_state_that_a_prefill_left_late_is_released_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -594,5 +594,5 @@
             w.engines[ident].fault.lost_answer_share = 1.0
         reply = await w.ask()
         assert reply.status == 429 and w.said("state")
-        await w.settled()
+        await w.wait_until_idle()
         assert set(heard) == {line["id"] for line in w.said("state")} and set(Counter(heard).values()) == {2}
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -19,11 +19,11 @@
 
 from ternlane.policy.messages import EndpointStatus
 from tests.crossing import Client, Turnstile, client_request, until
-from tests.platform_world import TOLD, Platform, platform
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform
 
-PATIENT = TOLD | {
-    "limits": TOLD["limits"] | {"connect_timeout": 2000.0},
-    "profiles": [one | {"aim": 5000.0, "deadline": 20e3} for one in TOLD["profiles"]],
+PATIENT = PLATFORM_SETTINGS | {
+    "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 2000.0},
+    "profiles": [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]],
 }  # so that no time-out plays a part: the steps decide
 SERVERS = ("r0", "r1", "w0", "w1")
 WAYS = ["", "", "", "full_503", "gone_410", "opening_cut", "status_500", "later_cut", "noise", "second_answer"]
@@ -147,7 +147,7 @@
         for one in self.asked:
             if not one.left:
                 one.answer = await one.client.answer()
-        await self.p.settled()  # nothing is open, nothing held
+        await self.p.wait_until_idle()  # nothing is open, nothing held
         ran = Counter(self.p.fleet.ran)
         for one in self.asked:
             if one.left:
@@ -164,7 +164,7 @@
 async def play(steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]) -> None:
     """Plays the steps; `reads` and `writes` are the ways in which the first attempts of each kind go."""
     ways = {"read": list(prefills), "write": list(decodes)}
-    async with platform(*SERVERS, told=PATIENT) as p:
+    async with platform(*SERVERS, platform_settings=PATIENT) as p:
         for server in p.servers.values():
             server.gates["request"] = cast(Any, Turnstile())
             server.script = lambda _, left=ways[server.role]: left.pop() if left else ""  # type: ignore[misc]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -109,7 +109,7 @@
         assert tally.outcomes["streamed"] == len(lines) > 20 and set(tally.outcomes) == {"streamed"}
         assert tally.tokens == 6 * len(lines) and len(w.said("effect")) >= len(lines)
         assert tally.first_token_ms.count and 0 < tally.first_token_ms.quantile(0.5) < tally.complete_ms.quantile(0.9)
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_stall_is_seen_by_all_that_were_due_in_it() -> None:
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -7,7 +7,7 @@
 
 from ternlane.policy.messages import EndpointStatus
 from ternlane.testing.platform import Discovery
-from tests.platform_world import platform
+from tests.platform_gateway import platform
 
 
 async def test_changes_whole_lists_and_garbage() -> None:
--- a/tests/test_fleet_trial.py
+++ b/tests/test_platform_faults.py
@@ -22,7 +22,7 @@
 from ternlane.platform.settings import Limits
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Role
 from ternlane.testing.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
-from tests.platform_world import BODY, TOLD, Platform, platform
+from tests.platform_gateway import BODY, PLATFORM_SETTINGS, Platform, platform
 
 # -- lists in time
 
@@ -147,7 +147,7 @@
 def test_a_list_that_comes_late_undoes_nothing_and_a_count_that_begins_anew_is_followed() -> None:
     """An agent that is behind gives an older list, which is ignored. Where that goes on, discovery has begun to
     count anew, and the whole list is asked for."""
-    endpoint_registry = EndpointRegistry(Deployment(1, TOLD))
+    endpoint_registry = EndpointRegistry(Deployment(1, PLATFORM_SETTINGS))
     endpoint_registry.take(parse_endpoint_list(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
     endpoint_registry.take(parse_endpoint_list(listing(43, False, w0="DRAINING")), 0.0, 10.0)
     old = parse_endpoint_list(listing(42, True, w0="SERVING", w2="SERVING"))
@@ -215,7 +215,7 @@
             while not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.002)
         read.open()  # only now the prompt is read
-        await p.settled()
+        await p.wait_until_idle()
         await trio.sleep(0.2)
         assert p.fleet.count("read") == 1 and p.fleet.count("write") == 0
         assert p.gateway.runtime.reporter.counts["client_gone"] == 1
@@ -244,7 +244,7 @@
             p.gateway.runtime.endpoint_registry.servers["r0"].router_state
         ].ejected  # it did nothing wrong
         assert (await p.ask()).status == 200 and opened.count(p.servers["r0"].address) == 1
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_client_that_is_gone_before_it_is_read_is_not_sent_on() -> None:
@@ -257,7 +257,7 @@
                 await trio.sleep(0.01)
         await trio.sleep(0.1)
         assert p.fleet.count("read") == 0
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_an_answer_given_during_a_drain_is_not_reset_by_what_its_client_sent_meanwhile() -> None:
@@ -289,7 +289,7 @@
 ) -> None:
     """Sixteen of twenty servers answer nothing, and they answered last. The state is released within the release
     time."""
-    fleet, deployment = Fleet(nursery), Deployment(1, TOLD)
+    fleet, deployment = Fleet(nursery), Deployment(1, PLATFORM_SETTINGS)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), deployment)
     servers = [ModelServer(f"w{n}", "write", fleet) for n in range(20)]
     for server in reversed(servers):
@@ -307,7 +307,7 @@
 async def test_a_server_that_could_not_be_reached_is_asked_last_to_release(nursery: trio.Nursery) -> None:
     """A server that had answered can no longer be reached. It is asked last."""
     fleet = Fleet(nursery)
-    client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, TOLD))
+    client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, PLATFORM_SETTINGS))
     well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
     for server in (well, away):
         await server.start()
@@ -359,7 +359,7 @@
 
     end = AttemptResult()
     with attempt.scope:
-        await ModelServerClient(ConnectionPool(1.0, 1.0), Deployment(1, TOLD)).forward_stream(
+        await ModelServerClient(ConnectionPool(1.0, 1.0), Deployment(1, PLATFORM_SETTINGS)).forward_stream(
             attempt, Stub(), response_writer, end
         )  # type: ignore[arg-type]
     assert (end.begun, len(response_writer.got)) == ((False, 0) if struck else (True, 2))
@@ -371,10 +371,13 @@
 async def test_a_conversation_cut_at_any_byte_is_the_same_as_whole() -> None:
     """The request is cut at each of its bytes in turn, its answer at a dozen places of its own. None is rejected for
     waiting longer than its class's target, which a slow machine takes for 24 at once."""
-    patient = [profile | {"aim": 10e3, "deadline": 20e3} for profile in TOLD["profiles"]]
+    patient = [profile | {"aim": 10e3, "deadline": 20e3} for profile in PLATFORM_SETTINGS["profiles"]]
     # No read is called off where others overtake it.
-    told = TOLD | {"limits": TOLD["limits"] | {"most_tries": 2}, "profiles": patient}
-    async with platform("r0", "w0", told=told, w0=lambda _: "pieces") as p:
+    platform_settings = PLATFORM_SETTINGS | {
+        "limits": PLATFORM_SETTINGS["limits"] | {"most_tries": 2},
+        "profiles": patient,
+    }
+    async with platform("r0", "w0", platform_settings=platform_settings, w0=lambda _: "pieces") as p:
         replies: list[bytes] = []
         room = trio.CapacityLimiter(24)
 
@@ -405,7 +408,7 @@
         assert len(replies) > 300 and all(r.startswith(b"HTTP/1.1 200 ") for r in replies)
         bodies = {unchunked(reply) for reply in replies}
         assert bodies == {EVENT * 2 + USAGE + DONE}
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def unchunked(reply: bytes) -> bytes:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -83,7 +83,7 @@
         assert len(ids) == 1 and usage_of(reply) == usage_of(whole)
         decode_servers = attempts_at(w)
         assert len(decode_servers) == 2 and decode_servers[0] != decode_servers[1]
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_whole_answer_is_joined_too_and_its_client_sees_nothing_of_it() -> None:
@@ -104,12 +104,12 @@
         reply = await w.ask(stream_options={"include_usage": True})
         assert reply.text == whole.text and reply.done == 1  # 2 + 2 + 2 pieces, and then only its end
         assert usage_of(reply)["completion_tokens"] == 6 and len(set(attempts_at(w))) >= 3
-        await w.settled()
+        await w.wait_until_idle()
     async with world(("r0", "w0", "w0b"), terms=terms()) as w:
         break_all(w, 1)
         reply = await w.ask()
         assert reply.done == 0 and reply.error is not None and whole.text.startswith(reply.text) and reply.text
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_the_prefill_server_of_a_resume_dies_and_another_prefills() -> None:
@@ -142,7 +142,7 @@
         else:
             assert reply.text == whole.text and reply.done == 1
             assert len({v["key"] for v in w.said("effect")}) == 1 and len({i[1] for i in attempts_at(w)}) == 1
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_replay_that_answers_otherwise_is_not_joined() -> None:
@@ -152,7 +152,7 @@
         reply = await w.ask("form")
         assert reply.done == 0 and "another answer" in reply.error["message"]  # type: ignore[index]
         assert len(reply.text.split()) == 3
-        await w.settled()
+        await w.wait_until_idle()
 
 
 JSON = {"type": "json_object"}
@@ -176,7 +176,7 @@
         reply = await w.ask(stream_options={"include_usage": True}, **more)
         assert reply.done == joined and (reply.text == whole.text) == joined and len(attempts_at(w)) == 1 + joined
         assert not joined or usage_of(reply) == usage_of(whole)
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_prefill_servers_that_cannot_continue_a_text_are_found_out() -> None:
@@ -187,7 +187,7 @@
             w.engines[ident].fault.script = "deaf"
         reply = await w.ask()
         assert reply.done == 0 and whole.text.startswith(reply.text) and len(reply.text.split()) == 4
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_client_that_leaves_during_a_resume_leaves_nothing() -> None:
@@ -204,7 +204,7 @@
 
                 nursery.start_soon(leave)
                 await w.ask()
-        await w.settled()
+        await w.wait_until_idle()
         assert len(attempts_at(w)) == 1
 
 
@@ -222,7 +222,7 @@
         reply = await w.ask(headers={"X-Ternlane-Time-Limit-Ms": "600"})
         assert reply.done == 0 and reply.error is not None and trio.current_time() - since < 0.65
         w.engines["r0"].fault.hung = False
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_gateway_that_drains_lets_resumes_end() -> None:
@@ -246,7 +246,7 @@
         break_all(w, 4)
         reply = await w.ask()
         assert reply.done == 0 and "outgrew" in reply.error["message"]  # type: ignore[index]
-        await w.settled()
+        await w.wait_until_idle()
         assert (
             w.gateway.runtime.stream_recovery.replay_buffer.used_bytes == 0
             and w.gateway.runtime.stream_recovery.replay_buffer.dropped == 1
@@ -284,7 +284,7 @@
                 w.engines[ident].die()
         assert len(replies) == 12 and all(r.done == 1 and len(r.text.split()) == 20 for r in replies)
         assert len(w.said("effect")) > 12  # some were broken, and went on elsewhere
-        await w.settled()
+        await w.wait_until_idle()
 
 
 # -- without sockets
@@ -560,7 +560,7 @@
         reply = await w.ask(tools=TOOLS, temperature=0)
         assert reply.done == 0 and "more than text" in reply.error["message"]  # type: ignore[index]
         assert len(attempts_at(w)) == 1
-        await w.settled()
+        await w.wait_until_idle()
 
 
 # -- Last-Event-ID
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from ternlane.policy.messages import AttemptOutcome, RouterConfig
 from ternlane.policy.router import Router
 from tests.conftest import FakeHost, build, sent
-from tests.platform_world import TOLD
+from tests.platform_gateway import PLATFORM_SETTINGS
 
 # Where each figure of the start facts stands in the settings.
 PLACES = {
@@ -36,7 +36,7 @@
 
 def settings(name: str, value: Any) -> dict[str, Any]:
     """The usual settings with another value for one figure, or without it."""
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     *way, last = PLACES[name]
     inner = told
     for step in way:
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("key", ["key_ttl", "aim", "deadline", "worth", "late_worth"])
 @pytest.mark.parametrize("value", ["many", [], -1.0, float("nan"), float("inf"), True])
 def test_a_figure_of_a_class_that_is_no_number_is_named_with_its_class(key: str, value: Any) -> None:
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     told["profiles"][1][key] = value
     with pytest.raises(ValueError, match=rf"settings: .*of class 'note' \({key}\)"):
         Deployment(1, told)
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("key", ["aim", "deadline"])
 def test_a_class_without_its_times_is_named(key: str) -> None:
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     del told["profiles"][0][key]
     with pytest.raises(ValueError, match=rf"settings: .*of class 'summary' \({key}\)"):
         Deployment(1, told)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("key, values", [("token_aim", [60.0, -1.0]), ("aim_us_per_1000_prompt_tokens", [0.0, "x"])])
 def test_a_figure_in_a_list_of_all_classes_is_checked(key: str, values: list[Any]) -> None:
-    told = deepcopy(TOLD)
+    told = deepcopy(PLATFORM_SETTINGS)
     told["specifics"][key] = values
     with pytest.raises(ValueError, match="settings: "):
         Deployment(1, told)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,14 +19,15 @@
 
 from ternlane.testing.platform import DONE, EVENT, Gate
 from tests.crossing import Client, client_request, until
-from tests.platform_world import TOLD, Platform, always, platform, until_ready
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, platform, wait_until_ready
 from tests.test_platform_bounds import running
 
 LONGEST_S, AFTER_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s
 LATE_S = 0.9  # a request that comes so late has to be answered, however long its client would wait
-SETTINGS = TOLD | {
-    "profiles": [profile | {"aim": 2000.0, "deadline": 12e3} for profile in TOLD["profiles"]],
-    "specifics": TOLD["specifics"] | {"token_aim": [10.0, 10.0]},  # so that a usual stream fits into the time left
+SETTINGS = PLATFORM_SETTINGS | {
+    "profiles": [profile | {"aim": 2000.0, "deadline": 12e3} for profile in PLATFORM_SETTINGS["profiles"]],
+    "specifics": PLATFORM_SETTINGS["specifics"]
+    | {"token_aim": [10.0, 10.0]},  # so that a usual stream fits into the time left
 }
 CROWD = 24  # clients at once
 CLASSES = ("summary", "note")  # one that may be repeated, one that may run only once
@@ -63,7 +64,7 @@
 @asynccontextmanager
 async def serving(p: Platform, folder: Path, **more: Any) -> AsyncIterator[Stopping]:
     async with running(p, folder, **({"settings": SETTINGS} | more)) as (process, log):
-        await until_ready(p)
+        await wait_until_ready(p)
         yield Stopping(p, process, log)
 
 
@@ -84,7 +85,7 @@
 
 
 async def test_a_shutdown_tells_of_every_request_that_it_ends_and_of_what_it_can_not_finish(tmp_path: Path) -> None:
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         long_streams(p)
         streaming, refused = Client(p.address), Client(p.address)
         streaming.send(client_request(p))
@@ -129,8 +130,8 @@
 
 
 WAYS: dict[str, tuple[dict[str, Callable[[str], str]], Callable[[Platform], None]]] = {
-    "a silent decode server": ({"w0": always("silent")}, lambda p: None),
-    "a silent prefill server": ({"r0": always("silent")}, lambda p: None),
+    "a silent decode server": ({"w0": fault_always("silent")}, lambda p: None),
+    "a silent prefill server": ({"r0": fault_always("silent")}, lambda p: None),
     "a stream that is longer than usual": ({}, long_streams),
 }
 
@@ -138,7 +139,7 @@
 async def lost_late_requests(way: str, folder: Path, lost: list[str]) -> None:
     """Sends a request of each class late in a shutdown, and adds those without a whole answer at the kill."""
     scripts, prepare = WAYS[way]
-    async with platform("r0", "w0", told=SETTINGS, **scripts) as p, serving(p, folder) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS, **scripts) as p, serving(p, folder) as gateway:
         prepare(p)
         clients = {name: late_client(p, name) for name in CLASSES}
         await trio.sleep(0.1)  # their halves are read before the signal
@@ -165,7 +166,10 @@
 
 async def test_requests_that_a_shutdown_finds_open_are_answered_before_the_kill(tmp_path: Path) -> None:
     """Their clients would wait for longer. What may run only once may have run, so it may not be called rejected."""
-    async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p, serving(p, tmp_path) as gateway:
+    async with (
+        platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
+        serving(p, tmp_path) as gateway,
+    ):
         clients = {name: Client(p.address) for name in CLASSES}
         for name, client in clients.items():
             client.send(client_request(p, Request_Class=name, Request_Timeout="9"))
@@ -181,7 +185,7 @@
 
 async def test_a_stream_of_before_goes_on_up_to_the_kill(tmp_path: Path) -> None:
     """Nothing is gained by cutting it sooner: the kill may come later than at its earliest."""
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         p.servers["w0"].events, p.servers["w0"].event_ms = 110, 30.0
         client = Client(p.address)
         client.send(client_request(p))
@@ -194,7 +198,7 @@
 async def test_half_a_request_is_answered_before_the_kill(tmp_path: Path) -> None:
     """A slow client has time for its head and again for its body, together more than a gateway that ends. It stops
     within its request, or its last byte comes just before the kill."""
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         clients = [Client(p.address) for _ in CLASSES]
         for client in clients:
             client.send(client_request(p))
@@ -218,7 +222,7 @@
 
 async def test_a_gateway_that_is_told_to_end_while_it_starts_answers_in_time(tmp_path: Path) -> None:
     """It waits for its agent's first list; its time has run since the signal all the same."""
-    async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p:
+    async with platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p:
         p.discovery.silent = True
         async with running(p, tmp_path, settings=SETTINGS) as (process, log):
             gateway = Stopping(p, process, log)
@@ -239,7 +243,10 @@
 
 async def test_a_gateway_that_stands_still_around_its_signal_and_its_end_answers_in_time(tmp_path: Path) -> None:
     """The signal is seen 0.15 s late, and requests come around the time after which they have to be answered."""
-    async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p, serving(p, tmp_path) as gateway:
+    async with (
+        platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
+        serving(p, tmp_path) as gateway,
+    ):
         clients = [late_client(p, name) for name in CLASSES * 4]
         await trio.sleep(0.1)
         gateway.process.send_signal(signal.SIGSTOP)
@@ -262,7 +269,7 @@
     tmp_path: Path,
 ) -> None:
     """The answer's head was written before the signal and could not say that the connection ends."""
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         gate = p.servers["w0"].gates["end"] = Gate()
         replies: dict[str, bytes] = {}
 
@@ -280,7 +287,7 @@
             for nth in range(CROWD):
                 nursery.start_soon(ask_again)
                 await until(lambda nth=nth: p.fleet.open["w0"] == nth + 1)
-            p.servers["w0"].script = always("silent")
+            p.servers["w0"].script = fault_always("silent")
             gateway.tell()
             await gateway.until(LATE_S)
             gate.open()  # all streams end at once, and a loop with much to do reads on before it closes
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -14,7 +14,7 @@
 from ternlane.testing.platform import Gate
 from tests.conftest import FakeHost, build, kinds, sent
 from tests.crossing import Client, client_request, until
-from tests.platform_world import TOLD, always, platform
+from tests.platform_gateway import PLATFORM_SETTINGS, fault_always, platform
 from tests.test_final_answers import make_faulty
 
 TIMES = ShutdownTimes(admits_ms=500.0, answers_ms=3000.0, ends_ms=3700.0)
@@ -133,7 +133,7 @@
 
 async def test_a_gateway_whose_decisions_forget_a_request_answers_it_before_it_may_be_killed() -> None:
     """The decisions fail in the shutdown; the request's own time would outlast the process."""
-    async with platform("r0", "w0", w0=always("silent")) as p:
+    async with platform("r0", "w0", w0=fault_always("silent")) as p:
         client = Client(p.address)
         client.send(client_request(p, Request_Class="note", Request_Timeout="1.5"))
         await until(lambda: p.fleet.count("write"))
@@ -151,8 +151,8 @@
 
 async def test_an_attempt_that_waits_for_a_release_is_cancelled_at_once() -> None:
     """No server confirms the release, and the connect time-out, for which it is waited, is long."""
-    told = TOLD | {"limits": TOLD["limits"] | {"connect_timeout": 8000.0}}
-    async with platform("r0", "w0", told=told, w0=always("gone_410")) as p:
+    platform_settings = PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 8000.0}}
+    async with platform("r0", "w0", platform_settings=platform_settings, w0=fault_always("gone_410")) as p:
         for server in p.servers.values():
             server.lease_fault = "silent"
         client = Client(p.address)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -92,7 +92,7 @@
             assert w.gateway.reload(before) == (changed, [])
             await some("form", "note", "summary")
             assert (await w.ask("quote")).status == 404
-        await w.settled(5)
+        await w.wait_until_idle(5)
         asked = len(w.said("asked"))
         await ask("form")
         assert len(w.said("asked")) == asked
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -237,5 +237,5 @@
         assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
         with trio.move_on_after(0.05):  # a client that leaves within the read
             await w.ask("note", "y" * 1600)
-        await w.settled()
+        await w.wait_until_idle()
         assert len(w.said("released", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -22,7 +22,7 @@
 from ternlane.policy.messages import Effect, Role
 from ternlane.testing.platform import Gate
 from tests.crossing import Client, client_request, until
-from tests.platform_world import Platform, always, platform
+from tests.platform_gateway import Platform, fault_always, platform
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 NAMES = ["porto-atlante", "vigne-alte"]
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("name", NAMES)
 async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
     told, raw = settings(name), site(name)
-    async with platform("r0", "w0", told=told, limits=Limits(sockets=500, memory_mb=100)) as p:
+    async with platform("r0", "w0", platform_settings=told, limits=Limits(sockets=500, memory_mb=100)) as p:
         router_config, pool, chat_server = (
             p.gateway.runtime.deployment.router_config,
             p.gateway.pool,
@@ -118,31 +118,31 @@
 @pytest.mark.parametrize("name", NAMES)
 async def test_each_class_of_a_variant_is_served_and_no_other_ones(name: str) -> None:
     told = settings(name) | {"kinds": ["reader", "writer"]}
-    async with platform("r0", "w0", told=told) as p:
+    async with platform("r0", "w0", platform_settings=told) as p:
         for one in told["profiles"]:
             assert (await p.ask(Request_Class=one["name"])).status == 200
         for stranger in ("summary", "case-note", "chat"):
             assert (await p.ask(Request_Class=stranger)).status == 400
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name", NAMES)
 async def test_a_request_without_a_time_of_its_own_has_its_classes_and_one_effect_at_most(name: str) -> None:
     told = settings(name) | {"kinds": ["reader", "writer"]}
     unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
-    async with platform("r0", "w0", told=told, w0=always("opening_cut")) as p:
+    async with platform("r0", "w0", platform_settings=told, w0=fault_always("opening_cut")) as p:
         request_class = p.gateway.runtime.deployment.request_classes[unsafe["name"]]
         assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
         assert reply.status == 502 and p.fleet.count("write") == 1
         assert p.fleet.stated_timeouts_s[0] <= unsafe["deadline"] / 1000
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name, least_ms", [("porto-atlante", 3700.0), ("vigne-alte", 3700.0)])
 async def test_a_shutdown_has_the_time_that_the_variants_longest_deadline_leaves(name: str, least_ms: float) -> None:
     """Counted as 3 s where it is longer, by the page; shorter ones leave less."""
-    async with platform("r0", "w0", told=settings(name)) as p:
+    async with platform("r0", "w0", platform_settings=settings(name)) as p:
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         p.gateway.begin_drain()
         assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
@@ -175,7 +175,7 @@
 async def test_names_of_classes_outside_ascii_and_long_ones(name: str, raw: bytes) -> None:
     told = settings("porto-atlante") | {"kinds": ["reader", "writer"]}
     profiles = [told["profiles"][0] | {"name": name}]
-    async with platform("r0", "w0", told=told | {"profiles": profiles}) as p:
+    async with platform("r0", "w0", platform_settings=told | {"profiles": profiles}) as p:
         client = Client(p.address)
         client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -186,7 +186,7 @@
 async def test_one_customers_classes_budgets_and_learnt_times_do_not_show_under_anothers() -> None:
     """A gateway that is given another customer's settings, with a request of the first one open, and its own again."""
     first, other = ({**settings(name), "kinds": ["reader", "writer"]} for name in NAMES)
-    async with platform("r0", "w0", told=first) as p:
+    async with platform("r0", "w0", platform_settings=first) as p:
         runtime, scheduler = p.gateway.runtime, p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         name = first["profiles"][0]["name"]
         assert (await p.ask(Request_Class=name)).status == 200
@@ -214,7 +214,7 @@
         kept = set(runtime.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
         assert {request_class for request_class in scheduler.rules.latency.mean_prompt_tokens} <= kept
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def switch(p: Platform, told: dict[str, Any]) -> None:
--- a/tests/test_wire_pins.py
+++ b/tests/test_wire_pins.py
@@ -417,7 +417,7 @@
         """What each peer was told since the last look, in its order, and what clients were told."""
         return by_duty(self.servers) | {"discovery": self.discovery.take_messages(), "clients": clients}
 
-    async def settled(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Waits until each request's end is in the log and nothing more is written to any server for a while."""
         await until_logged(self.log, "closed", self.asked)
         await until_quiet(self.servers)
@@ -501,7 +501,7 @@
         then = READ_ON_PLATFORM if duty == "r" else STREAM
         share_answers(p.servers, duty, f"POST {CHAT_PATH}", first, (then,))
         answer = await p.ask()
-        await p.settled()
+        await p.wait_until_idle()
         pin(f"platform_retries_{scene}", p.seen(answer=answer))
 
 
@@ -517,7 +517,7 @@
     async with platform(tmp_path, "r0", "w0") as p:
         p.servers["w0"].script(f"POST {CHAT_PATH}", answers[scene])
         failed = await p.ask("note")
-        await p.settled()
+        await p.wait_until_idle()
         pin(f"platform_fails_{scene}", p.seen(failed=failed))
 
 
@@ -550,7 +550,7 @@
         with trio.fail_after(WITHIN_S):
             while sum(server.count("DELETE") for server in p.servers.values()) < releases:
                 await trio.sleep(0.01)
-        await p.settled()
+        await p.wait_until_idle()
         pin(f"platform_client_leaves_{scene}", p.seen())
 
 
@@ -752,7 +752,7 @@
     def seen(self, **clients: Any) -> dict[str, Any]:
         return by_duty(self.engines) | {"clients": clients}
 
-    async def settled(self, generations: int) -> None:
+    async def wait_until_idle(self, generations: int) -> None:
         """Waits until so many requests have ended and nothing more is written to any engine for a while."""
         await until_logged(self.log, "generation", generations)
         await until_quiet(self.engines)
@@ -843,7 +843,7 @@
         then = READ_AT_ENGINE if duty == "r" else STREAM
         share_answers(c.engines, duty, f"POST {CHAT_PATH}", first, (then,))
         answer = await c.ask(stream=True, model=model)
-        await c.settled(1)
+        await c.wait_until_idle(1)
         answer = re.sub(r"Terminated: w\d: ", "Terminated: <server>: ", answer)
         pin(f"chat_retries_{scene}", c.seen(answer=answer))
 
@@ -894,7 +894,7 @@
                 await c.engines["w0"].until("POST")
                 if name == "within the stream":
                     await stream.receive_some()
-            await c.settled(c.asked)
+            await c.wait_until_idle(c.asked)
             seen[name] = c.seen()
         pin("chat_client_leaves", seen)
 
@@ -942,7 +942,7 @@
         c.engines["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), CLOSE))
         await c.ask(stream=True, model="note")
         await c.ask(n=3)
-        await c.settled(3)
+        await c.wait_until_idle(3)
         metrics = await ask(c.metrics, get("/metrics"))
         nowhere = await ask(c.metrics, get("/else"))
         c.document.write_text("{")
--- a/tests/world.py
+++ b/tests/world.py
@@ -140,7 +140,7 @@
     def said(self, kind: str, **match: Any) -> list[dict[str, Any]]:
         return [v for v in self.traffic.lines if v["k"] == kind and all(v.get(k) == x for k, x in match.items())]
 
-    async def settled(self, within: float = 1.5) -> None:
+    async def wait_until_idle(self, within: float = 1.5) -> None:
         """Waits until nothing is open at the gateway and nothing is held at any engine."""
 
         def left() -> list[Any]:
