--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,7 +38,7 @@
         self.alarm = min([self.alarm, *(a.at_ms for a in asked)])
         return said
 
-    def tell(self, *events: Any, after: float = 0.0) -> list[Any]:
+    def deliver(self, *events: Any, after: float = 0.0) -> list[Any]:
         """Lets time pass tick by tick, then hands over the events; answers the actions that are not timers."""
         until, said = self.now + after, []
         tick = self.now + 50.0
@@ -54,10 +54,10 @@
         said += self.take(*events)
         return [a for a in said if not isinstance(a, (messages.StartTimer, messages.Log))]
 
-    def list(self, **lives: EndpointStatus) -> list[Any]:
+    def update_endpoints(self, **lives: EndpointStatus) -> list[Any]:
         for name, status in lives.items():
             self.servers[name].status = status
-        return self.tell(messages.EndpointsUpdated(tuple(self.servers.values())))
+        return self.deliver(messages.EndpointsUpdated(tuple(self.servers.values())))
 
     def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> messages.Request:
         router_config = (
@@ -67,9 +67,9 @@
         return messages.Request(self.request_classes[effect], session, **router_config)
 
     def arrive(self, request: messages.Request, after: float = 0.0) -> list[Any]:
-        return self.tell(messages.RequestArrived(request), after=after)
+        return self.deliver(messages.RequestArrived(request), after=after)
 
-    def end(
+    def end_attempt(
         self,
         request: messages.Request,
         server: Server,
@@ -78,25 +78,27 @@
         over: bool = False,
         **fields: Any,
     ) -> list[Any]:
-        return self.tell(messages.AttemptEnded(request, server, outcome, after, over, **fields), after=after)
+        return self.deliver(messages.AttemptEnded(request, server, outcome, after, over, **fields), after=after)
 
-    def first(self, request: messages.Request, server: Server, after: float = 100.0) -> list[Any]:
-        return self.tell(messages.FirstToken(request, server, after), after=after)
+    def first_token(self, request: messages.Request, server: Server, after: float = 100.0) -> list[Any]:
+        return self.deliver(messages.FirstToken(request, server, after), after=after)
 
-    def written(self, effect: Effect = Effect.IDEMPOTENT, **own: Any) -> tuple[messages.Request, messages.StartAttempt]:
+    def start_decode(
+        self, effect: Effect = Effect.IDEMPOTENT, **own: Any
+    ) -> tuple[messages.Request, messages.StartAttempt]:
         """A request whose state has just been sent on to a decode server, and that attempt."""
         request = self.request(effect, **own)
-        attempt = sent(self.arrive(request))
-        return request, sent(self.end(request, attempt.server, AttemptOutcome.PREFILLED))
+        attempt = started_attempt(self.arrive(request))
+        return request, started_attempt(self.end_attempt(request, attempt.server, AttemptOutcome.PREFILLED))
 
 
-def sent(actions: list[Any]) -> messages.StartAttempt:
+def started_attempt(actions: list[Any]) -> messages.StartAttempt:
     attempts = [a for a in actions if isinstance(a, messages.StartAttempt)]
     assert len(attempts) == 1, actions
     return attempts[0]
 
 
-def kinds(actions: list[Any]) -> list[type]:
+def action_types(actions: list[Any]) -> list[type]:
     return [type(a) for a in actions]
 
 
@@ -127,7 +129,7 @@
 )
 
 
-def build(extra: tuple[str, ...] = (), **router_config: Any) -> FakeHost:
+def make_host(extra: tuple[str, ...] = (), **router_config: Any) -> FakeHost:
     request_classes = {e: RequestClass(e, Group.CELL, 3000.0, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2) for e in Effect}
     servers = {
         name: Server(
@@ -145,10 +147,10 @@
         request_classes,
         1000.0,
     )
-    host.list()
+    host.update_endpoints()
     return host
 
 
 @pytest.fixture
 def host() -> FakeHost:
-    return build()
+    return make_host()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -22,7 +22,7 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, Effect, Group
 from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
-from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 from tests.crossing import Client, Wrapped, arrived, client_request, pair, until
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
 from tests.world import TERMS, Reply, world
@@ -133,14 +133,14 @@
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
     """A decode attempt was not started, as its server drained. That proves nothing of the held state, whose release
     time runs on."""
-    host = build(("w2", "w3"))
-    request, attempt = host.written(Effect.SIDE_EFFECTING)
-    second = sent(host.end(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
+    host = make_host(("w2", "w3"))
+    request, attempt = host.start_decode(Effect.SIDE_EFFECTING)
+    second = started_attempt(host.end_attempt(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
     assert second.server is not attempt.server and second.server.role is messages.Role.DECODE
-    said = host.end(
+    said = host.end_attempt(
         request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
     )  # 400 of 500 ms, and 250 to connect
-    assert messages.Release in kinds(said) and sent(said).server.role is messages.Role.PREFILL
+    assert messages.Release in action_types(said) and started_attempt(said).server.role is messages.Role.PREFILL
     assert not host.router.scheduler.rules.endpoints[attempt.server.router_state].ejected
 
 
@@ -270,18 +270,18 @@
 
 
 def keyed(window_ms: float, group: Group = Group.ALL) -> FakeHost:
-    host = build()
+    host = make_host()
     request_class = messages.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
     host.request_classes[Effect.DEDUPLICATED] = request_class
-    host.tell(messages.ConfigChanged(ROUTER_CONFIG))
+    host.deliver(messages.ConfigChanged(ROUTER_CONFIG))
     return host
 
 
 def test_a_repeat_may_begin_only_while_the_window_lasts() -> None:
     host = keyed(3000.0)
-    request, attempt = host.written(Effect.DEDUPLICATED)
+    request, attempt = host.start_decode(Effect.DEDUPLICATED)
     assert attempt.start_within_ms == float("inf")  # nothing may have run yet
-    again = sent(host.end(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
+    again = started_attempt(host.end_attempt(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
     assert again.start_within_ms == pytest.approx(2000.0)
 
 
@@ -291,9 +291,9 @@
 ) -> None:
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
-    request, attempt = host.written(Effect.DEDUPLICATED)
-    host.list(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
-    assert answer in kinds(host.end(request, attempt.server, AttemptOutcome.RESET, after=after))
+    request, attempt = host.start_decode(Effect.DEDUPLICATED)
+    host.update_endpoints(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
+    assert answer in action_types(host.end_attempt(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
 # -- second answers, kept connections
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -14,7 +14,7 @@
 
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome
-from tests.conftest import FakeHost, build, kinds, sent
+from tests.conftest import FakeHost, action_types, make_host, started_attempt
 from tests.fleet import (
     Day,
     Fault,
@@ -100,51 +100,51 @@
 def streaming(host: FakeHost, count: int) -> None:
     """So many streams are open, each begun at once."""
     for _ in range(count):
-        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
-        host.first(request, attempt.server, after=20.0)
+        request, attempt = host.start_decode(prefix=None, prefix_tokens=0.0)
+        host.first_token(request, attempt.server, after=20.0)
 
 
 def test_open_streams_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
-    host = build(gateways=200)
+    host = make_host(gateways=200)
     streaming(host, 8)
-    host.tell(after=3000.0)
+    host.deliver(after=3000.0)
     assert (
         host.router.scheduler.rules.fleet.stats[messages.Role.DECODE].memory_level > 1.0
     )  # the guess: all of them are full
-    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
+    assert started_attempt(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def test_reads_of_one_gateway_are_not_counted_once_for_each_gateway() -> None:
-    host = build(gateways=200)
+    host = make_host(gateways=200)
     for _ in range(3):
-        sent(host.arrive(host.request(prefix=None, prefix_tokens=0.0), after=50.0))
-    host.tell(after=300.0)
+        started_attempt(host.arrive(host.request(prefix=None, prefix_tokens=0.0), after=50.0))
+    host.deliver(after=300.0)
     assert (
         host.router.scheduler.rules.fleet.stats[messages.Role.PREFILL].queue_ms > 1000.0
     )  # the guess: longer than the latency objective
-    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
+    assert started_attempt(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def test_the_guess_counts_once_answers_come_late() -> None:
     """Overload is real then, and what would be late is refused at once."""
-    host = build(gateways=200, max_attempts=2)
+    host = make_host(gateways=200, max_attempts=2)
     streaming(host, 8)
     served = 0
     while served < 32:
         request = host.request(prefix=None, prefix_tokens=0.0)
-        said = host.arrive(request) + host.tell(after=1000.0)
+        said = host.arrive(request) + host.deliver(after=1000.0)
         attempts = [action for action in said if isinstance(action, messages.StartAttempt)]
         if not attempts:
             break
-        write = sent(host.end(request, attempts[0].server, AttemptOutcome.PREFILLED, after=10.0))
-        host.end(request, write.server, AttemptOutcome.TIMED_OUT, after=500.0, over=True)
+        write = started_attempt(host.end_attempt(request, attempts[0].server, AttemptOutcome.PREFILLED, after=10.0))
+        host.end_attempt(request, write.server, AttemptOutcome.TIMED_OUT, after=500.0, over=True)
         served += 1
-    assert 0 < served < 32 and messages.Reject in kinds(said)
+    assert 0 < served < 32 and messages.Reject in action_types(said)
 
 
 def test_an_opening_that_one_gateway_of_many_has_met_once_does_not_pass_for_a_popular_one() -> None:
     """The request at hand tells nothing of how many others share its text, which would be read at many servers."""
-    host = build(extra=tuple(f"r{n}" for n in range(2, 90)), gateways=200)
+    host = make_host(extra=tuple(f"r{n}" for n in range(2, 90)), gateways=200)
     request = host.request(prefix="new")
     host.arrive(request)
     assert len(request.router_state.preferred) == 2
@@ -157,57 +157,65 @@
 def late_request(host: FakeHost) -> list[Any]:
     """What is done about a request whose read has taken all of its latency objective."""
     request = host.request(prefix=None, prefix_tokens=0.0)
-    attempt = sent(host.arrive(request, after=100.0))
-    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
+    attempt = started_attempt(host.arrive(request, after=100.0))
+    said = host.end_attempt(request, attempt.server, AttemptOutcome.TIMED_OUT, after=1200.0)
     for further in [action for action in said if isinstance(action, messages.StartAttempt)]:
-        host.end(request, further.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
+        host.end_attempt(request, further.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     return said
 
 
 def test_requests_that_are_late_already_give_way_to_others_where_reads_come_late() -> None:
-    host = build(gateways=200)
-    assert messages.StartAttempt in kinds(late_request(host))  # one slow read is no overload
+    host = make_host(gateways=200)
+    assert messages.StartAttempt in action_types(late_request(host))  # one slow read is no overload
     for _ in range(8):
         last = late_request(host)
-    assert messages.StartAttempt not in kinds(last) and messages.Reject in kinds(last)
+    assert messages.StartAttempt not in action_types(last) and messages.Reject in action_types(last)
     request = host.request(prefix=None, prefix_tokens=0.0)
-    attempt = sent(host.arrive(request, after=3000.0))  # what is still in time goes on
-    host.end(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
+    attempt = started_attempt(host.arrive(request, after=3000.0))  # what is still in time goes on
+    host.end_attempt(request, attempt.server, AttemptOutcome.PREFILLED, after=20.0, over=True)
     for _ in range(32):
         request = host.request(prefix=None, prefix_tokens=0.0)
-        host.end(
-            request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
+        host.end_attempt(
+            request,
+            started_attempt(host.arrive(request, after=100.0)).server,
+            AttemptOutcome.PREFILLED,
+            after=20.0,
+            over=True,
         )
-    assert messages.StartAttempt in kinds(late_request(host))  # and once reads come in time again, so do they
+    assert messages.StartAttempt in action_types(late_request(host))  # and once reads come in time again, so do they
 
 
 def test_a_single_late_answer_is_no_overload_also_where_late_answers_earn_nothing() -> None:
-    host = build(gateways=200)
+    host = make_host(gateways=200)
     for request_class in host.request_classes.values():
         request_class.late_value_share = 0.0
-    assert messages.StartAttempt in kinds(late_request(host))
+    assert messages.StartAttempt in action_types(late_request(host))
     for _ in range(16):  # in time again
         request = host.request(prefix=None, prefix_tokens=0.0)
-        host.end(
-            request, sent(host.arrive(request, after=100.0)).server, AttemptOutcome.PREFILLED, after=20.0, over=True
+        host.end_attempt(
+            request,
+            started_attempt(host.arrive(request, after=100.0)).server,
+            AttemptOutcome.PREFILLED,
+            after=20.0,
+            over=True,
         )
-    assert messages.StartAttempt in kinds(late_request(host))
+    assert messages.StartAttempt in action_types(late_request(host))
 
 
 def test_what_a_server_reports_and_what_is_booked_there_count_without_a_guess() -> None:
-    host = build(gateways=200)
-    request, attempt = host.written(prefix=None, prefix_tokens=0.0)
+    host = make_host(gateways=200)
+    request, attempt = host.start_decode(prefix=None, prefix_tokens=0.0)
     for name in ("w0", "w1"):
         full = messages.Report(open_requests=40.0, memory_share=1.0)
-        host.tell(messages.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
+        host.deliver(messages.ProbeResult(host.servers[name], AttemptOutcome.STREAMED, full))
     said = host.arrive(host.request())
-    assert messages.StartAttempt not in kinds(said)
+    assert messages.StartAttempt not in action_types(said)
 
 
 def test_one_gateway_alone_knows_all_of_the_load() -> None:
-    host = build(gateways=1)
+    host = make_host(gateways=1)
     for _ in range(2):
-        sent(host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0)))
-    assert messages.StartAttempt not in kinds(
+        started_attempt(host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0)))
+    assert messages.StartAttempt not in action_types(
         host.arrive(host.request(prompt_tokens=180e3, prefix=None, prefix_tokens=0.0))
     )
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,7 +10,7 @@
 from ternlane.policy import messages
 from ternlane.policy.lease import RELEASE_RESERVE, AttemptEnd, Lease, ReleaseSchedule
 from ternlane.policy.messages import AttemptOutcome, Effect, ReleaseReason
-from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 
 GUARD_MS = (1 - RELEASE_RESERVE) * ROUTER_CONFIG.release_ms
 
@@ -81,7 +81,7 @@
 
 
 def platform_like(*extra: str, **router_config: Any) -> FakeHost:
-    return build(extra, releases_spare_attempts=True, **router_config)
+    return make_host(extra, releases_spare_attempts=True, **router_config)
 
 
 def released(said: list[Any]) -> list[ReleaseReason]:
@@ -91,83 +91,91 @@
 @pytest.mark.parametrize("effect", list(Effect))
 def test_a_state_whose_decode_attempt_is_not_answered_is_released_once_and_the_attempt_goes_on(effect: Effect) -> None:
     host = platform_like()
-    host.written(effect)
-    assert host.tell(after=GUARD_MS - 1) == []
-    said = host.tell(after=1)
-    assert kinds(said) == [messages.Release] and released(said) == [ReleaseReason.ATTEMPT_SILENT]
-    assert host.tell(after=100) == []
+    host.start_decode(effect)
+    assert host.deliver(after=GUARD_MS - 1) == []
+    said = host.deliver(after=1)
+    assert action_types(said) == [messages.Release] and released(said) == [ReleaseReason.ATTEMPT_SILENT]
+    assert host.deliver(after=100) == []
 
 
 def test_a_state_that_a_decode_attempt_has_taken_is_not_released() -> None:
     host = platform_like()
-    request, attempt = host.written()
-    host.first(request, attempt.server)
-    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
+    request, attempt = host.start_decode()
+    host.first_token(request, attempt.server)
+    assert not released(host.deliver(after=2 * ROUTER_CONFIG.release_ms))
 
 
 def test_an_attempt_that_timed_out_does_not_prolong_the_release_time() -> None:
     host = platform_like("w2", "w3")
-    request, attempt = host.written()
-    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=GUARD_MS / 2)
-    attempt = sent(said)
+    request, attempt = host.start_decode()
+    said = host.end_attempt(request, attempt.server, AttemptOutcome.TIMED_OUT, after=GUARD_MS / 2)
+    attempt = started_attempt(said)
     assert attempt.server.role is messages.Role.DECODE and not released(said)  # another may still take it
-    assert released(host.tell(after=GUARD_MS / 2)) == [ReleaseReason.ATTEMPT_SILENT]
-    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=50.0)  # nobody has heard the release
-    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server.role is messages.Role.PREFILL
+    assert released(host.deliver(after=GUARD_MS / 2)) == [ReleaseReason.ATTEMPT_SILENT]
+    said = host.end_attempt(
+        request, attempt.server, AttemptOutcome.TIMED_OUT, after=50.0
+    )  # nobody has heard the release
+    assert (
+        released(said) == [ReleaseReason.BEFORE_NEW_PREFILL]
+        and started_attempt(said).server.role is messages.Role.PREFILL
+    )
 
 
 def test_a_state_that_survives_a_heard_release_is_handed_on() -> None:
     """The servers kept it for the attempt, if that had arrived and was merely slow."""
     host = platform_like("w2")
-    request, attempt = host.written()
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
-    host.tell(messages.ReleaseConfirmed(request))
-    said = host.end(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
-    assert sent(said).server.role is messages.Role.DECODE and not released(said)
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]  # that one has its own time
+    request, attempt = host.start_decode()
+    assert released(host.deliver(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
+    host.deliver(messages.ReleaseConfirmed(request))
+    said = host.end_attempt(request, attempt.server, AttemptOutcome.TIMED_OUT, after=250.0)
+    assert started_attempt(said).server.role is messages.Role.DECODE and not released(said)
+    assert released(host.deliver(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]  # that one has its own time
 
 
 def test_no_prefill_begins_that_would_be_the_last_attempt() -> None:
     host = platform_like(max_attempts=3)
-    request, attempt = host.written()
-    said = host.end(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
-    assert kinds(said) == [messages.Release, messages.Reject] and said[-1].why is messages.RejectReason.ATTEMPTS_SPENT
+    request, attempt = host.start_decode()
+    said = host.end_attempt(request, attempt.server, AttemptOutcome.OVERLOADED, state_lost=True)
+    assert (
+        action_types(said) == [messages.Release, messages.Reject]
+        and said[-1].why is messages.RejectReason.ATTEMPTS_SPENT
+    )
 
 
 def test_nothing_is_released_while_a_prefill_is_out() -> None:
     """It would take with it what that prefill is about to leave."""
     host = platform_like()
     request = host.request()
-    first = sent(host.arrive(request))
-    said = host.end(request, first.server, AttemptOutcome.RESET)
-    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and sent(said).server is not first.server
-    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
+    first = started_attempt(host.arrive(request))
+    said = host.end_attempt(request, first.server, AttemptOutcome.RESET)
+    assert released(said) == [ReleaseReason.BEFORE_NEW_PREFILL] and started_attempt(said).server is not first.server
+    assert not released(host.deliver(after=2 * ROUTER_CONFIG.release_ms))
 
 
 def test_what_an_unheard_prefill_may_leave_is_released_again_while_its_request_queues() -> None:
     host = platform_like()
-    host.list(r0=messages.EndpointStatus.DRAINING)
-    large = sent(host.arrive(host.request(prompt_tokens=190e3, prefix=None)))
-    host.list(r0=messages.EndpointStatus.READY)
+    host.update_endpoints(r0=messages.EndpointStatus.DRAINING)
+    large = started_attempt(host.arrive(host.request(prompt_tokens=190e3, prefix=None)))
+    host.update_endpoints(r0=messages.EndpointStatus.READY)
     request = host.request(prefix=None)
-    first = sent(host.arrive(request))
+    first = started_attempt(host.arrive(request))
     assert first.server is not large.server
-    said = host.end(request, first.server, AttemptOutcome.RESET)
-    assert kinds(said) == [messages.Release]  # no prefill server has room
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
+    said = host.end_attempt(request, first.server, AttemptOutcome.RESET)
+    assert action_types(said) == [messages.Release]  # no prefill server has room
+    assert released(host.deliver(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
 
 
 def test_a_client_that_has_left_changes_nothing_where_attempts_can_not_be_cancelled() -> None:
     host = platform_like(may_cancel=False)
-    request, _ = host.written(Effect.SIDE_EFFECTING)
-    host.tell(messages.ClientDisconnected(request))
-    assert released(host.tell(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
+    request, _ = host.start_decode(Effect.SIDE_EFFECTING)
+    host.deliver(messages.ClientDisconnected(request))
+    assert released(host.deliver(after=GUARD_MS)) == [ReleaseReason.ATTEMPT_SILENT]
 
 
 @pytest.mark.parametrize("router_config", [{"releases_spare_attempts": False}, {"holds_expire_unless_arrived": False}])
 def test_where_a_release_would_harm_an_attempt_or_sends_can_not_be_lost_none_is_early(
     router_config: dict[str, bool],
 ) -> None:
-    host = build(**({"releases_spare_attempts": True} | router_config))
-    host.written()
-    assert not released(host.tell(after=2 * ROUTER_CONFIG.release_ms))
+    host = make_host(**({"releases_spare_attempts": True} | router_config))
+    host.start_decode()
+    assert not released(host.deliver(after=2 * ROUTER_CONFIG.release_ms))
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -16,7 +16,7 @@
     UnknownRequestError,
     state_of,
 )
-from tests.conftest import FakeHost, sent
+from tests.conftest import FakeHost, started_attempt
 
 
 def state_in(host: FakeHost, phase: Phase) -> RequestState:
@@ -48,13 +48,13 @@
 
 def test_a_served_request_goes_through_prefill_handover_and_decode(host: FakeHost) -> None:
     request = host.request()
-    prefill = sent(host.arrive(request))
+    prefill = started_attempt(host.arrive(request))
     state = state_of(request)
     seen = [state.phase]
-    decode = sent(host.end(request, prefill.server, AttemptOutcome.PREFILLED))
+    decode = started_attempt(host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED))
     seen.append(state.phase)
-    host.first(request, decode.server)
-    host.end(request, decode.server, AttemptOutcome.STREAMED, over=True)
+    host.first_token(request, decode.server)
+    host.end_attempt(request, decode.server, AttemptOutcome.STREAMED, over=True)
     assert [*seen, state.phase] == [Phase.PREFILLING, Phase.DECODING, Phase.DONE]
 
 
@@ -62,11 +62,11 @@
     """The client is gone while a prefill is out. The request is over for it, but the prefill may yet leave a state at
     its server, which has to be released when the attempt has ended."""
     request = host.request()
-    prefill = sent(host.arrive(request))
-    host.tell(messages.ClientDisconnected(request))
+    prefill = started_attempt(host.arrive(request))
+    host.deliver(messages.ClientDisconnected(request))
     state = state_of(request)
     assert state.over and state.phase is Phase.RELEASING
-    said = host.end(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
+    said = host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
     assert messages.Release in [type(action) for action in said]
     assert state.phase is Phase.DONE
 
@@ -74,17 +74,17 @@
 def test_a_failed_prefill_without_another_server_ends_its_request(host: FakeHost) -> None:
     """The other prefill server drains while the only prefill fails: nobody is left to serve the request."""
     request = host.request(client_timeout_ms=60e3)
-    prefill = sent(host.arrive(request))
+    prefill = started_attempt(host.arrive(request))
     other = "r1" if prefill.server is host.servers["r0"] else "r0"
-    host.list(**{other: messages.EndpointStatus.DRAINING})
-    said = host.end(request, prefill.server, AttemptOutcome.CONNECT_FAILED)
+    host.update_endpoints(**{other: messages.EndpointStatus.DRAINING})
+    said = host.end_attempt(request, prefill.server, AttemptOutcome.CONNECT_FAILED)
     assert messages.Reject in [type(action) for action in said]
     assert state_of(request).phase is Phase.DONE
 
 
 def test_an_effect_that_may_have_happened_ends_its_request(host: FakeHost) -> None:
-    request, decode = host.written(Effect.SIDE_EFFECTING)
-    said = host.end(request, decode.server, AttemptOutcome.RESET)
+    request, decode = host.start_decode(Effect.SIDE_EFFECTING)
+    said = host.end_attempt(request, decode.server, AttemptOutcome.RESET)
     assert messages.Fail in [type(action) for action in said]
     assert state_of(request).phase is Phase.DONE
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, RouterConfig
 from ternlane.policy.router import Router
-from tests.conftest import FakeHost, build, sent
+from tests.conftest import FakeHost, make_host, started_attempt
 from tests.platform_gateway import PLATFORM_SETTINGS
 
 # Where each figure of the start facts stands in the settings.
@@ -97,33 +97,33 @@
 
 @pytest.mark.parametrize("gateways", [1, 200, 5000])
 def test_requests_are_served_whatever_the_count_of_gateways(gateways: int) -> None:
-    host = build(gateways=gateways)
+    host = make_host(gateways=gateways)
     for _ in range(6):
-        request, attempt = host.written(prefix=None, prefix_tokens=0.0)
-        host.first(request, attempt.server, after=20.0)
-    host.tell(after=2000.0)
-    assert sent(host.arrive(host.request())).server.role is messages.Role.PREFILL
+        request, attempt = host.start_decode(prefix=None, prefix_tokens=0.0)
+        host.first_token(request, attempt.server, after=20.0)
+    host.deliver(after=2000.0)
+    assert started_attempt(host.arrive(host.request())).server.role is messages.Role.PREFILL
 
 
 def prefill_servers(host: FakeHost, count: int) -> set[str]:
     """By which readers so many requests are read, one after the other, once r0 has started just now."""
     host.servers["r0"].started_ms = host.now
-    host.list()
-    host.tell(after=500.0)
+    host.update_endpoints()
+    host.deliver(after=500.0)
     used = set[str]()
     for _ in range(count):
         request = host.request(prefix=None, prefix_tokens=0.0)
-        read = sent(host.arrive(request)).server
-        write = sent(host.end(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
-        host.first(request, write, after=5.0)
-        host.end(request, write, AttemptOutcome.STREAMED, after=5.0, over=True)
+        read = started_attempt(host.arrive(request)).server
+        write = started_attempt(host.end_attempt(request, read, AttemptOutcome.PREFILLED, after=5.0)).server
+        host.first_token(request, write, after=5.0)
+        host.end_attempt(request, write, AttemptOutcome.STREAMED, after=5.0, over=True)
         used |= {name for name, server in host.servers.items() if server is read}
     return used
 
 
 def test_where_the_settings_allow_a_cold_server_nothing_it_is_sent_nothing() -> None:
-    assert prefill_servers(build(gateways=200, fall_multiple=0.0, slow_start_ms=60e3), 60) == {"r1"}
+    assert prefill_servers(make_host(gateways=200, fall_multiple=0.0, slow_start_ms=60e3), 60) == {"r1"}
 
 
 def test_where_the_settings_know_no_slow_start_a_new_server_is_used_at_once() -> None:
-    assert "r0" in prefill_servers(build(gateways=200, slow_start_ms=0.0), 60)
+    assert "r0" in prefill_servers(make_host(gateways=200, slow_start_ms=0.0), 60)
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -12,7 +12,7 @@
 from ternlane.policy.messages import AttemptOutcome, Effect, RejectReason, ShutdownTimes
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
 from ternlane.testing.platform import Gate
-from tests.conftest import FakeHost, build, kinds, sent
+from tests.conftest import FakeHost, action_types, make_host, started_attempt
 from tests.crossing import Client, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, fault_always, platform
 from tests.test_final_answers import make_faulty
@@ -51,18 +51,18 @@
 def learn_short_streams(host: FakeHost, effect: Effect) -> None:
     """Usual streams take no time, so that no estimate keeps the decisions from beginning one."""
     for _ in range(60):
-        request, attempt = host.written(effect)
-        host.first(request, attempt.server, after=1.0)
-        host.end(request, attempt.server, AttemptOutcome.STREAMED, after=1.0, over=True)
+        request, attempt = host.start_decode(effect)
+        host.first_token(request, attempt.server, after=1.0)
+        host.end_attempt(request, attempt.server, AttemptOutcome.STREAMED, after=1.0, over=True)
 
 
 @pytest.mark.parametrize("effect", Effect)
 def test_a_request_that_comes_late_in_a_shutdown_is_rejected_at_once_whatever_is_usual(effect: Effect) -> None:
-    host = build()
+    host = make_host()
     learn_short_streams(host, effect)
-    host.tell(messages.ShutdownStarted(TIMES))
+    host.deliver(messages.ShutdownStarted(TIMES))
     early = host.request(effect)
-    assert kinds(host.arrive(early, after=TIMES.admits_ms - 10)) == [messages.StartAttempt]
+    assert action_types(host.arrive(early, after=TIMES.admits_ms - 10)) == [messages.StartAttempt]
     late = host.request(effect)
     said = host.arrive(late, after=20.0)
     assert [type(action) for action in said if action.request is late] == [messages.Reject]
@@ -73,61 +73,61 @@
 @pytest.mark.parametrize("effect", Effect)
 def test_what_has_no_first_token_before_the_end_gets_the_answer_that_is_true_of_it(effect: Effect) -> None:
     """Each attempt has ended before its request is answered: only then it shows whether it may have run."""
-    host = build()
+    host = make_host()
     learn_short_streams(host, effect)
-    host.tell(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    streamed, stream = host.written(effect, client_timeout_ms=9000.0)
-    host.first(streamed, stream.server)
-    decoded, decode = host.written(effect, client_timeout_ms=9000.0)
+    host.deliver(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    streamed, stream = host.start_decode(effect, client_timeout_ms=9000.0)
+    host.first_token(streamed, stream.server)
+    decoded, decode = host.start_decode(effect, client_timeout_ms=9000.0)
     read = host.request(effect, client_timeout_ms=9000.0)
-    prefill = sent(host.arrive(read))
-    said = host.tell(after=300.0)
+    prefill = started_attempt(host.arrive(read))
+    said = host.deliver(after=300.0)
     cancelled = {action.request for action in said if isinstance(action, messages.CancelAttempt)}
     assert cancelled == {decoded, read} and not finals(said)  # the client of the third has a part of it
-    after_prefill = finals(host.end(read, prefill.server, AttemptOutcome.CANCELLED, after=1.0))
-    assert kinds(after_prefill) == [messages.Reject]  # a prefill has no effect, however it ends
-    said = host.end(decoded, decode.server, AttemptOutcome.CANCELLED, after=1.0)
+    after_prefill = finals(host.end_attempt(read, prefill.server, AttemptOutcome.CANCELLED, after=1.0))
+    assert action_types(after_prefill) == [messages.Reject]  # a prefill has no effect, however it ends
+    said = host.end_attempt(decoded, decode.server, AttemptOutcome.CANCELLED, after=1.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail]
-    assert messages.Release in kinds(said) and not host.router.scheduler.requests.unanswered
+    assert action_types(finals(said)) == [messages.Reject if harmless else messages.Fail]
+    assert messages.Release in action_types(said) and not host.router.scheduler.requests.unanswered
 
 
 @pytest.mark.parametrize("effect", Effect)
 def test_where_nothing_may_be_cancelled_the_answer_claims_no_more_than_is_known(effect: Effect) -> None:
     """Of an attempt that is out nothing is known, so what may run only once is failed."""
-    host = build(may_cancel=False)
+    host = make_host(may_cancel=False)
     learn_short_streams(host, effect)
-    host.tell(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
-    requests = [host.request(effect, client_timeout_ms=9000.0), host.written(effect, client_timeout_ms=9000.0)[0]]
+    host.deliver(messages.ShutdownStarted(ShutdownTimes(admits_ms=500.0, answers_ms=600.0, ends_ms=1500.0)))
+    requests = [host.request(effect, client_timeout_ms=9000.0), host.start_decode(effect, client_timeout_ms=9000.0)[0]]
     host.arrive(requests[0])
-    said = host.tell(after=500.0)
+    said = host.deliver(after=500.0)
     harmless = effect is Effect.IDEMPOTENT
-    assert kinds(finals(said)) == [messages.Reject if harmless else messages.Fail] * 2
-    assert messages.CancelAttempt not in kinds(said) and not host.router.scheduler.requests.unanswered
+    assert action_types(finals(said)) == [messages.Reject if harmless else messages.Fail] * 2
+    assert messages.CancelAttempt not in action_types(said) and not host.router.scheduler.requests.unanswered
 
 
 def test_requests_that_wait_for_room_are_answered_before_the_end_too(host: FakeHost) -> None:
     for name in ("r0", "r1"):
-        host.list(**{name: messages.EndpointStatus.DRAINING})
+        host.update_endpoints(**{name: messages.EndpointStatus.DRAINING})
     waiting = host.request(client_timeout_ms=9000.0)
     host.router.scheduler.rules.admission.has_servers_for = lambda state: True  # type: ignore[method-assign]
     host.arrive(waiting)
-    host.tell(messages.ShutdownStarted(TIMES))
-    said = host.tell(after=TIMES.answers_ms)
+    host.deliver(messages.ShutdownStarted(TIMES))
+    said = host.deliver(after=TIMES.answers_ms)
     assert [type(action) for action in said] == [messages.Reject] and not host.router.scheduler.requests.unanswered
 
 
 def test_nothing_is_kept_of_requests_that_are_over(host: FakeHost) -> None:
-    streamed, attempt = host.written()
-    host.first(streamed, attempt.server)
-    left, _ = host.written()
-    host.tell(messages.ClientDisconnected(left))
-    whole, attempt = host.written()
-    host.end(
+    streamed, attempt = host.start_decode()
+    host.first_token(streamed, attempt.server)
+    left, _ = host.start_decode()
+    host.deliver(messages.ClientDisconnected(left))
+    whole, attempt = host.start_decode()
+    host.end_attempt(
         whole, attempt.server, AttemptOutcome.STREAMED, over=True
     )  # a host that passes answers on whole tells no first token
-    failed, attempt = host.written(Effect.SIDE_EFFECTING)
-    host.end(failed, attempt.server, AttemptOutcome.ERROR)
+    failed, attempt = host.start_decode(Effect.SIDE_EFFECTING)
+    host.end_attempt(failed, attempt.server, AttemptOutcome.ERROR)
     assert not host.router.scheduler.requests.unanswered
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -21,7 +21,7 @@
 from ternlane.engine import SocketTransport
 from ternlane.engine.load_report import load_from_metrics
 from ternlane.policy import messages
-from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 from tests.test_days import gateway_config, wait_for
 from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 
@@ -189,52 +189,52 @@
 
 
 def test_fewer_attempts_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
-    request, attempt = host.written()
-    assert host.tell(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
-    assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
+    request, attempt = host.start_decode()
+    assert host.deliver(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
+    assert action_types(host.end_attempt(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
         messages.Reject,
         messages.Release,
     ]
 
 
 def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
-    request, attempt = host.written(session="s")
+    request, attempt = host.start_decode(session="s")
     home = request.router_state.prefill_server.server
-    host.first(request, attempt.server)
-    host.end(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
-    host.tell(
+    host.first_token(request, attempt.server)
+    host.end_attempt(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
+    host.deliver(
         messages.ConfigChanged(
             replace(ROUTER_CONFIG, gateways=50, max_attempts=4, max_retry_after_ms=0.0, may_send_retry_after=False)
         )
     )
-    assert sent(host.arrive(host.request(session="s"))).server is home
+    assert started_attempt(host.arrive(host.request(session="s"))).server is home
 
 
 def test_load_is_asked_for_before_a_pair_is_chosen_and_nobody_waits_long_for_it() -> None:
-    host = build(may_probe=True, reports_on_probe=True)
+    host = make_host(may_probe=True, reports_on_probe=True)
     request = host.request()
     asked = [a.server for a in host.arrive(request)]
     assert len(asked) == 2 and all(server.role is messages.Role.PREFILL for server in asked)
     busy, idle = asked
-    assert host.tell(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
-    said = host.tell(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
+    assert host.deliver(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
+    said = host.deliver(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
     attempt = next(a for a in said if isinstance(a, messages.StartAttempt))
     assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its latency objective
-    assert sent(build().arrive(request)).timeout_ms == 1000.0
+    assert started_attempt(make_host().arrive(request)).timeout_ms == 1000.0
     late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
-    assert messages.Probe in kinds(said) and messages.StartAttempt not in kinds(said)
-    assert messages.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
+    assert messages.Probe in action_types(said) and messages.StartAttempt not in action_types(said)
+    assert messages.StartAttempt in action_types(host.deliver(after=100.0))  # none has answered
 
 
 @pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
 def test_nobody_waits_for_loads_beyond_its_clients_timeout(patience: float) -> None:
-    host = build(may_probe=True, reports_on_probe=True)
+    host = make_host(may_probe=True, reports_on_probe=True)
     request = host.request(client_timeout_ms=patience)
     said = host.arrive(request, after=20.0)  # between two ticks
     answered = host.now
     while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
-        said = host.tell(after=50.0)  # no engine says its load
+        said = host.deliver(after=50.0)  # no engine says its load
         answered = host.now
     assert answered <= request.router_state.deadline - 0.5 * patience
 
