--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -31,7 +31,7 @@
     more: Extras | None = None  # besides the text
 
 
-Final = Rejected | Failed | Streamed
+FinalAnswer = Rejected | Failed | Streamed
 
 
 class ResponseWriter(ABC):
@@ -62,7 +62,7 @@
     noted: str = ""  # its name in the journal
     hold: Any = None  # tenants.Hold, settled when the request is done
     made: list[TokenUsage] = field(default_factory=list)  # by each attempt, as far as it is known
-    final: Final | None = None
+    final: FinalAnswer | None = None
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
     when_over: Callable[[], None] = lambda: None
     left: bool = False  # the client has gone
@@ -105,7 +105,7 @@
         """The text that the client has, as it came."""
         return self.join.pieces
 
-    def for_repeats(self) -> Final | None:
+    def for_repeats(self) -> FinalAnswer | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
@@ -115,7 +115,7 @@
                 return Failed("the first client left; it may have run")
         return self.final
 
-    def settle(self, final: Final) -> bool:
+    def settle(self, final: FinalAnswer) -> bool:
         """The one final answer; a second one is refused."""
         if self.is_over:
             return False
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.engine import Transport
-from ternlane.gateway.active_request import ActiveRequest, Failed, Final, Streamed
+from ternlane.gateway.active_request import ActiveRequest, Failed, FinalAnswer, Streamed
 from ternlane.ledger import Disk, GroupCommitWriter, LogFormat, SegmentedLog
 from ternlane.policy.messages import Effect
 from ternlane.recovery.inflight import (
@@ -149,7 +149,7 @@
         self.store.close()
 
 
-def final_of(known: KnownAnswer) -> Final:
+def final_of(known: KnownAnswer) -> FinalAnswer:
     """The answer that a repeat of this request hears."""
     it = known.ended
     if it.outcome != "streamed":
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -24,7 +24,7 @@
 )
 from ternlane.config import GatewayConfig
 from ternlane.event_loop import now_ms
-from ternlane.gateway.active_request import ActiveRequest, Final, ResponseWriter, Streamed
+from ternlane.gateway.active_request import ActiveRequest, FinalAnswer, ResponseWriter, Streamed
 from ternlane.gateway.api_errors import OverBudgetError, RequestNotAdmittedError
 from ternlane.gateway.budget_enforcer import BudgetEnforcer
 from ternlane.gateway.journal_writer import final_of
@@ -139,7 +139,7 @@
         owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
         return f"{owner}\0{header}"
 
-    def stored_answer(self, key: str, body: bytes, now: float) -> Final | None:
+    def stored_answer(self, key: str, body: bytes, now: float) -> FinalAnswer | None:
         """The answer that a repeat hears; None for the first of its key, which `remember` or `forget` then ends. Raises
         RequestNotAdmittedError."""
         match self.idempotency_cache.begin(key, xxh3_128_digest(body), now):
@@ -158,7 +158,7 @@
                     param="Idempotency-Key",
                 )
             case StoredAnswer(answer):
-                final: Final = answer
+                final: FinalAnswer = answer
                 return final
         return None
 
--- a/ternlane/gateway/response_writers.py
+++ b/ternlane/gateway/response_writers.py
@@ -6,7 +6,7 @@
 
 from ternlane.chat import chunk, error_body, usage_chunk
 from ternlane.chat.message_extras import Extras
-from ternlane.gateway.active_request import Failed, Final, ResponseWriter, Streamed
+from ternlane.gateway.active_request import Failed, FinalAnswer, ResponseWriter, Streamed
 from ternlane.http1 import Exchange, event_bytes
 
 STREAM_HEAD = [
@@ -41,7 +41,7 @@
         else:
             await self.exchange.chunk(data)
 
-    async def end(self, final: Final) -> None:
+    async def end(self, final: FinalAnswer) -> None:
         """Ends the stream. Where the answer broke off, the error event takes the place of [DONE]."""
         if not isinstance(final, Streamed):
             why = final.why if isinstance(final, Failed) else "throttled"
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -27,7 +27,7 @@
     whole: bool
 
 
-Final = Rejected | Failed | Streamed
+FinalAnswer = Rejected | Failed | Streamed
 
 
 @dataclass(slots=True, eq=False)
@@ -39,7 +39,7 @@
     exchange: Exchange
     body: bytes
     received_ms: float
-    final: Final | None = None
+    final: FinalAnswer | None = None
     client_gone: bool = False
     streaming: bool = False  # its client has the first event of the present attempt
     attempt: Attempt | None = None  # that is out
@@ -89,10 +89,10 @@
             return Phase.CONNECTING
         return Phase.PREFILL if self.attempt.role is messages.Role.PREFILL else Phase.DECODE
 
-    async def first(self, data: bytes) -> None:
+    async def write_first_events(self, data: bytes) -> None:
         """Writes the answer's head and first events. Raises trio.BrokenResourceError once the client has gone."""
         await self.exchange.begin(200, STREAM_HEAD, data)
 
-    async def more(self, data: bytes) -> None:
+    async def write_events(self, data: bytes) -> None:
         """Writes further events. Raises trio.BrokenResourceError once the client has gone."""
         await self.exchange.chunk(data)
--- a/ternlane/platform/attempt.py
+++ b/ternlane/platform/attempt.py
@@ -57,8 +57,8 @@
 class ResponseWriter(Protocol):
     """Where a stream's bytes go. Both raise trio.BrokenResourceError once the client has gone."""
 
-    def first(self, data: bytes) -> Awaitable[None]:
+    def write_first_events(self, data: bytes) -> Awaitable[None]:
         """Writes the answer's head and first events."""
 
-    def more(self, data: bytes) -> Awaitable[None]:
+    def write_events(self, data: bytes) -> Awaitable[None]:
         """Writes further events."""
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -163,7 +163,7 @@
             is_first = not result.begun
             result.begun = True
             try:
-                await (response_writer.first(events) if is_first else response_writer.more(events))
+                await (response_writer.write_first_events(events) if is_first else response_writer.write_events(events))
             except BROKEN:
                 raise ClientDisconnectedError from None
             # Counted from here: a client that takes its bytes slowly is not the server's silence.
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -10,7 +10,7 @@
 
 from ternlane.deployment import Deployment
 from ternlane.event_loop import EventLoop, RouterProtocol, make_start_check, now_ms
-from ternlane.platform.active_request import ActiveRequest, Final, Streamed
+from ternlane.platform.active_request import ActiveRequest, FinalAnswer, Streamed
 from ternlane.platform.attempt import Attempt, AttemptResult
 from ternlane.platform.endpoint_list import EndpointList
 from ternlane.platform.endpoint_registry import EndpointRegistry
@@ -132,7 +132,7 @@
         self.reporter.counts["overdue"] += 1
         super().abort_request(active_request, why)
 
-    def finish_request(self, active_request: ActiveRequest, final: Final) -> None:
+    def finish_request(self, active_request: ActiveRequest, final: FinalAnswer) -> None:
         """Gives the one final answer; a second one is ignored."""
         if active_request.over:
             return
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -114,14 +114,14 @@
     """The request has one answer: it failed. What the server still writes does not come behind it."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
-        begin = StreamForwarder.first
+        begin = StreamForwarder.write_first_events
 
         async def late_first(passing: StreamForwarder, data: bytes) -> None:
             runtime.abort_request(passing.active_request, "too late")
             await begin(passing, data)
 
         with pytest.MonkeyPatch.context() as patched:
-            patched.setattr(StreamForwarder, "first", late_first)
+            patched.setattr(StreamForwarder, "write_first_events", late_first)
             client = Client(p.address)
             client.send(client_request(p))
             said = await client.answer()
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -335,10 +335,10 @@
     def __init__(self) -> None:
         self.got: list[bytes] = []
 
-    async def first(self, data: bytes) -> None:
+    async def write_first_events(self, data: bytes) -> None:
         self.got.append(data)
 
-    more = first
+    write_events = write_first_events
 
 
 @pytest.mark.parametrize("struck", [False, True])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
 from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import GatewayRuntime
-from ternlane.gateway.active_request import ActiveRequest, Final, Streamed
+from ternlane.gateway.active_request import ActiveRequest, FinalAnswer, Streamed
 from ternlane.gateway.response_writers import StreamResponseWriter
 from ternlane.http1 import event_bytes
 from ternlane.policy import messages
@@ -45,7 +45,7 @@
 class Mute(GatewayRuntime):
     """Rule 1: never says that a generation is throttled or terminated."""
 
-    def finish_request(self, active_request: ActiveRequest | None, final: Final) -> None:
+    def finish_request(self, active_request: ActiveRequest | None, final: FinalAnswer) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
             super().finish_request(active_request, final)
 
@@ -58,7 +58,7 @@
         if isinstance(response_writer, StreamResponseWriter):
             end = response_writer.end
 
-            async def end_twice(final: Final) -> None:
+            async def end_twice(final: FinalAnswer) -> None:
                 if isinstance(final, Streamed):
                     await response_writer.exchange.chunk(event_bytes(b"[DONE]"))
                 await end(final)
