--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -10,11 +10,12 @@
 
 
 class ServerCalls:
-    """`releasing`: releases under way. `silent`: servers that were asked for their load and did not tell it."""
+    """`releases_in_flight`: releases under way. `silent`: servers that were asked for their load and did not tell
+    it."""
 
     def __init__(self, runtime: RuntimePort) -> None:
         self.runtime = runtime
-        self.releasing = 0
+        self.releases_in_flight = 0
         self.silent: set[str] = set()
 
     def release(self, active_request: ActiveRequest) -> None:
@@ -23,7 +24,7 @@
         holders = list(active_request.holders)
         active_request.holders = {}
         for server in holders:
-            self.releasing += 1
+            self.releases_in_flight += 1
             self.runtime.nursery.start_soon(self._release_at, active_request, server)
 
     async def _release_at(self, active_request: ActiveRequest, server: Server) -> None:
@@ -38,7 +39,7 @@
                 endpoint.line.protocol,
             )
         finally:
-            self.releasing -= 1
+            self.releases_in_flight -= 1
             if runtime.journal_writer is not None:
                 runtime.journal_writer.freed(active_request)
         runtime.metrics.releases.labels("confirmed" if confirmed else "unheard").inc()
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -72,7 +72,7 @@
             log,
         )
         self.listener: trio.SocketListener
-        self.accepting = trio.CancelScope()
+        self.accept_scope = trio.CancelScope()
         self.apply_limits(configuration)
 
     def apply_limits(self, configuration: GatewayConfiguration) -> None:
@@ -110,7 +110,7 @@
         self.log.info("serving", listen=f"{host}:{port}", servers=servers)
 
     async def _accept(self) -> None:
-        with self.accepting:
+        with self.accept_scope:
             await self.acceptor.accept(self.listener, self.nursery)
 
     def reload(self) -> None:
@@ -168,11 +168,11 @@
         """
         self.begin_drain(since_signal_ms)
         await trio.sleep(max(0.0, LATE_CONNECTIONS_MS - since_signal_ms) / 1000)
-        self.accepting.cancel()
+        self.accept_scope.cancel()
         await self.acceptor.accept_queued(self.listener, self.nursery, LATE_CONNECTIONS_MS)
         self.listener.socket.close()
         await trio.sleep(LATE_CONNECTIONS_MS / 4000)
-        while self.runtime.active_requests or self.runtime.releasing or self.chat_server.connections:
+        while self.runtime.active_requests or self.runtime.releases_in_flight or self.chat_server.connections:
             self.chat_server.close_idle()  # also those that were still to be read at the look before
             await trio.sleep(END_POLL_MS / 1000)
 
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -48,7 +48,7 @@
         self.reporter = RequestReporter(log)
         self.requests_by_id: dict[str, ActiveRequest] = {}
         self.ended: list[ActiveRequest] = []  # to be forgotten once the batch of events is over
-        self.releasing = 0  # releases in flight
+        self.releases_in_flight = 0  # releases in flight
 
     # -- the loop's side
 
@@ -259,7 +259,7 @@
                 yield endpoint.address
 
     def _begin_release(self, active_request: ActiveRequest, reason: messages.ReleaseReason, again: bool) -> None:
-        self.releasing += 1
+        self.releases_in_flight += 1
         self.reporter.release_begins(active_request, reason)
         active_request.released = trio.Event()
         self.nursery.start_soon(self._release, active_request, active_request.released, again)
@@ -276,7 +276,7 @@
         except Exception:
             self.log.exception("release")
         finally:
-            self.releasing -= 1
+            self.releases_in_flight -= 1
             released.set()
 
     async def _release_until_confirmed(self, active_request: ActiveRequest, within_ms: float) -> None:
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -1,6 +1,7 @@
 """The configuration file of a gateway, read and checked.
 
-`ConfigurationFile` and `Limits` have the users' names of its fields; `deployment.py` maps what stands under `settings`.
+`ConfigurationFile` and `ProcessLimits` have the users' names of its fields; `deployment.py` maps what stands under
+`settings`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 LEAST_SOCKETS = 64
 
 
-class Limits(msgspec.Struct):
+class ProcessLimits(msgspec.Struct):
     """What the gateway's process may use."""
 
     cores: float = 1.0
@@ -37,7 +38,7 @@
     listen: str = ""
     discovery: str = ""
     seed: str | int = 0
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     known: msgspec.Raw = msgspec.Raw(b'{"index":0,"snapshot":true,"endpoints":[]}')
 
 
@@ -48,7 +49,7 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    limits: Limits
+    limits: ProcessLimits
     known: EndpointList  # served by until discovery has spoken
     deployment: Deployment
 
--- a/tests/platform_gateway.py
+++ b/tests/platform_gateway.py
@@ -14,7 +14,7 @@
 from ternlane.http1 import ClientConnection, ConnectionPool
 from ternlane.platform.endpoint_list import parse_endpoint_list
 from ternlane.platform.gateway import Gateway
-from ternlane.platform.settings import GatewayConfiguration, Limits
+from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
 from ternlane.testing.platform import Discovery, Fleet, ModelServer
 from ternlane.testing.proxy import StallingProxy
 from tests.world import Reply, heard
@@ -67,7 +67,7 @@
 
 
 class Platform:
-    def __init__(self, nursery: trio.Nursery, platform_settings: dict[str, Any], limits: Limits) -> None:
+    def __init__(self, nursery: trio.Nursery, platform_settings: dict[str, Any], limits: ProcessLimits) -> None:
         self.nursery, self.platform_settings, self.limits, self.log = nursery, platform_settings, limits, Log()
         self.fleet, self.discovery = Fleet(nursery), Discovery(nursery, 100.0)
         self.servers: dict[str, ModelServer] = {}
@@ -178,7 +178,7 @@
             all_of_it = {
                 "open": open_here,
                 "ids": list(runtime.requests_by_id),
-                "releasing": runtime.releasing,
+                "releasing": runtime.releases_in_flight,
                 "held": held,
                 "at servers": dict(+self.fleet.open),
             }
@@ -200,11 +200,11 @@
 async def platform(
     *names: str,
     platform_settings: dict[str, Any] = PLATFORM_SETTINGS,
-    limits: Limits | None = None,
+    limits: ProcessLimits | None = None,
     **scripts: Callable[[str], str],
 ) -> AsyncIterator[Platform]:
     async with trio.open_nursery() as nursery:
-        made = Platform(nursery, platform_settings, limits or Limits())
+        made = Platform(nursery, platform_settings, limits or ProcessLimits())
         await made.discovery.start()
         for name in names or ("r0", "w0", "r1", "w1"):
             await made.add(name, scripts.get(name, lambda _: ""))
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -15,7 +15,7 @@
 from ternlane.http1 import Exchange, ServerConnection, ServerLimits
 from ternlane.http1 import exchange as exchange_module
 from ternlane.platform import acceptor as acceptor_module
-from ternlane.platform.settings import Limits
+from ternlane.platform.settings import ProcessLimits
 from ternlane.testing.platform import DONE, EVENT, Gate
 from tests.crossing import Client, LateBytes, Wrapped, arrived, client_request, pair, server_side, until
 from tests.platform_gateway import BODY, HEAD, PLATFORM_SETTINGS, platform
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("part", [1, 40, -5, None])
 async def test_a_connection_on_which_a_request_has_begun_does_not_make_room_for_another(part: int | None) -> None:
     """Unread in the kernel, or read in part: a byte, half a head, all but the end of the body."""
-    async with platform("r0", "w0", limits=Limits(sockets=100)) as p:
+    async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
         client = Client(p.address)
         await until(lambda: p.gateway.chat_server.idle)
         whole = client_request(p)
@@ -277,7 +277,7 @@
     """A client waits in the listener's queue, and accept fails for want of descriptors as the gateway shuts down.
     The client is answered."""
     async with platform("r0", "w0") as p:
-        p.gateway.accepting.cancel()
+        p.gateway.accept_scope.cancel()
         idle = p.gateway.chat_server
         await trio.testing.wait_all_tasks_blocked()
         client = Client(p.address)  # left to the listener's queue
@@ -301,7 +301,7 @@
 async def test_a_shutdown_ends_though_a_late_connection_rests_after_the_last_look() -> None:
     """It is taken from the queue, says nothing, and must not be waited for until its first request is overdue."""
     async with platform("r0", "w0") as p:
-        p.gateway.accepting.cancel()
+        p.gateway.accept_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         clients = [Client(p.address) for _ in range(3)]
         with trio.fail_after(1.5):  # a silent connection would rest for 2.3 s
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -22,7 +22,7 @@
 from ternlane.platform import discovery_watch
 from ternlane.platform import gateway as gateway_module
 from ternlane.platform.endpoint_list import EndpointList, parse_endpoint_list
-from ternlane.platform.settings import GatewayConfiguration, Limits
+from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
 from ternlane.policy.attempt import Stage
 from ternlane.policy.messages import EndpointStatus
 from ternlane.testing.platform import Discovery, Gate
@@ -45,7 +45,7 @@
         "n1",
         ("127.0.0.1", 0),
         (host, int(number)),
-        Limits(),
+        ProcessLimits(),
         parse_endpoint_list(known),
         Deployment(1, PLATFORM_SETTINGS),
     )
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -470,7 +470,7 @@
 
         p.nursery.start_soon(drain)
         await until(lambda: looked.is_set() or done.is_set())
-        assert p.gateway.runtime.releasing and not done.is_set()
+        assert p.gateway.runtime.releases_in_flight and not done.is_set()
         gate.open()
         await until(done.is_set)
         assert not p.fleet.states
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -206,7 +206,7 @@
         p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state waits
         counts = p.gateway.runtime.reporter.counts
         await until(lambda: counts["release unconfirmed"] >= 2)
-        assert p.gateway.runtime.releasing == 1
+        assert p.gateway.runtime.releases_in_flight == 1
         for server in p.servers.values():
             server.lease_fault = ""
         await until(lambda: counts["release confirmed"] == 1)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -281,7 +281,7 @@
                 finally:
                     trio.lowlevel.remove_instrument(counter)
             with trio.fail_after(1):
-                while routing.runtime.active_requests or routing.runtime.server_calls.releasing:
+                while routing.runtime.active_requests or routing.runtime.server_calls.releases_in_flight:
                     await trio.sleep(0.002)
             assert made["w0"].effects <= 1 and made["w0"].closed == made["w0"].effects
             assert made["w0"].effects or not made["r0"].states
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -83,7 +83,7 @@
             not runtime.active_requests
             and not runtime.requests_by_id
             and not runtime.ended
-            and not runtime.releasing
+            and not runtime.releases_in_flight
             and not scheduler.rules.queue
         )
         assert (
@@ -336,7 +336,7 @@
 async def test_a_drain_takes_what_waits_at_the_door_when_it_stops_accepting() -> None:
     """Clients wait in the listener's queue as a drain stops accepting. They are taken and answered."""
     async with platform("r0", "w0") as p:
-        p.gateway.accepting.cancel()  # what comes from here on is left to the listener's queue
+        p.gateway.accept_scope.cancel()  # what comes from here on is left to the listener's queue
         await trio.sleep(0.01)
         replies: list[Reply] = []
 
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -19,7 +19,7 @@
 from ternlane.platform.endpoint_list import EndpointList, EndpointListParser, parse_endpoint_list
 from ternlane.platform.endpoint_registry import MAX_STALENESS_MS, EndpointRegistry
 from ternlane.platform.model_server_client import ModelServerClient
-from ternlane.platform.settings import Limits
+from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Role
 from ternlane.testing.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
 from tests.platform_gateway import BODY, PLATFORM_SETTINGS, Platform, platform
@@ -428,7 +428,7 @@
 async def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out() -> None:
     """Idle clients take all connections while discovery is down. A new client is served, and a drain is heard once
     discovery is back."""
-    async with platform("r0", "w0", limits=Limits(sockets=100)) as p:
+    async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
         p.discovery.break_off(silent=False, listening=False)
         host, _, number = p.address.partition(":")
         idle = [await trio.open_tcp_stream(host, int(number)) for _ in range(120)]
@@ -448,7 +448,7 @@
 
 async def test_as_many_attempts_as_may_be_out_leave_connections_for_releases() -> None:
     """As many attempts are out as may be. A release still finds a connection."""
-    async with platform("r0", "w0", "w1", limits=Limits(sockets=100)) as p:
+    async with platform("r0", "w0", "w1", limits=ProcessLimits(sockets=100)) as p:
         runtime, chat_server = p.gateway.runtime, p.gateway.chat_server
         out = [
             await runtime.model_servers.pool.connect(p.servers["r0"].address) for _ in range(chat_server.request_limit)
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from ternlane.platform.settings import Limits
+from ternlane.platform.settings import ProcessLimits
 from tests.platform_gateway import BODY, HEAD, platform
 from tests.world import Reply, heard
 
@@ -134,7 +134,7 @@
 
 async def test_connections_that_say_nothing_do_not_block_the_door() -> None:
     """As many clients as may connect say nothing. The next client is served: the longest idle connection makes room."""
-    async with platform(limits=Limits(sockets=64)) as p:
+    async with platform(limits=ProcessLimits(sockets=64)) as p:
         host, _, number = p.address.partition(":")
         mute = [await trio.open_tcp_stream(host, int(number)) for _ in range(60)]
         assert (await p.ask()).status == 200
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -77,7 +77,7 @@
     """A client waits in the listener's queue as the gateway shuts down, and accept fails some times first. The
     client is taken and answered."""
     async with platform("r0", "w0") as p:
-        p.gateway.accepting.cancel()
+        p.gateway.accept_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         client = Client(p.address)
         client.send(client_request(p))
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -18,7 +18,7 @@
 from ternlane.deployment import Deployment
 from ternlane.platform import gateway as gateway_module
 from ternlane.platform.protocol import NAME_CHARS
-from ternlane.platform.settings import Limits
+from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import Effect, Role
 from ternlane.testing.platform import Gate
 from tests.crossing import Client, client_request, until
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("name", NAMES)
 async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
     told, raw = settings(name), site(name)
-    async with platform("r0", "w0", platform_settings=told, limits=Limits(sockets=500, memory_mb=100)) as p:
+    async with platform("r0", "w0", platform_settings=told, limits=ProcessLimits(sockets=500, memory_mb=100)) as p:
         router_config, pool, chat_server = (
             p.gateway.runtime.deployment.router_config,
             p.gateway.pool,
