--- a/tests/platform_gateway.py
+++ b/tests/platform_gateway.py
@@ -17,7 +17,7 @@
 from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
 from ternlane.testing.platform import Discovery, Fleet, ModelServer
 from ternlane.testing.proxy import StallingProxy
-from tests.world import Reply, heard
+from tests.gateway_cluster import Reply, send_request
 
 PLATFORM_SETTINGS: dict[str, Any] = {
     "discovery": "push",
@@ -145,7 +145,7 @@
     ) -> Reply:
         caller = await self.pool.connect(self.address)
         try:
-            return await heard(caller, body, self.headers(**more), path, method)
+            return await send_request(caller, body, self.headers(**more), path, method)
         finally:
             caller.close_now()
 
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -16,7 +16,7 @@
 from ternlane.ledger.reconciliation import reconcile
 from ternlane.tenants import ApiKey, Budget, Prices, Tenant, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
-from tests.world import BUILD, Reply, World, replace, world
+from tests.gateway_cluster import ENGINE_PROFILE, GatewayCluster, Reply, gateway_cluster, replace
 
 
 class Bank:
@@ -38,12 +38,14 @@
         self.lines = lines
         (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(TenantRegistryConfig(tenants=lines)))
 
-    async def ask(self, w: World, name: str, model: str = "summary", text: str = "hello", **more: Any) -> Reply:
+    async def ask(
+        self, w: GatewayCluster, name: str, model: str = "summary", text: str = "hello", **more: Any
+    ) -> Reply:
         headers = {"Authorization": f"Bearer {self.keys[name]}"} | more.pop("headers", {})
         return await w.ask(model, text, headers=headers, **more)
 
-    def off(self, w: World) -> Any:
-        return reconcile(read_entries([self.folder / "ledger"]), w.said("made"))
+    def off(self, w: GatewayCluster) -> Any:
+        return reconcile(read_entries([self.folder / "ledger"]), w.traffic_events("made"))
 
 
 @asynccontextmanager
@@ -51,17 +53,19 @@
     folder: Path,
     names: tuple[str, ...] = ("noto", "avola"),
     engines: tuple[str, ...] = ("r0", "w0"),
-    build: Any = BUILD,
+    build: Any = ENGINE_PROFILE,
     budget: dict[str, Any] | None = None,
-) -> AsyncIterator[tuple[World, Bank]]:
+) -> AsyncIterator[tuple[GatewayCluster, Bank]]:
     bank = Bank(folder, names, **(budget or {}))
-    async with world(engines, build=build, tenants=str(folder / "tenants.json5"), ledger=str(folder / "ledger")) as w:
+    async with gateway_cluster(
+        engines, profile=build, tenants=str(folder / "tenants.json5"), ledger=str(folder / "ledger")
+    ) as w:
         yield w, bank
         await w.gateway.drain()
 
 
 async def test_only_a_live_key_is_let_in_and_a_revoked_one_keeps_its_running_stream(tmp_path: Path) -> None:
-    async with banked(tmp_path, build=replace(BUILD, token_ms=150.0)) as (w, bank):
+    async with banked(tmp_path, profile=replace(ENGINE_PROFILE, token_ms=150.0)) as (w, bank):
         assert (await w.ask()).status == 401
         assert (await w.ask(headers={"Authorization": "Bearer tl-ffff-nothing"})).error == {
             "message": "Incorrect API key provided",
@@ -92,14 +96,17 @@
 
 async def test_bills_are_what_the_servers_counted_whatever_the_attempts(tmp_path: Path) -> None:
     """A server dies in the middle of a stream, so that a request is lost and another one is prefilled again."""
-    async with banked(tmp_path, engines=("r0", "r0b", "w0", "w0b"), build=replace(BUILD, token_ms=12.0)) as (w, bank):
+    async with banked(tmp_path, engines=("r0", "r0b", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=12.0)) as (
+        w,
+        bank,
+    ):
         for i in range(12):
             await bank.ask(w, "noto", text=f"folder {i} " * 30)
 
         async def kill() -> None:
-            while len(w.said("effect")) < 13:
+            while len(w.traffic_events("effect")) < 13:
                 await trio.sleep(0.002)
-            w.engines[w.said("effect")[-1]["id"]].die()
+            w.engines[w.traffic_events("effect")[-1]["id"]].die()
 
         w.nursery.start_soon(kill)
         lost = await bank.ask(w, "avola", "note", text="lost midway " * 40)
@@ -127,14 +134,14 @@
         first = await bank.ask(w, "noto", text="x" * 200, max_tokens=10)
         assert first.done == 1 and float(first.headers["x-ratelimit-remaining-tokens"]) < 150
         assert first.headers["x-ratelimit-limit-tokens"] == "6000"
-        attempts, no = len(w.said("leg")), Reply()
+        attempts, no = len(w.traffic_events("leg")), Reply()
         for _ in range(6):
             no = await bank.ask(w, "noto", text="x" * 200, max_tokens=10)
             if no.status == 429:
                 break
-            attempts = len(w.said("leg"))
+            attempts = len(w.traffic_events("leg"))
         assert no.status == 429 and no.error is not None and no.error["code"] == "rate_limit_exceeded"
-        assert len(w.said("leg")) == attempts
+        assert len(w.traffic_events("leg")) == attempts
         assert (await bank.ask(w, "avola", text="x" * 200, max_tokens=10)).done == 1  # not another's allowance
         await trio.sleep(float(no.headers["retry-after-ms"]) / 1000 + 0.02)
         assert (await bank.ask(w, "noto", text="x" * 200, max_tokens=10)).done == 1
@@ -143,8 +150,8 @@
 @pytest.mark.parametrize("cut", [False, True])
 async def test_a_stream_is_cut_for_its_overrun_only_where_the_tenant_wants_it(tmp_path: Path, cut: bool) -> None:
     budget = {"minute": 60, "burst": 100, "overdraft": 20, "cut": cut}
-    build = replace(BUILD, answer_tokens=(200, 200), token_ms=1.0)
-    async with banked(tmp_path, names=("noto",), build=build, budget=budget) as (w, bank):
+    build = replace(ENGINE_PROFILE, answer_tokens=(200, 200), token_ms=1.0)
+    async with banked(tmp_path, names=("noto",), profile=build, budget=budget) as (w, bank):
         for _ in range(20):  # it has given short answers so far
             w.gateway.budget_enforcer.usage_accounting.lengths.learn("noto", "summary", 10)
         reply = await bank.ask(w, "noto", max_tokens=200)
@@ -177,9 +184,9 @@
         w.gateway.runtime.start_attempt = lambda *_: None  # type: ignore[method-assign]
         with trio.move_on_after(0.2):
             await bank.ask(w, "noto")
-        assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.said("leg") == []
+        assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.traffic_events("leg") == []
         found = bank.off(w)
-        assert not w.said("leg") and not found.unsettled and found.billed.prompt == 0
+        assert not w.traffic_events("leg") and not found.unsettled and found.billed.prompt == 0
         w.gateway.runtime.active_requests.clear()
 
 
@@ -199,7 +206,7 @@
                 nursery.start_soon(one, "avola")
         assert got["avola"] == [200] * 3
         assert 1 <= got["noto"].count(200) <= 8 and got["noto"].count(429) == 80 - got["noto"].count(200)
-        assert len(w.said("leg", stage="write")) == got["noto"].count(200) + 3
+        assert len(w.traffic_events("leg", stage="write")) == got["noto"].count(200) + 3
         await w.gateway.budget_enforcer.writer.flush(1.0)
         assert bank.off(w).off == 0
 
@@ -209,7 +216,7 @@
     async with banked(tmp_path) as (w, bank):
         for name in bank.keys:
             assert (await bank.ask(w, name, headers={"X-Request-Id": "same"})).done == 1
-        assert {v["gen"] for v in w.said("leg")} == {"noto:same", "avola:same"}
+        assert {v["gen"] for v in w.traffic_events("leg")} == {"noto:same", "avola:same"}
 
 
 async def test_a_full_disk_is_served_through_and_new_requests_are_rejected_beyond_the_bound(tmp_path: Path) -> None:
@@ -239,9 +246,9 @@
     """A program leaves the gateway's block while a stream is half through: its bill is kept all the same."""
     bank = Bank(tmp_path, ("noto",))
     async with trio.open_nursery() as nursery:
-        async with world(
+        async with gateway_cluster(
             ("r0", "w0"),
-            build=replace(BUILD, token_ms=40.0),
+            profile=replace(ENGINE_PROFILE, token_ms=40.0),
             tenants=str(tmp_path / "tenants.json5"),
             ledger=str(tmp_path / "ledger"),
         ) as w:
@@ -256,9 +263,9 @@
     """Sockets were handed over: the second process serves at once, and keeps its bills when the first has ended."""
     bank = Bank(tmp_path, ("noto",), period=100_000)
     more: dict[str, Any] = {"tenants": str(tmp_path / "tenants.json5"), "ledger": str(tmp_path / "ledger")}
-    async with world(("r0", "w0"), **more) as first:
+    async with gateway_cluster(("r0", "w0"), **more) as first:
         assert (await bank.ask(first, "noto")).done == 1
-        async with world(("r0", "w0"), **more) as second:
+        async with gateway_cluster(("r0", "w0"), **more) as second:
             for _ in range(3):
                 assert (await bank.ask(second, "noto")).done == 1
             assert (await bank.ask(first, "noto")).done == 1
@@ -281,12 +288,12 @@
     async with banked(tmp_path, names=("a", "a.b")) as (w, bank):
         assert (await bank.ask(w, "a.b", headers={"X-Request-Id": "c"})).done == 1
         assert (await bank.ask(w, "a", headers={"X-Request-Id": "b.c"})).done == 1
-        assert {v["gen"] for v in w.said("leg")} == {"a.b:c", "a:b.c"}
+        assert {v["gen"] for v in w.traffic_events("leg")} == {"a.b:c", "a:b.c"}
 
 
 async def test_a_killed_gateway_loses_only_what_was_in_flight_and_it_is_listed(tmp_path: Path) -> None:
     """From some moment on nothing is settled, as after kill -9, while servers still work for one request."""
-    async with banked(tmp_path, build=replace(BUILD, token_ms=60.0)) as (w, bank):
+    async with banked(tmp_path, profile=replace(ENGINE_PROFILE, token_ms=60.0)) as (w, bank):
         assert (await bank.ask(w, "noto")).done == 1
         await w.gateway.budget_enforcer.writer.flush(1.0)
         async with trio.open_nursery() as nursery:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,7 @@
 
 from ternlane.client import Client, Failed, Rejected, RequestError, Unconnected
 from ternlane.testing.scripted import Scripted
-from tests.world import BUILD, World, replace, world
+from tests.gateway_cluster import ENGINE_PROFILE, GatewayCluster, gateway_cluster, replace
 
 JS = Path(__file__).parent.parent / "clients" / "js"
 NODE = shutil.which("node")
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def node(w: World, script: str, *args: str) -> str:
+async def node(w: GatewayCluster, script: str, *args: str) -> str:
     done = await trio.run_process(
         [str(NODE), str(JS / script), f"http://{w.gateway.address}", *args],
         capture_stdout=True,
@@ -40,13 +40,13 @@
     "scene, effects", [("served", 2), ("aborted", 1), ("throttled", 1), ("lost", 1), ("keyed", 1), ("unreached", 0)]
 )
 async def test_the_javascript_client(scene: str, effects: int) -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=10.0)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as w:
         if scene == "throttled":
             w.gateway.found([])
 
             async def fill() -> None:
                 await trio.sleep(0.4)
-                w.list()
+                w.publish_endpoints()
 
             w.nursery.start_soon(fill)
         if scene == "lost":
@@ -54,13 +54,13 @@
                 w.engines[ident].fault.lost_answer_share = 1.0
         said = await node(w, "test/against.mjs", scene)
         assert json.loads(said.splitlines()[-1]) == {"scene": scene, "passed": True}
-        assert len(w.said("effect")) == effects
+        assert len(w.traffic_events("effect")) == effects
         await w.wait_until_idle()
 
 
 @needs_node
 async def test_the_example_runs() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         lines = (await node(w, "examples/stream.mjs", "summary")).splitlines()
         assert len(lines) == 2 and lines[0] == lines[1] and len(lines[0].split()) == 6
 
@@ -76,7 +76,7 @@
 
 
 async def test_the_python_client_streams_comes_back_and_leaves() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, token_ms=10.0)) as w:
+    async with gateway_cluster(("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as w:
 
         def talk() -> None:
             with Client(f"http://{w.gateway.address}") as client:
@@ -94,12 +94,12 @@
 
         await trio.to_thread.run_sync(talk)
         await w.wait_until_idle()
-        assert len(w.said("effect")) == 3 and w.said("leg_end")[-1]["how"] == "dropped"
+        assert len(w.traffic_events("effect")) == 3 and w.traffic_events("leg_end")[-1]["how"] == "dropped"
         w.gateway.found([])
 
         async def fill() -> None:
             await trio.sleep(0.2)
-            w.list()
+            w.publish_endpoints()
 
         w.nursery.start_soon(fill)
 
@@ -114,7 +114,7 @@
 
 
 async def test_the_python_client_repeats_only_what_can_not_have_run() -> None:
-    async with world(("r0", "w0", "w0b")) as w:
+    async with gateway_cluster(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
             w.engines[ident].fault.lost_answer_share = 1.0
 
@@ -127,7 +127,7 @@
             assert not refused.value.may_have_run
 
         await trio.to_thread.run_sync(lost)
-        assert len(w.said("effect")) == 1
+        assert len(w.traffic_events("effect")) == 1
         broken = Scripted(
             [
                 b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -24,8 +24,8 @@
 from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 from tests.crossing import Client, Wrapped, arrived, client_request, pair, until
+from tests.gateway_cluster import FLEET_CONFIG, Reply, gateway_cluster
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
-from tests.world import TERMS, Reply, world
 
 
 def platform_settings(**limits: Any) -> dict[str, Any]:
@@ -110,7 +110,7 @@
     name: str, other: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As above: a server begins to drain during a connect, here in the chat gateway."""
-    async with world(("r0", "w0"), terms=msgspec.structs.replace(TERMS, connect_ms=1000)) as w:
+    async with gateway_cluster(("r0", "w0"), fleet=msgspec.structs.replace(FLEET_CONFIG, connect_ms=1000)) as w:
         engine = w.engines[name]
         held = HeldConnects(monkeypatch, f"{engine.host}:{engine.port}")
         replies: list[Reply] = []
@@ -121,11 +121,11 @@
         w.nursery.start_soon(ask)
         await held.gate.reached.wait()
         await w.add(other)
-        w.list(**{name: "draining"})
+        w.publish_endpoints(**{name: "draining"})
         held.gate.open()
         await until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1
-        asked_of = {line["id"] for line in w.said("leg")}
+        asked_of = {line["id"] for line in w.traffic_events("leg")}
         assert name not in asked_of and other in asked_of
         await w.wait_until_idle()
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -20,7 +20,7 @@
 from ternlane.scenarios.fault_plan import fault_actions_of
 from ternlane.scenarios.fleet_plan import engines_of
 from ternlane.scenarios.scenario import Scenario
-from tests.world import BUILD, replace, world
+from tests.gateway_cluster import ENGINE_PROFILE, gateway_cluster, replace
 
 DAYS = Path(__file__).parent.parent / "days"
 FAULT_KINDS = {
@@ -144,7 +144,9 @@
 
 
 async def test_the_published_openai_client_is_served() -> None:
-    async with world(("r0", "w0"), build=replace(BUILD, token_ms=10.0, answer_tokens=(12, 12))) as w:
+    async with gateway_cluster(
+        ("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=10.0, answer_tokens=(12, 12))
+    ) as w:
         base = f"http://{w.gateway.address}/v1"
         messages: Any = [{"role": "user", "content": "tell me"}]
 
@@ -178,11 +180,11 @@
 
         async def back() -> None:
             await trio.sleep(0.2)
-            w.list()
+            w.publish_endpoints()
 
         w.nursery.start_soon(back)
         assert await trio.to_thread.run_sync(rejected_once) == text
-        assert len(w.said("effect")) == 4
+        assert len(w.traffic_events("effect")) == 4
 
 
 def bench_day() -> dict[str, Any]:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -16,8 +16,8 @@
 from ternlane.policy import messages
 from ternlane.testing.platform import Gate
 from tests.crossing import Client, client_request, until
+from tests.gateway_cluster import FLEET_CONFIG, REQUEST_CLASSES, gateway_cluster
 from tests.platform_gateway import Platform, platform
-from tests.world import REQUEST_CLASSES, TERMS, world
 
 
 class Faulty:
@@ -184,7 +184,7 @@
 
 async def test_the_chat_gateway_too_answers_what_its_decisions_fail_on() -> None:
     """As above: the router raises on an arrival, here in the chat gateway."""
-    async with world() as w:
+    async with gateway_cluster() as w:
         chooser = w.gateway.runtime.router
         w.gateway.runtime.router = Faulty(chooser, lambda events: 1 / 0 if arrivals(events) else None)
         with trio.fail_after(3):
@@ -199,7 +199,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """As above: a handler raises, here in the chat gateway."""
-    async with world() as w:
+    async with gateway_cluster() as w:
 
         def fail(*_: Any) -> None:
             raise RuntimeError("a fault in this program")
@@ -212,12 +212,12 @@
 
 async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
     """As above: the router decides nothing for a request, here in the library."""
-    async with world() as w:
+    async with gateway_cluster() as w:
         config = GatewayConfig(
             name="lib",
             listen="127.0.0.1:0",
             request_classes=REQUEST_CLASSES,
-            fleet=TERMS,
+            fleet=FLEET_CONFIG,
             nodes=InlineSource(nodes=w.lines()),
         )
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -16,9 +16,9 @@
 from ternlane.testing.platform import Gate
 from ternlane.testing.proxy import StallingProxy
 from tests.crossing import until
+from tests.gateway_cluster import Reply
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, platform, wait_until_ready
 from tests.test_platform_bounds import running
-from tests.world import Reply
 
 RELEASE_MS = PLATFORM_SETTINGS["specifics"]["release"]
 SLACK_MS = 300.0  # what the users' page gives a gateway on top
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -23,7 +23,17 @@
 from ternlane.ledger.segment import read_segment
 from ternlane.recovery.inflight import AttemptSent, InFlightRequests, Record, RequestEnded, RequestTaken, StateFreed
 from tests.fake_disk import CrashError, FakeDisk
-from tests.world import BUILD, TERMS, Reply, World, heard, patient, replace, until, world
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    GatewayCluster,
+    Reply,
+    gateway_cluster,
+    replace,
+    scaled_request_classes,
+    send_request,
+    until,
+)
 
 ROOT = Path(__file__).parent.parent
 NOW, LATER = 1000.0, 5000.0
@@ -160,7 +170,7 @@
 
 
 @asynccontextmanager
-async def next_gateway(w: World, folder: Path) -> AsyncIterator[str]:
+async def next_gateway(w: GatewayCluster, folder: Path) -> AsyncIterator[str]:
     """The next process, with the journal as a kill at this moment would leave it."""
     copy = folder.with_name(folder.name + "-after")
     shutil.copytree(folder, copy)
@@ -173,7 +183,7 @@
 async def ask_at(address: str, model: str, key: str) -> Reply:
     caller = await ConnectionPool(1000, 1000).connect(address)
     try:
-        return await heard(
+        return await send_request(
             caller,
             {"model": model, "messages": [{"role": "user", "content": "hello"}], "stream": True},
             {"Idempotency-Key": key},
@@ -186,49 +196,53 @@
 @pytest.mark.parametrize("model", ["note", "form", "summary"])
 async def test_a_repeat_after_the_loss_hears_that_it_may_have_run(model: str, tmp_path: Path) -> None:
     """A gateway is killed with a keyed request out, whose effect has happened. Its client asks the next process."""
-    async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(
+        ("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=60.0), journal=str(tmp_path / "j")
+    ) as w:
         replies: list[Reply] = []
 
         async def first() -> None:
             replies.append(await w.ask(model, headers={"Idempotency-Key": "k1"}))
 
         w.nursery.start_soon(first)
-        await until(lambda: w.said("effect"), 2)
+        await until(lambda: w.traffic_events("effect"), 2)
         async with next_gateway(w, tmp_path / "j") as address:
             reply = await ask_at(address, model, "k1")
             if model == "summary":  # harmless: it simply runs
                 assert reply.done == 1
             else:
                 assert reply.status == 502 and "may have run" in reply.error["message"]  # type: ignore[index]
-                assert reply.headers["x-should-retry"] == "false" and len(w.said("effect")) == 1
+                assert reply.headers["x-should-retry"] == "false" and len(w.traffic_events("effect")) == 1
             other = await ask_at(address, model, "k2")
             assert other.done == 1
 
 
 async def test_gateway_and_decode_server_lost_together_double_nothing(tmp_path: Path) -> None:
     """A gateway and the decode server of its request are lost at once. Nobody left knows how far the request came."""
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(
+        ("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=60.0), journal=str(tmp_path / "j")
+    ) as w:
         w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
-        await until(lambda: w.said("effect"), 2)
+        await until(lambda: w.traffic_events("effect"), 2)
         async with next_gateway(w, tmp_path / "j") as address:
-            w.engines[w.said("effect")[0]["id"]].die()
+            w.engines[w.traffic_events("effect")[0]["id"]].die()
             reply = await ask_at(address, "form", "k1")
-            assert reply.status == 502 and len(w.said("effect")) == 1
+            assert reply.status == 502 and len(w.traffic_events("effect")) == 1
 
 
 async def test_a_repeat_after_the_loss_hears_the_answer_that_was_given(tmp_path: Path) -> None:
     """A gateway is killed after it gave an answer. Its client never got it, and asks again."""
-    async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
         await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
         async with next_gateway(w, tmp_path / "j") as address:
             again = await ask_at(address, "note", "k1")
             assert again.text == reply.text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
-            assert len(w.said("effect")) == 1
+            assert len(w.traffic_events("effect")) == 1
 
 
 async def test_an_idempotent_request_that_failed_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
-    async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].fault.script = "midway"
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 0
         w.engines["w0"].fault.script = ""
@@ -240,22 +254,22 @@
 
 async def test_states_that_the_lost_gateway_held_are_released(tmp_path: Path) -> None:
     """A gateway is killed between prefill and decode. Its state would stay until the engine's own lease ends."""
-    async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].busy = w.engines["w0"].profile.slots  # writes wait: the state stays at its reader
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.ask)
-            await until(lambda: w.said("leg", stage="write"), 2)
+            await until(lambda: w.traffic_events("leg", stage="write"), 2)
             await trio.sleep(0.05)
             assert len(w.engines["r0"].states) == 1
             async with next_gateway(w, tmp_path / "j"):
-                assert w.engines["r0"].states == {} and len(w.said("released")) == 1
+                assert w.engines["r0"].states == {} and len(w.traffic_events("released")) == 1
             w.engines["w0"].busy = 0
             nursery.cancel_scope.cancel()
 
 
 async def test_with_a_full_disk_nothing_runs_that_could_not_be_remembered(tmp_path: Path) -> None:
     """The journal's disk is full. An effect that is not written down could be doubled after a loss."""
-    async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         journal_writer = w.gateway.journal_writer
         assert journal_writer is not None
         await until(lambda: journal_writer.ready, 1)
@@ -265,7 +279,7 @@
 
         write, journal_writer.store.disk.write = journal_writer.store.disk.write, full  # type: ignore[method-assign]
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
-        assert reply.status == 429 and w.said("effect") == []
+        assert reply.status == 429 and w.traffic_events("effect") == []
         assert (await w.ask("note")).done == 1  # without a key nobody was promised anything
         journal_writer.store.disk.write = write  # type: ignore[method-assign]
         await until(lambda: not journal_writer.writer.waiting, 3)
@@ -274,7 +288,7 @@
 
 async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_admitted(tmp_path: Path) -> None:
     """The process before still holds the journal's lock. The first request of a key may be out there."""
-    async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
+    async with gateway_cluster(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         await until(lambda: w.gateway.journal_writer.ready, 1)  # type: ignore[union-attr]
         config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
         async with open_gateway(config) as second:
@@ -287,7 +301,7 @@
 
 async def test_a_daemon_killed_outright_doubles_nothing(tmp_path: Path) -> None:
     """A daemon gets SIGKILL with a keyed request out, and is started again."""
-    async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0)) as w:
+    async with gateway_cluster(("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=60.0)) as w:
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
@@ -295,8 +309,8 @@
             w.gateway.config,
             listen=f"127.0.0.1:{port}",
             journal=str(tmp_path / "j"),
-            request_classes=patient(20),
-            fleet=TERMS,
+            request_classes=scaled_request_classes(20),
+            fleet=FLEET_CONFIG,
         )
         (tmp_path / "g.json5").write_bytes(msgspec.json.encode(config))
 
@@ -320,13 +334,13 @@
         process = await start()
         try:
             w.nursery.start_soon(ask_until_taken)
-            await until(lambda: w.said("effect"), 20)
+            await until(lambda: w.traffic_events("effect"), 20)
             process.send_signal(signal.SIGKILL)
             await process.wait()
             process = await start()
             with trio.fail_after(20):
                 reply = await ask_until_taken()
-            assert reply.status == 502 and len(w.said("effect")) == 1
+            assert reply.status == 502 and len(w.traffic_events("effect")) == 1
         finally:
             process.kill()
             await process.wait()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -16,7 +16,7 @@
 from ternlane.cli import main
 from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, arrival_times, planned_requests
 from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError, address_of
-from tests.world import BUILD, replace, world
+from tests.gateway_cluster import ENGINE_PROFILE, gateway_cluster, replace
 
 
 @given(st.lists(st.floats(1e-6, 1e9), min_size=1, max_size=300), st.floats(0, 1), st.integers(0, 300))
@@ -94,7 +94,7 @@
 
 
 async def test_a_load_is_answered_and_counted_as_the_engines_saw_it() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         lines: list[dict[str, object]] = []
         told = LoadConfig(
             request_classes=[
@@ -107,7 +107,7 @@
         )
         tally = await LoadGenerator(told, f"http://{w.gateway.address}/v1", lines.append).run()
         assert tally.outcomes["streamed"] == len(lines) > 20 and set(tally.outcomes) == {"streamed"}
-        assert tally.tokens == 6 * len(lines) and len(w.said("effect")) >= len(lines)
+        assert tally.tokens == 6 * len(lines) and len(w.traffic_events("effect")) >= len(lines)
         assert tally.first_token_ms.count and 0 < tally.first_token_ms.quantile(0.5) < tally.complete_ms.quantile(0.9)
         await w.wait_until_idle()
 
@@ -115,7 +115,7 @@
 async def test_a_stall_is_seen_by_all_that_were_due_in_it() -> None:
     """All engines hang for most of a second. A closed loop would ask less meanwhile, and its median would hide the
     stall; an open one must not."""
-    async with world(build=replace(BUILD, slots=2)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, slots=2)) as w:
 
         async def stall() -> None:
             await trio.sleep(0.4)
@@ -139,7 +139,7 @@
 
 async def test_a_tool_slower_than_its_schedule_says_so_and_reports_nothing() -> None:
     """Another task keeps the tool's process busy, so that requests go out late. Their times would be the tool's own."""
-    async with world() as w:
+    async with gateway_cluster() as w:
 
         async def hog() -> None:
             for _ in range(40):
@@ -154,7 +154,7 @@
 
 
 async def test_clients_of_a_closed_loop_ask_one_at_a_time() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         load = LoadGenerator(config(seconds=0.4, at_once=3), w.gateway.address)
         most = 0
 
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -23,6 +23,7 @@
 from ternlane.platform.request_reporter import KEPT_RECORDS
 from ternlane.policy.placement import MAX_HOMES
 from ternlane.policy.prefix_affinity import MAX_COUNTED_PREFIXES
+from tests.gateway_cluster import Reply
 from tests.platform_gateway import (
     BODY,
     HEAD,
@@ -33,7 +34,6 @@
     platform,
     wait_until_ready,
 )
-from tests.world import Reply
 
 BAD = HEAD + b"Content-Length: -5\r\n\r\n"
 
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -8,8 +8,8 @@
 import trio
 
 from ternlane.platform.settings import ProcessLimits
+from tests.gateway_cluster import Reply, send_request
 from tests.platform_gateway import BODY, HEAD, platform
-from tests.world import Reply, heard
 
 GIVEN = (
     b"Request-Id: 00000000000000ff\r\nRequest-Class: summary\r\nRequest-Timeout: 1\r\nRequest-Info: prompt_len=5\r\n"
@@ -89,7 +89,7 @@
         assert await p.send_raw(HEAD + GIVEN + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
         assert await p.send_raw(b"") == b""
         caller = await p.pool.connect(p.address)
-        assert (await heard(caller, BODY, p.headers(), "/v1/chat/completions")).done == 1
+        assert (await send_request(caller, BODY, p.headers(), "/v1/chat/completions")).done == 1
         await caller.stream.send_all(HEAD)  # of a second request, that does not go on
         with trio.fail_after(3):
             assert (await caller.stream.receive_some()).startswith(b"HTTP/1.1 408 ")
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -17,8 +17,8 @@
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.policy import messages
 from ternlane.testing.platform import DONE, EVENT
+from tests.gateway_cluster import Reply, send_request
 from tests.platform_gateway import BODY, platform, wait_until_ready
-from tests.world import Reply, heard
 
 # -- the loop
 
@@ -127,7 +127,7 @@
             replies.append(await p.ask())
 
         kept = await p.pool.connect(p.address)
-        assert (await heard(kept, BODY, p.headers(), "/v1/chat/completions")).done == 1
+        assert (await send_request(kept, BODY, p.headers(), "/v1/chat/completions")).done == 1
         fresh = await p.pool.connect(p.address)
         p.nursery.start_soon(one)
         await trio.sleep(0.2)
@@ -135,7 +135,7 @@
         p.nursery.start_soon(p.gateway.drain)
         with trio.fail_after(0.2):
             assert await kept.stream.receive_some() == b""  # has been served: may ask elsewhere
-        reply = await heard(fresh, BODY, p.headers(), "/v1/chat/completions")  # new ones still hear an answer
+        reply = await send_request(fresh, BODY, p.headers(), "/v1/chat/completions")  # new ones still hear an answer
         assert reply.status == 503 and reply.headers["connection"] == "close" and "retry-after" in reply.headers
         silent = await p.pool.connect(p.address)
         with trio.fail_after(1):
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -29,15 +29,24 @@
 )
 from ternlane.rules import check
 from ternlane.tenants import TokenUsage, bill_for
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    GatewayCluster,
+    Reply,
+    gateway_cluster,
+    replace,
+    scaled_request_classes,
+    until,
+)
 from tests.test_rules import RULES
 from tests.test_transports import REQUEST, Local, config
-from tests.world import BUILD, TERMS, Reply, World, patient, replace, until, world
 
 WHOLE = 10**9
 
 
 def terms(**changes: Any) -> FleetConfig:
-    return msgspec.structs.replace(TERMS, max_attempts=12, **changes)
+    return msgspec.structs.replace(FLEET_CONFIG, max_attempts=12, **changes)
 
 
 def usage_of(reply: Reply) -> dict[str, Any]:
@@ -46,35 +55,35 @@
 
 
 async def unbroken(model: str = "summary", **more: Any) -> Reply:
-    async with world(("r0", "w0")) as w:
+    async with gateway_cluster(("r0", "w0")) as w:
         return await w.ask(model, stream_options={"include_usage": True}, **more)
 
 
-def break_all(w: World, at: int, script: str = "midway") -> None:
+def break_all(w: GatewayCluster, at: int, script: str = "midway") -> None:
     """Every writer breaks off after so many pieces."""
     for ident, engine in w.engines.items():
         if ident[0] == "w":
             engine.fault.script, engine.fault.break_after_events = script, at
 
 
-async def others(w: World, script: str = "") -> None:
+async def others(w: GatewayCluster, script: str = "") -> None:
     """Once a writer has begun, all others do something else."""
-    while not w.said("effect"):
+    while not w.traffic_events("effect"):
         await trio.sleep(0.0005)
     for engine in w.engines.values():
-        if engine.ident != w.said("effect")[0]["id"]:
+        if engine.ident != w.traffic_events("effect")[0]["id"]:
             engine.fault.script = script
 
 
-def attempts_at(w: World, stage: str = "write") -> list[str]:
-    return [v["id"] for v in w.said("leg", stage=stage)]
+def attempts_at(w: GatewayCluster, stage: str = "write") -> list[str]:
+    return [v["id"] for v in w.traffic_events("leg", stage=stage)]
 
 
 @pytest.mark.parametrize("at", [1, 2, 3, 5, 6])
 async def test_a_stream_is_resumed_elsewhere_wherever_it_broke(at: int) -> None:
     """The decode server of a stream dies after some pieces. The client has a part of the text and waits."""
     whole = await unbroken()
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, at)
         w.nursery.start_soon(others, w)
         reply = await w.ask(stream_options={"include_usage": True})
@@ -87,9 +96,9 @@
 
 
 async def test_a_whole_answer_is_joined_too_and_its_client_sees_nothing_of_it() -> None:
-    async with world(("r0", "w0")) as w:
+    async with gateway_cluster(("r0", "w0")) as w:
         whole = json.loads((await w.ask(stream=False)).body)
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 4)
         reply = await w.ask(stream=False)
         said = json.loads(reply.body)
@@ -99,13 +108,13 @@
 async def test_a_stream_lost_again_and_again_is_resumed_until_its_attempts_are_used_up() -> None:
     """Each decode server that takes a stream over dies too, until the limit on attempts ends it."""
     whole = await unbroken()
-    async with world(("r0", "w0", "w0b", "w1", "w1b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b", "w1", "w1b"), fleet=terms()) as w:
         break_all(w, 2)
         reply = await w.ask(stream_options={"include_usage": True})
         assert reply.text == whole.text and reply.done == 1  # 2 + 2 + 2 pieces, and then only its end
         assert usage_of(reply)["completion_tokens"] == 6 and len(set(attempts_at(w))) >= 3
         await w.wait_until_idle()
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 1)
         reply = await w.ask()
         assert reply.done == 0 and reply.error is not None and whole.text.startswith(reply.text) and reply.text
@@ -115,13 +124,13 @@
 async def test_the_prefill_server_of_a_resume_dies_and_another_prefills() -> None:
     """A stream broke, and the prefill server that reads its prompt anew dies as well."""
     whole = await unbroken()
-    async with world(("r0", "r0b", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 4)
 
         async def kill() -> None:
-            while len(w.said("leg", stage="read")) < 2:
+            while len(w.traffic_events("leg", stage="read")) < 2:
                 await trio.sleep(0.0005)
-            w.engines[w.said("leg", stage="read")[1]["id"]].die()
+            w.engines[w.traffic_events("leg", stage="read")[1]["id"]].die()
 
         w.nursery.start_soon(kill)
         reply = await w.ask()
@@ -132,21 +141,21 @@
 async def test_what_may_not_run_twice_does_not(model: str) -> None:
     """A side-effecting one ends; a deduplicated one is repeated as it was, within its cell, and joined by comparing."""
     whole = await unbroken(model)
-    async with world(("r0", "w0", "w0b", "r1", "w1", "w1b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b", "r1", "w1", "w1b"), fleet=terms()) as w:
         break_all(w, 3)
         w.nursery.start_soon(others, w)
         reply = await w.ask(model)
         if model == "note":
-            assert len(w.said("effect")) == 1 and reply.done == 0 and reply.error is not None
+            assert len(w.traffic_events("effect")) == 1 and reply.done == 0 and reply.error is not None
             assert len(attempts_at(w)) == 1
         else:
             assert reply.text == whole.text and reply.done == 1
-            assert len({v["key"] for v in w.said("effect")}) == 1 and len({i[1] for i in attempts_at(w)}) == 1
+            assert len({v["key"] for v in w.traffic_events("effect")}) == 1 and len({i[1] for i in attempts_at(w)}) == 1
         await w.wait_until_idle()
 
 
 async def test_a_replay_that_answers_otherwise_is_not_joined() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 3)
         w.nursery.start_soon(others, w, "other")
         reply = await w.ask("form")
@@ -170,7 +179,7 @@
 )
 async def test_each_kind_of_request_is_resumed_or_ended_by_its_rule(more: dict[str, Any], joined: bool) -> None:
     whole = await unbroken(**more)
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 3)
         w.nursery.start_soon(others, w)
         reply = await w.ask(stream_options={"include_usage": True}, **more)
@@ -181,7 +190,7 @@
 
 async def test_prefill_servers_that_cannot_continue_a_text_are_found_out() -> None:
     whole = await unbroken()
-    async with world(("r0", "r0b", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 4)
         for ident in ("r0", "r0b"):
             w.engines[ident].fault.script = "deaf"
@@ -192,13 +201,15 @@
 
 async def test_a_client_that_leaves_during_a_resume_leaves_nothing() -> None:
     """A stream broke and waits to be resumed; meanwhile its client leaves."""
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=50.0), terms=terms()) as w:
+    async with gateway_cluster(
+        ("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=50.0), fleet=terms()
+    ) as w:
         break_all(w, 2)
         with trio.move_on_after(5):
             async with trio.open_nursery() as nursery:
 
                 async def leave() -> None:
-                    while len(w.said("leg", stage="read")) < 2:
+                    while len(w.traffic_events("leg", stage="read")) < 2:
                         await trio.sleep(0.001)
                     nursery.cancel_scope.cancel()
 
@@ -209,11 +220,11 @@
 
 
 async def test_a_time_limit_within_a_resume_is_kept() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 2)
 
         async def hang() -> None:
-            while not w.said("effect"):
+            while not w.traffic_events("effect"):
                 await trio.sleep(0.0005)
             w.engines["r0"].fault.hung = True
 
@@ -228,11 +239,11 @@
 async def test_a_gateway_that_drains_lets_resumes_end() -> None:
     """A gateway is told to stop while a broken stream is being resumed."""
     whole = await unbroken()
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=20.0), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=20.0), fleet=terms()) as w:
         break_all(w, 4)
 
         async def drain() -> None:
-            while len(w.said("leg", stage="read")) < 2:
+            while len(w.traffic_events("leg", stage="read")) < 2:
                 await trio.sleep(0.001)
             await w.gateway.drain()
 
@@ -242,7 +253,7 @@
 
 
 async def test_what_is_kept_is_bounded_and_what_outgrew_it_ends_honestly() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(keep_bytes=12)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms(), streams=StreamConfig(keep_bytes=12)) as w:
         break_all(w, 4)
         reply = await w.ask()
         assert reply.done == 0 and "outgrew" in reply.error["message"]  # type: ignore[index]
@@ -251,7 +262,7 @@
             w.gateway.runtime.stream_recovery.replay_buffer.used_bytes == 0
             and w.gateway.runtime.stream_recovery.replay_buffer.dropped == 1
         )
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(resume=False)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms(), streams=StreamConfig(resume=False)) as w:
         break_all(w, 4)
         reply = await w.ask()
         assert reply.done == 0 and len(attempts_at(w)) == 1
@@ -259,11 +270,11 @@
 
 async def test_half_the_decode_servers_go_at_once_and_all_streams_come_through() -> None:
     """Half the decode servers die at once with their streams open. All are prefilled anew on the rest."""
-    async with world(
+    async with gateway_cluster(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"),
-        build=replace(BUILD, token_ms=25.0, answer_tokens=(20, 20)),
-        terms=terms(),
-        request_classes=patient(4),
+        profile=replace(ENGINE_PROFILE, token_ms=25.0, answer_tokens=(20, 20)),
+        fleet=terms(),
+        request_classes=scaled_request_classes(4),
     ) as w:
         replies: list[Reply] = []
 
@@ -277,13 +288,13 @@
         async with trio.open_nursery() as nursery:
             for i in range(12):
                 nursery.start_soon(ask, i)
-            while len(w.said("effect")) < 6:
+            while len(w.traffic_events("effect")) < 6:
                 await trio.sleep(0.001)
-            begun = Counter(v["id"] for v in w.said("effect"))
+            begun = Counter(v["id"] for v in w.traffic_events("effect"))
             for ident in sorted(("w0", "w0b", "w1", "w1b"), key=lambda e: -begun[e])[:2]:
                 w.engines[ident].die()
         assert len(replies) == 12 and all(r.done == 1 and len(r.text.split()) == 20 for r in replies)
-        assert len(w.said("effect")) > 12  # some were broken, and went on elsewhere
+        assert len(w.traffic_events("effect")) > 12  # some were broken, and went on elsewhere
         await w.wait_until_idle()
 
 
@@ -507,10 +518,10 @@
 
 async def test_a_stalled_stream_goes_on_long_before_the_silence_that_was_allowed() -> None:
     """A decode server stops in mid-stream with its connection open. Its peers show that the silence is no pause."""
-    async with world(
+    async with gateway_cluster(
         ("r0", "w0", "w0b"),
-        build=replace(BUILD, answer_tokens=(30, 30)),
-        terms=terms(),
+        profile=replace(ENGINE_PROFILE, answer_tokens=(30, 30)),
+        fleet=terms(),
         streams=StreamConfig(alarms=1e-3),
     ) as w:
         stream_pacing, rng = w.gateway.runtime.stream_recovery.stream_pacing, random.Random(1)
@@ -535,7 +546,7 @@
 
 
 async def test_tool_calls_and_probabilities_come_through_streamed_whole_and_again() -> None:
-    async with world(("r0", "w0")) as w:
+    async with gateway_cluster(("r0", "w0")) as w:
         streamed = await w.ask(tools=TOOLS)
         said = [json.loads(e)["choices"][0] for e in streamed.events if e != "[DONE]" and json.loads(e)["choices"]]
         calls = [c["delta"]["tool_calls"][0] for c in said if c["delta"].get("tool_calls")]
@@ -550,12 +561,12 @@
             ]
         probs = json.loads((await w.ask(stream=False, logprobs=True)).body)["choices"][0]
         assert "".join(t["token"] for t in probs["logprobs"]["content"]) == probs["message"]["content"]
-        assert len(w.said("effect")) == 3
+        assert len(w.traffic_events("effect")) == 3
 
 
 async def test_a_stream_lost_within_a_tool_call_ends_honestly() -> None:
     """A decode server dies within a tool call, which no other can go on with."""
-    async with world(("r0", "w0", "w0b"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms()) as w:
         break_all(w, 3)
         reply = await w.ask(tools=TOOLS, temperature=0)
         assert reply.done == 0 and "more than text" in reply.error["message"]  # type: ignore[index]
@@ -567,7 +578,7 @@
 
 
 async def test_a_client_resumes_its_stream_where_it_had_it() -> None:
-    async with world(("r0", "w0", "w0b"), terms=terms(), streams=StreamConfig(ids=True)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), fleet=terms(), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask(temperature=0)
         ids = [int(line[4:]) for line in whole.body.decode().splitlines() if line.startswith("id: ")]
         assert ids[-1] == len(whole.text) and ids == sorted(ids) and len(set(ids)) == 6
@@ -585,18 +596,18 @@
 
 
 async def test_what_may_not_run_again_is_taken_up_only_from_what_is_kept() -> None:
-    async with world(("r0", "w0"), streams=StreamConfig(ids=True)) as w:
+    async with gateway_cluster(("r0", "w0"), streams=StreamConfig(ids=True)) as w:
         whole = await w.ask("note", headers={"Idempotency-Key": "k"})
         rest = await w.ask("note", headers={"Idempotency-Key": "k", "Last-Event-ID": "5"})
-        assert rest.text == whole.text[5:] and rest.done == 1 and len(w.said("effect")) == 1
+        assert rest.text == whole.text[5:] and rest.done == 1 and len(w.traffic_events("effect")) == 1
         for model, more in (("note", {}), ("summary", {}), ("form", {"temperature": 0})):
             reply = await w.ask(model, headers={"Last-Event-ID": "5"}, **more)
             assert reply.status == 409 and reply.error["code"] == "resume_not_possible"  # type: ignore[index]
         reply = await w.ask("note", headers={"Last-Event-ID": "five"})
-        assert reply.status == 400 and len(w.said("effect")) == 1
+        assert reply.status == 400 and len(w.traffic_events("effect")) == 1
         free = await w.ask("note", headers={"Idempotency-Key": "k2", "Last-Event-ID": "5"})
         assert free.status == 409 and (await w.ask("note", headers={"Idempotency-Key": "k2"})).done == 1
-    async with world(("r0", "w0")) as w:
+    async with gateway_cluster(("r0", "w0")) as w:
         assert b"id: " not in (await w.ask()).body
         assert (await w.ask(temperature=0, headers={"Last-Event-ID": "5"})).status == 409
 
@@ -637,9 +648,9 @@
 
 async def test_an_old_decode_server_that_comes_back_while_another_goes_on_adds_nothing() -> None:
     """A stalled decode server wakes up after its stream was resumed elsewhere, and goes on to write."""
-    build = replace(BUILD, token_ms=8.0, answer_tokens=(30, 30))
+    build = replace(ENGINE_PROFILE, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
-    async with world(("r0", "w0", "w0b"), build=build, terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=build, fleet=terms()) as w:
         stream_pacing, rng = w.gateway.runtime.stream_recovery.stream_pacing, random.Random(2)
         for _ in range(4000):
             for server in w.gateway.runtime.registry.servers.values():
@@ -648,9 +659,9 @@
         stream_pacing.explores = lambda: False  # type: ignore[method-assign]
 
         async def stand_still_and_heal() -> None:
-            while not w.said("effect"):
+            while not w.traffic_events("effect"):
                 await trio.sleep(0.001)
-            old = w.engines[w.said("effect")[0]["id"]]
+            old = w.engines[w.traffic_events("effect")[0]["id"]]
             await trio.sleep(0.1)
             old.fault.hung = True
             while len(attempts_at(w)) < 2:
@@ -668,7 +679,7 @@
 @pytest.mark.parametrize("script", ["midway", "silent", "stall"])
 async def test_a_decode_server_that_never_ends_an_answer_is_found_by_outcomes_alone(script: str) -> None:
     """Its list entry, its handshake and its reads of the prompt are all well."""
-    async with world(("r0", "w0", "w0b", "w1"), terms=terms()) as w:
+    async with gateway_cluster(("r0", "w0", "w0b", "w1"), fleet=terms()) as w:
         w.engines["w0"].fault.script, w.engines["w0"].fault.break_after_events = script, 2
         replies: list[Reply] = []
 
@@ -697,10 +708,10 @@
 
 
 async def test_servers_that_left_the_list_are_forgotten() -> None:
-    async with world(("r0", "w0", "w1")) as w:
+    async with gateway_cluster(("r0", "w0", "w1")) as w:
         for _ in range(12):
             await w.ask()
         paces = w.gateway.runtime.stream_recovery.stream_pacing.paces
         assert paces
-        w.list(w0="gone", w1="gone")
+        w.publish_endpoints(w0="gone", w1="gone")
         assert not paces
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,13 +23,20 @@
 from ternlane.rules import Findings, check
 from ternlane.testing.clients import ClientBehaviour, Clients, ClientWorkload
 from ternlane.testing.traffic import clock_ms
-from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    REQUEST_CLASSES,
+    GatewayCluster,
+    gateway_cluster,
+    replace,
+)
 
 RULES: dict[str, Any] = {
-    "release_ms": TERMS.release_ms,
+    "release_ms": FLEET_CONFIG.release_ms,
     "drain_grace_ms": 100.0,
-    "connect_ms": TERMS.connect_ms,
-    "fall_ms": TERMS.fall_ms,
+    "connect_ms": FLEET_CONFIG.connect_ms,
+    "fall_ms": FLEET_CONFIG.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
 WORKLOADS = [
@@ -190,13 +197,13 @@
     how = "anew"
 
 
-async def send_requests(w: World, rate: float, length_ms: float, **behaviour: Any) -> None:
+async def send_requests(w: GatewayCluster, rate: float, length_ms: float, **behaviour: Any) -> None:
     clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**behaviour), w.traffic, 3)
     async with trio.open_nursery() as nursery:
         await clients.run(lambda _: rate, length_ms, nursery)
 
 
-def notify(w: World, **states: str) -> None:
+def notify(w: GatewayCluster, **states: str) -> None:
     """Gives the gateway an endpoint list with these states, and writes the line that says so."""
     lines = [with_state(line, states.get(line.id, "up")) for line in w.lines()]
     w.gateway.found(lines)
@@ -211,12 +218,12 @@
 
 
 def fleet_config(**changes: Any) -> FleetConfig:
-    return msgspec.structs.replace(TERMS, **changes)
+    return msgspec.structs.replace(FLEET_CONFIG, **changes)
 
 
 async def troubled(host: type[GatewayRuntime]) -> Findings:
     """Answers get lost, engines die, clients leave: what every host must stand."""
-    async with world(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
             w.engines[ident].fault.lost_answer_share = 0.25
 
@@ -238,7 +245,7 @@
 async def stranded(host: type[GatewayRuntime]) -> Findings:
     """All decode servers die while the list still has them. What was prefilled is left at its prefill server, and only
     its gateway can have it released in time."""
-    async with world(("r0", "w0", "w1"), host_type=host) as w:
+    async with gateway_cluster(("r0", "w0", "w1"), host_type=host) as w:
         for ident in ("w0", "w1"):
             w.engines[ident].die()
         await send_requests(w, 40, 400)
@@ -247,13 +254,15 @@
 
 
 async def slowly_read(host: type[GatewayRuntime]) -> Findings:
-    async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
+    async with gateway_cluster(
+        ("r0", "r0b", "w0"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=500.0), host_type=host
+    ) as w:
         await send_requests(w, 15, 600)
         return check(w.traffic.lines, RULES)
 
 
 async def drained(host: type[GatewayRuntime]) -> Findings:
-    async with world(("r0", "w0", "w0b", "w1"), host_type=host) as w:
+    async with gateway_cluster(("r0", "w0", "w0b", "w1"), host_type=host) as w:
         notify(w)
 
         async def drain() -> None:
@@ -268,7 +277,7 @@
 async def restarted(host: type[GatewayRuntime]) -> Findings:
     """One writer of two restarts cold, weak, under a load that it could not carry alone."""
     build = replace(
-        BUILD,
+        ENGINE_PROFILE,
         slots=8,
         token_ms=8.0,
         answer_tokens=(12, 12),
@@ -278,9 +287,9 @@
         fall_ms=500,
     )
     terms = fleet_config(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
-    async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b"), profile=build, host_type=host, fleet=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].profile = BUILD
+            w.engines[ident].profile = ENGINE_PROFILE
         notify(w)
 
         async def restart() -> None:
@@ -291,7 +300,7 @@
             w.engines["w0"].die()
             await trio.sleep(0.02)
             w.engines["w0"].started_ms = clock_ms()
-            await w.revive("w0")
+            await w.restart_engine("w0")
             notify(w, w0="cold")
 
         w.nursery.start_soon(restart)
@@ -302,7 +311,7 @@
 async def refilled(host: type[GatewayRuntime]) -> Findings:
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
-        BUILD,
+        ENGINE_PROFILE,
         slow_start_ms=3000,
         slow_start_share=0.15,
         fall_multiple=1.2,
@@ -312,11 +321,11 @@
         answer_tokens=(20, 20),
     )
     terms = fleet_config(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
-    async with world(
-        ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
+    async with gateway_cluster(
+        ("r0", "r0b", "w0", "w0b", "w1", "w1b"), profile=build, host_type=host, fleet=terms, gateways=1
     ) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].profile = BUILD
+            w.engines[ident].profile = ENGINE_PROFILE
         notify(w)
 
         async def strike() -> None:
@@ -326,7 +335,7 @@
             await trio.sleep(0.02)
             for ident in ("w0", "w1"):
                 w.engines[ident].started_ms = clock_ms()
-                await w.revive(ident)
+                await w.restart_engine(ident)
             notify(w, w0="cold", w1="cold")
 
         w.nursery.start_soon(strike)
@@ -337,7 +346,7 @@
 
 
 async def torn(host: type[GatewayRuntime]) -> Findings:
-    async with world(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
             w.engines[ident].fault.broken_stream_share = 0.3
         await send_requests(w, 60, 1200)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -30,16 +30,16 @@
 from ternlane.policy import messages
 from ternlane.testing.engine import FakeEngine
 from ternlane.testing.traffic import Traffic
-from tests.world import BUILD, heard, patient, replace
-from tests.world import TERMS as SHORT_TERMS
+from tests.gateway_cluster import ENGINE_PROFILE, replace, scaled_request_classes, send_request
+from tests.gateway_cluster import FLEET_CONFIG as SHORT_TERMS
 
 ROOT = Path(__file__).parent.parent
 IDENTS = ("r0", "r1", "w0", "w0b", "w1")
 PREFILL_SERVERS, DECODE_SERVERS = IDENTS[:2], IDENTS[2:]
 # A busy machine must not matter. The time limit lies midway between the first and the second silence (twice the SLO
 # time) of a stalled stream, so that exactly two writers are asked whether or not a step takes a second longer.
-REQUEST_CLASSES = patient(3)
-TERMS = msgspec.structs.replace(
+REQUEST_CLASSES = scaled_request_classes(3)
+FLEET_CONFIG = msgspec.structs.replace(
     SHORT_TERMS, connect_ms=3 * SHORT_TERMS.connect_ms, release_ms=3 * SHORT_TERMS.release_ms
 )
 LIMIT = 3 * REQUEST_CLASSES[0].slo_ms
@@ -177,7 +177,7 @@
         name="s",
         listen=listen,
         request_classes=REQUEST_CLASSES,
-        fleet=TERMS,
+        fleet=FLEET_CONFIG,
         nodes=InlineSource(nodes=lines(ails, ports)),
     )
 
@@ -236,7 +236,7 @@
                 int(ident[1]),
                 "127.0.0.1",
                 0,
-                replace(BUILD, slow_start_ms=2000),
+                replace(ENGINE_PROFILE, slow_start_ms=2000),
                 traffic,
                 1,
             )
@@ -265,7 +265,7 @@
                         break
                     except Exception:
                         await trio.sleep(0.03)
-            reply = await heard(
+            reply = await send_request(
                 caller, request(model), {"X-Ternlane-Time-Limit-Ms": f"{LIMIT}"}, "/v1/chat/completions"
             )
             caller.close_now()
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -22,16 +22,24 @@
 from ternlane.engine.load_report import load_from_metrics
 from ternlane.policy import messages
 from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    GatewayCluster,
+    Reply,
+    gateway_cluster,
+    replace,
+    scaled_request_classes,
+)
 from tests.test_days import gateway_config, wait_for
-from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 
-SLOW = replace(BUILD, token_ms=25.0, answer_tokens=(16, 16))
+SLOW = replace(ENGINE_PROFILE, token_ms=25.0, answer_tokens=(16, 16))
 
 
 def other_shape(config: GatewayConfig) -> GatewayConfig:
     """Loads told to probes only, no advice, fewer attempts, other terms, one product gone and one new."""
     fleet = msgspec.structs.replace(
-        TERMS,
+        FLEET_CONFIG,
         ask_load=True,
         reports_mem=False,
         max_retry_after_ms=0.0,
@@ -50,14 +58,14 @@
     )
 
 
-def written(w: World) -> Counter[str]:
+def written(w: GatewayCluster) -> Counter[str]:
     """Answers begun at decode servers, by request, as the engines saw it."""
-    return Counter(str(line["gen"]) for line in w.said("leg", stage="write"))
+    return Counter(str(line["gen"]) for line in w.traffic_events("leg", stage="write"))
 
 
 async def test_a_switch_and_the_way_back_lose_nothing_and_repeat_nothing() -> None:
     replies: list[Reply] = []
-    async with world(build=SLOW, request_classes=patient(4)) as w:
+    async with gateway_cluster(profile=SLOW, request_classes=scaled_request_classes(4)) as w:
         before = w.gateway.config
 
         async def ask(model: str) -> None:
@@ -83,19 +91,19 @@
             await some("summary", "note", "form", "note", "summary", "note")
             changed, waits = w.gateway.reload(other_shape(before))
             assert set(changed) == {"products", "fleet", "gateways", "zone"} and not waits
-            assert not w.said("asked")
+            assert not w.traffic_events("asked")
             await some("note", "quote", "summary", "note")
             assert (await w.ask("form")).status == 404
             with trio.fail_after(5):
-                while not w.said("asked"):
+                while not w.traffic_events("asked"):
                     await trio.sleep(0.001)
             assert w.gateway.reload(before) == (changed, [])
             await some("form", "note", "summary")
             assert (await w.ask("quote")).status == 404
         await w.wait_until_idle(5)
-        asked = len(w.said("asked"))
+        asked = len(w.traffic_events("asked"))
         await ask("form")
-        assert len(w.said("asked")) == asked
+        assert len(w.traffic_events("asked")) == asked
         assert len(replies) == 14
         for reply in replies:  # each has one final answer, and it is the whole one
             assert reply.status == 200 and reply.done == 1 and reply.error is None and len(reply.text.split()) == 16
@@ -104,7 +112,7 @@
 
 async def test_what_breaks_after_a_switch_goes_on_or_ends_as_its_old_request_class_says() -> None:
     replies: dict[str, Reply] = {}
-    async with world(("r0", "w0", "w1", "w2"), build=SLOW) as w, trio.open_nursery() as nursery:
+    async with gateway_cluster(("r0", "w0", "w1", "w2"), profile=SLOW) as w, trio.open_nursery() as nursery:
 
         async def ask(model: str) -> None:
             replies[model] = await w.ask(model)
@@ -122,7 +130,7 @@
                 ],
             )
         )
-        for name in {line["id"] for line in w.said("leg", stage="write")}:
+        for name in {line["id"] for line in w.traffic_events("leg", stage="write")}:
             w.engines[name].die()
         nursery.cancel_scope.deadline = trio.current_time() + 4
         while len(replies) < 2:
@@ -133,12 +141,14 @@
 
 
 async def test_a_library_switches_too_and_a_wrong_document_changes_nothing() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         config = w.gateway.config
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
             async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
                 with pytest.raises(ConfigError, match="leg_limit"):
-                    routing.alter(msgspec.structs.replace(config, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
+                    routing.alter(
+                        msgspec.structs.replace(config, fleet=msgspec.structs.replace(FLEET_CONFIG, max_attempts=0))
+                    )
                 routing.alter(other_shape(config))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(InvalidRequestError, match="does not exist"):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,9 +16,9 @@
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process_usage
 from tests.crossing import Client, client_request, until
+from tests.gateway_cluster import gateway_cluster
 from tests.platform_gateway import Platform, platform, wait_until_ready
 from tests.test_platform_bounds import running
-from tests.world import world
 
 ACCEPT_ERRORS = [
     errno.ECONNABORTED,
@@ -92,7 +92,7 @@
 async def test_the_chat_gateway_too_outlives_errors_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     """As above, in the chat gateway."""
     monkeypatch.setattr(gateway_listeners, "ACCEPT_PAUSE_S", 0.01)
-    async with world() as w:
+    async with gateway_cluster() as w:
         failing = FailingAccept(monkeypatch, w.gateway.address, [errno.EINVAL, errno.EBADF, errno.EMFILE])
         with trio.fail_after(5):
             for _ in range(2):  # the first by the call of accept that waits already
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -31,7 +31,15 @@
 from ternlane.http1 import ConnectionPool, Exchange
 from ternlane.policy.messages import AttemptOutcome
 from ternlane.testing.engine import FakeEngine
-from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, until, world
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    REQUEST_CLASSES,
+    GatewayCluster,
+    gateway_cluster,
+    replace,
+    until,
+)
 
 
 class Local:
@@ -73,20 +81,20 @@
     """A transport with one reader and one writer behind it, and the means to trouble them."""
 
     def __init__(self, kind: str, nursery: trio.Nursery) -> None:
-        self.kind, self.world = kind, World(nursery)
+        self.kind, self.gateway_cluster = kind, GatewayCluster(nursery)
         self.local = {"r0": Local(), "w0": Local()}
 
     async def open(self) -> Transport:
         if self.kind == "local":
             return LocalTransport(dict(self.local))  # type: ignore[arg-type]
         for ident in ("r0", "w0"):
-            await self.world.add(ident, replace(BUILD, token_ms=2.0))
+            await self.gateway_cluster.add(ident, replace(ENGINE_PROFILE, token_ms=2.0))
         return SocketTransport(ConnectionPool(100, 1000), "t (t)")
 
     def ask(
         self, server: str, stage: Stage, state: Any = None, ident: str = "g", timeout: float = 150
     ) -> AttemptRequest:
-        address = "" if self.kind == "local" else f"127.0.0.1:{self.world.engines[server].port}"
+        address = "" if self.kind == "local" else f"127.0.0.1:{self.gateway_cluster.engines[server].port}"
         raw = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
         return AttemptRequest(
             server, address, stage, ident, 0, "k", raw, state, 6, AttemptPlan(address, [], b"", timeout, 60)
@@ -95,12 +103,12 @@
     def trouble(self, server: str, what: str) -> None:
         self.local[server].trouble = what
         if self.kind == "sockets":
-            engine = self.world.engines[server]
+            engine = self.gateway_cluster.engines[server]
             engine.fault.hung = what == "hung"
             engine.draining = what == "full"
 
     def held(self) -> int:
-        return len(self.local["r0"].states) if self.kind == "local" else len(self.world.engines["r0"].states)
+        return len(self.local["r0"].states) if self.kind == "local" else len(self.gateway_cluster.engines["r0"].states)
 
 
 async def collect(transport: Transport, ask: AttemptRequest) -> tuple[Any, list[str]]:
@@ -173,7 +181,7 @@
         name="lib",
         listen="127.0.0.1:0",
         request_classes=REQUEST_CLASSES,
-        fleet=TERMS,
+        fleet=FLEET_CONFIG,
         nodes=InlineSource(
             nodes=[NodeLine(id=i, address="127.0.0.1:9", role=role[i[0]], kv_capacity_tokens=2e5) for i in idents]
         ),
@@ -268,10 +276,10 @@
 
 @pytest.mark.parametrize("model", ["summary", "note"])
 async def test_plain_chat_servers_stand_beside_the_others(model: str) -> None:
-    async with world(("m0",)) as w:
+    async with gateway_cluster(("m0",)) as w:
         engines = []
         for i in range(2):
-            engine = Public(f"p{i}", "both", "hall", 1, "127.0.0.1", 0, BUILD, w.traffic, 1)
+            engine = Public(f"p{i}", "both", "hall", 1, "127.0.0.1", 0, ENGINE_PROFILE, w.traffic, 1)
             engine.strange = []
             up = trio.Event()
             w.nursery.start_soon(engine.run, w.nursery, up)
@@ -288,7 +296,7 @@
         for engine in engines:
             engine.down = True
         down = await w.ask(model)  # a 503 of a stranger proves nothing
-        asked = len(w.said("leg"))
+        asked = len(w.traffic_events("leg"))
         assert down.status == (502 if model == "note" else 429) and asked == 1
         for engine in engines:
             engine.die()
