--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -128,7 +128,7 @@
         if settings_changed:
             self.runtime.apply_settings(configuration.deployment)
         if discovery_moved:
-            self.watch.move(configuration.discovery)
+            self.watch.change_address(configuration.discovery)
         self.log.info("reloaded", discovery_moved=discovery_moved, settings_changed=settings_changed)
 
     # -- shutdown
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -91,11 +91,11 @@
 def test_what_a_new_address_has_to_tell_is_heard_in_time_though_the_first_call_hangs() -> None:
     call = discovery_watch.CONNECT_TIMEOUT_MS + discovery_watch.HEAD_TIMEOUT_MS
     assert (
-        discovery_watch.MOVE_WORST_CASE_MS
+        discovery_watch.ADDRESS_CHANGE_WORST_CASE_MS
         == 2 * call + discovery_watch.JITTER[1] * discovery_watch.BACKOFF_MS
-        < discovery_watch.MOVE_PROPAGATION_MS
+        < discovery_watch.ADDRESS_CHANGE_PROPAGATION_MS
     )
-    assert discovery_watch.MOVE_PROPAGATION_MS == 4000.0 and discovery_watch.PROPAGATION_MS == 6000.0
+    assert discovery_watch.ADDRESS_CHANGE_PROPAGATION_MS == 4000.0 and discovery_watch.PROPAGATION_MS == 6000.0
 
 
 @pytest.mark.parametrize("when", ["at once", "after a line", "late", "within a line"])
@@ -203,10 +203,10 @@
         other.gates["watch"] = Gate()  # so that the new one has not spoken yet
         asked = len(p.discovery.asked)
         host, _, number = other.address.partition(":")
-        p.gateway.watch.move((host, int(number)))
+        p.gateway.watch.change_address((host, int(number)))
         await other.gates["watch"].reached.wait()
         gate.open()
-        await until(lambda: len(p.gateway.watch.following) == 1)
+        await until(lambda: len(p.gateway.watch.watch_scopes) == 1)
         other.gates["watch"].open()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
@@ -223,9 +223,9 @@
         await other.start()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
-        p.gateway.watch.move((host, int(number)))
+        p.gateway.watch.change_address((host, int(number)))
         await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
-        await until(lambda: len(p.gateway.watch.following) == 1)
+        await until(lambda: len(p.gateway.watch.watch_scopes) == 1)
 
 
 async def test_what_an_old_agent_says_after_the_new_one_undoes_nothing() -> None:
@@ -241,7 +241,7 @@
         await gate.reached.wait()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
-        p.gateway.watch.move((host, int(number)))
+        p.gateway.watch.change_address((host, int(number)))
         await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         gate.open()
         p.gateway.runtime.update_endpoints(parse_endpoint_list(old))  # as it would come from there
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -62,7 +62,7 @@
     """Discovery refuses connections. The gateway asks again with backoff, and serves by the list that it has."""
     async with platform("r0", "w0") as p:
         p.discovery.listener.socket.close()
-        p.gateway.watch.move(("127.0.0.1", int(p.discovery.address.rpartition(":")[2])))
+        p.gateway.watch.change_address(("127.0.0.1", int(p.discovery.address.rpartition(":")[2])))
         await trio.sleep(1.5)
         assert 2 <= p.gateway.runtime.reporter.counts["watch broke"] <= 8 and (await p.ask()).status == 200
 
@@ -75,7 +75,7 @@
         other.index, other.log, other.entries = p.discovery.index, p.discovery.log, p.discovery.entries
         host, _, number = other.address.partition(":")
         await trio.sleep(0.05)
-        p.gateway.watch.move((host, int(number)))
+        p.gateway.watch.change_address((host, int(number)))
         with trio.fail_after(2):
             while p.discovery.watching or not other.watching:
                 await trio.sleep(0.01)
