--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -58,8 +58,8 @@
     key: str  # under which engines drop repeats
     join: StreamJoin  # its text, over all attempts
     repeat_key: str = ""  # Idempotency-Key with its owner; "": none
-    mark: bytes = b""  # digest of the body
-    noted: str = ""  # its name in the journal
+    body_digest: bytes = b""  # digest of the body
+    journal_id: str = ""  # its name in the journal
     hold: Any = None  # tenants.Hold, settled when the request is done
     made: list[TokenUsage] = field(default_factory=list)  # by each attempt, as far as it is known
     final: FinalAnswer | None = None
@@ -105,7 +105,7 @@
         """The text that the client has, as it came."""
         return self.join.pieces
 
-    def for_repeats(self) -> FinalAnswer | None:
+    def answer_for_repeats(self) -> FinalAnswer | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -52,35 +52,35 @@
 
     # -- what happens
 
-    def took(self, active_request: ActiveRequest) -> None:
+    def record_request(self, active_request: ActiveRequest) -> None:
         """A request was taken."""
         request_class = active_request.request.request_class
         now = time.time() * 1000
         if not active_request.repeat_key:  # nobody can ask for it again: only what it holds need be known
-            active_request.noted = ""
+            active_request.journal_id = ""
             return
-        active_request.noted = f"{self.birth}.{next(self.count)}"
+        active_request.journal_id = f"{self.birth}.{next(self.count)}"
         self.writer.add(
             RequestTaken(
-                active_request.noted,
+                active_request.journal_id,
                 active_request.ident,
                 active_request.repeat_key,
-                active_request.mark,
+                active_request.body_digest,
                 request_class.effect.name,
                 now,
                 now + max(request_class.window_ms, request_class.deadline_ms),
             )
         )
 
-    def sends(
+    def record_attempt(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
         """Gives the number to wait for, where the attempt must not go out before it is kept."""
         if not active_request.repeat_key and not prefills:
             return None
-        active_request.noted = active_request.noted or f"{self.birth}.{next(self.count)}"
+        active_request.journal_id = active_request.journal_id or f"{self.birth}.{next(self.count)}"
         number = self.writer.add(
-            AttemptSent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
+            AttemptSent(active_request.journal_id, active_request.ident, server, address, protocol, prefills, decodes)
         )
         needed = (
             decodes
@@ -89,20 +89,20 @@
         )
         return number if needed else None
 
-    def freed(self, active_request: ActiveRequest) -> None:
+    def record_state_released(self, active_request: ActiveRequest) -> None:
         """No server holds anything for it any more."""
-        if active_request.noted:
-            self.writer.add(StateFreed(active_request.noted))
+        if active_request.journal_id:
+            self.writer.add(StateFreed(active_request.journal_id))
 
-    def ended(self, active_request: ActiveRequest, outcome: str) -> None:
+    def record_end(self, active_request: ActiveRequest, outcome: str) -> None:
         """It has its final answer, or its client has left."""
         if not active_request.repeat_key:
             return
-        kept = RequestEnded(active_request.noted, outcome)
-        match active_request.for_repeats():
+        kept = RequestEnded(active_request.journal_id, outcome)
+        match active_request.answer_for_repeats():
             case Streamed(text, finish, usage, more):
                 kept = RequestEnded(
-                    active_request.noted,
+                    active_request.journal_id,
                     outcome,
                     True,
                     text,
@@ -111,7 +111,7 @@
                     more=more or {},
                 )
             case Failed(why):
-                kept = RequestEnded(active_request.noted, "terminated", True, why=why)
+                kept = RequestEnded(active_request.journal_id, "terminated", True, why=why)
         self.writer.add(kept)
 
     # -- after a loss
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -165,7 +165,7 @@
     def remember(self, key: str, active_request: ActiveRequest) -> None:
         """Ends the key's first request with what a repeat will hear."""
         request_class = active_request.request.request_class
-        final = active_request.for_repeats()
+        final = active_request.answer_for_repeats()
         size = len(final.text) if isinstance(final, Streamed) else 0
         until_ms = now_ms() + max(request_class.window_ms, request_class.deadline_ms)
         self.idempotency_cache.end(key, final, size, until_ms)
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -128,7 +128,7 @@
         active_request.taken = now_ms()
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
-            self.journal_writer.took(active_request)
+            self.journal_writer.record_request(active_request)
         self.add_request(active_request)
         self.metrics.open.set(len(self.active_requests))
 
@@ -160,7 +160,7 @@
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
         """Writes down how the request ended."""
         if self.journal_writer is not None:
-            self.journal_writer.ended(active_request, outcome)
+            self.journal_writer.record_end(active_request, outcome)
         self.metrics.outcomes.labels(active_request.chat_request.model, outcome).inc()
         self.log.info(
             "generation",
@@ -212,7 +212,7 @@
         journal_number = None
         if self.journal_writer is not None:
             prefills = stage is Stage.PREFILL
-            journal_number = self.journal_writer.sends(
+            journal_number = self.journal_writer.record_attempt(
                 active_request, endpoint.ident, endpoint.address, endpoint.line.protocol, prefills, not prefills
             )
         attempt_request = build_attempt(active_request, endpoint, stage, number, plan)
--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -41,7 +41,7 @@
         finally:
             self.releases_in_flight -= 1
             if runtime.journal_writer is not None:
-                runtime.journal_writer.freed(active_request)
+                runtime.journal_writer.record_state_released(active_request)
         runtime.metrics.releases.labels("confirmed" if confirmed else "unheard").inc()
         if not confirmed:
             runtime.log.warning("release unheard", gen=active_request.ident, server=endpoint.ident)
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -60,7 +60,7 @@
         active_request = self.active_request
         active_request.streaming = True
         if active_request.holders and runtime.journal_writer is not None:
-            runtime.journal_writer.freed(active_request)
+            runtime.journal_writer.record_state_released(active_request)
         active_request.holders.clear()
         if not active_request.begun:
             waited_s = (now_ms() - active_request.since) / MS_PER_S
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -279,7 +279,7 @@
     request_class = ternlane.RequestClass(effect, ternlane.Group.ALL, 3000.0, 500.0, 0.0, 60.0, 2500.0, 1.0, 0.0)
     request = SimpleNamespace(request_class=request_class)
     return SimpleNamespace(
-        request=request, ident="n1", repeat_key="key", mark=b"m", noted="", for_repeats=lambda: final
+        request=request, ident="n1", repeat_key="key", body_digest=b"m", journal_id="", answer_for_repeats=lambda: final
     )
 
 
@@ -290,10 +290,10 @@
             keeper, records = JournalKeeper(tmp_path, None), list[Any]()
             keeper.writer.add = lambda record, records=records: records.append(record) or 7  # type: ignore[method-assign]
             active_request = ticket_of(effect, final)
-            keeper.took(active_request)
-            waits = keeper.sends(active_request, "w1", "127.0.0.1:1", "chat", False, True)
-            keeper.freed(active_request)
-            keeper.ended(active_request, "left")
+            keeper.record_request(active_request)
+            waits = keeper.record_attempt(active_request, "w1", "127.0.0.1:1", "chat", False, True)
+            keeper.record_state_released(active_request)
+            keeper.record_end(active_request, "left")
             plain_records = [msgspec.to_builtins(r) for r in records]
             first = plain_records[0]
             assert first[7] - first[6] == 3000.0  # how long a repeat is known
