--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -55,15 +55,15 @@
             self._close_longest_idle()
         self.sweep()
 
-    async def take(self, peer: str, rest_ms: float = 0.0) -> ClientConnection:
-        """An idle connection that has rested for `rest_ms`, or else a new one.
+    async def take(self, peer: str, reuse_delay_ms: float = 0.0) -> ClientConnection:
+        """An idle connection that has rested for `reuse_delay_ms`, or else a new one.
 
         Raises ConnectError where none could be made in time.
         """
         now_s = trio.current_time()
         for connection in list(reversed(self.idle.get(peer, ()))):
             idled_ms = (now_s - connection.idle_since) * 1000
-            if connection.has_served and idled_ms < rest_ms:
+            if connection.has_served and idled_ms < reuse_delay_ms:
                 continue
             if idled_ms >= self.idle_ms or connection.dead or self.age.shuns(idled_ms, now_s * 1000):
                 connection.close_now()
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -43,7 +43,7 @@
 # A corrupt answer may be followed by another some milliseconds later (users' page). On a connection that is used again
 # sooner, that one would be taken for the answer to the next request; within this time it is seen, and the connection
 # closed. Long against a network's delays, short against the time between two requests to one server.
-REST_MS = 50.0
+REUSE_DELAY_MS = 50.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,7 +85,7 @@
         attempt.scope.deadline = min(attempt.scope.deadline, attempt.last_by)
         try:
             with attempt.scope:
-                connection = await self.pool.take(attempt.address, REST_MS)
+                connection = await self.pool.take(attempt.address, REUSE_DELAY_MS)
                 await self._start(attempt, connection)
                 complete = await self._read_response(attempt, connection, response_writer, result)
         except ClientDisconnectedError:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -304,7 +304,7 @@
 ) -> None:
     """A server answers a request twice, the second time some milliseconds late. The second is not taken for the next
     request's answer."""
-    monkeypatch.setattr(client_module, "REST_MS", 60e3)  # so that a slow machine is still within it
+    monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 60e3)  # so that a slow machine is still within it
     async with platform("r0", "w0", w0=fault_once("second_answer")) as p:
         gate = p.servers["w0"].gates["second"] = Gate()
         assert (await p.ask()).status == 200
@@ -321,7 +321,7 @@
 
 
 def test_a_connection_rests_for_longer_than_a_late_answer_takes() -> None:
-    assert 20 <= client_module.REST_MS <= 100
+    assert 20 <= client_module.REUSE_DELAY_MS <= 100
 
 
 @pytest.mark.parametrize("request_class, status", [("summary", 200), ("note", 502)])
@@ -329,7 +329,7 @@
     request_class: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
-    monkeypatch.setattr(client_module, "REST_MS", 0.0)
+    monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 0.0)
     # So that no time-out plays a part, nor the release time: finding the server's side holds the loop up for long.
     profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]]
     platform_settings = PLATFORM_SETTINGS | {
