--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -152,14 +152,14 @@
         stream = Stream()
         active_request = ActiveRequest(ident, chat_request, record, stream, now_ms(), key or ident, join)
         stream.active_request = active_request
-        active_request.when_over = stream.sends.close
+        active_request.on_finished = stream.sends.close
         try:
             self.runtime.arrived(active_request)
             yield stream
         finally:
             stream.gets.close()
             if active_request.final is None:
-                self.runtime.client_left(active_request)
+                self.runtime.client_disconnected(active_request)
 
 
 @asynccontextmanager
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -64,7 +64,7 @@
     made: list[TokenUsage] = field(default_factory=list)  # by each attempt, as far as it is known
     final: FinalAnswer | None = None
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
-    when_over: Callable[[], None] = lambda: None
+    on_finished: Callable[[], None] = lambda: None
     left: bool = False  # the client has gone
     taken: float = 0.0  # when the decisions heard of it
     begun: bool = False  # the client has a part
@@ -86,7 +86,7 @@
         return self.intake_record.request
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Has it its final answer, or has its client gone? Nothing is owed any more."""
         return self.final is not None or self.left
 
@@ -117,9 +117,9 @@
 
     def settle(self, final: FinalAnswer) -> bool:
         """The one final answer; a second one is refused."""
-        if self.is_over:
+        if self.is_finished:
             return False
         self.final = final
         self.watch.cancel()
-        self.when_over()
+        self.on_finished()
         return True
--- a/ternlane/gateway/attempts.py
+++ b/ternlane/gateway/attempts.py
@@ -28,7 +28,7 @@
 
 def plan_attempt(active_request: ActiveRequest, server: Server, endpoint: Endpoint, times: StartAttempt) -> AttemptPlan:
     """Where the attempt goes and for how long. It must not begin once its client has left or has its answer."""
-    may_begin = make_start_check(server, times.start_within_ms, lambda: active_request.is_over)
+    may_begin = make_start_check(server, times.start_within_ms, lambda: active_request.is_finished)
     return AttemptPlan(
         endpoint.address, [], b"", times.timeout_ms, times.idle_timeout_ms, times.total_timeout_ms, may_begin
     )
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -170,8 +170,8 @@
             self.runtime.arrived(active_request)
             await self.answer(exchange, active_request)
         finally:
-            if not active_request.is_over:  # the connection's task was ended from outside
-                self.runtime.client_left(active_request)
+            if not active_request.is_finished:  # the connection's task was ended from outside
+                self.runtime.client_disconnected(active_request)
             if active_request.repeat_key:
                 self.admission.remember(active_request.repeat_key, active_request)
 
@@ -180,7 +180,7 @@
         if active_request.final is None:
             with active_request.watch:  # cancelled when the answer is settled
                 await exchange.until_left()
-                self.runtime.client_left(active_request)
+                self.runtime.client_disconnected(active_request)
         if active_request.left or active_request.final is None:
             return  # the connection ends without an answer, or without its last chunk
         try:
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -132,9 +132,9 @@
         self.add_request(active_request)
         self.metrics.open.set(len(self.active_requests))
 
-    def client_left(self, active_request: ActiveRequest) -> None:
+    def client_disconnected(self, active_request: ActiveRequest) -> None:
         """The client has gone: nothing is owed any more, and everything held for it is released."""
-        if active_request.is_over:
+        if active_request.is_finished:
             return
         active_request.left = True
         if active_request.attempt is not None and active_request.streaming:
@@ -176,7 +176,7 @@
 
     def forget(self, active_request: ActiveRequest) -> None:
         """A request stays until its answer is settled, its last attempt has ended and what it held is released."""
-        if active_request.attempt is not None or not active_request.is_over or active_request.holders:
+        if active_request.attempt is not None or not active_request.is_finished or active_request.holders:
             return
         if self.active_requests.pop(active_request.request, None) is not None:
             complete = isinstance(active_request.final, Streamed)
@@ -240,7 +240,7 @@
                 return await self.transport.read(ask)
             return await self.transport.stream(ask, forwarder.forward)
         except ClientGone:
-            self.client_left(active_request)
+            self.client_disconnected(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
         except Exception as fault:
             self.on_fault(fault)
@@ -283,7 +283,7 @@
                 server,
                 result.outcome,
                 took_ms,
-                active_request.is_over,
+                active_request.is_finished,
                 prompt_tokens_cached,
                 result.state_lost,
                 result.report,
--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -62,7 +62,7 @@
             self.runtime.router_config.release_ms,
             endpoint.line.protocol,
         )
-        if request in self.runtime.active_requests and not active_request.is_over:
+        if request in self.runtime.active_requests and not active_request.is_finished:
             self.runtime.dispatch(messages.ReservationResult(request, reserved))
 
     def probe(self, server: Server) -> None:
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -46,7 +46,7 @@
 
     async def take_piece(self, text: str, first: bool, more: Extras | None) -> None:
         """Joins the piece to the text, and writes what is new of it. Raises ClientGone where nobody takes it."""
-        if self.active_request.is_over:
+        if self.active_request.is_finished:
             raise ClientGone
         if first:
             self.begin()
