--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -9,8 +9,8 @@
 
 from ternlane.event_loop import Failed, Rejected, now_ms
 from ternlane.http1 import Exchange
-from ternlane.platform.attempt import Attempt
-from ternlane.platform.open_requests import Phase
+from ternlane.platform.attempt import ModelServerAttempt
+from ternlane.platform.open_requests import OpenRequestPhase
 from ternlane.platform.request_history import RequestHistory
 from ternlane.policy import messages
 from ternlane.policy.messages import Request
@@ -42,7 +42,7 @@
     final: FinalAnswer | None = None
     client_gone: bool = False
     streaming: bool = False  # its client has the first event of the present attempt
-    attempt: Attempt | None = None  # that is out
+    attempt: ModelServerAttempt | None = None  # that is out
     server_name: str = ""  # of the newest attempt
     attempts: int = 0
     why: str = ""  # the newest attempt's failure
@@ -79,15 +79,15 @@
         return self.received_ms + self.request.client_timeout_ms
 
     @property
-    def phase(self) -> Phase:
+    def phase(self) -> OpenRequestPhase:
         """How far it has come."""
         if self.streaming:
-            return Phase.STREAMING
+            return OpenRequestPhase.STREAMING
         if self.attempt is None:
-            return Phase.QUEUED
+            return OpenRequestPhase.QUEUED
         if not self.attempt.written:
-            return Phase.CONNECTING
-        return Phase.PREFILL if self.attempt.role is messages.Role.PREFILL else Phase.DECODE
+            return OpenRequestPhase.CONNECTING
+        return OpenRequestPhase.PREFILL if self.attempt.role is messages.Role.PREFILL else OpenRequestPhase.DECODE
 
     async def write_first_events(self, data: bytes) -> None:
         """Writes the answer's head and first events. Raises trio.BrokenResourceError once the client has gone."""
--- a/ternlane/platform/attempt.py
+++ b/ternlane/platform/attempt.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class ModelServerAttempt:
     """An attempt that is out: the request as the client sent it, to which address, for how long."""
 
     address: str
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -16,7 +16,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, keep_open
 from ternlane.platform.answer_order import AnswerOrder
-from ternlane.platform.attempt import Attempt, AttemptResult, ResponseWriter
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt, ResponseWriter
 from ternlane.platform.errors import NOT_STARTED_REASONS, AttemptNotStartedError, ClientDisconnectedError
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.platform.protocol import (
@@ -77,7 +77,7 @@
 
     # -- attempts
 
-    async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
+    async def run(self, attempt: ModelServerAttempt, response_writer: ResponseWriter) -> AttemptResult:
         """Runs an attempt to its end. Raises ClientDisconnectedError and outer cancellations, nothing else."""
         result = AttemptResult()
         connection: ClientConnection | None = None
@@ -105,7 +105,7 @@
             self._record_cancellation(attempt, result)
         return result
 
-    async def _start(self, attempt: Attempt, connection: ClientConnection) -> None:
+    async def _start(self, attempt: ModelServerAttempt, connection: ClientConnection) -> None:
         """Writes the request. Attempts start here and nowhere else, after every wait for a connection or a release.
 
         Raises AttemptNotStartedError, or ConnectError where the connection breaks before all is written.
@@ -125,7 +125,11 @@
         connection.expect_by(attempt.last_by)
 
     async def _read_response(
-        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+        self,
+        attempt: ModelServerAttempt,
+        connection: ClientConnection,
+        response_writer: ResponseWriter,
+        result: AttemptResult,
     ) -> bool:
         """Reads the answer into `result`. True once it has come to its last byte."""
         head = await connection.read_head()
@@ -145,7 +149,11 @@
         return True
 
     async def forward_stream(
-        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+        self,
+        attempt: ModelServerAttempt,
+        connection: ClientConnection,
+        response_writer: ResponseWriter,
+        result: AttemptResult,
     ) -> bool:
         """Forwards a decode server's events as they come. True once the last chunk has come.
 
@@ -176,7 +184,7 @@
         self.has_answered(attempt.address)
         return True
 
-    def _record_failure(self, attempt: Attempt, result: AttemptResult, error: Exception) -> None:
+    def _record_failure(self, attempt: ModelServerAttempt, result: AttemptResult, error: Exception) -> None:
         """What an exception says of the attempt. Raises it again where it is a fault of this program."""
         match error:
             case ReadTimeout():
@@ -199,7 +207,7 @@
             case _:
                 raise error
 
-    def _record_cancellation(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _record_cancellation(self, attempt: ModelServerAttempt, result: AttemptResult) -> None:
         """How an attempt ended whose scope was cancelled: by its timeout before it was written, or by the router."""
         if attempt.written:
             result.outcome = AttemptOutcome.CANCELLED if attempt.cancelled else AttemptOutcome.TIMED_OUT
--- a/ternlane/platform/open_requests.py
+++ b/ternlane/platform/open_requests.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Phase(Enum):
+class OpenRequestPhase(Enum):
     """How far a request without its whole answer has come."""
 
     QUEUED = "queued"  # no attempt is out
@@ -22,7 +22,7 @@
     """One request that has no whole answer yet. Times are milliseconds."""
 
     request_id: str
-    phase: Phase
+    phase: OpenRequestPhase
     age_ms: float  # since it was received
     left_ms: float  # until its client's deadline
     attempts: int
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -11,7 +11,7 @@
 from ternlane.deployment import Deployment
 from ternlane.event_loop import EventLoop, RouterProtocol, make_start_check, now_ms
 from ternlane.platform.active_request import ActiveRequest, FinalAnswer, Streamed
-from ternlane.platform.attempt import Attempt, AttemptResult
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt
 from ternlane.platform.endpoint_list import EndpointList
 from ternlane.platform.endpoint_registry import EndpointRegistry
 from ternlane.platform.errors import ClientDisconnectedError
@@ -155,7 +155,7 @@
         connect timeout has passed."""
         endpoint = self.endpoint_registry.endpoints.get(server)
         exchange = active_request.exchange
-        attempt = Attempt(
+        attempt = ModelServerAttempt(
             address=endpoint.address if endpoint is not None else "",
             role=server.role,
             method=exchange.method,
@@ -172,7 +172,7 @@
         self.reporter.attempt_decided(active_request, times.timeout_ms)
         self.nursery.start_soon(self._run_attempt, active_request, server, attempt)
 
-    async def _run_attempt(self, active_request: ActiveRequest, server: Server, attempt: Attempt) -> None:
+    async def _run_attempt(self, active_request: ActiveRequest, server: Server, attempt: ModelServerAttempt) -> None:
         since_ms = now_ms()
         await self._wait_for_release(active_request, attempt)
         result = await self._run_at_server(active_request, server, attempt, since_ms)
@@ -184,7 +184,7 @@
             self.finish_request(active_request, Streamed(whole=False))
         self._attempt_ended(active_request, server, result, now_ms() - since_ms)
 
-    async def _wait_for_release(self, active_request: ActiveRequest, attempt: Attempt) -> None:
+    async def _wait_for_release(self, active_request: ActiveRequest, attempt: ModelServerAttempt) -> None:
         """Waits until what an earlier attempt left behind is released, lest a late DELETE release what this one has
         prefilled: both go by the request's id. Bounded by the connect timeout."""
         if active_request.released is None:
@@ -195,7 +195,7 @@
             await active_request.released.wait()
 
     async def _run_at_server(
-        self, active_request: ActiveRequest, server: Server, attempt: Attempt, since_ms: float
+        self, active_request: ActiveRequest, server: Server, attempt: ModelServerAttempt, since_ms: float
     ) -> AttemptResult:
         forwarder = StreamForwarder(
             active_request, server, since_ms, on_first_event=self.reporter.first_event, dispatch=self.dispatch
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -15,7 +15,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import ConnectionPool
 from ternlane.platform import discovery_watch
-from ternlane.platform.attempt import Attempt, AttemptResult
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt
 from ternlane.platform.endpoint_list import EndpointList, EndpointListParser, parse_endpoint_list
 from ternlane.platform.endpoint_registry import MAX_STALENESS_MS, EndpointRegistry
 from ternlane.platform.model_server_client import ModelServerClient
@@ -344,7 +344,10 @@
 @pytest.mark.parametrize("struck", [False, True])
 async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
     """The time-out strikes while the event is already there, so it does not keep the task from going on."""
-    attempt, response_writer = Attempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0), ResponseWriter()
+    attempt, response_writer = (
+        ModelServerAttempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0),
+        ResponseWriter(),
+    )
 
     class Stub:
         def expect_by(self, when: float) -> None:
