--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -33,8 +33,8 @@
     """The usual times, as learnt so far."""
 
     def __init__(self, min_slo_ms: float) -> None:
-        self.usual: dict[tuple[RequestClass, Stage], float] = {}
-        self.learnt_at: dict[RequestClass, float] = {}
+        self.usual_stage_ms: dict[tuple[RequestClass, Stage], float] = {}
+        self.last_sample_at: dict[RequestClass, float] = {}
         self.mean_prompt_tokens: dict[RequestClass, float] = {}
         self.prefill_ms_per_token = min_slo_ms / INITIAL_TOKENS_PER_SLO
         self.mean_prefill_ms = 0.0  # prefill work of a mean request, without its wait
@@ -44,7 +44,7 @@
 
     def usual_ms(self, request_class: RequestClass, stage: Stage) -> float:
         """What the stage usually takes for requests of this class."""
-        known = self.usual.get((request_class, stage))
+        known = self.usual_stage_ms.get((request_class, stage))
         if known is not None:
             return known
         if stage is Stage.STREAM:
@@ -57,13 +57,13 @@
 
     def since_learnt_ms(self, request_class: RequestClass, now: float) -> float:
         """The age of the newest sample of this class; infinite where there is none."""
-        return now - self.learnt_at.get(request_class, -inf)
+        return now - self.last_sample_at.get(request_class, -inf)
 
     def learn(self, request_class: RequestClass, stage: Stage, took_ms: float, now: float) -> None:
         """Takes in how long a stage took."""
-        self.learnt_at[request_class] = now
+        self.last_sample_at[request_class] = now
         before = self.usual_ms(request_class, stage)
-        self.usual[request_class, stage] = (1 - SAMPLE_WEIGHT) * before + SAMPLE_WEIGHT * took_ms
+        self.usual_stage_ms[request_class, stage] = (1 - SAMPLE_WEIGHT) * before + SAMPLE_WEIGHT * took_ms
 
     def learn_prompt(self, request: Request) -> None:
         """Takes in the prompt's length."""
@@ -98,7 +98,7 @@
 
     def keep_only(self, request_classes: set[RequestClass]) -> None:
         """Forgets the classes that a new configuration no longer has, or they would pile up with each reload."""
-        self.usual = {key: ms for key, ms in self.usual.items() if key[0] in request_classes}
-        for table in (self.mean_prompt_tokens, self.learnt_at):
+        self.usual_stage_ms = {key: ms for key, ms in self.usual_stage_ms.items() if key[0] in request_classes}
+        for table in (self.mean_prompt_tokens, self.last_sample_at):
             for request_class in table.keys() - request_classes:
                 del table[request_class]
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -327,7 +327,7 @@
         new = runtime.deployment.request_classes["summary"]
         tables = (
             scheduler.rules.latency.mean_prompt_tokens,
-            scheduler.rules.latency.learnt_at,
+            scheduler.rules.latency.last_sample_at,
             scheduler.rules.affinity.cached_share,
         )
         assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -152,10 +152,10 @@
                 assert (await p.ask(Request_Class=name)).status == 200
         assert (
             len(scheduler.rules.latency.mean_prompt_tokens)
-            == len(scheduler.rules.latency.learnt_at)
+            == len(scheduler.rules.latency.last_sample_at)
             == len(scheduler.rules.affinity.cached_share)
             == 2
-            and len(scheduler.rules.latency.usual) <= 6
+            and len(scheduler.rules.latency.usual_stage_ms) <= 6
         )
         await p.wait_until_idle()
 
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -199,10 +199,10 @@
         assert not mine & set(runtime.deployment.request_classes.values())
         assert not mine & (
             scheduler.rules.latency.mean_prompt_tokens.keys()
-            | scheduler.rules.latency.learnt_at.keys()
+            | scheduler.rules.latency.last_sample_at.keys()
             | scheduler.rules.affinity.cached_share.keys()
         )
-        assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual}
+        assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual_stage_ms}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
         client.sock.close()
