--- a/ternlane/chat/idempotency_cache.py
+++ b/ternlane/chat/idempotency_cache.py
@@ -45,9 +45,9 @@
 class RepeatPolicy(Enum):
     """What a repeat hears once the first request has ended."""
 
-    NOTHING = auto()  # it may run: the key is free
+    RUN_AGAIN = auto()  # it may run: the key is free
     ANSWER = auto()  # the same answer
-    UNSURE = auto()  # that it may have run
+    OUTCOME_UNKNOWN = auto()  # that it may have run
 
 
 def repeat_policy(effect: Effect, outcome: str, attempts: int) -> RepeatPolicy:
@@ -59,10 +59,10 @@
     if outcome == "streamed":
         return RepeatPolicy.ANSWER
     if outcome == "throttled" or effect is Effect.IDEMPOTENT:
-        return RepeatPolicy.NOTHING
+        return RepeatPolicy.RUN_AGAIN
     if outcome != "left":
         return RepeatPolicy.ANSWER
-    return RepeatPolicy.UNSURE if attempts else RepeatPolicy.NOTHING
+    return RepeatPolicy.OUTCOME_UNKNOWN if attempts else RepeatPolicy.RUN_AGAIN
 
 
 @dataclass(slots=True)
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -109,9 +109,9 @@
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
-            case RepeatPolicy.NOTHING:
+            case RepeatPolicy.RUN_AGAIN:
                 return None
-            case RepeatPolicy.UNSURE:
+            case RepeatPolicy.OUTCOME_UNKNOWN:
                 return Failed("the first client left; it may have run")
         return self.final
 
--- a/ternlane/recovery/inflight.py
+++ b/ternlane/recovery/inflight.py
@@ -78,7 +78,7 @@
 
     def lost(self) -> RequestEnded:
         """How it ends where its gateway was lost: as one whose client left, by the same rule for repeats."""
-        kept = repeat_policy(Effect[self.taken.effect], "left", int(self.may_have_run)) is RepeatPolicy.UNSURE
+        kept = repeat_policy(Effect[self.taken.effect], "left", int(self.may_have_run)) is RepeatPolicy.OUTCOME_UNKNOWN
         return RequestEnded(self.taken.ident, "terminated" if kept else "lost", kept, why=MAY_HAVE_RUN if kept else "")
 
 
