--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -59,14 +59,14 @@
         self.history.record(now_ms(), event)
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Is nothing owed to its client any more?"""
         return self.final is not None or self.client_gone
 
     @property
     def unanswered(self) -> bool:
         """Is its client there, and has nothing of its answer yet?"""
-        return not self.over and not self.streaming
+        return not self.is_finished and not self.streaming
 
     @property
     def last_outcome(self) -> str:
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -188,12 +188,12 @@
     async def _answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
         """Waits for the final answer, and writes it where it was not streamed."""
         try:
-            if not active_request.over:
+            if not active_request.is_finished:
                 with active_request.client_watch:  # cancelled when the answer is final
                     await exchange.until_left()
                     self.runtime.client_disconnected(active_request)
         finally:
-            if not active_request.over:  # this task was cancelled from outside
+            if not active_request.is_finished:  # this task was cancelled from outside
                 self.runtime.client_disconnected(active_request)
         match active_request.final:
             case Rejected(pause_ms):
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -226,7 +226,7 @@
         records = [
             RequestRecord(request.request_id, "open", request.attempt_log, request.history)
             for request in self.runtime.active_requests.values()
-            if not request.over
+            if not request.is_finished
         ]
         for record in [*records, *self.runtime.reporter.records]:
             self.log.info(
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -112,12 +112,12 @@
     def open_requests(self) -> list[OpenRequest]:
         """Those without their whole answer, the oldest first."""
         active_requests = self.active_requests.values()
-        return [self.reporter.describe_open(request) for request in active_requests if not request.over]
+        return [self.reporter.describe_open(request) for request in active_requests if not request.is_finished]
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
         """Nothing is owed to the client any more. A stream that nobody reads is cancelled, and so is an attempt that
         has not been written: it has not started."""
-        if active_request.over:
+        if active_request.is_finished:
             return
         active_request.client_gone = True
         attempt = active_request.attempt
@@ -134,7 +134,7 @@
 
     def finish_request(self, active_request: ActiveRequest, final: FinalAnswer) -> None:
         """Gives the one final answer; a second one is ignored."""
-        if active_request.over:
+        if active_request.is_finished:
             return
         active_request.final = final
         active_request.client_watch.cancel()
@@ -143,7 +143,7 @@
 
     def _forget(self, active_request: ActiveRequest) -> None:
         """A request stays until its answer is final and its last attempt has ended."""
-        if active_request.attempt is None and active_request.over:
+        if active_request.attempt is None and active_request.is_finished:
             self.active_requests.pop(active_request.request, None)
             if self.requests_by_id.get(active_request.request_id) is active_request:
                 del self.requests_by_id[active_request.request_id]
@@ -164,7 +164,9 @@
             body=active_request.body,
             last_by=trio.current_time() + times.timeout_ms / 1000,
             idle_timeout_ms=times.idle_timeout_ms,
-            start_check=make_start_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed),
+            start_check=make_start_check(
+                server, times.start_within_ms, lambda: active_request.is_finished or exchange.closed
+            ),
         )
         active_request.attempt = attempt
         active_request.server_name = self._server_name(server)
@@ -178,7 +180,7 @@
         result = await self._run_at_server(active_request, server, attempt, since_ms)
         if result.outcome is AttemptOutcome.CLIENT_GONE:
             self.client_disconnected(active_request)
-        if result.outcome is AttemptOutcome.STREAMED and not active_request.over:
+        if result.outcome is AttemptOutcome.STREAMED and not active_request.is_finished:
             await self._end_stream(active_request)
         elif result.begun:
             self.finish_request(active_request, Streamed(whole=False))
@@ -233,7 +235,7 @@
                 server,
                 result.outcome,
                 took_ms,
-                active_request.over,
+                active_request.is_finished,
                 result.cached_tokens,
                 result.state_lost,
                 result.report,
@@ -295,7 +297,7 @@
                 self.reporter.release_unconfirmed(active_request, took_ms)
                 continue
             self.reporter.release_confirmed(active_request, confirmed_by, took_ms)
-            if not active_request.over:
+            if not active_request.is_finished:
                 self.dispatch(messages.ReleaseConfirmed(active_request.request))
             return
 
@@ -303,7 +305,7 @@
         address = self.endpoint_registry.endpoints[server].address
         release_ms = self.deployment.router_config.release_ms
         reserved = await self.model_servers.reserve(address, active_request.request_id, release_ms)
-        if not active_request.over:
+        if not active_request.is_finished:
             self.dispatch(messages.ReservationResult(active_request.request, reserved))
 
     async def _probe(self, server: Server) -> None:
--- a/ternlane/platform/stream_forwarder.py
+++ b/ternlane/platform/stream_forwarder.py
@@ -29,7 +29,7 @@
     async def write_first_events(self, data: bytes) -> None:
         """Writes the answer's head and first events."""
         active_request = self.active_request
-        if active_request.over:
+        if active_request.is_finished:
             raise ClientDisconnectedError
         active_request.streaming = True
         active_request.body = b""  # no other attempt will be sent
@@ -39,6 +39,6 @@
 
     async def write_events(self, data: bytes) -> None:
         """Writes further events."""
-        if self.active_request.over:
+        if self.active_request.is_finished:
             raise ClientDisconnectedError
         await self.active_request.write_events(data)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -103,7 +103,7 @@
             one.left = True
             one.client.leave(how)
             idents = self.p.gateway.runtime.requests_by_id
-            await until(lambda: one.ident not in idents or idents[one.ident].over)
+            await until(lambda: one.ident not in idents or idents[one.ident].is_finished)
             self.attempts_when_left[one.ident] = self.attempts_for(one.ident)
 
     async def do_go_on(self, server: str, nth: int) -> None:
