--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -117,7 +117,7 @@
         self._unseen_since_s = now_s if rested else self._wait_ended_s
         self._wait_ended_s = now_s
 
-    def unseen_ms(self) -> float:
+    def max_unread_ms(self) -> float:
         """For how long what has just been read may have lain unread."""
         return (trio.current_time() - self._unseen_since_s) * 1000
 
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -39,10 +39,10 @@
     request_limit: int
     body_bytes_limit: int
 
-    def __init__(self, runtime: PlatformRuntime, unseen_ms: Callable[[], float], log: Any) -> None:
-        """`unseen_ms`: for how long what has just been read may have lain unread."""
+    def __init__(self, runtime: PlatformRuntime, max_unread_ms: Callable[[], float], log: Any) -> None:
+        """`max_unread_ms`: for how long what has just been read may have lain unread."""
         self.runtime = runtime
-        self.unseen_ms = unseen_ms
+        self.max_unread_ms = max_unread_ms
         self.log = log
         self.open: set[ServerConnection] = set()
         self.idle: dict[ServerConnection, None] = {}  # the longest idle first
@@ -173,7 +173,7 @@
         deployment = self.runtime.deployment
         request_class = deployment.request_classes[parsed.request_class]
         timeout_ms = parsed.client_timeout_ms or request_class.deadline_ms
-        left_ms = timeout_ms - self.unseen_ms() - self.runtime.expected_lateness_ms()
+        left_ms = timeout_ms - self.max_unread_ms() - self.runtime.expected_lateness_ms()
         return deployment.request(
             request_class,
             parsed.session,
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -60,7 +60,7 @@
         model_servers = ModelServerClient(self.pool, deployment)
         self.runtime = PlatformRuntime(Router(router_config), deployment, model_servers, nursery, log)
         self.polls = PollTimes()
-        self.chat_server = ChatServer(self.runtime, self.polls.unseen_ms, log)
+        self.chat_server = ChatServer(self.runtime, self.polls.max_unread_ms, log)
         self.acceptor = Acceptor(self.chat_server, log)
         self.watch = DiscoveryWatch(
             configuration.discovery,
