--- a/ternlane/reference.py
+++ b/ternlane/reference.py
@@ -134,7 +134,7 @@
     return " ".join((inspect.getdoc(of) or "").split())
 
 
-def without_words() -> list[str]:
+def undocumented_names() -> list[str]:
     """Public names, methods and properties that say nothing of themselves."""
     silent = []
     for name in ternlane.__all__[1:]:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -42,9 +42,9 @@
 
 
 def test_all_that_is_public_says_what_it_is_for() -> None:
-    from ternlane.reference import page, without_words
+    from ternlane.reference import page, undocumented_names
 
-    assert without_words() == []
+    assert undocumented_names() == []
     text = "\n".join(page())
     assert all(f"### `{name}" in text for name in ternlane.__all__[1:]) and "`.take(now: float," in text
 
