--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -19,7 +19,7 @@
 from ternlane.policy import messages
 
 # A loop that waited at least this long for its sockets was not behind with them.
-RESTED_MS = 0.5
+IDLE_WAIT_MS = 0.5
 # A loop that was late is expected to be late again; that expectation decays with this time constant.
 LATENESS_DECAY_MS = 1000.0
 # The router ends each request by its deadline. Where a fault kept it from that, the request is failed so long after its
@@ -113,7 +113,7 @@
     def after_io_wait(self, timeout: float) -> None:
         """Trio has waited for its sockets."""
         now_s = trio.current_time()
-        rested = now_s - self._wait_began_s >= RESTED_MS / 1000  # nothing was there as the wait began
+        rested = now_s - self._wait_began_s >= IDLE_WAIT_MS / 1000  # nothing was there as the wait began
         self._unseen_since_s = now_s if rested else self._wait_ended_s
         self._wait_ended_s = now_s
 
--- a/ternlane/policy/congestion.py
+++ b/ternlane/policy/congestion.py
@@ -17,7 +17,7 @@
 # The median counts as this many requests at least: below, one request more or less is chance.
 MIN_MEDIAN_OPEN = 2.0
 # The estimate of the others' load counts in full once half of the answers come late.
-LATE_SHARE_TO_TRUST = 2.0
+ESTIMATE_WEIGHT_PER_LATE_SHARE = 2.0
 # An answer is late when it waited, beyond its own work, for more than one part of so many of the latency objective.
 LATE_WAITS_PER_SLO = 4.0
 # Weight of a new answer in the share of late ones: about the last sixteen count.
@@ -57,7 +57,7 @@
         if known.open_requests > MAX_TIMES_MEDIAN_OPEN * max(known.fleet.median_open, MIN_MEDIAN_OPEN):
             return True
         endpoint = known.endpoint
-        trust = min(1.0, LATE_SHARE_TO_TRUST * self.late_share[endpoint.server.role])
+        trust = min(1.0, ESTIMATE_WEIGHT_PER_LATE_SHARE * self.late_share[endpoint.server.role])
         free = known.known_free + trust * (known.free - known.known_free)
         return free * endpoint.server.kv_capacity_tokens <= memory_tokens(state.request, endpoint)
 
--- a/ternlane/policy/fleet_monitor.py
+++ b/ternlane/policy/fleet_monitor.py
@@ -18,7 +18,7 @@
 # Ticks between two comparisons: each costs time for every server, and loads change little from one tick to the next.
 COMPARISON_TICKS = 4
 # Of the idle servers, about so many are told of their peers at each comparison: their own state changes with nothing.
-IDLE_SERVERS_TOLD = 12
+IDLE_SERVERS_UPDATED = 12
 # The failure rates of all servers are remembered for this long.
 FAILURE_RATE_MEMORY_MS = 60e3
 
@@ -86,7 +86,7 @@
         """Idle servers take turns."""
         if known.open_requests or known.ejected or known.half_open or known.warm_at > self._context.now:
             return True
-        return (index + self._ticks // COMPARISON_TICKS) % (servers // IDLE_SERVERS_TOLD or 1) == 0
+        return (index + self._ticks // COMPARISON_TICKS) % (servers // IDLE_SERVERS_UPDATED or 1) == 0
 
     def _summarize(self, before: FleetStats, peers: list[EndpointSnapshot]) -> FleetStats:
         """The load of all gateways is the own mean times the number of gateways, over warm servers, as warming ones
--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -26,7 +26,7 @@
 FASTER_PACE_WEIGHT = 1 / 4
 SLOWER_PACE_WEIGHT = 1 / 64
 # Queues are believed to be at most this many times as long as estimated, lest one slow spell shuts all servers out.
-MAX_QUEUE_TRUST = 4.0
+MAX_QUEUE_CORRECTION = 4.0
 
 
 class LatencyModel:
@@ -90,7 +90,7 @@
     def _learn_queue(self, expected_ms: float, measured_ms: float) -> None:
         self._mean_expected_ms += SAMPLE_WEIGHT * (expected_ms - self._mean_expected_ms)
         self._mean_measured_ms += SAMPLE_WEIGHT * (measured_ms - self._mean_measured_ms)
-        self.queue_trust = min(MAX_QUEUE_TRUST, self._mean_measured_ms / self._mean_expected_ms)
+        self.queue_trust = min(MAX_QUEUE_CORRECTION, self._mean_measured_ms / self._mean_expected_ms)
 
     def _learn_pace(self, pace: float) -> None:
         weight = FASTER_PACE_WEIGHT if pace < self.prefill_ms_per_token else SLOWER_PACE_WEIGHT
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -31,7 +31,7 @@
 from ternlane.policy.timeouts import start_attempt
 
 # The least part of its estimate that a queue is believed to last, when the next prefill's time is foreseen.
-MIN_QUEUE_TRUST = 1 / 16
+MIN_QUEUE_CORRECTION = 1 / 16
 
 
 def take_report(endpoint: EndpointState, report: messages.Report | None) -> None:
@@ -138,7 +138,7 @@
             stage_started_at=now,
             usual_ms=usual_ms,
             prefill_work_ms=work_ms,
-            expected_ms=work_ms + known.total_queue_ms / max(self._rules.latency.queue_trust, MIN_QUEUE_TRUST),
+            expected_ms=work_ms + known.total_queue_ms / max(self._rules.latency.queue_trust, MIN_QUEUE_CORRECTION),
             needs_connection=not known.connected,
         )
         state.start(attempt)
