--- a/bench/openings.py
+++ b/bench/openings.py
@@ -11,7 +11,7 @@
 import tracemalloc
 from array import array
 
-from ternlane.chat.prefixes import PrefixIndex, WholePrefixes
+from ternlane.chat.prefixes import PrefixHashTable, PrefixIndex
 
 PREFIXES = 20
 PREFIX_SHARE = 0.8  # of sessions that begin with one of them
@@ -19,7 +19,7 @@
 BOUND = 50_000  # blocks
 
 Prompt = tuple[int, "array[int]"]  # session, and the hashes of its 256-byte blocks
-Index = type[PrefixIndex] | type[WholePrefixes]
+Index = type[PrefixIndex] | type[PrefixHashTable]
 
 
 def drawn_prompts(sessions: int, seed: int = 1) -> list[Prompt]:
@@ -45,7 +45,7 @@
     tracemalloc.start()
     index = kind(limit)
     for session, blocks in prompts:
-        index.meet(blocks, session)
+        index.match_and_add(blocks, session)
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return held
@@ -68,12 +68,12 @@
     """A line for each index with at most so many blocks."""
     bound = "unbounded" if limit == UNBOUNDED else f"{limit} blocks"
     by_tree: list[int] = []
-    kinds: tuple[tuple[str, Index], ...] = (("tree", PrefixIndex), ("dict of beginnings", WholePrefixes))
+    kinds: tuple[tuple[str, Index], ...] = (("tree", PrefixIndex), ("dict of beginnings", PrefixHashTable))
     for name, kind in kinds:
         held = held_bytes(kind, limit, prompts)
         index = kind(limit)
         begin_s = time.perf_counter()
-        answers = [index.meet(prompt, session) for session, prompt in prompts]
+        answers = [index.match_and_add(prompt, session) for session, prompt in prompts]
         took_s = time.perf_counter() - begin_s
         by_tree = by_tree or answers
         same = sum(a == b for a, b in zip(by_tree, answers, strict=True)) / len(answers)
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -37,7 +37,8 @@
 
 
 class PrefixIndex:
-    """`meet` takes a prompt's blocks and its session's number, and says how many of them others have begun with."""
+    """`match_and_add` takes a prompt's blocks and its session's number, and says how many of them others have begun
+    with."""
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
@@ -47,7 +48,7 @@
         self.oldest: Node | None = None
         self.newest: Node | None = None
 
-    def meet(self, run: array[int], session: int) -> int:
+    def match_and_add(self, run: array[int], session: int) -> int:
         """Blocks at the start of `run` that another session's prompt began with; `run` is remembered."""
         node = self.root
         at = 0
@@ -162,15 +163,15 @@
             stack.extend((node.children or {}).values())
 
 
-class WholePrefixes:
+class PrefixHashTable:
     """The plain way, kept to measure against: a dict from the hash of every beginning to whose it was."""
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
         self.known: OrderedDict[int, int] = OrderedDict()
 
-    def meet(self, run: array[int], session: int) -> int:
-        """As `PrefixIndex.meet`."""
+    def match_and_add(self, run: array[int], session: int) -> int:
+        """As `PrefixIndex.match_and_add`."""
         shared = 0
         all_shared = True
         key = 0
