--- a/ternlane/policy/attempt.py
+++ b/ternlane/policy/attempt.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class InFlightAttempt:
     """An attempt that is out. Times are milliseconds."""
 
     server: Server
--- a/ternlane/policy/endpoint_messages.py
+++ b/ternlane/policy/endpoint_messages.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.messages import Request
 
 
@@ -28,13 +28,13 @@
 class AttemptStarted(NamedTuple):
     """An attempt is sent to the server."""
 
-    attempt: Attempt
+    attempt: InFlightAttempt
 
 
 class StageEnded(NamedTuple):
     """An attempt has got through its present stage, or failed in it."""
 
-    attempt: Attempt
+    attempt: InFlightAttempt
     success: bool | None  # None: how it ended tells nothing of the server
     next_usual_ms: float | None  # the usual time of the next stage; None: the attempt has ended
 
--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -7,7 +7,7 @@
 
 from ternlane.policy import messages
 from ternlane.policy.actors import Actor, Inbox, RouterContext
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.endpoint_messages import (
     AttemptStarted,
     CapacityReleased,
@@ -67,7 +67,7 @@
 class PrefillOvertaken(NamedTuple):
     """A prefill that was sent later to the same server has ended before this one, which is overdue."""
 
-    attempt: Attempt
+    attempt: InFlightAttempt
 
 
 EndpointReport = EndpointSnapshot | PrefillOvertaken | Reselect
@@ -83,7 +83,7 @@
         self.prefills = server.role is not Role.DECODE
         self.decodes = server.role is not Role.PREFILL
         self.reservations: dict[Request, Reservation] = {}
-        self.attempts: dict[Attempt, None] = {}  # in the order in which they were sent
+        self.attempts: dict[InFlightAttempt, None] = {}  # in the order in which they were sent
         self.last_report: LoadReport | None = None
         self.warm_at = 0.0
         self.connected_until = 0.0
--- a/ternlane/policy/held_state.py
+++ b/ternlane/policy/held_state.py
@@ -11,7 +11,7 @@
 from ternlane.policy.request_state import RequestState
 
 
-class HeldState:
+class StateReleaser:
     """Sends the releases that the requests' leases call for."""
 
     def __init__(self, context: RouterContext) -> None:
@@ -23,7 +23,7 @@
         reserved for the request."""
         lease = state.lease
         if lease.may_hold:
-            again = state.over and lease.unheard
+            again = state.over and lease.prefill_unconfirmed
             self._context.actions.append(Release(state.request, again, reason))
             lease.released(state.over)
         for endpoint in (state.prefill_server, state.decode_server):
--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -7,7 +7,7 @@
 
 from math import inf
 
-from ternlane.policy.attempt import Attempt, Stage
+from ternlane.policy.attempt import InFlightAttempt, Stage
 from ternlane.policy.limits import DEFAULT_SLO_MS
 from ternlane.policy.messages import AttemptEnded, AttemptOutcome, Request, RequestClass
 
@@ -71,7 +71,7 @@
         mean = self.mean_prompt_tokens.setdefault(request_class, max(request.prompt_tokens, 1.0))
         self.mean_prompt_tokens[request_class] = mean + SAMPLE_WEIGHT * (request.prompt_tokens - mean)
 
-    def learn_prefill(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
+    def learn_prefill(self, attempt: InFlightAttempt, ended: AttemptEnded, now: float) -> None:
         """Takes in a prefill that has ended or timed out. One that timed out took at least as long: were it left out,
         the usual time would stay short, and ever more prefills would time out. But a time-out below the usual time
         says nothing."""
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -45,26 +45,27 @@
 class Lease(Generic[ServerT]):
     """What may be held for one request. Times are milliseconds of the decisions' clock.
 
-    When it is released at the latest: `HeldState.schedule_release` sets `release_at`, `Limits.release_unconfirmed_ms`
-    after `since`. That is infinite where servers don't spare the attempts that wait for a state, or keep it whatever
-    happens (RouterConfig); the release then goes out at the request's end or before a new prefill.
+    When it is released at the latest: `StateReleaser.schedule_release` sets `release_at`,
+    `Limits.release_unconfirmed_ms` after `since`. That is infinite where servers don't spare the attempts that wait for
+    a state, or keep it whatever happens (RouterConfig); the release then goes out at the request's end or before a new
+    prefill.
     """
 
     held_at: ServerT | None = None  # the prefill server whose state may be handed on
     may_hold: bool = False  # some server may hold something
-    unheard: bool = False  # the last prefill ended without a word, and may leave a state yet
+    prefill_unconfirmed: bool = False  # the last prefill ended without a word, and may leave a state yet
     since: float = 0.0  # the release time counts from here
     release_at: float = inf  # when to release it, answered or not
     _held_before: bool = False  # whether anything may have been held before the attempt that is out
     _released_early: bool = False  # it was released while that attempt was out,
-    _release_heard: bool = False  # and a server has confirmed it
+    _release_confirmed: bool = False  # and a server has confirmed it
 
     def attempt_begins(self) -> None:
         """An attempt goes out, and may leave something at its server."""
         self._held_before = self.may_hold
         self.may_hold = True
         self._released_early = False
-        self._release_heard = False
+        self._release_confirmed = False
 
     def attempt_answered(self) -> None:
         """A decode server has begun its answer: it has taken the state."""
@@ -78,7 +79,7 @@
         if outcome in NOTHING_LEFT:
             self.may_hold = self._held_before
         elif end.prefills:
-            self.unheard = outcome is not AttemptOutcome.PREFILLED
+            self.prefill_unconfirmed = outcome is not AttemptOutcome.PREFILLED
         if self._renews(end):
             self.since = now
         if end.state_lost:
@@ -92,13 +93,13 @@
         what an attempt waits for that has arrived. It does not for an attempt that may never have arrived."""
         if end.outcome in NEVER_SENT:
             return False
-        return end.prefills or end.outcome in ANSWERED or self._release_heard
+        return end.prefills or end.outcome in ANSWERED or self._release_confirmed
 
     def released(self, over: bool) -> None:
         """A release goes out. Once the request is over it is said to the last; before, an unheard prefill may still
         leave a state behind it."""
         self.held_at = None
-        self.may_hold = self.unheard and not over
+        self.may_hold = self.prefill_unconfirmed and not over
         if not self.may_hold:
             self.release_at = inf
 
@@ -106,11 +107,11 @@
         """A release goes out because the time is over, whatever attempt is out. `held_at` stays: where the attempt had
         arrived, the server keeps the state for it, and another decode may still take it."""
         self._released_early = True
-        self._release_heard = False
+        self._release_confirmed = False
 
-    def release_heard(self) -> None:
+    def release_confirmed(self) -> None:
         """A server has confirmed the newest release."""
-        self._release_heard = self._released_early
+        self._release_confirmed = self._released_early
 
 
 class HasReleaseTime(Protocol):
--- a/ternlane/policy/outcome_recorder.py
+++ b/ternlane/policy/outcome_recorder.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ternlane.policy.actors import RouterContext
-from ternlane.policy.attempt import Attempt, Stage
+from ternlane.policy.attempt import InFlightAttempt, Stage
 from ternlane.policy.congestion import CongestionDetector
 from ternlane.policy.endpoint_state import EndpointState
 from ternlane.policy.failure_avoidance import FailureAvoidance
@@ -37,7 +37,7 @@
         self._record(endpoint, request, AttemptOutcome.PREFILLED, took_ms)
 
     def attempt_ended(
-        self, endpoint: EndpointState, state: RequestState, attempt: Attempt, ended: AttemptEnded
+        self, endpoint: EndpointState, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded
     ) -> None:
         """An attempt has ended, in whatever way."""
         outcome = ended.outcome
@@ -54,7 +54,7 @@
         self._congestion.record(endpoint, request, outcome, waited_ms)
         self._failures.record(endpoint, request, outcome)
 
-    def _learn_times(self, state: RequestState, attempt: Attempt, ended: AttemptEnded) -> None:
+    def _learn_times(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
         now = self._context.now
         outcome = ended.outcome
         request_class = state.request.request_class
--- a/ternlane/policy/outlier_detection.py
+++ b/ternlane/policy/outlier_detection.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.messages import AttemptOutcome
 
 # A server below this part of its peers' median progress is an outlier. Slow or silent servers show no error.
@@ -58,7 +58,7 @@
         """Attempts done for each that was expected; 1 is the peers' pace."""
         return (self.attempts_done + PRIOR_ATTEMPTS) / (self.attempts_expected + PRIOR_ATTEMPTS)
 
-    def expect(self, attempt: Attempt, now: float) -> None:
+    def expect(self, attempt: InFlightAttempt, now: float) -> None:
         """Adds what the attempt should have got done by now at its peers' pace."""
         elapsed_ms = now - attempt.stage_started_at
         expected = min(elapsed_ms / max(attempt.usual_ms, 1.0), MAX_MISSED_PER_ATTEMPT)
@@ -77,7 +77,7 @@
         self.attempts_done *= part
         self.attempts_expected *= part
 
-    def half_open_passed(self, attempt: Attempt, now: float) -> bool:
+    def half_open_passed(self, attempt: InFlightAttempt, now: float) -> bool:
         """Whether an attempt that succeeded took little enough time to bring a half-open server back."""
         return self.half_open and now - attempt.stage_started_at <= HALF_OPEN_MAX_USUAL_TIMES * attempt.usual_ms
 
--- a/ternlane/policy/prefix_affinity.py
+++ b/ternlane/policy/prefix_affinity.py
@@ -10,7 +10,7 @@
 import zlib
 from collections import Counter, defaultdict
 
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.endpoint_state import EndpointSnapshot, EndpointState
 from ternlane.policy.latency import LatencyModel
 from ternlane.policy.messages import AttemptEnded, AttemptOutcome, Request, RequestClass
@@ -71,7 +71,7 @@
         known_tokens = request.prefix_tokens + (request.prompt_tokens - request.prefix_tokens) / rank
         return ms_per_token * (request.prompt_tokens - self.cached_share[request.request_class] * known_tokens)
 
-    def learn_cached(self, state: RequestState, attempt: Attempt, ended: AttemptEnded) -> None:
+    def learn_cached(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
         """Takes in how much of a prompt the first preferred server had cached."""
         completed = ended.outcome is AttemptOutcome.PREFILLED
         if not completed or attempt.server.router_state not in state.preferred[:1]:
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -9,7 +9,7 @@
 
 from ternlane.policy import messages
 from ternlane.policy.actors import RouterContext
-from ternlane.policy.attempt import Attempt, Stage
+from ternlane.policy.attempt import InFlightAttempt, Stage
 from ternlane.policy.congestion import memory_tokens
 from ternlane.policy.endpoint_messages import (
     AttemptStarted,
@@ -28,7 +28,7 @@
 from ternlane.policy.request_state import MayHaveRun, RequestState, state_of
 from ternlane.policy.retry_policy import NEVER_RAN
 from ternlane.policy.rules import Rules
-from ternlane.policy.timeouts import start_attempt
+from ternlane.policy.timeouts import start_attempt_action
 
 # The least part of its estimate that a queue is believed to last, when the next prefill's time is foreseen.
 MIN_QUEUE_CORRECTION = 1 / 16
@@ -130,7 +130,7 @@
         work_ms = 0.0 if decodes else self._rules.affinity.prefill_work_ms(endpoint, state)
         stage = Stage.FIRST_TOKEN if decodes else Stage.PREFILL
         usual_ms = max(self._rules.latency.usual_ms(state.request.request_class, stage), work_ms + known.queue_ms)
-        attempt = Attempt(
+        attempt = InFlightAttempt(
             server=endpoint.server,
             request=state.request,
             decodes=decodes,
@@ -145,10 +145,10 @@
         state.lease.attempt_begins()
         endpoint.post(AttemptStarted(attempt))
         window_ms = self._rules.retries.repeat_window_ms(state)
-        action = start_attempt(self._context, state, attempt, self._rules.reports_on_probe(), window_ms)
+        action = start_attempt_action(self._context, state, attempt, self._rules.reports_on_probe(), window_ms)
         self._context.actions.append(action)
 
-    def first_token(self, state: RequestState, attempt: Attempt, took_ms: float) -> None:
+    def first_token(self, state: RequestState, attempt: InFlightAttempt, took_ms: float) -> None:
         """The answer has begun, `took_ms` after its attempt was sent: the decode server has taken the state."""
         request = state.request
         endpoint = endpoint_of(attempt.server)
@@ -199,7 +199,7 @@
             return
         endpoint.post(Reselect(state.request))
 
-    def prefill_overtaken(self, attempt: Attempt) -> None:
+    def prefill_overtaken(self, attempt: InFlightAttempt) -> None:
         """Cancels a prefill whose answer will not come, if attempts for another pair are left."""
         state = state_of(attempt.request)
         if (
--- a/ternlane/policy/request_state.py
+++ b/ternlane/policy/request_state.py
@@ -1,6 +1,6 @@
 """The state of one request, from its arrival to the release of what was held for it.
 
-A request moves through the phases of `Phase`. `TRANSITIONS` lists every move there is; any other raises
+A request moves through the phases of `RequestPhase`. `TRANSITIONS` lists every move there is; any other raises
 IllegalTransitionError, which means a fault of the router: two attempts at once, or a second final answer.
 """
 
@@ -10,13 +10,13 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.endpoint_state import EndpointState
 from ternlane.policy.lease import Lease
 from ternlane.policy.messages import Request, Server
 
 
-class Phase(Enum):
+class RequestPhase(Enum):
     """Where a request stands."""
 
     QUEUED = auto()  # no attempt is out and nothing is ready for a decode: it waits for a pair of servers
@@ -27,24 +27,28 @@
     DONE = auto()  # it is over, and nothing is out
 
 
-TRANSITIONS: dict[Phase, frozenset[Phase]] = {
+TRANSITIONS: dict[RequestPhase, frozenset[RequestPhase]] = {
     # A server that does both roles answers without a prefill attempt of its own.
-    Phase.QUEUED: frozenset({Phase.PREFILLING, Phase.DECODING, Phase.DONE}),
+    RequestPhase.QUEUED: frozenset({RequestPhase.PREFILLING, RequestPhase.DECODING, RequestPhase.DONE}),
     # To QUEUED: the prefill failed.
-    Phase.PREFILLING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
+    RequestPhase.PREFILLING: frozenset(
+        {RequestPhase.HANDING_OVER, RequestPhase.QUEUED, RequestPhase.RELEASING, RequestPhase.DONE}
+    ),
     # To QUEUED: the state is released and the prompt prefilled again.
-    Phase.HANDING_OVER: frozenset({Phase.DECODING, Phase.QUEUED, Phase.DONE}),
+    RequestPhase.HANDING_OVER: frozenset({RequestPhase.DECODING, RequestPhase.QUEUED, RequestPhase.DONE}),
     # To HANDING_OVER: the decode attempt failed and the state is still held. To QUEUED: it is lost.
-    Phase.DECODING: frozenset({Phase.HANDING_OVER, Phase.QUEUED, Phase.RELEASING, Phase.DONE}),
-    Phase.RELEASING: frozenset({Phase.DONE}),
-    Phase.DONE: frozenset(),
+    RequestPhase.DECODING: frozenset(
+        {RequestPhase.HANDING_OVER, RequestPhase.QUEUED, RequestPhase.RELEASING, RequestPhase.DONE}
+    ),
+    RequestPhase.RELEASING: frozenset({RequestPhase.DONE}),
+    RequestPhase.DONE: frozenset(),
 }
 
 
 class IllegalTransitionError(Exception):
     """A request was to make a move that TRANSITIONS does not list."""
 
-    def __init__(self, before: Phase, after: Phase) -> None:
+    def __init__(self, before: RequestPhase, after: RequestPhase) -> None:
         super().__init__(f"a request can't go from {before.name} to {after.name}")
         self.before = before
         self.after = after
@@ -69,10 +73,10 @@
     first_token_due: float  # by its class's latency objective
     deadline: float  # when its client gives up
     slow_start_draw: float = 0.0  # from 0 to 1, for servers that take a quota only
-    phase: Phase = Phase.QUEUED
+    phase: RequestPhase = RequestPhase.QUEUED
     prefill_server: EndpointState | None = None
     decode_server: EndpointState | None = None
-    attempt: Attempt | None = None  # that is out
+    attempt: InFlightAttempt | None = None  # that is out
     attempts: int = 0  # that were sent
     lease: Lease[EndpointState] = field(default_factory=Lease)  # what may be held for it
     may_have_run: MayHaveRun | None = None
@@ -84,32 +88,32 @@
     @property
     def over(self) -> bool:
         """Whether its client has its final answer, or has left."""
-        return self.phase is Phase.DONE or self.phase is Phase.RELEASING
+        return self.phase is RequestPhase.DONE or self.phase is RequestPhase.RELEASING
 
-    def move_to(self, phase: Phase) -> None:
+    def move_to(self, phase: RequestPhase) -> None:
         """The one place where the phase changes. Raises IllegalTransitionError."""
         if phase not in TRANSITIONS[self.phase]:
             raise IllegalTransitionError(self.phase, phase)
         self.phase = phase
 
-    def start(self, attempt: Attempt) -> None:
+    def start(self, attempt: InFlightAttempt) -> None:
         """An attempt goes out."""
-        self.move_to(Phase.DECODING if attempt.decodes else Phase.PREFILLING)
+        self.move_to(RequestPhase.DECODING if attempt.decodes else RequestPhase.PREFILLING)
         self.attempt = attempt
         self.attempts += 1
 
     def requeue(self) -> None:
         """What was held for it is given up; it needs a pair of servers anew."""
-        if self.phase is not Phase.QUEUED:
-            self.move_to(Phase.QUEUED)
+        if self.phase is not RequestPhase.QUEUED:
+            self.move_to(RequestPhase.QUEUED)
 
     def attempt_ended(self) -> None:
         """Its attempt has ended, and its client waits on."""
-        self.move_to(Phase.QUEUED if self.lease.held_at is None else Phase.HANDING_OVER)
+        self.move_to(RequestPhase.QUEUED if self.lease.held_at is None else RequestPhase.HANDING_OVER)
 
     def close(self) -> None:
         """It is over for its client."""
-        self.move_to(Phase.DONE if self.attempt is None else Phase.RELEASING)
+        self.move_to(RequestPhase.DONE if self.attempt is None else RequestPhase.RELEASING)
 
 
 def state_of(request: Request) -> RequestState:
--- a/ternlane/policy/rules.py
+++ b/ternlane/policy/rules.py
@@ -9,7 +9,7 @@
 from ternlane.policy.endpoint_state import EndpointSnapshot, EndpointState
 from ternlane.policy.failure_avoidance import FailureAvoidance
 from ternlane.policy.fleet_monitor import FleetMonitor
-from ternlane.policy.held_state import HeldState
+from ternlane.policy.held_state import StateReleaser
 from ternlane.policy.latency import LatencyModel
 from ternlane.policy.load_probes import LoadProbes
 from ternlane.policy.messages import RouterConfig
@@ -51,7 +51,7 @@
         )
         self.queue = AdmissionQueue(context, self.draws)
         self.probes = LoadProbes(context)
-        self.held_state = HeldState(context)
+        self.held_state = StateReleaser(context)
         self.fleet = FleetMonitor(context, self.endpoints, self.latency, self.failures, self.affinity, self.slow_start)
         self.recorder = OutcomeRecorder(context, self.latency, self.congestion, self.failures, self.affinity)
 
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -75,7 +75,7 @@
                     self.requests.reselect(state)
             case messages.ReleaseConfirmed(request):
                 if request.router_state is not None:
-                    request.router_state.lease.release_heard()
+                    request.router_state.lease.release_confirmed()
 
     def _handle_gateway_event(self, event: messages.Event) -> None:
         match event:
--- a/ternlane/policy/timeouts.py
+++ b/ternlane/policy/timeouts.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from ternlane.policy.actors import RouterContext
-from ternlane.policy.attempt import Attempt
+from ternlane.policy.attempt import InFlightAttempt
 from ternlane.policy.messages import Effect, StartAttempt
 from ternlane.policy.request_state import RequestState
 
@@ -22,8 +22,8 @@
 STREAM_IDLE_TOKEN_SLOS = 4.0
 
 
-def start_attempt(
-    context: RouterContext, state: RequestState, attempt: Attempt, reports_on_probe: bool, window_ms: float
+def start_attempt_action(
+    context: RouterContext, state: RequestState, attempt: InFlightAttempt, reports_on_probe: bool, window_ms: float
 ) -> StartAttempt:
     """The action that sends the attempt, with its time-outs in milliseconds. `window_ms`: see RetryPolicy."""
     limits = context.limits
@@ -40,7 +40,7 @@
     return StartAttempt(request, attempt.server, timeout_ms, idle_ms, total_ms, window_ms)
 
 
-def _timeout_slos(attempt: Attempt, reports_on_probe: bool) -> float:
+def _timeout_slos(attempt: InFlightAttempt, reports_on_probe: bool) -> float:
     if attempt.decodes:
         return DECODE_TIMEOUT_SLOS
     return REPORTED_PREFILL_TIMEOUT_SLOS if reports_on_probe else PREFILL_TIMEOUT_SLOS
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -50,7 +50,7 @@
     lease = prefilled()
     lease.attempt_begins()
     lease.released_early()
-    lease.release_heard()
+    lease.release_confirmed()
     lease.attempt_ended(decode_ended(outcome), "d0", 900.0)
     assert lease.since == 900.0 and lease.held_at == "p0"
     lease.attempt_begins()  # what was heard for one attempt says nothing of the next
@@ -60,9 +60,9 @@
 
 def test_a_confirmation_counts_only_for_a_release_while_the_attempt_was_out() -> None:
     lease = prefilled()
-    lease.release_heard()
+    lease.release_confirmed()
     lease.attempt_begins()
-    lease.release_heard()  # of an earlier release
+    lease.release_confirmed()  # of an earlier release
     lease.attempt_ended(decode_ended(AttemptOutcome.TIMED_OUT), "d0", 900.0)
     assert lease.since == 100.0
 
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -11,7 +11,7 @@
 from ternlane.policy.request_state import (
     TRANSITIONS,
     IllegalTransitionError,
-    Phase,
+    RequestPhase,
     RequestState,
     UnknownRequestError,
     state_of,
@@ -19,14 +19,14 @@
 from tests.conftest import FakeHost, started_attempt
 
 
-def state_in(host: FakeHost, phase: Phase) -> RequestState:
+def state_in(host: FakeHost, phase: RequestPhase) -> RequestState:
     state = RequestState(host.request(), first_token_due=1000.0, deadline=5000.0)
     state.phase = phase
     return state
 
 
-@pytest.mark.parametrize("before, after", list(product(Phase, Phase)))
-def test_only_listed_moves_are_made(host: FakeHost, before: Phase, after: Phase) -> None:
+@pytest.mark.parametrize("before, after", list(product(RequestPhase, RequestPhase)))
+def test_only_listed_moves_are_made(host: FakeHost, before: RequestPhase, after: RequestPhase) -> None:
     state = state_in(host, before)
     if after in TRANSITIONS[before]:
         state.move_to(after)
@@ -39,11 +39,11 @@
 
 
 def test_every_phase_leads_to_the_end_and_nothing_leads_out_of_it() -> None:
-    assert TRANSITIONS.keys() == set(Phase) and not TRANSITIONS[Phase.DONE]
-    reaching = {Phase.DONE}
-    for _ in Phase:
+    assert TRANSITIONS.keys() == set(RequestPhase) and not TRANSITIONS[RequestPhase.DONE]
+    reaching = {RequestPhase.DONE}
+    for _ in RequestPhase:
         reaching |= {phase for phase, after in TRANSITIONS.items() if after & reaching}
-    assert reaching == set(Phase)
+    assert reaching == set(RequestPhase)
 
 
 def test_a_served_request_goes_through_prefill_handover_and_decode(host: FakeHost) -> None:
@@ -55,7 +55,7 @@
     seen.append(state.phase)
     host.first_token(request, decode.server)
     host.end_attempt(request, decode.server, AttemptOutcome.STREAMED, over=True)
-    assert [*seen, state.phase] == [Phase.PREFILLING, Phase.DECODING, Phase.DONE]
+    assert [*seen, state.phase] == [RequestPhase.PREFILLING, RequestPhase.DECODING, RequestPhase.DONE]
 
 
 def test_a_client_that_leaves_during_a_prefill_leaves_a_request_that_releases(host: FakeHost) -> None:
@@ -65,10 +65,10 @@
     prefill = started_attempt(host.arrive(request))
     host.deliver(messages.ClientDisconnected(request))
     state = state_of(request)
-    assert state.over and state.phase is Phase.RELEASING
+    assert state.over and state.phase is RequestPhase.RELEASING
     said = host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
     assert messages.Release in [type(action) for action in said]
-    assert state.phase is Phase.DONE
+    assert state.phase is RequestPhase.DONE
 
 
 def test_a_failed_prefill_without_another_server_ends_its_request(host: FakeHost) -> None:
@@ -79,14 +79,14 @@
     host.update_endpoints(**{other: messages.EndpointStatus.DRAINING})
     said = host.end_attempt(request, prefill.server, AttemptOutcome.CONNECT_FAILED)
     assert messages.Reject in [type(action) for action in said]
-    assert state_of(request).phase is Phase.DONE
+    assert state_of(request).phase is RequestPhase.DONE
 
 
 def test_an_effect_that_may_have_happened_ends_its_request(host: FakeHost) -> None:
     request, decode = host.start_decode(Effect.SIDE_EFFECTING)
     said = host.end_attempt(request, decode.server, AttemptOutcome.RESET)
     assert messages.Fail in [type(action) for action in said]
-    assert state_of(request).phase is Phase.DONE
+    assert state_of(request).phase is RequestPhase.DONE
 
 
 def test_a_request_that_has_not_arrived_has_no_state(host: FakeHost) -> None:
