--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -41,8 +41,8 @@
 from ternlane.emulator.engine_kind import EngineKind as EmulatorDocument
 from ternlane.gateway.active_request import Failed as TerminatedAnswer
 from ternlane.gateway.active_request import Streamed as StreamedAnswer
-from ternlane.gateway.daemon import drop_pid as drop_process_id
-from ternlane.gateway.daemon import write_pid as write_process_id
+from ternlane.gateway.daemon import remove_pid_file as drop_process_id
+from ternlane.gateway.daemon import write_pid_file as write_process_id
 from ternlane.gateway.journal_writer import JOURNAL
 from ternlane.gateway.journal_writer import JournalWriter as JournalKeeper
 from ternlane.gateway.journal_writer import final_of as final_answer_of
