--- a/ternlane/policy/admission_queue.py
+++ b/ternlane/policy/admission_queue.py
@@ -76,7 +76,7 @@
         self, entry: QueueEntry, place: Callable[[RequestState], None], expire: Callable[[RequestState], None]
     ) -> None:
         state = entry.state
-        if state.over:
+        if state.is_finished:
             return
         if entry.latest_start <= self._context.now:
             expire(state)
@@ -84,5 +84,5 @@
             heapq.heappush(self._entries, entry)
         else:
             place(state)
-            if state.attempt is None and not state.over:
+            if state.attempt is None and not state.is_finished:
                 self._no_room_from = state.request.prompt_tokens
--- a/ternlane/policy/held_state.py
+++ b/ternlane/policy/held_state.py
@@ -23,9 +23,9 @@
         reserved for the request."""
         lease = state.lease
         if lease.may_hold:
-            again = state.over and lease.prefill_unconfirmed
+            again = state.is_finished and lease.prefill_unconfirmed
             self._context.actions.append(Release(state.request, again, reason))
-            lease.released(state.over)
+            lease.released(state.is_finished)
         for endpoint in (state.prefill_server, state.decode_server):
             if endpoint is not None:
                 endpoint.post(CapacityReleased(state.request))
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -95,11 +95,11 @@
             return False
         return end.prefills or end.outcome in ANSWERED or self._release_confirmed
 
-    def released(self, over: bool) -> None:
+    def released(self, is_finished: bool) -> None:
         """A release goes out. Once the request is over it is said to the last; before, an unheard prefill may still
         leave a state behind it."""
         self.held_at = None
-        self.may_hold = self.prefill_unconfirmed and not over
+        self.may_hold = self.prefill_unconfirmed and not is_finished
         if not self.may_hold:
             self.release_at = inf
 
--- a/ternlane/policy/load_probes.py
+++ b/ternlane/policy/load_probes.py
@@ -46,12 +46,12 @@
             state.probed.discard(endpoint)
             if not state.probed:
                 self._waiting.remove(state)
-                if not state.over:
+                if not state.is_finished:
                     ready.append(state)
         return ready
 
     def stop_waiting(self) -> list[RequestState]:
         """The open requests that still wait: a server that does not answer holds nobody up."""
-        waiting = [state for state in self._waiting if not state.over]
+        waiting = [state for state in self._waiting if not state.is_finished]
         self._waiting = []
         return waiting
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -177,7 +177,7 @@
         if attempt.decodes and outcome not in NEVER_RAN and state.may_have_run is None:
             state.may_have_run = MayHaveRun(attempt.started_at, ended.server)
         state.lease.attempt_ended(AttemptEnd(outcome, endpoint.prefills, ended.state_lost), endpoint, self._context.now)
-        if state.over or ended.over:
+        if state.is_finished or ended.over:
             self.close(state)
         else:
             state.attempt_ended()
@@ -205,7 +205,7 @@
         if (
             state.attempt is attempt
             and not attempt.overtaken
-            and not state.over
+            and not state.is_finished
             and self._rules.config.may_cancel
             and self._rules.retries.has_attempts_for_pair(state)
         ):
--- a/ternlane/policy/request_state.py
+++ b/ternlane/policy/request_state.py
@@ -86,7 +86,7 @@
     tried: set[EndpointState] = field(default_factory=set)  # not to be tried again
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether its client has its final answer, or has left."""
         return self.phase is RequestPhase.DONE or self.phase is RequestPhase.RELEASING
 
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -67,11 +67,11 @@
                 self.requests.attempt_ended(event)
             case messages.ClientDisconnected(request):
                 client_left = request.router_state
-                if client_left is not None and not client_left.over:
+                if client_left is not None and not client_left.is_finished:
                     self.requests.close(client_left)
             case messages.ResumeStream(request):
                 state = state_of(request)
-                if not state.over and state.attempt is None:
+                if not state.is_finished and state.attempt is None:
                     self.requests.reselect(state)
             case messages.ReleaseConfirmed(request):
                 if request.router_state is not None:
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -65,7 +65,7 @@
     prefill = started_attempt(host.arrive(request))
     host.deliver(messages.ClientDisconnected(request))
     state = state_of(request)
-    assert state.over and state.phase is RequestPhase.RELEASING
+    assert state.is_finished and state.phase is RequestPhase.RELEASING
     said = host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
     assert messages.Release in [type(action) for action in said]
     assert state.phase is RequestPhase.DONE
