--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -150,9 +150,9 @@
             ]
         return granted, chunks
 
-    def whose(self, authorization: str | None) -> Tenant:
+    def authenticate(self, authorization: str | None) -> Tenant:
         """Raises tenants.UnknownKeyError."""
-        return self.tenants.whose(authorization, time.time())
+        return self.tenants.authenticate(authorization, time.time())
 
     def reserve(
         self, tenant: Tenant, request_class: str, prompt: float, most: int
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -82,7 +82,7 @@
         if self.budget_enforcer is None:
             return None
         try:
-            tenant = self.budget_enforcer.whose(exchange.header(b"authorization"))
+            tenant = self.budget_enforcer.authenticate(exchange.header(b"authorization"))
         except UnknownKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
         if not self.budget_enforcer.writer.may_take:
--- a/ternlane/tenants/tenant_registry.py
+++ b/ternlane/tenants/tenant_registry.py
@@ -103,7 +103,7 @@
         self.tenants = {tenant.name: tenant for tenant in config.tenants}
         self._keys = {key.name: (key, tenant) for tenant in config.tenants for key in tenant.keys}
 
-    def whose(self, header: str | None, now_s: float) -> Tenant:
+    def authenticate(self, header: str | None, now_s: float) -> Tenant:
         """The tenant by the Authorization field; `now_s` is in seconds since 1970. Raises UnknownKeyError. Hashes
         exactly once whatever is wrong, so that the time taken tells nothing."""
         scheme, _, whole_key = (header or "").partition(" ")
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -18,13 +18,13 @@
 
 @pytest.mark.parametrize("state, until, now_s", [("live", 0, 5), ("retiring", 10, 9)])
 def test_a_key_is_let_in_until_it_ends(state: str, until: float, now_s: float) -> None:
-    assert registry(state, until).whose(f"Bearer {NEW.key}", now_s).name == "noto"
+    assert registry(state, until).authenticate(f"Bearer {NEW.key}", now_s).name == "noto"
 
 
 @pytest.mark.parametrize("state, until, now_s", [("retiring", 10, 10), ("revoked", 0, 5)])
 def test_a_key_that_has_ended_is_unknown(state: str, until: float, now_s: float) -> None:
     with pytest.raises(UnknownKeyError):
-        registry(state, until).whose(f"Bearer {NEW.key}", now_s)
+        registry(state, until).authenticate(f"Bearer {NEW.key}", now_s)
 
 
 @pytest.mark.parametrize("state", ["live", "revoked"])
@@ -45,7 +45,7 @@
 def test_all_wrong_keys_sound_alike(header: str | None, state: str) -> None:
     """Who guesses must not learn whether the name, the secret or the form was wrong."""
     with pytest.raises(UnknownKeyError) as refused:
-        registry(state).whose(header, 0)
+        registry(state).authenticate(header, 0)
     assert str(refused.value) == ""
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -371,7 +371,7 @@
     assert written == stored
     document = read_document(STORED / "tenants.json5", TenantsDocument)
     must_be_pinned("tenants-values", msgspec.to_builtins(document))
-    owner = Tenants(document).whose(f"Bearer tl-{KEY_NAME}-{SECRET}", 0.0)
+    owner = Tenants(document).authenticate(f"Bearer tl-{KEY_NAME}-{SECRET}", 0.0)
     assert owner.name == "noto"
     must_be_pinned("tenants-show", run("tenant", "show", "--file", str(STORED / "tenants.json5")).stdout)
 
