--- a/tests/test_request_timeouts.py
+++ b/tests/test_request_timeouts.py
@@ -1,6 +1,7 @@
 """Terms of the users' acceptance that have no free case: clients that have left, and the time told to a server.
 
-The slow-start budget is held by `tests/test_cold.py`, the final answer beside faults by `tests/test_final_answers.py`.
+The slow-start budget is held by `tests/test_slow_start.py`, the final answer beside faults by
+`tests/test_final_answers.py`.
 """
 
 from __future__ import annotations
