--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -53,12 +53,12 @@
     folder: Path,
     names: tuple[str, ...] = ("noto", "avola"),
     engines: tuple[str, ...] = ("r0", "w0"),
-    build: Any = ENGINE_PROFILE,
+    profile: Any = ENGINE_PROFILE,
     budget: dict[str, Any] | None = None,
 ) -> AsyncIterator[tuple[GatewayCluster, Bank]]:
     bank = Bank(folder, names, **(budget or {}))
     async with gateway_cluster(
-        engines, profile=build, tenants=str(folder / "tenants.json5"), ledger=str(folder / "ledger")
+        engines, profile=profile, tenants=str(folder / "tenants.json5"), ledger=str(folder / "ledger")
     ) as w:
         yield w, bank
         await w.gateway.drain()
@@ -150,8 +150,8 @@
 @pytest.mark.parametrize("cut", [False, True])
 async def test_a_stream_is_cut_for_its_overrun_only_where_the_tenant_wants_it(tmp_path: Path, cut: bool) -> None:
     budget = {"minute": 60, "burst": 100, "overdraft": 20, "cut": cut}
-    build = replace(ENGINE_PROFILE, answer_tokens=(200, 200), token_ms=1.0)
-    async with banked(tmp_path, names=("noto",), profile=build, budget=budget) as (w, bank):
+    profile = replace(ENGINE_PROFILE, answer_tokens=(200, 200), token_ms=1.0)
+    async with banked(tmp_path, names=("noto",), profile=profile, budget=budget) as (w, bank):
         for _ in range(20):  # it has given short answers so far
             w.gateway.budget_enforcer.usage_accounting.lengths.learn("noto", "summary", 10)
         reply = await bank.ask(w, "noto", max_tokens=200)
