--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -19,7 +19,7 @@
 from math import erfc, log10, sqrt
 from typing import NamedTuple, Protocol
 
-from ternlane.recovery import StreamPacing
+from ternlane.recovery import StallDetector
 
 SERVERS = 24
 EVENTS = 48  # of a stream
@@ -128,7 +128,7 @@
 
     def __init__(self, alarms: float, resume_ms: float = RESUME_MS) -> None:
         """`alarms`: false ones that a stream may have; `resume_ms`: what a resume costs."""
-        self.pacing = StreamPacing(alarms)
+        self.pacing = StallDetector(alarms)
         self.pacing.tokens = EVENTS
         self.pacing.resumed(RESUME_MS)
         if resume_ms != RESUME_MS:
@@ -144,7 +144,7 @@
 
     def heard(self, server: int, wait_ms: float, explored: bool) -> None:
         """Learns from every wait."""
-        self.pacing.piece_after(server, wait_ms, explored)
+        self.pacing.record_piece_interval(server, wait_ms, explored)
 
 
 def drawn_streams(kind: ServerKind, count: int, seed: int) -> Iterator[DrawnStream]:
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -29,13 +29,13 @@
         self.started_ms = now_ms()
         self.last_piece_ms = 0.0
         self.longest_silence_ms = plan.idle_timeout_ms
-        self.explores = runtime.stream_recovery.stream_pacing.explores()
+        self.explores = runtime.stream_recovery.stall_detector.explores()
 
     async def forward(self, text: str, first: bool, more: Extras | None = None) -> None:
         """One piece of the engine's stream. Raises ClientGone where nobody takes it."""
         recovery = self.runtime.stream_recovery
         if not first:
-            recovery.piece_after(self.server, now_ms() - self.last_piece_ms, self.explores)
+            recovery.record_piece_interval(self.server, now_ms() - self.last_piece_ms, self.explores)
         try:
             await self.take_piece(text, first, more)
         finally:
--- a/ternlane/recovery/__init__.py
+++ b/ternlane/recovery/__init__.py
@@ -4,8 +4,8 @@
 from ternlane.recovery.recovery_pace import RecoveryPace
 from ternlane.recovery.replay_buffer import ReplayBuffer
 from ternlane.recovery.resume_strategy import ResumeDecision, ResumeStrategy, choose_resume_strategy, is_reproducible
+from ternlane.recovery.stall_detector import StallDetector
 from ternlane.recovery.stream_join import StreamJoin
-from ternlane.recovery.stream_pacing import StreamPacing
 from ternlane.recovery.stream_recovery import RecoveryOutcome, StreamRecovery
 
 __all__ = [
@@ -16,8 +16,8 @@
     "ReplayMismatchError",
     "ResumeDecision",
     "ResumeStrategy",
+    "StallDetector",
     "StreamJoin",
-    "StreamPacing",
     "StreamRecovery",
     "choose_resume_strategy",
     "is_reproducible",
--- a/ternlane/recovery/stream_pacing.py
+++ b/ternlane/recovery/stall_detector.py
@@ -28,7 +28,7 @@
 MAX_WEIGHT = 200_000  # of the histogram: older waits fade, as fleets change
 
 
-class StreamPacing:
+class StallDetector:
     """`alarms`: how many false ones there may be a stream. All times in ms."""
 
     def __init__(self, alarms: float, seed: int = 0) -> None:
@@ -49,7 +49,7 @@
         self.turn += 1
         return zlib.crc32(b"%d %d" % (self.seed, self.turn)) % EXPLORED_ONE_IN == 0
 
-    def piece_after(self, server: Hashable, wait_ms: float, explored: bool = False) -> None:
+    def record_piece_interval(self, server: Hashable, wait_ms: float, explored: bool = False) -> None:
         """A piece came `wait_ms` after the one before; `explored`: in a stream that `explores` had chosen."""
         pace = self.paces.get(server)
         if pace is None:
--- a/ternlane/recovery/stream_recovery.py
+++ b/ternlane/recovery/stream_recovery.py
@@ -15,8 +15,8 @@
 from ternlane.recovery.recovery_pace import RecoveryPace
 from ternlane.recovery.replay_buffer import ReplayBuffer
 from ternlane.recovery.resume_strategy import ResumeDecision, ResumeStrategy, choose_resume_strategy
+from ternlane.recovery.stall_detector import StallDetector
 from ternlane.recovery.stream_join import StreamJoin
-from ternlane.recovery.stream_pacing import StreamPacing
 
 SAME_READ_MS = 0.2  # pieces closer than that came in one read of the socket: no wait of the engine's
 SPAN_SHARE = 1 / 4  # of the longest deadline: for so long work of resumes may be saved up
@@ -44,7 +44,7 @@
     def __init__(self, terms: StreamConfig, router_config: RouterConfig) -> None:
         self.terms = terms
         self.replay_buffer = ReplayBuffer(terms.keep_tokens, terms.keep_bytes, terms.keep_all_bytes)
-        self.stream_pacing = StreamPacing(terms.alarms, router_config.seed)
+        self.stall_detector = StallDetector(terms.alarms, router_config.seed)
         self.pace: RecoveryPace[T] = RecoveryPace(terms.share, span_ms(router_config), router_config.gateways)
         self.broken_since_ms: dict[T, float] = {}
 
@@ -70,25 +70,25 @@
         self.pace.resumed(item)
         broken_since = self.broken_since_ms.pop(item, None)
         if broken_since is None:
-            self.stream_pacing.first_piece(now - since)
+            self.stall_detector.first_piece(now - since)
             return None
-        self.stream_pacing.resumed(now - broken_since)
+        self.stall_detector.resumed(now - broken_since)
         return now - broken_since
 
-    def piece_after(self, server: Hashable, wait_ms: float, explored: bool) -> None:
+    def record_piece_interval(self, server: Hashable, wait_ms: float, explored: bool) -> None:
         """A further piece, so long after the one before; `explored`: of a stream that is never given up early."""
         if wait_ms > SAME_READ_MS:
-            self.stream_pacing.piece_after(server, wait_ms, explored)
+            self.stall_detector.record_piece_interval(server, wait_ms, explored)
 
     def idle_timeout_ms(self, join: StreamJoin, server: Hashable, longest_ms: float, explored: bool) -> float:
         """How long the present attempt may be silent: `longest_ms`, by the decisions, or less for a resumable one."""
         if join.strategy is ResumeStrategy.END or explored or not self.terms.alarms:
             return longest_ms
-        return min(longest_ms, self.stream_pacing.idle_timeout_ms(server) or longest_ms)
+        return min(longest_ms, self.stall_detector.idle_timeout_ms(server) or longest_ms)
 
     def server_removed(self, server: Hashable) -> None:
         """A server is no longer listed."""
-        self.stream_pacing.forget(server)
+        self.stall_detector.forget(server)
 
     def prefilled(self, now: float, tokens: float, took_ms: float) -> None:
         """A server has prefilled so many tokens of an ordinary prompt."""
@@ -135,7 +135,7 @@
     def ended(self, item: T, join: StreamJoin, complete: bool) -> None:
         """Its final answer is given, or its client has left."""
         if complete:
-            self.stream_pacing.ended(len(join.pieces))
+            self.stall_detector.ended(len(join.pieces))
         join.release_buffer()
         self.broken_since_ms.pop(item, None)
         self.pace.remove(item)
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -23,8 +23,8 @@
     ReplayBuffer,
     ReplayMismatchError,
     ResumeStrategy,
+    StallDetector,
     StreamJoin,
-    StreamPacing,
     choose_resume_strategy,
 )
 from ternlane.rules import check
@@ -478,7 +478,7 @@
     """Told within a few waits where writers are steady; later, by itself, where they pause now and then."""
     quiet = {}
     for pauses in (0.0, 0.01):
-        rng, it = random.Random(5), StreamPacing(1e-3)
+        rng, it = random.Random(5), StallDetector(1e-3)
         it.tokens = 30
         it.resumed(20.0)
         assert it.idle_timeout_ms("w0") is None  # nothing is known yet
@@ -491,7 +491,7 @@
             if limit is not None and wait > limit and n > 20_000 and not explored:
                 alarms += 1
                 continue  # given up: how long it would have been is never known
-            it.piece_after(name, wait, explored)
+            it.record_piece_interval(name, wait, explored)
         assert alarms <= 40_000 / 30 * 1e-3 * 6 + 2
         quiet[pauses] = it.idle_timeout_ms("w3") or 0.0
         assert quiet[pauses] > (it.idle_timeout_ms("w0") or 0.0)  # each server by its own pace
@@ -499,10 +499,10 @@
 
 
 def test_no_stream_is_given_up_sooner_than_a_resume_takes_and_a_slower_fleet_is_soon_believed() -> None:
-    rng, it = random.Random(6), StreamPacing(1e-2)
+    rng, it = random.Random(6), StallDetector(1e-2)
     it.resumed(400.0)
     for _ in range(5000):
-        it.piece_after("w0", waits_of(rng, 10.0, 0.0))
+        it.record_piece_interval("w0", waits_of(rng, 10.0, 0.0))
     assert it.idle_timeout_ms("w0") == 400.0
     it.resume_ms = 0.0
     it.first_piece(300.0)  # until a resume was seen, a first token is what one is taken to cost
@@ -510,7 +510,7 @@
     it.resume_ms = 1.0
     before = it.idle_timeout_ms("w0") or 0.0
     for _ in range(60):  # all writers are four times slower from now on
-        it.piece_after("w0", waits_of(rng, 40.0, 0.0))
+        it.record_piece_interval("w0", waits_of(rng, 40.0, 0.0))
     assert (it.idle_timeout_ms("w0") or 0.0) > 3 * before
     it.forget("w0")
     assert it.idle_timeout_ms("w0") is None
@@ -524,12 +524,12 @@
         fleet=terms(),
         streams=StreamConfig(alarms=1e-3),
     ) as w:
-        stream_pacing, rng = w.gateway.runtime.stream_recovery.stream_pacing, random.Random(1)
+        stall_detector, rng = w.gateway.runtime.stream_recovery.stall_detector, random.Random(1)
         for _ in range(4000):
             for server in w.gateway.runtime.registry.servers.values():
-                stream_pacing.piece_after(server, waits_of(rng, 4.0, 0.0))
-        stream_pacing.resumed(30.0)
-        stream_pacing.explores = lambda: False  # type: ignore[method-assign]
+                stall_detector.record_piece_interval(server, waits_of(rng, 4.0, 0.0))
+        stall_detector.resumed(30.0)
+        stall_detector.explores = lambda: False  # type: ignore[method-assign]
         break_all(w, 12, "stall")
         w.nursery.start_soon(others, w)
         since = trio.current_time()
@@ -651,12 +651,12 @@
     build = replace(ENGINE_PROFILE, token_ms=8.0, answer_tokens=(30, 30))
     whole = await unbroken()
     async with gateway_cluster(("r0", "w0", "w0b"), profile=build, fleet=terms()) as w:
-        stream_pacing, rng = w.gateway.runtime.stream_recovery.stream_pacing, random.Random(2)
+        stall_detector, rng = w.gateway.runtime.stream_recovery.stall_detector, random.Random(2)
         for _ in range(4000):
             for server in w.gateway.runtime.registry.servers.values():
-                stream_pacing.piece_after(server, waits_of(rng, 9.0, 0.0))
-        stream_pacing.resumed(30.0)
-        stream_pacing.explores = lambda: False  # type: ignore[method-assign]
+                stall_detector.record_piece_interval(server, waits_of(rng, 9.0, 0.0))
+        stall_detector.resumed(30.0)
+        stall_detector.explores = lambda: False  # type: ignore[method-assign]
 
         async def stand_still_and_heal() -> None:
             while not w.traffic_events("effect"):
@@ -711,7 +711,7 @@
     async with gateway_cluster(("r0", "w0", "w1")) as w:
         for _ in range(12):
             await w.ask()
-        paces = w.gateway.runtime.stream_recovery.stream_pacing.paces
+        paces = w.gateway.runtime.stream_recovery.stall_detector.paces
         assert paces
         w.publish_endpoints(w0="gone", w1="gone")
         assert not paces
