--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -72,4 +72,4 @@
         if stage is not Stage.DECODE:
             active_request.prompt_said = result.usage.prompt_tokens
             active_request.kept_said = made.cached
-            self.runtime.stream_recovery.prefilled(now_ms(), made.prompt - made.cached, took_ms)
+            self.runtime.stream_recovery.record_prefill(now_ms(), made.prompt - made.cached, took_ms)
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -216,7 +216,7 @@
         )
         ident = self.request_id(exchange, owner)
         join = self.runtime.join_for(chat_request.raw, record.request)
-        join.skip_characters = after
+        join.characters_to_skip = after
         return ActiveRequest(
             ident,
             chat_request,
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -303,7 +303,7 @@
             self.settle_streamed(active_request, "stop" if join.stopped else result.finish, result.usage)
         elif result.begun:
             may_resume = not plan.cancelled and not active_request.left
-            if may_resume and self.stream_resumer.attempt_broke(active_request, result):
+            if may_resume and self.stream_resumer.attempt_failed(active_request, result):
                 return True
             # Its client has part of the answer, and hears that there is no more.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
--- a/ternlane/gateway/stream_resumer.py
+++ b/ternlane/gateway/stream_resumer.py
@@ -21,11 +21,11 @@
         self.runtime = runtime
         self.due_ms = inf
 
-    def attempt_broke(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
+    def attempt_failed(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
         """Whether another attempt may give the rest; if so it waits for its turn."""
         if active_request.broke_at is None:
             active_request.broke_at = len(active_request.made)
-        outcome = self.runtime.stream_recovery.attempt_broke(
+        outcome = self.runtime.stream_recovery.attempt_failed(
             active_request,
             active_request.join,
             active_request.request,
--- a/ternlane/recovery/recovery_pace.py
+++ b/ternlane/recovery/recovery_pace.py
@@ -68,7 +68,7 @@
             self.span_start_ms = now
             self.span_tokens = 0.0
 
-    def prefilled(self, now: float, tokens: float, took_ms: float) -> None:
+    def record_prefill(self, now: float, tokens: float, took_ms: float) -> None:
         """A server has prefilled an ordinary prompt, of which so many tokens were not cached."""
         self.update(now)
         self.span_tokens += tokens
--- a/ternlane/recovery/stream_join.py
+++ b/ternlane/recovery/stream_join.py
@@ -31,7 +31,7 @@
         self.attempt_pieces = 0  # of the present attempt
         self.attempts = 0  # that broke after their first piece
         self.replay_rest = ""  # what a replay has still to say before anything new
-        self.skip_characters = 0  # that the client has of a run that is not known here
+        self.characters_to_skip = 0  # that the client has of a run that is not known here
         self.stopped = False
         self.mismatched = False
         stops = [stop] if isinstance(stop, str) else stop if isinstance(stop, list) else []
@@ -83,8 +83,8 @@
 
     def skip_known(self, piece: str) -> str:
         """What of a new run's piece comes after the characters that the client has of an earlier one."""
-        known = min(self.skip_characters, len(piece))
-        self.skip_characters -= known
+        known = min(self.characters_to_skip, len(piece))
+        self.characters_to_skip -= known
         return piece[known:]
 
     def up_to_stop(self, piece: str) -> str:
@@ -132,7 +132,7 @@
 
     def attempt_completed(self) -> bool:
         """The present attempt has ended well; false where it is a replay that said less than the client has."""
-        if self.replay_rest or self.skip_characters:
+        if self.replay_rest or self.characters_to_skip:
             self.mismatch()
         return not self.mismatched
 
@@ -143,7 +143,7 @@
             return True
         return prompt_tokens >= first_prompt_tokens + self.tokens / 2
 
-    def attempt_lost(self, completion_tokens: int | None) -> int | None:
+    def attempt_failed(self, completion_tokens: int | None) -> int | None:
         """The present attempt is lost after its first piece; `completion_tokens` by its engine's word. Gives the tokens
         that have to be prefilled anew besides the prompt; None where the stream can't be resumed."""
         if self.strategy is ResumeStrategy.END:
--- a/ternlane/recovery/stream_recovery.py
+++ b/ternlane/recovery/stream_recovery.py
@@ -90,13 +90,13 @@
         """A server is no longer listed."""
         self.stall_detector.forget(server)
 
-    def prefilled(self, now: float, tokens: float, took_ms: float) -> None:
+    def record_prefill(self, now: float, tokens: float, took_ms: float) -> None:
         """A server has prefilled so many tokens of an ordinary prompt."""
-        self.pace.prefilled(now, tokens, took_ms)
+        self.pace.record_prefill(now, tokens, took_ms)
 
     # -- an attempt broke
 
-    def attempt_broke(
+    def attempt_failed(
         self,
         item: T,
         join: StreamJoin,
@@ -109,7 +109,7 @@
         """`completion_tokens` of the attempt by its engine's word; `deadline_ms`: of the client; `prefill_servers` that
         may be asked. A request that is resumed grows by what is there."""
         tokens_before = join.tokens
-        tokens_again = join.attempt_lost(completion_tokens)
+        tokens_again = join.attempt_failed(completion_tokens)
         if tokens_again is None:
             return RecoveryOutcome.ENDS
         if join.remaining_tokens() <= 0:  # lost between its last token and its end
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -324,7 +324,7 @@
         assert "".join(words).startswith(seen) and it.text == seen
         if upto >= len(said):
             break
-        assert it.attempt_lost(None) is not None
+        assert it.attempt_failed(None) is not None
     else:
         for piece in words[it.tokens :] if way is ResumeStrategy.CONTINUE else words:
             seen += it.take(piece)
@@ -333,16 +333,16 @@
 
 def test_a_replay_may_cut_its_pieces_otherwise_but_not_say_other_things() -> None:
     it = join("ab|cd", ResumeStrategy.REPLAY)
-    it.attempt_lost(None)
+    it.attempt_failed(None)
     assert [it.take(p) for p in ("a", "bc", "def", "g")] == ["", "", "ef", "g"] and it.attempt_completed()
     it = join("ab|cd", ResumeStrategy.REPLAY)
-    it.attempt_lost(None)
+    it.attempt_failed(None)
     it.take("ab")
     assert (
         not it.attempt_completed() and it.strategy is ResumeStrategy.END
     )  # it ended before it had said what the client has
     it = join("ab|cd", ResumeStrategy.REPLAY)
-    it.attempt_lost(None)
+    it.attempt_failed(None)
     with pytest.raises(ReplayMismatchError):
         it.take("aX")
     with pytest.raises(ReplayMismatchError):
@@ -351,21 +351,21 @@
 
 def test_a_stop_string_over_the_join_ends_the_text_there() -> None:
     it = join("one |EN", stop=["END", "never"])
-    it.attempt_lost(None)
+    it.attempt_failed(None)
     assert it.take("D two") == "" and it.stopped and it.take("three") == "" and it.text == "one EN"
     it = join("one |E", stop="END")
-    it.attempt_lost(None)
+    it.attempt_failed(None)
     assert it.take("asy") == "asy" and not it.stopped
 
 
 def test_a_text_is_not_continued_within_a_character_nor_past_its_last_token() -> None:
     it = join("a|\ufffd")
-    assert it.attempt_lost(None) is None and it.strategy is ResumeStrategy.END
+    assert it.attempt_failed(None) is None and it.strategy is ResumeStrategy.END
     it = join("a|b|c", max_tokens=3)
-    assert it.attempt_lost(None) == 3 and it.remaining_tokens() == 0
+    assert it.attempt_failed(None) == 3 and it.remaining_tokens() == 0
     it = join("a|b|c", max_tokens=9)
     assert (
-        it.attempt_lost(5) == 5 and it.remaining_tokens() == 4
+        it.attempt_failed(5) == 5 and it.remaining_tokens() == 4
     )  # two pieces were two tokens each, by the engine's word
 
 
@@ -398,7 +398,7 @@
     raw = {"messages": [{"role": "user", "content": "q"}], "stream": True}
     it = join("a |b")
     assert it.request(raw) is raw
-    it.attempt_lost(None)
+    it.attempt_failed(None)
     said = it.request(raw)
     assert said["messages"] == [*raw["messages"], {"role": "assistant", "content": "a b"}]
     assert said["continue_final_message"] and not said["add_generation_prompt"] and len(raw["messages"]) == 1
@@ -427,7 +427,7 @@
     for i, (wait, what, tokens, priority_weight) in enumerate(steps):
         now += wait
         if what == "read":
-            pace.prefilled(now, tokens, 10.0 + tokens / 5)
+            pace.record_prefill(now, tokens, 10.0 + tokens / 5)
         elif what == "break":
             waiting[i], largest = tokens, max(largest, tokens)
             pace.wait(i, tokens, priority_weight, 1.0, now + 3000)
