--- a/ternlane/cli/bill.py
+++ b/ternlane/cli/bill.py
@@ -60,7 +60,7 @@
 
     found = reconcile(read_entries([Path(p) for p in ctx.obj]), read_counts(files))
     print_reconciliation(found)
-    sys.exit(ExitCode.OK if found.off <= within and not found.duplicates else ExitCode.BROKEN)
+    sys.exit(ExitCode.OK if found.unexplained_share <= within and not found.duplicates else ExitCode.BROKEN)
 
 
 def read_counts(files: Iterable[str]) -> list[dict[str, Any]]:
@@ -79,7 +79,7 @@
 
 def print_reconciliation(found: Reconciliation) -> None:
     """The sums, then each request that does not add up, then how far all of it is off."""
-    for what, usage in (("engines made", found.made), ("billed", found.billed), ("house", found.unbilled)):
+    for what, usage in (("engines made", found.counted), ("billed", found.billed), ("house", found.unbilled)):
         click.echo(f"{what:<16}{usage.prompt:>12} prompt{usage.answer:>12} answer")
     for request, (made, told) in sorted(found.differing.items()):
         click.echo(
@@ -89,4 +89,4 @@
         click.echo(f"unsettled  {request}  made {made.prompt} + {made.answer}")
     for request in found.duplicates:
         click.echo(f"doubled    {request}")
-    click.echo(f"off by {found.off:.3%}")
+    click.echo(f"off by {found.unexplained_share:.3%}")
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -54,7 +54,7 @@
         kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
         self.store = BillingLedger(Disk(Path(config.ledger)), **kept)
         self.told: dict[tuple[str, str, str], int] = {}
-        self.remember(BillingLedger(Disk(Path(config.ledger))).read_sums())
+        self.remember(BillingLedger(Disk(Path(config.ledger))).read_totals())
         self.writer = GroupCommitWriter(self.store, log, on_recovered=self.remember)
         self.closed = False
 
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -26,18 +26,18 @@
 
 JOURNAL: LogFormat[Record, InFlightRequests] = LogFormat("takes", b"TLTAKES1", decode_record, InFlightRequests)
 SEGMENT_BYTES = 4 << 20  # a start reads the last one: some tens of ms
-GATHER_MS = 20.0  # what nobody waits for may share a sync
+COMMIT_DELAY_MS = 20.0  # what nobody waits for may share a sync
 
 
 class JournalWriter:
-    """`until_kept` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
+    """`wait_durable` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
     has it."""
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
         self.writer: GroupCommitWriter[Record, InFlightRequests] = GroupCommitWriter(
-            self.store, log, on_recovered=self.taken_up, what="journal", gather_ms=GATHER_MS
+            self.store, log, on_recovered=self.taken_up, entries_label="journal", commit_delay_ms=COMMIT_DELAY_MS
         )
         self.lost: InFlightRequests | None = None  # what the process before had open
         self.folder_is_ours = trio.Event()
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -85,7 +85,7 @@
             tenant = self.budget_enforcer.authenticate(exchange.header(b"authorization"))
         except UnknownKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
-        if not self.budget_enforcer.writer.may_take:
+        if not self.budget_enforcer.writer.has_capacity:
             raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", RETRY_LEDGER_S)
         return tenant
 
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -255,7 +255,7 @@
         attempt_scope = plan.scope
         plan.scope = trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000)
         with plan.scope:
-            await self.journal_writer.writer.until_kept(number)
+            await self.journal_writer.writer.wait_durable(number)
         kept = not plan.scope.cancelled_caught
         plan.scope = attempt_scope
         return kept and not plan.cancelled
--- a/ternlane/ledger/billing_report.py
+++ b/ternlane/ledger/billing_report.py
@@ -43,7 +43,7 @@
     have been dropped. Raises CorruptLedgerError, OSError."""
     totals: defaultdict[TotalKey, UsageTotal] = defaultdict(UsageTotal)
     for folder in folders:
-        for key, total in BillingLedger(Disk(folder)).read_sums().sums.items():
+        for key, total in BillingLedger(Disk(folder)).read_totals().sums.items():
             totals[key].add_total(total)
     return [
         _row(key, total)
--- a/ternlane/ledger/group_commit.py
+++ b/ternlane/ledger/group_commit.py
@@ -22,7 +22,7 @@
     sockets handed over the process before may still be settling what it holds.
 
     A full or failing disk is logged at every try. Serving goes on while fewer than `max_waiting` entries wait; beyond
-    that `may_take` is false and new requests have to be rejected, as a bill that can't be kept must not come about.
+    that `has_capacity` is false and new requests have to be rejected, as a bill that can't be kept must not come about.
     """
 
     def __init__(
@@ -31,17 +31,17 @@
         log: FilteringBoundLogger,
         max_waiting: int = MAX_WAITING_ENTRIES,
         on_recovered: Callable[[AggregateT], None] = lambda _: None,
-        what: str = "bills",
-        gather_ms: float = 0.0,
+        entries_label: str = "bills",
+        commit_delay_ms: float = 0.0,
     ) -> None:
-        """`on_recovered` gets the totals that the process before left; `what` names the entries in log lines;
-        `gather_ms` is how long a group waits for more entries while nobody waits for it."""
+        """`on_recovered` gets the totals that the process before left; `entries_label` names the entries in log lines;
+        `commit_delay_ms` is how long a group waits for more entries while nobody waits for it."""
         self.store = store
         self.log = log
         self.max_waiting = max_waiting
         self.on_recovered = on_recovered
-        self.what = what
-        self.gather_ms = gather_ms
+        self.entries_label = entries_label
+        self.commit_delay_ms = commit_delay_ms
         self.owns_log = False
         self.waiting = 0  # entries that are not kept yet
         self._fresh: list[EntryT] = []  # not given to the log yet
@@ -54,19 +54,19 @@
         self._group_kept = trio.Event()  # a new one for each group
 
     @property
-    def may_take(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether there is room for another entry."""
         return self.waiting < self.max_waiting
 
     def add(self, entry: EntryT) -> int:
-        """Takes an entry; returns the number by which `until_kept` knows it."""
+        """Takes an entry; returns the number by which `wait_durable` knows it."""
         self._fresh.append(entry)
         self.waiting += 1
         self._added_count += 1
         self._entry_added.set()
         return self._added_count
 
-    async def until_kept(self, number: int) -> None:
+    async def wait_durable(self, number: int) -> None:
         """Waits until the entry of this number, and all before it, are on the disk."""
         self._awaited_count = max(self._awaited_count, number)
         self._is_awaited.set()
@@ -76,12 +76,12 @@
     async def take_over(self) -> None:
         """Waits for the folder, then recovers the log. Raises CorruptLedgerError, OSError."""
         if not self.store.disk.lock():
-            self.log.warning(f"another process keeps this ledger; {self.what} wait in memory until it ends")
+            self.log.warning(f"another process keeps this ledger; {self.entries_label} wait in memory until it ends")
             while not self.store.disk.lock():
                 await trio.sleep(LOCK_POLL_S)
         await trio.to_thread.run_sync(self.store.recover)
-        if self.store.cut_off:
-            self.log.warning(f"torn {self.what} were cut off", bytes=self.store.cut_off)
+        if self.store.torn_bytes:
+            self.log.warning(f"torn {self.entries_label} were cut off", bytes=self.store.torn_bytes)
         self.owns_log = True
         self.on_recovered(self.store.totals)
 
@@ -96,10 +96,10 @@
 
     async def _gather(self) -> None:
         """Lets more entries join the group while nobody waits for any of them."""
-        if not self.gather_ms or self._awaited_count > self._kept_count:
+        if not self.commit_delay_ms or self._awaited_count > self._kept_count:
             return
         self._is_awaited = trio.Event()
-        with trio.move_on_after(self.gather_ms / 1000):
+        with trio.move_on_after(self.commit_delay_ms / 1000):
             await self._is_awaited.wait()
 
     async def _keep_all(self) -> None:
@@ -118,14 +118,14 @@
 
     async def _commit_failed(self, error: OSError) -> None:
         self._failing = True
-        self.log.error(f"{self.what} not kept yet", why=str(error), waiting=self.waiting)
+        self.log.error(f"{self.entries_label} not kept yet", why=str(error), waiting=self.waiting)
         self.waiting = len(self.store.pending) + len(self._fresh)
         await trio.sleep(RETRY_S)
 
     def _committed(self, last: int) -> None:
         if self._failing:
             self._failing = False
-            self.log.warning(f"{self.what} are kept again")
+            self.log.warning(f"{self.entries_label} are kept again")
         self.waiting = len(self._fresh)
         self._kept_count = last
         self._group_kept.set()
--- a/ternlane/ledger/reconciliation.py
+++ b/ternlane/ledger/reconciliation.py
@@ -14,7 +14,7 @@
 class Reconciliation:
     """What servers counted against what ledgers hold, in prompt and answer tokens."""
 
-    made: TokenUsage = TokenUsage()
+    counted: TokenUsage = TokenUsage()
     billed: TokenUsage = TokenUsage()
     unbilled: TokenUsage = TokenUsage()
     duplicates: list[str] = field(default_factory=list)  # requests with more than one entry
@@ -24,12 +24,12 @@
     differing: dict[str, tuple[TokenUsage, TokenUsage]] = field(default_factory=dict)
 
     @property
-    def off(self) -> float:
+    def unexplained_share(self) -> float:
         """Part of the servers' tokens that the ledgers do not explain, those of unsettled requests aside."""
-        made = _tokens(self.made)
+        counted = _tokens(self.counted)
         unsettled = sum(_tokens(usage) for usage in self.unsettled.values())
         explained = _tokens(self.billed) + _tokens(self.unbilled)
-        return abs(made - unsettled - explained) / max(1, made)
+        return abs(counted - unsettled - explained) / max(1, counted)
 
 
 def _tokens(usage: TokenUsage) -> int:
@@ -41,15 +41,15 @@
     request's name as "gen", and tokens as "prompt", "kept" and "answer"."""
     result = Reconciliation()
     settled = _settled(entries, result)
-    made = _made(counts)
-    for request, usage in made.items():
-        result.made = result.made.plus(usage)
+    counted = _made(counts)
+    for request, usage in counted.items():
+        result.counted = result.counted.plus(usage)
         if request not in settled:
             result.unsettled[request] = usage
         elif (usage.prompt, usage.answer) != (settled[request].prompt, settled[request].answer):
             result.differing[request] = (usage, settled[request])
     for request, usage in settled.items():
-        if request not in made and _has_tokens(usage):
+        if request not in counted and _has_tokens(usage):
             result.differing[request] = (TokenUsage(), usage)
     return result
 
@@ -71,7 +71,7 @@
 
 
 def _made(counts: Iterable[Mapping[str, Any]]) -> dict[str, TokenUsage]:
-    made: defaultdict[str, TokenUsage] = defaultdict(TokenUsage)
+    counted: defaultdict[str, TokenUsage] = defaultdict(TokenUsage)
     for line in counts:
-        made[line["gen"]] = made[line["gen"]].plus(TokenUsage(line["prompt"], line["kept"], line["answer"]))
-    return made
+        counted[line["gen"]] = counted[line["gen"]].plus(TokenUsage(line["prompt"], line["kept"], line["answer"]))
+    return counted
--- a/ternlane/ledger/segmented_log.py
+++ b/ternlane/ledger/segmented_log.py
@@ -40,7 +40,7 @@
 
 class SegmentedLog(Generic[EntryT, AggregateT]):
     """Synchronous; GroupCommitWriter calls it from threads. Only the process that has the folder's lock may recover
-    and write; `entries` and `read_sums` only read."""
+    and write; `entries` and `read_totals` only read."""
 
     def __init__(
         self,
@@ -56,9 +56,9 @@
         self.keep_segments = keep_segments
         self.totals: AggregateT = log_format.new_aggregate()
         self.sequence = 0  # the last number that an entry was given
-        self.kept = 0  # the last number whose entry is on the disk
+        self.durable_sequence = 0  # the last number whose entry is on the disk
         self.pending: list[Record[EntryT]] = []  # appended, not kept yet
-        self.cut_off = 0  # bytes of torn tails that recovery dropped
+        self.torn_bytes = 0  # bytes of torn tails that recovery dropped
         self._snapshot_sequence = 0
         self._handle: int | None = None  # of the segment that is being written
         self._length = 0  # its bytes that are known to be on the disk
@@ -81,7 +81,7 @@
                     if on_entry is not None:
                         on_entry(record.sequence, record.entry)
         self.sequence = max(self.sequence, self._snapshot_sequence)
-        self.kept = self.sequence
+        self.durable_sequence = self.sequence
 
     def _take_recovered(self, record: Record[EntryT]) -> None:
         self.sequence = record.sequence
@@ -95,7 +95,7 @@
         if contents.valid_bytes < len(raw):
             if next_name is not None and not _continued_by(next_name, contents):
                 raise CorruptLedgerError(f"{name}: torn at byte {contents.valid_bytes}, but not the last")
-            self.cut_off += len(raw) - contents.valid_bytes
+            self.torn_bytes += len(raw) - contents.valid_bytes
             self._cut_torn_tail(name, contents.valid_bytes)
         return contents.records
 
@@ -129,7 +129,7 @@
         while self.pending:
             group = self.pending[:MAX_GROUP_ENTRIES]
             self._write_group(group)
-            self.kept = group[-1].sequence
+            self.durable_sequence = group[-1].sequence
             for record in group:
                 self.totals.add(record.entry)
             del self.pending[: len(group)]
@@ -186,9 +186,9 @@
     def snapshot(self) -> None:
         """Writes the totals, then removes older snapshots and segments that are covered. What fails here costs only
         time at the next recovery, so errors of the disk are passed over."""
-        dump = self.totals.dump(self.kept)
+        dump = self.totals.dump(self.durable_sequence)
         with contextlib.suppress(OSError):
-            write_snapshot(self.disk, self.kept, dump)
+            write_snapshot(self.disk, self.durable_sequence, dump)
             names = self.disk.names()
             remove_old_snapshots(self.disk, names)
             self._remove_covered_segments(segment_names(names))
@@ -196,7 +196,7 @@
     def _remove_covered_segments(self, names: list[str]) -> None:
         surplus = len(names) - self.keep_segments
         for name, next_name in zip(names, names[1:], strict=False):
-            if surplus > 0 and first_sequence(next_name) <= self.kept + 1:
+            if surplus > 0 and first_sequence(next_name) <= self.durable_sequence + 1:
                 self.disk.remove(name)
                 surplus -= 1
 
@@ -212,7 +212,7 @@
         for record in self._records_after(0):
             yield record.entry
 
-    def read_sums(self) -> AggregateT:
+    def read_totals(self) -> AggregateT:
         """The totals as they stand on the disk. Reads only, as another process may be writing. Raises
         CorruptLedgerError, OSError."""
         self._load_snapshot()
--- a/ternlane/scenarios/account_report.py
+++ b/ternlane/scenarios/account_report.py
@@ -25,10 +25,10 @@
     for row in bill_rows(ledgers, None, None):
         spent[row["tenant"]] += row["prompt"] + row["answer"]
     return {
-        "made": found.made,
+        "made": found.counted,
         "billed": found.billed,
         "house": found.unbilled,
-        "off": round(found.off, 5),
+        "off": round(found.unexplained_share, 5),
         "doubled": found.duplicates,
         "differing": len(found.differing),
         "differ": dict(list(found.differing.items())[:SHOWN_DIFFERENCES]),
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -115,7 +115,7 @@
         await w.wait_until_idle()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = bank.off(w)
-        assert found.off <= 0.01 and not found.duplicates and not found.unsettled
+        assert found.unexplained_share <= 0.01 and not found.duplicates and not found.unsettled
         rows = bill_rows([tmp_path / "ledger"], "noto", None)
         assert rows[0]["generations"] == 12 and rows[0]["answer"] == 72
         assert rows[0]["micros"] == 3 * (rows[0]["prompt"] - rows[0]["kept"]) + rows[0]["kept"] + 12 * 72
@@ -208,7 +208,7 @@
         assert 1 <= got["noto"].count(200) <= 8 and got["noto"].count(429) == 80 - got["noto"].count(200)
         assert len(w.traffic_events("leg", stage="write")) == got["noto"].count(200) + 3
         await w.gateway.budget_enforcer.writer.flush(1.0)
-        assert bank.off(w).off == 0
+        assert bank.off(w).unexplained_share == 0
 
 
 async def test_strangers_can_not_release_each_others_states_by_a_guessed_name(tmp_path: Path) -> None:
@@ -302,7 +302,7 @@
             w.gateway.runtime.on_done = lambda _: None  # from here on nothing is settled, as after kill -9
             await trio.sleep(0.5)
         found = bank.off(w)
-        assert list(found.unsettled.values())[0].answer == 6 and found.off == 0
+        assert list(found.unsettled.values())[0].answer == 6 and found.unexplained_share == 0
         assert isinstance(next(iter(w.gateway.runtime.active_requests.values()), None), ActiveRequest | None)
 
 
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -122,7 +122,7 @@
                         store.commit()
                     except OSError:
                         continue
-                told = store.kept
+                told = store.durable_sequence
         except CrashError:
             pass
         after = FakeDisk()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -104,7 +104,7 @@
 
 def test_an_empty_folder_is_an_empty_ledger() -> None:
     store, found = recovered(FakeDisk())
-    assert found == [] and store.sequence == store.kept == 0
+    assert found == [] and store.sequence == store.durable_sequence == 0
 
 
 def test_old_segments_go_once_sums_cover_them_and_the_sums_stay_right() -> None:
@@ -114,4 +114,4 @@
     again = BillingLedger(disk)
     again.recover()
     assert again.totals.sums == totals_of(kept).sums
-    assert again.sequence == 60 and again.cut_off == 0
+    assert again.sequence == 60 and again.torn_bytes == 0
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -196,7 +196,7 @@
     store = Store(Disk(folder))
     assert store.disk.lock()
     store.recover()
-    assert (store.kept, store.cut_off > 0) == (len(INPUTS["bills"]) - 1, True)
+    assert (store.durable_sequence, store.torn_bytes > 0) == (len(INPUTS["bills"]) - 1, True)
     store.close()
 
 
@@ -239,7 +239,7 @@
         "held": found.held(),
         "answers": {now: [msgspec.to_builtins(k) for k in found.answers(float(now))] for now in ("1500", "5150")},
         "finals": [final_values(final_answer_of(k)) for k in found.answers(1500.0)],
-        "cut_off": store.cut_off,
+        "cut_off": store.torn_bytes,
     }
     store.close()
     return values
