--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -22,7 +22,7 @@
 from ternlane.gateway.runtime import GatewayRuntime
 from ternlane.http1 import Exchange
 from ternlane.policy.messages import RequestClass
-from ternlane.recovery.inflight import KnownAnswer
+from ternlane.recovery.inflight import RecoveredAnswer
 
 CHAT_PATH = "/v1/chat/completions"
 MODELS_PATH = "/v1/models"
@@ -64,9 +64,9 @@
         self.admission.alter(config, models)
         self.connections.limits = config.door
 
-    def restore(self, known_answers: list[KnownAnswer]) -> None:
+    def restore(self, recovered_answers: list[RecoveredAnswer]) -> None:
         """What a process before this one had answered, or had out when it was lost."""
-        self.admission.restore(known_answers)
+        self.admission.restore(recovered_answers)
 
     async def connection(self, stream: trio.SocketStream) -> None:
         """Serves one client's connection."""
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -16,15 +16,17 @@
 from ternlane.recovery.inflight import (
     AttemptSent,
     InFlightRequests,
-    KnownAnswer,
-    Record,
+    JournalRecord,
+    RecoveredAnswer,
+    RequestAdmitted,
     RequestEnded,
-    RequestTaken,
-    StateFreed,
-    decode_record,
+    StateReleased,
+    decode_journal_record,
 )
 
-JOURNAL: LogFormat[Record, InFlightRequests] = LogFormat("takes", b"TLTAKES1", decode_record, InFlightRequests)
+JOURNAL: LogFormat[JournalRecord, InFlightRequests] = LogFormat(
+    "takes", b"TLTAKES1", decode_journal_record, InFlightRequests
+)
 SEGMENT_BYTES = 4 << 20  # a start reads the last one: some tens of ms
 COMMIT_DELAY_MS = 20.0  # what nobody waits for may share a sync
 
@@ -36,7 +38,7 @@
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
-        self.writer: GroupCommitWriter[Record, InFlightRequests] = GroupCommitWriter(
+        self.writer: GroupCommitWriter[JournalRecord, InFlightRequests] = GroupCommitWriter(
             self.store, log, on_recovered=self.taken_up, entries_label="journal", commit_delay_ms=COMMIT_DELAY_MS
         )
         self.lost: InFlightRequests | None = None  # what the process before had open
@@ -61,7 +63,7 @@
             return
         active_request.journal_id = f"{self.birth}.{next(self.count)}"
         self.writer.add(
-            RequestTaken(
+            RequestAdmitted(
                 active_request.journal_id,
                 active_request.ident,
                 active_request.repeat_key,
@@ -92,7 +94,7 @@
     def record_state_released(self, active_request: ActiveRequest) -> None:
         """No server holds anything for it any more."""
         if active_request.journal_id:
-            self.writer.add(StateFreed(active_request.journal_id))
+            self.writer.add(StateReleased(active_request.journal_id))
 
     def record_end(self, active_request: ActiveRequest, outcome: str) -> None:
         """It has its final answer, or its client has left."""
@@ -116,7 +118,7 @@
 
     # -- after a loss
 
-    async def take_up(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
+    async def take_up(self, transport: Transport, within_ms: float) -> list[RecoveredAnswer]:
         """Waits until the folder is this process's; releases what servers hold still. Gives what repeats hear."""
         await self.folder_is_ours.wait()
         lost = self.lost or InFlightRequests()
@@ -127,8 +129,8 @@
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
         for ident, it in lost.opened.items():
             if not it.ended:
-                self.writer.add(it.lost())
-            self.writer.add(StateFreed(ident))
+                self.writer.add(it.outcome_after_crash())
+            self.writer.add(StateReleased(ident))
         if lost.opened:
             self.log.warning("generations were open when the process before was lost", open=len(lost.opened))
         return answers
@@ -149,7 +151,7 @@
         self.store.close()
 
 
-def final_of(known: KnownAnswer) -> FinalAnswer:
+def final_of(known: RecoveredAnswer) -> FinalAnswer:
     """The answer that a repeat of this request hears."""
     it = known.ended
     if it.outcome != "streamed":
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -33,7 +33,7 @@
 from ternlane.http1 import Exchange
 from ternlane.policy.messages import RequestClass
 from ternlane.recovery import is_reproducible
-from ternlane.recovery.inflight import KnownAnswer
+from ternlane.recovery.inflight import RecoveredAnswer
 from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, UnknownKeyError
 
 REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,80}")  # a client's own name for its request that engines can take
@@ -175,16 +175,16 @@
         """Ends the key's first request as one that never ran."""
         self.idempotency_cache.end(key, None, 0, 0.0)
 
-    def restore(self, known_answers: list[KnownAnswer]) -> None:
+    def restore(self, recovered_answers: list[RecoveredAnswer]) -> None:
         """What a process before this one had answered, or had out when it was lost."""
         since_wall_ms = now_ms() - time.time() * 1000
-        for known in known_answers:
+        for known in recovered_answers:
             self.idempotency_cache.restore(
                 known.taken.key,
-                known.taken.mark,
+                known.taken.body_digest,
                 final_of(known),
                 len(known.ended.text),
-                known.taken.until + since_wall_ms,
+                known.taken.expires_ms + since_wall_ms,
             )
 
     # -- admitted
--- a/ternlane/recovery/inflight.py
+++ b/ternlane/recovery/inflight.py
@@ -18,18 +18,18 @@
 MAY_HAVE_RUN = "the gateway was lost while it was out; it may have run"
 
 
-class RequestTaken(msgspec.Struct, array_like=True, tag="t"):
+class RequestAdmitted(msgspec.Struct, array_like=True, tag="t"):
     """A request, by a name of the journal's own; `name` is what engines know it by. `key`: its Idempotency-Key with
-    its owner, "" for none; `mark`: digest of the body; `at` and `until`: when, and how long a repeat is known, in ms of
-    the wall clock."""
+    its owner, "" for none; `body_digest`: of the body; `at` and `expires_ms`: when, and how long a repeat is known, in
+    ms of the wall clock."""
 
     ident: str
     name: str
     key: str
-    mark: bytes
+    body_digest: bytes
     effect: str
     at: float
-    until: float
+    expires_ms: float
 
 
 class AttemptSent(msgspec.Struct, array_like=True, tag="s"):
@@ -45,7 +45,7 @@
     decodes: bool
 
 
-class StateFreed(msgspec.Struct, array_like=True, tag="f"):
+class StateReleased(msgspec.Struct, array_like=True, tag="f"):
     """No server holds anything for it any more."""
 
     ident: str
@@ -64,28 +64,28 @@
     more: dict[str, Any] = {}
 
 
-Record = RequestTaken | AttemptSent | StateFreed | RequestEnded
-decode_record = msgspec.msgpack.Decoder(Record).decode
+JournalRecord = RequestAdmitted | AttemptSent | StateReleased | RequestEnded
+decode_journal_record = msgspec.msgpack.Decoder(JournalRecord).decode
 
 
 class OpenRequest(msgspec.Struct, array_like=True):
     """One request that has not come to its end, or that still holds something."""
 
-    taken: RequestTaken
+    taken: RequestAdmitted
     held: list[tuple[str, str, str]] = []  # server, address, protocol
     may_have_run: bool = False
     ended: bool = False
 
-    def lost(self) -> RequestEnded:
+    def outcome_after_crash(self) -> RequestEnded:
         """How it ends where its gateway was lost: as one whose client left, by the same rule for repeats."""
         kept = repeat_policy(Effect[self.taken.effect], "left", int(self.may_have_run)) is RepeatPolicy.OUTCOME_UNKNOWN
         return RequestEnded(self.taken.ident, "terminated" if kept else "lost", kept, why=MAY_HAVE_RUN if kept else "")
 
 
-class KnownAnswer(msgspec.Struct, array_like=True):
+class RecoveredAnswer(msgspec.Struct, array_like=True):
     """What a repeat hears."""
 
-    taken: RequestTaken
+    taken: RequestAdmitted
     ended: RequestEnded
 
 
@@ -94,7 +94,7 @@
 
     seq: int
     opened: list[OpenRequest]
-    known: list[KnownAnswer]
+    known: list[RecoveredAnswer]
     at: float
 
 
@@ -103,14 +103,14 @@
     """The fold of a journal. `at` follows the records' own time, so that what has run out is dropped as it grows."""
 
     opened: dict[str, OpenRequest] = field(default_factory=dict)
-    known: dict[str, KnownAnswer] = field(default_factory=dict)
+    known: dict[str, RecoveredAnswer] = field(default_factory=dict)
     at: float = 0.0
     adds: int = 0
 
-    def add(self, entry: Record) -> None:
+    def add(self, entry: JournalRecord) -> None:
         """Takes in one record, in the order of the journal."""
         match entry:
-            case RequestTaken(ident=ident, at=at):
+            case RequestAdmitted(ident=ident, at=at):
                 self.at = max(self.at, at)
                 self.opened[ident] = OpenRequest(entry)
                 if entry.key:
@@ -119,20 +119,20 @@
             case AttemptSent(ident=ident, name=name) if ident in self.opened or entry.prefills:
                 if ident not in self.opened:
                     self.opened[ident] = OpenRequest(
-                        RequestTaken(ident, name, "", b"", Effect.IDEMPOTENT.name, 0.0, 0.0), ended=True
+                        RequestAdmitted(ident, name, "", b"", Effect.IDEMPOTENT.name, 0.0, 0.0), ended=True
                     )
                 it = self.opened[ident]
                 if entry.prefills:
                     it.held = [*it.held, (entry.server, entry.address, entry.protocol)]
                 it.may_have_run = it.may_have_run or entry.decodes
-            case StateFreed(ident=ident) if ident in self.opened:
+            case StateReleased(ident=ident) if ident in self.opened:
                 self.opened[ident].held = []
                 self.drop(ident)
             case RequestEnded(ident=ident) if ident in self.opened:
                 it = self.opened[ident]
                 it.ended = True
                 if it.taken.key and entry.kept:
-                    self.known[it.taken.key] = KnownAnswer(it.taken, entry)
+                    self.known[it.taken.key] = RecoveredAnswer(it.taken, entry)
                 self.drop(ident)
             case _:
                 pass  # of a request that a snapshot had dropped already
@@ -147,7 +147,7 @@
         """Now and then drops answers whose time has run out."""
         self.adds += 1
         if self.adds % SWEEP_EVERY == 0:
-            self.known = {k: v for k, v in self.known.items() if v.taken.until > self.at}
+            self.known = {k: v for k, v in self.known.items() if v.taken.expires_ms > self.at}
 
     def dump(self, seq: int) -> bytes:
         """The snapshot after `seq` records."""
@@ -163,13 +163,13 @@
 
     # -- after the loss
 
-    def answers(self, now: float) -> list[KnownAnswer]:
+    def answers(self, now: float) -> list[RecoveredAnswer]:
         """What repeats will hear from now on: stored answers, and of what may have run without one, that it may have.
         What can't have run, or may run again without harm, is free."""
-        out = [v for v in self.known.values() if v.taken.until > now]
+        out = [v for v in self.known.values() if v.taken.expires_ms > now]
         for it in self.opened.values():
-            if it.taken.key and not it.ended and it.taken.until > now and it.lost().kept:
-                out.append(KnownAnswer(it.taken, it.lost()))
+            if it.taken.key and not it.ended and it.taken.expires_ms > now and it.outcome_after_crash().kept:
+                out.append(RecoveredAnswer(it.taken, it.outcome_after_crash()))
         return out
 
     def held(self) -> list[tuple[str, list[tuple[str, str, str]]]]:
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -21,7 +21,14 @@
 from ternlane.http1 import ConnectError, ConnectionPool
 from ternlane.ledger import CorruptLedgerError, Disk, SegmentedLog
 from ternlane.ledger.segment import read_segment
-from ternlane.recovery.inflight import AttemptSent, InFlightRequests, Record, RequestEnded, RequestTaken, StateFreed
+from ternlane.recovery.inflight import (
+    AttemptSent,
+    InFlightRequests,
+    JournalRecord,
+    RequestAdmitted,
+    RequestEnded,
+    StateReleased,
+)
 from tests.fake_disk import CrashError, FakeDisk
 from tests.gateway_cluster import (
     ENGINE_PROFILE,
@@ -39,20 +46,20 @@
 NOW, LATER = 1000.0, 5000.0
 
 
-def history(draws: list[tuple[int, int, bool]]) -> list[Record]:
+def history(draws: list[tuple[int, int, bool]]) -> list[JournalRecord]:
     """Interleaved courses of generations, each as far as it was drawn: taken, read, written, freed, ended."""
-    courses: list[list[Record]] = []
+    courses: list[list[JournalRecord]] = []
     for i, (upto, effect, keyed) in enumerate(draws):
         ident, kind = f"g{i}", ("IDEMPOTENT", "DEDUPLICATED", "SIDE_EFFECTING")[effect]
         course = [
-            RequestTaken(ident, f"n{i}", f"k{i}" if keyed else "", b"m", kind, NOW, LATER),
+            RequestAdmitted(ident, f"n{i}", f"k{i}" if keyed else "", b"m", kind, NOW, LATER),
             AttemptSent(ident, f"n{i}", "r0", "a", "d", True, False),
             AttemptSent(ident, f"n{i}", "w0", "b", "d", False, True),
-            StateFreed(ident),
+            StateReleased(ident),
             RequestEnded(ident, "streamed", True, f"text {i}"),
         ]
         courses.append(course[:upto])
-    out: list[Record] = []
+    out: list[JournalRecord] = []
     while any(courses):
         for course in courses:
             out += course[:1]
@@ -60,17 +67,17 @@
     return out
 
 
-def store_of(disk: Any, **sizes: int) -> SegmentedLog[Record, InFlightRequests]:
+def store_of(disk: Any, **sizes: int) -> SegmentedLog[JournalRecord, InFlightRequests]:
     return SegmentedLog(JOURNAL, disk, **sizes)
 
 
-def must_be_safe(found: InFlightRequests, records: list[Record]) -> None:
+def must_be_safe(found: InFlightRequests, records: list[JournalRecord]) -> None:
     """What is recovered, against the records that it was recovered from, gone through one by one."""
-    taken = {r.ident: r for r in records if isinstance(r, RequestTaken)}
+    taken = {r.ident: r for r in records if isinstance(r, RequestAdmitted)}
     ended = {r.ident: r for r in records if isinstance(r, RequestEnded)}
     ran = {r.ident for r in records if isinstance(r, AttemptSent) and r.decodes}
     held = {r.ident for r in records if isinstance(r, AttemptSent) and r.prefills} - {
-        r.ident for r in records if isinstance(r, StateFreed)
+        r.ident for r in records if isinstance(r, StateReleased)
     }
     answers = {v.taken.ident: v.ended for v in found.answers(NOW)}
     for ident, it in taken.items():
@@ -139,7 +146,7 @@
     for i in range(3000):
         late = NOW + i
         for record in (
-            RequestTaken(f"g{i}", f"n{i}", f"k{i}", b"m", "SIDE_EFFECTING", late, late + 50.0),
+            RequestAdmitted(f"g{i}", f"n{i}", f"k{i}", b"m", "SIDE_EFFECTING", late, late + 50.0),
             AttemptSent(f"g{i}", f"n{i}", "w", "a", "d", False, True),
             RequestEnded(f"g{i}", "streamed", True, "x" * 40),
         ):
