--- a/ternlane/engine/local_transport.py
+++ b/ternlane/engine/local_transport.py
@@ -11,7 +11,7 @@
 from ternlane.engine.local_engine import LocalEngine
 from ternlane.engine.messages import Usage
 from ternlane.engine.transport import Transport
-from ternlane.http1 import keep_open
+from ternlane.http1 import extend_deadline
 from ternlane.policy.messages import AttemptOutcome
 
 
@@ -63,7 +63,7 @@
         written = 0
         async for text in pieces:
             if not result.begun:
-                await keep_open(scope, last_s)
+                await extend_deadline(scope, last_s)
             first = not result.begun
             result.begun = True
             written += 1
--- a/ternlane/engine/stream_attempt.py
+++ b/ternlane/engine/stream_attempt.py
@@ -8,7 +8,7 @@
 from ternlane.engine.endpoints import CHAT_PATH, MAX_RESPONSE_BYTES
 from ternlane.engine.http_attempt import record_rejection, run_attempt, take_connection
 from ternlane.engine.messages import END_OF_STREAM, StreamChoice, decode_stream_chunk
-from ternlane.http1 import ClientConnection, ConnectionPool, EventReader, keep_open
+from ternlane.http1 import ClientConnection, ConnectionPool, EventReader, extend_deadline
 from ternlane.policy.messages import AttemptOutcome
 
 MAX_ERROR_TEXT = 200  # characters of an engine's own words that go into the log
@@ -96,7 +96,7 @@
         if not text and not extras:
             return
         if not self.result.begun:
-            await keep_open(self.plan.scope, self.last_s)
+            await extend_deadline(self.plan.scope, self.last_s)
         first = not self.result.begun
         self.result.begun = True
         self.plan.scope.deadline = self.last_s  # a slow client is not the engine's silence
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -179,7 +179,7 @@
         """Waits for the final answer, or for the client to leave, and gives it."""
         if active_request.final is None:
             with active_request.watch:  # cancelled when the answer is settled
-                await exchange.until_left()
+                await exchange.wait_until_disconnected()
                 self.runtime.client_disconnected(active_request)
         if active_request.left or active_request.final is None:
             return  # the connection ends without an answer, or without its last chunk
--- a/ternlane/http1/__init__.py
+++ b/ternlane/http1/__init__.py
@@ -4,9 +4,9 @@
 from ternlane.http1.close_reason import CloseReason
 from ternlane.http1.connection_pool import ConnectionPool
 from ternlane.http1.errors import BadRequest, ConnectError, Http1Error, ReadTimeout
-from ternlane.http1.events import EventReader, event_bytes
+from ternlane.http1.events import EventReader, encode_event
 from ternlane.http1.exchange import Exchange
-from ternlane.http1.nonblocking import keep_open
+from ternlane.http1.nonblocking import extend_deadline
 from ternlane.http1.server_connection import ServerConnection, serve_connection
 from ternlane.http1.server_limits import ServerLimits
 
@@ -22,7 +22,7 @@
     "ReadTimeout",
     "ServerConnection",
     "ServerLimits",
-    "event_bytes",
-    "keep_open",
+    "encode_event",
+    "extend_deadline",
     "serve_connection",
 ]
--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -45,7 +45,7 @@
         self.idled_ms: float | None = None  # how long it lay idle before this request; None: it is new
         self.has_served = False  # it has answered a request before
         self.on_close: Callable[[ClientConnection], None] = lambda _: None
-        self._read_deadline_s = inf  # see `expect_by`
+        self._read_deadline_s = inf  # see `set_read_deadline`
         self._drained_after_deadline = False
 
     @property
@@ -113,7 +113,7 @@
                 return event  # type: ignore[return-value]
             self.conn.receive_data(await self._receive())
 
-    def expect_by(self, when_s: float) -> None:
+    def set_read_deadline(self, when_s: float) -> None:
         """Reads raise ReadTimeout from then on (trio's clock), but for what has arrived by then: that is read, once."""
         self._read_deadline_s = when_s
         self._drained_after_deadline = False
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -41,7 +41,7 @@
         self.open: set[ClientConnection] = set()
         self.connecting = 0  # connections that are being made
         self.made = 0  # since the start
-        self.shortages = 0  # tries for a connection that failed for want of something on this machine
+        self.local_shortages = 0  # tries for a connection that failed for want of something on this machine
         self.age = ConnectionAge(idle_ms)
 
     def set_limits(self, connect_ms: float, idle_ms: float, limit: float) -> None:
@@ -97,7 +97,7 @@
 
     def give_back(self, connection: ClientConnection) -> None:
         """Keeps the connection if its answer is whole. One on which nothing was asked is as good as before."""
-        connection.expect_by(inf)
+        connection.set_read_deadline(inf)
         was_asked = connection.conn.our_state is not h11.IDLE
         if was_asked:
             self._note_reuse(connection)
@@ -139,7 +139,7 @@
             except OSError as error:
                 if error.errno not in LOCAL_SHORTAGES:
                     raise
-            self.shortages += 1
+            self.local_shortages += 1
             await trio.sleep(SHORTAGE_PAUSE_S)
 
     def _close_longest_idle(self) -> None:
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -121,7 +121,7 @@
         """Breaks the connection off, as a faulty peer does; for fake servers alone."""
         self.stream.socket.close()
 
-    async def until_left(self) -> None:
+    async def wait_until_disconnected(self) -> None:
         """Returns when the client has closed its side. What it sends meanwhile is kept for its turn, up to a bound;
         reading goes on beyond that too, or such a client could not be seen leaving."""
         while True:
@@ -141,5 +141,5 @@
 
     @property
     def closed(self) -> bool:
-        """Has the client closed its side already? For the moment before `until_left` has heard of it."""
+        """Has the client closed its side already? For the moment before `wait_until_disconnected` has heard of it."""
         return has_hung_up(self.stream)
--- a/ternlane/http1/nonblocking.py
+++ b/ternlane/http1/nonblocking.py
@@ -60,7 +60,7 @@
         await stream.send_all(memoryview(data)[sent:])
 
 
-async def keep_open(scope: trio.CancelScope, until: float) -> None:
+async def extend_deadline(scope: trio.CancelScope, until: float) -> None:
     """Another deadline, by trio's clock, from the moment that an event is there. Where the one before has struck in
     this very moment, nothing may be begun: the next wait would end it, and the client would have a torn answer."""
     scope.deadline = until
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -45,11 +45,11 @@
 
 
 class ServerConnection:
-    """One client's connection. `served` is set once it has had a request.
+    """One client's connection. `has_received_request` is set once it has had a request.
 
-    `on_idle` is told each time that `idle` has changed, `on_close` once, with the reason. A request that comes before
-    the one ahead of it is answered is refused, or with `early_ok` served in its turn. While `draining()` the connection
-    ends with its next answer.
+    `on_idle_changed` is told each time that `idle` has changed, `on_close` once, with the reason. A request that
+    comes before the one ahead of it is answered is refused, or with `allow_pipelining` served in its turn. While
+    `draining()` the connection ends with its next answer.
     """
 
     def __init__(
@@ -60,8 +60,8 @@
         *,
         error_body: Refuser = plain_refusal,
         draining: Callable[[], bool] = lambda: False,
-        early_ok: bool = False,
-        on_idle: Callable[[ServerConnection], None] = lambda _: None,
+        allow_pipelining: bool = False,
+        on_idle_changed: Callable[[ServerConnection], None] = lambda _: None,
         on_close: Callable[[CloseReason], None] = lambda _: None,
     ) -> None:
         self.stream = stream
@@ -69,12 +69,12 @@
         self.limits = limits
         self.error_body = error_body
         self.draining = draining
-        self.early_ok = early_ok
-        self.on_idle = on_idle
+        self.allow_pipelining = allow_pipelining
+        self.on_idle_changed = on_idle_changed
         self.on_close = on_close
         self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
         self.state = ConnectionState.READING
-        self.served = False
+        self.has_received_request = False
         self.close_reason = CloseReason.CANCELLED
         self._last_request = False  # the request being served is the last one, as the server is draining
         self._reading_stopped = False
@@ -108,7 +108,7 @@
                 if exchange is None:
                     return
                 first_by = inf
-                self.served = True
+                self.has_received_request = True
                 self._set_state(ConnectionState.HANDLING)
                 await self.handler(exchange)
                 if not await self._may_go_on(exchange):
@@ -132,7 +132,7 @@
         """What the client sent while this request was served. Raises BadRequest for what is not served."""
         if exchange.overrun:
             raise BadRequest(413, f"more than {EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
-        if exchange.pipelined and not self.early_ok:
+        if exchange.pipelined and not self.allow_pipelining:
             raise BadRequest(400, "a second request came before the first was answered (pipelining)", "pipelined")
 
     def close_if_idle(self, reason: CloseReason = CloseReason.MADE_ROOM) -> bool:
@@ -154,7 +154,7 @@
         was_idle = self.idle
         self.state = state
         if self.idle != was_idle:
-            self.on_idle(self)
+            self.on_idle_changed(self)
 
     async def _may_go_on(self, exchange: Exchange) -> bool:
         """After an answer: may the connection take a further request? Else it has been ended in good order."""
@@ -302,11 +302,13 @@
     send_ms: float,
     error_body: Refuser = plain_refusal,
     draining: Callable[[], bool] = lambda: False,
-    early_ok: bool = False,
+    allow_pipelining: bool = False,
 ) -> None:
     """Serves one connection until either side ends it. Never raises for what the client does."""
     limits = ServerLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
-    await ServerConnection(stream, handler, limits, error_body=error_body, draining=draining, early_ok=early_ok).serve()
+    await ServerConnection(
+        stream, handler, limits, error_body=error_body, draining=draining, allow_pipelining=allow_pipelining
+    ).serve()
 
 
 async def linger(stream: trio.SocketStream) -> None:
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -78,7 +78,7 @@
             self.limits,
             error_body=self._error_body,
             draining=lambda: self.draining,
-            on_idle=self._idle_changed,
+            on_idle_changed=self._idle_changed,
             on_close=self._closed,
         )
         if self.reading_stopped:
@@ -93,7 +93,7 @@
     def close_idle(self, served_only: bool = False) -> None:
         """Closes the idle connections on which nothing has arrived; the others are answered, and end with that."""
         for connection in list(self.idle):
-            if connection.served or not served_only:
+            if connection.has_received_request or not served_only:
                 connection.close_if_idle(CloseReason.DRAINING)
 
     def stop_reading(self) -> None:
@@ -190,7 +190,7 @@
         try:
             if not active_request.is_finished:
                 with active_request.client_watch:  # cancelled when the answer is final
-                    await exchange.until_left()
+                    await exchange.wait_until_disconnected()
                     self.runtime.client_disconnected(active_request)
         finally:
             if not active_request.is_finished:  # this task was cancelled from outside
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -211,7 +211,7 @@
             oldest_unanswered_ms=round(runtime.oldest_unanswered_ms(), 1),
             connections=self.chat_server.connections,
             server_connections=len(self.pool.open),
-            connect_shortages=self.pool.shortages,
+            connect_shortages=self.pool.local_shortages,
             descriptors=open_descriptors(),
             memory_mb=round(memory_mb(), 1),
             loop_late_ms=round(runtime.max_lateness_ms, 1),
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -14,7 +14,7 @@
 import trio
 
 from ternlane.deployment import Deployment
-from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, keep_open
+from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, extend_deadline
 from ternlane.platform.answer_order import AnswerOrder
 from ternlane.platform.attempt import AttemptResult, ModelServerAttempt, ResponseWriter
 from ternlane.platform.errors import NOT_STARTED_REASONS, AttemptNotStartedError, ClientDisconnectedError
@@ -122,7 +122,7 @@
         await connection.send_request(attempt.method, attempt.target, headers, attempt.body)
         attempt.written_at = trio.current_time()
         attempt.scope.deadline = inf  # from here on reads end by themselves, not without what has arrived by then
-        connection.expect_by(attempt.last_by)
+        connection.set_read_deadline(attempt.last_by)
 
     async def _read_response(
         self,
@@ -167,7 +167,7 @@
                 continue
             if not events:
                 continue
-            await keep_open(attempt.scope, inf)  # cancelled in this very moment: the client is given nothing
+            await extend_deadline(attempt.scope, inf)  # cancelled in this very moment: the client is given nothing
             is_first = not result.begun
             result.begun = True
             try:
@@ -175,7 +175,7 @@
             except BROKEN:
                 raise ClientDisconnectedError from None
             # Counted from here: a client that takes its bytes slowly is not the server's silence.
-            connection.expect_by(trio.current_time() + attempt.idle_timeout_ms / 1000)
+            connection.set_read_deadline(trio.current_time() + attempt.idle_timeout_ms / 1000)
         if not parser.done:
             raise ValueError("the stream ended before its last event")
         result.outcome = AttemptOutcome.STREAMED
--- a/ternlane/testing/engine.py
+++ b/ternlane/testing/engine.py
@@ -97,7 +97,7 @@
                 body_ms=BODY_TIMEOUT_MS,
                 idle_ms=IDLE_TIMEOUT_MS,
                 send_ms=SEND_TIMEOUT_MS,
-                early_ok=True,
+                allow_pipelining=True,
             )
         except trio.Cancelled:
             if stream.socket.fileno() >= 0:
@@ -195,5 +195,5 @@
 
 
 async def _cancel_when_client_leaves(exchange: Exchange, scope: trio.CancelScope) -> None:
-    await exchange.until_left()
+    await exchange.wait_until_disconnected()
     scope.cancel()
--- a/ternlane/testing/engine_request.py
+++ b/ternlane/testing/engine_request.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ternlane.http1 import Exchange, event_bytes
+from ternlane.http1 import Exchange, encode_event
 from ternlane.testing.engine_profile import EngineFault, Stage
 from ternlane.testing.prefix_cache import TOKEN_BYTES
 
@@ -112,7 +112,7 @@
     """The event that carries one word of the answer."""
     choice = _tool_call_choice(request, index, word) if request.body.get("tools") else _text_choice(request, word)
     event = {"id": request.request, "object": "chat.completion.chunk", "choices": [choice]}
-    return event_bytes(msgspec.json.encode(event))
+    return encode_event(msgspec.json.encode(event))
 
 
 def _text_choice(request: EngineRequest, word: str) -> dict[str, Any]:
@@ -137,7 +137,7 @@
     finish = {"id": request.request, "choices": [{"index": 0, "delta": {}, "finish_reason": reason}]}
     usage_event: dict[str, Any] = {"id": request.request, "choices": [], "usage": usage}
     events = [msgspec.json.encode(finish), msgspec.json.encode(usage_event), b"[DONE]"]
-    return b"".join(map(event_bytes, events))
+    return b"".join(map(encode_event, events))
 
 
 def usage_of(fault: EngineFault, tokens: float, cached_tokens: float, answer_tokens: int) -> dict[str, Any] | None:
--- a/ternlane/testing/platform/model_server.py
+++ b/ternlane/testing/platform/model_server.py
@@ -121,9 +121,9 @@
 
     async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
         if fault == "silent":
-            await exchange.until_left()
+            await exchange.wait_until_disconnected()
         elif fault == "late_state":  # its client has gone, and it reads on for a while
-            await exchange.until_left()
+            await exchange.wait_until_disconnected()
             await trio.sleep(LATE_STATE_S)
             self.fleet.hold(ident, self.name)
         elif self.role == PREFILL_ROLE and not fault:
@@ -135,7 +135,7 @@
 
     async def _prefill(self, exchange: Exchange, ident: str) -> None:
         with trio.move_on_after(self.prefill_ms / 1000):
-            await exchange.until_left()
+            await exchange.wait_until_disconnected()
             return  # it was cancelled
         self.fleet.hold(ident, self.name)
         await exchange.answer(202, [("Server-Load", "inflight=1,x0=0.1")], b'{"cached_tokens":4}')
@@ -201,5 +201,5 @@
             await exchange.stream.send_all(WRONG[fault])
         if not fault.endswith("cut"):
             with trio.move_on_after(SPOILED_TIMEOUT_S):
-                await exchange.until_left()
+                await exchange.wait_until_disconnected()
         exchange.reset()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -181,7 +181,7 @@
 
     caller = ClientConnection(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
     await caller.send_request("DELETE", "/kv/leases/ab", [])
-    caller.expect_by(trio.current_time() + 0.05)
+    caller.set_read_deadline(trio.current_time() + 0.05)
     assert (await caller.read_head()).status_code == 204
     caller.close_now()
 
@@ -193,7 +193,7 @@
     await caller.send_request("GET", "/", [])
     peer.send(HEAD + framed(EVENT))
     assert (await caller.read_head()).status_code == 200
-    caller.expect_by(trio.current_time() - 1)
+    caller.set_read_deadline(trio.current_time() - 1)
     got: list[bytes] = []
     with pytest.raises(ReadTimeout):
         async for piece in caller.chunks():
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -350,7 +350,7 @@
     )
 
     class Stub:
-        def expect_by(self, when: float) -> None:
+        def set_read_deadline(self, when: float) -> None:
             pass
 
         async def chunks(self) -> AsyncIterator[bytes]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
 from ternlane.gateway import GatewayRuntime
 from ternlane.gateway.active_request import ActiveRequest, FinalAnswer, Streamed
 from ternlane.gateway.response_writers import StreamResponseWriter
-from ternlane.http1 import event_bytes
+from ternlane.http1 import encode_event
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Server
 from ternlane.recovery import StreamJoin
@@ -67,7 +67,7 @@
 
             async def end_twice(final: FinalAnswer) -> None:
                 if isinstance(final, Streamed):
-                    await response_writer.exchange.chunk(event_bytes(b"[DONE]"))
+                    await response_writer.exchange.chunk(encode_event(b"[DONE]"))
                 await end(final)
 
             response_writer.end = end_twice  # type: ignore[method-assign]
