--- a/ternlane/discovery/endpoint_cache.py
+++ b/ternlane/discovery/endpoint_cache.py
@@ -14,7 +14,7 @@
 decode_lines = msgspec.json.Decoder(list[NodeLine]).decode
 
 
-class TornCacheError(ValueError):
+class CorruptCacheError(ValueError):
     """The file is not one that was written whole."""
 
 
@@ -41,11 +41,11 @@
     except FileNotFoundError:
         return None
     except OSError as why:
-        raise TornCacheError(f"{path}: {why}") from None
+        raise CorruptCacheError(f"{path}: {why}") from None
     head, _, body = raw.partition(b"\n")
     if not head.startswith(HEADER) or head[len(HEADER) :] != xxh3_64_hexdigest(body).encode():
-        raise TornCacheError(f"{path}: its checksum does not match its text")
+        raise CorruptCacheError(f"{path}: its checksum does not match its text")
     try:
         return decode_lines(body)
     except msgspec.DecodeError as why:
-        raise TornCacheError(f"{path}: {why}") from None
+        raise CorruptCacheError(f"{path}: {why}") from None
--- a/ternlane/gateway/endpoint_watcher.py
+++ b/ternlane/gateway/endpoint_watcher.py
@@ -11,11 +11,11 @@
 
 from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine
 from ternlane.discovery import (
+    CorruptCacheError,
     EndpointRegistry,
-    TornCacheError,
-    follow_consul,
-    follow_file,
     read_cache,
+    watch_consul,
+    watch_file,
     write_cache,
 )
 from ternlane.event_loop import now_ms
@@ -71,7 +71,7 @@
             return
         try:
             lines = read_cache(Path(self.config.state))
-        except TornCacheError as error:
+        except CorruptCacheError as error:
             self.log.error("kept node list not used", why=str(error))
             return
         if lines:
@@ -96,9 +96,9 @@
             with trio.CancelScope() as self.watching:
                 match self.config.nodes:
                     case FileSource() as source:
-                        await follow_file(source, self.found, self.failed)
+                        await watch_file(source, self.found, self.failed)
                     case ConsulSource() as source:
-                        await follow_consul(source, self.found, self.failed, self.agent)
+                        await watch_consul(source, self.found, self.failed, self.agent)
                     case inline:
                         self.found(inline.nodes)
                         await trio.sleep_forever()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -475,12 +475,12 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(registry.serve, listeners)
         address = "127.0.0.1:%d" % listeners[0].socket.getsockname()[1]
-        from ternlane.discovery import follow_consul
+        from ternlane.discovery import watch_consul
 
         found: list[list[NodeLine]] = []
         failed: list[str] = []
         nursery.start_soon(
-            follow_consul,
+            watch_consul,
             ConsulSource(address=address, service="engines", wait_ms=200, retry_ms=20),
             found.append,
             failed.append,
--- a/tests/test_gateway_maintenance.py
+++ b/tests/test_gateway_maintenance.py
@@ -15,7 +15,7 @@
 from ternlane.chat import RequestIntake
 from ternlane.config import FileSource, NodeLine
 from ternlane.config.gateway import ServerLimits
-from ternlane.discovery import follow_file
+from ternlane.discovery import watch_file
 from ternlane.ledger import BillingLedger
 from ternlane.policy import messages
 from ternlane.policy.messages import Effect, Group, RequestClass
@@ -61,7 +61,7 @@
 
     put(json.dumps({"nodes": [node]}))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(follow_file, FileSource(path=str(path), look_ms=10), found.append, failed.append)
+        nursery.start_soon(watch_file, FileSource(path=str(path), look_ms=10), found.append, failed.append)
 
         async def until(many: int, bad: int) -> None:
             with trio.fail_after(1):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -35,7 +35,7 @@
 from ternlane.config import read_config as read_document
 from ternlane.config import read_text as read_document_text
 from ternlane.deployment import Deployment
-from ternlane.discovery.endpoint_cache import TornCacheError as TornFile
+from ternlane.discovery.endpoint_cache import CorruptCacheError as TornFile
 from ternlane.discovery.endpoint_cache import read_cache as read_node_list
 from ternlane.discovery.endpoint_cache import write_cache as write_node_list
 from ternlane.emulator.engine_kind import EngineKind as EmulatorDocument
