--- a/ternlane/cli/rules.py
+++ b/ternlane/cli/rules.py
@@ -24,10 +24,10 @@
     from ternlane.rules import check_folder
 
     findings = check_folder(Path(folder))
-    click.echo("judged: " + ", ".join(f"{count} {name}" for name, count in findings.counted.items()))
-    for found in findings.broken:
+    click.echo("judged: " + ", ".join(f"{count} {name}" for name, count in findings.judged_counts.items()))
+    for found in findings.violations:
         click.echo(f"rule {found.rule}  {found.request}  {found.why}")
         for line in found.lines if lines else ():
             click.echo(f"    {json.dumps(line)}")
-    click.echo("all five kept" if findings.kept else f"{len(findings.broken)} times broken")
-    sys.exit(ExitCode.OK if findings.kept else ExitCode.BROKEN)
+    click.echo("all five kept" if findings.passed else f"{len(findings.violations)} times broken")
+    sys.exit(ExitCode.OK if findings.passed else ExitCode.BROKEN)
--- a/ternlane/rules/held_state.py
+++ b/ternlane/rules/held_state.py
@@ -9,7 +9,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from ternlane.rules.findings import Finding, Line
+from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import CLOCK_TOLERANCE_MS, RuleLimits
 from ternlane.rules.run_log import Attempt, RunLog
 
@@ -18,7 +18,7 @@
 ZONE_CUT_EXCUSES_MS = 20e3
 
 
-def judge_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+def judge_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Judges each state that a server held."""
     ends_ms: defaultdict[tuple[str, str], list[float]] = defaultdict(list)  # by server and request
     for kind in ("taken", "released", "lost"):
@@ -59,6 +59,6 @@
     return any(begin_ms - ZONE_CUT_EXCUSES_MS <= cut_ms <= end_ms for cut_ms in zone_cuts_ms)
 
 
-def _finding(state: Line, attempts: list[Attempt], idle_ms: float) -> Finding:
+def _finding(state: LogLine, attempts: list[Attempt], idle_ms: float) -> Violation:
     why = f"held at {state['id']} for {idle_ms:.0f} ms with no leg out"
-    return Finding(RULE, state["gen"], why, [state, *(attempt.as_line() for attempt in attempts)])
+    return Violation(RULE, state["gen"], why, [state, *(attempt.as_line() for attempt in attempts)])
--- a/ternlane/scenarios/account_report.py
+++ b/ternlane/scenarios/account_report.py
@@ -8,7 +8,7 @@
 
 from ternlane.ledger.billing_report import bill_rows, read_entries
 from ternlane.ledger.reconciliation import reconcile
-from ternlane.rules.findings import Line
+from ternlane.rules.findings import LogLine
 from ternlane.scenarios.request_report import Revenue
 from ternlane.scenarios.scenario import Scenario
 
@@ -16,7 +16,7 @@
 
 
 def accounts_of(
-    folder: Path, scenario: Scenario, lines: list[Line], span_s: float, revenues: dict[str, Revenue]
+    folder: Path, scenario: Scenario, lines: list[LogLine], span_s: float, revenues: dict[str, Revenue]
 ) -> dict[str, Any]:
     """`span_s`: for how long requests came, as budgets grow with time; `revenues`: by tenant."""
     ledgers = sorted((folder / "ledgers").iterdir())
@@ -57,7 +57,7 @@
     return sum(revenue.earned for revenue in others) / max(1e-9, sum(revenue.possible for revenue in others))
 
 
-def _outcomes(lines: list[Line]) -> dict[str, Counter[str]]:
+def _outcomes(lines: list[LogLine]) -> dict[str, Counter[str]]:
     """By tenant."""
     outcomes: defaultdict[str, Counter[str]] = defaultdict(Counter)
     for line in lines:
--- a/ternlane/scenarios/report.py
+++ b/ternlane/scenarios/report.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from ternlane.rules import Findings, read_lines
+from ternlane.rules import RuleReport, read_lines
 from ternlane.scenarios.account_report import accounts_of
 from ternlane.scenarios.request_report import RequestLines, request_classes_of
 from ternlane.scenarios.scenario import Scenario
@@ -14,7 +14,7 @@
 SHOWN_FINDINGS = 200
 
 
-def report_of(folder: Path, scenario: Scenario, findings: Findings) -> dict[str, Any]:
+def report_of(folder: Path, scenario: Scenario, findings: RuleReport) -> dict[str, Any]:
     """The report in the form of `report.json`, from the lines in the folder."""
     lines = read_lines(sorted(folder.glob("*.jsonl")))
     run = RequestLines.of(lines)
@@ -40,10 +40,10 @@
         "legs_each": round(run.attempts / max(1, len(run.finals)), 3),
         "legs_ended": dict(run.attempt_outcomes),
         "troubles": sorted({fault.kind for fault in scenario.troubles}),
-        "judged": findings.counted,
-        "rules_kept": findings.kept,
+        "judged": findings.judged_counts,
+        "rules_kept": findings.passed,
         "broken": [
             {"rule": finding.rule, "gen": finding.request, "why": finding.why, "lines": finding.lines}
-            for finding in findings.broken[:SHOWN_FINDINGS]
+            for finding in findings.violations[:SHOWN_FINDINGS]
         ],
     }
--- a/ternlane/scenarios/request_report.py
+++ b/ternlane/scenarios/request_report.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ternlane.config import RequestClassConfig
-from ternlane.rules.findings import Line
+from ternlane.rules.findings import LogLine
 from ternlane.scenarios.quantiles import shown_quantiles
 
 
@@ -15,15 +15,15 @@
 class RequestLines:
     """A run's lines about requests. A task is a client's request over all its retries."""
 
-    asks: defaultdict[str, list[Line]] = field(default_factory=lambda: defaultdict(list))  # by task
+    asks: defaultdict[str, list[LogLine]] = field(default_factory=lambda: defaultdict(list))  # by task
     first_tokens_ms: dict[str, float] = field(default_factory=dict)  # by request
-    finals: dict[str, Line] = field(default_factory=dict)  # by request
-    tasks: dict[str, Line] = field(default_factory=dict)
+    finals: dict[str, LogLine] = field(default_factory=dict)  # by request
+    tasks: dict[str, LogLine] = field(default_factory=dict)
     attempts: int = 0
     attempt_outcomes: Counter[str] = field(default_factory=Counter)
 
     @classmethod
-    def of(cls, lines: list[Line]) -> RequestLines:
+    def of(cls, lines: list[LogLine]) -> RequestLines:
         """Sorts a run's lines."""
         found = cls()
         for line in lines:
@@ -47,7 +47,7 @@
         asked_ms = [ask["t"] for asks in self.asks.values() for ask in asks]
         return (max(asked_ms, default=0) - min(asked_ms, default=0)) / 1000
 
-    def answered(self, task: str) -> Line | None:
+    def answered(self, task: str) -> LogLine | None:
         """The ask of a task that was answered whole."""
         return next((a for a in self.asks[task] if self.finals.get(a["gen"], {}).get("outcome") == "streamed"), None)
 
--- a/ternlane/scenarios/stream_report.py
+++ b/ternlane/scenarios/stream_report.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import Any
 
-from ternlane.rules.findings import Line
+from ternlane.rules.findings import LogLine
 from ternlane.scenarios.quantiles import shown_quantiles
 
 # Two processes don't write of the same moment at the same time.
@@ -20,18 +20,18 @@
 class StreamLines:
     """A run's lines about streams."""
 
-    def __init__(self, lines: list[Line]) -> None:
+    def __init__(self, lines: list[LogLine]) -> None:
         """`lines` in order of time."""
-        self.asks: dict[str, Line] = {}  # by request
-        self.finals: dict[str, Line] = {}  # by request
-        self.produced: defaultdict[str, list[Line]] = defaultdict(list)  # by request
-        self._ends: dict[tuple[str, str, int], Line] = {}  # by server, request and attempt
+        self.asks: dict[str, LogLine] = {}  # by request
+        self.finals: dict[str, LogLine] = {}  # by request
+        self.produced: defaultdict[str, list[LogLine]] = defaultdict(list)  # by request
+        self._ends: dict[tuple[str, str, int], LogLine] = {}  # by server, request and attempt
         self._stops_ms: defaultdict[str, list[float]] = defaultdict(list)  # by server
         self._zone_cuts_ms: list[tuple[float, float]] = []  # begin and end
         for line in lines:
             self._add(line)
 
-    def _add(self, line: Line) -> None:
+    def _add(self, line: LogLine) -> None:
         match line["k"]:
             case "said":
                 self.produced[line["gen"]].append(line)
@@ -48,10 +48,10 @@
             case "final":
                 self.finals[line["gen"]] = line
 
-    def _end_of(self, attempt: Line) -> Line | None:
+    def _end_of(self, attempt: LogLine) -> LogLine | None:
         return self._ends.get((attempt["id"], attempt["gen"], attempt["n"]))
 
-    def broken_attempts(self, request: str) -> list[Line]:
+    def broken_attempts(self, request: str) -> list[LogLine]:
         """Those that produced text and did not come to their end."""
         broken = []
         for attempt in self.produced.get(request, []):
@@ -60,7 +60,7 @@
                 broken.append(attempt)
         return broken
 
-    def cause_of(self, attempt: Line) -> str:
+    def cause_of(self, attempt: LogLine) -> str:
         """By the server's own lines: its process ended, it broke off, or the gateway did."""
         end = self._end_of(attempt)
         if end is None:
@@ -84,7 +84,7 @@
         self.pauses_ms: defaultdict[str, list[float]] = defaultdict(list)  # of answers that were completed, by cause
         self.gaps_ms: dict[str, list[float]] = {"unbroken": [], "joined": []}
 
-    def add(self, run: StreamLines, ask: Line, final: Line) -> None:
+    def add(self, run: StreamLines, ask: LogLine, final: LogLine) -> None:
         """Counts one request."""
         broken = run.broken_attempts(ask["gen"])
         if broken:
@@ -92,7 +92,7 @@
         if ask["stream"] and final["outcome"] == "streamed":
             self.gaps_ms["joined" if broken else "unbroken"].append(final["gap"])
 
-    def _add_broken(self, run: StreamLines, ask: Line, final: Line, attempt: Line) -> None:
+    def _add_broken(self, run: StreamLines, ask: LogLine, final: LogLine, attempt: LogLine) -> None:
         outcome = {"streamed": "whole", "broken": "gateway lost"}.get(final["outcome"], "in part")
         self.by_effect[ask["effect"]][outcome] += 1
         if ask["effect"] != "idempotent":
@@ -124,7 +124,7 @@
     return "8-15" if words < 16 else "16+"
 
 
-def streams_of(lines: list[Line]) -> dict[str, Any]:
+def streams_of(lines: list[LogLine]) -> dict[str, Any]:
     """The report's part about streams."""
     run = StreamLines(lines)
     report = StreamReport()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,7 +20,7 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Server
 from ternlane.recovery import StreamJoin
-from ternlane.rules import Findings, check
+from ternlane.rules import RuleReport, check
 from ternlane.testing.clients import ClientBehaviour, Clients, ClientWorkload
 from ternlane.testing.traffic import clock_ms
 from tests.gateway_cluster import (
@@ -221,7 +221,7 @@
     return msgspec.structs.replace(FLEET_CONFIG, **changes)
 
 
-async def troubled(host: type[GatewayRuntime]) -> Findings:
+async def troubled(host: type[GatewayRuntime]) -> RuleReport:
     """Answers get lost, engines die, clients leave: what every host must stand."""
     async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
@@ -242,7 +242,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def stranded(host: type[GatewayRuntime]) -> Findings:
+async def stranded(host: type[GatewayRuntime]) -> RuleReport:
     """All decode servers die while the list still has them. What was prefilled is left at its prefill server, and only
     its gateway can have it released in time."""
     async with gateway_cluster(("r0", "w0", "w1"), host_type=host) as w:
@@ -253,7 +253,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def slowly_read(host: type[GatewayRuntime]) -> Findings:
+async def slowly_read(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(
         ("r0", "r0b", "w0"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=500.0), host_type=host
     ) as w:
@@ -261,7 +261,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def drained(host: type[GatewayRuntime]) -> Findings:
+async def drained(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(("r0", "w0", "w0b", "w1"), host_type=host) as w:
         notify(w)
 
@@ -274,7 +274,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def restarted(host: type[GatewayRuntime]) -> Findings:
+async def restarted(host: type[GatewayRuntime]) -> RuleReport:
     """One writer of two restarts cold, weak, under a load that it could not carry alone."""
     build = replace(
         ENGINE_PROFILE,
@@ -308,7 +308,7 @@
         return check(w.traffic.lines, RULES | {"fall_ms": 500.0})
 
 
-async def refilled(host: type[GatewayRuntime]) -> Findings:
+async def refilled(host: type[GatewayRuntime]) -> RuleReport:
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
         ENGINE_PROFILE,
@@ -341,11 +341,11 @@
         w.nursery.start_soon(strike)
         await send_requests(w, 25, 1600)
         findings = check(w.traffic.lines, RULES | {"fall_ms": 500.0})
-        assert findings.counted["texts of several legs"] >= 1 and findings.counted["cold starts"] == 2
+        assert findings.judged_counts["texts of several legs"] >= 1 and findings.judged_counts["cold starts"] == 2
         return findings
 
 
-async def torn(host: type[GatewayRuntime]) -> Findings:
+async def torn(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
             w.engines[ident].fault.broken_stream_share = 0.3
@@ -364,10 +364,10 @@
     """The rules must not accuse a gateway that is right, whatever fails around it."""
     for _ in range(3):  # a machine busy with other work may hold an answer up beyond the client's time
         findings = await SCENES[scene](Honest)
-        if any(f.why != "answered after the client's time" for f in findings.broken) or not findings.broken:
+        if any(f.why != "answered after the client's time" for f in findings.violations) or not findings.violations:
             break
-    assert findings.broken == [], [asdict(f) for f in findings.broken[:3]]
-    assert findings.counted["asked"] > 10 and findings.counted["states"] > 10
+    assert findings.violations == [], [asdict(f) for f in findings.violations[:3]]
+    assert findings.judged_counts["asked"] > 10 and findings.judged_counts["states"] > 10
 
 
 @pytest.mark.parametrize(
@@ -391,12 +391,12 @@
     seen = []
     for _ in range(4):  # on a machine busy with other work a scene's load may come too thin to do the harm at once
         findings = await SCENES[scene](host)
-        seen += [f.why for f in findings.broken[:5]]
-        if any(f.rule == rule and word in f.why for f in findings.broken):
+        seen += [f.why for f in findings.violations[:5]]
+        if any(f.rule == rule and word in f.why for f in findings.violations):
             return
     raise AssertionError(seen)
 
 
 def test_a_run_without_lines_has_judged_nothing() -> None:
     findings = check([], RULES)
-    assert findings.kept and findings.counted.get("asked", 0) == 0
+    assert findings.passed and findings.judged_counts.get("asked", 0) == 0
