--- a/tests/platform_gateway.py
+++ b/tests/platform_gateway.py
@@ -15,7 +15,7 @@
 from ternlane.platform.endpoint_list import parse_endpoint_list
 from ternlane.platform.gateway import Gateway
 from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
-from ternlane.testing.platform import Discovery, Fleet, ModelServer
+from ternlane.testing.platform import FakeDiscovery, FakeFleet, FakeModelServer
 from ternlane.testing.proxy import StallingProxy
 from tests.gateway_cluster import Reply, send_request
 
@@ -69,22 +69,22 @@
 class Platform:
     def __init__(self, nursery: trio.Nursery, platform_settings: dict[str, Any], limits: ProcessLimits) -> None:
         self.nursery, self.platform_settings, self.limits, self.log = nursery, platform_settings, limits, Log()
-        self.fleet, self.discovery = Fleet(nursery), Discovery(nursery, 100.0)
-        self.servers: dict[str, ModelServer] = {}
+        self.fleet, self.discovery = FakeFleet(nursery), FakeDiscovery(nursery, 100.0)
+        self.servers: dict[str, FakeModelServer] = {}
         self.count = 0
         self.pool = ConnectionPool(1000, 1000)
         self.reserved: list[socket.socket] = []
         self.gateway: Gateway
 
-    async def add(self, name: str, script: Callable[[str], str] = lambda _: "", **more: Any) -> ModelServer:
-        server = self.servers[name] = ModelServer(
+    async def add(self, name: str, script: Callable[[str], str] = lambda _: "", **more: Any) -> FakeModelServer:
+        server = self.servers[name] = FakeModelServer(
             name, "read" if name[0] == "r" else "write", self.fleet, script, **more
         )
         await server.start()
         self.list(server, server.address)
         return server
 
-    def list(self, server: ModelServer, address: str) -> None:
+    def list(self, server: FakeModelServer, address: str) -> None:
         """Puts it on the list of servers at this address, its own or that of a proxy before it."""
         self.discovery.put(server.name, address, "reader" if server.role == "read" else "writer")
 
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_play.py
@@ -338,8 +338,8 @@
             if sent.request_class == "summary":
                 continue
             began = [a for a in self.attempts_for(sent) if a.server in DECODE and a.way not in NOT_STARTED]
-            may_have_run = [a for a in began if a.way or self.p.fleet.ran[sent.ident]]
-            if sent.request_class == "note" and self.p.fleet.ran[sent.ident] > 1:
+            may_have_run = [a for a in began if a.way or self.p.fleet.run_counts[sent.ident]]
+            if sent.request_class == "note" and self.p.fleet.run_counts[sent.ident] > 1:
                 out.append(self.said("duplicate", sent, "ran twice"))
             if sent.request_class == "note" and sent.status == "503" and may_have_run:
                 out.append(self.said("duplicate", sent, "rejected though it may have run"))
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -25,7 +25,7 @@
 from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
 from ternlane.policy.attempt import Stage
 from ternlane.policy.messages import EndpointStatus
-from ternlane.testing.platform import Discovery, Gate
+from ternlane.testing.platform import FakeDiscovery, Gate
 from tests.crossing import Client, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
 from tests.test_platform_bounds import reload
@@ -112,7 +112,7 @@
     ):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
     async with trio.open_nursery() as nursery:
-        discovery = Discovery(nursery, discovery_watch.HEARTBEAT_MS)
+        discovery = FakeDiscovery(nursery, discovery_watch.HEARTBEAT_MS)
         discovery.put("w0", "127.0.0.1:1", "writer")
         await discovery.start()
         host, _, number = discovery.address.partition(":")
@@ -193,7 +193,7 @@
 
     async with platform("r0", "w0") as p:
         monkeypatch.setattr(discovery_watch.DiscoveryWatch, "_pause", held)
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, p.discovery.log, p.discovery.entries
         await other.start()
         await p.gateway.watch.opened.wait()
@@ -218,7 +218,7 @@
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         p.discovery.silence_open_watches()
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, list(p.discovery.log), dict(p.discovery.entries)
         await other.start()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
@@ -233,7 +233,7 @@
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         old = json.dumps(p.discovery.listing()).encode()
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, list(p.discovery.log), dict(p.discovery.entries)
         await other.start()
         gate = p.discovery.gates["list"] = Gate()
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -46,7 +46,7 @@
 async def warm_up(p: Platform, proxies: list[StallingProxy]) -> None:
     """Leaves kept connections to all decode servers, as a gateway has that has served for a while."""
     await wait_until_ready(p)
-    while any(not p.fleet.ran or p.fleet.conns[name] == 0 for name in p.servers if name[0] == "w"):
+    while any(not p.fleet.run_counts or p.fleet.conns[name] == 0 for name in p.servers if name[0] == "w"):
         assert all(reply.status == 200 for reply in await ask_all(p, *["summary"] * 2 * len(proxies), timeout_s=3.0))
     await trio.sleep(0.1)  # a connection rests before it is used again
 
@@ -89,7 +89,7 @@
             replies = await ask_all(p, *["summary"] * 16, *["note"] * 4, timeout_s=4.0)
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
             assert len(replies) == 20 and any(reply.status == 200 for reply in replies)
-            assert set(p.fleet.ran.values()) == {1}
+            assert set(p.fleet.run_counts.values()) == {1}
 
 
 @pytest.mark.parametrize("name", ["summary", "note"])
@@ -110,7 +110,7 @@
             proxy.deliver()
             await until(lambda: replies)
             assert replies[0].status == 200 and p.fleet.count("read") == prefills + 2
-            assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS and set(p.fleet.ran.values()) == {1}
+            assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS and set(p.fleet.run_counts.values()) == {1}
 
 
 @pytest.mark.parametrize("name", ["summary", "note"])
@@ -139,7 +139,7 @@
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("w9", platform_settings=platform_settings) as p:
         proxies = [await p.add_behind_proxy(name) for name in ("w0", "w1", "w2")]
-        await p.add("r0", lease_fault="silent")
+        await p.add("r0", lease_call_fault="silent")
         async with running(p, tmp_path, settings=platform_settings):
             await warm_up(p, proxies)
             p.servers["r0"].gates["request"] = prefill = Gate()
@@ -200,7 +200,7 @@
     """In the test's own process, as a server's way of answering changes meanwhile."""
     async with platform("r0", "w0", w0=fault_always("status_500")) as p:
         for server in p.servers.values():
-            server.lease_fault = "silent"
+            server.lease_call_fault = "silent"
         p.fleet.hold("00000000000000cc", "r0")
         assert (await p.ask(Request_Class="note", Request_Id="00000000000000cc")).status == 502
         p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state waits
@@ -208,6 +208,6 @@
         await until(lambda: counts["release unconfirmed"] >= 2)
         assert p.gateway.runtime.releases_in_flight == 1
         for server in p.servers.values():
-            server.lease_fault = ""
+            server.lease_call_fault = ""
         await until(lambda: counts["release confirmed"] == 1)
         await p.wait_until_idle()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -148,7 +148,7 @@
             if not one.left:
                 one.answer = await one.client.answer()
         await self.p.wait_until_idle()  # nothing is open, nothing held
-        ran = Counter(self.p.fleet.ran)
+        run_counts = Counter(self.p.fleet.run_counts)
         for one in self.asked:
             if one.left:
                 assert self.attempts_for(one.ident) == self.attempts_when_left[one.ident], one.ident
@@ -156,7 +156,7 @@
             listed_status = one.answer[9:12]
             assert listed_status in (b"200", b"502", b"503"), one.answer
             if one.request_class == "note":
-                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not ran[one.ident])
+                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not run_counts[one.ident])
         for server, before in self.told_to_leave_alone.items():
             assert self.attempts(server) == before, server
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -132,7 +132,7 @@
     async with platform("r0", "w0", w0=fault_once(way)) as p:
         reply = await p.ask(Request_Class="note")
         assert reply.status == (502 if way in SPOILT_FIRST else 503 if way.startswith("full") else 200), way
-        assert sum(p.fleet.ran.values()) <= 1  # no effect twice
+        assert sum(p.fleet.run_counts.values()) <= 1  # no effect twice
         await p.wait_until_idle()
 
 
@@ -177,7 +177,7 @@
     takes it: of two that are asked at once, a slow machine lets the other's come behind the read."""
     async with platform("r0", "w0", "w1", w0=fault_once("gone_410"), w1=fault_once("gone_410")) as p:
         p.fleet.release_delay_ms = 20.0
-        p.servers["w1"].lease_fault = "silent"
+        p.servers["w1"].lease_call_fault = "silent"
         reply = await p.ask()
         assert reply.status == 200 and p.fleet.count("DELETE") >= 1
         await p.wait_until_idle()
@@ -192,7 +192,7 @@
         assert (await p.ask(Request_Class="note")).status == 502
         await p.wait_until_idle()
         for name in ("r0", "r1"):
-            p.servers[name].accepts_only = True
+            p.servers[name].never_reads = True
             await p.gateway.runtime.model_servers.pool.connect(p.servers[name].address)
         p.fleet.states["00000000000000aa"] = "r0"
         for name in ("r1", "r0"):
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -118,7 +118,7 @@
             # A request stays scheduled for its release until that time has come, over or not.
             await trio.sleep(p.gateway.runtime.deployment.router_config.release_ms / 1000)
             p.fleet.seen.clear()
-            p.fleet.ran.clear()
+            p.fleet.run_counts.clear()
             homes.clear()  # bounded by number and age, see above
             gc.collect()
             return sum(str(type(it).__module__).startswith("ternlane.") for it in gc.get_objects())
@@ -358,7 +358,7 @@
     release."""
     async with platform("r0", "w0", "w1", w0=fault_always("status_500"), w1=fault_always("status_500")) as p:
         for name in ("r0", "w0"):
-            p.servers[name].lease_fault = way
+            p.servers[name].lease_call_fault = way
         assert (await p.ask(Request_Class="note")).status == 502
         await p.wait_until_idle()
         assert not p.gateway.runtime.reporter.counts["release unconfirmed"] and p.fleet.count("DELETE") >= 1
@@ -367,12 +367,12 @@
 async def test_one_server_that_spoils_its_first_answer_is_told_again() -> None:
     """The only server gives a corrupt answer to a release. It is asked again, and confirms it."""
     async with platform("r0", "w0", w0=fault_always("status_500")) as p:
-        p.servers["r0"].lease_fault = p.servers["w0"].lease_fault = "noise"
+        p.servers["r0"].lease_call_fault = p.servers["w0"].lease_call_fault = "noise"
         assert (await p.ask(Request_Class="note")).status == 502
         with trio.fail_after(1):
             while p.fleet.count("DELETE") < 3:
                 await trio.sleep(0.002)
-        p.servers["r0"].lease_fault = ""
+        p.servers["r0"].lease_call_fault = ""
         await p.wait_until_idle()
         assert not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -6,7 +6,7 @@
 import trio
 
 from ternlane.policy.messages import EndpointStatus
-from ternlane.testing.platform import Discovery
+from ternlane.testing.platform import FakeDiscovery
 from tests.platform_gateway import platform
 
 
@@ -70,7 +70,7 @@
 async def test_a_new_discovery_is_followed_with_the_index_kept_and_the_old_one_closed() -> None:
     """A reload names another discovery. It is asked from the index at hand, and the old watch ends."""
     async with platform("r0", "w0") as p:
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         await other.start()
         other.index, other.log, other.entries = p.discovery.index, p.discovery.log, p.discovery.entries
         host, _, number = other.address.partition(":")
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -21,7 +21,7 @@
 from ternlane.platform.model_server_client import ModelServerClient
 from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Role
-from ternlane.testing.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
+from ternlane.testing.platform import DONE, EVENT, USAGE, FakeDiscovery, FakeFleet, FakeModelServer, Gate
 from tests.platform_gateway import BODY, PLATFORM_SETTINGS, Platform, platform
 
 # -- lists in time
@@ -59,7 +59,7 @@
     took: list[float] = []
 
     async def one(nth: int, nursery: trio.Nursery) -> None:
-        discovery = Discovery(nursery, discovery_watch.HEARTBEAT_MS)
+        discovery = FakeDiscovery(nursery, discovery_watch.HEARTBEAT_MS)
         await discovery.start()
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
@@ -74,9 +74,9 @@
         )
         watch.start()
         await trio.sleep(0.1)
-        discovery.break_off(silent=how == "silent", listening=how == "silent")
+        discovery.start_outage(silent=how == "silent", listening=how == "silent")
         await trio.sleep(0.3 + 0.05 * nth)
-        await discovery.restore()
+        await discovery.end_outage()
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
         await heard.wait()
@@ -289,13 +289,13 @@
 ) -> None:
     """Sixteen of twenty servers answer nothing, and they answered last. The state is released within the release
     time."""
-    fleet, deployment = Fleet(nursery), Deployment(1, PLATFORM_SETTINGS)
+    fleet, deployment = FakeFleet(nursery), Deployment(1, PLATFORM_SETTINGS)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), deployment)
-    servers = [ModelServer(f"w{n}", "write", fleet) for n in range(20)]
+    servers = [FakeModelServer(f"w{n}", "write", fleet) for n in range(20)]
     for server in reversed(servers):
         await server.start()
         client.has_answered(server.address)  # the silent ones were heard last
-        server.accepts_only = server in servers[:16]
+        server.never_reads = server in servers[:16]
     fleet.states["ab"] = "w19"
     with trio.move_on_after(deployment.router_config.release_ms / 1000):
         nursery.start_soon(client.release, "ab", [s.address for s in servers], deployment.router_config.release_ms)
@@ -306,9 +306,9 @@
 
 async def test_a_server_that_could_not_be_reached_is_asked_last_to_release(nursery: trio.Nursery) -> None:
     """A server that had answered can no longer be reached. It is asked last."""
-    fleet = Fleet(nursery)
+    fleet = FakeFleet(nursery)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, PLATFORM_SETTINGS))
-    well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
+    well, away = FakeModelServer("w0", "write", fleet), FakeModelServer("w1", "write", fleet)
     for server in (well, away):
         await server.start()
         assert (await client.call(server.address, "GET", "/stats", 500.0)).outcome is AttemptOutcome.STREAMED
@@ -320,7 +320,7 @@
 
 
 async def test_a_connection_on_which_nothing_was_asked_is_kept(nursery: trio.Nursery) -> None:
-    server = ModelServer("w0", "write", Fleet(nursery))
+    server = FakeModelServer("w0", "write", FakeFleet(nursery))
     await server.start()
     pool = ConnectionPool(500.0, 1000.0)
     caller = await pool.take(server.address)
@@ -432,7 +432,7 @@
     """Idle clients take all connections while discovery is down. A new client is served, and a drain is heard once
     discovery is back."""
     async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
-        p.discovery.break_off(silent=False, listening=False)
+        p.discovery.start_outage(silent=False, listening=False)
         host, _, number = p.address.partition(":")
         idle = [await trio.open_tcp_stream(host, int(number)) for _ in range(120)]
         with trio.fail_after(2):
@@ -440,7 +440,7 @@
                 await trio.sleep(0.01)
         assert p.gateway.chat_server.connections <= p.gateway.chat_server.connection_limit == 45
         assert (await p.ask()).status == 200  # a new one takes an idle one's place, at once
-        await p.discovery.restore()
+        await p.discovery.end_outage()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(discovery_watch.PROPAGATION_MS / 1000):
             while p.gateway.runtime.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -178,7 +178,7 @@
         await gateway.kill()
         answers = {name: await client.rest() for name, client in clients.items()}
         assert all(whole(answer) for answer in answers.values()), answers
-        assert answers["note"].startswith(b"HTTP/1.1 502 ") and p.fleet.ran["note"] <= 1
+        assert answers["note"].startswith(b"HTTP/1.1 502 ") and p.fleet.run_counts["note"] <= 1
         assert answers["summary"].startswith(b"HTTP/1.1 503 ") and b"Retry-After" in answers["summary"]
         assert not p.fleet.states
 
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -154,7 +154,7 @@
     platform_settings = PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 8000.0}}
     async with platform("r0", "w0", platform_settings=platform_settings, w0=fault_always("gone_410")) as p:
         for server in p.servers.values():
-            server.lease_fault = "silent"
+            server.lease_call_fault = "silent"
         client = Client(p.address)
         client.send(client_request(p, Request_Timeout="9"))
         await until(
