--- a/tests/shutdown_play.py
+++ b/tests/shutdown_scenario.py
@@ -20,8 +20,8 @@
 
 from ternlane.testing.platform import DONE
 from ternlane.testing.proxy import StallingProxy
-from tests.crossing import Client, answer_end, client_request
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
+from tests.race_helpers import RawClient, answer_end, client_request
 from tests.test_platform_bounds import running
 
 LONGEST_S, GRACE_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, cut to 3 s, and 0.7 s
@@ -138,7 +138,7 @@
         self.longest_held_s = 0.0
         self.own_lateness_s = 0.0  # the most by which this process, which stands in for clients and servers, was late
         self.agent_well = True
-        self.idle: list[Client] = []
+        self.idle: list[RawClient] = []
         self.ended_by_itself: int | None = None
 
     def script(self, name: str) -> Callable[[str], str]:
@@ -237,7 +237,7 @@
         """Idle connections, and bytes that are no request."""
         for nth in range(FLOOD):
             with suppress(OSError):
-                client = Client(self.p.address)
+                client = RawClient(self.p.address)
                 self.idle.append(client)
                 if nth % 2:
                     client.send(b"\x16\x03\x01 nonsense\r\n\r\n" if nth % 4 == 1 else b"POST /v1/chat")
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -15,9 +15,9 @@
 from ternlane.platform.stream_forwarder import StreamForwarder
 from ternlane.policy import messages
 from ternlane.testing.platform import Gate
-from tests.crossing import Client, client_request, until
 from tests.gateway_cluster import FLEET_CONFIG, REQUEST_CLASSES, gateway_cluster
 from tests.platform_gateway import Platform, platform
+from tests.race_helpers import RawClient, client_request, wait_until
 
 
 class Faulty:
@@ -35,7 +35,7 @@
     return sum(isinstance(event, messages.RequestArrived) for event in events)
 
 
-def make_faulty(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
+def replace_decisions(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
     p.gateway.runtime.router = Faulty(p.gateway.runtime.router, instead)  # type: ignore[assignment]
 
 
@@ -50,7 +50,7 @@
             raise ZeroDivisionError("a fault in the decisions")
 
     async with platform("r0", "w0") as p:
-        make_faulty(p, fail_once)
+        replace_decisions(p, fail_once)
         statuses: list[int] = []
 
         async def client(timeout: str) -> None:  # noqa: ASYNC109
@@ -69,7 +69,7 @@
     """The router takes a request and decides nothing for it. The gateway fails it shortly after its deadline; else
     its client would wait for ever."""
     async with platform("r0", "w0") as p:
-        make_faulty(p, lambda events: [] if arrivals(events) else None)
+        replace_decisions(p, lambda events: [] if arrivals(events) else None)
         with trio.fail_after(0.4 + 0.5):
             assert (await p.ask(Request_Timeout="0.4")).status == 502
         assert not p.gateway.runtime.active_requests
@@ -86,7 +86,7 @@
 
         with monkeypatch.context() as patched:
             patched.setattr(p.gateway.runtime, "receive_request", fail)
-            client = Client(p.address)
+            client = RawClient(p.address)
             client.send(client_request(p))
             client.send(b"GET /behind")  # unread bytes do not take the answer with them
             said = await client.rest()
@@ -100,7 +100,7 @@
     gate = Gate()
     async with platform("r0", "w0") as p:
         p.servers["w0"].gates["event"] = gate
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="0.3"))
         await gate.reached.wait()
         await trio.sleep(0.3 + OVERDUE_GRACE_MS / 1000 + 0.2)
@@ -122,7 +122,7 @@
 
         with pytest.MonkeyPatch.context() as patched:
             patched.setattr(StreamForwarder, "write_first_events", late_first)
-            client = Client(p.address)
+            client = RawClient(p.address)
             client.send(client_request(p))
             said = await client.answer()
         assert (
@@ -147,8 +147,8 @@
                 raise KeyError("a fault in the decisions")
 
     async with platform("r0", "w0") as p:
-        make_faulty(p, fail_first)
-        await until(lambda: len(looks) > 5)
+        replace_decisions(p, fail_first)
+        await wait_until(lambda: len(looks) > 5)
         assert p.gateway.runtime.reporter.counts["fault"] == 1 and (await p.ask()).status == 200
 
 
@@ -165,7 +165,7 @@
                 raise OSError("a fault in this program")
             settle(active_request, final)
 
-        make_faulty(
+        replace_decisions(
             p,
             lambda events: [messages.Reject(e.request, 0.0) for e in events if isinstance(e, messages.RequestArrived)],
         )
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -15,9 +15,9 @@
 
 from ternlane.testing.platform import Gate
 from ternlane.testing.proxy import StallingProxy
-from tests.crossing import until
 from tests.gateway_cluster import Reply
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, platform, wait_until_ready
+from tests.race_helpers import wait_until
 from tests.test_platform_bounds import running
 
 RELEASE_MS = PLATFORM_SETTINGS["specifics"]["release"]
@@ -106,9 +106,9 @@
             replies: list[Reply] = []
             prefills = p.fleet.count("read")
             p.nursery.start_soon(ask_into, p, name, replies)
-            await until(lambda: p.fleet.count("DELETE") > 0 and not p.fleet.states)
+            await wait_until(lambda: p.fleet.count("DELETE") > 0 and not p.fleet.states)
             proxy.deliver()
-            await until(lambda: replies)
+            await wait_until(lambda: replies)
             assert replies[0].status == 200 and p.fleet.count("read") == prefills + 2
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS and set(p.fleet.run_counts.values()) == {1}
 
@@ -127,10 +127,10 @@
         gate = p.servers["w0"].gates["queue"] = Gate()
         replies: list[Reply] = []
         p.nursery.start_soon(ask_into, p, name, replies)
-        await until(lambda: p.fleet.count("DELETE") > 0)
+        await wait_until(lambda: p.fleet.count("DELETE") > 0)
         await trio.sleep(RELEASE_MS / 1000)
         gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and p.fleet.count("read") == p.fleet.count("write") == 1
 
 
@@ -150,8 +150,8 @@
             for proxy in proxies:
                 proxy.stall()
             prefill.open()
-            await until(lambda: any(proxy.swallowed_bytes for proxy in proxies))
-            await until(lambda: not p.fleet.states)
+            await wait_until(lambda: any(proxy.swallowed_bytes for proxy in proxies))
+            await wait_until(lambda: not p.fleet.states)
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
 
@@ -167,12 +167,12 @@
             replies: list[Reply] = []
             for name in ("summary", "note"):
                 p.nursery.start_soon(ask_into, p, name, replies, 1.5)
-            await until(lambda: len(p.fleet.states) == 2)
+            await wait_until(lambda: len(p.fleet.states) == 2)
             process.send_signal(signal.SIGTERM)
             with trio.fail_after(1.5 + 0.7):  # the longest deadline and 0.7 s: a kill comes no sooner
                 assert await process.wait() == 0
             assert not p.fleet.states and p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
-            await until(lambda: len(replies) == 2)
+            await wait_until(lambda: len(replies) == 2)
             assert all(reply.status in (502, 503) for reply in replies)
 
 
@@ -187,12 +187,12 @@
             proxy.stall()
             replies: list[Reply] = []
             p.nursery.start_soon(ask_into, p, "note", replies)
-            await until(lambda: p.fleet.states)
+            await wait_until(lambda: p.fleet.states)
             await trio.sleep(0.7 * RELEASE_MS / 1000)
             process.send_signal(signal.SIGSTOP)
             await trio.sleep(0.15)
             process.send_signal(signal.SIGCONT)
-            await until(lambda: not p.fleet.states)
+            await wait_until(lambda: not p.fleet.states)
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
 
@@ -205,9 +205,9 @@
         assert (await p.ask(Request_Class="note", Request_Id="00000000000000cc")).status == 502
         p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state waits
         counts = p.gateway.runtime.reporter.counts
-        await until(lambda: counts["release unconfirmed"] >= 2)
+        await wait_until(lambda: counts["release unconfirmed"] >= 2)
         assert p.gateway.runtime.releases_in_flight == 1
         for server in p.servers.values():
             server.lease_call_fault = ""
-        await until(lambda: counts["release confirmed"] == 1)
+        await wait_until(lambda: counts["release confirmed"] == 1)
         await p.wait_until_idle()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -18,8 +18,8 @@
 from hypothesis import strategies as st
 
 from ternlane.policy.messages import EndpointStatus
-from tests.crossing import Client, Turnstile, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform
+from tests.race_helpers import RawClient, Turnstile, client_request, wait_until
 
 PATIENT = PLATFORM_SETTINGS | {
     "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 2000.0},
@@ -45,7 +45,7 @@
 class Asked:
     """A request, and what its client has of it."""
 
-    client: Client
+    client: RawClient
     ident: str
     request_class: str
     rest: bytes = b""  # of the request, not sent yet
@@ -77,7 +77,7 @@
         if self.ending:
             return None
         whole = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
-        one = Asked(Client(self.p.address), f"{self.p.count:016x}", request_class)
+        one = Asked(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
         one.client.send(whole)
         self.asked.append(one)
         return one
@@ -85,7 +85,7 @@
     async def do_half(self, at: int) -> None:
         if not self.ending:
             whole = client_request(self.p, Request_Timeout="15")
-            one = Asked(Client(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
+            one = Asked(RawClient(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
             one.client.send(whole[:at])
             self.asked.append(one)
 
@@ -101,9 +101,9 @@
         if here:
             one = here[nth % len(here)]
             one.left = True
-            one.client.leave(how)
+            one.client.disconnect(how)
             idents = self.p.gateway.runtime.requests_by_id
-            await until(lambda: one.ident not in idents or idents[one.ident].is_finished)
+            await wait_until(lambda: one.ident not in idents or idents[one.ident].is_finished)
             self.attempts_when_left[one.ident] = self.attempts_for(one.ident)
 
     async def do_go_on(self, server: str, nth: int) -> None:
@@ -112,7 +112,7 @@
     async def put(self, server: str, listed_status: str, status: EndpointStatus) -> None:
         kind = "reader" if server[0] == "r" else "writer"
         self.p.discovery.put(server, self.p.servers[server].address, kind, listed_status)
-        await until(lambda: self.p.gateway.runtime.endpoint_registry.servers[server].status is status)
+        await wait_until(lambda: self.p.gateway.runtime.endpoint_registry.servers[server].status is status)
 
     async def do_drain(self, server: str) -> None:
         if server not in self.told_to_leave_alone:
--- a/tests/test_crossings_lists.py
+++ b/tests/test_races_discovery.py
@@ -26,8 +26,8 @@
 from ternlane.policy.attempt import Stage
 from ternlane.policy.messages import EndpointStatus
 from ternlane.testing.platform import FakeDiscovery, Gate
-from tests.crossing import Client, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
+from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import reload
 
 
@@ -63,7 +63,7 @@
         await gate.reached.wait()
         assert not gateway.chat_server.ready  # also not asked whether it is: it takes no connection yet
         p.address = "127.0.0.1:%d" % gateway.listener.socket.getsockname()[1]
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))  # waits in the listener's queue
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -129,21 +129,21 @@
             (host, int(number)), lambda: index[0], hear, lambda _: None, 7, nursery, None
         )
         watch.start()
-        await until(lambda: discovery.asked)
+        await wait_until(lambda: discovery.asked)
         if when == "late":
             await watch.opened.wait()
             await watch.opened.wait()
         if when == "after a line":
             discovery.put("w1", "127.0.0.1:2", "writer")
-            await until(lambda: index[0] == discovery.index)
+            await wait_until(lambda: index[0] == discovery.index)
         if when == "within a line":
             discovery.garbage = b'{"index":9,"snapshot":false,"endpo'
             discovery.put("w1", "127.0.0.1:2", "writer")
-            await until(lambda: not discovery.garbage)
+            await wait_until(lambda: not discovery.garbage)
         discovery.silence_open_watches()  # open watches say no more, new ones are served
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
-        await until(heard.is_set)
+        await wait_until(heard.is_set)
         assert (trio.current_time() - since) * 1000 < discovery_watch.PROPAGATION_MS / 10
         nursery.cancel_scope.cancel()
 
@@ -163,7 +163,7 @@
         await trio.sleep(0.3)  # it has worked for longer than it may be silent
         for stream in list(p.discovery.conns):
             stream.socket.close()
-        await until(lambda: len(p.discovery.asked) == 2)
+        await wait_until(lambda: len(p.discovery.asked) == 2)
         assert (
             pauses == [discovery_watch.FIRST_BACKOFF_MS]
             and discovery_watch.JITTER[1] * discovery_watch.FIRST_BACKOFF_MS <= 50
@@ -175,7 +175,7 @@
     async with platform("r0", "w0") as p:
         p.discovery.cut_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert p.discovery.asked == [str(p.discovery.index - 1)] * 2
 
 
@@ -206,10 +206,10 @@
         p.gateway.watch.change_address((host, int(number)))
         await other.gates["watch"].reached.wait()
         gate.open()
-        await until(lambda: len(p.gateway.watch.watch_scopes) == 1)
+        await wait_until(lambda: len(p.gateway.watch.watch_scopes) == 1)
         other.gates["watch"].open()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert len(p.discovery.asked) == asked
 
 
@@ -224,8 +224,8 @@
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.change_address((host, int(number)))
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
-        await until(lambda: len(p.gateway.watch.watch_scopes) == 1)
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: len(p.gateway.watch.watch_scopes) == 1)
 
 
 async def test_what_an_old_agent_says_after_the_new_one_undoes_nothing() -> None:
@@ -242,7 +242,7 @@
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.change_address((host, int(number)))
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         gate.open()
         p.gateway.runtime.update_endpoints(parse_endpoint_list(old))  # as it would come from there
         assert status(p, "w0") is EndpointStatus.DRAINING
@@ -345,7 +345,7 @@
 ) -> None:
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["request"] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
         other = [profile | {"name": profile["name"] + "-2"} for profile in PLATFORM_SETTINGS["profiles"]]
@@ -425,7 +425,7 @@
             try:
                 await wait_until_ready(p)
                 used_s = processor_s(process_.pid)
-                client = Client(p.address)
+                client = RawClient(p.address)
                 client.send(client_request(p)[:40])
             finally:
                 process_.send_signal(signal.SIGKILL)  # with a connection accepted, and half a request on it
--- a/tests/test_crossings_servers.py
+++ b/tests/test_races_servers.py
@@ -23,9 +23,9 @@
 from ternlane.policy.messages import AttemptOutcome, Effect, Group
 from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
 from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
-from tests.crossing import Client, Wrapped, arrived, client_request, pair, until
 from tests.gateway_cluster import FLEET_CONFIG, Reply, gateway_cluster
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
+from tests.race_helpers import RawClient, Wrapped, arrived, client_request, pair, wait_until
 
 
 def platform_settings(**limits: Any) -> dict[str, Any]:
@@ -36,7 +36,7 @@
     into.append(await p.ask(**headers))
 
 
-class HeldConnects:
+class DelayedConnects:
     """Connections come up at once, and nobody hears of it before `gate` opens: a slow handshake."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str) -> None:
@@ -66,16 +66,16 @@
 ) -> None:
     """The attempt was decided before; it is judged where it begins."""
     async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
-        held = HeldConnects(monkeypatch, p.servers[name].address)
+        held = DelayedConnects(monkeypatch, p.servers[name].address)
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
         await held.gate.reached.wait()
         await p.add(other)
         p.discovery.put(name, p.servers[name].address, kind, "DRAINING")
         servers = p.gateway.runtime.endpoint_registry.servers
-        await until(lambda: servers[name].status is messages.EndpointStatus.DRAINING and other in servers)
+        await wait_until(lambda: servers[name].status is messages.EndpointStatus.DRAINING and other in servers)
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200
         assert [n for n, k, _ in p.fleet.seen if n in (name, other)] == [other]
         assert not p.gateway.runtime.router.scheduler.rules.endpoints[servers[name].router_state].ejected  # type: ignore[attr-defined]
@@ -96,11 +96,11 @@
         await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
-        await until(
+        await wait_until(
             lambda: p.gateway.runtime.endpoint_registry.servers["r0"].status is messages.EndpointStatus.DRAINING
         )
         gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "read"] == ["r0", "r1"]
         await p.wait_until_idle()
 
@@ -112,7 +112,7 @@
     """As above: a server begins to drain during a connect, here in the chat gateway."""
     async with gateway_cluster(("r0", "w0"), fleet=msgspec.structs.replace(FLEET_CONFIG, connect_ms=1000)) as w:
         engine = w.engines[name]
-        held = HeldConnects(monkeypatch, f"{engine.host}:{engine.port}")
+        held = DelayedConnects(monkeypatch, f"{engine.host}:{engine.port}")
         replies: list[Reply] = []
 
         async def ask() -> None:
@@ -123,7 +123,7 @@
         await w.add(other)
         w.publish_endpoints(**{name: "draining"})
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1
         asked_of = {line["id"] for line in w.traffic_events("leg")}
         assert name not in asked_of and other in asked_of
@@ -160,9 +160,9 @@
         await gate.reached.wait()
         await trio.sleep(0.2)  # the time that passes, not the order, is the matter here
         gate.open()
-        await until(lambda: len(p.fleet.stated_timeouts_s) > 2)
+        await wait_until(lambda: len(p.fleet.stated_timeouts_s) > 2)
         assert p.fleet.stated_timeouts_s[2] <= 1.5 - (trio.current_time() - since) + 0.1
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200
 
 
@@ -258,13 +258,13 @@
         p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="4"))
         await gate.reached.wait()
         second = await p.add("w1")
-        await until(lambda: "w1" in p.gateway.runtime.endpoint_registry.servers)
-        held = HeldConnects(monkeypatch, second.address)
+        await wait_until(lambda: "w1" in p.gateway.runtime.endpoint_registry.servers)
+        held = DelayedConnects(monkeypatch, second.address)
         gate.open()  # it breaks off: it may have run
         await held.gate.reached.wait()  # a repeat was allowed, and its connection is slow
         await trio.sleep(0.45)  # the window is over
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 502 and p.fleet.count("write") == 1 and second.name == "w1"
         await p.wait_until_idle()
 
@@ -311,10 +311,10 @@
         await gate.reached.wait()
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
-        await until(lambda: p.fleet.count("read") == 2 and not p.fleet.open["r0"])
-        await until(lambda: p.fleet.conns["w0"] == 2 or replies)  # over a connection of its own
+        await wait_until(lambda: p.fleet.count("read") == 2 and not p.fleet.open["r0"])
+        await wait_until(lambda: p.fleet.conns["w0"] == 2 or replies)  # over a connection of its own
         gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200
         assert replies[0].body.endswith(b": Server-Load: inflight=2,x0=0.2\n\n")  # its own answer, not that one
         await p.wait_until_idle()
@@ -385,11 +385,11 @@
             await send(stream, data[-3:] if data.startswith(b"POST /v1/") else data)
 
         monkeypatch.setattr(connection_module, "send", half)
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
-        client.leave("close")
-        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
+        client.disconnect("close")
+        await wait_until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         gate.open()
         await p.wait_until_idle()
         assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
@@ -410,9 +410,9 @@
         p.servers["w0"].gates["request"] = write
         await write.reached.wait()  # the second state is at hand for its writer
         lease.open()
-        await until(lambda: not p.fleet.states)  # and now it is gone
+        await wait_until(lambda: not p.fleet.states)  # and now it is gone
         write.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1 and p.fleet.count("read") == 3
         await p.wait_until_idle()
 
@@ -429,16 +429,16 @@
 async def test_a_writer_that_dies_as_the_state_is_at_hand_leaves_it_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """A decode server dies as its prefill ends. Another one takes the state."""
     async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
-        held = HeldConnects(monkeypatch, p.servers["w0"].address)
+        held = DelayedConnects(monkeypatch, p.servers["w0"].address)
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
         await held.gate.reached.wait()
         await p.add("w1")
         p.servers["w0"].stop()
         p.discovery.put("w0", "", "writer", "DELETED")
-        await until(lambda: set(p.gateway.runtime.endpoint_registry.servers) == {"r0", "w1"})
+        await wait_until(lambda: set(p.gateway.runtime.endpoint_registry.servers) == {"r0", "w1"})
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
         await p.wait_until_idle()
 
@@ -469,10 +469,10 @@
             done.set()
 
         p.nursery.start_soon(drain)
-        await until(lambda: looked.is_set() or done.is_set())
+        await wait_until(lambda: looked.is_set() or done.is_set())
         assert p.gateway.runtime.releases_in_flight and not done.is_set()
         gate.open()
-        await until(done.is_set)
+        await wait_until(done.is_set)
         assert not p.fleet.states
 
 
@@ -481,7 +481,7 @@
     """A read under way, between prefill and decode, within the stream."""
     async with platform("r0", "w0") as p:
         gate = p.servers[server].gates[point] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
         p.gateway.begin_drain()
@@ -495,10 +495,10 @@
 async def test_a_shutdown_while_all_servers_hang_answers_everything_and_ends() -> None:
     """All model servers hang as a gateway shuts down. Each client has its answer, and the process ends in time."""
     async with platform("r0", "w0", r0=fault_always("silent")) as p:
-        clients = [Client(p.address) for _ in range(12)]
+        clients = [RawClient(p.address) for _ in range(12)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="1.0"))
-        await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.runtime.active_requests) == 12)
+        await wait_until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.runtime.active_requests) == 12)
         with trio.fail_after(4):
             await p.gateway.drain()
         for client in clients:
--- a/tests/test_request_timeouts.py
+++ b/tests/test_request_timeouts.py
@@ -13,9 +13,9 @@
 import trio
 
 from ternlane.testing.platform import Gate
-from tests.crossing import Client, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_once, platform
-from tests.test_crossings_servers import HeldConnects, platform_settings
+from tests.race_helpers import RawClient, client_request, wait_until
+from tests.test_races_servers import DelayedConnects, platform_settings
 
 SLACK_S = 0.15  # of the time told to a server
 LATE_S = 0.4  # for which a loop stands still: longer than the slack
@@ -47,8 +47,8 @@
         **scripts.get(attempt, {}),
     ) as p:
         role = "write" if attempt in ("hand-over", "further write") else "read"
-        held = HeldConnects(monkeypatch, "")
-        client = Client(p.address)
+        held = DelayedConnects(monkeypatch, "")
+        client = RawClient(p.address)
         if attempt.startswith("further"):
             held.after(p, role)
         else:
@@ -56,9 +56,9 @@
         client.send(client_request(p))
         await held.gate.reached.wait()
         before = p.fleet.count(role)
-        client.leave(how)
+        client.disconnect(how)
         held.gate.open()  # no turn of the loop lies between the two
-        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
+        await wait_until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         await p.wait_until_idle()
         assert p.fleet.count(role) == before == (1 if attempt.startswith("further") else 0)
 
@@ -68,13 +68,13 @@
     """Its read has ended and it has left, both while the loop was busy: it hears of all at once."""
     async with platform("r0", "w0") as p:
         gate = p.servers["r0"].gates["request"] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
         gate.open()
-        client.leave(how)
+        client.disconnect(how)
         stand_still()
-        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
+        await wait_until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         await p.wait_until_idle()
         assert p.fleet.count("write") == 0
 
@@ -92,7 +92,7 @@
     """Looks at each of so many attempts as it arrives: it is told at most what is left then, and not far less. A loop
     that was late by `lag_s` expects to be so again as the time ends."""
     for count in range(1, attempts + 1):
-        await until(lambda count=count: len(p.fleet.stated_timeouts_s) >= count)
+        await wait_until(lambda count=count: len(p.fleet.stated_timeouts_s) >= count)
         left_s = sent_at + timeout_s - trio.current_time()
         assert left_s - SLACK_S - lag_s <= p.fleet.stated_timeouts_s[count - 1] <= left_s + SLACK_S, (
             count,
@@ -105,8 +105,8 @@
     """The loop is busy as a request comes. The time told to servers counts from its last byte, not from when it was
     read."""
     async with platform("r0", "w0", platform_settings=unhurried()) as p:
-        client = Client(p.address)
-        await until(lambda: p.gateway.chat_server.idle)
+        client = RawClient(p.address)
+        await wait_until(lambda: p.gateway.chat_server.idle)
         await trio.sleep(0.6)  # the decisions' looks have begun
         client.send(client_request(p, Request_Timeout="1.5"))
         sent_at = trio.current_time()
@@ -122,8 +122,8 @@
     decision."""
     lasting = {"specifics": PLATFORM_SETTINGS["specifics"] | {"release": 1000.0}}  # the state outlasts the slow connect
     async with platform("r0", "w0", platform_settings=unhurried(connect_timeout=1000.0) | lasting) as p:
-        held = HeldConnects(monkeypatch, p.servers[name].address)
-        client = Client(p.address)
+        held = DelayedConnects(monkeypatch, p.servers[name].address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="1.5"))
         sent_at = trio.current_time()
 
@@ -144,7 +144,7 @@
     async with platform("r0", "r1", "w0", platform_settings=unhurried(), r0=full, r1=full) as p:
         for name in ("r0", "r1"):
             p.servers[name].prefill_ms = 1000 * LATE_S
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="2.0"))
         await check_told(p, trio.current_time(), 2.0, attempts=3)
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -154,7 +154,7 @@
 async def test_the_time_of_a_slow_client_counts_from_its_last_byte() -> None:
     """A client writes its request in two parts. Its time counts from the last byte."""
     async with platform("r0", "w0", platform_settings=unhurried()) as p:
-        client, whole = Client(p.address), client_request(p, Request_Timeout="1.5")
+        client, whole = RawClient(p.address), client_request(p, Request_Timeout="1.5")
         client.send(whole[:40])
         await trio.sleep(LATE_S)
         client.send(whole[40:])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -18,8 +18,8 @@
 import trio
 
 from ternlane.testing.platform import DONE, EVENT, Gate
-from tests.crossing import Client, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, platform, wait_until_ready
+from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import running
 
 LONGEST_S, AFTER_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s
@@ -46,13 +46,13 @@
         self.process.send_signal(signal.SIGTERM)
         self.told_at = trio.current_time()
 
-    async def until(self, after_s: float) -> None:
+    async def wait_until(self, after_s: float) -> None:
         """Waits until so long after SIGTERM."""
         await trio.sleep_until(self.told_at + after_s)
 
     async def kill(self) -> None:
         """At the earliest time that is allowed."""
-        await self.until(LONGEST_S + AFTER_S)
+        await self.wait_until(LONGEST_S + AFTER_S)
         self.process.kill()
         await self.process.wait()
 
@@ -87,11 +87,11 @@
 async def test_a_shutdown_tells_of_every_request_that_it_ends_and_of_what_it_can_not_finish(tmp_path: Path) -> None:
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         long_streams(p)
-        streaming, refused = Client(p.address), Client(p.address)
+        streaming, refused = RawClient(p.address), RawClient(p.address)
         streaming.send(client_request(p))
         await streaming.read_until(lambda got: got.find(EVENT))
         gateway.tell()
-        await gateway.until(0.1)
+        await gateway.wait_until(0.1)
         refused.send(client_request(p, Request_Timeout="0.05"))
         assert (await refused.answer()).startswith(b"HTTP/1.1 503 ")
         await gateway.kill()
@@ -107,24 +107,24 @@
 
 async def test_the_reason_of_every_close_of_a_connection_is_counted() -> None:
     async with platform("r0", "w0") as p:
-        served, left, bad, idle = (Client(p.address) for _ in range(4))
+        served, left, bad, idle = (RawClient(p.address) for _ in range(4))
         served.send(client_request(p))
         assert (await served.answer()).startswith(b"HTTP/1.1 200 ")
         bad.send(b"nonsense\r\n\r\n")
         assert (await bad.rest()).startswith(b"HTTP/1.1 400 ")
-        left.leave("close")
+        left.disconnect("close")
         p.nursery.start_soon(p.gateway.drain)
         assert await served.rest() == await idle.rest() == b""
-        await until(lambda: not p.gateway.chat_server.connections)
+        await wait_until(lambda: not p.gateway.chat_server.connections)
         counts = p.gateway.runtime.reporter.counts
         reasons = {name: count for name, count in counts.items() if name.startswith("connection ")}
         assert reasons == {"connection DRAINING": 2, "connection REFUSED": 1, "connection CLIENT_ENDED": 1}
 
 
-def late_client(p: Platform, name: str, timeout_s: float = 9.0) -> tuple[Client, bytes]:
+def late_client(p: Platform, name: str, timeout_s: float = 9.0) -> tuple[RawClient, bytes]:
     """A client that has written all but the end of its request, and that end."""
     data = client_request(p, Request_Class=name, Request_Timeout=str(timeout_s))
-    client = Client(p.address)
+    client = RawClient(p.address)
     client.send(data[:-9])
     return client, data[-9:]
 
@@ -144,7 +144,7 @@
         clients = {name: late_client(p, name) for name in CLASSES}
         await trio.sleep(0.1)  # their halves are read before the signal
         gateway.tell()
-        await gateway.until(LATE_S)
+        await gateway.wait_until(LATE_S)
         for client, rest in clients.values():
             client.send(rest)
         await gateway.kill()
@@ -170,10 +170,10 @@
         platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
         serving(p, tmp_path) as gateway,
     ):
-        clients = {name: Client(p.address) for name in CLASSES}
+        clients = {name: RawClient(p.address) for name in CLASSES}
         for name, client in clients.items():
             client.send(client_request(p, Request_Class=name, Request_Timeout="9"))
-        await until(lambda: p.fleet.count("write") == len(CLASSES))
+        await wait_until(lambda: p.fleet.count("write") == len(CLASSES))
         gateway.tell()
         await gateway.kill()
         answers = {name: await client.rest() for name, client in clients.items()}
@@ -187,7 +187,7 @@
     """Nothing is gained by cutting it sooner: the kill may come later than at its earliest."""
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         p.servers["w0"].events, p.servers["w0"].event_ms = 110, 30.0
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await client.read_until(lambda got: got.find(EVENT))
         gateway.tell()
@@ -199,7 +199,7 @@
     """A slow client has time for its head and again for its body, together more than a gateway that ends. It stops
     within its request, or its last byte comes just before the kill."""
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
-        clients = [Client(p.address) for _ in CLASSES]
+        clients = [RawClient(p.address) for _ in CLASSES]
         for client in clients:
             client.send(client_request(p))
             assert whole(await client.answer())
@@ -209,10 +209,10 @@
             client.send(data[:40])
         await trio.sleep(0.1)
         gateway.tell()
-        await gateway.until(2.3)
+        await gateway.wait_until(2.3)
         for client, data in zip(clients, halves, strict=False):
             client.send(data[40:-9])
-        await gateway.until(LONGEST_S + AFTER_S - 0.1)
+        await gateway.wait_until(LONGEST_S + AFTER_S - 0.1)
         with suppress(OSError):
             clients[0].send(halves[0][-9:])
         await gateway.kill()
@@ -226,11 +226,11 @@
         p.discovery.silent = True
         async with running(p, tmp_path, settings=SETTINGS) as (process, log):
             gateway = Stopping(p, process, log)
-            clients: list[Client] = []
+            clients: list[RawClient] = []
             with trio.fail_after(5):
                 while not clients:
                     try:
-                        clients = [Client(p.address) for _ in CLASSES]
+                        clients = [RawClient(p.address) for _ in CLASSES]
                     except ConnectionRefusedError:
                         await trio.sleep(0.01)
             for name, client in zip(CLASSES, clients, strict=False):
@@ -251,12 +251,12 @@
         await trio.sleep(0.1)
         gateway.process.send_signal(signal.SIGSTOP)
         gateway.tell()
-        await gateway.until(0.15)
+        await gateway.wait_until(0.15)
         gateway.process.send_signal(signal.SIGCONT)
         for nth, (client, rest) in enumerate(clients):
-            await gateway.until(0.55 + 0.05 * nth)
+            await gateway.wait_until(0.55 + 0.05 * nth)
             client.send(rest)
-        await gateway.until(LONGEST_S + AFTER_S - 0.45)
+        await gateway.wait_until(LONGEST_S + AFTER_S - 0.45)
         gateway.process.send_signal(signal.SIGSTOP)
         await trio.sleep(0.15)
         gateway.process.send_signal(signal.SIGCONT)
@@ -274,7 +274,7 @@
         replies: dict[str, bytes] = {}
 
         async def ask_again() -> None:
-            client = Client(p.address)
+            client = RawClient(p.address)
             client.send(client_request(p))
             assert whole(await client.answer())
             again = client_request(p, Request_Timeout="9")
@@ -286,10 +286,10 @@
         async with trio.open_nursery() as nursery:
             for nth in range(CROWD):
                 nursery.start_soon(ask_again)
-                await until(lambda nth=nth: p.fleet.open["w0"] == nth + 1)
+                await wait_until(lambda nth=nth: p.fleet.open["w0"] == nth + 1)
             p.servers["w0"].script = fault_always("silent")
             gateway.tell()
-            await gateway.until(LATE_S)
+            await gateway.wait_until(LATE_S)
             gate.open()  # all streams end at once, and a loop with much to do reads on before it closes
             await gateway.kill()
         assert len(replies) == CROWD
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -13,9 +13,9 @@
 from ternlane.policy.shutdown import STALL_MS, ShutdownSchedule, shutdown_times
 from ternlane.testing.platform import Gate
 from tests.conftest import FakeHost, action_types, make_host, started_attempt
-from tests.crossing import Client, client_request, until
 from tests.platform_gateway import PLATFORM_SETTINGS, fault_always, platform
-from tests.test_final_answers import make_faulty
+from tests.race_helpers import RawClient, client_request, wait_until
+from tests.test_final_answers import replace_decisions
 
 TIMES = ShutdownTimes(admits_ms=500.0, answers_ms=3000.0, ends_ms=3700.0)
 
@@ -134,10 +134,10 @@
 async def test_a_gateway_whose_decisions_forget_a_request_answers_it_before_it_may_be_killed() -> None:
     """The decisions fail in the shutdown; the request's own time would outlast the process."""
     async with platform("r0", "w0", w0=fault_always("silent")) as p:
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Class="note", Request_Timeout="1.5"))
-        await until(lambda: p.fleet.count("write"))
-        make_faulty(p, lambda events: [])
+        await wait_until(lambda: p.fleet.count("write"))
+        replace_decisions(p, lambda events: [])
         active_request = next(iter(p.gateway.runtime.active_requests.values()))
         active_request.request.client_timeout_ms = 60e3
         since = trio.current_time()
@@ -155,9 +155,9 @@
     async with platform("r0", "w0", platform_settings=platform_settings, w0=fault_always("gone_410")) as p:
         for server in p.servers.values():
             server.lease_call_fault = "silent"
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="9"))
-        await until(
+        await wait_until(
             lambda: any(active_request.attempts == 3 for active_request in p.gateway.runtime.active_requests.values())
         )
         p.nursery.start_soon(p.gateway.drain)
@@ -168,7 +168,7 @@
 async def test_an_answer_that_begins_after_the_signal_says_that_its_connection_ends() -> None:
     """Also where its request came before: its client asks elsewhere next."""
     async with platform("r0", "w0") as p:
-        client = Client(p.address)
+        client = RawClient(p.address)
         gate = p.servers["w0"].gates["request"] = Gate()
         client.send(client_request(p))
         await gate.reached.wait()
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -21,8 +21,8 @@
 from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import Effect, Role
 from ternlane.testing.platform import Gate
-from tests.crossing import Client, client_request, until
 from tests.platform_gateway import Platform, fault_always, platform
+from tests.race_helpers import RawClient, client_request, wait_until
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 NAMES = ["porto-atlante", "vigne-alte"]
@@ -176,7 +176,7 @@
     told = settings("porto-atlante") | {"kinds": ["reader", "writer"]}
     profiles = [told["profiles"][0] | {"name": name}]
     async with platform("r0", "w0", platform_settings=told | {"profiles": profiles}) as p:
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
@@ -191,7 +191,7 @@
         name = first["profiles"][0]["name"]
         assert (await p.ask(Request_Class=name)).status == 200
         gate = p.servers["w0"].gates["request"] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Class=name))
         await gate.reached.wait()
         mine = set(runtime.deployment.request_classes.values())
@@ -210,7 +210,7 @@
         assert (await p.ask(Request_Class=other["profiles"][0]["name"])).status == 200
         await switch(p, first)
         assert (await p.ask(Request_Class=name)).status == 200
-        await until(lambda: not runtime.active_requests)
+        await wait_until(lambda: not runtime.active_requests)
         kept = set(runtime.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
         assert {request_class for request_class in scheduler.rules.latency.mean_prompt_tokens} <= kept
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,9 +15,9 @@
 from ternlane.http1 import connection_pool as connection_pool_module
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process_usage
-from tests.crossing import Client, client_request, until
 from tests.gateway_cluster import gateway_cluster
 from tests.platform_gateway import Platform, platform, wait_until_ready
+from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import running
 
 ACCEPT_ERRORS = [
@@ -67,7 +67,7 @@
             with pytest.MonkeyPatch.context() as patch:
                 failing = FailingAccept(patch, p.address, [number] * 3)
                 assert await served(p) == 200  # by the call of accept that waits already
-                await until(lambda failing=failing: not failing.numbers)
+                await wait_until(lambda failing=failing: not failing.numbers)
                 assert await served(p) == 200, errno.errorcode[number]
         await p.wait_until_idle()
 
@@ -79,7 +79,7 @@
     async with platform("r0", "w0") as p:
         p.gateway.accept_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         failing = FailingAccept(monkeypatch, p.address, [number])
         await p.gateway.acceptor.accept_queued(p.gateway.listener, p.nursery, 300.0)
