--- a/ternlane/http1/server_limits.py
+++ b/ternlane/http1/connection_limits.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLimits:
+class ConnectionLimits:
     """What one client's connection may send (bytes) and how long it may take (ms)."""
 
     body_bytes: int
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -16,10 +16,10 @@
 import trio
 
 from ternlane.http1.close_reason import CloseReason
+from ternlane.http1.connection_limits import ConnectionLimits
 from ternlane.http1.errors import BadRequest
 from ternlane.http1.exchange import EARLY_BYTES, RECEIVE_BYTES, Exchange
 from ternlane.http1.nonblocking import is_readable, receive_now
-from ternlane.http1.server_limits import ServerLimits
 
 # For which what still comes is read off before a connection is closed: longer than any way and back. A close over
 # unread bytes resets the connection, and could take the answer with it.
@@ -56,7 +56,7 @@
         self,
         stream: trio.SocketStream,
         handler: Handler,
-        limits: ServerLimits,
+        limits: ConnectionLimits,
         *,
         error_body: Refuser = plain_refusal,
         draining: Callable[[], bool] = lambda: False,
@@ -305,7 +305,7 @@
     allow_pipelining: bool = False,
 ) -> None:
     """Serves one connection until either side ends it. Never raises for what the client does."""
-    limits = ServerLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
+    limits = ConnectionLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
     await ServerConnection(
         stream, handler, limits, error_body=error_body, draining=draining, allow_pipelining=allow_pipelining
     ).serve()
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -9,7 +9,7 @@
 import trio
 
 from ternlane.event_loop import Failed, Rejected, now_ms
-from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
+from ternlane.http1 import BadRequest, CloseReason, ConnectionLimits, Exchange, ServerConnection
 from ternlane.platform.active_request import ActiveRequest, Streamed
 from ternlane.platform.errors import InvalidRequestError
 from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, ParsedRequest, parse_request
@@ -49,7 +49,7 @@
         self.ready = False
         self.draining = False
         self.reading_stopped = False
-        self.limits = ServerLimits(
+        self.limits = ConnectionLimits(
             BODY_BYTES,
             head_ms=REQUEST_TIMEOUT_MS,
             body_ms=REQUEST_TIMEOUT_MS,
--- a/ternlane/rules/effects.py
+++ b/ternlane/rules/effects.py
@@ -12,7 +12,7 @@
 
 from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import CLOCK_TOLERANCE_MS, RequestClassLimits, RuleLimits
-from ternlane.rules.run_log import Attempt, RunLog
+from ternlane.rules.run_log import LoggedAttempt, RunLog
 
 RULE = 2
 
@@ -43,11 +43,11 @@
 def _judge_request(
     ask: LogLine,
     request_class: RequestClassLimits,
-    attempts: list[Attempt],
+    attempts: list[LoggedAttempt],
     servers: dict[str, LogLine],
     final: LogLine | None,
 ) -> Iterator[Violation]:
-    may_have_run: Attempt | None = None
+    may_have_run: LoggedAttempt | None = None
     for attempt in attempts:
         if may_have_run is not None:
             why = _forbidden_repeat(ask["effect"], request_class, may_have_run, attempt, servers)
@@ -64,7 +64,11 @@
 
 
 def _forbidden_repeat(
-    effect: str, request_class: RequestClassLimits, earlier: Attempt, attempt: Attempt, servers: dict[str, LogLine]
+    effect: str,
+    request_class: RequestClassLimits,
+    earlier: LoggedAttempt,
+    attempt: LoggedAttempt,
+    servers: dict[str, LogLine],
 ) -> str:
     """Why this attempt was not allowed after one that may have run; empty where it was."""
     if effect == "side-effecting":
--- a/ternlane/rules/run_log.py
+++ b/ternlane/rules/run_log.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Attempt:
+class LoggedAttempt:
     """One attempt as the server saw it."""
 
     request: str
@@ -69,17 +69,19 @@
         """The lines of one kind, by request."""
         return self._grouped(kind, "gen")
 
-    def _pair_attempts(self) -> defaultdict[str, list[Attempt]]:
+    def _pair_attempts(self) -> defaultdict[str, list[LoggedAttempt]]:
         ends: dict[tuple[str, str, int], LogLine] = {}
         for line in self.by_kind["leg_end"]:
             ends[line["id"], line["gen"], line["n"]] = line
-        attempts: defaultdict[str, list[Attempt]] = defaultdict(list)
+        attempts: defaultdict[str, list[LoggedAttempt]] = defaultdict(list)
         for line in self.by_kind["leg"]:
             end = ends.get((line["id"], line["gen"], line["n"]))
             if end is None:
                 end = {"t": self.next_stop_ms(line["id"], line["t"]), "how": "unfinished"}
             attempts[line["gen"]].append(
-                Attempt(line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"])
+                LoggedAttempt(
+                    line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"]
+                )
             )
         for of_request in attempts.values():
             of_request.sort(key=lambda attempt: attempt.begin_ms)
--- a/ternlane/rules/slow_start.py
+++ b/ternlane/rules/slow_start.py
@@ -11,7 +11,7 @@
 
 from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import RuleLimits
-from ternlane.rules.run_log import Attempt, RunLog
+from ternlane.rules.run_log import LoggedAttempt, RunLog
 
 RULE = 4
 
@@ -51,7 +51,7 @@
     return state is not None and state[0] == "up" and state[1] > 0
 
 
-def _attempts_within(run: RunLog, server: str, begin_ms: float, end_ms: float) -> list[Attempt]:
+def _attempts_within(run: RunLog, server: str, begin_ms: float, end_ms: float) -> list[LoggedAttempt]:
     return [
         attempt
         for attempts in run.attempts.values()
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -12,7 +12,7 @@
 import trio
 import trio.testing
 
-from ternlane.http1 import Exchange, ServerConnection, ServerLimits
+from ternlane.http1 import ConnectionLimits, Exchange, ServerConnection
 from ternlane.http1 import exchange as exchange_module
 from ternlane.platform import acceptor as acceptor_module
 from ternlane.platform.settings import ProcessLimits
@@ -20,7 +20,7 @@
 from tests.platform_gateway import BODY, HEAD, PLATFORM_SETTINGS, platform
 from tests.race_helpers import LateBytes, RawClient, Wrapped, arrived, client_request, pair, server_side, wait_until
 
-LIMITS = ServerLimits(2**18, head_ms=3000, body_ms=3000, idle_ms=50, send_ms=3000)
+LIMITS = ConnectionLimits(2**18, head_ms=3000, body_ms=3000, idle_ms=50, send_ms=3000)
 PLAIN = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
