--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -31,7 +31,7 @@
     more: Extras | None = None  # besides the text
 
 
-Final = Rejected | Failed | Streamed
+FinalAnswer = Rejected | Failed | Streamed
 
 
 class ResponseWriter(ABC):
@@ -58,13 +58,13 @@
     key: str  # under which engines drop repeats
     join: StreamJoin  # its text, over all attempts
     repeat_key: str = ""  # Idempotency-Key with its owner; "": none
-    mark: bytes = b""  # digest of the body
-    noted: str = ""  # its name in the journal
+    body_digest: bytes = b""  # digest of the body
+    journal_id: str = ""  # its name in the journal
     hold: Any = None  # tenants.Hold, settled when the request is done
     made: list[TokenUsage] = field(default_factory=list)  # by each attempt, as far as it is known
-    final: Final | None = None
+    final: FinalAnswer | None = None
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
-    when_over: Callable[[], None] = lambda: None
+    on_finished: Callable[[], None] = lambda: None
     left: bool = False  # the client has gone
     taken: float = 0.0  # when the decisions heard of it
     begun: bool = False  # the client has a part
@@ -86,7 +86,7 @@
         return self.intake_record.request
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Has it its final answer, or has its client gone? Nothing is owed any more."""
         return self.final is not None or self.left
 
@@ -105,21 +105,21 @@
         """The text that the client has, as it came."""
         return self.join.pieces
 
-    def for_repeats(self) -> Final | None:
+    def answer_for_repeats(self) -> FinalAnswer | None:
         """What a repeat under its key hears once it has ended; None: it may run."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
-            case RepeatPolicy.NOTHING:
+            case RepeatPolicy.RUN_AGAIN:
                 return None
-            case RepeatPolicy.UNSURE:
+            case RepeatPolicy.OUTCOME_UNKNOWN:
                 return Failed("the first client left; it may have run")
         return self.final
 
-    def settle(self, final: Final) -> bool:
+    def settle(self, final: FinalAnswer) -> bool:
         """The one final answer; a second one is refused."""
-        if self.is_over:
+        if self.is_finished:
             return False
         self.final = final
         self.watch.cancel()
-        self.when_over()
+        self.on_finished()
         return True
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -10,34 +10,36 @@
 import trio
 
 from ternlane.engine import Transport
-from ternlane.gateway.active_request import ActiveRequest, Failed, Final, Streamed
+from ternlane.gateway.active_request import ActiveRequest, Failed, FinalAnswer, Streamed
 from ternlane.ledger import Disk, GroupCommitWriter, LogFormat, SegmentedLog
 from ternlane.policy.messages import Effect
 from ternlane.recovery.inflight import (
     AttemptSent,
     InFlightRequests,
-    KnownAnswer,
-    Record,
+    JournalRecord,
+    RecoveredAnswer,
+    RequestAdmitted,
     RequestEnded,
-    RequestTaken,
-    StateFreed,
-    decode_record,
+    StateReleased,
+    decode_journal_record,
 )
 
-JOURNAL: LogFormat[Record, InFlightRequests] = LogFormat("takes", b"TLTAKES1", decode_record, InFlightRequests)
+JOURNAL: LogFormat[JournalRecord, InFlightRequests] = LogFormat(
+    "takes", b"TLTAKES1", decode_journal_record, InFlightRequests
+)
 SEGMENT_BYTES = 4 << 20  # a start reads the last one: some tens of ms
-GATHER_MS = 20.0  # what nobody waits for may share a sync
+COMMIT_DELAY_MS = 20.0  # what nobody waits for may share a sync
 
 
 class JournalWriter:
-    """`until_kept` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
+    """`wait_durable` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
     has it."""
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
-        self.writer: GroupCommitWriter[Record, InFlightRequests] = GroupCommitWriter(
-            self.store, log, on_recovered=self.taken_up, what="journal", gather_ms=GATHER_MS
+        self.writer: GroupCommitWriter[JournalRecord, InFlightRequests] = GroupCommitWriter(
+            self.store, log, on_recovered=self.taken_up, entries_label="journal", commit_delay_ms=COMMIT_DELAY_MS
         )
         self.lost: InFlightRequests | None = None  # what the process before had open
         self.folder_is_ours = trio.Event()
@@ -52,35 +54,35 @@
 
     # -- what happens
 
-    def took(self, active_request: ActiveRequest) -> None:
+    def record_request(self, active_request: ActiveRequest) -> None:
         """A request was taken."""
         request_class = active_request.request.request_class
         now = time.time() * 1000
         if not active_request.repeat_key:  # nobody can ask for it again: only what it holds need be known
-            active_request.noted = ""
+            active_request.journal_id = ""
             return
-        active_request.noted = f"{self.birth}.{next(self.count)}"
+        active_request.journal_id = f"{self.birth}.{next(self.count)}"
         self.writer.add(
-            RequestTaken(
-                active_request.noted,
+            RequestAdmitted(
+                active_request.journal_id,
                 active_request.ident,
                 active_request.repeat_key,
-                active_request.mark,
+                active_request.body_digest,
                 request_class.effect.name,
                 now,
                 now + max(request_class.window_ms, request_class.deadline_ms),
             )
         )
 
-    def sends(
+    def record_attempt(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
         """Gives the number to wait for, where the attempt must not go out before it is kept."""
         if not active_request.repeat_key and not prefills:
             return None
-        active_request.noted = active_request.noted or f"{self.birth}.{next(self.count)}"
+        active_request.journal_id = active_request.journal_id or f"{self.birth}.{next(self.count)}"
         number = self.writer.add(
-            AttemptSent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
+            AttemptSent(active_request.journal_id, active_request.ident, server, address, protocol, prefills, decodes)
         )
         needed = (
             decodes
@@ -89,20 +91,20 @@
         )
         return number if needed else None
 
-    def freed(self, active_request: ActiveRequest) -> None:
+    def record_state_released(self, active_request: ActiveRequest) -> None:
         """No server holds anything for it any more."""
-        if active_request.noted:
-            self.writer.add(StateFreed(active_request.noted))
+        if active_request.journal_id:
+            self.writer.add(StateReleased(active_request.journal_id))
 
-    def ended(self, active_request: ActiveRequest, outcome: str) -> None:
+    def record_end(self, active_request: ActiveRequest, outcome: str) -> None:
         """It has its final answer, or its client has left."""
         if not active_request.repeat_key:
             return
-        kept = RequestEnded(active_request.noted, outcome)
-        match active_request.for_repeats():
+        kept = RequestEnded(active_request.journal_id, outcome)
+        match active_request.answer_for_repeats():
             case Streamed(text, finish, usage, more):
                 kept = RequestEnded(
-                    active_request.noted,
+                    active_request.journal_id,
                     outcome,
                     True,
                     text,
@@ -111,12 +113,12 @@
                     more=more or {},
                 )
             case Failed(why):
-                kept = RequestEnded(active_request.noted, "terminated", True, why=why)
+                kept = RequestEnded(active_request.journal_id, "terminated", True, why=why)
         self.writer.add(kept)
 
     # -- after a loss
 
-    async def take_up(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
+    async def take_up(self, transport: Transport, within_ms: float) -> list[RecoveredAnswer]:
         """Waits until the folder is this process's; releases what servers hold still. Gives what repeats hear."""
         await self.folder_is_ours.wait()
         lost = self.lost or InFlightRequests()
@@ -127,8 +129,8 @@
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
         for ident, it in lost.opened.items():
             if not it.ended:
-                self.writer.add(it.lost())
-            self.writer.add(StateFreed(ident))
+                self.writer.add(it.outcome_after_crash())
+            self.writer.add(StateReleased(ident))
         if lost.opened:
             self.log.warning("generations were open when the process before was lost", open=len(lost.opened))
         return answers
@@ -149,7 +151,7 @@
         self.store.close()
 
 
-def final_of(known: KnownAnswer) -> Final:
+def final_of(known: RecoveredAnswer) -> FinalAnswer:
     """The answer that a repeat of this request hears."""
     it = known.ended
     if it.outcome != "streamed":
--- a/ternlane/platform/attempt.py
+++ b/ternlane/platform/attempt.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class ModelServerAttempt:
     """An attempt that is out: the request as the client sent it, to which address, for how long."""
 
     address: str
@@ -57,8 +57,8 @@
 class ResponseWriter(Protocol):
     """Where a stream's bytes go. Both raise trio.BrokenResourceError once the client has gone."""
 
-    def first(self, data: bytes) -> Awaitable[None]:
+    def write_first_events(self, data: bytes) -> Awaitable[None]:
         """Writes the answer's head and first events."""
 
-    def more(self, data: bytes) -> Awaitable[None]:
+    def write_events(self, data: bytes) -> Awaitable[None]:
         """Writes further events."""
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -42,9 +42,9 @@
 
 
 def test_all_that_is_public_says_what_it_is_for() -> None:
-    from ternlane.reference import page, without_words
+    from ternlane.reference import page, undocumented_names
 
-    assert without_words() == []
+    assert undocumented_names() == []
     text = "\n".join(page())
     assert all(f"### `{name}" in text for name in ternlane.__all__[1:]) and "`.take(now: float," in text
 
@@ -281,7 +281,7 @@
                 finally:
                     trio.lowlevel.remove_instrument(counter)
             with trio.fail_after(1):
-                while routing.runtime.active_requests or routing.runtime.server_calls.releasing:
+                while routing.runtime.active_requests or routing.runtime.server_calls.releases_in_flight:
                     await trio.sleep(0.002)
             assert made["w0"].effects <= 1 and made["w0"].closed == made["w0"].effects
             assert made["w0"].effects or not made["r0"].states
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("name", NAMES)
 async def test_each_class_of_a_variant_is_served_and_no_other_ones(name: str) -> None:
     told = settings(name) | {"kinds": ["reader", "writer"]}
-    async with platform("r0", "w0", told=told) as p:
+    async with platform("r0", "w0", platform_settings=told) as p:
         for one in told["profiles"]:
             assert (await p.ask(Request_Class=one["name"])).status == 200
         for stranger in ("summary", "case-note", "chat"):
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("name, least_ms", [("porto-atlante", 3700.0), ("vigne-alte", 3700.0)])
 async def test_a_shutdown_has_the_time_that_the_variants_longest_deadline_leaves(name: str, least_ms: float) -> None:
     """Counted as 3 s where it is longer, by the page; shorter ones leave less."""
-    async with platform("r0", "w0", told=settings(name)) as p:
+    async with platform("r0", "w0", platform_settings=settings(name)) as p:
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         p.gateway.begin_drain()
         assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
@@ -186,7 +186,7 @@
 async def test_one_customers_classes_budgets_and_learnt_times_do_not_show_under_anothers() -> None:
     """A gateway that is given another customer's settings, with a request of the first one open, and its own again."""
     first, other = ({**settings(name), "kinds": ["reader", "writer"]} for name in NAMES)
-    async with platform("r0", "w0", told=first) as p:
+    async with platform("r0", "w0", platform_settings=first) as p:
         runtime, scheduler = p.gateway.runtime, p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         name = first["profiles"][0]["name"]
         assert (await p.ask(Request_Class=name)).status == 200
