--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("name", NAMES)
 async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
     told, raw = settings(name), site(name)
-    async with platform("r0", "w0", told=told, limits=ProcessLimits(sockets=500, memory_mb=100)) as p:
+    async with platform("r0", "w0", platform_settings=told, limits=ProcessLimits(sockets=500, memory_mb=100)) as p:
         router_config, pool, chat_server = (
             p.gateway.runtime.deployment.router_config,
             p.gateway.pool,
@@ -130,7 +130,7 @@
 async def test_a_request_without_a_time_of_its_own_has_its_classes_and_one_effect_at_most(name: str) -> None:
     told = settings(name) | {"kinds": ["reader", "writer"]}
     unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
-    async with platform("r0", "w0", told=told, w0=fault_always("opening_cut")) as p:
+    async with platform("r0", "w0", platform_settings=told, w0=fault_always("opening_cut")) as p:
         request_class = p.gateway.runtime.deployment.request_classes[unsafe["name"]]
         assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
@@ -175,7 +175,7 @@
 async def test_names_of_classes_outside_ascii_and_long_ones(name: str, raw: bytes) -> None:
     told = settings("porto-atlante") | {"kinds": ["reader", "writer"]}
     profiles = [told["profiles"][0] | {"name": name}]
-    async with platform("r0", "w0", told=told | {"profiles": profiles}) as p:
+    async with platform("r0", "w0", platform_settings=told | {"profiles": profiles}) as p:
         client = RawClient(p.address)
         client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
