--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One tiny fake host: a few servers, a clock, and what the router said last."""
+"""A fake host of one router, with a few servers and a clock."""
 
 from __future__ import annotations
 
@@ -26,45 +26,50 @@
 
 @dataclass
 class FakeHost:
+    """Passes events to a router and returns its actions."""
+
     router: Router
     servers: dict[str, Server]
     request_classes: dict[Effect, RequestClass]
     now: float = 0.0
-    alarm: float = inf  # when the router wants to be woken besides its tick
+    deadline_timer_at: float = inf  # when the router's deadline timer is due
 
     def take(self, *events: Any) -> list[Any]:
-        said = self.router.take(self.now, list(events))
-        asked = [a for a in said if isinstance(a, messages.StartTimer) and a.timer is TimerKind.DEADLINE]
-        self.alarm = min([self.alarm, *(a.at_ms for a in asked)])
-        return said
+        actions = self.router.take(self.now, list(events))
+        timers = [a for a in actions if isinstance(a, messages.StartTimer) and a.timer is TimerKind.DEADLINE]
+        self.deadline_timer_at = min([self.deadline_timer_at, *(a.at_ms for a in timers)])
+        return actions
 
     def deliver(self, *events: Any, after: float = 0.0) -> list[Any]:
-        """Lets time pass tick by tick, then hands over the events; answers the actions that are not timers."""
-        until, said = self.now + after, []
+        """Advances the clock by `after` and fires the timers due, then delivers the events. Returns the actions except
+        timers and logs."""
+        until, actions = self.now + after, []
         tick = self.now + 50.0
-        while min(tick, self.alarm) <= until:
-            self.now = max(self.now, min(tick, self.alarm))
-            if self.alarm <= tick:
-                self.alarm = inf
-                said += self.take(messages.TimerFired(TimerKind.DEADLINE))
+        while min(tick, self.deadline_timer_at) <= until:
+            self.now = max(self.now, min(tick, self.deadline_timer_at))
+            if self.deadline_timer_at <= tick:
+                self.deadline_timer_at = inf
+                actions += self.take(messages.TimerFired(TimerKind.DEADLINE))
             else:
                 tick += 50.0
-                said += self.take(messages.TimerFired(TimerKind.TICK))
+                actions += self.take(messages.TimerFired(TimerKind.TICK))
         self.now = until
-        said += self.take(*events)
-        return [a for a in said if not isinstance(a, (messages.StartTimer, messages.Log))]
+        actions += self.take(*events)
+        return [a for a in actions if not isinstance(a, (messages.StartTimer, messages.Log))]
 
-    def update_endpoints(self, **lives: EndpointStatus) -> list[Any]:
-        for name, status in lives.items():
+    def update_endpoints(self, **statuses: EndpointStatus) -> list[Any]:
+        for name, status in statuses.items():
             self.servers[name].status = status
         return self.deliver(messages.EndpointsUpdated(tuple(self.servers.values())))
 
-    def request(self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **own: Any) -> messages.Request:
-        router_config = (
+    def request(
+        self, effect: Effect = Effect.IDEMPOTENT, session: str | None = None, **fields: Any
+    ) -> messages.Request:
+        fields = (
             dict(prefix="o", prefix_tokens=2000.0, prompt_tokens=2400.0, max_tokens=400.0, client_timeout_ms=5000.0)
-            | own
+            | fields
         )
-        return messages.Request(self.request_classes[effect], session, **router_config)
+        return messages.Request(self.request_classes[effect], session, **fields)
 
     def arrive(self, request: messages.Request, after: float = 0.0) -> list[Any]:
         return self.deliver(messages.RequestArrived(request), after=after)
@@ -84,10 +89,10 @@
         return self.deliver(messages.FirstToken(request, server, after), after=after)
 
     def start_decode(
-        self, effect: Effect = Effect.IDEMPOTENT, **own: Any
+        self, effect: Effect = Effect.IDEMPOTENT, **fields: Any
     ) -> tuple[messages.Request, messages.StartAttempt]:
-        """A request whose state has just been sent on to a decode server, and that attempt."""
-        request = self.request(effect, **own)
+        """Returns a request after its prefill, and its decode attempt, which has just started."""
+        request = self.request(effect, **fields)
         attempt = started_attempt(self.arrive(request))
         return request, started_attempt(self.end_attempt(request, attempt.server, AttemptOutcome.PREFILLED))
 
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -1,8 +1,8 @@
-"""Seeded event streams for the decisions, and the digests of the actions that come back.
+"""Seeded event streams for the router, and digests of the resulting actions.
 
-The canonical form of an action names neither types nor fields: it holds the action's kind as a number, its fields in
-their order, objects as the number of their first appearance, members of enums as their value, and figures with twelve
-significant digits (the last bits of `exp` may differ between two machines).
+The canonical form of an action contains no names of types or fields: it consists of the action type as a number and its
+fields in order. Objects are replaced by the number of their first appearance and enum members by their value; numbers
+have twelve significant digits, as the last bits of `exp` may differ between machines.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from tests import fleet
 from tests.conftest import ROUTER_CONFIG
 
-# The kinds of actions by their number in the canonical form. The order is part of the recorded digests.
+# The number of an action type in the canonical form is its index. The recorded digests depend on the order.
 ACTION_KINDS = (
     messages.StartAttempt,
     messages.CancelAttempt,
@@ -38,7 +38,7 @@
 
 
 class Recorder:
-    """Stands where a Router does, passes everything on, and keeps a digest of all actions."""
+    """Wraps a Router and computes a digest of all its actions."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
@@ -50,17 +50,17 @@
         actions = self.router.take(now, events)
         self.hash.update(f"@{now:.12g}\n".encode())
         for action in actions:
-            self.hash.update((self.canonical(action) + "\n").encode())
+            self.hash.update((self.canonical_form(action) + "\n").encode())
         self.count += len(actions)
         return actions
 
-    def canonical(self, action: Any) -> str:
-        values = [self.value(getattr(action, field.name)) for field in fields(action)]
+    def canonical_form(self, action: Any) -> str:
+        values = [self.canonical_value(getattr(action, field.name)) for field in fields(action)]
         return " ".join([str(ACTION_KINDS.index(type(action))), *values])
 
-    def value(self, value: Any) -> str:
+    def canonical_value(self, value: Any) -> str:
         if isinstance(value, messages.TimerKind):
-            return str(value is messages.TimerKind.TICK)  # recorded as a truth value
+            return str(value is messages.TimerKind.TICK)  # the recorded digests contain a boolean
         if isinstance(value, Enum):
             return f"e{value.value}"
         if isinstance(value, (bool, str)) or value is None:
@@ -71,7 +71,7 @@
 
 
 def digest_of(recorders: list[Recorder]) -> str:
-    """One digest for the actions of several routers, and how many there were."""
+    """One digest of the actions of several routers, followed by the number of actions."""
     total = hashlib.sha256()
     for recorder in recorders:
         total.update(recorder.hash.digest())
@@ -79,7 +79,7 @@
 
 
 def simulation_digest(scenario: fleet.Scenario, *faults: fleet.Fault) -> str:
-    """The actions of all gateways of a simulated day."""
+    """The digest of the actions of all gateways in a simulation."""
     recorders: list[Recorder] = []
 
     class RecordedSimulation(fleet.FleetSimulation):
@@ -93,13 +93,13 @@
 
 @dataclass
 class Pending:
-    """An attempt that is out."""
+    """An attempt in flight."""
 
-    begun: bool = False
+    streaming: bool = False
 
 
 class RandomHost:
-    """Hands one router a seeded stream of everything that a host may tell it, and answers its actions at random."""
+    """Delivers a seeded random stream of all event types to one router, and responds to its actions at random."""
 
     def __init__(self, seed: int, **router_config: Any) -> None:
         self.rng = random.Random(seed)
@@ -109,13 +109,13 @@
         self.tenants = [Tenant(), Tenant(), None]
         self.servers = [self.server(number) for number in range(self.rng.randint(4, 14))]
         self.now = 1000.0
-        self.due: list[tuple[float, int, Callable[[], list[Any]]]] = []
-        self.order = 0
-        self.open: dict[Any, Any] = {}  # requests without a final answer
-        self.out: dict[Any, tuple[Any, Server, Pending]] = {}  # the attempt that is out for each request
-        self.tell(messages.EndpointsUpdated(tuple(self.servers)))
+        self.event_queue: list[tuple[float, int, Callable[[], list[Any]]]] = []
+        self.sequence = 0
+        self.open_requests: dict[Any, Any] = {}  # requests without a final answer
+        self.in_flight: dict[Any, tuple[Any, Server, Pending]] = {}  # the attempt in flight of each request
+        self.deliver(messages.EndpointsUpdated(tuple(self.servers)))
 
-    # -- what there is
+    # -- objects
 
     def request_class(self) -> RequestClass:
         rng = self.rng
@@ -152,59 +152,61 @@
             tenant=rng.choice(self.tenants),
         )
 
-    # -- the loop
+    # -- event loop
 
-    def after(self, ms: float, call: Callable[[], list[Any]]) -> None:
-        self.at(self.now + ms, call)
+    def schedule_after(self, ms: float, call: Callable[[], list[Any]]) -> None:
+        self.schedule_at(self.now + ms, call)
 
-    def at(self, when: float, call: Callable[[], list[Any]]) -> None:
-        self.order += 1
-        self.due.append((when, self.order, call))
+    def schedule_at(self, when: float, call: Callable[[], list[Any]]) -> None:
+        self.sequence += 1
+        self.event_queue.append((when, self.sequence, call))
 
-    def tell(self, *events: Any) -> None:
+    def deliver(self, *events: Any) -> None:
         for action in self.recorder.take(self.now, list(events)):
-            self.carry_out(action)
+            self.execute(action)
 
     def run(self, duration_s: float) -> str:
         end = self.now + duration_s * 1000
         self.arrive()
-        self.disturb()
-        while self.due:
-            entry = min(self.due, key=lambda due: due[:2])
+        self.change_environment()
+        while self.event_queue:
+            entry = min(self.event_queue, key=lambda due: due[:2])
             if entry[0] >= end:
                 break
-            self.due.remove(entry)
+            self.event_queue.remove(entry)
             self.now = max(self.now, entry[0])
             events = entry[2]()
             if events:
-                self.tell(*events)
+                self.deliver(*events)
         return digest_of([self.recorder])
 
-    # -- what the router asks for
+    # -- actions
 
-    def carry_out(self, action: Any) -> None:
+    def execute(self, action: Any) -> None:
         match action:
             case messages.StartTimer(at, timer):
-                self.at(at, lambda: [messages.TimerFired(timer)])
+                self.schedule_at(at, lambda: [messages.TimerFired(timer)])
             case messages.StartAttempt(request, server):
-                self.begin(request, server, action)
+                self.start_attempt(request, server, action)
             case messages.CancelAttempt(request):
-                self.after(self.rng.uniform(0.0, 3.0), lambda: self.end(request, AttemptOutcome.CANCELLED))
+                self.schedule_after(
+                    self.rng.uniform(0.0, 3.0), lambda: self.end_attempt(request, AttemptOutcome.CANCELLED)
+                )
             case messages.Reject(request) | messages.Fail(request):
-                self.open.pop(request, None)
+                self.open_requests.pop(request, None)
             case messages.Release(request):
                 if self.rng.random() < 0.7:
-                    self.after(self.rng.uniform(1.0, 300.0), lambda: [messages.ReleaseConfirmed(request)])
+                    self.schedule_after(self.rng.uniform(1.0, 300.0), lambda: [messages.ReleaseConfirmed(request)])
             case messages.Reserve(request):
                 held = self.rng.random() < 0.5
-                self.after(self.rng.uniform(1.0, 50.0), lambda: [messages.ReservationResult(request, held)])
+                self.schedule_after(self.rng.uniform(1.0, 50.0), lambda: [messages.ReservationResult(request, held)])
             case messages.Probe(server):
-                self.after(self.rng.uniform(1.0, 80.0), lambda: [self.checked(server)])
+                self.schedule_after(self.rng.uniform(1.0, 80.0), lambda: [self.probe_result(server)])
             case messages.WatchEndpoints():
                 if self.rng.random() < 0.3:
-                    self.after(self.rng.uniform(1.0, 500.0), lambda: [messages.EndpointListFailed()])
+                    self.schedule_after(self.rng.uniform(1.0, 500.0), lambda: [messages.EndpointListFailed()])
 
-    def checked(self, server: Server) -> Any:
+    def probe_result(self, server: Server) -> Any:
         outcome = self.rng.choice([AttemptOutcome.STREAMED, AttemptOutcome.TIMED_OUT])
         return messages.ProbeResult(server, outcome, self.report() if outcome is AttemptOutcome.STREAMED else None)
 
@@ -215,22 +217,22 @@
             self.rng.choice([None, float(self.rng.randint(0, 60))]), self.rng.choice([None, self.rng.random()])
         )
 
-    def begin(self, request: Any, server: Server, times: Any) -> None:
+    def start_attempt(self, request: Any, server: Server, times: Any) -> None:
         rng = self.rng
         pending = Pending()
-        self.out[request] = times, server, pending
-        took = rng.expovariate(1 / (150.0 + 30.0 * (server.hash_key % 5)))
-        if took >= times.timeout_ms:
-            self.after(times.timeout_ms, lambda: self.end(request, AttemptOutcome.TIMED_OUT, times))
+        self.in_flight[request] = times, server, pending
+        took_ms = rng.expovariate(1 / (150.0 + 30.0 * (server.hash_key % 5)))
+        if took_ms >= times.timeout_ms:
+            self.schedule_after(times.timeout_ms, lambda: self.end_attempt(request, AttemptOutcome.TIMED_OUT, times))
             return
         outcome = self.outcome(server)
         if outcome is AttemptOutcome.STREAMED:
-            self.after(took, lambda: self.first_token(request, server, took, times))
-            finish = took + rng.expovariate(1 / 800.0)
-            ending = AttemptOutcome.RESET if rng.random() < 0.08 else AttemptOutcome.STREAMED
-            self.after(finish, lambda: self.end(request, ending, times))
+            self.schedule_after(took_ms, lambda: self.first_token(request, server, took_ms, times))
+            finish_ms = took_ms + rng.expovariate(1 / 800.0)
+            final_outcome = AttemptOutcome.RESET if rng.random() < 0.08 else AttemptOutcome.STREAMED
+            self.schedule_after(finish_ms, lambda: self.end_attempt(request, final_outcome, times))
         else:
-            self.after(took, lambda: self.end(request, outcome, times))
+            self.schedule_after(took_ms, lambda: self.end_attempt(request, outcome, times))
 
     def outcome(self, server: Server) -> AttemptOutcome:
         fault_share = 0.6 if server.hash_key % 7 == 0 else 0.12
@@ -247,57 +249,59 @@
             )
         return AttemptOutcome.PREFILLED if server.role is Role.PREFILL else AttemptOutcome.STREAMED
 
-    def first_token(self, request: Any, server: Server, took: float, times: Any) -> list[Any]:
-        if self.out.get(request, (None,))[0] is not times:
+    def first_token(self, request: Any, server: Server, took_ms: float, times: Any) -> list[Any]:
+        if self.in_flight.get(request, (None,))[0] is not times:
             return []
-        self.out[request][2].begun = True
-        return [messages.FirstToken(request, server, took)]
+        self.in_flight[request][2].streaming = True
+        return [messages.FirstToken(request, server, took_ms)]
 
-    def end(self, request: Any, outcome: AttemptOutcome, times: Any = None) -> list[Any]:
-        entry = self.out.get(request)
+    def end_attempt(self, request: Any, outcome: AttemptOutcome, times: Any = None) -> list[Any]:
+        entry = self.in_flight.get(request)
         if entry is None or (times is not None and entry[0] is not times):
             return []
-        if outcome is AttemptOutcome.CANCELLED and entry[2].begun:
+        if outcome is AttemptOutcome.CANCELLED and entry[2].streaming:
             return []
-        del self.out[request]
-        gone = request not in self.open
-        over = outcome is AttemptOutcome.STREAMED or gone
-        broken = entry[2].begun and not over
+        del self.in_flight[request]
+        is_over = request not in self.open_requests
+        over = outcome is AttemptOutcome.STREAMED or is_over
+        broken = entry[2].streaming and not over
         if over:
-            self.open.pop(request, None)
-        kept = request.prompt_tokens * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
-        lost = entry[1].role is not Role.PREFILL and outcome is AttemptOutcome.ERROR and self.rng.random() < 0.5
-        took = self.rng.uniform(1.0, 900.0)
-        ended = messages.AttemptEnded(request, entry[1], outcome, took, over, kept, lost, self.report(), broken)
+            self.open_requests.pop(request, None)
+        cached_tokens = request.prompt_tokens * self.rng.random() if outcome is AttemptOutcome.PREFILLED else 0.0
+        state_lost = entry[1].role is not Role.PREFILL and outcome is AttemptOutcome.ERROR and self.rng.random() < 0.5
+        took_ms = self.rng.uniform(1.0, 900.0)
+        ended = messages.AttemptEnded(
+            request, entry[1], outcome, took_ms, over, cached_tokens, state_lost, self.report(), broken
+        )
         if broken:
-            self.after(self.rng.uniform(5.0, 200.0), lambda: self.go_on(request))
+            self.schedule_after(self.rng.uniform(5.0, 200.0), lambda: self.resume_stream(request))
         return [ended]
 
-    def go_on(self, request: Any) -> list[Any]:
-        if request not in self.open:
+    def resume_stream(self, request: Any) -> list[Any]:
+        if request not in self.open_requests:
             return []
         request.prompt_tokens += self.rng.uniform(1.0, 100.0)
         return [messages.ResumeStream(request)]
 
-    # -- what happens by itself
+    # -- spontaneous events
 
     def arrive(self) -> list[Any]:
-        self.after(self.rng.expovariate(1 / 25.0), self.arrive)
+        self.schedule_after(self.rng.expovariate(1 / 25.0), self.arrive)
         request = self.request()
-        self.open[request] = None
+        self.open_requests[request] = None
         if self.rng.random() < 0.08:
-            self.after(self.rng.uniform(0.0, 900.0), lambda: self.leave(request))
+            self.schedule_after(self.rng.uniform(0.0, 900.0), lambda: self.disconnect(request))
         return [messages.RequestArrived(request)]
 
-    def leave(self, request: Any) -> list[Any]:
-        if request not in self.open or (request in self.out and self.out[request][2].begun):
+    def disconnect(self, request: Any) -> list[Any]:
+        if request not in self.open_requests or (request in self.in_flight and self.in_flight[request][2].streaming):
             return []
-        del self.open[request]
+        del self.open_requests[request]
         return [messages.ClientDisconnected(request)]
 
-    def disturb(self) -> list[Any]:
-        """A change of the list, or of the settings."""
-        self.after(self.rng.expovariate(1 / 400.0), self.disturb)
+    def change_environment(self) -> list[Any]:
+        """A change of the endpoint list or the configuration."""
+        self.schedule_after(self.rng.expovariate(1 / 400.0), self.change_environment)
         draw = self.rng.random()
         if draw < 0.08:
             return self.reload()
@@ -323,8 +327,8 @@
         return [messages.EndpointsUpdated((old, new))]
 
     def reload(self) -> list[Any]:
-        kept = self.rng.sample(self.request_classes, 3)
-        self.request_classes = (*kept, self.request_class())
+        kept_classes = self.rng.sample(self.request_classes, 3)
+        self.request_classes = (*kept_classes, self.request_class())
         self.router_config = replace(
             self.router_config,
             request_classes=self.request_classes,
@@ -335,16 +339,16 @@
         return [messages.ConfigChanged(self.router_config)]
 
 
-def shut_down_at(host: RandomHost, ms: float, grace_ms: float) -> None:
-    """Tells the router at that time that its gateway ends; twice, as two signals may come."""
+def schedule_shutdown(host: RandomHost, ms: float, grace_ms: float) -> None:
+    """Schedules a shutdown that is reported twice, as a process may get two signals."""
     times = messages.ShutdownTimes(grace_ms, grace_ms + 1500.0, grace_ms + 2500.0)
-    host.after(ms, lambda: [messages.ShutdownStarted(times)])
-    host.after(ms + 100.0, lambda: [messages.ShutdownStarted(replace(times, ends_ms=inf))])
+    host.schedule_after(ms, lambda: [messages.ShutdownStarted(times)])
+    host.schedule_after(ms + 100.0, lambda: [messages.ShutdownStarted(replace(times, ends_ms=inf))])
 
 
 def stream_digest(seed: int, shutdown_ms: float | None = None, **router_config: Any) -> str:
-    """The actions on a random stream of events."""
+    """The digest of the actions on a random stream of events."""
     host = RandomHost(seed, **router_config)
     if shutdown_ms is not None:
-        shut_down_at(host, shutdown_ms, grace_ms=300.0)
+        schedule_shutdown(host, shutdown_ms, grace_ms=300.0)
     return host.run(duration_s=20.0)
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -1,7 +1,7 @@
-"""The decisions are the same as recorded, action by action, on seeded event streams.
+"""The router's actions on seeded event streams match recorded digests.
 
-A change that is meant to leave the decisions as they are (a new name, another cut of the modules) must give the same
-digests. A change of a decision gives others, and says so in its commit: `TERNLANE_WRITE_PINS=1` records them anew.
+Changes that are not meant to affect decisions, such as renames, must leave the digests unchanged. If a change does
+affect decisions, its commit says so, and `TERNLANE_WRITE_PINS=1` records new digests.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 RECORDED = Path(__file__).parent / "data" / "decision_digests.json"
 SMALL = fleet.Scenario(gateways=16, prefill_servers=12, decode_servers=8, duration_s=8.0, tenants=3, zones=2)
 
-DAYS: dict[str, Callable[[], str]] = {
+SIMULATIONS: dict[str, Callable[[], str]] = {
     "quiet day": lambda: simulation_digest(SMALL),
     "reports on request, clients that leave": lambda: simulation_digest(
         fleet.Scenario(16, 10, 8, duration_s=8.0, seed=2, reports_on_probe=True, abandon_share=0.1)
@@ -64,25 +64,25 @@
     return [f"stream {seed}: {variant}" for variant in VARIANTS for seed in STREAM_SEEDS]
 
 
-def played(name: str) -> str:
-    if name in DAYS:
-        return DAYS[name]()
+def digest_for(name: str) -> str:
+    if name in SIMULATIONS:
+        return SIMULATIONS[name]()
     seed, variant = name.removeprefix("stream ").split(": ", 1)
     return stream_digest(100 * list(VARIANTS).index(variant) + int(seed), **VARIANTS[variant])
 
 
-def recorded() -> dict[str, str]:
+def recorded_digests() -> dict[str, str]:
     return json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
 
 
-@pytest.mark.parametrize("name", [*DAYS, *stream_names()])
-def test_actions_are_as_recorded(name: str) -> None:
-    digest = played(name)
+@pytest.mark.parametrize("name", [*SIMULATIONS, *stream_names()])
+def test_actions_match_the_recorded_digests(name: str) -> None:
+    digest = digest_for(name)
     if os.environ.get("TERNLANE_WRITE_PINS") == "1":
         RECORDED.parent.mkdir(exist_ok=True)
-        RECORDED.write_text(json.dumps(recorded() | {name: digest}, indent=1) + "\n")
-    assert recorded()[name] == digest
+        RECORDED.write_text(json.dumps(recorded_digests() | {name: digest}, indent=1) + "\n")
+    assert recorded_digests()[name] == digest
 
 
-def test_every_recorded_stream_is_played() -> None:
-    assert recorded().keys() == {*DAYS, *stream_names()}
+def test_every_recorded_digest_is_checked() -> None:
+    assert recorded_digests().keys() == {*SIMULATIONS, *stream_names()}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,6 +1,6 @@
-"""What may fail is what KNOWN-RED.txt names, and nothing else.
+"""Only tests that are listed in KNOWN-RED.txt may fail.
 
-A list of tests that may fail must not grow unseen, nor let a test pass that was renamed or never had a cause.
+The list must not grow unnoticed, and must not contain tests that were renamed or whose cause is missing.
 """
 
 from __future__ import annotations
@@ -39,42 +39,44 @@
     return f"{test} | {command} | {seen} | 25\n"
 
 
-def test_just_the_listed_may_fail_and_are_printed(tmp_path: Path) -> None:
+def test_only_listed_tests_may_fail_and_are_printed(tmp_path: Path) -> None:
     line = entry("test_it.py::test_red")
-    code, said = run(tmp_path, line)
+    code, output = run(tmp_path, line)
     printed = "KNOWN RED: test_it.py::test_red: the clock steps (issue 25; pytest test_it.py, seed 7)"
-    assert code == 0 and printed in said
+    assert code == 0 and printed in output
     assert run(tmp_path, line, other=False)[0] == 1
-    assert run(tmp_path, entry("test_it.py::test_other"))[0] == 1  # the red one is not listed
+    assert run(tmp_path, entry("test_it.py::test_other"))[0] == 1  # the failing one is not listed
     assert run(tmp_path, "")[0] == 1
 
 
 @pytest.mark.parametrize(
     "red, why",
     [
-        (entry("test_it.py::test_gone"), "there is no test"),
-        (entry("test_gone.py::test_red"), "there is no test"),
-        ("test_it.py::test_red\n", "a line is"),
-        ("test_it.py::test_red | the clock steps | 25\n", "a line is"),  # three parts, as entries had before
-        (entry("test_it.py::test_red").rstrip("\n") + " | more\n", "a line is"),
-        (entry("test_it.py"), "a line is"),
-        (entry(""), "a line is"),
-        (entry("test_it.py::test_red", command=""), "a line is"),
-        (entry("test_it.py::test_red", seen=""), "a line is"),
-        ("test_it.py::test_red | pytest test_it.py | the clock steps |\n", "a line is"),
-        ("".join(entry(f"test_it.py::test_{name}") for name in ("red", "green", "other", "more")), "the most"),
-        (entry("test_it.py::test_red") * 2, "the most"),
+        (entry("test_it.py::test_gone"), "no such test"),
+        (entry("test_gone.py::test_red"), "no such test"),
+        ("test_it.py::test_red\n", "expected `test | command"),
+        # Three parts, as in an earlier format.
+        ("test_it.py::test_red | the clock steps | 25\n", "expected `test | command"),
+        (entry("test_it.py::test_red").rstrip("\n") + " | more\n", "expected `test | command"),
+        (entry("test_it.py"), "expected `test | command"),
+        (entry(""), "expected `test | command"),
+        (entry("test_it.py::test_red", command=""), "expected `test | command"),
+        (entry("test_it.py::test_red", seen=""), "expected `test | command"),
+        ("test_it.py::test_red | pytest test_it.py | the clock steps |\n", "expected `test | command"),
+        ("".join(entry(f"test_it.py::test_{name}") for name in ("red", "green", "other", "more")), "at most"),
+        (entry("test_it.py::test_red") * 2, "at most"),
     ],
 )
-def test_a_list_that_can_not_be_right_fails_the_run(tmp_path: Path, red: str, why: str) -> None:
-    code, said = run(tmp_path, red)
-    assert code not in (0, 1) and why in said
+def test_invalid_list_fails_the_run(tmp_path: Path, red: str, why: str) -> None:
+    code, output = run(tmp_path, red)
+    assert code not in (0, 1) and why in output
 
 
-def test_an_entrys_own_command_runs_where_another_test_of_its_file_is_listed_too(tmp_path: Path) -> None:
-    """Two tests of one file were listed, and the command of each ended with "there is no test" for the other."""
+def test_command_of_an_entry_runs_if_another_test_of_its_file_is_listed(tmp_path: Path) -> None:
+    """Two tests of one file are listed. The command of one entry collects only its own test, and must not report the
+    other one as missing."""
     both = entry("test_it.py::test_red") + entry("test_it.py::test_other")
     assert run(tmp_path, both, "test_it.py::test_red")[0] == 0
     assert run(tmp_path, both, "test_it.py::test_green")[0] == 0
-    code, said = run(tmp_path, both + entry("test_gone.py::test_red"), "test_it.py::test_red")
-    assert code not in (0, 1) and "there is no test" in said
+    code, output = run(tmp_path, both + entry("test_gone.py::test_red"), "test_it.py::test_red")
+    assert code not in (0, 1) and "no such test" in output
