--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -1,4 +1,4 @@
-"""The phases of a request: every move that the table lists, and no other."""
+"""The phases of a request: all transitions in the table are possible, and no others."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("before, after", list(product(RequestPhase, RequestPhase)))
-def test_only_listed_moves_are_made(host: FakeHost, before: RequestPhase, after: RequestPhase) -> None:
+def test_only_listed_transitions_are_possible(host: FakeHost, before: RequestPhase, after: RequestPhase) -> None:
     state = state_in(host, before)
     if after in TRANSITIONS[before]:
         state.move_to(after)
@@ -38,7 +38,7 @@
     assert state.phase is before
 
 
-def test_every_phase_leads_to_the_end_and_nothing_leads_out_of_it() -> None:
+def test_every_phase_leads_to_the_final_one() -> None:
     assert TRANSITIONS.keys() == set(RequestPhase) and not TRANSITIONS[RequestPhase.DONE]
     reaching = {RequestPhase.DONE}
     for _ in RequestPhase:
@@ -46,49 +46,49 @@
     assert reaching == set(RequestPhase)
 
 
-def test_a_served_request_goes_through_prefill_handover_and_decode(host: FakeHost) -> None:
+def test_served_request_passes_through_prefill_and_decode(host: FakeHost) -> None:
     request = host.request()
     prefill = started_attempt(host.arrive(request))
     state = state_of(request)
-    seen = [state.phase]
+    phases = [state.phase]
     decode = started_attempt(host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED))
-    seen.append(state.phase)
+    phases.append(state.phase)
     host.first_token(request, decode.server)
     host.end_attempt(request, decode.server, AttemptOutcome.STREAMED, over=True)
-    assert [*seen, state.phase] == [RequestPhase.PREFILLING, RequestPhase.DECODING, RequestPhase.DONE]
+    assert [*phases, state.phase] == [RequestPhase.PREFILLING, RequestPhase.DECODING, RequestPhase.DONE]
 
 
-def test_a_client_that_leaves_during_a_prefill_leaves_a_request_that_releases(host: FakeHost) -> None:
-    """The client is gone while a prefill is out. The request is over for it, but the prefill may yet leave a state at
-    its server, which has to be released when the attempt has ended."""
+def test_client_disconnect_during_a_prefill_leaves_the_request_releasing(host: FakeHost) -> None:
+    """A client disconnects during a prefill. The request is over for it, but the prefill may still leave a state at its
+    server, which has to be released when the attempt has ended."""
     request = host.request()
     prefill = started_attempt(host.arrive(request))
     host.deliver(messages.ClientDisconnected(request))
     state = state_of(request)
     assert state.is_finished and state.phase is RequestPhase.RELEASING
-    said = host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
-    assert messages.Release in [type(action) for action in said]
+    actions = host.end_attempt(request, prefill.server, AttemptOutcome.PREFILLED, over=True)
+    assert messages.Release in [type(action) for action in actions]
     assert state.phase is RequestPhase.DONE
 
 
-def test_a_failed_prefill_without_another_server_ends_its_request(host: FakeHost) -> None:
-    """The other prefill server drains while the only prefill fails: nobody is left to serve the request."""
+def test_failed_prefill_without_another_server_ends_the_request(host: FakeHost) -> None:
+    """The prefill fails while the other prefill server is draining, so no server is left for the request."""
     request = host.request(client_timeout_ms=60e3)
     prefill = started_attempt(host.arrive(request))
     other = "r1" if prefill.server is host.servers["r0"] else "r0"
     host.update_endpoints(**{other: messages.EndpointStatus.DRAINING})
-    said = host.end_attempt(request, prefill.server, AttemptOutcome.CONNECT_FAILED)
-    assert messages.Reject in [type(action) for action in said]
+    actions = host.end_attempt(request, prefill.server, AttemptOutcome.CONNECT_FAILED)
+    assert messages.Reject in [type(action) for action in actions]
     assert state_of(request).phase is RequestPhase.DONE
 
 
-def test_an_effect_that_may_have_happened_ends_its_request(host: FakeHost) -> None:
+def test_possible_side_effect_ends_the_request(host: FakeHost) -> None:
     request, decode = host.start_decode(Effect.SIDE_EFFECTING)
-    said = host.end_attempt(request, decode.server, AttemptOutcome.RESET)
-    assert messages.Fail in [type(action) for action in said]
+    actions = host.end_attempt(request, decode.server, AttemptOutcome.RESET)
+    assert messages.Fail in [type(action) for action in actions]
     assert state_of(request).phase is RequestPhase.DONE
 
 
-def test_a_request_that_has_not_arrived_has_no_state(host: FakeHost) -> None:
+def test_request_that_has_not_arrived_has_no_state(host: FakeHost) -> None:
     with pytest.raises(UnknownRequestError):
         state_of(host.request())
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -1,6 +1,6 @@
-"""Other customers' deployments: what the gateway derives from their settings is theirs, and nothing is the first one's.
+"""Deployments of other customers: everything that a gateway derives comes from their own settings.
 
-The settings are made from the site files in `deploy/sites/`, by the protocol page's names.
+The settings are built from the site files in `deploy/sites/`, with the names of the protocol documentation.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 NAMES = ["porto-atlante", "vigne-alte"]
 EFFECTS = {"safe": "idempotent", "unsafe": "at_most_once", "keyed": "deduplicated"}
-HOW = {"none": "off", "answers": "inline", "probe": "on_probe"}
+REPORT_MODES = {"none": "off", "answers": "inline", "probe": "on_probe"}
 
 
 def site(name: str) -> dict[str, Any]:
@@ -35,12 +35,12 @@
 
 
 def settings(name: str) -> dict[str, Any]:
-    """The settings object that a gateway of this site is given."""
-    told = site(name)
-    tier, family, allow, rules = told["tier"][0], told["fam"], told["allow"], told["rules"]
+    """The settings object of a gateway of this site."""
+    document = site(name)
+    tier, family, allow, rules = document["tier"][0], document["fam"], document["allow"], document["rules"]
     return {
-        "discovery": told["discovery"]["mode"],
-        "locality": told["net"]["zones"][0],
+        "discovery": document["discovery"]["mode"],
+        "locality": document["net"]["zones"][0],
         "me": 0,
         "n_instances": 2,
         "invariants": {
@@ -56,36 +56,38 @@
             "conn_idle": 1000.0 * tier["conn"]["idle_s"],
             "connect_timeout": float(tier["conn"]["connect_timeout_ms"]),
             "most_tries": allow["max_attempts"],
-            "max_retry_after": told["clients"]["max_retry_after_ms"],
+            "max_retry_after": document["clients"]["max_retry_after_ms"],
             "probes": allow["probes"],
             "retry_after": allow["retry_after"],
         },
         "profiles": [
             {
-                "name": one["name"],
-                "aim": float(one["aim_ms"]),
-                "deadline": float(one["deadline_ms"]),
-                "semantics": EFFECTS[one["effect"]],
-                "worth": one["worth"],
-                "late_worth": one["late_worth"],
+                "name": profile["name"],
+                "aim": float(profile["aim_ms"]),
+                "deadline": float(profile["deadline_ms"]),
+                "semantics": EFFECTS[profile["effect"]],
+                "worth": profile["worth"],
+                "late_worth": profile["late_worth"],
             }
-            for one in told["class"]
+            for profile in document["class"]
         ],
-        "report": {"how": HOW[tier["report"]["how"]], "columns": tier["report"]["fields"]},
+        "report": {"how": REPORT_MODES[tier["report"]["how"]], "columns": tier["report"]["fields"]},
         "specifics": {
             "duty_by_kind": family["role"],
             "release": family["release_ms"],
-            "token_aim": [float(one["token_ms"]) for one in family["class"]],
-            "tokens_by_kind": [1000 * one["memory_k"][0] for one in family["engine"]],
+            "token_aim": [float(profile["token_ms"]) for profile in family["class"]],
+            "tokens_by_kind": [1000 * engine["memory_k"][0] for engine in family["engine"]],
         },
         "step": 4.0,
     }
 
 
 @pytest.mark.parametrize("name", NAMES)
-async def test_what_is_derived_comes_from_the_variants_own_settings(name: str) -> None:
-    told, raw = settings(name), site(name)
-    async with platform("r0", "w0", platform_settings=told, limits=ProcessLimits(sockets=500, memory_mb=100)) as p:
+async def test_derived_values_come_from_the_settings_of_the_site(name: str) -> None:
+    platform_settings, raw = settings(name), site(name)
+    async with platform(
+        "r0", "w0", platform_settings=platform_settings, limits=ProcessLimits(sockets=500, memory_mb=100)
+    ) as p:
         router_config, pool, chat_server = (
             p.gateway.runtime.deployment.router_config,
             p.gateway.pool,
@@ -102,7 +104,7 @@
         limits_of_requests = (chat_server.connection_limit, chat_server.request_limit)
         assert limits_of_requests == (225, 200) and chat_server.body_bytes_limit == int(20 * 2**20)
         limits = p.gateway.runtime.router.scheduler.context.limits  # type: ignore[attr-defined]
-        assert limits.min_slo_ms == min(one["aim_ms"] for one in raw["class"])
+        assert limits.min_slo_ms == min(profile["aim_ms"] for profile in raw["class"])
         assert (
             limits.first_ejection_ms == 2 * connection["connect_timeout_ms"]
             and limits.max_attempts == router_config.max_attempts
@@ -116,21 +118,21 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-async def test_each_class_of_a_variant_is_served_and_no_other_ones(name: str) -> None:
-    told = settings(name) | {"kinds": ["reader", "writer"]}
-    async with platform("r0", "w0", platform_settings=told) as p:
-        for one in told["profiles"]:
-            assert (await p.ask(Request_Class=one["name"])).status == 200
-        for stranger in ("summary", "case-note", "chat"):
-            assert (await p.ask(Request_Class=stranger)).status == 400
+async def test_only_the_classes_of_a_site_are_served(name: str) -> None:
+    platform_settings = settings(name) | {"kinds": ["reader", "writer"]}
+    async with platform("r0", "w0", platform_settings=platform_settings) as p:
+        for profile in platform_settings["profiles"]:
+            assert (await p.ask(Request_Class=profile["name"])).status == 200
+        for unknown_class in ("summary", "case-note", "chat"):
+            assert (await p.ask(Request_Class=unknown_class)).status == 400
         await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name", NAMES)
-async def test_a_request_without_a_time_of_its_own_has_its_classes_and_one_effect_at_most(name: str) -> None:
-    told = settings(name) | {"kinds": ["reader", "writer"]}
-    unsafe = next(one for one in told["profiles"] if one["semantics"] == "at_most_once")
-    async with platform("r0", "w0", platform_settings=told, w0=fault_always("opening_cut")) as p:
+async def test_request_without_a_timeout_has_the_deadline_of_its_class_and_at_most_one_effect(name: str) -> None:
+    platform_settings = settings(name) | {"kinds": ["reader", "writer"]}
+    unsafe = next(profile for profile in platform_settings["profiles"] if profile["semantics"] == "at_most_once")
+    async with platform("r0", "w0", platform_settings=platform_settings, w0=fault_always("opening_cut")) as p:
         request_class = p.gateway.runtime.deployment.request_classes[unsafe["name"]]
         assert request_class.effect is Effect.SIDE_EFFECTING and request_class.deadline_ms == unsafe["deadline"]
         reply = await p.ask(Request_Class=unsafe["name"], Request_Timeout="-")
@@ -139,14 +141,14 @@
         await p.wait_until_idle()
 
 
-@pytest.mark.parametrize("name, least_ms", [("porto-atlante", 3700.0), ("vigne-alte", 3700.0)])
-async def test_a_shutdown_has_the_time_that_the_variants_longest_deadline_leaves(name: str, least_ms: float) -> None:
-    """Counted as 3 s where it is longer, by the page; shorter ones leave less."""
+@pytest.mark.parametrize("name, expected_ms", [("porto-atlante", 3700.0), ("vigne-alte", 3700.0)])
+async def test_shutdown_time_depends_on_the_longest_deadline(name: str, expected_ms: float) -> None:
+    """By the documentation, a deadline longer than 3 s counts as 3 s. Shorter deadlines leave less time."""
     async with platform("r0", "w0", platform_settings=settings(name)) as p:
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         p.gateway.begin_drain()
-        assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(least_ms, abs=50)
-        short = [one | {"deadline": 900.0} for one in settings(name)["profiles"]]
+        assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(expected_ms, abs=50)
+        short = [profile | {"deadline": 900.0} for profile in settings(name)["profiles"]]
         p.gateway.runtime.apply_settings(Deployment(1, settings(name) | {"profiles": short}))
         p.gateway.begin_drain()
         assert scheduler.rules.shutdown.ends_at - trio.current_time() * 1000 == pytest.approx(
@@ -154,7 +156,7 @@
         )
 
 
-def test_servers_that_do_both_are_known_where_a_variant_has_them() -> None:
+def test_servers_with_both_roles_are_supported() -> None:
     deployment = Deployment(1, settings("vigne-alte"))
     assert {kind: deployment.role[kind] for kind in deployment.role} == {
         "prefill": Role.PREFILL,
@@ -172,10 +174,10 @@
         ("a" * 900, b"a" * 900),
     ],
 )
-async def test_names_of_classes_outside_ascii_and_long_ones(name: str, raw: bytes) -> None:
-    told = settings("porto-atlante") | {"kinds": ["reader", "writer"]}
-    profiles = [told["profiles"][0] | {"name": name}]
-    async with platform("r0", "w0", platform_settings=told | {"profiles": profiles}) as p:
+async def test_class_names_may_be_non_ascii_or_long(name: str, raw: bytes) -> None:
+    platform_settings = settings("porto-atlante") | {"kinds": ["reader", "writer"]}
+    profiles = [platform_settings["profiles"][0] | {"name": name}]
+    async with platform("r0", "w0", platform_settings=platform_settings | {"profiles": profiles}) as p:
         client = RawClient(p.address)
         client.send(client_request(p, Request_Class="@@").replace(b"@@", raw))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -183,8 +185,9 @@
         assert NAME_CHARS < 900
 
 
-async def test_one_customers_classes_budgets_and_learnt_times_do_not_show_under_anothers() -> None:
-    """A gateway that is given another customer's settings, with a request of the first one open, and its own again."""
+async def test_classes_and_statistics_of_one_customer_are_not_used_for_another() -> None:
+    """A gateway gets the settings of another customer while a request of the first one is open, and then its own
+    again."""
     first, other = ({**settings(name), "kinds": ["reader", "writer"]} for name in NAMES)
     async with platform("r0", "w0", platform_settings=first) as p:
         runtime, scheduler = p.gateway.runtime, p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
@@ -204,7 +207,7 @@
         )
         assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual_stage_ms}
         gate.open()
-        assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it ends as it came
+        assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it is completed under its original settings
         client.sock.close()
         assert (await p.ask(Request_Class=name)).status == 400
         assert (await p.ask(Request_Class=other["profiles"][0]["name"])).status == 200
@@ -217,18 +220,18 @@
         await p.wait_until_idle()
 
 
-async def switch(p: Platform, told: dict[str, Any]) -> None:
-    p.gateway.runtime.apply_settings(Deployment(1, told, p.gateway.runtime.deployment))
+async def switch(p: Platform, platform_settings: dict[str, Any]) -> None:
+    p.gateway.runtime.apply_settings(Deployment(1, platform_settings, p.gateway.runtime.deployment))
 
 
-# -- where constants come from
+# -- origin of constants
 
 ROOT = Path(__file__).parent.parent
 CHECKED = ["platform", "http1", "policy", "event_loop.py", "deployment.py"]
 
 
-def test_the_page_says_of_every_constant_where_it_comes_from() -> None:
-    """A figure that is nobody's is likely the first customer's."""
+def test_the_origin_of_every_constant_is_documented() -> None:
+    """A constant without a documented origin is likely specific to the first customer."""
     files = [
         f
         for name in CHECKED
@@ -241,9 +244,9 @@
         for statement in ast.parse(file.read_text()).body:
             targets = statement.targets if isinstance(statement, ast.Assign) else []
             for target in targets:
-                for one in target.elts if isinstance(target, ast.Tuple) else [target]:
-                    if isinstance(one, ast.Name) and re.fullmatch("[A-Z][A-Z_]*", one.id):
-                        names.add(one.id)
+                for node in target.elts if isinstance(target, ast.Tuple) else [target]:
+                    if isinstance(node, ast.Name) and re.fullmatch("[A-Z][A-Z_]*", node.id):
+                        names.add(node.id)
     page = (ROOT / "docs" / "platform.md").read_text().partition("## Where each constant comes from")[2]
-    said = set(re.findall("`([A-Z][A-Z_]*)`", page.partition("\n## ")[0]))
-    assert names - said == set() and said - names == set() and len(names) > 70
+    documented = set(re.findall("`([A-Z][A-Z_]*)`", page.partition("\n## ")[0]))
+    assert names - documented == set() and documented - names == set() and len(names) > 70
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,5 @@
-"""Many routers and one cold server, in virtual time: the sum of all keeps to what the settings allow, and uses it."""
+"""Slow start of servers behind many routers, in virtual time: the sum over all routers stays within the quota, and uses
+it."""
 
 from __future__ import annotations
 
@@ -20,26 +21,26 @@
 from tests.fleet.server import SEED_WORDS
 
 REQUEST_CLASS = RequestClass(Effect.IDEMPOTENT, Group.CELL, 3000.0, 2000.0, 40.0, 70.0, 10000.0, 1.0, 0.1)
-READ_MS, FIRST_MS, STREAM_MS = 120.0, 60.0, 1500.0
-WARM_MS, COLD_MS, FALL_MS, MULTIPLE, COLD_FROM = 20e3, 10e3, 3000.0, 4.0, 0.31
+PREFILL_MS, FIRST_TOKEN_MS, STREAM_MS = 120.0, 60.0, 1500.0
+WARM_UP_MS, SLOW_START_MS, OVERLOAD_WINDOW_MS, OVERLOAD_MULTIPLE, SLOW_START_SHARE = 20e3, 10e3, 3000.0, 4.0, 0.31
 
 
 class Attempt(NamedTuple):
     at: float
     server: Server
-    by: int
-    told: bool  # its router had heard of the server's start
+    router: int
+    informed: bool  # its router knew of the restart of the server
 
 
 @dataclass(eq=False)
 class Fleet:
-    """Servers that answer in fixed times, and routers that share `rate` requests a second as evenly as chance does."""
+    """Servers with fixed answer times, and routers that get `rate` requests per second, distributed at random."""
 
     routers: int
     rate: float
     peers: int = 6
     uneven: bool = False  # a few routers get most of the requests
-    turned_away: float = 0.0  # the share of the attempts that find no room, and are made again elsewhere
+    overloaded_share: float = 0.0  # of the attempts, which are rejected and retried at another server
     now: float = 1000.0
     sent: list[Attempt] = field(default_factory=list)
 
@@ -49,54 +50,54 @@
             for n in range(self.peers)
             for role in (Role.PREFILL, Role.DECODE)
         ]
-        self.order, self.due = count(), list[tuple[float, int, int, messages.Event | tuple[Server, ...]]]()
-        self.all = [self.router(n) for n in range(self.routers)]
+        self.sequence, self.event_queue = count(), list[tuple[float, int, int, messages.Event | tuple[Server, ...]]]()
+        self.router_list = [self.make_router(n) for n in range(self.routers)]
 
-    def router(self, nth: int) -> Router:
+    def make_router(self, nth: int) -> Router:
         router_config = replace(
             ROUTER_CONFIG,
             seed=nth * 7919 + 1,
             gateways=self.routers,
             request_classes=(REQUEST_CLASS,),
             idle_ms=30e3,
-            fall_multiple=MULTIPLE,
-            slow_start_share=COLD_FROM,
-            slow_start_ms=COLD_MS,
-            fall_ms=FALL_MS,
+            fall_multiple=OVERLOAD_MULTIPLE,
+            slow_start_share=SLOW_START_SHARE,
+            slow_start_ms=SLOW_START_MS,
+            fall_ms=OVERLOAD_WINDOW_MS,
         )
-        made = Router(router_config)
-        self.mine = getattr(self, "mine", {})
-        self.mine[nth] = [replace(s, router_state=None) for s in self.servers]
-        self.act(nth, made.take(self.now, [messages.EndpointsUpdated(tuple(self.mine[nth]))]))
-        return made
+        router = Router(router_config)
+        self.servers_by_router = getattr(self, "servers_by_router", {})
+        self.servers_by_router[nth] = [replace(s, router_state=None) for s in self.servers]
+        self.execute(nth, router.take(self.now, [messages.EndpointsUpdated(tuple(self.servers_by_router[nth]))]))
+        return router
 
-    def at(self, when: float, nth: int, event: messages.Event) -> None:
-        heapq.heappush(self.due, (when, next(self.order), nth, event))
+    def schedule(self, when: float, nth: int, event: messages.Event) -> None:
+        heapq.heappush(self.event_queue, (when, next(self.sequence), nth, event))
 
-    def act(self, nth: int, actions: list[Any]) -> None:
+    def execute(self, nth: int, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, messages.StartTimer):
-                self.at(action.at_ms, nth, messages.TimerFired(action.timer))
+                self.schedule(action.at_ms, nth, messages.TimerFired(action.timer))
             elif isinstance(action, messages.StartAttempt):
                 request, server = action.request, action.server
-                true_server = self.servers[self.mine[nth].index(server)]
-                told = server.started_ms == true_server.started_ms
-                self.sent.append(Attempt(self.now, true_server, nth, told))
-                if zlib.crc32(b"room %d" % len(self.sent)) < self.turned_away * 2**32:
-                    self.at(
+                true_server = self.servers[self.servers_by_router[nth].index(server)]
+                informed = server.started_ms == true_server.started_ms
+                self.sent.append(Attempt(self.now, true_server, nth, informed))
+                if zlib.crc32(b"room %d" % len(self.sent)) < self.overloaded_share * 2**32:
+                    self.schedule(
                         self.now + 5.0,
                         nth,
                         messages.AttemptEnded(request, server, AttemptOutcome.OVERLOADED, 5.0, False),
                     )
                 elif server.role is Role.PREFILL:
-                    self.at(
-                        self.now + READ_MS,
+                    self.schedule(
+                        self.now + PREFILL_MS,
                         nth,
-                        messages.AttemptEnded(request, server, AttemptOutcome.PREFILLED, READ_MS, False, 300.0),
+                        messages.AttemptEnded(request, server, AttemptOutcome.PREFILLED, PREFILL_MS, False, 300.0),
                     )
                 else:
-                    self.at(self.now + FIRST_MS, nth, messages.FirstToken(request, server, FIRST_MS))
-                    self.at(
+                    self.schedule(self.now + FIRST_TOKEN_MS, nth, messages.FirstToken(request, server, FIRST_TOKEN_MS))
+                    self.schedule(
                         self.now + STREAM_MS,
                         nth,
                         messages.AttemptEnded(request, server, AttemptOutcome.STREAMED, STREAM_MS, True),
@@ -108,141 +109,146 @@
             draw = zlib.crc32(b"arrival %d %f" % (n, self.now))
             request = Request(REQUEST_CLASS, f"{n} {self.now}", None, 0.0, 400.0, 200.0, 10000.0)
             nth = int(self.routers * (draw / 2**32) ** 3) if self.uneven else draw % self.routers
-            self.at(self.now + ms * n / arrivals, nth, messages.RequestArrived(request))
-        while self.due and self.due[0][0] <= until:
-            self.now, _, nth, event = heapq.heappop(self.due)
+            self.schedule(self.now + ms * n / arrivals, nth, messages.RequestArrived(request))
+        while self.event_queue and self.event_queue[0][0] <= until:
+            self.now, _, nth, event = heapq.heappop(self.event_queue)
             if isinstance(event, tuple):
-                self.tell(nth, event)
+                self.deliver(nth, event)
             else:
-                self.act(nth, self.all[nth].take(self.now, [event]))
+                self.execute(nth, self.router_list[nth].take(self.now, [event]))
         self.now = until
 
-    def restart(self, *servers: Server, notice_ms: float = 0.0) -> None:
-        """They are new, and the routers are told one after the other within `notice_ms`."""
+    def restart(self, *servers: Server, propagation_ms: float = 0.0) -> None:
+        """Restarts servers. The routers are informed one after the other within `propagation_ms`."""
         for server in servers:
             server.started_ms = self.now
         for nth in range(self.routers):
-            delay = notice_ms * zlib.crc32(b"notice %d" % nth) / 2**32
-            if delay:
-                heapq.heappush(self.due, (self.now + delay, next(self.order), nth, servers))
+            delay_ms = propagation_ms * zlib.crc32(b"notice %d" % nth) / 2**32
+            if delay_ms:
+                heapq.heappush(self.event_queue, (self.now + delay_ms, next(self.sequence), nth, servers))
             else:
-                self.tell(nth, servers)
+                self.deliver(nth, servers)
 
-    def tell(self, nth: int, servers: tuple[Server, ...]) -> None:
-        news = [self.mine[nth][self.servers.index(s)] for s in servers]
-        for mine, server in zip(news, servers, strict=False):
-            mine.started_ms, mine.status = server.started_ms, EndpointStatus.READY
-        self.act(nth, self.all[nth].take(self.now, [messages.EndpointsUpdated(tuple(news))]))
+    def deliver(self, nth: int, servers: tuple[Server, ...]) -> None:
+        changed = [self.servers_by_router[nth][self.servers.index(s)] for s in servers]
+        for own_server, server in zip(changed, servers, strict=False):
+            own_server.started_ms, own_server.status = server.started_ms, EndpointStatus.READY
+        self.execute(nth, self.router_list[nth].take(self.now, [messages.EndpointsUpdated(tuple(changed))]))
 
     def windows(self, server: Server, since: float, span: float) -> list[list[Attempt]]:
-        """What it was sent within each `span` that begins with an attempt."""
+        """The attempts at the server within each time window of `span` that begins with an attempt."""
         sent = [a for a in self.sent if a.server is server and a.at >= since]
         return [[a for a in sent if first.at <= a.at < first.at + span] for first in sent]
 
     def most(self, server: Server, since: float, span: float) -> int:
-        """The most that it was sent within any `span`."""
+        """The largest number of attempts at the server within any time window of `span`."""
         return max((len(window) for window in self.windows(server, since, span)), default=0)
 
 
 def capacity(fleet: Fleet, since: float) -> dict[Role, float]:
-    """What a warm server of each role took each ms: no more than it could do."""
-    took = Counter(a.server.role for a in fleet.sent if a.at >= since)
-    return {role: n / fleet.peers / (fleet.now - since) for role, n in took.items()}
+    """Attempts per millisecond at a warm server of each role; its capacity is at least that."""
+    counts = Counter(a.server.role for a in fleet.sent if a.at >= since)
+    return {role: n / fleet.peers / (fleet.now - since) for role, n in counts.items()}
 
 
 def allowed(calls: float) -> float:
-    """What a cold server may be sent where the settings allow so many calls: the stricter of the users' two forms, as
-    under 30 calls they add 3 root N + 3."""
+    """The maximum number of attempts at a server in slow start for a quota of `calls`. This is the stricter one of the
+    users' two formulas; for less than 30 calls, they allow 3 sqrt(calls) + 3 more than the quota."""
     return calls + 2 * sqrt(calls) + 2
 
 
 @pytest.mark.parametrize("routers", [2, 7, 200])
-@pytest.mark.parametrize("rate", [12.0, 120.0])  # 7 calls, and 74
-def test_the_budget_holds_where_a_few_routers_get_most_of_the_requests(rate: float, routers: int) -> None:
+@pytest.mark.parametrize("rate", [12.0, 120.0])  # quotas of 7 and 74 calls
+def test_quota_holds_if_a_few_routers_get_most_requests(rate: float, routers: int) -> None:
     fleet = Fleet(routers, rate, uneven=True)
-    fleet.run(WARM_MS)
-    rates = capacity(fleet, WARM_MS / 2)
+    fleet.run(WARM_UP_MS)
+    rates = capacity(fleet, WARM_UP_MS / 2)
     cold = [s for role in (Role.PREFILL, Role.DECODE) for s in [s for s in fleet.servers if s.role is role][:3]]
     start = fleet.now
     fleet.restart(*cold)
-    fleet.run(FALL_MS)
-    budget = MULTIPLE * COLD_FROM * rates[Role.PREFILL] * FALL_MS
-    got = {server: fleet.most(server, start, FALL_MS) for server in cold}
-    assert max(got.values()) <= allowed(budget), (sorted(got.values()), budget)
+    fleet.run(OVERLOAD_WINDOW_MS)
+    quota = OVERLOAD_MULTIPLE * SLOW_START_SHARE * rates[Role.PREFILL] * OVERLOAD_WINDOW_MS
+    attempts = {server: fleet.most(server, start, OVERLOAD_WINDOW_MS) for server in cold}
+    assert max(attempts.values()) <= allowed(quota), (sorted(attempts.values()), quota)
 
 
 @pytest.mark.parametrize("routers", [1, 2, 6, 7, 30, 200])
 @pytest.mark.parametrize("together", [1, 3, 6])
-def test_the_sum_of_all_routers_keeps_to_a_cold_servers_budget_and_uses_it(routers: int, together: int) -> None:
+def test_sum_over_all_routers_stays_within_the_quota_and_uses_it(routers: int, together: int) -> None:
     fleet = Fleet(routers, rate=120.0)
-    fleet.run(WARM_MS)
-    rates = capacity(fleet, WARM_MS / 2)
+    fleet.run(WARM_UP_MS)
+    rates = capacity(fleet, WARM_UP_MS / 2)
     cold = [s for role in (Role.PREFILL, Role.DECODE) for s in [s for s in fleet.servers if s.role is role][:together]]
     start = fleet.now
     fleet.restart(*cold)
-    fleet.run(FALL_MS)
-    got, budget = {}, MULTIPLE * COLD_FROM * rates[Role.PREFILL] * FALL_MS
-    for server in cold:  # at its very coldest
-        got[server] = fleet.most(server, start, FALL_MS)
-        assert got[server] <= allowed(budget), (server.role, got[server], budget)
-    least = budget / 4 if together == fleet.peers else 1  # where they are needed each part is spent, also below one
-    assert min(got.values()) >= least, (sorted(got.values()), budget)
-    fleet.run(COLD_MS - FALL_MS)
-    for server in cold:  # never more than a warm one of its size could be pushed over by
-        budget = MULTIPLE * rates[server.role] * FALL_MS
-        assert fleet.most(server, start, FALL_MS) <= allowed(budget)
+    fleet.run(OVERLOAD_WINDOW_MS)
+    attempts, quota = {}, OVERLOAD_MULTIPLE * SLOW_START_SHARE * rates[Role.PREFILL] * OVERLOAD_WINDOW_MS
+    for server in cold:  # at the start of the slow start
+        attempts[server] = fleet.most(server, start, OVERLOAD_WINDOW_MS)
+        assert attempts[server] <= allowed(quota), (server.role, attempts[server], quota)
+    # If the cold servers are needed, the quota is used, even if it is less than one call.
+    least = quota / 4 if together == fleet.peers else 1
+    assert min(attempts.values()) >= least, (sorted(attempts.values()), quota)
+    fleet.run(SLOW_START_MS - OVERLOAD_WINDOW_MS)
+    for server in cold:  # at any time less than what would overload a warm server of its size
+        quota = OVERLOAD_MULTIPLE * rates[server.role] * OVERLOAD_WINDOW_MS
+        assert fleet.most(server, start, OVERLOAD_WINDOW_MS) <= allowed(quota)
 
 
 @pytest.mark.parametrize("routers", [6, 200])
-def test_routers_that_restart_with_it_do_not_push_it_over_nor_does_a_rush(routers: int) -> None:
-    """They know nothing but the list; and three times the usual requests come."""
+def test_quota_holds_if_routers_restart_too_and_the_request_rate_triples(routers: int) -> None:
+    """Routers restart at the same time as a server, so that they know nothing but the endpoint list, and the request
+    rate triples."""
     fleet = Fleet(routers, rate=120.0)
-    fleet.run(WARM_MS)
-    budget = MULTIPLE * COLD_FROM * capacity(fleet, WARM_MS / 2)[Role.PREFILL] * FALL_MS
+    fleet.run(WARM_UP_MS)
+    quota = OVERLOAD_MULTIPLE * SLOW_START_SHARE * capacity(fleet, WARM_UP_MS / 2)[Role.PREFILL] * OVERLOAD_WINDOW_MS
     cold = fleet.servers[:2]
     for server in cold:
         server.started_ms = fleet.now
-    fleet.due.clear()
-    fleet.all = [fleet.router(n) for n in range(routers)]
+    fleet.event_queue.clear()
+    fleet.router_list = [fleet.make_router(n) for n in range(routers)]
     start, fleet.rate = fleet.now, 3 * fleet.rate
-    fleet.run(FALL_MS)
+    fleet.run(OVERLOAD_WINDOW_MS)
     for server in cold:
-        assert fleet.most(server, start, FALL_MS) <= allowed(budget)
+        assert fleet.most(server, start, OVERLOAD_WINDOW_MS) <= allowed(quota)
 
 
 @pytest.mark.parametrize("routers", [2, 30, 200])
-@pytest.mark.parametrize("turned_away", [0.0, 0.3])
-def test_the_budget_holds_where_routers_hear_of_the_start_one_after_the_other(routers: int, turned_away: float) -> None:
-    """A server falls by more than its budget; that is the routers' fault where over two thirds came from those that had
-    been told. What those sent keeps to the budget by itself, further attempts and hand-overs counted."""
-    fleet = Fleet(routers, rate=120.0, turned_away=turned_away)
-    fleet.run(WARM_MS)
-    ran = capacity(fleet, WARM_MS / 2)[Role.PREFILL] * (1 - turned_away)
-    budget = MULTIPLE * COLD_FROM * ran * FALL_MS
+@pytest.mark.parametrize("overloaded_share", [0.0, 0.3])
+def test_quota_holds_if_routers_are_informed_one_after_the_other(routers: int, overloaded_share: float) -> None:
+    """A server fails if it gets more than its quota. Routers are to blame if more than two thirds of the attempts came
+    from informed ones. The attempts of informed routers, including retries and handovers, stay within the quota on
+    their own."""
+    fleet = Fleet(routers, rate=120.0, overloaded_share=overloaded_share)
+    fleet.run(WARM_UP_MS)
+    warm_rate = capacity(fleet, WARM_UP_MS / 2)[Role.PREFILL] * (1 - overloaded_share)
+    quota = OVERLOAD_MULTIPLE * SLOW_START_SHARE * warm_rate * OVERLOAD_WINDOW_MS
     cold = fleet.servers[:4]
     start = fleet.now
-    fleet.restart(*cold, notice_ms=2000.0)
-    fleet.run(2 * FALL_MS)
+    fleet.restart(*cold, propagation_ms=2000.0)
+    fleet.run(2 * OVERLOAD_WINDOW_MS)
     for server in cold:
-        for window in fleet.windows(server, start, FALL_MS):
-            told = sum(attempt.told for attempt in window)
-            assert told <= allowed(budget), (server.role, told, len(window), budget)
-            assert len(window) <= allowed(budget) or told <= len(window) * 2 / 3
+        for window in fleet.windows(server, start, OVERLOAD_WINDOW_MS):
+            informed = sum(attempt.informed for attempt in window)
+            assert informed <= allowed(quota), (server.role, informed, len(window), quota)
+            assert len(window) <= allowed(quota) or informed <= len(window) * 2 / 3
 
 
-def test_the_part_that_is_used_leaves_room_for_chance_whatever_the_budget() -> None:
-    """Routers that know nothing of each other send a warming server a Poisson sum: its mean is SLOW_START_SAFETY of
-    what is allowed."""
+def test_safety_factor_covers_random_variation_for_any_quota() -> None:
+    """Independent routers send a warming server a Poisson-distributed number of requests, whose mean is
+    SLOW_START_SAFETY times the quota."""
 
-    def over(mean: float, most: int) -> float:
-        """The chance of a Poisson sum of more than `most`."""
+    def excess_probability(mean: float, most: int) -> float:
+        """The probability that a Poisson-distributed number exceeds `most`."""
         term = total = exp(-mean)
         for n in range(1, most + 1):
             term *= mean / n
             total += term
         return max(0.0, 1 - total)
 
-    def users_form(calls: float) -> float:
+    def users_limit(calls: float) -> float:
         return calls + 3 * sqrt(calls) + 3 if calls < 30 else calls + 2 * sqrt(calls) + 2
 
-    assert max(over(SLOW_START_SAFETY * calls, floor(users_form(calls))) for calls in range(1, 700)) < 1e-6
+    assert (
+        max(excess_probability(SLOW_START_SAFETY * calls, floor(users_limit(calls))) for calls in range(1, 700)) < 1e-6
+    )
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,8 +1,8 @@
-"""How modules may depend on each other.
+"""Rules for the dependencies between modules.
 
-A module that imports what is built on it can't be read, tested or replaced alone, and cycles make the order of imports
-matter: an unrelated import then fails at start. Decisions and protocol codecs that do I/O can't be replayed from
-recorded events. Each rule is checked on the source, so that imports within functions count too.
+A module that imports modules built on it cannot be read, tested or replaced on its own. With cycles, the order of
+imports matters, so that an unrelated import may fail at start. Decisions and protocol codecs that do I/O cannot be
+replayed from recorded events. The rules are checked on the source code, which includes imports within functions.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = "ternlane"
 
-# Module -> why it may import the package root or one of its own packages. Those named here must still do so.
+# Module -> why it may import the package root or one of its own packages. All entries must be in use.
 MAY_IMPORT_UPWARDS = {
-    "ternlane.cli": "the version that `--version` prints stands in the package root",
-    "ternlane.reference": "describes the public names of the package root",
+    "ternlane.cli": "`--version` prints the version from the package root",
+    "ternlane.reference": "documents the public names of the package root",
 }
 
-# Import roots that do I/O, start threads or read clocks, and what would go wrong.
+# Modules that do I/O or start threads, and what they access.
 IO_MODULES = {
-    "asyncio": "an event loop: callers have one",
+    "asyncio": "an event loop, which belongs to the callers",
     "httpx": "network",
     "http": "network",
     "io": "files",
     "multiprocessing": "processes",
-    "os": "files, environment and random numbers of the system",
+    "os": "files, environment and system random numbers",
     "pathlib": "files",
     "selectors": "network",
     "shutil": "files",
@@ -38,16 +38,16 @@
     "socket": "network",
     "sqlite3": "files",
     "ssl": "network",
-    "structlog": "log output: events and actions are logged by the host",
+    "structlog": "log output; the host logs events and actions",
     "subprocess": "processes",
     "tempfile": "files",
     "threading": "threads",
-    "trio": "an event loop: callers have one",
+    "trio": "an event loop, which belongs to the callers",
     "urllib": "network",
 }
 CLOCK_MODULES = {
-    "time": "a clock of their own would make decisions differ when they are replayed",
-    "datetime": "likewise",
+    "time": "decisions that read a clock cannot be replayed",
+    "datetime": "decisions that read a clock cannot be replayed",
 }
 
 POLICY = ("ternlane.policy",)
@@ -66,10 +66,10 @@
     "ternlane.recovery.inflight",
 )
 
-# (Module, what it imports) -> why that is no I/O there. Those named here must still do so.
+# (Module, import) -> why it does no I/O there. All entries must be in use.
 MAY_IMPORT_IO: dict[tuple[str, str], str] = {}
 
-# (Module, what it imports) -> why decisions may import it from elsewhere. Those named here must still do so.
+# (Module, import) -> why the policy package may import it from outside. All entries must be in use.
 MAY_IMPORT_OUTSIDE_POLICY: dict[tuple[str, str], str] = {}
 
 
@@ -78,7 +78,7 @@
 
 @cache
 def modules() -> dict[str, Path]:
-    """Every module of the package by its name."""
+    """Every module of the package by name."""
     found = {}
     for path in sorted((ROOT / PACKAGE).rglob("*.py")):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -87,7 +87,7 @@
 
 
 def is_type_checking(node: ast.AST) -> bool:
-    """`if TYPE_CHECKING:`, whose imports are not run."""
+    """Whether this is `if TYPE_CHECKING:`, whose imports are not executed."""
     return isinstance(node, ast.If) and isinstance(node.test, ast.Name) and node.test.id == "TYPE_CHECKING"
 
 
@@ -102,7 +102,7 @@
 
 
 def imported_names(name: str, node: ast.Import | ast.ImportFrom) -> list[str]:
-    """What an import names: `from a import b` is the module a.b where there is one, else a."""
+    """The modules named by an import: `from a import b` is a.b if that is a module, else a."""
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     base = node.module or ""
@@ -116,7 +116,7 @@
 
 @cache
 def imports_of(name: str, within_functions: bool = True) -> frozenset[str]:
-    """The modules that a module imports; those within functions too, if wanted."""
+    """The modules that a module imports, optionally including imports within functions."""
     tree = ast.parse(modules()[name].read_text())
     return frozenset(n for node in import_nodes(tree, within_functions) for n in imported_names(name, node))
 
@@ -129,7 +129,7 @@
 
 
 def cycles(graph: dict[str, set[str]]) -> list[list[str]]:
-    """Groups of modules that all reach each other (Tarjan's strongly connected components)."""
+    """Groups of modules that depend on each other (strongly connected components, by Tarjan's algorithm)."""
     index: dict[str, int] = {}
     lowest: dict[str, int] = {}
     stack: list[str] = []
@@ -161,24 +161,24 @@
 
 
 @pytest.mark.parametrize("within_functions", [False, True])
-def test_no_modules_import_each_other(within_functions: bool) -> None:
+def test_there_are_no_import_cycles(within_functions: bool) -> None:
     graph = {name: set(imports_of(name, within_functions)) & set(modules()) for name in modules()}
     assert cycles(graph) == []
 
 
 def upward_imports(name: str) -> set[str]:
-    """Packages that hold the module and that it imports. A package's own `__init__` may gather its modules."""
+    """The parent packages that a module imports. The `__init__` of a package may import its own modules."""
     parents = {name.rsplit(".", depth)[0] for depth in range(1, name.count(".") + 1)}
     return parents & imports_of(name)
 
 
-def test_no_module_imports_a_package_that_holds_it() -> None:
+def test_no_module_imports_its_parent_package() -> None:
     found = {name for name in modules() if upward_imports(name)}
     assert found == set(MAY_IMPORT_UPWARDS)
 
 
 def forbidden_imports(packages: Iterable[str], forbidden: Iterable[str]) -> set[tuple[str, str]]:
-    """Module and import, for each import of a forbidden module within these packages."""
+    """(Module, import) for each import of a forbidden module within these packages."""
     return {
         (name, imported)
         for name in modules()
@@ -188,7 +188,7 @@
     }
 
 
-def test_decisions_do_no_io_and_have_no_clock() -> None:
+def test_policy_does_no_io_and_reads_no_clock() -> None:
     found = forbidden_imports(POLICY, IO_MODULES | CLOCK_MODULES)
     assert found == {pair for pair in MAY_IMPORT_IO if is_within(pair[0], POLICY)}
 
@@ -198,8 +198,8 @@
     assert found == {pair for pair in MAY_IMPORT_IO if is_within(pair[0], CODECS)}
 
 
-def test_decisions_import_no_host() -> None:
-    """They may import each other and what is plain data, but nothing that turns actions into I/O."""
+def test_policy_imports_no_host() -> None:
+    """Modules of the policy package may import each other and plain data, but nothing that turns actions into I/O."""
     outside = {
         (name, imported)
         for name in modules()
@@ -211,5 +211,5 @@
 
 
 @pytest.mark.parametrize("checked", [*POLICY, *CODECS])
-def test_what_is_checked_is_there(checked: str) -> None:
+def test_checked_modules_exist(checked: str) -> None:
     assert checked in modules()
