--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -57,7 +57,7 @@
 from ternlane.platform.errors import ConfigurationError
 from ternlane.platform.settings import ConfigurationFile as PlatformDocument
 from ternlane.platform.settings import read_configuration as read_platform_configuration
-from ternlane.recovery.inflight import Record as JournalRecord
+from ternlane.recovery.inflight import JournalRecord
 from ternlane.rules.check import check_folder as judge_folder
 from ternlane.scenarios.layout import RunLayout as DayScene
 from ternlane.scenarios.report import report_of as day_report
