--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -298,8 +298,8 @@
             self.call_at(now_ms() + OVERDUE_CHECK_MS, self.fail_overdue_requests)
 
     def abort_request(self, active_request: RequestT, why: str) -> None:
-        """Fails a request, which may have run, without a decision of the router. The router is told that the client has
-        disconnected."""
+        """Fails a request, which may have run, without a decision of the router. The router gets
+        ClientDisconnected."""
         if active_request.attempt is not None:
             active_request.attempt.cancel()
         self.finish_request(active_request, Failed(why))
--- a/ternlane/policy/admission_queue.py
+++ b/ternlane/policy/admission_queue.py
@@ -38,11 +38,12 @@
         return len(self._entries)
 
     def room_may_have_changed(self) -> None:
-        """Has every request tried again, including long prompts. Latest starts are not recomputed."""
+        """Marks all requests to be tried again, including long prompts. Latest starts are not recomputed."""
         self._no_room_from = inf
 
     def try_all(self) -> None:
-        """Has every request tried again and expired entries removed, as a shutdown has begun."""
+        """Marks all requests to be tried again at once, regardless of prompt lengths and latest starts; for a
+        shutdown."""
         self._no_room_from = inf
         self._next_due = -inf
 
--- a/ternlane/policy/attempt.py
+++ b/ternlane/policy/attempt.py
@@ -9,7 +9,7 @@
 
 
 class Stage(StrEnum):
-    """What an attempt is waiting for. Each stage has its own usual time."""
+    """The event that an attempt is waiting for. Each stage has its own usual time."""
 
     PREFILL = "prefill"  # the end of the prefill
     FIRST_TOKEN = "first token"  # the first token of the answer
--- a/ternlane/policy/endpoint_messages.py
+++ b/ternlane/policy/endpoint_messages.py
@@ -35,7 +35,7 @@
     """An attempt has completed its current stage, or failed in it."""
 
     attempt: InFlightAttempt
-    success: bool | None  # None: the outcome says nothing about the server
+    success: bool | None  # None: the outcome gives no information about the server
     next_usual_ms: float | None  # the usual time of the next stage; None: the attempt has ended
 
 
@@ -62,13 +62,13 @@
     memory_level: float = 0.0  # estimated mean share of a server's memory used by all gateways
     queue_ms: float = 0.0  # estimated mean prefill work queued at a server by all gateways
     mean_sent: float = 0.0  # mean number of recent requests of this gateway per server
-    queue_trust: float = 1.0  # measured prefill times as a multiple of the expected ones
+    queue_correction: float = 1.0  # measured prefill times as a multiple of the expected ones
     mean_prefill_ms: float = 0.0
 
 
 class Reselect(NamedTuple):
-    """Asks an endpoint for a new snapshot, and is then passed to the scheduler, which chooses the server of the next
-    attempt. So the choice takes into account the end of the previous attempt."""
+    """Requests a new snapshot from an endpoint, which passes the message back to the scheduler after it. The scheduler
+    then chooses the server of the next attempt, taking into account the end of the previous one."""
 
     request: Request
 
--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -176,8 +176,10 @@
         if self.reservations:
             memory_share = sum(entry.memory_share for entry in self.reservations.values())
             if self.last_report is not None:
-                cut = self.last_report.at - self.context.limits.tick_ms
-                since_report = sum(entry.memory_share for entry in self.reservations.values() if entry.at > cut)
+                reported_until = self.last_report.at - self.context.limits.tick_ms
+                since_report = sum(
+                    entry.memory_share for entry in self.reservations.values() if entry.at > reported_until
+                )
         queue_ms = 0.0
         if self.attempts:  # a prefill whose answer was lost is finished and no longer a load
             queue_ms = sum(a.prefill_work_ms for a in self.attempts if a.started_at >= self.prefilled_up_to)
--- a/ternlane/policy/fleet_monitor.py
+++ b/ternlane/policy/fleet_monitor.py
@@ -116,6 +116,6 @@
             + scale * sum(snapshot.own_memory_share for snapshot in warm),
             queue_ms=(1 - weight) * before.queue_ms + scale * sum(snapshot.queue_ms for snapshot in warm),
             mean_sent=sum(snapshot.sent for snapshot in warm) / len(warm),
-            queue_trust=self._latency.queue_trust,
+            queue_correction=self._latency.queue_correction,
             mean_prefill_ms=self._latency.mean_prefill_ms,
         )
--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -27,7 +27,7 @@
 # makes them look faster.
 FASTER_PACE_WEIGHT = 1 / 4
 SLOWER_PACE_WEIGHT = 1 / 64
-# Upper bound of `queue_trust`, so that a period of slow prefills does not make all servers look congested.
+# Upper bound of `queue_correction`, so that a period of slow prefills does not make all servers look congested.
 MAX_QUEUE_CORRECTION = 4.0
 
 
@@ -40,7 +40,7 @@
         self.mean_prompt_tokens: dict[RequestClass, float] = {}
         self.prefill_ms_per_token = min_slo_ms / INITIAL_TOKENS_PER_SLO
         self.mean_prefill_ms = 0.0  # mean prefill time of a request, without queueing
-        self.queue_trust = 1.0  # measured prefill times as a multiple of the expected ones
+        self.queue_correction = 1.0  # measured prefill times as a multiple of the expected ones
         self._mean_expected_ms = min_slo_ms / INITIAL_STAGES_PER_SLO
         self._mean_measured_ms = self._mean_expected_ms
 
@@ -61,19 +61,19 @@
         """The age of the latest sample of this class; infinite if there is none."""
         return now - self.last_sample_at.get(request_class, -inf)
 
-    def learn(self, request_class: RequestClass, stage: Stage, took_ms: float, now: float) -> None:
+    def record_stage(self, request_class: RequestClass, stage: Stage, took_ms: float, now: float) -> None:
         """Records the time of a stage."""
         self.last_sample_at[request_class] = now
         before = self.usual_ms(request_class, stage)
         self.usual_stage_ms[request_class, stage] = (1 - SAMPLE_WEIGHT) * before + SAMPLE_WEIGHT * took_ms
 
-    def learn_prompt(self, request: Request) -> None:
+    def record_prompt(self, request: Request) -> None:
         """Records the length of the prompt."""
         request_class = request.request_class
         mean = self.mean_prompt_tokens.setdefault(request_class, max(request.prompt_tokens, 1.0))
         self.mean_prompt_tokens[request_class] = mean + SAMPLE_WEIGHT * (request.prompt_tokens - mean)
 
-    def learn_prefill(self, attempt: InFlightAttempt, ended: AttemptEnded, now: float) -> None:
+    def record_prefill(self, attempt: InFlightAttempt, ended: AttemptEnded, now: float) -> None:
         """Records a prefill that has ended or timed out. A prefill that timed out took at least that long; if it were
         ignored, the usual time would stay too short, and more and more prefills would time out. A time-out shorter than
         the usual time is ignored, as it gives no information."""
@@ -83,18 +83,18 @@
         usual_ms = ended.took_ms / max(1.0, request.prompt_tokens / mean_prompt)
         completed = ended.outcome is AttemptOutcome.PREFILLED
         if completed or usual_ms > self.usual_ms(request.request_class, Stage.PREFILL):
-            self.learn(request.request_class, Stage.PREFILL, usual_ms, now)
-        self._learn_queue(attempt.expected_ms, ended.took_ms)
+            self.record_stage(request.request_class, Stage.PREFILL, usual_ms, now)
+        self._record_queue(attempt.expected_ms, ended.took_ms)
         self.mean_prefill_ms += SAMPLE_WEIGHT * (self.prefill_ms_per_token * uncached - self.mean_prefill_ms)
         if completed and uncached > MIN_PACE_SAMPLE_TOKENS:
-            self._learn_pace(ended.took_ms / uncached)
+            self._record_pace(ended.took_ms / uncached)
 
-    def _learn_queue(self, expected_ms: float, measured_ms: float) -> None:
+    def _record_queue(self, expected_ms: float, measured_ms: float) -> None:
         self._mean_expected_ms += SAMPLE_WEIGHT * (expected_ms - self._mean_expected_ms)
         self._mean_measured_ms += SAMPLE_WEIGHT * (measured_ms - self._mean_measured_ms)
-        self.queue_trust = min(MAX_QUEUE_CORRECTION, self._mean_measured_ms / self._mean_expected_ms)
+        self.queue_correction = min(MAX_QUEUE_CORRECTION, self._mean_measured_ms / self._mean_expected_ms)
 
-    def _learn_pace(self, pace: float) -> None:
+    def _record_pace(self, pace: float) -> None:
         weight = FASTER_PACE_WEIGHT if pace < self.prefill_ms_per_token else SLOWER_PACE_WEIGHT
         self.prefill_ms_per_token += (pace - self.prefill_ms_per_token) * weight
 
--- a/ternlane/policy/lease.py
+++ b/ternlane/policy/lease.py
@@ -16,8 +16,8 @@
 
 from ternlane.policy.messages import AttemptOutcome
 
-# Share of the release time that is reserved for sending the release: the first server asked may not answer, and each
-# further round of servers is asked an eighth of the release time later.
+# Share of the release time that is reserved for sending the release: the first server may not answer, and each further
+# round of servers is tried an eighth of the release time later.
 RELEASE_RESERVE = 1 / 4
 # Outcomes after which the server holds nothing for the attempt.
 NOTHING_LEFT = frozenset(
@@ -60,21 +60,21 @@
     _released_early: bool = False  # a release was sent during that attempt
     _release_confirmed: bool = False  # a server has confirmed that release
 
-    def attempt_begins(self) -> None:
-        """An attempt is sent, and may leave a state at its server."""
+    def attempt_started(self) -> None:
+        """Records that an attempt is sent, which may leave a state at its server."""
         self._held_before = self.may_hold
         self.may_hold = True
         self._released_early = False
         self._release_confirmed = False
 
     def attempt_answered(self) -> None:
-        """A decode server has started its answer, so it has taken the state."""
+        """Records that a decode server has started its answer, and so has taken the state."""
         self.held_at = None
         self.may_hold = False
         self.release_at = inf
 
     def attempt_ended(self, end: AttemptEnd, server: ServerT, now: float) -> None:
-        """Handles the end of an attempt at this server."""
+        """Records the end of an attempt at this server."""
         outcome = end.outcome
         if outcome in NOTHING_LEFT:
             self.may_hold = self._held_before
@@ -96,7 +96,7 @@
         return end.prefills or end.outcome in ANSWERED or self._release_confirmed
 
     def released(self, is_finished: bool) -> None:
-        """Handles the sending of a release. At the end of the request it is the last one; before that, a prefill of
+        """Records that a release is sent. At the end of the request it is the last one; before that, a prefill of
         unconfirmed end may still leave a state afterwards."""
         self.held_at = None
         self.may_hold = self.prefill_unconfirmed and not is_finished
@@ -104,13 +104,13 @@
             self.release_at = inf
 
     def released_early(self) -> None:
-        """Handles a release that is sent because the release time is over, while an attempt may be in flight. `held_at`
+        """Records a release that is sent because the release time is over, while an attempt may be in flight. `held_at`
         is kept: if the attempt has arrived, the server keeps the state, and another decode may still take it."""
         self._released_early = True
         self._release_confirmed = False
 
     def release_confirmed(self) -> None:
-        """A server has confirmed the latest release."""
+        """Records that a server has confirmed the latest release."""
         self._release_confirmed = self._released_early
 
 
--- a/ternlane/policy/load_estimate.py
+++ b/ternlane/policy/load_estimate.py
@@ -54,7 +54,7 @@
     used = own.memory_share + fleet.memory_level * crowding
     free = 1 - used
     known_free = 1 - own.memory_share
-    queue_ms = OWN_QUEUE_WEIGHT * own.queue_ms + fleet.queue_trust * (fleet.queue_ms * crowding)
+    queue_ms = OWN_QUEUE_WEIGHT * own.queue_ms + fleet.queue_correction * (fleet.queue_ms * crowding)
     if report is not None:
         fresh = exp((report.at - now) / limits.memory_ms)
         reported = fresh * (report.memory_share + own.memory_share_since_report)
--- a/ternlane/policy/load_probes.py
+++ b/ternlane/policy/load_probes.py
@@ -25,7 +25,7 @@
         """Whether the request has enough time left for a probe."""
         return state.deadline > self._context.now + MIN_TICKS_LEFT * self._context.limits.tick_ms
 
-    def ask(self, endpoint: EndpointState) -> bool:
+    def probe_if_stale(self, endpoint: EndpointState) -> bool:
         """Probes the server unless its latest report is fresh. Returns True if it was probed."""
         report = endpoint.last_report
         if report is not None and self._context.now - report.at <= self._context.limits.tick_ms:
@@ -33,14 +33,14 @@
         self._context.actions.append(Probe(endpoint.server))
         return True
 
-    def ask_preferred(self, state: RequestState) -> bool:
+    def probe_preferred(self, state: RequestState) -> bool:
         """Probes the preferred prefill servers of the request. Returns True if it has to wait for a report."""
-        state.probed = {endpoint for endpoint in state.preferred[:PROBED_SERVERS] if self.ask(endpoint)}
+        state.probed = {endpoint for endpoint in state.preferred[:PROBED_SERVERS] if self.probe_if_stale(endpoint)}
         if state.probed:
             self._waiting.append(state)
         return bool(state.probed)
 
-    def answered(self, endpoint: EndpointState) -> list[RequestState]:
+    def report_received(self, endpoint: EndpointState) -> list[RequestState]:
         """Handles a report. Returns the open requests that were waiting for this report only."""
         ready = []
         for state in [state for state in self._waiting if endpoint in state.probed]:
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -165,7 +165,7 @@
     """A request to be routed.
 
     `session` identifies the conversation; `prefix` identifies the first `prefix_tokens` prompt tokens, which other
-    requests share. The client gives up after `client_timeout_ms`. With `whole`, the client receives the answer only
+    requests share. The client times out after `client_timeout_ms`. With `whole`, the client receives the answer only
     once it is complete.
     """
 
@@ -229,7 +229,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointsUpdated:
-    """These servers were added or changed; their fields already hold the new values. A complete list omits removed
+    """Servers were added or changed; their fields already hold the new values. A complete list omits removed
     servers."""
 
     servers: tuple[Server, ...]
@@ -420,7 +420,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Ask a decode server to reserve capacity for the request."""
+    """Reserve capacity for the request at a decode server."""
 
     request: Request
     server: Server
@@ -428,7 +428,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a server for its load report."""
+    """Request a load report from a server."""
 
     server: Server
 
--- a/ternlane/policy/outcome_recorder.py
+++ b/ternlane/policy/outcome_recorder.py
@@ -33,7 +33,7 @@
 
     def first_token(self, endpoint: EndpointState, request: Request, took_ms: float) -> None:
         """Handles the start of an answer, which counts as a success like a completed prefill."""
-        self._latency.learn(request.request_class, Stage.FIRST_TOKEN, took_ms, self._context.now)
+        self._latency.record_stage(request.request_class, Stage.FIRST_TOKEN, took_ms, self._context.now)
         self._record(endpoint, request, AttemptOutcome.PREFILLED, took_ms)
 
     def attempt_ended(
@@ -48,20 +48,20 @@
             self._record(endpoint, state.request, recorded, ended.took_ms - attempt.prefill_work_ms)
         if attempt.needs_connection and conclusive:
             self._failures.record_connection(outcome is AttemptOutcome.CONNECT_FAILED)
-        self._learn_times(state, attempt, ended)
+        self._record_times(state, attempt, ended)
 
     def _record(self, endpoint: EndpointState, request: Request, outcome: AttemptOutcome, waited_ms: float) -> None:
         self._congestion.record(endpoint, request, outcome, waited_ms)
         self._failures.record(endpoint, request, outcome)
 
-    def _learn_times(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
+    def _record_times(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
         now = self._context.now
         outcome = ended.outcome
         request_class = state.request.request_class
         if outcome is AttemptOutcome.STREAMED:
-            self._latency.learn(request_class, Stage.STREAM, now - attempt.stage_started_at, now)
+            self._latency.record_stage(request_class, Stage.STREAM, now - attempt.stage_started_at, now)
         if not attempt.decodes and outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.TIMED_OUT):
-            self._latency.learn_prefill(attempt, ended, now)
-            self._affinity.learn_cached(state, attempt, ended)
+            self._latency.record_prefill(attempt, ended, now)
+            self._affinity.record_cached(state, attempt, ended)
         elif outcome is AttemptOutcome.TIMED_OUT:
-            self._latency.learn(request_class, Stage.FIRST_TOKEN, ended.took_ms, now)
+            self._latency.record_stage(request_class, Stage.FIRST_TOKEN, ended.took_ms, now)
--- a/ternlane/policy/outlier_detection.py
+++ b/ternlane/policy/outlier_detection.py
@@ -25,8 +25,8 @@
 HALF_OPEN_MAX_USUAL_TIMES = 2.0
 # Outcomes that show that a server works.
 SUCCESSES = frozenset({AttemptOutcome.PREFILLED, AttemptOutcome.STREAMED})
-# Outcomes that say nothing about the health of a server: the cause may be its load, the request, the client or this
-# gateway.
+# Outcomes that give no information about the health of a server: the cause may be its load, the request, the client or
+# this gateway.
 INCONCLUSIVE = frozenset(
     {
         AttemptOutcome.TIMED_OUT,
@@ -68,7 +68,7 @@
         attempt.expected_progress = expected
 
     def record(self, success: bool | None) -> None:
-        """Counts the end of a stage; None says nothing about the server."""
+        """Counts the end of a stage; None gives no information about the server."""
         if success:
             self.attempts_done += 1
         elif success is False:
--- a/ternlane/policy/prefix_affinity.py
+++ b/ternlane/policy/prefix_affinity.py
@@ -78,7 +78,7 @@
         known_tokens = request.prefix_tokens + (request.prompt_tokens - request.prefix_tokens) / rank
         return ms_per_token * (request.prompt_tokens - self.cached_share[request.request_class] * known_tokens)
 
-    def learn_cached(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
+    def record_cached(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
         """Records which share of a prompt the first preferred server had cached."""
         completed = ended.outcome is AttemptOutcome.PREFILLED
         if not completed or attempt.server.router_state not in state.preferred[:1]:
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -1,8 +1,8 @@
 """The steps of a request, from its arrival to its final answer.
 
-In order: `request_arrived`, `_enter`, `_place` (admission, then a pair of servers), `_start_attempt` (the prefill),
-`attempt_ended`, `reselect`, `_hand_over`, `_start_attempt` (the decode), `first_token`, `attempt_ended`. Every final
-answer that does not come from an attempt is given by `_finish`.
+In order: `request_arrived`, `_place_or_enqueue`, `_place` (admission, then a pair of servers), `_start_attempt` (the
+prefill), `attempt_ended`, `reselect`, `_hand_over`, `_start_attempt` (the decode), `first_token`, `attempt_ended`.
+`_finish` gives every final answer that does not come from an attempt.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from ternlane.policy.rules import Rules
 from ternlane.policy.timeouts import start_attempt_action
 
-# Lower bound of `queue_trust` when the time of the next prefill is predicted.
+# Lower bound of `queue_correction` when the time of the next prefill is predicted.
 MIN_QUEUE_CORRECTION = 1 / 16
 
 
@@ -60,18 +60,18 @@
         state = RequestState(request, now + slo_ms, now + request.client_timeout_ms, draw)
         request.router_state = state
         self.unanswered[state] = None
-        self._rules.latency.learn_prompt(request)
+        self._rules.latency.record_prompt(request)
         self._rules.affinity.request_arrived(request)
         if now >= self._rules.shutdown.admits_until:
             self._finish(state, RejectReason.SHUTDOWN)
             return
         if self._rules.reports_on_probe() and self._rules.probes.has_time(state):
             state.preferred = self._rules.affinity.preferred_servers(request)
-            if self._rules.probes.ask_preferred(state):
+            if self._rules.probes.probe_preferred(state):
                 return  # it is placed once they have answered, at the next tick at the latest
-        self._enter(state)
+        self._place_or_enqueue(state)
 
-    def _enter(self, state: RequestState) -> None:
+    def _place_or_enqueue(self, state: RequestState) -> None:
         """Queues a new request behind waiting ones; a request that had an attempt already is placed at once."""
         if self._rules.queue and not state.attempts:
             self._enqueue(state)
@@ -101,7 +101,7 @@
             return
         self._reserve(state, pair)
         if self._rules.reports_on_probe() and pair.decode_server is not pair.prefill_server:
-            self._rules.probes.ask(pair.decode_server)  # its report arrives during the prefill
+            self._rules.probes.probe_if_stale(pair.decode_server)  # its report arrives during the prefill
         self._start_attempt(state, pair.prefill_server)
 
     def _reserve(self, state: RequestState, pair: ServerPair) -> None:
@@ -125,11 +125,11 @@
         """Sends an attempt; nothing else does. Callers must have checked `Placement.is_eligible`."""
         assert state.attempt is None and endpoint.server.status is EndpointStatus.READY
         now = self._context.now
-        known = self._rules.endpoints[endpoint]
+        snapshot = self._rules.endpoints[endpoint]
         decodes = endpoint is state.decode_server
         work_ms = 0.0 if decodes else self._rules.affinity.prefill_work_ms(endpoint, state)
         stage = Stage.FIRST_TOKEN if decodes else Stage.PREFILL
-        usual_ms = max(self._rules.latency.usual_ms(state.request.request_class, stage), work_ms + known.queue_ms)
+        usual_ms = max(self._rules.latency.usual_ms(state.request.request_class, stage), work_ms + snapshot.queue_ms)
         attempt = InFlightAttempt(
             server=endpoint.server,
             request=state.request,
@@ -138,11 +138,12 @@
             stage_started_at=now,
             usual_ms=usual_ms,
             prefill_work_ms=work_ms,
-            expected_ms=work_ms + known.total_queue_ms / max(self._rules.latency.queue_trust, MIN_QUEUE_CORRECTION),
-            needs_connection=not known.connected,
+            expected_ms=work_ms
+            + snapshot.total_queue_ms / max(self._rules.latency.queue_correction, MIN_QUEUE_CORRECTION),
+            needs_connection=not snapshot.connected,
         )
         state.start(attempt)
-        state.lease.attempt_begins()
+        state.lease.attempt_started()
         endpoint.post(AttemptStarted(attempt))
         window_ms = self._rules.retries.repeat_window_ms(state)
         action = start_attempt_action(self._context, state, attempt, self._rules.reports_on_probe(), window_ms)
@@ -185,7 +186,7 @@
 
     def _after_attempt(self, state: RequestState, endpoint: EndpointState, ended: messages.AttemptEnded) -> None:
         """Chooses the next step while the client is still waiting."""
-        self._rules.held_state.schedule_release(state)
+        self._rules.state_releaser.schedule_release(state)
         if ended.outcome is AttemptOutcome.CLIENT_GONE:
             self._finish(state, RejectReason.CLIENT_LEFT)
             return
@@ -194,7 +195,7 @@
         if ended.broken:
             # The client has got its first token, so only the deadline applies. The host sends ResumeStream to resume.
             state.first_token_due = state.deadline
-            self._rules.held_state.release(state, ReleaseReason.STREAM_BROKE)
+            self._rules.state_releaser.release(state, ReleaseReason.STREAM_BROKE)
             state.requeue()
             return
         endpoint.post(Reselect(state.request))
@@ -225,9 +226,9 @@
         elif self._may_hand_over(state):
             self._hand_over(state)
         else:
-            self._rules.held_state.release(state, ReleaseReason.BEFORE_NEW_PREFILL)
+            self._rules.state_releaser.release(state, ReleaseReason.BEFORE_NEW_PREFILL)
             state.requeue()
-            self._enter(state)
+            self._place_or_enqueue(state)
 
     def _may_hand_over(self, state: RequestState) -> bool:
         """Whether a state is held that would outlast one more failed connection."""
@@ -238,21 +239,21 @@
 
     def _hand_over(self, state: RequestState) -> None:
         """Sends the decode to the chosen server or, if that has become congested, to the next best one."""
-        chosen = state.decode_server
-        assert chosen is not None  # both servers are chosen before a prefill starts
-        if self._still_takes_handover(chosen, state):
-            self._start_attempt(state, chosen)
+        decode_server = state.decode_server
+        assert decode_server is not None  # both servers are chosen before a prefill starts
+        if self._still_takes_handover(decode_server, state):
+            self._start_attempt(state, decode_server)
             return
         pair = self._rules.placement.best_pair(state, state.lease.held_at)
         if pair is not None:
-            chosen.post(CapacityReleased(state.request))
+            decode_server.post(CapacityReleased(state.request))
             state.decode_server = pair.decode_server
             tokens = memory_tokens(state.request, pair.decode_server)
             pair.decode_server.post(CapacityReserved(state.request, tokens))
             self._rules.placement.move_home(state)
             self._start_attempt(state, pair.decode_server)
-        elif self._rules.placement.is_eligible(chosen, state) and self._accepts(chosen, state):
-            self._start_attempt(state, chosen)
+        elif self._rules.placement.is_eligible(decode_server, state) and self._accepts(decode_server, state):
+            self._start_attempt(state, decode_server)
         else:  # releases the state and prefills again; the prompt is now cached
             state.lease.held_at = None
             self.reselect(state)
@@ -295,6 +296,6 @@
         state.close()
         self.unanswered.pop(state, None)
         if state.attempt is None:
-            self._rules.held_state.release(state, ReleaseReason.REQUEST_OVER)
+            self._rules.state_releaser.release(state, ReleaseReason.REQUEST_OVER)
         elif self._rules.config.may_cancel:
             self._context.actions.append(messages.CancelAttempt(state.request))
--- a/ternlane/policy/retry_policy.py
+++ b/ternlane/policy/retry_policy.py
@@ -1,7 +1,8 @@
 """Retry policy: which attempts may follow another one, and which final answer is correct.
 
-If an attempt may have run, the request must not have its effect twice. Its class says which servers drop repeats, and
-for how long. Outside of these limits, no further attempt is sent and the client is not told to retry.
+If an attempt may have run, the request must not have its effect twice. The request class
+defines which servers drop repeats, and for how long. Beyond that, no further attempt is sent, and the request is failed
+rather than rejected.
 """
 
 from __future__ import annotations
--- a/ternlane/policy/rules.py
+++ b/ternlane/policy/rules.py
@@ -51,7 +51,7 @@
         )
         self.queue = AdmissionQueue(context, self.draws)
         self.probes = LoadProbes(context)
-        self.held_state = StateReleaser(context)
+        self.state_releaser = StateReleaser(context)
         self.fleet = FleetMonitor(context, self.endpoints, self.latency, self.failures, self.affinity, self.slow_start)
         self.recorder = OutcomeRecorder(context, self.latency, self.congestion, self.failures, self.affinity)
 
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -94,7 +94,7 @@
             case messages.TimerFired(TimerKind.TICK):
                 self._tick()
             case messages.TimerFired(TimerKind.DEADLINE):
-                self.rules.held_state.release_due()
+                self.rules.state_releaser.release_due()
                 self.request_flow.answer_before_shutdown()
 
     # -- events of the whole gateway
@@ -132,7 +132,7 @@
 
     def _probe_answered(self, endpoint: EndpointState, report: messages.Report | None) -> None:
         forward_report(endpoint, report)
-        for state in self.rules.probes.answered(endpoint):
+        for state in self.rules.probes.report_received(endpoint):
             endpoint.post(Reselect(state.request))
 
     def serve_queue(self) -> bool:
--- a/ternlane/policy/shutdown.py
+++ b/ternlane/policy/shutdown.py
@@ -17,8 +17,8 @@
 from ternlane.policy.lease import RELEASE_RESERVE
 from ternlane.policy.messages import ShutdownTimes
 
-# The longest stall of a gateway between reading its clock and acting (users' page): the signal may be handled, and an
-# answer sent, this much too late.
+# A gateway may stall this long between reading its clock and acting (`docs/platform.md`), so that it handles the
+# signal, or sends an answer, this much too late.
 STALL_MS = 150.0
 
 
--- a/ternlane/policy/slow_start.py
+++ b/ternlane/policy/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: a server that was started recently gets only a quota of this gateway's requests.
 
-The users' rule limits the sum over all gateways, which share no state. So each gateway sends the server a random share
-of its own requests. It does not accumulate fractions of a request until they make a whole one, as then all gateways
-would send theirs in the same second. So the sum stays within the limit for any number of gateways.
+The platform limits the requests to such a server, summed over all gateways, which share no state. So each gateway sends
+the server a random share of its own requests. It does not accumulate fractions of a request until they make a whole
+one, as then all gateways would send theirs in the same second. So the sum stays within the limit for any number of
+gateways.
 """
 
 from __future__ import annotations
--- a/tests/decision_digests.py
+++ b/tests/decision_digests.py
@@ -71,7 +71,7 @@
 
 
 def digest_of(recorders: list[Recorder]) -> str:
-    """One digest of the actions of several routers, followed by the number of actions."""
+    """A digest of the actions of several routers, followed by the number of actions."""
     total = hashlib.sha256()
     for recorder in recorders:
         total.update(recorder.hash.digest())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -18,7 +18,7 @@
 
 
 class KnownRed(NamedTuple):
-    """One entry of the list."""
+    """An entry of the list."""
 
     test: str
     command: str
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,7 +1,7 @@
 """Fairness under overload: large requests, sessions and all classes get their share.
 
 One to six gateways run in virtual time in front of servers that prefill in order of arrival and decode within a memory
-limit. The floors are those of the users' acceptance. In each class, the answered shares of the tenth of requests with
+limit. The floors are the acceptance criteria. In each class, the answered shares of the tenth of requests with
 the longest prompts, and of the next fifth, are at least two thirds of the share of the class without overload, and half
 of it with overload. No session has all of its requests rejected while there is capacity. Each third of the time and
 each class is served.
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -1,6 +1,6 @@
 """Simulations of a fleet of 200 independent gateways: enough of the traffic's value is served, even with faults.
 
-The floors are those of the users' acceptance, relative to a baseline that knows the true state of all servers with a
+The floors are the acceptance criteria, relative to a baseline that knows the true state of all servers with a
 delay (`tests/fleet/baseline.py`): half of the share that the baseline serves in total and of each class, a fifth in
 each third of the time, a third of each tenant. Without faults, the total may be at most a tenth lower.
 """
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -22,7 +22,7 @@
 
 def lease_after_prefill(at: float = 100.0) -> Lease[str]:
     lease: Lease[str] = Lease()
-    lease.attempt_begins()
+    lease.attempt_started()
     lease.attempt_ended(AttemptEnd(AttemptOutcome.PREFILLED, prefills=True, state_lost=False), "p0", at)
     return lease
 
@@ -41,7 +41,7 @@
 )
 def test_only_an_answer_restarts_the_release_time(outcome: AttemptOutcome, renewed: bool) -> None:
     lease = lease_after_prefill(at=100.0)
-    lease.attempt_begins()
+    lease.attempt_started()
     lease.attempt_ended(decode_ended(outcome), "d0", 300.0)
     assert lease.since == (300.0 if renewed else 100.0) and lease.held_at == "p0" and lease.may_hold
 
@@ -49,12 +49,12 @@
 @pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET])
 def test_attempt_that_ends_after_a_confirmed_release_restarts_the_release_time(outcome: AttemptOutcome) -> None:
     lease = lease_after_prefill()
-    lease.attempt_begins()
+    lease.attempt_started()
     lease.released_early()
     lease.release_confirmed()
     lease.attempt_ended(decode_ended(outcome), "d0", 900.0)
     assert lease.since == 900.0 and lease.held_at == "p0"
-    lease.attempt_begins()  # the confirmation does not apply to the next attempt
+    lease.attempt_started()  # the confirmation does not apply to the next attempt
     lease.attempt_ended(decode_ended(outcome), "d1", 1000.0)
     assert lease.since == 900.0
 
@@ -62,7 +62,7 @@
 def test_confirmation_counts_only_for_a_release_during_the_attempt() -> None:
     lease = lease_after_prefill()
     lease.release_confirmed()
-    lease.attempt_begins()
+    lease.attempt_started()
     lease.release_confirmed()  # confirms an earlier release
     lease.attempt_ended(decode_ended(AttemptOutcome.TIMED_OUT), "d0", 900.0)
     assert lease.since == 100.0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -153,7 +153,7 @@
 
 def allowed(calls: float) -> float:
     """The maximum number of attempts at a server in slow start for a quota of `calls`. This is the stricter one of the
-    users' two formulas; for less than 30 calls, they allow 3 sqrt(calls) + 3 more than the quota."""
+    platform's two formulas; for less than 30 calls, it allows 3 sqrt(calls) + 3 more than the quota."""
     return calls + 2 * sqrt(calls) + 2
 
 
@@ -246,9 +246,10 @@
             total += term
         return max(0.0, 1 - total)
 
-    def users_limit(calls: float) -> float:
+    def platform_limit(calls: float) -> float:
         return calls + 3 * sqrt(calls) + 3 if calls < 30 else calls + 2 * sqrt(calls) + 2
 
     assert (
-        max(excess_probability(SLOW_START_SAFETY * calls, floor(users_limit(calls))) for calls in range(1, 700)) < 1e-6
+        max(excess_probability(SLOW_START_SAFETY * calls, floor(platform_limit(calls))) for calls in range(1, 700))
+        < 1e-6
     )
