--- a/ternlane/policy/prefix_affinity.py
+++ b/ternlane/policy/prefix_affinity.py
@@ -26,7 +26,7 @@
 POPULARITY_PRIOR_REQUESTS = 64
 # Above this number of prefixes all counts are halved, as the number of prefixes is unbounded.
 MAX_COUNTED_PREFIXES = 4096
-# Before the first sample, this share of the snapshot tokens is assumed to be cached at the preferred prefill server.
+# Before the first sample, this share of the known tokens is assumed to be cached at the preferred prefill server.
 INITIAL_CACHED_SHARE = 0.5
 # Weight of a new sample in the mean cached share: a flushed cache shows after about sixteen requests.
 CACHED_SHARE_WEIGHT = 1 / 16
@@ -60,9 +60,8 @@
         return sorted(servers, key=lambda endpoint: session_key * (endpoint.server.hash_key | 1) % 2**32)
 
     def _server_count(self, prefix: str, servers: int) -> int:
-        others = (
-            max(1, self.prefix_popularity[prefix]) - 1
-        )  # without the current request, which is no evidence of popularity
+        # Without the current request, which is no evidence of popularity.
+        others = max(1, self.prefix_popularity[prefix]) - 1
         share = others / (self.prefix_popularity.total() + POPULARITY_PRIOR_REQUESTS)
         return round(MIN_PREFIX_SERVERS + PREFIX_SERVERS_PER_SHARE * servers * share)
 
