--- a/ternlane/discovery/__init__.py
+++ b/ternlane/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""The list of model servers: followed, cached over a restart, told to the decisions."""
+"""Service discovery: watches the list of model servers, caches it across restarts and registers the endpoints."""
 
 from ternlane.discovery.consul import nodes_from_health
 from ternlane.discovery.endpoint_cache import TornCacheError, read_cache, write_cache
--- a/ternlane/discovery/consul.py
+++ b/ternlane/discovery/consul.py
@@ -1,7 +1,7 @@
-"""Reads the answer of Consul's /v1/health/service/:name (its published HTTP API). Free of I/O.
+"""Parses responses of Consul's /v1/health/service/:name (its published HTTP API). Does no I/O.
 
-Checks: all passing or warning -> up; a check named _service_maintenance or _node_maintenance -> draining; another
-critical check -> gone. Service.Meta carries duty, zone, cell, mem_toks, size and started.
+Checks map to states: all passing or warning is `up`, a critical check named _service_maintenance or _node_maintenance
+is `draining`, any other critical check is `gone`. Service.Meta carries duty, zone, cell, mem_toks, size and started.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Check(msgspec.Struct, rename="pascal"):
-    """A health check of a service or of its node."""
+    """A health check of a service or of the node that it runs on."""
 
     status: str = "passing"
     check_id: str = msgspec.field(default="", name="CheckID")
@@ -30,13 +30,13 @@
 
 
 class Node(msgspec.Struct, rename="pascal", frozen=True):
-    """The machine of a service; its address counts where the service has none."""
+    """The machine that a service runs on; its address is used if the service has none."""
 
     address: str = ""
 
 
 class Entry(msgspec.Struct, rename="pascal"):
-    """One service with its checks."""
+    """One service with its health checks."""
 
     service: Service
     checks: list[Check] = []
@@ -47,7 +47,7 @@
 
 
 def state_of(checks: list[Check]) -> str:
-    """The state of a node line, by the checks of its service."""
+    """Returns the state of a node line for these health checks of its service."""
     for check in checks:
         if "_maintenance" in check.check_id and check.status == "critical":
             return "draining"
@@ -55,9 +55,9 @@
 
 
 def nodes_from_health(body: bytes) -> tuple[list[NodeLine], list[str]]:
-    """Node lines, and why entries were left out. Raises ValueError if the whole can't be read."""
+    """Returns the node lines, and a message for each invalid entry. Raises ValueError if the body can't be parsed."""
     lines = []
-    left_out = []
+    invalid = []
     for entry in decode_entries(body):
         service = entry.service
         meta = service.meta
@@ -79,5 +79,5 @@
             }
             lines.append(msgspec.convert(raw, NodeLine))
         except (msgspec.ValidationError, ValueError) as why:
-            left_out.append(f"{service.ident}: {why}")
-    return lines, left_out
+            invalid.append(f"{service.ident}: {why}")
+    return lines, invalid
--- a/ternlane/discovery/endpoint_cache.py
+++ b/ternlane/discovery/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The last list on disk. A file that was torn while being written is recognised and not used."""
+"""Cache of the last endpoint list on disk. A checksum detects a file that was only partly written."""
 
 from __future__ import annotations
 
@@ -15,27 +15,30 @@
 
 
 class TornCacheError(ValueError):
-    """The file is not one that was written whole."""
+    """The cache file is unreadable, incomplete or corrupt."""
 
 
 def write_cache(path: Path, lines: list[NodeLine]) -> None:
-    """Written beside, synced, renamed over, and the folder synced: at any moment the old or the new file is whole."""
+    """Replaces the file atomically, so that a complete old or new file exists at any moment.
+
+    Writes a temporary file, syncs it, renames it over the old one and syncs the directory.
+    """
     body = msgspec.json.encode(lines)
-    fresh = path.with_name(path.name + ".new")
-    with open(fresh, "wb") as out:
+    temporary = path.with_name(path.name + ".new")
+    with open(temporary, "wb") as out:
         out.write(HEADER + xxh3_64_hexdigest(body).encode() + b"\n" + body)
         out.flush()
         os.fsync(out.fileno())
-    os.replace(fresh, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    os.replace(temporary, path)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
 def read_cache(path: Path) -> list[NodeLine] | None:
-    """None if there is no file. Raises TornCacheError."""
+    """Returns the cached lines, or None if there is no file. Raises TornCacheError."""
     try:
         raw = path.read_bytes()
     except FileNotFoundError:
@@ -44,7 +47,7 @@
         raise TornCacheError(f"{path}: {why}") from None
     head, _, body = raw.partition(b"\n")
     if not head.startswith(HEADER) or head[len(HEADER) :] != xxh3_64_hexdigest(body).encode():
-        raise TornCacheError(f"{path}: its checksum does not match its text")
+        raise TornCacheError(f"{path}: checksum mismatch or unknown header")
     try:
         return decode_lines(body)
     except msgspec.DecodeError as why:
--- a/ternlane/discovery/endpoint_registry.py
+++ b/ternlane/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Node lines become the Server objects that runtime and decisions share. Free of I/O."""
+"""Maps node lines to the Server objects that the runtime and the router share. Does no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """A server's id and address, which the decisions do not see."""
+    """A server's id and address, which the router does not see."""
 
     ident: str
     address: str
@@ -23,15 +23,17 @@
 
 
 class EndpointRegistry:
-    """The listed servers by their ids, and their endpoints. `wall` gives seconds since 1970 and `now` the router's
-    milliseconds, both of the same moment."""
+    """The listed servers by id, and their endpoints.
+
+    `wall` (seconds since 1970) and `now` (the router's clock, in ms) denote the same moment.
+    """
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
         self.endpoints: dict[Server, Endpoint] = {}
 
     def update(self, lines: Iterable[NodeLine], wall: float, now: float) -> EndpointsUpdated:
-        """A whole list: what it leaves out is removed. Only what changed is told."""
+        """Applies a complete list, removing servers that it omits. Returns only the servers that changed."""
         changed: list[Server] = []
         listed: set[str] = set()
         for line in lines:
@@ -39,7 +41,7 @@
             server = self.servers.get(line.id)
             if server is not None and self.endpoints[server].line == line:
                 continue
-            if server is None or server.role is not ROLES[line.role]:  # another role makes it another server
+            if server is None or server.role is not ROLES[line.role]:  # a server with another role is a new server
                 if server is not None:
                     server.status = EndpointStatus.REMOVED
                     changed.append(server)
@@ -50,7 +52,7 @@
         return EndpointsUpdated(tuple(changed))
 
     def add(self, line: NodeLine) -> Server:
-        """A server that was not listed before, or not in this role."""
+        """Adds a server that was not listed before, or not in this role."""
         server = Server(
             line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, hash_key=crc32(line.id.encode())
         )
@@ -58,7 +60,7 @@
         return server
 
     def apply(self, server: Server, line: NodeLine, wall: float, now: float) -> None:
-        """Sets what a line says of a server."""
+        """Copies the fields of a node line to its server."""
         server.zone = line.zone
         server.cell = line.cell
         server.kv_capacity_tokens = line.kv_capacity_tokens
@@ -68,7 +70,10 @@
         self.endpoints[server] = Endpoint(line.id, line.address, line)
 
     def remove_unlisted(self, listed: set[str]) -> list[Server]:
-        """Removes the servers that a list leaves out. One that comes back is another line, and told anew."""
+        """Marks the servers that the list omits as removed.
+
+        Their line is replaced by a placeholder, so that a server that is listed again counts as changed.
+        """
         removed = []
         for ident, server in self.servers.items():
             if ident in listed or server.status is EndpointStatus.REMOVED:
@@ -82,6 +87,6 @@
         return removed
 
     def lines(self) -> list[NodeLine]:
-        """The lines of all servers that are listed."""
+        """Returns the lines of all listed servers."""
         listed = (server for server in self.servers.values() if server.status is not EndpointStatus.REMOVED)
         return [self.endpoints[server].line for server in listed]
--- a/ternlane/discovery/follow.py
+++ b/ternlane/discovery/follow.py
@@ -1,7 +1,7 @@
-"""Follows a list at its source for as long as it runs, and says each whole list that it finds.
+"""Watches the endpoint list at its source and reports each complete list.
 
-A source that fails, restarts or says nonsense changes nothing: the old list stays, `failed` is told, and it is asked
-again after a pause that grows to eight times itself.
+A source that fails, restarts or returns invalid data changes nothing: the old list stays in use, `failed` is called,
+and the source is queried again after a backoff.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from ternlane.discovery.consul import nodes_from_health
 from ternlane.http1 import ConnectError, ConnectionPool
 
-MAX_LIST_BYTES = 64 * 2**20  # of Consul's answer: more is no list of servers
-CONNECT_TIMEOUT_MS = 1000.0  # Consul's agent is near
-MAX_BACKOFF = 8  # times the first pause: a source that comes back must be noticed soon
-WAIT_JITTER = 1.1  # Consul may lengthen a wait by 1/16
-ANSWER_TIME_MS = 2000  # beside the wait itself
+MAX_LIST_BYTES = 64 * 2**20  # largest response of Consul
+CONNECT_TIMEOUT_MS = 1000.0  # Consul's agent is expected on this machine or nearby
+MAX_BACKOFF = 8  # multiple of the first pause; bounded so that a recovered source is noticed soon
+WAIT_JITTER = 1.1  # Consul may extend the wait of a blocking query by 1/16
+RESPONSE_TIMEOUT_MS = 2000  # in addition to the wait of the blocking query
 
 OnList = Callable[[list[NodeLine]], None]
 OnFailure = Callable[[str], None]
 
 
 class NodeFile(ConfigDocument, frozen=True, kw_only=True):
-    """The document of a followed file."""
+    """The document of a watched file."""
 
     nodes: list[NodeLine]
 
 
 def read_nodes(text: str, name: str) -> list[NodeLine]:
-    """Raises ConfigError, also for an id that is given twice."""
+    """Parses a node file. Raises ConfigError, also for a duplicate id."""
     lines = read_text(text, NodeFile, name).nodes
     seen: set[str] = set()
     for i, line in enumerate(lines):
@@ -46,7 +46,7 @@
 
 
 async def follow_file(source: FileSource, found: OnList, failed: OnFailure) -> None:
-    """Looks at the file's identity, size and time; reads it when they have changed."""
+    """Polls the file's inode, size and modification time, and reads the file when they have changed."""
     path = Path(source.path)
     last = None
     while True:
@@ -62,15 +62,15 @@
 
 
 async def follow_consul(source: ConsulSource, found: OnList, failed: OnFailure, agent: str) -> None:
-    """Blocking queries. An index that goes back or to nought starts anew, as the API's description asks."""
+    """Watches with blocking queries. If the index goes back or to 0 it starts over, as Consul's API docs require."""
     pool = ConnectionPool(CONNECT_TIMEOUT_MS, 2 * source.wait_ms)
     index = 0
     pause_ms = source.retry_ms
     try:
         while True:
             try:
-                with trio.fail_after((source.wait_ms * WAIT_JITTER + ANSWER_TIME_MS) / 1000):
-                    index, lines = await ask_consul(pool, source, index, agent, failed)
+                with trio.fail_after((source.wait_ms * WAIT_JITTER + RESPONSE_TIMEOUT_MS) / 1000):
+                    index, lines = await query_consul(pool, source, index, agent, failed)
                 if lines is not None:
                     found(lines)
                 pause_ms = source.retry_ms
@@ -84,18 +84,20 @@
                 ValueError,
             ) as why:
                 failed(f"{source.address}: {why!r}")
-                index = 0  # it may have restarted with another count
+                index = 0  # the agent may have restarted with other indexes
                 await trio.sleep(pause_ms / 1000)
                 pause_ms = min(2 * pause_ms, MAX_BACKOFF * source.retry_ms)
     finally:
         pool.close()
 
 
-async def ask_consul(
+async def query_consul(
     pool: ConnectionPool, source: ConsulSource, index: int, agent: str, failed: OnFailure
 ) -> tuple[int, list[NodeLine] | None]:
-    """One blocking query: the next index, and the list or None for nothing new. Raises ValueError, and what a
-    connection raises."""
+    """Makes one blocking query. Returns the next index, and the list or None if it has not changed.
+
+    Raises ValueError, and what the connection raises.
+    """
     connection = await pool.take(source.address)
     try:
         target = f"/v1/health/service/{source.service}?index={index}&wait={source.wait_ms:.0f}ms"
@@ -107,10 +109,10 @@
         raise
     if head.status_code != 200:
         raise ValueError(f"status {head.status_code}")
-    said = next((int(value) for name, value in head.headers if name == b"x-consul-index"), 0)
-    if said == index and index > 0:  # nothing new within the wait
+    new_index = next((int(value) for name, value in head.headers if name == b"x-consul-index"), 0)
+    if new_index == index and index > 0:  # no change within the wait
         return index, None
-    lines, left_out = nodes_from_health(body)
-    if left_out:
-        failed("left out " + "; ".join(left_out[:5]))
-    return (0 if said < index else said), lines
+    lines, invalid = nodes_from_health(body)
+    if invalid:
+        failed("invalid entries ignored: " + "; ".join(invalid[:5]))
+    return (0 if new_index < index else new_index), lines
--- a/ternlane/http1/__init__.py
+++ b/ternlane/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over trio streams by h11, and server-sent events: what servers, attempts, discovery and fakes share."""
+"""HTTP/1.1 over trio streams with h11, and server-sent events. Shared by servers, attempts, discovery and fakes."""
 
 from ternlane.http1.client_connection import ClientConnection
 from ternlane.http1.close_reason import CloseReason
--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -1,4 +1,4 @@
-"""The calling side: one connection to a server, one request at a time."""
+"""Client side of HTTP/1.1: one connection to a server, with one request in flight at a time."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 Headers = Sequence[tuple[str, str]]
 
-# Of one read.
+# Largest single read.
 CHUNK_BYTES = 65536
-# Of an answer's head, or of a chunk's line.
+# Largest response head or chunk-size line.
 HEAD_BYTES = 16384
-# Heads that may come ahead of the answer's (status 1xx).
+# Interim responses (status 1xx) accepted ahead of the final one.
 MAX_INTERIM_HEADS = 16
 
 
 class CallState(Enum):
-    """How far the present request has come."""
+    """Progress of the current request."""
 
     NOT_SENT = auto()
-    SENT = auto()  # to its last byte: it may run
-    ANSWERED = auto()  # at least a byte of the answer is there
+    SENT = auto()  # up to its last byte, so the server may execute it
+    ANSWERED = auto()  # at least one byte of the response has been received
     BROKE_SENDING = auto()  # the connection broke before the last byte was written
-    BROKE_UNANSWERED = auto()  # it broke after that, and before any byte of the answer
+    BROKE_UNANSWERED = auto()  # the connection broke after that, before any byte of the response
 
 
 class ClientConnection:
-    """One connection. `ask` sends a request and gives the head of the answer, `chunks` or `body` the rest."""
+    """One connection. `ask` sends a request and returns the response head; `chunks` or `body` read the rest."""
 
     def __init__(self, stream: trio.SocketStream, peer: str, local: tuple[str, int]) -> None:
         self.stream = stream
@@ -42,40 +42,43 @@
         self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
         self.state = CallState.NOT_SENT
         self.idle_since = 0.0  # s, trio's clock; set by the pool
-        self.idled_ms: float | None = None  # how long it lay idle before this request; None: it is new
-        self.has_served = False  # it has answered a request before
+        self.idled_ms: float | None = None  # idle time before this request; None for a new connection
+        self.has_served = False  # has completed a request before
         self.on_close: Callable[[ClientConnection], None] = lambda _: None
         self._read_deadline_s = inf  # see `expect_by`
         self._drained_after_deadline = False
 
     @property
     def written(self) -> bool:
-        """Has the request's last byte been written, so that it may run?"""
+        """Whether the request's last byte has been written, so that the server may execute it."""
         return self.state in (CallState.SENT, CallState.ANSWERED, CallState.BROKE_UNANSWERED)
 
     @property
     def broke(self) -> bool:
-        """Did the connection break ahead of the answer, as one does that the peer had dropped while it was idle?"""
+        """Whether the connection broke before the response, as one does that the peer dropped while it was idle."""
         return self.state in (CallState.BROKE_SENDING, CallState.BROKE_UNANSWERED)
 
     @property
     def reusable(self) -> bool:
-        """Is the answer whole, with nothing behind it? What comes unasked could be taken for the next answer."""
+        """Whether the response is complete and nothing follows it.
+
+        Unsolicited bytes could be mistaken for the response to the next request.
+        """
         is_done = self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE
         return is_done and not self.conn.trailing_data[0]
 
     @property
     def dead(self) -> bool:
-        """Has the peer closed, or sent something unasked, while the connection was idle?"""
+        """Whether the peer has closed, or sent unsolicited bytes, while the connection was idle."""
         return is_readable(self.stream)
 
     async def ask(self, method: str, target: str, headers: Headers, body: bytes = b"") -> h11.Response:
-        """Sends a request and returns the head of the answer. Raises what `send_request` and `read_head` raise."""
+        """Sends a request and returns the response head. Raises what `send_request` and `read_head` raise."""
         await self.send_request(method, target, headers, body)
         return await self.read_head()
 
     async def send_request(self, method: str, target: str, headers: Headers, body: bytes = b"") -> None:
-        """Raises ConnectError where the connection breaks before the request's last byte is written."""
+        """Raises ConnectError if the connection breaks before the request's last byte is written."""
         self.state = CallState.NOT_SENT
         head = [("Host", self.peer), *headers]
         if body or method != "GET":
@@ -88,25 +91,25 @@
             await send(self.stream, data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             self.state = CallState.BROKE_SENDING
-            raise ConnectError(f"{self.peer}: broke before all was written: {error}") from None
+            raise ConnectError(f"{self.peer}: connection broke before the request was fully written: {error}") from None
         self.state = CallState.SENT
 
     async def read_head(self) -> h11.Response:
-        """The head of the answer.
+        """Returns the head of the final response.
 
-        Raises ReadTimeout, and trio.BrokenResourceError or h11.RemoteProtocolError where the connection breaks or the
-        peer breaks off.
+        Raises ReadTimeout, and trio.BrokenResourceError or h11.RemoteProtocolError if the connection breaks, the peer
+        closes early or violates the protocol.
         """
         for _ in range(MAX_INTERIM_HEADS):
             event = await self.event()
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise h11.RemoteProtocolError("the connection closed before the answer began")
-        raise h11.RemoteProtocolError("interim answers without end")
+                raise h11.RemoteProtocolError("connection closed before the response began")
+        raise h11.RemoteProtocolError("too many interim responses")
 
     async def event(self) -> h11.Event | type[h11.PAUSED]:
-        """The next event of the answer. Raises as `read_head` does."""
+        """Returns the next event of the response. Raises as `read_head` does."""
         while True:
             event = self.conn.next_event()
             if event is not h11.NEED_DATA:
@@ -114,12 +117,15 @@
             self.conn.receive_data(await self._receive())
 
     def expect_by(self, when_s: float) -> None:
-        """Reads raise ReadTimeout from then on (trio's clock), but for what has arrived by then: that is read, once."""
+        """Sets the time (trio's clock) from which reads raise ReadTimeout.
+
+        Data that is already in the kernel's buffer at that time is still returned by one further read.
+        """
         self._read_deadline_s = when_s
         self._drained_after_deadline = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body's bytes. Raises as `read_head` does, also where the body ends short of its stated length."""
+        """Yields the body. Raises as `read_head` does, also if the body is shorter than its stated length."""
         while True:
             event = await self.event()
             if isinstance(event, h11.Data):
@@ -127,24 +133,24 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             else:
-                raise h11.RemoteProtocolError("the connection closed within the answer")
+                raise h11.RemoteProtocolError("connection closed before the end of the response body")
 
     async def body(self, limit: int) -> bytes:
-        """The whole body. Raises as `chunks` does, and h11.RemoteProtocolError for more than `limit` bytes."""
+        """Returns the whole body. Raises as `chunks` does, and h11.RemoteProtocolError beyond `limit` bytes."""
         whole = bytearray()
         async for chunk in self.chunks():
             whole += chunk
             if len(whole) > limit:
-                raise h11.RemoteProtocolError(f"the answer is longer than {limit} bytes")
+                raise h11.RemoteProtocolError(f"response body exceeds {limit} bytes")
         return bytes(whole)
 
     def close_now(self) -> None:
-        """Closes without waiting; what the peer still sends is answered by a reset."""
+        """Closes without waiting; the kernel answers later bytes from the peer with a reset."""
         self.stream.socket.close()
         self.on_close(self)
 
     async def _receive(self) -> bytes:
-        """Bytes of the answer; b"" where the peer has ended its side."""
+        """Returns bytes of the response, or b"" once the peer has closed its sending side."""
         try:
             data = await self._receive_in_time()
         except trio.BrokenResourceError:
@@ -160,11 +166,11 @@
         if trio.current_time() < self._read_deadline_s:
             with trio.CancelScope(deadline=self._read_deadline_s):
                 return await self.stream.receive_some(CHUNK_BYTES)
-        # The deadline has passed: what the kernel holds has arrived by then, but was not read in time.
+        # The deadline has passed, but data that arrived before it may still be unread in the kernel's buffer.
         data = None if self._drained_after_deadline else receive_now(self.stream, CHUNK_BYTES)
-        self._drained_after_deadline = True  # one that never stops sending is not waited for either
+        self._drained_after_deadline = True  # only once: a peer that never stops sending must time out too
         if data is None:
-            raise ReadTimeout(f"{self.peer}: nothing came in time")
+            raise ReadTimeout(f"{self.peer}: no data before the read deadline")
         return data
 
     def _note_end(self) -> None:
--- a/ternlane/http1/close_reason.py
+++ b/ternlane/http1/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a client's connection was closed."""
+"""Reasons for closing a client's connection."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 class CloseReason(Enum):
     """Why a client's connection was closed from this side, for logs and metrics."""
 
-    CLIENT_ENDED = auto()  # the client closed it between requests, or within one
-    IDLE = auto()  # no request came within the idle time
-    MADE_ROOM = auto()  # it lay idle, and another connection needed its place
-    DRAINING = auto()  # the server is shutting down, and no request was open on it
-    ANSWERED = auto()  # after an answer that said that the connection ends, or a client that asked for it
-    CUT = auto()  # the answer is not whole: its client has left, or its stream broke
-    REFUSED = auto()  # after the error answer to a bad request
+    CLIENT_ENDED = auto()  # the client closed it between requests or during one
+    IDLE = auto()  # no request arrived within the idle time-out
+    MADE_ROOM = auto()  # it was idle and closed to admit another connection
+    DRAINING = auto()  # the server is shutting down and no request was open on it
+    ANSWERED = auto()  # after a response with `Connection: close`, by either side's request
+    CUT = auto()  # the response is incomplete: the client disconnected or the stream broke
+    REFUSED = auto()  # after the error response to a bad request
     BROKEN = auto()  # the connection broke
-    FAULT = auto()  # the handler failed
+    FAULT = auto()  # the handler raised an exception
     CANCELLED = auto()  # the server stopped without draining
--- a/ternlane/http1/connection_age.py
+++ b/ternlane/http1/connection_age.py
@@ -1,7 +1,8 @@
-"""Which idle connections are worth using again, by how long they have been idle. Free of I/O.
+"""Decides which idle connections are safe to reuse, by how long they have been idle. Does no I/O.
 
-A path or a peer may drop idle connections sooner than agreed, and tell so late or never; a request written to such a
-one is a reset that may have run. Breaks are counted by the idle time's order of magnitude.
+A network path or a peer may drop idle connections earlier than agreed and signal it late or never. A request written to
+such a connection ends in a reset after which it is unknown whether the request ran. Failed reuses are therefore counted
+per order of magnitude (powers of two) of the idle time.
 """
 
 from __future__ import annotations
@@ -9,15 +10,15 @@
 from dataclasses import dataclass
 from math import exp
 
-# The part of the connections used again after such a time that broke: more is no chance.
+# Largest tolerated share of reuses that broke; a larger one is taken as systematic.
 BREAK_SHARE_LIMIT = 1 / 8
-# Breaks, with the older ones fading, before anything is concluded.
+# Decayed number of breaks below which reuse is not restricted.
 MIN_BREAKS = 1.5
 
 
 @dataclass(slots=True, frozen=True)
 class ReuseCounts:
-    """Uses and breaks after idle times of one order of magnitude, as they were at `at_ms`."""
+    """Decayed counts of reuses and breaks for one order of magnitude of idle time, valid at `at_ms`."""
 
     uses: float
     breaks: float
@@ -25,28 +26,31 @@
 
 
 class ConnectionAge:
-    """Counts fade with the time constant `span_ms`, so that what was shunned is tried again."""
+    """Outcomes of reuse by idle time.
+
+    Counts decay with the time constant `span_ms`, so that idle times once found unsafe are tried again.
+    """
 
     def __init__(self, span_ms: float) -> None:
         self.span_ms = span_ms
-        self._counts: dict[int, ReuseCounts] = {}  # by doublings of the idle time
+        self._counts: dict[int, ReuseCounts] = {}  # by the bit length of the idle time in ms
 
     def record(self, idle_ms: float, broke: bool, now_ms: float) -> None:
-        """A connection was used again after being idle for so long."""
-        faded = self._faded(idle_ms, now_ms)
-        self._counts[_magnitude(idle_ms)] = ReuseCounts(faded.uses + 1, faded.breaks + broke, now_ms)
+        """Records one reuse of a connection after `idle_ms`."""
+        decayed = self._decayed(idle_ms, now_ms)
+        self._counts[_magnitude(idle_ms)] = ReuseCounts(decayed.uses + 1, decayed.breaks + broke, now_ms)
 
-    def shuns(self, idle_ms: float, now_ms: float) -> bool:
-        """Is a connection that has been idle for so long likely to break?"""
-        faded = self._faded(idle_ms, now_ms)
-        return faded.breaks >= MIN_BREAKS and faded.breaks > BREAK_SHARE_LIMIT * faded.uses
+    def is_unsafe(self, idle_ms: float, now_ms: float) -> bool:
+        """Whether a connection that has been idle for `idle_ms` is likely to break when it is reused."""
+        decayed = self._decayed(idle_ms, now_ms)
+        return decayed.breaks >= MIN_BREAKS and decayed.breaks > BREAK_SHARE_LIMIT * decayed.uses
 
-    def _faded(self, idle_ms: float, now_ms: float) -> ReuseCounts:
+    def _decayed(self, idle_ms: float, now_ms: float) -> ReuseCounts:
         counts = self._counts.get(_magnitude(idle_ms))
         if counts is None:
             return ReuseCounts(0.0, 0.0, now_ms)
-        fade = exp((counts.at_ms - now_ms) / self.span_ms)
-        return ReuseCounts(counts.uses * fade, counts.breaks * fade, now_ms)
+        decay = exp((counts.at_ms - now_ms) / self.span_ms)
+        return ReuseCounts(counts.uses * decay, counts.breaks * decay, now_ms)
 
 
 def _magnitude(idle_ms: float) -> int:
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -1,4 +1,4 @@
-"""The calling side: connections to many servers, kept and used again."""
+"""Client side of HTTP/1.1: a pool of reusable connections to many servers."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from ternlane.http1.connection_age import ConnectionAge
 from ternlane.http1.errors import ConnectError
 
-# Idle connections kept for each peer.
+# Idle connections kept per peer.
 MAX_IDLE_PER_PEER = 64
-# Errors of socket, bind and connect that tell of this machine, not of the peer; what is short comes back in a moment.
+# Errors of socket, bind and connect that mean a short-lived lack of resources on this machine, not a fault of the peer.
 LOCAL_SHORTAGES = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN}
 )
-# Between two tries while this machine is short of something.
+# Pause between two connection attempts while this machine lacks a resource.
 SHORTAGE_PAUSE_S = 0.01
 
 
 class ConnectionPool:
-    """Connections to many peers, which are "host:port". One that was taken is given back, or closed.
+    """Connections to many peers, each named as "host:port". Callers give back or close each connection that they take.
 
-    With `limit` connections open the one that has been idle for longest makes room for a new one. `connect_ms` bounds
-    the making of a connection, `idle_ms` how long one is kept; `source` is the local address to connect from.
+    With `limit` connections open, the one idle for longest is closed before a new one is opened. `connect_ms` bounds
+    the time to connect and `idle_ms` how long an idle connection is kept; `source` is the local address to bind to.
     """
 
     def __init__(self, connect_ms: float, idle_ms: float, source: str | None = None, limit: float = inf) -> None:
@@ -36,16 +36,16 @@
         self.idle_ms = idle_ms
         self.source = source
         self.limit = limit
-        self.idle: dict[str, OrderedDict[ClientConnection, None]] = {}  # of each peer, the most recently used last
+        self.idle: dict[str, OrderedDict[ClientConnection, None]] = {}  # by peer, the most recently used last
         self.idle_of_all: OrderedDict[ClientConnection, None] = OrderedDict()  # the longest idle first
         self.open: set[ClientConnection] = set()
-        self.connecting = 0  # connections that are being made
-        self.made = 0  # since the start
-        self.shortages = 0  # tries for a connection that failed for want of something on this machine
+        self.connecting = 0  # connection attempts in progress
+        self.made = 0  # connections opened since the start
+        self.shortages = 0  # connection attempts that failed for lack of a resource on this machine
         self.age = ConnectionAge(idle_ms)
 
     def set_limits(self, connect_ms: float, idle_ms: float, limit: float) -> None:
-        """Other limits from now on, also for connections that are open; idle ones beyond `limit` close."""
+        """Replaces the limits, also for open connections; idle connections beyond `limit` are closed."""
         self.connect_ms = connect_ms
         self.limit = limit
         if idle_ms != self.idle_ms:
@@ -56,16 +56,17 @@
         self.sweep()
 
     async def take(self, peer: str, rest_ms: float = 0.0) -> ClientConnection:
-        """An idle connection that has rested for `rest_ms`, or else a new one.
+        """Returns an idle connection, or else a new one.
 
-        Raises ConnectError where none could be made in time.
+        A connection that has completed a request is only reused once it has been idle for `rest_ms`. Raises
+        ConnectError if no connection could be established in time.
         """
         now_s = trio.current_time()
         for connection in list(reversed(self.idle.get(peer, ()))):
             idled_ms = (now_s - connection.idle_since) * 1000
             if connection.has_served and idled_ms < rest_ms:
                 continue
-            if idled_ms >= self.idle_ms or connection.dead or self.age.shuns(idled_ms, now_s * 1000):
+            if idled_ms >= self.idle_ms or connection.dead or self.age.is_unsafe(idled_ms, now_s * 1000):
                 connection.close_now()
                 continue
             self._remove_idle(connection)
@@ -74,11 +75,11 @@
         return await self.connect(peer)
 
     async def connect(self, peer: str) -> ClientConnection:
-        """A new connection. Raises ConnectError."""
+        """Opens a new connection. Raises ConnectError."""
         host, _, port = peer.rpartition(":")
         while len(self.open) + self.connecting >= self.limit:
             if not self.idle_of_all:
-                raise ConnectError(f"{peer}: {len(self.open)} connections are out, as many as may be")
+                raise ConnectError(f"{peer}: connection limit reached: {len(self.open)} open, none idle")
             self._close_longest_idle()
         self.connecting += 1
         try:
@@ -96,16 +97,19 @@
         return connection
 
     def give_back(self, connection: ClientConnection) -> None:
-        """Keeps the connection if its answer is whole. One on which nothing was asked is as good as before."""
+        """Returns a connection to the pool.
+
+        It is kept if its response is complete or if no request was sent on it, and closed otherwise.
+        """
         connection.expect_by(inf)
-        was_asked = connection.conn.our_state is not h11.IDLE
-        if was_asked:
-            self._note_reuse(connection)
-        is_spent = was_asked and not connection.reusable
+        was_used = connection.conn.our_state is not h11.IDLE
+        if was_used:
+            self._record_reuse(connection)
+        is_spent = was_used and not connection.reusable
         if is_spent or len(self.idle.get(connection.peer, ())) >= MAX_IDLE_PER_PEER:
             connection.close_now()
             return
-        if was_asked:
+        if was_used:
             connection.conn.start_next_cycle()
             connection.has_served = True
         connection.idle_since = trio.current_time()
@@ -113,12 +117,12 @@
         self.idle_of_all[connection] = None
 
     def forget(self, peer: str) -> None:
-        """Closes the idle connections to a peer that is no longer there."""
+        """Closes the idle connections to a peer that has been removed."""
         for connection in list(self.idle.get(peer, ())):
             connection.close_now()
 
     def sweep(self) -> None:
-        """Closes what has been idle for too long."""
+        """Closes the connections that have been idle for longer than `idle_ms`."""
         now_s = trio.current_time()
         while self.idle_of_all:
             connection = next(iter(self.idle_of_all))
@@ -132,7 +136,7 @@
             connection.close_now()
 
     async def _open_stream(self, host: str, port: int) -> trio.SocketStream:
-        """A connection, tried again while this machine is short of something: that is no fault of the peer's."""
+        """Opens a connection, retrying while this machine lacks a resource, since the peer is not at fault then."""
         while True:
             try:
                 return await open_stream(host, port, self.source)
@@ -156,18 +160,18 @@
 
     def _closed(self, connection: ClientConnection) -> None:
         if connection in self.open and connection.broke:
-            self._note_reuse(connection)
+            self._record_reuse(connection)
         self.open.discard(connection)
         self._remove_idle(connection)
 
-    def _note_reuse(self, connection: ClientConnection) -> None:
-        """Whether a kept connection still worked when it was used again."""
+    def _record_reuse(self, connection: ClientConnection) -> None:
+        """Records whether a pooled connection still worked when it was reused."""
         if connection.idled_ms is not None:
             self.age.record(connection.idled_ms, connection.broke, trio.current_time() * 1000)
 
 
 async def open_stream(host: str, port: int, source: str | None) -> trio.SocketStream:
-    """A connection to an address; a name takes trio's way, which resolves it. Raises OSError."""
+    """Connects to an IP address directly, or to a name through trio, which resolves it. Raises OSError."""
     try:
         family = trio.socket.AF_INET6 if ip_address(host).version == 6 else trio.socket.AF_INET
     except ValueError:
--- a/ternlane/http1/errors.py
+++ b/ternlane/http1/errors.py
@@ -1,24 +1,24 @@
-"""Errors of this package. All are kinds of `Http1Error`."""
+"""Exceptions of this package, all subclasses of `Http1Error`."""
 
 from __future__ import annotations
 
 
 class Http1Error(Exception):
-    """Any error of HTTP that has a meaning of its own to callers."""
+    """Base class of the HTTP errors that callers distinguish."""
 
 
 class ConnectError(Http1Error):
-    """No connection was made, or it broke before the request's last byte was written: nothing can have run."""
+    """The connection failed or broke before the request's last byte was written, so the request cannot have run."""
 
 
 class ReadTimeout(Http1Error):
-    """The peer has sent nothing by the deadline of a read."""
+    """The peer sent nothing before the read deadline."""
 
 
 class BadRequest(Http1Error):
-    """A request that is refused as it stands; the connection closes after the answer.
+    """An invalid or unacceptable request; the connection closes after the error response.
 
-    `status` is the HTTP status of the answer, `code` a name of the error for programs.
+    `status` is the HTTP status of the response and `code` a machine-readable error code.
     """
 
     def __init__(self, status: int, why: str, code: str = "invalid_request") -> None:
--- a/ternlane/http1/events.py
+++ b/ternlane/http1/events.py
@@ -1,32 +1,32 @@
-"""Server-sent events, from the WHATWG HTML standard's event-stream format. Free of I/O."""
+"""Server-sent events in the event-stream format of the WHATWG HTML standard. Does no I/O."""
 
 from __future__ import annotations
 
-# Of one event, in bytes: many times what a stream of tokens needs, and a bound on what a peer can make us keep.
+# Largest event in bytes: far more than a token stream needs, and a bound on the memory that a peer can make us use.
 EVENT_LIMIT = 4 * 2**20
 
 
 class EventReader:
-    """Bytes in, data fields out. A chunk may end anywhere; CR, LF and CRLF all end lines.
+    """Incremental parser that returns the data fields. Chunks may end anywhere; CR, LF and CRLF all end lines.
 
-    Raises ValueError on an event longer than `limit` bytes or on text that is not UTF-8.
+    Raises ValueError for an event longer than `limit` bytes or for text that is not UTF-8.
     """
 
     def __init__(self, limit: int = EVENT_LIMIT) -> None:
         self.limit = limit
         self._rest = b""
-        self._data: list[bytes] = []  # of the event that has begun
+        self._data: list[bytes] = []  # data lines of the incomplete event
 
     @property
     def unfinished(self) -> bool:
-        """Are bytes of an event that did not end left, as after a broken stream?"""
+        """Whether an incomplete event is buffered, as after a broken stream."""
         return bool(self._rest.strip() or self._data)
 
     def feed(self, more: bytes) -> list[str]:
-        """The data of the events that have ended with these bytes."""
-        *lines, self._rest = _with_plain_line_ends(self._rest + more).split(b"\n")
+        """Returns the data of each event that these bytes complete."""
+        *lines, self._rest = _normalize_line_ends(self._rest + more).split(b"\n")
         if len(self._rest) + sum(map(len, self._data)) > self.limit:
-            raise ValueError(f"an event is longer than {self.limit} bytes")
+            raise ValueError(f"server-sent event exceeds {self.limit} bytes")
         events: list[str] = []
         for line in lines:
             if line.startswith(b"data:"):
@@ -37,8 +37,8 @@
         return events
 
 
-def _with_plain_line_ends(text: bytes) -> bytes:
-    """CR and CRLF become LF, but for a CR at the very end, which may be half of a CRLF."""
+def _normalize_line_ends(text: bytes) -> bytes:
+    """Converts CR and CRLF to LF, except for a trailing CR, which may be the first half of a CRLF."""
     if b"\r" not in text:
         return text
     tail = b"\r" if text.endswith(b"\r") else b""
@@ -47,6 +47,6 @@
 
 
 def event_bytes(data: bytes, ident: int | None = None) -> bytes:
-    """One event, with its id if it has one."""
+    """Encodes one event, with its id if it has one."""
     event_id = b"" if ident is None else b"id: %d\n" % ident
     return event_id + b"data: " + data + b"\n\n"
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request on a client's connection, and the answer to it."""
+"""One HTTP request on a client's connection and the response to it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from ternlane.http1.nonblocking import has_hung_up, send_now
 
-# Of one read.
+# Largest single read.
 RECEIVE_BYTES = 65536
-# Kept of what a client sends before its answer; as much as one read may bring.
+# Bytes buffered of what a client sends before its response is complete; the size of one read.
 EARLY_BYTES = 65536
 
 
 class Exchange:
-    """One request and its answer. The answer is written by `answer`, or by `begin`, `chunk` and `end`."""
+    """One request and its response, which is written with `answer`, or with `begin`, `chunk` and `end`."""
 
     def __init__(
         self,
@@ -27,8 +27,8 @@
         arrived: float | None = None,
         closing: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`send_ms`: for how long a client may take nothing. `arrived`: when the request's first byte was there (s,
-        trio's clock). `closing`: whether the connection is to end with this answer, asked when its head is written."""
+        """`send_ms` is the send time-out and `arrived` when the request's first byte was received (s, trio's clock).
+        `closing`, called when the response head is written, says whether the connection closes after this response."""
         self.stream = stream
         self.conn = conn
         self.request = request
@@ -36,10 +36,10 @@
         self.closing = closing
         self.body = b""
         self.begun = False
-        self.early = 0  # bytes that came behind the request while it was served
-        self.overrun = False  # more of them than are kept
-        self.pipelined = False  # a further request began to come before this one's answer was complete
-        self.finishing = False  # the last bytes of the answer are being written, or have been
+        self.early = 0  # bytes received after the request while it was handled
+        self.overrun = False  # they exceed the buffer
+        self.pipelined = False  # bytes of a further request arrived before this response was complete
+        self.finishing = False  # the last bytes of the response are being written, or have been
         self.arrived = trio.current_time() if arrived is None else arrived
 
     @property
@@ -55,32 +55,32 @@
 
     @property
     def path(self) -> str:
-        """The request's target up to its query."""
+        """The request target without its query."""
         return self.request.target.partition(b"?")[0].decode("latin-1")
 
     @property
     def query(self) -> str:
-        """The request's query, as it stands; "" for none."""
+        """The raw query of the request target, or "" for none."""
         return self.request.target.partition(b"?")[2].decode("latin-1")
 
     def header(self, name: bytes) -> str | None:
-        """The first header of this name, which is in small letters; None where there is none."""
+        """Returns the first header of this name (in lower case), or None."""
         return next((value.decode("latin-1") for key, value in self.request.headers if key == name), None)
 
     async def send(self, data: bytes) -> None:
-        """Raises trio.BrokenResourceError where the client has left, or does not take its bytes in time."""
+        """Raises trio.BrokenResourceError if the client has disconnected or does not read within `send_ms`."""
         sent = send_now(self.stream, data)
         if sent == len(data):
             return
         with trio.move_on_after(self.send_ms / 1000) as scope:
             await self.stream.send_all(memoryview(data)[sent:])
         if scope.cancelled_caught:
-            raise trio.BrokenResourceError("the client takes nothing")
+            raise trio.BrokenResourceError("client did not read the response in time")
 
     async def answer(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes, content: str = "application/json"
     ) -> None:
-        """Writes a whole answer. Raises as `send` does."""
+        """Writes a complete response. Raises as `send` does."""
         self.begun = True
         head = [("Content-Type", content), ("Content-Length", str(len(body))), *headers, *self._connection_header()]
         out = self.conn.send(h11.Response(status_code=status, headers=head)) or b""
@@ -90,7 +90,7 @@
         await self.send(out)
 
     async def begin(self, status: int, headers: Sequence[tuple[str, str]], first: bytes = b"") -> None:
-        """Writes the head of a streamed answer, together with its first bytes. Raises as `send` does."""
+        """Writes the head of a streamed response together with its first bytes. Raises as `send` does."""
         self.begun = True
         head = [*headers, *self._connection_header()]
         out = self.conn.send(h11.Response(status_code=status, headers=head)) or b""
@@ -102,28 +102,31 @@
         return [("Connection", "close")] if self.closing() else []
 
     async def chunk(self, data: bytes) -> None:
-        """Writes further bytes of a streamed answer. Raises as `send` does."""
+        """Writes further bytes of a streamed response. Raises as `send` does."""
         await self.send(self.conn.send(h11.Data(data=data)) or b"")
 
     async def end(self, last: bytes = b"") -> None:
-        """Ends a streamed answer. Raises as `send` does."""
+        """Ends a streamed response. Raises as `send` does."""
         out = (self.conn.send(h11.Data(data=last)) or b"") if last else b""
         out += self.conn.send(h11.EndOfMessage()) or b""
         self._finish()
         await self.send(out)
 
     def _finish(self) -> None:
-        """From here on the client may have the whole answer, and what it sends is its next request."""
+        """From here on the client may have the complete response, so what it sends is its next request."""
         self.finishing = True
         self.pipelined = bool(self.conn.trailing_data[0])
 
     def reset(self) -> None:
-        """Breaks the connection off, as a faulty peer does; for fake servers alone."""
+        """Closes the socket abruptly, as a faulty peer does. Only for fake servers."""
         self.stream.socket.close()
 
     async def until_left(self) -> None:
-        """Returns when the client has closed its side. What it sends meanwhile is kept for its turn, up to a bound;
-        reading goes on beyond that too, or such a client could not be seen leaving."""
+        """Returns when the client has closed its side.
+
+        Bytes received meanwhile are buffered for the next request, up to a limit. Reading goes on beyond the limit,
+        since the disconnect could not be detected otherwise.
+        """
         while True:
             try:
                 data = await self.stream.receive_some(RECEIVE_BYTES)
@@ -131,7 +134,7 @@
                 return
             if not data:
                 return
-            if self.finishing:  # the answer's last bytes are still being written: this is the next request
+            if self.finishing:  # the response's last bytes are still being written: this is the next request
                 self.conn.receive_data(data)
                 await trio.sleep_forever()
             self.early += len(data)
@@ -141,5 +144,5 @@
 
     @property
     def closed(self) -> bool:
-        """Has the client closed its side already? For the moment before `until_left` has heard of it."""
+        """Whether the client has closed its side, even if `until_left` has not run since."""
         return has_hung_up(self.stream)
--- a/ternlane/http1/nonblocking.py
+++ b/ternlane/http1/nonblocking.py
@@ -1,4 +1,4 @@
-"""Socket calls that never wait, for the moments in which a decision depends on what the kernel holds right now."""
+"""Non-blocking socket calls, for decisions that depend on what is in the kernel's buffers at this moment."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def send_now(stream: trio.SocketStream, data: bytes) -> int:
-    """How many bytes the socket took just now. Raises trio.BrokenResourceError where the peer has gone.
+    """Writes without waiting and returns how many bytes were accepted.
 
-    Only for a stream on which nobody else is sending.
+    Raises trio.BrokenResourceError if the connection is broken. No other task may be sending on the stream.
     """
     try:
         return os.write(stream.socket.fileno(), data)
@@ -22,9 +22,9 @@
 
 
 def receive_now(stream: trio.SocketStream, size: int) -> bytes | None:
-    """What the kernel holds unread, at most `size` bytes; b"" once the peer has ended its side; None for nothing.
+    """Returns up to `size` unread bytes, b"" once the peer has closed its sending side, or None if there are none.
 
-    Raises trio.BrokenResourceError where the connection is broken or has been closed on this side.
+    Raises trio.BrokenResourceError if the connection is broken or has been closed on this side.
     """
     try:
         return os.read(stream.socket.fileno(), size)
@@ -35,12 +35,12 @@
 
 
 def is_readable(stream: trio.SocketStream) -> bool:
-    """Is anything there to be read: bytes, the peer's end, or an error? True for a socket closed on this side."""
+    """Whether bytes, end of file or an error can be read. True for a socket closed on this side."""
     return _polled(stream, select.POLLIN | select.POLLHUP | select.POLLERR)
 
 
 def has_hung_up(stream: trio.SocketStream) -> bool:
-    """Has the peer ended its side, even where bytes sent before are still unread?"""
+    """Whether the peer has closed its sending side, even if earlier bytes are still unread."""
     return _polled(stream, select.POLLRDHUP)
 
 
@@ -54,15 +54,18 @@
 
 
 async def send(stream: trio.SocketStream, data: bytes) -> None:
-    """Sends without a scheduler's turn where the socket takes all at once, as it nearly always does for one token."""
+    """Sends without yielding to the scheduler if the socket accepts all bytes, as it nearly always does for a token."""
     sent = send_now(stream, data)
     if sent < len(data):
         await stream.send_all(memoryview(data)[sent:])
 
 
 async def keep_open(scope: trio.CancelScope, until: float) -> None:
-    """Another deadline, by trio's clock, from the moment that an event is there. Where the one before has struck in
-    this very moment, nothing may be begun: the next wait would end it, and the client would have a torn answer."""
+    """Moves the deadline of `scope` (trio's clock) when an event has arrived.
+
+    If the previous deadline has just expired, trio.Cancelled is raised at once: the scope would cancel the next wait
+    anyway, and a response begun now would be truncated.
+    """
     scope.deadline = until
     if scope.cancel_called:
         await trio.lowlevel.checkpoint()  # raises trio.Cancelled
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -1,8 +1,8 @@
-"""The serving side: reads requests off one connection, hands each to a handler, and closes the connection.
+"""Server side of HTTP/1.1: reads requests from one connection, passes each to a handler, and closes the connection.
 
-`ServerConnection` is the only place that closes a client's connection. It never does so over a request whose bytes have
-arrived: before the end it looks for unread bytes, and serves them. After an answer it ends its own side first and reads
-off what still comes, since a close over unread bytes resets the connection and takes the answer with it.
+Only `ServerConnection` closes a client's connection. It never does so when bytes of a request have arrived: before
+closing it checks for unread bytes and serves the request. After the last response it shuts down its sending side and
+reads until end of file, because closing a socket with unread bytes resets the connection and can lose the response.
 """
 
 from __future__ import annotations
@@ -21,35 +21,34 @@
 from ternlane.http1.nonblocking import is_readable, receive_now
 from ternlane.http1.server_limits import ServerLimits
 
-# For which what still comes is read off before a connection is closed: longer than any way and back. A close over
-# unread bytes resets the connection, and could take the answer with it.
+# How long bytes are read and discarded before a connection is closed; longer than any round trip.
 LINGER_S = 0.25
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
 
 Handler = Callable[[Exchange], Awaitable[None]]
-Refuser = Callable[[Exchange | None, BadRequest], tuple[bytes, str]]
+ErrorBody = Callable[[Exchange | None, BadRequest], tuple[bytes, str]]
 
 
-def plain_refusal(_: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
-    """The body and content type of an answer to a bad request: its reason as text."""
+def plain_text_error(_: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
+    """Body and content type of the response to a bad request: the reason as plain text."""
     return bad.why.encode(), "text/plain"
 
 
 class ConnectionState(Enum):
-    """What a client's connection is doing."""
+    """State of a client's connection."""
 
-    READING = auto()  # a request has begun to come, or the connection has just been taken
-    IDLE = auto()  # no byte of a request is there
-    HANDLING = auto()  # a request has come whole
+    READING = auto()  # a request has been received in part, or the connection has just been accepted
+    IDLE = auto()  # waiting for the first byte of a request
+    HANDLING = auto()  # a request has been received completely
     CLOSED = auto()
 
 
 class ServerConnection:
-    """One client's connection. `served` is set once it has had a request.
+    """One client's connection. `served` is set once a request has been received.
 
-    `on_idle` is told each time that `idle` has changed, `on_close` once, with the reason. A request that comes before
-    the one ahead of it is answered is refused, or with `early_ok` served in its turn. While `draining()` the connection
-    ends with its next answer.
+    `on_idle` is called each time `idle` changes and `on_close` once, with the reason. A request that arrives before the
+    previous one is answered is refused, or with `early_ok` served in turn. While `draining()` is true the connection
+    closes after its next response.
     """
 
     def __init__(
@@ -58,7 +57,7 @@
         handler: Handler,
         limits: ServerLimits,
         *,
-        error_body: Refuser = plain_refusal,
+        error_body: ErrorBody = plain_text_error,
         draining: Callable[[], bool] = lambda: False,
         early_ok: bool = False,
         on_idle: Callable[[ServerConnection], None] = lambda _: None,
@@ -76,22 +75,24 @@
         self.state = ConnectionState.READING
         self.served = False
         self.close_reason = CloseReason.CANCELLED
-        self._last_request = False  # the request being served is the last one, as the server is draining
+        self._last_request = False  # the request being handled is the last one, as the server is draining
         self._reading_stopped = False
-        self._reading: trio.CancelScope | None = None  # while a request is read, from its first byte on
+        self._reading: trio.CancelScope | None = None  # set while a request is read, from its first byte on
 
     @property
     def idle(self) -> bool:
-        """Does it wait for the first byte of a request?"""
+        """Whether the connection waits for the first byte of a request."""
         return self.state is ConnectionState.IDLE
 
     async def serve(self) -> None:
-        """Serves requests until either side ends the connection. Never raises for what the client does; what the
-        handler fails with is raised once its request has been answered."""
+        """Serves requests until either side closes the connection.
+
+        Never raises for what the client does. An exception of the handler is re-raised after the error response.
+        """
         try:
             await self._serve_requests()
         except (*BROKEN, h11.LocalProtocolError):
-            if self.close_reason not in (CloseReason.MADE_ROOM, CloseReason.DRAINING):  # else it was closed from here
+            if self.close_reason not in (CloseReason.MADE_ROOM, CloseReason.DRAINING):  # else closed by this side
                 self.close_reason = CloseReason.BROKEN
         finally:
             self._set_state(ConnectionState.CLOSED)
@@ -129,14 +130,14 @@
             raise
 
     def _check_sent_ahead(self, exchange: Exchange) -> None:
-        """What the client sent while this request was served. Raises BadRequest for what is not served."""
+        """Raises BadRequest if the client sent more during the previous request than is accepted."""
         if exchange.overrun:
             raise BadRequest(413, f"more than {EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
         if exchange.pipelined and not self.early_ok:
             raise BadRequest(400, "a second request came before the first was answered (pipelining)", "pipelined")
 
     def close_if_idle(self, reason: CloseReason = CloseReason.MADE_ROOM) -> bool:
-        """Closes the connection unless a request is being served or any byte of one has arrived. True if closed."""
+        """Closes the connection unless a request is being handled or any byte of one has arrived. True if closed."""
         if not self.idle or is_readable(self.stream):
             return False
         self.close_reason = reason
@@ -144,8 +145,11 @@
         return True
 
     def stop_reading(self) -> None:
-        """Refuses the request that is being read, and any later one that is not whole at once, as one that nothing has
-        been done for. Requests that have been read are not touched, nor is an idle connection."""
+        """Refuses the request being read, and any later one that is not complete at once, with a 503 response.
+
+        Nothing has been done for such requests. Requests that have been read completely and idle connections are not
+        affected.
+        """
         self._reading_stopped = True
         if self._reading is not None:
             self._reading.cancel()
@@ -157,15 +161,16 @@
             self.on_idle(self)
 
     async def _may_go_on(self, exchange: Exchange) -> bool:
-        """After an answer: may the connection take a further request? Else it has been ended in good order."""
-        whole = self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE
-        if whole and not self.draining():
+        """After a response, returns whether a further request may follow; otherwise the connection has been ended."""
+        complete = self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE
+        if complete and not self.draining():
             return True
-        if whole and not self._last_request and not exchange.pipelined:  # what came with the answer's end is served
+        # A request that arrived together with the end of the response is still served.
+        if complete and not self._last_request and not exchange.pipelined:
             self._last_request = True
-            waiting = receive_now(self.stream, RECEIVE_BYTES)
-            if waiting:
-                self.conn.receive_data(waiting)
+            unread = receive_now(self.stream, RECEIVE_BYTES)
+            if unread:
+                self.conn.receive_data(unread)
             if self.conn.trailing_data[0]:
                 return True
         ended = self.conn.our_state in (h11.DONE, h11.MUST_CLOSE)
@@ -174,7 +179,7 @@
         return False
 
     async def _refuse(self, exchange: Exchange | None, bad: BadRequest) -> None:
-        """The error answer, where none was begun, and the connection's end."""
+        """Sends the error response, unless a response has begun, and ends the connection."""
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         body, content = self.error_body(exchange, bad)
@@ -190,7 +195,7 @@
             await linger(self.stream)
 
     async def _next_request(self, by: float) -> Exchange | None:
-        """The next request, whole. None: the connection is to end without one. Raises BadRequest."""
+        """Returns the next complete request, or None if the connection is to end without one. Raises BadRequest."""
         arrived = trio.current_time()
         if not self.conn.trailing_data[0]:
             first = await self._first_bytes(by)
@@ -218,9 +223,9 @@
         return exchange
 
     async def _first_bytes(self, by: float) -> bytes | None:
-        """The first bytes of the next request; nothing where the client has left or its idle time is over.
+        """Returns the first bytes of the next request, b"" if the client has closed, or None after the idle time-out.
 
-        Bytes that arrive in the very moment in which that time ends are a request, not an idle connection."""
+        Bytes that arrive just as the time-out expires count as a request."""
         self._set_state(ConnectionState.IDLE)
         data: bytes | None = None
         with trio.CancelScope(deadline=min(by, trio.current_time() + self.limits.idle_ms / 1000)) as wait:
@@ -237,7 +242,7 @@
                 self.conn.receive_data(await self.stream.receive_some(RECEIVE_BYTES))
                 event = self.conn.next_event()
         if limit.cancelled_caught:
-            raise self._not_whole("head")
+            raise self._incomplete("head")
         return event if isinstance(event, h11.Request) else None
 
     @contextmanager
@@ -250,7 +255,7 @@
             finally:
                 self._reading = None
 
-    def _not_whole(self, part: str) -> BadRequest:
+    def _incomplete(self, part: str) -> BadRequest:
         if self._reading_stopped:
             return BadRequest(503, f"the server is shutting down, and the request's {part} is not whole", "draining")
         return BadRequest(408, f"the request's {part} did not come in time", "slow_request")
@@ -263,13 +268,13 @@
         stated = exchange.header(b"content-length")
         if stated is None:
             return
-        if exchange.header(b"transfer-encoding") is not None:  # one may hide another request in the body
+        if exchange.header(b"transfer-encoding") is not None:  # request smuggling: peers may disagree on the length
             raise BadRequest(400, "both Content-Length and Transfer-Encoding", "two_lengths")
         if int(stated) > limits.body_bytes:
             raise BadRequest(413, f"the body is longer than {limits.body_bytes} bytes", "body_too_large")
 
     async def _body(self, by: float) -> bytes | None:
-        """The request's body; None where the client left within it."""
+        """Returns the request body, or None if the client disconnected within it."""
         parts: list[bytes] = []
         length = 0
         with self._reading_until(by):
@@ -288,7 +293,7 @@
                     return b"".join(parts)
                 else:
                     return None
-        raise self._not_whole("body")
+        raise self._incomplete("body")
 
 
 async def serve_connection(
@@ -300,17 +305,17 @@
     body_ms: float,
     idle_ms: float,
     send_ms: float,
-    error_body: Refuser = plain_refusal,
+    error_body: ErrorBody = plain_text_error,
     draining: Callable[[], bool] = lambda: False,
     early_ok: bool = False,
 ) -> None:
-    """Serves one connection until either side ends it. Never raises for what the client does."""
+    """Serves one connection until either side closes it. Never raises for what the client does."""
     limits = ServerLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
     await ServerConnection(stream, handler, limits, error_body=error_body, draining=draining, early_ok=early_ok).serve()
 
 
 async def linger(stream: trio.SocketStream) -> None:
-    """Ends our side and reads off what still comes, for a bounded time."""
+    """Shuts down the sending side, then reads and discards bytes until end of file or for `LINGER_S`."""
     with trio.move_on_after(LINGER_S):
         try:
             await stream.send_eof()
--- a/ternlane/http1/server_limits.py
+++ b/ternlane/http1/server_limits.py
@@ -1,4 +1,4 @@
-"""Limits of one client's connection."""
+"""Limits on one client's connection."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What one client's connection may send (bytes) and how long it may take (ms)."""
+    """Size limits (bytes) and time-outs (ms) of one client's connection."""
 
     body_bytes: int
-    head_ms: float  # a request's head, from its first byte
-    body_ms: float  # a request's body, from the end of its head
+    head_ms: float  # to receive a request head, from its first byte
+    body_ms: float  # to receive a request body, from the end of the head
     idle_ms: float  # between requests
-    send_ms: float  # for which a client may take nothing of its answer
+    send_ms: float  # without the client reading any of its response
     head_bytes: int = 65536
-    first_ms: float = inf  # from the connection's start to its first request's last byte
+    first_ms: float = inf  # from accepting the connection to the last byte of its first request
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -71,9 +71,9 @@
     age = ConnectionAge(1000.0)
     for i in range(100):
         age.record(200.0, i % broke_every == 0, 0.0)
-    assert age.shuns(200.0, 0.0) is avoided and age.shuns(250.0, 0.0) is avoided
-    assert not age.shuns(20.0, 0.0) and not age.shuns(2000.0, 0.0)
-    assert not age.shuns(200.0, 5000.0)
+    assert age.is_unsafe(200.0, 0.0) is avoided and age.is_unsafe(250.0, 0.0) is avoided
+    assert not age.is_unsafe(20.0, 0.0) and not age.is_unsafe(2000.0, 0.0)
+    assert not age.is_unsafe(200.0, 5000.0)
 
 
 @pytest.mark.parametrize("reads_all", [False, True])
