--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -91,7 +91,7 @@
             await send(self.stream, data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             self.state = CallState.BROKE_SENDING
-            raise ConnectError(f"{self.peer}: connection broke before the request was fully written: {error}") from None
+            raise ConnectError(f"{self.peer}: broke before all was written: {error}") from None
         self.state = CallState.SENT
 
     async def read_head(self) -> h11.Response:
@@ -105,8 +105,8 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise h11.RemoteProtocolError("connection closed before the response began")
-        raise h11.RemoteProtocolError("too many interim responses")
+                raise h11.RemoteProtocolError("the connection closed before the answer began")
+        raise h11.RemoteProtocolError("interim answers without end")
 
     async def event(self) -> h11.Event | type[h11.PAUSED]:
         """Returns the next event of the response. Raises as `read_head` does."""
@@ -133,7 +133,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             else:
-                raise h11.RemoteProtocolError("connection closed before the end of the response body")
+                raise h11.RemoteProtocolError("the connection closed within the answer")
 
     async def body(self, limit: int) -> bytes:
         """Returns the whole body. Raises as `chunks` does, and h11.RemoteProtocolError beyond `limit` bytes."""
@@ -141,7 +141,7 @@
         async for chunk in self.chunks():
             whole += chunk
             if len(whole) > limit:
-                raise h11.RemoteProtocolError(f"response body exceeds {limit} bytes")
+                raise h11.RemoteProtocolError(f"the answer is longer than {limit} bytes")
         return bytes(whole)
 
     def close_now(self) -> None:
@@ -170,7 +170,7 @@
         data = None if self._drained_after_deadline else receive_now(self.stream, CHUNK_BYTES)
         self._drained_after_deadline = True  # only once: a peer that never stops sending must time out too
         if data is None:
-            raise ReadTimeout(f"{self.peer}: no data before the read deadline")
+            raise ReadTimeout(f"{self.peer}: nothing came in time")
         return data
 
     def _note_end(self) -> None:
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -79,7 +79,7 @@
         host, _, port = peer.rpartition(":")
         while len(self.open) + self.connecting >= self.limit:
             if not self.idle_of_all:
-                raise ConnectError(f"{peer}: connection limit reached: {len(self.open)} open, none idle")
+                raise ConnectError(f"{peer}: {len(self.open)} connections are out, as many as may be")
             self._close_longest_idle()
         self.connecting += 1
         try:
--- a/ternlane/http1/events.py
+++ b/ternlane/http1/events.py
@@ -26,7 +26,7 @@
         """Returns the data of each event that these bytes complete."""
         *lines, self._rest = _normalize_line_ends(self._rest + more).split(b"\n")
         if len(self._rest) + sum(map(len, self._data)) > self.limit:
-            raise ValueError(f"server-sent event exceeds {self.limit} bytes")
+            raise ValueError(f"an event is longer than {self.limit} bytes")
         events: list[str] = []
         for line in lines:
             if line.startswith(b"data:"):
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -75,7 +75,7 @@
         with trio.move_on_after(self.send_ms / 1000) as scope:
             await self.stream.send_all(memoryview(data)[sent:])
         if scope.cancelled_caught:
-            raise trio.BrokenResourceError("client did not read the response in time")
+            raise trio.BrokenResourceError("the client takes nothing")
 
     async def answer(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes, content: str = "application/json"
