--- a/ternlane/discovery/endpoint_cache.py
+++ b/ternlane/discovery/endpoint_cache.py
@@ -14,7 +14,7 @@
 decode_lines = msgspec.json.Decoder(list[NodeLine]).decode
 
 
-class TornCacheError(ValueError):
+class CorruptCacheError(ValueError):
     """The cache file is unreadable, incomplete or corrupt."""
 
 
@@ -44,11 +44,11 @@
     except FileNotFoundError:
         return None
     except OSError as why:
-        raise TornCacheError(f"{path}: {why}") from None
+        raise CorruptCacheError(f"{path}: {why}") from None
     head, _, body = raw.partition(b"\n")
     if not head.startswith(HEADER) or head[len(HEADER) :] != xxh3_64_hexdigest(body).encode():
-        raise TornCacheError(f"{path}: checksum mismatch or unknown header")
+        raise CorruptCacheError(f"{path}: checksum mismatch or unknown header")
     try:
         return decode_lines(body)
     except msgspec.DecodeError as why:
-        raise TornCacheError(f"{path}: {why}") from None
+        raise CorruptCacheError(f"{path}: {why}") from None
--- a/ternlane/discovery/follow.py
+++ b/ternlane/discovery/watch.py
@@ -45,7 +45,7 @@
     return lines
 
 
-async def follow_file(source: FileSource, found: OnList, failed: OnFailure) -> None:
+async def watch_file(source: FileSource, found: OnList, failed: OnFailure) -> None:
     """Polls the file's inode, size and modification time, and reads the file when they have changed."""
     path = Path(source.path)
     last = None
@@ -61,7 +61,7 @@
         await trio.sleep(source.look_ms / 1000)
 
 
-async def follow_consul(source: ConsulSource, found: OnList, failed: OnFailure, agent: str) -> None:
+async def watch_consul(source: ConsulSource, found: OnList, failed: OnFailure, agent: str) -> None:
     """Watches with blocking queries. If the index goes back or to 0 it starts over, as Consul's API docs require."""
     pool = ConnectionPool(CONNECT_TIMEOUT_MS, 2 * source.wait_ms)
     index = 0
--- a/ternlane/http1/__init__.py
+++ b/ternlane/http1/__init__.py
@@ -2,13 +2,13 @@
 
 from ternlane.http1.client_connection import ClientConnection
 from ternlane.http1.close_reason import CloseReason
+from ternlane.http1.connection_limits import ConnectionLimits
 from ternlane.http1.connection_pool import ConnectionPool
 from ternlane.http1.errors import BadRequest, ConnectError, Http1Error, ReadTimeout
-from ternlane.http1.events import EventReader, event_bytes
+from ternlane.http1.events import EventReader, encode_event
 from ternlane.http1.exchange import Exchange
-from ternlane.http1.nonblocking import keep_open
+from ternlane.http1.nonblocking import extend_deadline
 from ternlane.http1.server_connection import ServerConnection, serve_connection
-from ternlane.http1.server_limits import ServerLimits
 
 __all__ = [
     "BadRequest",
@@ -21,8 +21,8 @@
     "Http1Error",
     "ReadTimeout",
     "ServerConnection",
-    "ServerLimits",
-    "event_bytes",
-    "keep_open",
+    "ConnectionLimits",
+    "encode_event",
+    "extend_deadline",
     "serve_connection",
 ]
--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -45,7 +45,7 @@
         self.idled_ms: float | None = None  # idle time before this request; None for a new connection
         self.has_served = False  # has completed a request before
         self.on_close: Callable[[ClientConnection], None] = lambda _: None
-        self._read_deadline_s = inf  # see `expect_by`
+        self._read_deadline_s = inf  # see `set_read_deadline`
         self._drained_after_deadline = False
 
     @property
@@ -116,7 +116,7 @@
                 return event  # type: ignore[return-value]
             self.conn.receive_data(await self._receive())
 
-    def expect_by(self, when_s: float) -> None:
+    def set_read_deadline(self, when_s: float) -> None:
         """Sets the time (trio's clock) from which reads raise ReadTimeout.
 
         Data that is already in the kernel's buffer at that time is still returned by one further read.
--- a/ternlane/http1/server_limits.py
+++ b/ternlane/http1/connection_limits.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLimits:
+class ConnectionLimits:
     """Size limits (bytes) and time-outs (ms) of one client's connection."""
 
     body_bytes: int
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -41,7 +41,7 @@
         self.open: set[ClientConnection] = set()
         self.connecting = 0  # connection attempts in progress
         self.made = 0  # connections opened since the start
-        self.shortages = 0  # connection attempts that failed for lack of a resource on this machine
+        self.local_shortages = 0  # connection attempts that failed for lack of a resource on this machine
         self.age = ConnectionAge(idle_ms)
 
     def set_limits(self, connect_ms: float, idle_ms: float, limit: float) -> None:
@@ -55,16 +55,16 @@
             self._close_longest_idle()
         self.sweep()
 
-    async def take(self, peer: str, rest_ms: float = 0.0) -> ClientConnection:
+    async def take(self, peer: str, reuse_delay_ms: float = 0.0) -> ClientConnection:
         """Returns an idle connection, or else a new one.
 
-        A connection that has completed a request is only reused once it has been idle for `rest_ms`. Raises
+        A connection that has completed a request is only reused once it has been idle for `reuse_delay_ms`. Raises
         ConnectError if no connection could be established in time.
         """
         now_s = trio.current_time()
         for connection in list(reversed(self.idle.get(peer, ()))):
             idled_ms = (now_s - connection.idle_since) * 1000
-            if connection.has_served and idled_ms < rest_ms:
+            if connection.has_served and idled_ms < reuse_delay_ms:
                 continue
             if idled_ms >= self.idle_ms or connection.dead or self.age.is_unsafe(idled_ms, now_s * 1000):
                 connection.close_now()
@@ -101,7 +101,7 @@
 
         It is kept if its response is complete or if no request was sent on it, and closed otherwise.
         """
-        connection.expect_by(inf)
+        connection.set_read_deadline(inf)
         was_used = connection.conn.our_state is not h11.IDLE
         if was_used:
             self._record_reuse(connection)
@@ -143,7 +143,7 @@
             except OSError as error:
                 if error.errno not in LOCAL_SHORTAGES:
                     raise
-            self.shortages += 1
+            self.local_shortages += 1
             await trio.sleep(SHORTAGE_PAUSE_S)
 
     def _close_longest_idle(self) -> None:
--- a/ternlane/http1/events.py
+++ b/ternlane/http1/events.py
@@ -46,7 +46,7 @@
     return body.replace(b"\r\n", b"\n").replace(b"\r", b"\n") + tail
 
 
-def event_bytes(data: bytes, ident: int | None = None) -> bytes:
+def encode_event(data: bytes, ident: int | None = None) -> bytes:
     """Encodes one event, with its id if it has one."""
     event_id = b"" if ident is None else b"id: %d\n" % ident
     return event_id + b"data: " + data + b"\n\n"
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -121,7 +121,7 @@
         """Closes the socket abruptly, as a faulty peer does. Only for fake servers."""
         self.stream.socket.close()
 
-    async def until_left(self) -> None:
+    async def wait_until_disconnected(self) -> None:
         """Returns when the client has closed its side.
 
         Bytes received meanwhile are buffered for the next request, up to a limit. Reading goes on beyond the limit,
@@ -144,5 +144,5 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the client has closed its side, even if `until_left` has not run since."""
+        """Whether the client has closed its side, even if `wait_until_disconnected` has not run since."""
         return has_hung_up(self.stream)
--- a/ternlane/http1/nonblocking.py
+++ b/ternlane/http1/nonblocking.py
@@ -60,7 +60,7 @@
         await stream.send_all(memoryview(data)[sent:])
 
 
-async def keep_open(scope: trio.CancelScope, until: float) -> None:
+async def extend_deadline(scope: trio.CancelScope, until: float) -> None:
     """Moves the deadline of `scope` (trio's clock) when an event has arrived.
 
     If the previous deadline has just expired, trio.Cancelled is raised at once: the scope would cancel the next wait
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -16,10 +16,10 @@
 import trio
 
 from ternlane.http1.close_reason import CloseReason
+from ternlane.http1.connection_limits import ConnectionLimits
 from ternlane.http1.errors import BadRequest
 from ternlane.http1.exchange import EARLY_BYTES, RECEIVE_BYTES, Exchange
 from ternlane.http1.nonblocking import is_readable, receive_now
-from ternlane.http1.server_limits import ServerLimits
 
 # How long bytes are read and discarded before a connection is closed; longer than any round trip.
 LINGER_S = 0.25
@@ -44,10 +44,10 @@
 
 
 class ServerConnection:
-    """One client's connection. `served` is set once a request has been received.
+    """One client's connection. `has_received_request` is set once a request has been received.
 
-    `on_idle` is called each time `idle` changes and `on_close` once, with the reason. A request that arrives before the
-    previous one is answered is refused, or with `early_ok` served in turn. While `draining()` is true the connection
+    `on_idle_changed` is called each time `idle` changes and `on_close` once, with the reason. A request that arrives before the
+    previous one is answered is refused, or with `allow_pipelining` served in turn. While `draining()` is true the connection
     closes after its next response.
     """
 
@@ -55,12 +55,12 @@
         self,
         stream: trio.SocketStream,
         handler: Handler,
-        limits: ServerLimits,
+        limits: ConnectionLimits,
         *,
         error_body: ErrorBody = plain_text_error,
         draining: Callable[[], bool] = lambda: False,
-        early_ok: bool = False,
-        on_idle: Callable[[ServerConnection], None] = lambda _: None,
+        allow_pipelining: bool = False,
+        on_idle_changed: Callable[[ServerConnection], None] = lambda _: None,
         on_close: Callable[[CloseReason], None] = lambda _: None,
     ) -> None:
         self.stream = stream
@@ -68,12 +68,12 @@
         self.limits = limits
         self.error_body = error_body
         self.draining = draining
-        self.early_ok = early_ok
-        self.on_idle = on_idle
+        self.allow_pipelining = allow_pipelining
+        self.on_idle_changed = on_idle_changed
         self.on_close = on_close
         self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
         self.state = ConnectionState.READING
-        self.served = False
+        self.has_received_request = False
         self.close_reason = CloseReason.CANCELLED
         self._last_request = False  # the request being handled is the last one, as the server is draining
         self._reading_stopped = False
@@ -109,7 +109,7 @@
                 if exchange is None:
                     return
                 first_by = inf
-                self.served = True
+                self.has_received_request = True
                 self._set_state(ConnectionState.HANDLING)
                 await self.handler(exchange)
                 if not await self._may_go_on(exchange):
@@ -133,7 +133,7 @@
         """Raises BadRequest if the client sent more during the previous request than is accepted."""
         if exchange.overrun:
             raise BadRequest(413, f"more than {EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
-        if exchange.pipelined and not self.early_ok:
+        if exchange.pipelined and not self.allow_pipelining:
             raise BadRequest(400, "a second request came before the first was answered (pipelining)", "pipelined")
 
     def close_if_idle(self, reason: CloseReason = CloseReason.MADE_ROOM) -> bool:
@@ -158,7 +158,7 @@
         was_idle = self.idle
         self.state = state
         if self.idle != was_idle:
-            self.on_idle(self)
+            self.on_idle_changed(self)
 
     async def _may_go_on(self, exchange: Exchange) -> bool:
         """After a response, returns whether a further request may follow; otherwise the connection has been ended."""
@@ -307,11 +307,13 @@
     send_ms: float,
     error_body: ErrorBody = plain_text_error,
     draining: Callable[[], bool] = lambda: False,
-    early_ok: bool = False,
+    allow_pipelining: bool = False,
 ) -> None:
     """Serves one connection until either side closes it. Never raises for what the client does."""
-    limits = ServerLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
-    await ServerConnection(stream, handler, limits, error_body=error_body, draining=draining, early_ok=early_ok).serve()
+    limits = ConnectionLimits(body_bytes, head_ms, body_ms, idle_ms, send_ms)
+    await ServerConnection(
+        stream, handler, limits, error_body=error_body, draining=draining, allow_pipelining=allow_pipelining
+    ).serve()
 
 
 async def linger(stream: trio.SocketStream) -> None:
--- a/ternlane/rules/__init__.py
+++ b/ternlane/rules/__init__.py
@@ -1,6 +1,6 @@
 """The rules that a gateway must keep, judged by what crossed the sockets. Shares no code with the gateway."""
 
 from ternlane.rules.check import check, check_folder, read_lines
-from ternlane.rules.findings import Finding, Findings
+from ternlane.rules.findings import RuleReport, Violation
 
-__all__ = ["Finding", "Findings", "check", "check_folder", "read_lines"]
+__all__ = ["Violation", "RuleReport", "check", "check_folder", "read_lines"]
--- a/ternlane/rules/check.py
+++ b/ternlane/rules/check.py
@@ -13,14 +13,14 @@
 from ternlane.rules.draining import judge_draining
 from ternlane.rules.effects import judge_effects, judge_single_attempt
 from ternlane.rules.final_answers import judge_final_answers
-from ternlane.rules.findings import Finding, Findings, Line
+from ternlane.rules.findings import LogLine, RuleReport, Violation
 from ternlane.rules.held_state import judge_held_state
 from ternlane.rules.limits import RuleLimits
 from ternlane.rules.run_log import RunLog
 from ternlane.rules.slow_start import judge_slow_start
 from ternlane.rules.stream_text import judge_stream_text
 
-Judge = Callable[[RunLog, RuleLimits, Counter[str]], Iterator[Finding]]
+Judge = Callable[[RunLog, RuleLimits, Counter[str]], Iterator[Violation]]
 
 # In the order in which reports list their findings.
 JUDGES: tuple[Judge, ...] = (
@@ -34,12 +34,12 @@
 )
 
 
-def read_lines(paths: Iterable[Path]) -> list[Line]:
+def read_lines(paths: Iterable[Path]) -> list[LogLine]:
     """All lines of these files in order of time.
 
     A line that is no JSON is left out: it is the last one of a process that was killed while it wrote.
     """
-    lines: list[Line] = []
+    lines: list[LogLine] = []
     for path in paths:
         with open(path, encoding="utf-8") as file:
             for text in file:
@@ -51,7 +51,7 @@
     return lines
 
 
-def check_folder(folder: Path, limits: RuleLimits | None = None) -> Findings:
+def check_folder(folder: Path, limits: RuleLimits | None = None) -> RuleReport:
     """Judges the files `*.jsonl` of a run, by its `rules.json` unless limits are given."""
     if limits is None:
         limits = json.loads((folder / "rules.json").read_text())
@@ -59,9 +59,9 @@
     return check(read_lines(sorted(folder.glob("*.jsonl"))), limits)
 
 
-def check(lines: list[Line], limits: RuleLimits) -> Findings:
+def check(lines: list[LogLine], limits: RuleLimits) -> RuleReport:
     """Judges these lines, which are in order of time."""
     run = RunLog(lines)
     counts: Counter[str] = Counter()
-    broken = [finding for judge in JUDGES for finding in judge(run, limits, counts)]
-    return Findings(broken, dict(counts))
+    violations = [finding for judge in JUDGES for finding in judge(run, limits, counts)]
+    return RuleReport(violations, dict(counts))
--- a/ternlane/rules/draining.py
+++ b/ternlane/rules/draining.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ternlane.rules.findings import Finding
+from ternlane.rules.findings import Violation
 from ternlane.rules.limits import CLOCK_TOLERANCE_MS, RuleLimits
 from ternlane.rules.run_log import RunLog
 
@@ -38,7 +38,7 @@
 Changes = dict[tuple[str, str], list[Change]]  # by gateway and server, in order of time
 
 
-def judge_draining(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+def judge_draining(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Judges each attempt by what its gateway had been notified of."""
     changes: Changes = {}
     for gateway, notices in _notices(run).items():
@@ -54,7 +54,7 @@
             since_ms = attempt.begin_ms - of_server[index - 1].at_ms
             if attempt.begin_ms > of_server[index - 1].at_ms + grace_ms:
                 why = f"sent {since_ms:.0f} ms after it was told that {attempt.server} drains or is gone"
-                yield Finding(RULE, attempt.request, why, [attempt.as_line()])
+                yield Violation(RULE, attempt.request, why, [attempt.as_line()])
 
 
 def _notices(run: RunLog) -> dict[str, list[Notice]]:
--- a/ternlane/rules/final_answers.py
+++ b/ternlane/rules/final_answers.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from ternlane.rules.findings import Finding, Line
+from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import RuleLimits
 from ternlane.rules.run_log import RunLog
 
@@ -18,7 +18,7 @@
 EXCUSED_OUTCOMES = ("left", "unreachable")
 
 
-def judge_final_answers(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+def judge_final_answers(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Judges each request that a client sent."""
     finals = run.of_requests("final")
     first_tokens = {line["gen"]: line for line in run.by_kind["first"]}
@@ -26,7 +26,7 @@
         request = ask["gen"]
         counts["asked"] += 1
         if len(finals[request]) != 1:
-            yield Finding(RULE, request, f"{len(finals[request])} endings were seen", [ask, *finals[request]])
+            yield Violation(RULE, request, f"{len(finals[request])} endings were seen", [ask, *finals[request]])
             continue
         final = finals[request][0]
         if final["outcome"] not in EXCUSED_OUTCOMES:
@@ -34,18 +34,18 @@
 
 
 def _judge_final(
-    run: RunLog, ask: Line, first_token: Line | None, final: Line, counts: Counter[str]
-) -> Iterator[Finding]:
+    run: RunLog, ask: LogLine, first_token: LogLine | None, final: LogLine, counts: Counter[str]
+) -> Iterator[Violation]:
     request = ask["gen"]
     if final["unread"]:
-        yield Finding(RULE, request, "something came after the final answer", [ask, final])
+        yield Violation(RULE, request, "something came after the final answer", [ask, final])
     if final["outcome"] not in FINAL_OUTCOMES:
         if not run.gateway_was_down(run.gateway_of(ask), ask["t"], final["t"]):
-            yield Finding(RULE, request, f"no final answer: {final['outcome']}", [ask, final])
+            yield Violation(RULE, request, f"no final answer: {final['outcome']}", [ask, final])
         return
     counts["answered"] += 1
     answer = first_token or final
     # Both times are by the client's own clock, so there is nothing to tolerate.
     late_ms = answer["t"] - ask["t"] - ask["limit_ms"]
     if late_ms > 0:
-        yield Finding(RULE, request, "answered after the client's time", [ask, answer, final])
+        yield Violation(RULE, request, "answered after the client's time", [ask, answer, final])
--- a/ternlane/rules/findings.py
+++ b/ternlane/rules/findings.py
@@ -5,27 +5,27 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-Line = dict[str, Any]  # a JSON line as a process of the run wrote it, or an attempt in the same form
+LogLine = dict[str, Any]  # a JSON line as a process of the run wrote it, or an attempt in the same form
 
 
 @dataclass
-class Finding:
+class Violation:
     """One broken rule, with the lines that show it."""
 
     rule: int
     request: str  # empty where no single request broke the rule
     why: str
-    lines: list[Line] = field(default_factory=list)
+    lines: list[LogLine] = field(default_factory=list)
 
 
 @dataclass
-class Findings:
+class RuleReport:
     """The outcome for a whole run."""
 
-    broken: list[Finding]
-    counted: dict[str, int]  # how much there was to judge: a rule that judged nothing proves nothing
+    violations: list[Violation]
+    judged_counts: dict[str, int]  # how much there was to judge: a rule that judged nothing proves nothing
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule was broken."""
-        return not self.broken
+        return not self.violations
--- a/ternlane/rules/held_state.py
+++ b/ternlane/rules/held_state.py
@@ -9,16 +9,16 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from ternlane.rules.findings import Finding, Line
+from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import CLOCK_TOLERANCE_MS, RuleLimits
-from ternlane.rules.run_log import Attempt, RunLog
+from ternlane.rules.run_log import LoggedAttempt, RunLog
 
 RULE = 5
 # A zone that was cut off so long before a state was left may still keep its release from arriving.
 ZONE_CUT_EXCUSES_MS = 20e3
 
 
-def judge_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+def judge_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Judges each state that a server held."""
     ends_ms: defaultdict[tuple[str, str], list[float]] = defaultdict(list)  # by server and request
     for kind in ("taken", "released", "lost"):
@@ -40,7 +40,7 @@
         yield _finding(state, attempts, idle_ms)
 
 
-def _longest_idle_ms(attempts: list[Attempt], begin_ms: float, end_ms: float) -> float:
+def _longest_idle_ms(attempts: list[LoggedAttempt], begin_ms: float, end_ms: float) -> float:
     """The longest time within begin and end in which no attempt was out."""
     idle_ms = 0.0
     since_ms = begin_ms
@@ -52,13 +52,15 @@
     return max(idle_ms, end_ms - since_ms)
 
 
-def _excused(run: RunLog, attempts: list[Attempt], zone_cuts_ms: list[float], begin_ms: float, end_ms: float) -> bool:
+def _excused(
+    run: RunLog, attempts: list[LoggedAttempt], zone_cuts_ms: list[float], begin_ms: float, end_ms: float
+) -> bool:
     gateway = attempts[0].gateway if attempts else None
     if run.gateway_was_down(gateway, begin_ms, end_ms):
         return True
     return any(begin_ms - ZONE_CUT_EXCUSES_MS <= cut_ms <= end_ms for cut_ms in zone_cuts_ms)
 
 
-def _finding(state: Line, attempts: list[Attempt], idle_ms: float) -> Finding:
+def _finding(state: LogLine, attempts: list[LoggedAttempt], idle_ms: float) -> Violation:
     why = f"held at {state['id']} for {idle_ms:.0f} ms with no leg out"
-    return Finding(RULE, state["gen"], why, [state, *(attempt.as_line() for attempt in attempts)])
+    return Violation(RULE, state["gen"], why, [state, *(attempt.as_line() for attempt in attempts)])
--- a/ternlane/rules/run_log.py
+++ b/ternlane/rules/run_log.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from ternlane.rules.findings import Line
+from ternlane.rules.findings import LogLine
 from ternlane.rules.limits import CLOCK_TOLERANCE_MS
 
 # A process that was started listens by then.
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Attempt:
+class LoggedAttempt:
     """One attempt as the server saw it."""
 
     request: str
@@ -25,7 +25,7 @@
     end_ms: float
     how: str  # how it ended; "unfinished" where the server died first
 
-    def as_line(self) -> Line:
+    def as_line(self) -> LogLine:
         """The attempt in the form that reports show."""
         return {
             "request": self.request,
@@ -42,42 +42,46 @@
 class RunLog:
     """The lines of clients, servers, registry and front layer."""
 
-    def __init__(self, lines: list[Line]) -> None:
+    def __init__(self, lines: list[LogLine]) -> None:
         """`lines` in order of time."""
         self.end_ms: float = lines[-1]["t"] if lines else 0.0
-        self.by_kind: defaultdict[str, list[Line]] = defaultdict(list)
+        self.by_kind: defaultdict[str, list[LogLine]] = defaultdict(list)
         for line in lines:
             self.by_kind[line["k"]].append(line)
         self._stops_ms: defaultdict[str, list[float]] = defaultdict(list)  # by server
         for line in self.by_kind["down"]:
             self._stops_ms[line["id"]].append(line["t"])
         self._gateway_lines = self._grouped("gateway", "gw")
-        self._connections: defaultdict[int, list[Line]] = defaultdict(list)  # of the front layer, by the client's port
+        self._connections: defaultdict[int, list[LogLine]] = defaultdict(
+            list
+        )  # of the front layer, by the client's port
         for line in self.by_kind["conn"]:
             self._connections[line["port"]].append(line)
         self.attempts = self._pair_attempts()  # by request, in order of their begin
 
-    def _grouped(self, kind: str, key: str) -> defaultdict[str, list[Line]]:
-        groups: defaultdict[str, list[Line]] = defaultdict(list)
+    def _grouped(self, kind: str, key: str) -> defaultdict[str, list[LogLine]]:
+        groups: defaultdict[str, list[LogLine]] = defaultdict(list)
         for line in self.by_kind[kind]:
             groups[line[key]].append(line)
         return groups
 
-    def of_requests(self, kind: str) -> defaultdict[str, list[Line]]:
+    def of_requests(self, kind: str) -> defaultdict[str, list[LogLine]]:
         """The lines of one kind, by request."""
         return self._grouped(kind, "gen")
 
-    def _pair_attempts(self) -> defaultdict[str, list[Attempt]]:
-        ends: dict[tuple[str, str, int], Line] = {}
+    def _pair_attempts(self) -> defaultdict[str, list[LoggedAttempt]]:
+        ends: dict[tuple[str, str, int], LogLine] = {}
         for line in self.by_kind["leg_end"]:
             ends[line["id"], line["gen"], line["n"]] = line
-        attempts: defaultdict[str, list[Attempt]] = defaultdict(list)
+        attempts: defaultdict[str, list[LoggedAttempt]] = defaultdict(list)
         for line in self.by_kind["leg"]:
             end = ends.get((line["id"], line["gen"], line["n"]))
             if end is None:
                 end = {"t": self.next_stop_ms(line["id"], line["t"]), "how": "unfinished"}
             attempts[line["gen"]].append(
-                Attempt(line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"])
+                LoggedAttempt(
+                    line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"]
+                )
             )
         for of_request in attempts.values():
             of_request.sort(key=lambda attempt: attempt.begin_ms)
@@ -87,7 +91,7 @@
         """When this server's process ended next, or the run."""
         return next((stop_ms for stop_ms in self._stops_ms[server] if stop_ms >= since_ms), self.end_ms)
 
-    def gateway_of(self, ask: Line) -> str | None:
+    def gateway_of(self, ask: LogLine) -> str | None:
         """By the front layer's connection from the client's port; without a front layer, by the first attempt."""
         nearest = min(self._connections.get(ask["port"], []), key=lambda line: abs(line["t"] - ask["t"]), default=None)
         if nearest is not None:
--- a/ternlane/rules/slow_start.py
+++ b/ternlane/rules/slow_start.py
@@ -9,14 +9,14 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from ternlane.rules.findings import Finding, Line
+from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import RuleLimits
-from ternlane.rules.run_log import Attempt, RunLog
+from ternlane.rules.run_log import LoggedAttempt, RunLog
 
 RULE = 4
 
 
-def judge_slow_start(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+def judge_slow_start(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Judges each server that fell over."""
     cold_starts_ms: defaultdict[str, list[float]] = defaultdict(list)  # by server
     for line in run.by_kind["up"]:
@@ -34,7 +34,7 @@
                 f"{server} fell over by {len(window)} legs, {len(informed)} of them from "
                 "gateways that knew of its start"
             )
-            yield Finding(RULE, "", why, [fall])
+            yield Violation(RULE, "", why, [fall])
 
 
 def _notified_of_start(run: RunLog, server: str, start_ms: float) -> dict[str, float]:
@@ -46,12 +46,12 @@
     return notified_ms
 
 
-def _says_started(told: Line, server: str) -> bool:
+def _says_started(told: LogLine, server: str) -> bool:
     state = told["states"].get(server)
     return state is not None and state[0] == "up" and state[1] > 0
 
 
-def _attempts_within(run: RunLog, server: str, begin_ms: float, end_ms: float) -> list[Attempt]:
+def _attempts_within(run: RunLog, server: str, begin_ms: float, end_ms: float) -> list[LoggedAttempt]:
     return [
         attempt
         for attempts in run.attempts.values()
--- a/ternlane/rules/stream_text.py
+++ b/ternlane/rules/stream_text.py
@@ -11,14 +11,14 @@
 from collections.abc import Iterator
 
 from ternlane.rules.final_answers import FINAL_OUTCOMES
-from ternlane.rules.findings import Finding, Line
+from ternlane.rules.findings import LogLine, Violation
 from ternlane.rules.limits import RuleLimits
 from ternlane.rules.run_log import RunLog
 
 RULE = 6
 
 
-def judge_stream_text(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Finding]:
+def judge_stream_text(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Judges each final answer to which attempts contributed text."""
     produced = run.of_requests("said")
     for final in run.by_kind["final"]:
@@ -29,15 +29,15 @@
         counts["texts of several legs"] += len(attempts) > 1
         for why in (_wrong_continuation(attempts), _wrong_text(final, attempts)):
             if why:
-                yield Finding(RULE, final["gen"], why, [final, *attempts])
+                yield Violation(RULE, final["gen"], why, [final, *attempts])
 
 
-def _text_so_far(attempt: Line) -> str:
+def _text_so_far(attempt: LogLine) -> str:
     """All that its client has once this attempt has ended."""
     return str(attempt["after"] + attempt["text"])
 
 
-def _wrong_continuation(attempts: list[Line]) -> str:
+def _wrong_continuation(attempts: list[LogLine]) -> str:
     for index, attempt in enumerate(attempts):
         earlier = attempts[:index]
         if attempt["after"] and not any(_text_so_far(other).startswith(attempt["after"]) for other in earlier):
@@ -45,7 +45,7 @@
     return ""
 
 
-def _wrong_text(final: Line, attempts: list[Line]) -> str:
+def _wrong_text(final: LogLine, attempts: list[LogLine]) -> str:
     text = final.get("text", "")
     if final["outcome"] != "streamed":
         produced = any(_text_so_far(attempt).startswith(text) for attempt in attempts)
--- a/ternlane/testing/platform/discovery.py
+++ b/ternlane/testing/platform/discovery.py
@@ -16,7 +16,7 @@
 IDLE_TIMEOUT_MS = 30e3
 
 
-class Discovery:
+class FakeDiscovery:
     """What it does wrong is set at any time."""
 
     def __init__(self, nursery: trio.Nursery, heartbeat_ms: float = HEARTBEAT_MS) -> None:
@@ -71,7 +71,7 @@
         self.address = address_of(self.listener)
         self.nursery.start_soon(self._accept, self.listener)
 
-    def break_off(self, silent: bool, listening: bool) -> None:
+    def start_outage(self, silent: bool, listening: bool) -> None:
         """Out of service: it says no more, on open connections or new ones, or takes no new ones at all."""
         self.silent = silent
         if not listening:
@@ -84,7 +84,7 @@
         self.silent = False
         self._silenced_watches = len(self.asked)
 
-    async def restore(self) -> None:
+    async def end_outage(self) -> None:
         """New calls are served again; those that hang go on doing so."""
         self.silent = False
         if self.listener.socket.fileno() < 0:
--- a/ternlane/testing/platform/fleet.py
+++ b/ternlane/testing/platform/fleet.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(eq=False)
-class Fleet:
+class FakeFleet:
     """States by request, who holds them, and what was seen. Times are seconds of trio's clock."""
 
     nursery: trio.Nursery
@@ -21,7 +21,7 @@
     release_delay_ms: float = 0.0  # until a DELETE has reached the other servers
     open: Counter[str] = field(default_factory=Counter)  # attempts at each server now
     conns: Counter[str] = field(default_factory=Counter)  # connections at each server now
-    ran: Counter[str] = field(default_factory=Counter)  # answers begun, by id
+    run_counts: Counter[str] = field(default_factory=Counter)  # answers begun, by id
     repeated: set[str] = field(default_factory=set)  # ids that came to a decode server after one had run them
     stated_timeouts_s: list[float] = field(default_factory=list)  # the time that each attempt said it would wait
 
--- a/ternlane/testing/platform/model_server.py
+++ b/ternlane/testing/platform/model_server.py
@@ -11,7 +11,7 @@
 
 from ternlane.http1 import Exchange, serve_connection
 from ternlane.testing.platform.answers import DONE, EVENT, GOOD, USAGE, WRONG
-from ternlane.testing.platform.fleet import Fleet
+from ternlane.testing.platform.fleet import FakeFleet
 from ternlane.testing.platform.gate import Gate
 from ternlane.testing.sockets import address_of, listen_on_loopback
 
@@ -28,18 +28,18 @@
 
 
 @dataclass(eq=False)
-class ModelServer:
+class FakeModelServer:
     """Listens on loopback; what it does wrong is set at any time."""
 
     name: str
     role: str  # "read" (prefill) or "write" (decode)
-    fleet: Fleet
+    fleet: FakeFleet
     script: Callable[[str], str] = lambda _: ""  # by id: how this attempt goes wrong
     prefill_ms: float = 1.0
     event_ms: float = 1.0
     events: int = 2
-    accepts_only: bool = False  # takes connections, and reads and sends nothing
-    lease_fault: str = ""  # how calls for leases go wrong: "silent", or a name of WRONG
+    never_reads: bool = False  # takes connections, and reads and sends nothing
+    lease_call_fault: str = ""  # how calls for leases go wrong: "silent", or a name of WRONG
     # Where it holds: "request" (complete, nothing done yet), "queue" (a decode waits for its state), "event" (one event
     # has been sent), "end" (all but the last chunk has been sent), "lease" (a call for a lease has come), "second"
     # (before a second answer).
@@ -69,7 +69,7 @@
     async def _serve(self, stream: trio.SocketStream) -> None:
         self.fleet.conns[self.name] += 1
         try:
-            if self.accepts_only:
+            if self.never_reads:
                 await trio.sleep_forever()
             await serve_connection(
                 stream,
@@ -99,8 +99,8 @@
     async def _lease(self, exchange: Exchange, ident: str) -> None:
         self.fleet.seen.append((self.name, exchange.method, ident))
         await self._pass_gate("lease")
-        if self.lease_fault:
-            await self._spoil(exchange, self.lease_fault)
+        if self.lease_call_fault:
+            await self._spoil(exchange, self.lease_call_fault)
             return
         await trio.sleep(self.fleet.release_delay_ms / 1000)
         if exchange.method == "DELETE" and ident not in self.fleet.awaited:
@@ -109,7 +109,7 @@
 
     async def _request(self, exchange: Exchange, ident: str) -> None:
         self.fleet.seen.append((self.name, self.role, ident))
-        if self.role == DECODE_ROLE and self.fleet.ran[ident]:
+        if self.role == DECODE_ROLE and self.fleet.run_counts[ident]:
             self.fleet.repeated.add(ident)
         self.fleet.stated_timeouts_s.append(float(exchange.header(b"request-timeout") or "nan"))
         self.fleet.open[self.name] += 1
@@ -121,9 +121,9 @@
 
     async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
         if fault == "silent":
-            await exchange.until_left()
+            await exchange.wait_until_disconnected()
         elif fault == "late_state":  # its client has gone, and it reads on for a while
-            await exchange.until_left()
+            await exchange.wait_until_disconnected()
             await trio.sleep(LATE_STATE_S)
             self.fleet.hold(ident, self.name)
         elif self.role == PREFILL_ROLE and not fault:
@@ -135,7 +135,7 @@
 
     async def _prefill(self, exchange: Exchange, ident: str) -> None:
         with trio.move_on_after(self.prefill_ms / 1000):
-            await exchange.until_left()
+            await exchange.wait_until_disconnected()
             return  # it was cancelled
         self.fleet.hold(ident, self.name)
         await exchange.answer(202, [("Server-Load", "inflight=1,x0=0.1")], b'{"cached_tokens":4}')
@@ -143,7 +143,7 @@
     async def _decode(self, exchange: Exchange, ident: str, fault: str) -> None:
         if not fault.startswith(("status_", "full_", "gone_")):  # it refuses before it looks for the state
             if await self._take_state(ident):
-                self.fleet.ran[ident] += 1
+                self.fleet.run_counts[ident] += 1
             else:
                 fault = "gone_410"
         await self._answer(exchange, ident, fault)
@@ -201,5 +201,5 @@
             await exchange.stream.send_all(WRONG[fault])
         if not fault.endswith("cut"):
             with trio.move_on_after(SPOILED_TIMEOUT_S):
-                await exchange.until_left()
+                await exchange.wait_until_disconnected()
         exchange.reset()
--- a/tests/crossing.py
+++ b/tests/race_helpers.py
@@ -12,12 +12,12 @@
 import trio
 
 from ternlane.http1.nonblocking import is_readable
-from tests.platform_world import BODY, Platform
+from tests.platform_gateway import BODY, Platform
 
 WITHIN_S = 5.0  # for what must happen; no order depends on it
 
 
-async def until(true: Callable[[], Any]) -> None:
+async def wait_until(true: Callable[[], Any]) -> None:
     """Waits for something that is certain to come; fails when it does not."""
     with trio.fail_after(WITHIN_S):
         while not true():
@@ -30,7 +30,7 @@
     return f"{line}\r\nHost: a\r\nContent-Length: {len(body)}\r\n{head}\r\n".encode() + body
 
 
-class Client:
+class RawClient:
     """A client's connection whose sends take place at once, without a scheduler's turn in between."""
 
     def __init__(self, address: str) -> None:
@@ -45,7 +45,7 @@
         """What it writes has arrived at the other side's socket when this returns: loopback."""
         assert self.sock.send(data) == len(data)
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         """By "close", "half-close" or "reset"."""
         if how == "half-close":
             return self.sock.shutdown(socket.SHUT_WR)
@@ -134,16 +134,16 @@
     assert poll.poll(WITHIN_S * 1000) and is_readable(stream)
 
 
-async def pair() -> tuple[trio.SocketStream, Client]:
+async def pair() -> tuple[trio.SocketStream, RawClient]:
     """A connection: the server's side and the client's."""
     listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
-    client = Client("127.0.0.1:%d" % listener.socket.getsockname()[1])
+    client = RawClient("127.0.0.1:%d" % listener.socket.getsockname()[1])
     stream = await listener.accept()
     listener.socket.close()
     return stream, client
 
 
-def server_side(p: Platform, client: Client) -> trio.SocketStream:
+def server_side(p: Platform, client: RawClient) -> trio.SocketStream:
     """The gateway's stream of this client's connection."""
     return next(
         c.stream for c in p.gateway.chat_server.idle if c.stream.socket.getpeername() == client.sock.getsockname()
--- a/tests/shutdown_play.py
+++ b/tests/shutdown_scenario.py
@@ -20,8 +20,8 @@
 
 from ternlane.testing.platform import DONE
 from ternlane.testing.proxy import StallingProxy
-from tests.crossing import Client, answer_end, client_request
-from tests.platform_world import TOLD, Platform, platform, until_ready
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
+from tests.race_helpers import RawClient, answer_end, client_request
 from tests.test_platform_bounds import running
 
 LONGEST_S, GRACE_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, cut to 3 s, and 0.7 s
@@ -92,10 +92,11 @@
             for (name, semantics), deadline in zip(kinds, deadlines, strict=False)
         ]
         profiles[2] |= {"key_ttl": window_ms, "group": "all"}
-        self.settings = TOLD | {
+        self.settings = PLATFORM_SETTINGS | {
             "profiles": profiles,
-            "limits": TOLD["limits"] | {"most_tries": rng.randint(2, 5), "connect_timeout": rng.choice([150.0, 400.0])},
-            "specifics": TOLD["specifics"]
+            "limits": PLATFORM_SETTINGS["limits"]
+            | {"most_tries": rng.randint(2, 5), "connect_timeout": rng.choice([150.0, 400.0])},
+            "specifics": PLATFORM_SETTINGS["specifics"]
             | {"release": rng.choice([300.0, 500.0, 800.0]), "token_aim": [rng.choice([5.0, 20.0, 100.0])] * 2},
         }
         self.users = rng.choice([6, 12, 20, 30])
@@ -137,7 +138,7 @@
         self.longest_held_s = 0.0
         self.own_lateness_s = 0.0  # the most by which this process, which stands in for clients and servers, was late
         self.agent_well = True
-        self.idle: list[Client] = []
+        self.idle: list[RawClient] = []
         self.ended_by_itself: int | None = None
 
     def script(self, name: str) -> Callable[[str], str]:
@@ -236,7 +237,7 @@
         """Idle connections, and bytes that are no request."""
         for nth in range(FLOOD):
             with suppress(OSError):
-                client = Client(self.p.address)
+                client = RawClient(self.p.address)
                 self.idle.append(client)
                 if nth % 2:
                     client.send(b"\x16\x03\x01 nonsense\r\n\r\n" if nth % 4 == 1 else b"POST /v1/chat")
@@ -337,8 +338,8 @@
             if sent.request_class == "summary":
                 continue
             began = [a for a in self.attempts_for(sent) if a.server in DECODE and a.way not in NOT_STARTED]
-            may_have_run = [a for a in began if a.way or self.p.fleet.ran[sent.ident]]
-            if sent.request_class == "note" and self.p.fleet.ran[sent.ident] > 1:
+            may_have_run = [a for a in began if a.way or self.p.fleet.run_counts[sent.ident]]
+            if sent.request_class == "note" and self.p.fleet.run_counts[sent.ident] > 1:
                 out.append(self.said("duplicate", sent, "ran twice"))
             if sent.request_class == "note" and sent.status == "503" and may_have_run:
                 out.append(self.said("duplicate", sent, "rejected though it may have run"))
@@ -409,7 +410,7 @@
             p.servers[name].events = plan.rng.choice([2, 10, 60])
             p.servers[name].event_ms = plan.rng.choice([1.0, 20.0, 50.0])
         async with running(p, folder, settings=plan.settings) as (process, log):
-            await until_ready(p)
+            await wait_until_ready(p)
             played = ShutdownPlay(p, plan, process)
             played.proxies = proxies
             for name, server in p.servers.items():
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -15,9 +15,9 @@
 from ternlane.platform.stream_forwarder import StreamForwarder
 from ternlane.policy import messages
 from ternlane.testing.platform import Gate
-from tests.crossing import Client, client_request, until
-from tests.platform_world import Platform, platform
-from tests.world import REQUEST_CLASSES, TERMS, world
+from tests.gateway_cluster import FLEET_CONFIG, REQUEST_CLASSES, gateway_cluster
+from tests.platform_gateway import Platform, platform
+from tests.race_helpers import RawClient, client_request, wait_until
 
 
 class Faulty:
@@ -35,7 +35,7 @@
     return sum(isinstance(event, messages.RequestArrived) for event in events)
 
 
-def make_faulty(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
+def replace_decisions(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
     p.gateway.runtime.router = Faulty(p.gateway.runtime.router, instead)  # type: ignore[assignment]
 
 
@@ -50,7 +50,7 @@
             raise ZeroDivisionError("a fault in the decisions")
 
     async with platform("r0", "w0") as p:
-        make_faulty(p, fail_once)
+        replace_decisions(p, fail_once)
         statuses: list[int] = []
 
         async def client(timeout: str) -> None:  # noqa: ASYNC109
@@ -62,14 +62,14 @@
                 nursery.start_soon(client, "1.5")
         assert failed and sorted(statuses) == [200, 502]
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_request_that_the_decisions_forget_is_failed_in_its_time() -> None:
     """The router takes a request and decides nothing for it. The gateway fails it shortly after its deadline; else
     its client would wait for ever."""
     async with platform("r0", "w0") as p:
-        make_faulty(p, lambda events: [] if arrivals(events) else None)
+        replace_decisions(p, lambda events: [] if arrivals(events) else None)
         with trio.fail_after(0.4 + 0.5):
             assert (await p.ask(Request_Timeout="0.4")).status == 502
         assert not p.gateway.runtime.active_requests
@@ -86,13 +86,13 @@
 
         with monkeypatch.context() as patched:
             patched.setattr(p.gateway.runtime, "receive_request", fail)
-            client = Client(p.address)
+            client = RawClient(p.address)
             client.send(client_request(p))
             client.send(b"GET /behind")  # unread bytes do not take the answer with them
             said = await client.rest()
         assert said.startswith(b"HTTP/1.1 500 ") and not client.reset
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_stream_that_has_begun_outlasts_its_request_s_time() -> None:
@@ -100,7 +100,7 @@
     gate = Gate()
     async with platform("r0", "w0") as p:
         p.servers["w0"].gates["event"] = gate
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="0.3"))
         await gate.reached.wait()
         await trio.sleep(0.3 + OVERDUE_GRACE_MS / 1000 + 0.2)
@@ -122,7 +122,7 @@
 
         with pytest.MonkeyPatch.context() as patched:
             patched.setattr(StreamForwarder, "first", late_first)
-            client = Client(p.address)
+            client = RawClient(p.address)
             client.send(client_request(p))
             said = await client.answer()
         assert (
@@ -131,7 +131,7 @@
             and runtime.reporter.counts["overdue"] == 1
         )
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_the_regular_looks_go_on_after_one_that_failed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -147,8 +147,8 @@
                 raise KeyError("a fault in the decisions")
 
     async with platform("r0", "w0") as p:
-        make_faulty(p, fail_first)
-        await until(lambda: len(looks) > 5)
+        replace_decisions(p, fail_first)
+        await wait_until(lambda: len(looks) > 5)
         assert p.gateway.runtime.reporter.counts["fault"] == 1 and (await p.ask()).status == 200
 
 
@@ -165,7 +165,7 @@
                 raise OSError("a fault in this program")
             settle(active_request, final)
 
-        make_faulty(
+        replace_decisions(
             p,
             lambda events: [messages.Reject(e.request, 0.0) for e in events if isinstance(e, messages.RequestArrived)],
         )
@@ -184,7 +184,7 @@
 
 async def test_the_chat_gateway_too_answers_what_its_decisions_fail_on() -> None:
     """As above: the router raises on an arrival, here in the chat gateway."""
-    async with world() as w:
+    async with gateway_cluster() as w:
         chooser = w.gateway.runtime.router
         w.gateway.runtime.router = Faulty(chooser, lambda events: 1 / 0 if arrivals(events) else None)
         with trio.fail_after(3):
@@ -192,14 +192,14 @@
         assert reply.status == 502
         w.gateway.runtime.router = chooser
         assert (await w.ask()).done == 1
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_the_chat_gateway_too_answers_before_the_close_where_its_handler_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """As above: a handler raises, here in the chat gateway."""
-    async with world() as w:
+    async with gateway_cluster() as w:
 
         def fail(*_: Any) -> None:
             raise RuntimeError("a fault in this program")
@@ -212,12 +212,12 @@
 
 async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
     """As above: the router decides nothing for a request, here in the library."""
-    async with world() as w:
+    async with gateway_cluster() as w:
         config = GatewayConfig(
             name="lib",
             listen="127.0.0.1:0",
             request_classes=REQUEST_CLASSES,
-            fleet=TERMS,
+            fleet=FLEET_CONFIG,
             nodes=InlineSource(nodes=w.lines()),
         )
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -18,12 +18,12 @@
 from hypothesis import strategies as st
 
 from ternlane.policy.messages import EndpointStatus
-from tests.crossing import Client, Turnstile, client_request, until
-from tests.platform_world import TOLD, Platform, platform
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform
+from tests.race_helpers import RawClient, Turnstile, client_request, wait_until
 
-PATIENT = TOLD | {
-    "limits": TOLD["limits"] | {"connect_timeout": 2000.0},
-    "profiles": [one | {"aim": 5000.0, "deadline": 20e3} for one in TOLD["profiles"]],
+PATIENT = PLATFORM_SETTINGS | {
+    "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 2000.0},
+    "profiles": [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]],
 }  # so that no time-out plays a part: the steps decide
 SERVERS = ("r0", "r1", "w0", "w1")
 WAYS = ["", "", "", "full_503", "gone_410", "opening_cut", "status_500", "later_cut", "noise", "second_answer"]
@@ -45,7 +45,7 @@
 class Asked:
     """A request, and what its client has of it."""
 
-    client: Client
+    client: RawClient
     ident: str
     request_class: str
     rest: bytes = b""  # of the request, not sent yet
@@ -77,7 +77,7 @@
         if self.ending:
             return None
         whole = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
-        one = Asked(Client(self.p.address), f"{self.p.count:016x}", request_class)
+        one = Asked(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
         one.client.send(whole)
         self.asked.append(one)
         return one
@@ -85,7 +85,7 @@
     async def do_half(self, at: int) -> None:
         if not self.ending:
             whole = client_request(self.p, Request_Timeout="15")
-            one = Asked(Client(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
+            one = Asked(RawClient(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
             one.client.send(whole[:at])
             self.asked.append(one)
 
@@ -101,9 +101,9 @@
         if here:
             one = here[nth % len(here)]
             one.left = True
-            one.client.leave(how)
+            one.client.disconnect(how)
             idents = self.p.gateway.runtime.requests_by_id
-            await until(lambda: one.ident not in idents or idents[one.ident].over)
+            await wait_until(lambda: one.ident not in idents or idents[one.ident].over)
             self.attempts_when_left[one.ident] = self.attempts_for(one.ident)
 
     async def do_go_on(self, server: str, nth: int) -> None:
@@ -112,7 +112,7 @@
     async def put(self, server: str, listed_status: str, status: EndpointStatus) -> None:
         kind = "reader" if server[0] == "r" else "writer"
         self.p.discovery.put(server, self.p.servers[server].address, kind, listed_status)
-        await until(lambda: self.p.gateway.runtime.endpoint_registry.servers[server].status is status)
+        await wait_until(lambda: self.p.gateway.runtime.endpoint_registry.servers[server].status is status)
 
     async def do_drain(self, server: str) -> None:
         if server not in self.told_to_leave_alone:
@@ -147,8 +147,8 @@
         for one in self.asked:
             if not one.left:
                 one.answer = await one.client.answer()
-        await self.p.settled()  # nothing is open, nothing held
-        ran = Counter(self.p.fleet.ran)
+        await self.p.wait_until_idle()  # nothing is open, nothing held
+        run_counts = Counter(self.p.fleet.run_counts)
         for one in self.asked:
             if one.left:
                 assert self.attempts_for(one.ident) == self.attempts_when_left[one.ident], one.ident
@@ -156,7 +156,7 @@
             listed_status = one.answer[9:12]
             assert listed_status in (b"200", b"502", b"503"), one.answer
             if one.request_class == "note":
-                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not ran[one.ident])
+                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not run_counts[one.ident])
         for server, before in self.told_to_leave_alone.items():
             assert self.attempts(server) == before, server
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_races_discovery.py
@@ -22,12 +22,12 @@
 from ternlane.platform import discovery_watch
 from ternlane.platform import gateway as gateway_module
 from ternlane.platform.endpoint_list import EndpointList, parse_endpoint_list
-from ternlane.platform.settings import GatewayConfiguration, Limits
+from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
 from ternlane.policy.attempt import Stage
 from ternlane.policy.messages import EndpointStatus
-from ternlane.testing.platform import Discovery, Gate
-from tests.crossing import Client, client_request, until
-from tests.platform_world import TOLD, Platform, platform, until_ready
+from ternlane.testing.platform import FakeDiscovery, Gate
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform, wait_until_ready
+from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import reload
 
 
@@ -42,7 +42,12 @@
     """Another process of the same gateway, that knows the servers by an older list; not started yet."""
     host, _, number = p.discovery.address.partition(":")
     post = GatewayConfiguration(
-        "n1", ("127.0.0.1", 0), (host, int(number)), Limits(), parse_endpoint_list(known), Deployment(1, TOLD)
+        "n1",
+        ("127.0.0.1", 0),
+        (host, int(number)),
+        ProcessLimits(),
+        parse_endpoint_list(known),
+        Deployment(1, PLATFORM_SETTINGS),
     )
     return gateway_module.Gateway(post, p.nursery, p.log)
 
@@ -58,7 +63,7 @@
         await gate.reached.wait()
         assert not gateway.chat_server.ready  # also not asked whether it is: it takes no connection yet
         p.address = "127.0.0.1:%d" % gateway.listener.socket.getsockname()[1]
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))  # waits in the listener's queue
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -86,11 +91,11 @@
 def test_what_a_new_address_has_to_tell_is_heard_in_time_though_the_first_call_hangs() -> None:
     call = discovery_watch.CONNECT_TIMEOUT_MS + discovery_watch.HEAD_TIMEOUT_MS
     assert (
-        discovery_watch.MOVE_WORST_CASE_MS
+        discovery_watch.ADDRESS_CHANGE_WORST_CASE_MS
         == 2 * call + discovery_watch.JITTER[1] * discovery_watch.BACKOFF_MS
-        < discovery_watch.MOVE_PROPAGATION_MS
+        < discovery_watch.ADDRESS_CHANGE_PROPAGATION_MS
     )
-    assert discovery_watch.MOVE_PROPAGATION_MS == 4000.0 and discovery_watch.PROPAGATION_MS == 6000.0
+    assert discovery_watch.ADDRESS_CHANGE_PROPAGATION_MS == 4000.0 and discovery_watch.PROPAGATION_MS == 6000.0
 
 
 @pytest.mark.parametrize("when", ["at once", "after a line", "late", "within a line"])
@@ -107,7 +112,7 @@
     ):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
     async with trio.open_nursery() as nursery:
-        discovery = Discovery(nursery, discovery_watch.HEARTBEAT_MS)
+        discovery = FakeDiscovery(nursery, discovery_watch.HEARTBEAT_MS)
         discovery.put("w0", "127.0.0.1:1", "writer")
         await discovery.start()
         host, _, number = discovery.address.partition(":")
@@ -124,21 +129,21 @@
             (host, int(number)), lambda: index[0], hear, lambda _: None, 7, nursery, None
         )
         watch.start()
-        await until(lambda: discovery.asked)
+        await wait_until(lambda: discovery.asked)
         if when == "late":
             await watch.opened.wait()
             await watch.opened.wait()
         if when == "after a line":
             discovery.put("w1", "127.0.0.1:2", "writer")
-            await until(lambda: index[0] == discovery.index)
+            await wait_until(lambda: index[0] == discovery.index)
         if when == "within a line":
             discovery.garbage = b'{"index":9,"snapshot":false,"endpo'
             discovery.put("w1", "127.0.0.1:2", "writer")
-            await until(lambda: not discovery.garbage)
+            await wait_until(lambda: not discovery.garbage)
         discovery.silence_open_watches()  # open watches say no more, new ones are served
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
-        await until(heard.is_set)
+        await wait_until(heard.is_set)
         assert (trio.current_time() - since) * 1000 < discovery_watch.PROPAGATION_MS / 10
         nursery.cancel_scope.cancel()
 
@@ -158,7 +163,7 @@
         await trio.sleep(0.3)  # it has worked for longer than it may be silent
         for stream in list(p.discovery.conns):
             stream.socket.close()
-        await until(lambda: len(p.discovery.asked) == 2)
+        await wait_until(lambda: len(p.discovery.asked) == 2)
         assert (
             pauses == [discovery_watch.FIRST_BACKOFF_MS]
             and discovery_watch.JITTER[1] * discovery_watch.FIRST_BACKOFF_MS <= 50
@@ -170,7 +175,7 @@
     async with platform("r0", "w0") as p:
         p.discovery.cut_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert p.discovery.asked == [str(p.discovery.index - 1)] * 2
 
 
@@ -188,7 +193,7 @@
 
     async with platform("r0", "w0") as p:
         monkeypatch.setattr(discovery_watch.DiscoveryWatch, "_pause", held)
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, p.discovery.log, p.discovery.entries
         await other.start()
         await p.gateway.watch.opened.wait()
@@ -198,13 +203,13 @@
         other.gates["watch"] = Gate()  # so that the new one has not spoken yet
         asked = len(p.discovery.asked)
         host, _, number = other.address.partition(":")
-        p.gateway.watch.move((host, int(number)))
+        p.gateway.watch.change_address((host, int(number)))
         await other.gates["watch"].reached.wait()
         gate.open()
-        await until(lambda: len(p.gateway.watch.following) == 1)
+        await wait_until(lambda: len(p.gateway.watch.watch_scopes) == 1)
         other.gates["watch"].open()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert len(p.discovery.asked) == asked
 
 
@@ -213,14 +218,14 @@
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         p.discovery.silence_open_watches()
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, list(p.discovery.log), dict(p.discovery.entries)
         await other.start()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
-        p.gateway.watch.move((host, int(number)))
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
-        await until(lambda: len(p.gateway.watch.following) == 1)
+        p.gateway.watch.change_address((host, int(number)))
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        await wait_until(lambda: len(p.gateway.watch.watch_scopes) == 1)
 
 
 async def test_what_an_old_agent_says_after_the_new_one_undoes_nothing() -> None:
@@ -228,7 +233,7 @@
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         old = json.dumps(p.discovery.listing()).encode()
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         other.index, other.log, other.entries = p.discovery.index, list(p.discovery.log), dict(p.discovery.entries)
         await other.start()
         gate = p.discovery.gates["list"] = Gate()
@@ -236,8 +241,8 @@
         await gate.reached.wait()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
-        p.gateway.watch.move((host, int(number)))
-        await until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
+        p.gateway.watch.change_address((host, int(number)))
+        await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         gate.open()
         p.gateway.runtime.update_endpoints(parse_endpoint_list(old))  # as it would come from there
         assert status(p, "w0") is EndpointStatus.DRAINING
@@ -260,16 +265,16 @@
         )
         assert first[:2] == (150.0, 0.9 * 2000.0)
         assert (await p.ask()).status == 200
-        limits = TOLD["limits"] | {"conn_idle": 800.0, "connect_timeout": 90.0}
+        limits = PLATFORM_SETTINGS["limits"] | {"conn_idle": 800.0, "connect_timeout": 90.0}
         small = {"sockets": 200, "memory_mb": 64}
-        reload(p, tmp_path, monkeypatch, TOLD | {"limits": limits}, limits=small)
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"limits": limits}, limits=small)
         assert (pool.connect_ms, pool.idle_ms, pool.limit) == (90.0, 720.0, 90)
         assert (chat_server.connection_limit, chat_server.request_limit, chat_server.body_bytes_limit) == (
             90,
             80,
             int(64 * 2**20 * 0.2),
         )
-        reload(p, tmp_path, monkeypatch, TOLD)
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS)
         assert (
             pool.connect_ms,
             pool.idle_ms,
@@ -299,11 +304,11 @@
 ) -> None:
     """Memory of a kind of server, tenants, columns of reports: a reload that changed only these changed nothing."""
     async with platform("r0", "w0") as p:
-        kinds = TOLD["specifics"] | {"tokens_by_kind": [1000, 3000]}
-        reload(p, tmp_path, monkeypatch, TOLD | {"specifics": kinds, "tenants": [{"name": "a"}]})
+        kinds = PLATFORM_SETTINGS["specifics"] | {"tokens_by_kind": [1000, 3000]}
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"specifics": kinds, "tenants": [{"name": "a"}]})
         servers, first = p.gateway.runtime.endpoint_registry.servers, p.gateway.runtime.deployment.tenants["a"]
         assert servers["r0"].kv_capacity_tokens == 1000 and servers["w0"].kv_capacity_tokens == 3000
-        reload(p, tmp_path, monkeypatch, TOLD | {"tenants": [{"name": "a"}, {"name": "b"}]})
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"tenants": [{"name": "a"}, {"name": "b"}]})
         assert p.gateway.runtime.deployment.tenants["a"] is first  # still the same customer
         assert servers["r0"].kv_capacity_tokens == 200000 and len(p.gateway.runtime.deployment.tenants) == 2
 
@@ -317,22 +322,22 @@
             assert (await p.ask()).status == 200
         old = runtime.deployment.request_classes["summary"]
         assert old in scheduler.rules.latency.mean_prompt_tokens
-        other = [profile | {"aim": 700.0} for profile in TOLD["profiles"]]
-        reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
+        other = [profile | {"aim": 700.0} for profile in PLATFORM_SETTINGS["profiles"]]
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"profiles": other})
         new = runtime.deployment.request_classes["summary"]
         tables = (
             scheduler.rules.latency.mean_prompt_tokens,
-            scheduler.rules.latency.learnt_at,
+            scheduler.rules.latency.last_sample_at,
             scheduler.rules.affinity.cached_share,
         )
         assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
         assert scheduler.rules.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # as if nothing had been met yet
-        reload(p, tmp_path, monkeypatch, TOLD)  # and back: its terms are new ones again
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS)  # and back: its terms are new ones again
         assert (
             scheduler.rules.latency.usual_ms(runtime.deployment.request_classes["summary"], Stage.PREFILL) == 500.0 / 8
         )
         assert (await p.ask()).status == 200
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_request_that_is_open_during_a_reload_ends_under_the_terms_it_came_with(
@@ -340,17 +345,17 @@
 ) -> None:
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["request"] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
-        other = [profile | {"name": profile["name"] + "-2"} for profile in TOLD["profiles"]]
-        reload(p, tmp_path, monkeypatch, TOLD | {"profiles": other})
+        other = [profile | {"name": profile["name"] + "-2"} for profile in PLATFORM_SETTINGS["profiles"]]
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"profiles": other})
         assert (await p.ask()).status == 400  # the class is not served any more
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert (await p.ask(Request_Class="summary-2")).status == 200
         client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- the start
@@ -408,7 +413,7 @@
                     "discovery": p.discovery.address,
                     "seed": "ff",
                     "known": p.discovery.listing(),
-                    "settings": TOLD,
+                    "settings": PLATFORM_SETTINGS,
                 }
             )
         )
@@ -418,9 +423,9 @@
                 [sys.executable, "-m", "ternlane.platform"], env=env, stderr=subprocess.DEVNULL
             )
             try:
-                await until_ready(p)
+                await wait_until_ready(p)
                 used_s = processor_s(process_.pid)
-                client = Client(p.address)
+                client = RawClient(p.address)
                 client.send(client_request(p)[:40])
             finally:
                 process_.send_signal(signal.SIGKILL)  # with a connection accepted, and half a request on it
--- a/tests/test_crossings_servers.py
+++ b/tests/test_races_servers.py
@@ -22,21 +22,21 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, Effect, Group
 from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
-from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
-from tests.crossing import Client, Wrapped, arrived, client_request, pair, until
-from tests.platform_world import TOLD, Platform, always, once, platform
-from tests.world import TERMS, Reply, world
+from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
+from tests.gateway_cluster import FLEET_CONFIG, Reply, gateway_cluster
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
+from tests.race_helpers import RawClient, Wrapped, arrived, client_request, pair, wait_until
 
 
-def told(**limits: Any) -> dict[str, Any]:
-    return TOLD | {"limits": TOLD["limits"] | limits}
+def platform_settings(**limits: Any) -> dict[str, Any]:
+    return PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | limits}
 
 
 async def asked(p: Platform, into: list[Reply], **headers: str) -> None:
     into.append(await p.ask(**headers))
 
 
-class HeldConnects:
+class DelayedConnects:
     """Connections come up at once, and nobody hears of it before `gate` opens: a slow handshake."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str) -> None:
@@ -65,26 +65,28 @@
     name: str, other: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The attempt was decided before; it is judged where it begins."""
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0)) as p:
-        held = HeldConnects(monkeypatch, p.servers[name].address)
+    async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
+        held = DelayedConnects(monkeypatch, p.servers[name].address)
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
         await held.gate.reached.wait()
         await p.add(other)
         p.discovery.put(name, p.servers[name].address, kind, "DRAINING")
         servers = p.gateway.runtime.endpoint_registry.servers
-        await until(lambda: servers[name].status is messages.EndpointStatus.DRAINING and other in servers)
+        await wait_until(lambda: servers[name].status is messages.EndpointStatus.DRAINING and other in servers)
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200
         assert [n for n, k, _ in p.fleet.seen if n in (name, other)] == [other]
         assert not p.gateway.runtime.router.scheduler.rules.endpoints[servers[name].router_state].ejected  # type: ignore[attr-defined]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_server_that_begins_to_drain_while_an_attempt_waits_for_a_release_is_sent_nothing() -> None:
     """An attempt waits for an earlier one's release, and its server begins to drain meanwhile. It is sent nothing."""
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0), w0=once("gone_410")) as p:
+    async with platform(
+        "r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0), w0=fault_once("gone_410")
+    ) as p:
         gates = [server.gates for server in p.servers.values()]
         gate = Gate()
         for each in gates:
@@ -94,13 +96,13 @@
         await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
-        await until(
+        await wait_until(
             lambda: p.gateway.runtime.endpoint_registry.servers["r0"].status is messages.EndpointStatus.DRAINING
         )
         gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "read"] == ["r0", "r1"]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("name, other", [("r0", "r1"), ("w0", "w1")])
@@ -108,9 +110,9 @@
     name: str, other: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As above: a server begins to drain during a connect, here in the chat gateway."""
-    async with world(("r0", "w0"), terms=msgspec.structs.replace(TERMS, connect_ms=1000)) as w:
+    async with gateway_cluster(("r0", "w0"), terms=msgspec.structs.replace(FLEET_CONFIG, connect_ms=1000)) as w:
         engine = w.engines[name]
-        held = HeldConnects(monkeypatch, f"{engine.host}:{engine.port}")
+        held = DelayedConnects(monkeypatch, f"{engine.host}:{engine.port}")
         replies: list[Reply] = []
 
         async def ask() -> None:
@@ -121,24 +123,24 @@
         await w.add(other)
         w.list(**{name: "draining"})
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1
         asked_of = {line["id"] for line in w.said("leg")}
         assert name not in asked_of and other in asked_of
-        await w.settled()
+        await w.wait_until_idle()
 
 
 def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
     """A decode attempt was not started, as its server drained. That proves nothing of the held state, whose release
     time runs on."""
-    host = build(("w2", "w3"))
-    request, attempt = host.written(Effect.SIDE_EFFECTING)
-    second = sent(host.end(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
+    host = make_host(("w2", "w3"))
+    request, attempt = host.start_decode(Effect.SIDE_EFFECTING)
+    second = started_attempt(host.end_attempt(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
     assert second.server is not attempt.server and second.server.role is messages.Role.DECODE
-    said = host.end(
+    said = host.end_attempt(
         request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
     )  # 400 of 500 ms, and 250 to connect
-    assert messages.Release in kinds(said) and sent(said).server.role is messages.Role.PREFILL
+    assert messages.Release in action_types(said) and started_attempt(said).server.role is messages.Role.PREFILL
     assert not host.router.scheduler.rules.endpoints[attempt.server.router_state].ejected
 
 
@@ -146,7 +148,9 @@
 
 
 async def test_the_time_told_is_what_is_left_also_after_a_wait_for_a_release() -> None:
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0), w0=once("gone_410")) as p:
+    async with platform(
+        "r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0), w0=fault_once("gone_410")
+    ) as p:
         gate = Gate()
         for server in p.servers.values():
             server.gates["lease"] = gate
@@ -156,9 +160,9 @@
         await gate.reached.wait()
         await trio.sleep(0.2)  # the time that passes, not the order, is the matter here
         gate.open()
-        await until(lambda: len(p.fleet.stated_timeouts_s) > 2)
+        await wait_until(lambda: len(p.fleet.stated_timeouts_s) > 2)
         assert p.fleet.stated_timeouts_s[2] <= 1.5 - (trio.current_time() - since) + 0.1
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200
 
 
@@ -177,7 +181,7 @@
 
     caller = ClientConnection(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
     await caller.send_request("DELETE", "/kv/leases/ab", [])
-    caller.expect_by(trio.current_time() + 0.05)
+    caller.set_read_deadline(trio.current_time() + 0.05)
     assert (await caller.read_head()).status_code == 204
     caller.close_now()
 
@@ -189,7 +193,7 @@
     await caller.send_request("GET", "/", [])
     peer.send(HEAD + framed(EVENT))
     assert (await caller.read_head()).status_code == 200
-    caller.expect_by(trio.current_time() - 1)
+    caller.set_read_deadline(trio.current_time() - 1)
     got: list[bytes] = []
     with pytest.raises(ReadTimeout):
         async for piece in caller.chunks():
@@ -223,13 +227,13 @@
         monkeypatch.setattr(ClientConnection, "_receive", at_the_limit)
         reply = await p.ask()
         assert reply.status == 200 and reply.done == 1 and held.opened.is_set()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- windows of repeats
 
-KEYED = TOLD | {
-    "limits": TOLD["limits"] | {"connect_timeout": 1500.0},
+KEYED = PLATFORM_SETTINGS | {
+    "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 1500.0},
     "profiles": [
         {
             "aim": 500.0,
@@ -248,36 +252,36 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its servers have forgotten the first attempt by then, and would let the second one take effect."""
-    async with platform("r0", "w0", told=KEYED, w0=once("opening_cut")) as p:
+    async with platform("r0", "w0", platform_settings=KEYED, w0=fault_once("opening_cut")) as p:
         replies: list[Reply] = []
         gate = p.servers["w0"].gates["request"] = Gate()
         p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="4"))
         await gate.reached.wait()
         second = await p.add("w1")
-        await until(lambda: "w1" in p.gateway.runtime.endpoint_registry.servers)
-        held = HeldConnects(monkeypatch, second.address)
+        await wait_until(lambda: "w1" in p.gateway.runtime.endpoint_registry.servers)
+        held = DelayedConnects(monkeypatch, second.address)
         gate.open()  # it breaks off: it may have run
         await held.gate.reached.wait()  # a repeat was allowed, and its connection is slow
         await trio.sleep(0.45)  # the window is over
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 502 and p.fleet.count("write") == 1 and second.name == "w1"
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def keyed(window_ms: float, group: Group = Group.ALL) -> FakeHost:
-    host = build()
+    host = make_host()
     request_class = messages.RequestClass(Effect.DEDUPLICATED, group, window_ms, 1000.0, 50.0, 60.0, 5000.0, 1.0, 0.2)
     host.request_classes[Effect.DEDUPLICATED] = request_class
-    host.tell(messages.ConfigChanged(ROUTER_CONFIG))
+    host.deliver(messages.ConfigChanged(ROUTER_CONFIG))
     return host
 
 
 def test_a_repeat_may_begin_only_while_the_window_lasts() -> None:
     host = keyed(3000.0)
-    request, attempt = host.written(Effect.DEDUPLICATED)
+    request, attempt = host.start_decode(Effect.DEDUPLICATED)
     assert attempt.start_within_ms == float("inf")  # nothing may have run yet
-    again = sent(host.end(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
+    again = started_attempt(host.end_attempt(request, attempt.server, AttemptOutcome.RESET, after=1000.0))
     assert again.start_within_ms == pytest.approx(2000.0)
 
 
@@ -287,9 +291,9 @@
 ) -> None:
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
-    request, attempt = host.written(Effect.DEDUPLICATED)
+    request, attempt = host.start_decode(Effect.DEDUPLICATED)
     host.list(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
-    assert answer in kinds(host.end(request, attempt.server, AttemptOutcome.RESET, after=after))
+    assert answer in action_types(host.end_attempt(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
 # -- second answers, kept connections
@@ -301,23 +305,23 @@
     """A server answers a request twice, the second time some milliseconds late. The second is not taken for the next
     request's answer."""
     monkeypatch.setattr(client_module, "REST_MS", 60e3)  # so that a slow machine is still within it
-    async with platform("r0", "w0", w0=once("second_answer")) as p:
+    async with platform("r0", "w0", w0=fault_once("second_answer")) as p:
         gate = p.servers["w0"].gates["second"] = Gate()
         assert (await p.ask()).status == 200
         await gate.reached.wait()
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
-        await until(lambda: p.fleet.count("read") == 2 and not p.fleet.open["r0"])
-        await until(lambda: p.fleet.conns["w0"] == 2 or replies)  # over a connection of its own
+        await wait_until(lambda: p.fleet.count("read") == 2 and not p.fleet.open["r0"])
+        await wait_until(lambda: p.fleet.conns["w0"] == 2 or replies)  # over a connection of its own
         gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200
         assert replies[0].body.endswith(b": Server-Load: inflight=2,x0=0.2\n\n")  # its own answer, not that one
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def test_a_connection_rests_for_longer_than_a_late_answer_takes() -> None:
-    assert 20 <= client_module.REST_MS <= 100
+    assert 20 <= client_module.REUSE_DELAY_MS <= 100
 
 
 @pytest.mark.parametrize("request_class, status", [("summary", 200), ("note", 502)])
@@ -327,9 +331,12 @@
     """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
     monkeypatch.setattr(client_module, "REST_MS", 0.0)
     # So that no time-out plays a part, nor the release time: finding the server's side holds the loop up for long.
-    profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in TOLD["profiles"]]
-    told = TOLD | {"profiles": profiles, "specifics": TOLD["specifics"] | {"release": 10e3}}
-    async with platform("r0", "w0", "w1", told=told) as p:
+    profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]]
+    platform_settings = PLATFORM_SETTINGS | {
+        "profiles": profiles,
+        "specifics": PLATFORM_SETTINGS["specifics"] | {"release": 10e3},
+    }
+    async with platform("r0", "w0", "w1", platform_settings=platform_settings) as p:
         for _ in range(4):
             assert (await p.ask(Request_Timeout="15")).status == 200
         dead, closing = ClientConnection.dead.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
@@ -347,7 +354,7 @@
         reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
         assert p.fleet.count("write") - before == (1 if request_class == "summary" else 0)
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def _reset_by_peer(p: Platform, caller: ClientConnection) -> None:
@@ -368,7 +375,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Also where attempts may not be called off: this one has not begun."""
-    async with platform("r0", "w0", told=told(cancel=False)) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(cancel=False)) as p:
         gate, send = Gate(), connection_module.send
 
         async def half(stream: trio.SocketStream, data: bytes) -> None:
@@ -378,13 +385,13 @@
             await send(stream, data[-3:] if data.startswith(b"POST /v1/") else data)
 
         monkeypatch.setattr(connection_module, "send", half)
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
-        client.leave("close")
-        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
+        client.disconnect("close")
+        await wait_until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
         gate.open()
-        await p.settled()
+        await p.wait_until_idle()
         assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
 
 
@@ -393,7 +400,7 @@
 
 async def test_a_release_that_is_overtaken_by_a_new_read_costs_a_read_and_nothing_else() -> None:
     """A DELETE that a server held up takes the state of the read that came after it."""
-    async with platform("r0", "w0", told=told(most_tries=8), w0=once("gone_410")) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(most_tries=8), w0=fault_once("gone_410")) as p:
         lease, write = Gate(), Gate()
         for server in p.servers.values():
             server.gates["lease"] = lease
@@ -403,37 +410,37 @@
         p.servers["w0"].gates["request"] = write
         await write.reached.wait()  # the second state is at hand for its writer
         lease.open()
-        await until(lambda: not p.fleet.states)  # and now it is gone
+        await wait_until(lambda: not p.fleet.states)  # and now it is gone
         write.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1 and p.fleet.count("read") == 3
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("way", ["full_503", "gone_410", "status_500", "opening_cut"])
 async def test_a_state_whose_writer_fails_it_in_any_way_is_not_left_behind(way: str) -> None:
     """A decode server fails in any way with a state at hand. The state is taken by another one, or released."""
-    async with platform("r0", "w0", w0=always(way)) as p:
+    async with platform("r0", "w0", w0=fault_always(way)) as p:
         assert (await p.ask(Request_Class="note")).status in (502, 503)
-        await p.settled()
+        await p.wait_until_idle()
         assert not p.fleet.states and not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
 async def test_a_writer_that_dies_as_the_state_is_at_hand_leaves_it_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """A decode server dies as its prefill ends. Another one takes the state."""
-    async with platform("r0", "w0", told=told(connect_timeout=1000.0)) as p:
-        held = HeldConnects(monkeypatch, p.servers["w0"].address)
+    async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
+        held = DelayedConnects(monkeypatch, p.servers["w0"].address)
         replies: list[Reply] = []
         p.nursery.start_soon(partial(asked, p, replies))
         await held.gate.reached.wait()
         await p.add("w1")
         p.servers["w0"].stop()
         p.discovery.put("w0", "", "writer", "DELETED")
-        await until(lambda: set(p.gateway.runtime.endpoint_registry.servers) == {"r0", "w1"})
+        await wait_until(lambda: set(p.gateway.runtime.endpoint_registry.servers) == {"r0", "w1"})
         held.gate.open()
-        await until(lambda: replies)
+        await wait_until(lambda: replies)
         assert replies[0].status == 200 and [n for n, k, _ in p.fleet.seen if k == "write"] == ["w1"]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- the shutdown
@@ -441,8 +448,8 @@
 
 async def test_a_shutdown_waits_for_a_release_that_is_under_way() -> None:
     """A gateway shuts down while a release is in flight. It waits for it."""
-    slow = TOLD | {"specifics": TOLD["specifics"] | {"release": 5000.0}}
-    async with platform("r0", "w0", told=slow, w0=always("status_500")) as p:
+    slow = PLATFORM_SETTINGS | {"specifics": PLATFORM_SETTINGS["specifics"] | {"release": 5000.0}}
+    async with platform("r0", "w0", platform_settings=slow, w0=fault_always("status_500")) as p:
         gate = Gate()
         for server in p.servers.values():
             server.gates["lease"] = gate
@@ -462,10 +469,10 @@
             done.set()
 
         p.nursery.start_soon(drain)
-        await until(lambda: looked.is_set() or done.is_set())
-        assert p.gateway.runtime.releasing and not done.is_set()
+        await wait_until(lambda: looked.is_set() or done.is_set())
+        assert p.gateway.runtime.releases_in_flight and not done.is_set()
         gate.open()
-        await until(done.is_set)
+        await wait_until(done.is_set)
         assert not p.fleet.states
 
 
@@ -474,7 +481,7 @@
     """A read under way, between prefill and decode, within the stream."""
     async with platform("r0", "w0") as p:
         gate = p.servers[server].gates[point] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
         p.gateway.begin_drain()
@@ -482,22 +489,22 @@
         out = await client.rest()
         assert out.startswith(b"HTTP/1.1 200 ") and DONE in out and out.endswith(b"0\r\n\r\n")
         assert not client.reset
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_shutdown_while_all_servers_hang_answers_everything_and_ends() -> None:
     """All model servers hang as a gateway shuts down. Each client has its answer, and the process ends in time."""
-    async with platform("r0", "w0", r0=always("silent")) as p:
-        clients = [Client(p.address) for _ in range(12)]
+    async with platform("r0", "w0", r0=fault_always("silent")) as p:
+        clients = [RawClient(p.address) for _ in range(12)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="1.0"))
-        await until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.runtime.active_requests) == 12)
+        await wait_until(lambda: p.fleet.count("read") >= 1 and len(p.gateway.runtime.active_requests) == 12)
         with trio.fail_after(4):
             await p.gateway.drain()
         for client in clients:
             assert (await client.rest()).startswith(b"HTTP/1.1 503 ") and not client.reset
             client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- errors are what they were
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,22 +14,29 @@
 from ternlane.engine import AttemptRequest, AttemptResult, Stage
 from ternlane.engine.attempt import AttemptPlan
 from ternlane.gateway import GatewayRuntime
-from ternlane.gateway.active_request import ActiveRequest, Final, Streamed
+from ternlane.gateway.active_request import ActiveRequest, FinalAnswer, Streamed
 from ternlane.gateway.response_writers import StreamResponseWriter
-from ternlane.http1 import event_bytes
+from ternlane.http1 import encode_event
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Server
 from ternlane.recovery import StreamJoin
-from ternlane.rules import Findings, check
+from ternlane.rules import RuleReport, check
 from ternlane.testing.clients import ClientBehaviour, Clients, ClientWorkload
 from ternlane.testing.traffic import clock_ms
-from tests.world import BUILD, REQUEST_CLASSES, TERMS, World, replace, world
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    REQUEST_CLASSES,
+    GatewayCluster,
+    gateway_cluster,
+    replace,
+)
 
 RULES: dict[str, Any] = {
-    "release_ms": TERMS.release_ms,
+    "release_ms": FLEET_CONFIG.release_ms,
     "drain_grace_ms": 100.0,
-    "connect_ms": TERMS.connect_ms,
-    "fall_ms": TERMS.fall_ms,
+    "connect_ms": FLEET_CONFIG.connect_ms,
+    "fall_ms": FLEET_CONFIG.fall_ms,
     "products": {p.name: {"effect": p.effect, "group": p.group, "window_ms": p.window_ms} for p in REQUEST_CLASSES},
 }
 WORKLOADS = [
@@ -45,7 +52,7 @@
 class Mute(GatewayRuntime):
     """Rule 1: never says that a generation is throttled or terminated."""
 
-    def finish_request(self, active_request: ActiveRequest | None, final: Final) -> None:
+    def finish_request(self, active_request: ActiveRequest | None, final: FinalAnswer) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
             super().finish_request(active_request, final)
 
@@ -58,9 +65,9 @@
         if isinstance(response_writer, StreamResponseWriter):
             end = response_writer.end
 
-            async def end_twice(final: Final) -> None:
+            async def end_twice(final: FinalAnswer) -> None:
                 if isinstance(final, Streamed):
-                    await response_writer.exchange.chunk(event_bytes(b"[DONE]"))
+                    await response_writer.exchange.chunk(encode_event(b"[DONE]"))
                 await end(final)
 
             response_writer.end = end_twice  # type: ignore[method-assign]
@@ -190,13 +197,13 @@
     how = "anew"
 
 
-async def send_requests(w: World, rate: float, length_ms: float, **behaviour: Any) -> None:
+async def send_requests(w: GatewayCluster, rate: float, length_ms: float, **behaviour: Any) -> None:
     clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**behaviour), w.traffic, 3)
     async with trio.open_nursery() as nursery:
         await clients.run(lambda _: rate, length_ms, nursery)
 
 
-def notify(w: World, **states: str) -> None:
+def notify(w: GatewayCluster, **states: str) -> None:
     """Gives the gateway an endpoint list with these states, and writes the line that says so."""
     lines = [with_state(line, states.get(line.id, "up")) for line in w.lines()]
     w.gateway.found(lines)
@@ -211,12 +218,12 @@
 
 
 def fleet_config(**changes: Any) -> FleetConfig:
-    return msgspec.structs.replace(TERMS, **changes)
+    return msgspec.structs.replace(FLEET_CONFIG, **changes)
 
 
-async def troubled(host: type[GatewayRuntime]) -> Findings:
+async def troubled(host: type[GatewayRuntime]) -> RuleReport:
     """Answers get lost, engines die, clients leave: what every host must stand."""
-    async with world(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
             w.engines[ident].fault.lost_answer_share = 0.25
 
@@ -235,10 +242,10 @@
         return check(w.traffic.lines, RULES)
 
 
-async def stranded(host: type[GatewayRuntime]) -> Findings:
+async def stranded(host: type[GatewayRuntime]) -> RuleReport:
     """All decode servers die while the list still has them. What was prefilled is left at its prefill server, and only
     its gateway can have it released in time."""
-    async with world(("r0", "w0", "w1"), host_type=host) as w:
+    async with gateway_cluster(("r0", "w0", "w1"), host_type=host) as w:
         for ident in ("w0", "w1"):
             w.engines[ident].die()
         await send_requests(w, 40, 400)
@@ -246,14 +253,16 @@
         return check(w.traffic.lines, RULES)
 
 
-async def slowly_read(host: type[GatewayRuntime]) -> Findings:
-    async with world(("r0", "r0b", "w0"), build=replace(BUILD, prefill_tokens_per_s=500.0), host_type=host) as w:
+async def slowly_read(host: type[GatewayRuntime]) -> RuleReport:
+    async with gateway_cluster(
+        ("r0", "r0b", "w0"), build=replace(ENGINE_PROFILE, prefill_tokens_per_s=500.0), host_type=host
+    ) as w:
         await send_requests(w, 15, 600)
         return check(w.traffic.lines, RULES)
 
 
-async def drained(host: type[GatewayRuntime]) -> Findings:
-    async with world(("r0", "w0", "w0b", "w1"), host_type=host) as w:
+async def drained(host: type[GatewayRuntime]) -> RuleReport:
+    async with gateway_cluster(("r0", "w0", "w0b", "w1"), host_type=host) as w:
         notify(w)
 
         async def drain() -> None:
@@ -265,10 +274,10 @@
         return check(w.traffic.lines, RULES)
 
 
-async def restarted(host: type[GatewayRuntime]) -> Findings:
+async def restarted(host: type[GatewayRuntime]) -> RuleReport:
     """One writer of two restarts cold, weak, under a load that it could not carry alone."""
     build = replace(
-        BUILD,
+        ENGINE_PROFILE,
         slots=8,
         token_ms=8.0,
         answer_tokens=(12, 12),
@@ -278,9 +287,9 @@
         fall_ms=500,
     )
     terms = fleet_config(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
-    async with world(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].profile = BUILD
+            w.engines[ident].profile = ENGINE_PROFILE
         notify(w)
 
         async def restart() -> None:
@@ -291,7 +300,7 @@
             w.engines["w0"].die()
             await trio.sleep(0.02)
             w.engines["w0"].started_ms = clock_ms()
-            await w.revive("w0")
+            await w.restart_engine("w0")
             notify(w, w0="cold")
 
         w.nursery.start_soon(restart)
@@ -299,10 +308,10 @@
         return check(w.traffic.lines, RULES | {"fall_ms": 500.0})
 
 
-async def refilled(host: type[GatewayRuntime]) -> Findings:
+async def refilled(host: type[GatewayRuntime]) -> RuleReport:
     """Half the writers die with their streams open and come back cold while those go on."""
     build = replace(
-        BUILD,
+        ENGINE_PROFILE,
         slow_start_ms=3000,
         slow_start_share=0.15,
         fall_multiple=1.2,
@@ -312,11 +321,11 @@
         answer_tokens=(20, 20),
     )
     terms = fleet_config(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
-    async with world(
+    async with gateway_cluster(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
     ) as w:
         for ident in ("r0", "r0b"):
-            w.engines[ident].profile = BUILD
+            w.engines[ident].profile = ENGINE_PROFILE
         notify(w)
 
         async def strike() -> None:
@@ -326,18 +335,18 @@
             await trio.sleep(0.02)
             for ident in ("w0", "w1"):
                 w.engines[ident].started_ms = clock_ms()
-                await w.revive(ident)
+                await w.restart_engine(ident)
             notify(w, w0="cold", w1="cold")
 
         w.nursery.start_soon(strike)
         await send_requests(w, 25, 1600)
         findings = check(w.traffic.lines, RULES | {"fall_ms": 500.0})
-        assert findings.counted["texts of several legs"] >= 1 and findings.counted["cold starts"] == 2
+        assert findings.judged_counts["texts of several legs"] >= 1 and findings.judged_counts["cold starts"] == 2
         return findings
 
 
-async def torn(host: type[GatewayRuntime]) -> Findings:
-    async with world(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
+async def torn(host: type[GatewayRuntime]) -> RuleReport:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
             w.engines[ident].fault.broken_stream_share = 0.3
         await send_requests(w, 60, 1200)
@@ -355,10 +364,10 @@
     """The rules must not accuse a gateway that is right, whatever fails around it."""
     for _ in range(3):  # a machine busy with other work may hold an answer up beyond the client's time
         findings = await SCENES[scene](Honest)
-        if any(f.why != "answered after the client's time" for f in findings.broken) or not findings.broken:
+        if any(f.why != "answered after the client's time" for f in findings.violations) or not findings.violations:
             break
-    assert findings.broken == [], [asdict(f) for f in findings.broken[:3]]
-    assert findings.counted["asked"] > 10 and findings.counted["states"] > 10
+    assert findings.violations == [], [asdict(f) for f in findings.violations[:3]]
+    assert findings.judged_counts["asked"] > 10 and findings.judged_counts["states"] > 10
 
 
 @pytest.mark.parametrize(
@@ -382,12 +391,12 @@
     seen = []
     for _ in range(4):  # on a machine busy with other work a scene's load may come too thin to do the harm at once
         findings = await SCENES[scene](host)
-        seen += [f.why for f in findings.broken[:5]]
-        if any(f.rule == rule and word in f.why for f in findings.broken):
+        seen += [f.why for f in findings.violations[:5]]
+        if any(f.rule == rule and word in f.why for f in findings.violations):
             return
     raise AssertionError(seen)
 
 
 def test_a_run_without_lines_has_judged_nothing() -> None:
     findings = check([], RULES)
-    assert findings.kept and findings.counted.get("asked", 0) == 0
+    assert findings.passed and findings.judged_counts.get("asked", 0) == 0
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -18,15 +18,16 @@
 import trio
 
 from ternlane.testing.platform import DONE, EVENT, Gate
-from tests.crossing import Client, client_request, until
-from tests.platform_world import TOLD, Platform, always, platform, until_ready
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, platform, wait_until_ready
+from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import running
 
 LONGEST_S, AFTER_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s
 LATE_S = 0.9  # a request that comes so late has to be answered, however long its client would wait
-SETTINGS = TOLD | {
-    "profiles": [profile | {"aim": 2000.0, "deadline": 12e3} for profile in TOLD["profiles"]],
-    "specifics": TOLD["specifics"] | {"token_aim": [10.0, 10.0]},  # so that a usual stream fits into the time left
+SETTINGS = PLATFORM_SETTINGS | {
+    "profiles": [profile | {"aim": 2000.0, "deadline": 12e3} for profile in PLATFORM_SETTINGS["profiles"]],
+    "specifics": PLATFORM_SETTINGS["specifics"]
+    | {"token_aim": [10.0, 10.0]},  # so that a usual stream fits into the time left
 }
 CROWD = 24  # clients at once
 CLASSES = ("summary", "note")  # one that may be repeated, one that may run only once
@@ -45,13 +46,13 @@
         self.process.send_signal(signal.SIGTERM)
         self.told_at = trio.current_time()
 
-    async def until(self, after_s: float) -> None:
+    async def wait_until(self, after_s: float) -> None:
         """Waits until so long after SIGTERM."""
         await trio.sleep_until(self.told_at + after_s)
 
     async def kill(self) -> None:
         """At the earliest time that is allowed."""
-        await self.until(LONGEST_S + AFTER_S)
+        await self.wait_until(LONGEST_S + AFTER_S)
         self.process.kill()
         await self.process.wait()
 
@@ -63,7 +64,7 @@
 @asynccontextmanager
 async def serving(p: Platform, folder: Path, **more: Any) -> AsyncIterator[Stopping]:
     async with running(p, folder, **({"settings": SETTINGS} | more)) as (process, log):
-        await until_ready(p)
+        await wait_until_ready(p)
         yield Stopping(p, process, log)
 
 
@@ -86,11 +87,11 @@
 async def test_a_shutdown_tells_of_every_request_that_it_ends_and_of_what_it_can_not_finish(tmp_path: Path) -> None:
     async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
         long_streams(p)
-        streaming, refused = Client(p.address), Client(p.address)
+        streaming, refused = RawClient(p.address), RawClient(p.address)
         streaming.send(client_request(p))
         await streaming.read_until(lambda got: got.find(EVENT))
         gateway.tell()
-        await gateway.until(0.1)
+        await gateway.wait_until(0.1)
         refused.send(client_request(p, Request_Timeout="0.05"))
         assert (await refused.answer()).startswith(b"HTTP/1.1 503 ")
         await gateway.kill()
@@ -106,31 +107,31 @@
 
 async def test_the_reason_of_every_close_of_a_connection_is_counted() -> None:
     async with platform("r0", "w0") as p:
-        served, left, bad, idle = (Client(p.address) for _ in range(4))
+        served, left, bad, idle = (RawClient(p.address) for _ in range(4))
         served.send(client_request(p))
         assert (await served.answer()).startswith(b"HTTP/1.1 200 ")
         bad.send(b"nonsense\r\n\r\n")
         assert (await bad.rest()).startswith(b"HTTP/1.1 400 ")
-        left.leave("close")
+        left.disconnect("close")
         p.nursery.start_soon(p.gateway.drain)
         assert await served.rest() == await idle.rest() == b""
-        await until(lambda: not p.gateway.chat_server.connections)
+        await wait_until(lambda: not p.gateway.chat_server.connections)
         counts = p.gateway.runtime.reporter.counts
         reasons = {name: count for name, count in counts.items() if name.startswith("connection ")}
         assert reasons == {"connection DRAINING": 2, "connection REFUSED": 1, "connection CLIENT_ENDED": 1}
 
 
-def late_client(p: Platform, name: str, timeout_s: float = 9.0) -> tuple[Client, bytes]:
+def late_client(p: Platform, name: str, timeout_s: float = 9.0) -> tuple[RawClient, bytes]:
     """A client that has written all but the end of its request, and that end."""
     data = client_request(p, Request_Class=name, Request_Timeout=str(timeout_s))
-    client = Client(p.address)
+    client = RawClient(p.address)
     client.send(data[:-9])
     return client, data[-9:]
 
 
 WAYS: dict[str, tuple[dict[str, Callable[[str], str]], Callable[[Platform], None]]] = {
-    "a silent decode server": ({"w0": always("silent")}, lambda p: None),
-    "a silent prefill server": ({"r0": always("silent")}, lambda p: None),
+    "a silent decode server": ({"w0": fault_always("silent")}, lambda p: None),
+    "a silent prefill server": ({"r0": fault_always("silent")}, lambda p: None),
     "a stream that is longer than usual": ({}, long_streams),
 }
 
@@ -143,7 +144,7 @@
         clients = {name: late_client(p, name) for name in CLASSES}
         await trio.sleep(0.1)  # their halves are read before the signal
         gateway.tell()
-        await gateway.until(LATE_S)
+        await gateway.wait_until(LATE_S)
         for client, rest in clients.values():
             client.send(rest)
         await gateway.kill()
@@ -165,16 +166,16 @@
 
 async def test_requests_that_a_shutdown_finds_open_are_answered_before_the_kill(tmp_path: Path) -> None:
     """Their clients would wait for longer. What may run only once may have run, so it may not be called rejected."""
-    async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p, serving(p, tmp_path) as gateway:
-        clients = {name: Client(p.address) for name in CLASSES}
+    async with platform("r0", "w0", told=SETTINGS, w0=fault_always("silent")) as p, serving(p, tmp_path) as gateway:
+        clients = {name: RawClient(p.address) for name in CLASSES}
         for name, client in clients.items():
             client.send(client_request(p, Request_Class=name, Request_Timeout="9"))
-        await until(lambda: p.fleet.count("write") == len(CLASSES))
+        await wait_until(lambda: p.fleet.count("write") == len(CLASSES))
         gateway.tell()
         await gateway.kill()
         answers = {name: await client.rest() for name, client in clients.items()}
         assert all(whole(answer) for answer in answers.values()), answers
-        assert answers["note"].startswith(b"HTTP/1.1 502 ") and p.fleet.ran["note"] <= 1
+        assert answers["note"].startswith(b"HTTP/1.1 502 ") and p.fleet.run_counts["note"] <= 1
         assert answers["summary"].startswith(b"HTTP/1.1 503 ") and b"Retry-After" in answers["summary"]
         assert not p.fleet.states
 
@@ -183,7 +184,7 @@
     """Nothing is gained by cutting it sooner: the kill may come later than at its earliest."""
     async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
         p.servers["w0"].events, p.servers["w0"].event_ms = 110, 30.0
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await client.read_until(lambda got: got.find(EVENT))
         gateway.tell()
@@ -195,7 +196,7 @@
     """A slow client has time for its head and again for its body, together more than a gateway that ends. It stops
     within its request, or its last byte comes just before the kill."""
     async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
-        clients = [Client(p.address) for _ in CLASSES]
+        clients = [RawClient(p.address) for _ in CLASSES]
         for client in clients:
             client.send(client_request(p))
             assert whole(await client.answer())
@@ -205,10 +206,10 @@
             client.send(data[:40])
         await trio.sleep(0.1)
         gateway.tell()
-        await gateway.until(2.3)
+        await gateway.wait_until(2.3)
         for client, data in zip(clients, halves, strict=False):
             client.send(data[40:-9])
-        await gateway.until(LONGEST_S + AFTER_S - 0.1)
+        await gateway.wait_until(LONGEST_S + AFTER_S - 0.1)
         with suppress(OSError):
             clients[0].send(halves[0][-9:])
         await gateway.kill()
@@ -218,15 +219,15 @@
 
 async def test_a_gateway_that_is_told_to_end_while_it_starts_answers_in_time(tmp_path: Path) -> None:
     """It waits for its agent's first list; its time has run since the signal all the same."""
-    async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p:
+    async with platform("r0", "w0", told=SETTINGS, w0=fault_always("silent")) as p:
         p.discovery.silent = True
         async with running(p, tmp_path, settings=SETTINGS) as (process, log):
             gateway = Stopping(p, process, log)
-            clients: list[Client] = []
+            clients: list[RawClient] = []
             with trio.fail_after(5):
                 while not clients:
                     try:
-                        clients = [Client(p.address) for _ in CLASSES]
+                        clients = [RawClient(p.address) for _ in CLASSES]
                     except ConnectionRefusedError:
                         await trio.sleep(0.01)
             for name, client in zip(CLASSES, clients, strict=False):
@@ -239,17 +240,17 @@
 
 async def test_a_gateway_that_stands_still_around_its_signal_and_its_end_answers_in_time(tmp_path: Path) -> None:
     """The signal is seen 0.15 s late, and requests come around the time after which they have to be answered."""
-    async with platform("r0", "w0", told=SETTINGS, w0=always("silent")) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", told=SETTINGS, w0=fault_always("silent")) as p, serving(p, tmp_path) as gateway:
         clients = [late_client(p, name) for name in CLASSES * 4]
         await trio.sleep(0.1)
         gateway.process.send_signal(signal.SIGSTOP)
         gateway.tell()
-        await gateway.until(0.15)
+        await gateway.wait_until(0.15)
         gateway.process.send_signal(signal.SIGCONT)
         for nth, (client, rest) in enumerate(clients):
-            await gateway.until(0.55 + 0.05 * nth)
+            await gateway.wait_until(0.55 + 0.05 * nth)
             client.send(rest)
-        await gateway.until(LONGEST_S + AFTER_S - 0.45)
+        await gateway.wait_until(LONGEST_S + AFTER_S - 0.45)
         gateway.process.send_signal(signal.SIGSTOP)
         await trio.sleep(0.15)
         gateway.process.send_signal(signal.SIGCONT)
@@ -267,7 +268,7 @@
         replies: dict[str, bytes] = {}
 
         async def ask_again() -> None:
-            client = Client(p.address)
+            client = RawClient(p.address)
             client.send(client_request(p))
             assert whole(await client.answer())
             again = client_request(p, Request_Timeout="9")
@@ -279,10 +280,10 @@
         async with trio.open_nursery() as nursery:
             for nth in range(CROWD):
                 nursery.start_soon(ask_again)
-                await until(lambda nth=nth: p.fleet.open["w0"] == nth + 1)
-            p.servers["w0"].script = always("silent")
+                await wait_until(lambda nth=nth: p.fleet.open["w0"] == nth + 1)
+            p.servers["w0"].script = fault_always("silent")
             gateway.tell()
-            await gateway.until(LATE_S)
+            await gateway.wait_until(LATE_S)
             gate.open()  # all streams end at once, and a loop with much to do reads on before it closes
             await gateway.kill()
         assert len(replies) == CROWD
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -1,4 +1,4 @@
-"""Shutdowns of a gateway process under faults that seeds draw (`tests/shutdown_play.py`).
+"""Shutdowns of a gateway process under faults that seeds draw (`tests/shutdown_scenario.py`).
 
 More seeds by hand: `TERNLANE_SHUTDOWN_SEEDS=1-60 python -m pytest tests/test_shutdown_faults.py`.
 """
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.shutdown_play import play_shutdown
+from tests.shutdown_scenario import play_shutdown
 
 FIRST, _, LAST = os.environ.get("TERNLANE_SHUTDOWN_SEEDS", "1-4").partition("-")
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,10 +15,10 @@
 from ternlane.http1 import connection_pool as connection_pool_module
 from ternlane.log_output import PIPE_BYTES, LogOutput
 from ternlane.platform import process_usage
-from tests.crossing import Client, client_request, until
-from tests.platform_world import Platform, platform, until_ready
+from tests.gateway_cluster import gateway_cluster
+from tests.platform_gateway import Platform, platform, wait_until_ready
+from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import running
-from tests.world import world
 
 ACCEPT_ERRORS = [
     errno.ECONNABORTED,
@@ -67,9 +67,9 @@
             with pytest.MonkeyPatch.context() as patch:
                 failing = FailingAccept(patch, p.address, [number] * 3)
                 assert await served(p) == 200  # by the call of accept that waits already
-                await until(lambda failing=failing: not failing.numbers)
+                await wait_until(lambda failing=failing: not failing.numbers)
                 assert await served(p) == 200, errno.errorcode[number]
-        await p.settled()
+        await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENFILE, errno.EINVAL, errno.EBADF])
@@ -77,22 +77,22 @@
     """A client waits in the listener's queue as the gateway shuts down, and accept fails some times first. The
     client is taken and answered."""
     async with platform("r0", "w0") as p:
-        p.gateway.accepting.cancel()
+        p.gateway.accept_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         failing = FailingAccept(monkeypatch, p.address, [number])
         await p.gateway.acceptor.accept_queued(p.gateway.listener, p.nursery, 300.0)
         assert not failing.numbers
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_the_chat_gateway_too_outlives_errors_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     """As above, in the chat gateway."""
     monkeypatch.setattr(gateway_listeners, "ACCEPT_PAUSE_S", 0.01)
-    async with world() as w:
+    async with gateway_cluster() as w:
         failing = FailingAccept(monkeypatch, w.gateway.address, [errno.EINVAL, errno.EBADF, errno.EMFILE])
         with trio.fail_after(5):
             for _ in range(2):  # the first by the call of accept that waits already
@@ -133,7 +133,7 @@
 
         monkeypatch.setattr(connection_pool_module, "open_stream", failing)
         assert await served(p) == 200 and len(failed) == times
-        await p.settled()
+        await p.wait_until_idle()
         ejected = any(event == "info server" for event, _ in p.log.lines)
         assert ejected == (times == 1)  # a fault of ours is not held against a server
 
@@ -171,7 +171,7 @@
 async def test_a_gateway_whose_log_nobody_reads_goes_on(tmp_path: Path) -> None:
     """The log's file is cut while the gateway runs. Requests are served all the same."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, log):
-        await until_ready(p)
+        await wait_until_ready(p)
         os.close(os.open(log, os.O_WRONLY | os.O_TRUNC))
         for _ in range(3):
             assert (await p.ask()).status == 200
