--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -128,13 +128,13 @@
         active_request.taken = now_ms()
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
-            self.journal_writer.took(active_request)
+            self.journal_writer.record_request(active_request)
         self.add_request(active_request)
         self.metrics.open.set(len(self.active_requests))
 
-    def client_left(self, active_request: ActiveRequest) -> None:
+    def client_disconnected(self, active_request: ActiveRequest) -> None:
         """The client has gone: nothing is owed any more, and everything held for it is released."""
-        if active_request.is_over:
+        if active_request.is_finished:
             return
         active_request.left = True
         if active_request.attempt is not None and active_request.streaming:
@@ -160,7 +160,7 @@
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
         """Writes down how the request ended."""
         if self.journal_writer is not None:
-            self.journal_writer.ended(active_request, outcome)
+            self.journal_writer.record_end(active_request, outcome)
         self.metrics.outcomes.labels(active_request.chat_request.model, outcome).inc()
         self.log.info(
             "generation",
@@ -176,7 +176,7 @@
 
     def forget(self, active_request: ActiveRequest) -> None:
         """A request stays until its answer is settled, its last attempt has ended and what it held is released."""
-        if active_request.attempt is not None or not active_request.is_over or active_request.holders:
+        if active_request.attempt is not None or not active_request.is_finished or active_request.holders:
             return
         if self.active_requests.pop(active_request.request, None) is not None:
             complete = isinstance(active_request.final, Streamed)
@@ -212,7 +212,7 @@
         journal_number = None
         if self.journal_writer is not None:
             prefills = stage is Stage.PREFILL
-            journal_number = self.journal_writer.sends(
+            journal_number = self.journal_writer.record_attempt(
                 active_request, endpoint.ident, endpoint.address, endpoint.line.protocol, prefills, not prefills
             )
         attempt_request = build_attempt(active_request, endpoint, stage, number, plan)
@@ -240,7 +240,7 @@
                 return await self.transport.read(ask)
             return await self.transport.stream(ask, forwarder.forward)
         except ClientGone:
-            self.client_left(active_request)
+            self.client_disconnected(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
         except Exception as fault:
             self.on_fault(fault)
@@ -255,7 +255,7 @@
         attempt_scope = plan.scope
         plan.scope = trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000)
         with plan.scope:
-            await self.journal_writer.writer.until_kept(number)
+            await self.journal_writer.writer.wait_durable(number)
         kept = not plan.scope.cancelled_caught
         plan.scope = attempt_scope
         return kept and not plan.cancelled
@@ -283,7 +283,7 @@
                 server,
                 result.outcome,
                 took_ms,
-                active_request.is_over,
+                active_request.is_finished,
                 prompt_tokens_cached,
                 result.state_lost,
                 result.report,
@@ -303,7 +303,7 @@
             self.settle_streamed(active_request, "stop" if join.stopped else result.finish, result.usage)
         elif result.begun:
             may_resume = not plan.cancelled and not active_request.left
-            if may_resume and self.stream_resumer.attempt_broke(active_request, result):
+            if may_resume and self.stream_resumer.attempt_failed(active_request, result):
                 return True
             # Its client has part of the answer, and hears that there is no more.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -46,9 +46,9 @@
 class ServerConnection:
     """One client's connection. `has_received_request` is set once a request has been received.
 
-    `on_idle_changed` is called each time `idle` changes and `on_close` once, with the reason. A request that arrives before the
-    previous one is answered is refused, or with `allow_pipelining` served in turn. While `draining()` is true the connection
-    closes after its next response.
+    `on_idle_changed` is called each time `idle` changes and `on_close` once, with the reason. A request that arrives
+    before the previous one is answered is refused, or with `allow_pipelining` served in turn. While `draining()` is
+    true the connection closes after its next response.
     """
 
     def __init__(
--- a/tests/shutdown_scenario.py
+++ b/tests/shutdown_scenario.py
@@ -403,7 +403,7 @@
 async def play_shutdown(seed: int, folder: Path) -> tuple[ShutdownPlay, list[str]]:
     """The records of this seed's play, and what broke a rule in it."""
     plan = Plan(random.Random(seed))
-    async with platform("r9", told=plan.settings) as p:
+    async with platform("r9", platform_settings=plan.settings) as p:
         p.discovery.put("r9", p.servers.pop("r9").address, "reader", "DELETED")
         proxies = {name: await p.add_behind_proxy(name) for name in (*PREFILL, *DECODE)}
         for name in DECODE:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -103,7 +103,7 @@
             one.left = True
             one.client.disconnect(how)
             idents = self.p.gateway.runtime.requests_by_id
-            await wait_until(lambda: one.ident not in idents or idents[one.ident].over)
+            await wait_until(lambda: one.ident not in idents or idents[one.ident].is_finished)
             self.attempts_when_left[one.ident] = self.attempts_for(one.ident)
 
     async def do_go_on(self, server: str, nth: int) -> None:
@@ -164,7 +164,7 @@
 async def play(steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]) -> None:
     """Plays the steps; `reads` and `writes` are the ways in which the first attempts of each kind go."""
     ways = {"read": list(prefills), "write": list(decodes)}
-    async with platform(*SERVERS, told=PATIENT) as p:
+    async with platform(*SERVERS, platform_settings=PATIENT) as p:
         for server in p.servers.values():
             server.gates["request"] = cast(Any, Turnstile())
             server.script = lambda _, left=ways[server.role]: left.pop() if left else ""  # type: ignore[misc]
--- a/tests/test_races_servers.py
+++ b/tests/test_races_servers.py
@@ -110,7 +110,7 @@
     name: str, other: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As above: a server begins to drain during a connect, here in the chat gateway."""
-    async with gateway_cluster(("r0", "w0"), terms=msgspec.structs.replace(FLEET_CONFIG, connect_ms=1000)) as w:
+    async with gateway_cluster(("r0", "w0"), fleet=msgspec.structs.replace(FLEET_CONFIG, connect_ms=1000)) as w:
         engine = w.engines[name]
         held = DelayedConnects(monkeypatch, f"{engine.host}:{engine.port}")
         replies: list[Reply] = []
@@ -121,11 +121,11 @@
         w.nursery.start_soon(ask)
         await held.gate.reached.wait()
         await w.add(other)
-        w.list(**{name: "draining"})
+        w.publish_endpoints(**{name: "draining"})
         held.gate.open()
         await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1
-        asked_of = {line["id"] for line in w.said("leg")}
+        asked_of = {line["id"] for line in w.traffic_events("leg")}
         assert name not in asked_of and other in asked_of
         await w.wait_until_idle()
 
@@ -292,7 +292,7 @@
     """The client may come back after the return time that it is told, and then runs again."""
     host = keyed(3000.0)
     request, attempt = host.start_decode(Effect.DEDUPLICATED)
-    host.list(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
+    host.update_endpoints(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
     assert answer in action_types(host.end_attempt(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
@@ -304,7 +304,7 @@
 ) -> None:
     """A server answers a request twice, the second time some milliseconds late. The second is not taken for the next
     request's answer."""
-    monkeypatch.setattr(client_module, "REST_MS", 60e3)  # so that a slow machine is still within it
+    monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 60e3)  # so that a slow machine is still within it
     async with platform("r0", "w0", w0=fault_once("second_answer")) as p:
         gate = p.servers["w0"].gates["second"] = Gate()
         assert (await p.ask()).status == 200
@@ -329,7 +329,7 @@
     request_class: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
-    monkeypatch.setattr(client_module, "REST_MS", 0.0)
+    monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 0.0)
     # So that no time-out plays a part, nor the release time: finding the server's side holds the loop up for long.
     profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]]
     platform_settings = PLATFORM_SETTINGS | {
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -255,7 +255,7 @@
 
 async def slowly_read(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(
-        ("r0", "r0b", "w0"), build=replace(ENGINE_PROFILE, prefill_tokens_per_s=500.0), host_type=host
+        ("r0", "r0b", "w0"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=500.0), host_type=host
     ) as w:
         await send_requests(w, 15, 600)
         return check(w.traffic.lines, RULES)
@@ -287,7 +287,7 @@
         fall_ms=500,
     )
     terms = fleet_config(slow_start_share=0.05, slow_start_ms=4000.0, fall_multiple=1.0, fall_ms=500.0)
-    async with gateway_cluster(("r0", "r0b", "w0", "w0b"), build=build, host_type=host, terms=terms, gateways=1) as w:
+    async with gateway_cluster(("r0", "r0b", "w0", "w0b"), profile=build, host_type=host, fleet=terms, gateways=1) as w:
         for ident in ("r0", "r0b"):
             w.engines[ident].profile = ENGINE_PROFILE
         notify(w)
@@ -322,7 +322,7 @@
     )
     terms = fleet_config(slow_start_ms=3000, slow_start_share=0.15, fall_multiple=1.2, fall_ms=500, max_attempts=10)
     async with gateway_cluster(
-        ("r0", "r0b", "w0", "w0b", "w1", "w1b"), build=build, host_type=host, terms=terms, gateways=1
+        ("r0", "r0b", "w0", "w0b", "w1", "w1b"), profile=build, host_type=host, fleet=terms, gateways=1
     ) as w:
         for ident in ("r0", "r0b"):
             w.engines[ident].profile = ENGINE_PROFILE
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -85,7 +85,7 @@
 
 
 async def test_a_shutdown_tells_of_every_request_that_it_ends_and_of_what_it_can_not_finish(tmp_path: Path) -> None:
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         long_streams(p)
         streaming, refused = RawClient(p.address), RawClient(p.address)
         streaming.send(client_request(p))
@@ -139,7 +139,7 @@
 async def lost_late_requests(way: str, folder: Path, lost: list[str]) -> None:
     """Sends a request of each class late in a shutdown, and adds those without a whole answer at the kill."""
     scripts, prepare = WAYS[way]
-    async with platform("r0", "w0", told=SETTINGS, **scripts) as p, serving(p, folder) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS, **scripts) as p, serving(p, folder) as gateway:
         prepare(p)
         clients = {name: late_client(p, name) for name in CLASSES}
         await trio.sleep(0.1)  # their halves are read before the signal
@@ -166,7 +166,10 @@
 
 async def test_requests_that_a_shutdown_finds_open_are_answered_before_the_kill(tmp_path: Path) -> None:
     """Their clients would wait for longer. What may run only once may have run, so it may not be called rejected."""
-    async with platform("r0", "w0", told=SETTINGS, w0=fault_always("silent")) as p, serving(p, tmp_path) as gateway:
+    async with (
+        platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
+        serving(p, tmp_path) as gateway,
+    ):
         clients = {name: RawClient(p.address) for name in CLASSES}
         for name, client in clients.items():
             client.send(client_request(p, Request_Class=name, Request_Timeout="9"))
@@ -182,7 +185,7 @@
 
 async def test_a_stream_of_before_goes_on_up_to_the_kill(tmp_path: Path) -> None:
     """Nothing is gained by cutting it sooner: the kill may come later than at its earliest."""
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         p.servers["w0"].events, p.servers["w0"].event_ms = 110, 30.0
         client = RawClient(p.address)
         client.send(client_request(p))
@@ -195,7 +198,7 @@
 async def test_half_a_request_is_answered_before_the_kill(tmp_path: Path) -> None:
     """A slow client has time for its head and again for its body, together more than a gateway that ends. It stops
     within its request, or its last byte comes just before the kill."""
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         clients = [RawClient(p.address) for _ in CLASSES]
         for client in clients:
             client.send(client_request(p))
@@ -219,7 +222,7 @@
 
 async def test_a_gateway_that_is_told_to_end_while_it_starts_answers_in_time(tmp_path: Path) -> None:
     """It waits for its agent's first list; its time has run since the signal all the same."""
-    async with platform("r0", "w0", told=SETTINGS, w0=fault_always("silent")) as p:
+    async with platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p:
         p.discovery.silent = True
         async with running(p, tmp_path, settings=SETTINGS) as (process, log):
             gateway = Stopping(p, process, log)
@@ -240,7 +243,10 @@
 
 async def test_a_gateway_that_stands_still_around_its_signal_and_its_end_answers_in_time(tmp_path: Path) -> None:
     """The signal is seen 0.15 s late, and requests come around the time after which they have to be answered."""
-    async with platform("r0", "w0", told=SETTINGS, w0=fault_always("silent")) as p, serving(p, tmp_path) as gateway:
+    async with (
+        platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
+        serving(p, tmp_path) as gateway,
+    ):
         clients = [late_client(p, name) for name in CLASSES * 4]
         await trio.sleep(0.1)
         gateway.process.send_signal(signal.SIGSTOP)
@@ -263,7 +269,7 @@
     tmp_path: Path,
 ) -> None:
     """The answer's head was written before the signal and could not say that the connection ends."""
-    async with platform("r0", "w0", told=SETTINGS) as p, serving(p, tmp_path) as gateway:
+    async with platform("r0", "w0", platform_settings=SETTINGS) as p, serving(p, tmp_path) as gateway:
         gate = p.servers["w0"].gates["end"] = Gate()
         replies: dict[str, bytes] = {}
 
