--- a/ternlane/rules/__init__.py
+++ b/ternlane/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The rules that a gateway must keep, judged by what crossed the sockets. Shares no code with the gateway."""
+"""Checks the rules that a gateway must keep against recorded traffic. Shares no code with the gateway."""
 
 from ternlane.rules.check import check, check_folder, read_lines
 from ternlane.rules.findings import RuleReport, Violation
--- a/ternlane/rules/check.py
+++ b/ternlane/rules/check.py
@@ -1,6 +1,6 @@
-"""Judges a run by the JSON lines that clients, servers, registry and front layer wrote.
+"""Checks a run by the JSON lines that clients, servers, registry and front layer recorded.
 
-Nothing that a gateway says counts. Each rule stands in a module of its own, with what it excuses and why.
+Nothing that a gateway itself reports is used. Each rule has its own module, which documents its exceptions.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 from collections.abc import Callable, Iterable, Iterator
 from pathlib import Path
 
-from ternlane.rules.draining import judge_draining
-from ternlane.rules.effects import judge_effects, judge_single_attempt
-from ternlane.rules.final_answers import judge_final_answers
+from ternlane.rules.draining import check_draining
+from ternlane.rules.effects import check_effects, check_single_attempt
+from ternlane.rules.final_answers import check_final_answers
 from ternlane.rules.findings import LogLine, RuleReport, Violation
-from ternlane.rules.held_state import judge_held_state
+from ternlane.rules.held_state import check_held_state
 from ternlane.rules.limits import RuleLimits
 from ternlane.rules.run_log import RunLog
-from ternlane.rules.slow_start import judge_slow_start
-from ternlane.rules.stream_text import judge_stream_text
+from ternlane.rules.slow_start import check_slow_start
+from ternlane.rules.stream_text import check_stream_text
 
-Judge = Callable[[RunLog, RuleLimits, Counter[str]], Iterator[Violation]]
+RuleCheck = Callable[[RunLog, RuleLimits, Counter[str]], Iterator[Violation]]
 
-# In the order in which reports list their findings.
-JUDGES: tuple[Judge, ...] = (
-    judge_final_answers,
-    judge_effects,
-    judge_single_attempt,
-    judge_draining,
-    judge_slow_start,
-    judge_held_state,
-    judge_stream_text,
+# In the order in which reports list the violations.
+RULE_CHECKS: tuple[RuleCheck, ...] = (
+    check_final_answers,
+    check_effects,
+    check_single_attempt,
+    check_draining,
+    check_slow_start,
+    check_held_state,
+    check_stream_text,
 )
 
 
 def read_lines(paths: Iterable[Path]) -> list[LogLine]:
-    """All lines of these files in order of time.
+    """Returns all lines of these files in order of time.
 
-    A line that is no JSON is left out: it is the last one of a process that was killed while it wrote.
+    A line that is not valid JSON is skipped: it is the last one of a process that was killed while writing.
     """
     lines: list[LogLine] = []
     for path in paths:
@@ -52,7 +52,7 @@
 
 
 def check_folder(folder: Path, limits: RuleLimits | None = None) -> RuleReport:
-    """Judges the files `*.jsonl` of a run, by its `rules.json` unless limits are given."""
+    """Checks the files `*.jsonl` of a run, with its `rules.json` unless limits are given."""
     if limits is None:
         limits = json.loads((folder / "rules.json").read_text())
     assert limits is not None
@@ -60,8 +60,8 @@
 
 
 def check(lines: list[LogLine], limits: RuleLimits) -> RuleReport:
-    """Judges these lines, which are in order of time."""
+    """Checks these lines, which must be in order of time."""
     run = RunLog(lines)
     counts: Counter[str] = Counter()
-    violations = [finding for judge in JUDGES for finding in judge(run, limits, counts)]
+    violations = [violation for rule_check in RULE_CHECKS for violation in rule_check(run, limits, counts)]
     return RuleReport(violations, dict(counts))
--- a/ternlane/rules/draining.py
+++ b/ternlane/rules/draining.py
@@ -1,6 +1,6 @@
-"""Rule 3: nothing new is sent to a server that drains or is gone, once its gateway has had time to learn of it.
+"""Rule 3: no new attempt is sent to a server that is draining or gone, once the gateway has had time to react.
 
-Time counts from when the registry notified this gateway. A restarted gateway has been notified of nothing yet.
+The grace period runs from when the registry notified the gateway. A restarted gateway has not been notified yet.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from ternlane.rules.run_log import RunLog
 
 RULE = 3
-READY = "up"  # as endpoint lists say it
+READY = "up"  # the state in endpoint lists
 
 
 @dataclass
 class Notice:
-    """An endpoint list as one gateway got it, or the gateway's start."""
+    """An endpoint list as one gateway received it, or the gateway's start."""
 
     at_ms: float
-    states: dict[str, Any] | None  # by server: status and start; None: the gateway started
+    states: dict[str, Any] | None  # by server: state and start time; None: the gateway started
 
 
 @dataclass
 class Change:
-    """From when on a gateway knew that a server was ready, or no longer was."""
+    """When a gateway learned that a server was ready, or no longer was."""
 
     at_ms: float
     ready: bool
@@ -38,8 +38,8 @@
 Changes = dict[tuple[str, str], list[Change]]  # by gateway and server, in order of time
 
 
-def judge_draining(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
-    """Judges each attempt by what its gateway had been notified of."""
+def check_draining(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
+    """Checks each attempt against what its gateway had been notified of."""
     changes: Changes = {}
     for gateway, notices in _notices(run).items():
         _add_changes(changes, gateway, notices)
@@ -53,12 +53,12 @@
                 continue
             since_ms = attempt.begin_ms - of_server[index - 1].at_ms
             if attempt.begin_ms > of_server[index - 1].at_ms + grace_ms:
-                why = f"sent {since_ms:.0f} ms after it was told that {attempt.server} drains or is gone"
+                why = f"sent {since_ms:.0f} ms after the gateway was notified that {attempt.server} is draining or gone"
                 yield Violation(RULE, attempt.request, why, [attempt.as_line()])
 
 
 def _notices(run: RunLog) -> dict[str, list[Notice]]:
-    """By gateway, in order of time."""
+    """Returns the notices by gateway, in order of time."""
     notices: defaultdict[str, list[Notice]] = defaultdict(list)
     for line in run.by_kind["told"]:
         notices[line["gw"]].append(Notice(line["t"], line["states"]))
@@ -71,7 +71,7 @@
 
 
 def _add_changes(changes: Changes, gateway: str, notices: list[Notice]) -> None:
-    """Adds what one gateway knew of each server, and since when."""
+    """Adds when one gateway learned of each change of a server's readiness."""
     known: set[str] = set()
     ready: dict[str, bool] = {}
 
--- a/ternlane/rules/final_answers.py
+++ b/ternlane/rules/final_answers.py
@@ -1,6 +1,6 @@
-"""Rule 1: each request has one final answer before its deadline, and nothing after it.
+"""Rule 1: each request has exactly one final answer before its deadline, and nothing after it.
 
-Excused are clients that left, and what a killed gateway held, or never accepted because it was down.
+Exceptions: clients that disconnected, and requests that a killed gateway held or that arrived while it was down.
 """
 
 from __future__ import annotations
@@ -14,38 +14,43 @@
 
 RULE = 1
 FINAL_OUTCOMES = ("streamed", "throttled", "terminated")
-# The client saw no answer because it left, or because nothing listened.
+# The client saw no answer because it disconnected, or because no process was listening.
 EXCUSED_OUTCOMES = ("left", "unreachable")
 
 
-def judge_final_answers(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
-    """Judges each request that a client sent."""
+def check_final_answers(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
+    """Checks each request that a client sent."""
     finals = run.of_requests("final")
     first_tokens = {line["gen"]: line for line in run.by_kind["first"]}
-    for ask in run.by_kind["ask"]:
-        request = ask["gen"]
+    for request_line in run.by_kind["ask"]:
+        request = request_line["gen"]
         counts["asked"] += 1
         if len(finals[request]) != 1:
-            yield Violation(RULE, request, f"{len(finals[request])} endings were seen", [ask, *finals[request]])
+            yield Violation(
+                RULE,
+                request,
+                f"{len(finals[request])} final outcomes recorded instead of one",
+                [request_line, *finals[request]],
+            )
             continue
         final = finals[request][0]
         if final["outcome"] not in EXCUSED_OUTCOMES:
-            yield from _judge_final(run, ask, first_tokens.get(request), final, counts)
+            yield from _check_final(run, request_line, first_tokens.get(request), final, counts)
 
 
-def _judge_final(
-    run: RunLog, ask: LogLine, first_token: LogLine | None, final: LogLine, counts: Counter[str]
+def _check_final(
+    run: RunLog, request_line: LogLine, first_token: LogLine | None, final: LogLine, counts: Counter[str]
 ) -> Iterator[Violation]:
-    request = ask["gen"]
+    request = request_line["gen"]
     if final["unread"]:
-        yield Violation(RULE, request, "something came after the final answer", [ask, final])
+        yield Violation(RULE, request, "data received after the final answer", [request_line, final])
     if final["outcome"] not in FINAL_OUTCOMES:
-        if not run.gateway_was_down(run.gateway_of(ask), ask["t"], final["t"]):
-            yield Violation(RULE, request, f"no final answer: {final['outcome']}", [ask, final])
+        if not run.gateway_was_down(run.gateway_of(request_line), request_line["t"], final["t"]):
+            yield Violation(RULE, request, f"no final answer: {final['outcome']}", [request_line, final])
         return
     counts["answered"] += 1
     answer = first_token or final
-    # Both times are by the client's own clock, so there is nothing to tolerate.
-    late_ms = answer["t"] - ask["t"] - ask["limit_ms"]
+    # Both times are from the client's own clock, so no tolerance is needed.
+    late_ms = answer["t"] - request_line["t"] - request_line["limit_ms"]
     if late_ms > 0:
-        yield Violation(RULE, request, "answered after the client's time", [ask, answer, final])
+        yield Violation(RULE, request, "answered after the client's deadline", [request_line, answer, final])
--- a/ternlane/rules/findings.py
+++ b/ternlane/rules/findings.py
@@ -1,4 +1,4 @@
-"""What judging a run gives: the broken rules, and how much there was to judge."""
+"""The result of checking a run: the violations, and how much there was to check."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass
 class Violation:
-    """One broken rule, with the lines that show it."""
+    """One violation of a rule, with the lines that prove it."""
 
     rule: int
-    request: str  # empty where no single request broke the rule
+    request: str  # empty if no single request broke the rule
     why: str
     lines: list[LogLine] = field(default_factory=list)
 
 
 @dataclass
 class RuleReport:
-    """The outcome for a whole run."""
+    """The result for a whole run."""
 
     violations: list[Violation]
-    judged_counts: dict[str, int]  # how much there was to judge: a rule that judged nothing proves nothing
+    judged_counts: dict[str, int]  # number of cases checked by kind; a rule without cases proves nothing
 
     @property
     def passed(self) -> bool:
--- a/ternlane/rules/held_state.py
+++ b/ternlane/rules/held_state.py
@@ -1,7 +1,7 @@
-"""Rule 5: a state that a prefill left is taken or released in time while its request has no attempt out.
+"""Rule 5: state left by a prefill is taken or released in time whenever its request has no attempt in progress.
 
-Excused are what a killed gateway held, and servers that died. A connection that is being tried is an attempt that no
-server sees, so the time for that is granted too.
+Exceptions: state held by a killed gateway, and servers that died. A connection attempt is not visible to any server, so
+the connect time-out is allowed in addition.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from ternlane.rules.run_log import LoggedAttempt, RunLog
 
 RULE = 5
-# A zone that was cut off so long before a state was left may still keep its release from arriving.
+# A zone cut this long before the state was left may still keep its release from arriving.
 ZONE_CUT_EXCUSES_MS = 20e3
 
 
-def judge_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
-    """Judges each state that a server held."""
+def check_held_state(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
+    """Checks each state that a server held."""
     ends_ms: defaultdict[tuple[str, str], list[float]] = defaultdict(list)  # by server and request
     for kind in ("taken", "released", "lost"):
         for line in run.by_kind[kind]:
@@ -37,11 +37,11 @@
         idle_ms = _longest_idle_ms(attempts, begin_ms, end_ms)
         if idle_ms <= allowed_ms or _excused(run, attempts, zone_cuts_ms, begin_ms, end_ms):
             continue
-        yield _finding(state, attempts, idle_ms)
+        yield _violation(state, attempts, idle_ms)
 
 
 def _longest_idle_ms(attempts: list[LoggedAttempt], begin_ms: float, end_ms: float) -> float:
-    """The longest time within begin and end in which no attempt was out."""
+    """Returns the longest time between begin and end without an attempt in progress."""
     idle_ms = 0.0
     since_ms = begin_ms
     for attempt in attempts:
@@ -61,6 +61,6 @@
     return any(begin_ms - ZONE_CUT_EXCUSES_MS <= cut_ms <= end_ms for cut_ms in zone_cuts_ms)
 
 
-def _finding(state: LogLine, attempts: list[LoggedAttempt], idle_ms: float) -> Violation:
-    why = f"held at {state['id']} for {idle_ms:.0f} ms with no leg out"
+def _violation(state: LogLine, attempts: list[LoggedAttempt], idle_ms: float) -> Violation:
+    why = f"held at {state['id']} for {idle_ms:.0f} ms without an attempt in progress"
     return Violation(RULE, state["gen"], why, [state, *(attempt.as_line() for attempt in attempts)])
--- a/ternlane/rules/run_log.py
+++ b/ternlane/rules/run_log.py
@@ -1,4 +1,4 @@
-"""A run's JSON lines, sorted by what the rules ask of them. Times are milliseconds of one machine's clock."""
+"""A run's JSON lines, indexed for the rules. Times are in milliseconds of one machine's clock."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ternlane.rules.findings import LogLine
 from ternlane.rules.limits import CLOCK_TOLERANCE_MS
 
-# A process that was started listens by then.
+# Time after which a started process listens.
 START_UP_MS = 2000.0
 
 
 @dataclass
 class LoggedAttempt:
-    """One attempt as the server saw it."""
+    """One attempt as recorded by the server."""
 
     request: str
     number: int
@@ -23,10 +23,10 @@
     gateway: str
     begin_ms: float
     end_ms: float
-    how: str  # how it ended; "unfinished" where the server died first
+    how: str  # how it ended; "unfinished" if the server died first
 
     def as_line(self) -> LogLine:
-        """The attempt in the form that reports show."""
+        """Returns the attempt in the format of the reports."""
         return {
             "request": self.request,
             "n": self.number,
@@ -40,10 +40,10 @@
 
 
 class RunLog:
-    """The lines of clients, servers, registry and front layer."""
+    """The lines recorded by clients, servers, registry and front layer."""
 
     def __init__(self, lines: list[LogLine]) -> None:
-        """`lines` in order of time."""
+        """`lines` must be in order of time."""
         self.end_ms: float = lines[-1]["t"] if lines else 0.0
         self.by_kind: defaultdict[str, list[LogLine]] = defaultdict(list)
         for line in lines:
@@ -66,7 +66,7 @@
         return groups
 
     def of_requests(self, kind: str) -> defaultdict[str, list[LogLine]]:
-        """The lines of one kind, by request."""
+        """Returns the lines of one kind, by request."""
         return self._grouped(kind, "gen")
 
     def _pair_attempts(self) -> defaultdict[str, list[LoggedAttempt]]:
@@ -88,26 +88,34 @@
         return attempts
 
     def next_stop_ms(self, server: str, since_ms: float) -> float:
-        """When this server's process ended next, or the run."""
+        """Returns when this server's process next ended, or the end of the run."""
         return next((stop_ms for stop_ms in self._stops_ms[server] if stop_ms >= since_ms), self.end_ms)
 
-    def gateway_of(self, ask: LogLine) -> str | None:
-        """By the front layer's connection from the client's port; without a front layer, by the first attempt."""
-        nearest = min(self._connections.get(ask["port"], []), key=lambda line: abs(line["t"] - ask["t"]), default=None)
+    def gateway_of(self, request_line: LogLine) -> str | None:
+        """Returns the gateway that received a request.
+
+        It is found by the front layer's connection from the client's port, or without a front layer by the first
+        attempt.
+        """
+        nearest = min(
+            self._connections.get(request_line["port"], []),
+            key=lambda line: abs(line["t"] - request_line["t"]),
+            default=None,
+        )
         if nearest is not None:
             return str(nearest["gw"])
-        attempts = self.attempts.get(ask["gen"])
+        attempts = self.attempts.get(request_line["gen"])
         return attempts[0].gateway if attempts else None
 
     def gateway_was_down(self, gateway: str | None, begin_ms: float, end_ms: float) -> bool:
-        """Whether the gateway was killed while this was open, or down when it came.
+        """Whether the gateway was killed between begin and end, or was down at begin.
 
-        A gateway that was asked to stop still owes what it had accepted by then.
+        A gateway that was asked to stop still has to answer what it had accepted by then.
         """
         stopped_ms: float | None = None
         for line in self._gateway_lines.get(gateway or "", []):
             if line["what"] == "relieved":
-                continue  # its next process serves already: nothing is excused
+                continue  # its successor serves already, so this is no downtime
             if line["what"] == "start":
                 if _came_while_down(stopped_ms, begin_ms, line["t"] + START_UP_MS):
                     return True
@@ -120,7 +128,7 @@
 
 
 def _came_while_down(stopped_ms: float | None, begin_ms: float, serving_ms: float | None) -> bool:
-    """`serving_ms`: by when the next process listens; None where there is none."""
+    """`serving_ms`: when the next process listens, or None if there is none."""
     if stopped_ms is None or begin_ms < stopped_ms - CLOCK_TOLERANCE_MS:
         return False
     return serving_ms is None or begin_ms <= serving_ms
--- a/ternlane/rules/slow_start.py
+++ b/ternlane/rules/slow_start.py
@@ -1,7 +1,7 @@
-"""Rule 4: no cold server falls over because of gateways that had been notified of its start.
+"""Rule 4: no cold server is overloaded until it falls over by gateways that had been notified of its start.
 
-Falling over by gateways that could not know breaks no rule, so those that knew must have sent two thirds of the
-attempts in the window that made the server fall over.
+Gateways that could not know break no rule, so a violation requires that the notified ones sent at least two thirds of
+the attempts in the window in which the server fell over.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 RULE = 4
 
 
-def judge_slow_start(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
-    """Judges each server that fell over."""
+def check_slow_start(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
+    """Checks each server that fell over."""
     cold_starts_ms: defaultdict[str, list[float]] = defaultdict(list)  # by server
     for line in run.by_kind["up"]:
         if line["cold"]:
@@ -31,14 +31,14 @@
         informed = [attempt for attempt in window if notified_ms.get(attempt.gateway, run.end_ms) <= attempt.begin_ms]
         if window and 3 * len(informed) >= 2 * len(window):
             why = (
-                f"{server} fell over by {len(window)} legs, {len(informed)} of them from "
-                "gateways that knew of its start"
+                f"{server} fell over under {len(window)} attempts, {len(informed)} of them from "
+                "gateways notified of its start"
             )
             yield Violation(RULE, "", why, [fall])
 
 
 def _notified_of_start(run: RunLog, server: str, start_ms: float) -> dict[str, float]:
-    """By gateway: when it was first notified that the server runs again, and since when."""
+    """Returns, by gateway, when it was first notified that the server is up again, with its start time."""
     notified_ms: dict[str, float] = {}
     for line in run.by_kind["told"]:
         if line["t"] >= start_ms and _says_started(line, server):
--- a/ternlane/rules/stream_text.py
+++ b/ternlane/rules/stream_text.py
@@ -1,7 +1,8 @@
-"""Rule 6: a client is sent what servers produced, in order and once, over however many attempts.
+"""Rule 6: a client receives what servers produced, in order and once, over any number of attempts.
 
-Judged by the servers' own lines of where they continued and what they produced. A complete answer is the one that an
-unbroken attempt would have given. Not judged are answers from a gateway's store, which had no attempt.
+Checked by the servers' own lines, which tell where they continued and what they produced. A complete answer must be the
+one that an unbroken attempt would have given. Answers from a gateway's idempotency cache have no attempt and are not
+checked.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 RULE = 6
 
 
-def judge_stream_text(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
-    """Judges each final answer to which attempts contributed text."""
+def check_stream_text(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
+    """Checks each final answer to which attempts contributed text."""
     produced = run.of_requests("said")
     for final in run.by_kind["final"]:
         attempts = sorted(produced[final["gen"]], key=lambda line: line["n"])
@@ -33,7 +34,7 @@
 
 
 def _text_so_far(attempt: LogLine) -> str:
-    """All that its client has once this attempt has ended."""
+    """Returns all text that the client has at the end of this attempt."""
     return str(attempt["after"] + attempt["text"])
 
 
@@ -41,7 +42,7 @@
     for index, attempt in enumerate(attempts):
         earlier = attempts[:index]
         if attempt["after"] and not any(_text_so_far(other).startswith(attempt["after"]) for other in earlier):
-            return "a leg went on from what no engine had said"
+            return "an attempt continued from text that no server had produced"
     return ""
 
 
@@ -49,9 +50,9 @@
     text = final.get("text", "")
     if final["outcome"] != "streamed":
         produced = any(_text_so_far(attempt).startswith(text) for attempt in attempts)
-        return "" if produced else "a part of a text that no engine said so"
+        return "" if produced else "partial text that no server produced"
     if text != _text_so_far(attempts[-1]):
-        return "the text is not what the engines said"
+        return "the text differs from what the servers produced"
     if zlib.crc32(text.encode()) != attempts[0]["whole"]:
-        return "the text is not what an unbroken leg gives"
+        return "the text differs from that of an unbroken attempt"
     return ""
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules prove themselves: gateways that are wrong in just one way are caught, by what crossed the sockets alone."""
+"""Checks the rules themselves: each gateway with a single fault must be detected from the recorded traffic alone."""
 
 from __future__ import annotations
 
@@ -45,20 +45,20 @@
 ]
 
 
-class Honest(GatewayRuntime):
-    """The host as it is."""
+class CorrectRuntime(GatewayRuntime):
+    """The unmodified runtime."""
 
 
-class Mute(GatewayRuntime):
-    """Rule 1: never says that a generation is throttled or terminated."""
+class WithholdsFailures(GatewayRuntime):
+    """Rule 1: never answers a request that is rejected or failed."""
 
     def finish_request(self, active_request: ActiveRequest | None, final: FinalAnswer) -> None:
         if not hasattr(final, "pause_ms") and not hasattr(final, "timed_out"):
             super().finish_request(active_request, final)
 
 
-class Talkative(GatewayRuntime):
-    """Rule 1: goes on after the end of each stream."""
+class WritesAfterEnd(GatewayRuntime):
+    """Rule 1: writes further events after the end of each stream."""
 
     def arrived(self, active_request: ActiveRequest) -> None:
         response_writer = active_request.response_writer
@@ -74,16 +74,16 @@
         super().arrived(active_request)
 
 
-class Late(GatewayRuntime):
-    """Rule 1: believes that clients have more time than they have."""
+class OverestimatesTimeout(GatewayRuntime):
+    """Rule 1: assumes longer client time-outs than the real ones."""
 
     def arrived(self, active_request: ActiveRequest) -> None:
         active_request.request.client_timeout_ms += 300.0
         super().arrived(active_request)
 
 
-class Repeats(GatewayRuntime):
-    """Rule 2: takes a broken connection for one that was never made."""
+class TreatsResetAsUnconnected(GatewayRuntime):
+    """Rule 2: treats a reset or timed-out attempt as a failed connect, after which a retry is always allowed."""
 
     def attempt_ended(
         self,
@@ -99,8 +99,8 @@
         super().attempt_ended(active_request, server, stage, result, took_ms, plan)
 
 
-class Twice(GatewayRuntime):
-    """Rule 2: begins a second leg of each generation beside the first."""
+class DuplicatesAttempts(GatewayRuntime):
+    """Rule 2: starts a second attempt of each request beside the first."""
 
     def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
         super().start_attempt(active_request, server, times)
@@ -126,8 +126,8 @@
             )
 
 
-class Undrained(GatewayRuntime):
-    """Rule 3: does not pass on that a server drains."""
+class IgnoresDraining(GatewayRuntime):
+    """Rule 3: hides from the router that a server is draining."""
 
     def dispatch(self, event: messages.Event) -> None:
         if isinstance(event, messages.EndpointsUpdated):
@@ -136,8 +136,8 @@
         super().dispatch(event)
 
 
-class Careless(GatewayRuntime):
-    """Rule 4: takes every server for warm."""
+class IgnoresColdStarts(GatewayRuntime):
+    """Rule 4: treats every server as warm."""
 
     def dispatch(self, event: messages.Event) -> None:
         if isinstance(event, messages.EndpointsUpdated):
@@ -146,8 +146,8 @@
         super().dispatch(event)
 
 
-class Keeper(GatewayRuntime):
-    """Rule 5: releases nothing."""
+class NeverReleases(GatewayRuntime):
+    """Rule 5: never releases held state."""
 
     def release_all(self, active_request: ActiveRequest | None) -> None:
         if active_request is not None:
@@ -155,46 +155,46 @@
             self.forget(active_request)
 
 
-class Wrongly(StreamJoin):
-    """Joins what comes after a loss wrongly."""
+class FaultyJoin(StreamJoin):
+    """Joins the text after a lost attempt incorrectly, as `fault` says: "twice", "skips" or "restarts"."""
 
-    how = ""
+    fault = ""
 
     def take(self, piece: str) -> str:
         new = super().take(piece)
         if not self.resumed or self.attempt_pieces != 1:
             return new
-        return new + new if self.how == "twice" else "" if self.how == "skips" else new
+        return new + new if self.fault == "twice" else "" if self.fault == "skips" else new
 
     def request(self, raw: dict[str, Any]) -> dict[str, Any]:
-        return raw if self.how == "anew" else super().request(raw)
+        return raw if self.fault == "restarts" else super().request(raw)
 
     def prefill_covers_text(self, prompt_tokens: int, first_prompt_tokens: int) -> bool:
         return True
 
 
-class Stutters(GatewayRuntime):
-    """Rule 6: says a piece twice."""
+class RepeatsPiece(GatewayRuntime):
+    """Rule 6: sends a piece twice."""
 
-    how = "twice"
+    fault = "twice"
 
     def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
         it = super().join_for(raw, request)
-        wrong = Wrongly(it.strategy, it.why, it.replay_buffer, it.max_tokens)
-        wrong.how = self.how
+        wrong = FaultyJoin(it.strategy, it.why, it.replay_buffer, it.max_tokens)
+        wrong.fault = self.fault
         return wrong
 
 
-class Skips(Stutters):
-    """Rule 6: leaves a piece out."""
+class DropsPiece(RepeatsPiece):
+    """Rule 6: omits a piece."""
 
-    how = "skips"
+    fault = "skips"
 
 
-class Anew(Stutters):
-    """Rule 6: begins again from the start."""
+class RestartsText(RepeatsPiece):
+    """Rule 6: starts the text over."""
 
-    how = "anew"
+    fault = "restarts"
 
 
 async def send_requests(w: GatewayCluster, rate: float, length_ms: float, **behaviour: Any) -> None:
@@ -204,14 +204,14 @@
 
 
 def notify(w: GatewayCluster, **states: str) -> None:
-    """Gives the gateway an endpoint list with these states, and writes the line that says so."""
+    """Passes the gateway an endpoint list with these states and records that it was notified."""
     lines = [with_state(line, states.get(line.id, "up")) for line in w.lines()]
     w.gateway.found(lines)
     w.traffic.line("told", gw="g1", index=1, states={line.id: [line.state, line.started] for line in lines})
 
 
 def with_state(line: NodeLine, state: str) -> NodeLine:
-    """`state`: as endpoint lists say it, or "cold": up, and started just now."""
+    """`state` is one of the endpoint list, or "cold" for a server that is up and has just started."""
     if state == "cold":
         return msgspec.structs.replace(line, started=time.time())
     return msgspec.structs.replace(line, state=state)
@@ -221,13 +221,13 @@
     return msgspec.structs.replace(FLEET_CONFIG, **changes)
 
 
-async def troubled(host: type[GatewayRuntime]) -> RuleReport:
-    """Answers get lost, engines die, clients leave: what every host must stand."""
+async def mixed_faults(host: type[GatewayRuntime]) -> RuleReport:
+    """Responses are lost, engines die and clients disconnect: faults that every runtime must tolerate."""
     async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1"):
             w.engines[ident].fault.lost_answer_share = 0.25
 
-        async def strike() -> None:
+        async def inject_faults() -> None:
             await trio.sleep(0.7)
             for engine in w.engines.values():
                 engine.fault.lost_by_reset = True
@@ -236,15 +236,15 @@
             w.engines["w0"].fault.hung = False
             w.engines["r0b"].die()
 
-        w.nursery.start_soon(strike)
+        w.nursery.start_soon(inject_faults)
         await send_requests(w, 40, 1200, retries=1, leave_part=0.2, leave_ms=(5.0, 60.0))
         await trio.sleep(0.9)
         return check(w.traffic.lines, RULES)
 
 
-async def stranded(host: type[GatewayRuntime]) -> RuleReport:
-    """All decode servers die while the list still has them. What was prefilled is left at its prefill server, and only
-    its gateway can have it released in time."""
+async def decode_servers_lost(host: type[GatewayRuntime]) -> RuleReport:
+    """All decode servers die while they are still listed. The state of each prefill stays at its prefill server, and
+    only the gateway can have it released in time."""
     async with gateway_cluster(("r0", "w0", "w1"), host_type=host) as w:
         for ident in ("w0", "w1"):
             w.engines[ident].die()
@@ -253,7 +253,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def slowly_read(host: type[GatewayRuntime]) -> RuleReport:
+async def slow_prefill(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(
         ("r0", "r0b", "w0"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=500.0), host_type=host
     ) as w:
@@ -261,7 +261,7 @@
         return check(w.traffic.lines, RULES)
 
 
-async def drained(host: type[GatewayRuntime]) -> RuleReport:
+async def draining(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(("r0", "w0", "w0b", "w1"), host_type=host) as w:
         notify(w)
 
@@ -274,8 +274,8 @@
         return check(w.traffic.lines, RULES)
 
 
-async def restarted(host: type[GatewayRuntime]) -> RuleReport:
-    """One writer of two restarts cold, weak, under a load that it could not carry alone."""
+async def cold_restart(host: type[GatewayRuntime]) -> RuleReport:
+    """One of two decode servers restarts cold, under a load that it could not carry while cold."""
     build = replace(
         ENGINE_PROFILE,
         slots=8,
@@ -294,7 +294,7 @@
 
         async def restart() -> None:
             await trio.sleep(0.4)
-            notify(w, w0="draining")  # an orderly restart: no failed leg warns of it
+            notify(w, w0="draining")  # an orderly restart: no failed attempt gives a hint
             while w.engines["w0"].busy:
                 await trio.sleep(0.01)
             w.engines["w0"].die()
@@ -308,8 +308,8 @@
         return check(w.traffic.lines, RULES | {"fall_ms": 500.0})
 
 
-async def refilled(host: type[GatewayRuntime]) -> RuleReport:
-    """Half the writers die with their streams open and come back cold while those go on."""
+async def restarts_during_streams(host: type[GatewayRuntime]) -> RuleReport:
+    """Half of the decode servers die with streams open and restart cold while those streams are resumed."""
     build = replace(
         ENGINE_PROFILE,
         slow_start_ms=3000,
@@ -328,7 +328,7 @@
             w.engines[ident].profile = ENGINE_PROFILE
         notify(w)
 
-        async def strike() -> None:
+        async def inject_faults() -> None:
             await trio.sleep(0.6)
             for ident in ("w0", "w1"):
                 w.engines[ident].die()
@@ -338,14 +338,14 @@
                 await w.restart_engine(ident)
             notify(w, w0="cold", w1="cold")
 
-        w.nursery.start_soon(strike)
+        w.nursery.start_soon(inject_faults)
         await send_requests(w, 25, 1600)
-        findings = check(w.traffic.lines, RULES | {"fall_ms": 500.0})
-        assert findings.judged_counts["texts of several legs"] >= 1 and findings.judged_counts["cold starts"] == 2
-        return findings
+        report = check(w.traffic.lines, RULES | {"fall_ms": 500.0})
+        assert report.judged_counts["texts of several legs"] >= 1 and report.judged_counts["cold starts"] == 2
+        return report
 
 
-async def torn(host: type[GatewayRuntime]) -> RuleReport:
+async def broken_streams(host: type[GatewayRuntime]) -> RuleReport:
     async with gateway_cluster(("r0", "r0b", "w0", "w0b", "w1", "w1b"), host_type=host) as w:
         for ident in ("w0", "w0b", "w1", "w1b"):
             w.engines[ident].fault.broken_stream_share = 0.3
@@ -353,50 +353,58 @@
         return check(w.traffic.lines, RULES)
 
 
-SCENES = {
-    scene.__name__.replace("_", " "): scene
-    for scene in (troubled, stranded, slowly_read, drained, restarted, torn, refilled)
+SCENARIOS = {
+    scenario.__name__.replace("_", " "): scenario
+    for scenario in (
+        mixed_faults,
+        decode_servers_lost,
+        slow_prefill,
+        draining,
+        cold_restart,
+        broken_streams,
+        restarts_during_streams,
+    )
 }
 
 
-@pytest.mark.parametrize("scene", list(SCENES))
-async def test_the_honest_gateway_breaks_none(scene: str) -> None:
-    """The rules must not accuse a gateway that is right, whatever fails around it."""
-    for _ in range(3):  # a machine busy with other work may hold an answer up beyond the client's time
-        findings = await SCENES[scene](Honest)
-        if any(f.why != "answered after the client's time" for f in findings.violations) or not findings.violations:
+@pytest.mark.parametrize("scenario", list(SCENARIOS))
+async def test_a_correct_gateway_breaks_no_rule(scenario: str) -> None:
+    """The rules report no violation for a correct gateway, whatever fails around it."""
+    for _ in range(3):  # on a busy machine an answer may be delayed beyond the client's deadline
+        report = await SCENARIOS[scenario](CorrectRuntime)
+        if any(f.why != "answered after the client's deadline" for f in report.violations) or not report.violations:
             break
-    assert findings.violations == [], [asdict(f) for f in findings.violations[:3]]
-    assert findings.judged_counts["asked"] > 10 and findings.judged_counts["states"] > 10
+    assert report.violations == [], [asdict(f) for f in report.violations[:3]]
+    assert report.judged_counts["asked"] > 10 and report.judged_counts["states"] > 10
 
 
 @pytest.mark.parametrize(
-    "host, scene, rule, word",
+    "host, scenario, rule, word",
     [
-        (Mute, "troubled", 1, "no final answer"),
-        (Talkative, "troubled", 1, "after the final answer"),
-        (Late, "troubled", 1, "after the client's time"),
-        (Repeats, "troubled", 2, ""),
-        (Twice, "slowly read", 2, "two legs at once"),
-        (Undrained, "drained", 3, "told that w"),
-        (Careless, "restarted", 4, "fell over"),
-        (Careless, "refilled", 4, "fell over"),
-        (Keeper, "stranded", 5, "no leg out"),
-        (Stutters, "torn", 6, "not what the engines said"),
-        (Skips, "torn", 6, "not what the engines said"),
-        (Anew, "torn", 6, "not what"),
+        (WithholdsFailures, "mixed faults", 1, "no final answer"),
+        (WritesAfterEnd, "mixed faults", 1, "after the final answer"),
+        (OverestimatesTimeout, "mixed faults", 1, "after the client's deadline"),
+        (TreatsResetAsUnconnected, "mixed faults", 2, ""),
+        (DuplicatesAttempts, "slow prefill", 2, "two attempts at once"),
+        (IgnoresDraining, "draining", 3, "notified that w"),
+        (IgnoresColdStarts, "cold restart", 4, "fell over"),
+        (IgnoresColdStarts, "restarts during streams", 4, "fell over"),
+        (NeverReleases, "decode servers lost", 5, "without an attempt in progress"),
+        (RepeatsPiece, "broken streams", 6, "differs from what the servers produced"),
+        (DropsPiece, "broken streams", 6, "differs from what the servers produced"),
+        (RestartsText, "broken streams", 6, "the text differs from"),
     ],
 )
-async def test_a_wrong_gateway_is_caught(host: type[GatewayRuntime], scene: str, rule: int, word: str) -> None:
-    seen = []
-    for _ in range(4):  # on a machine busy with other work a scene's load may come too thin to do the harm at once
-        findings = await SCENES[scene](host)
-        seen += [f.why for f in findings.violations[:5]]
-        if any(f.rule == rule and word in f.why for f in findings.violations):
+async def test_a_faulty_gateway_is_detected(host: type[GatewayRuntime], scenario: str, rule: int, word: str) -> None:
+    reported = []
+    for _ in range(4):  # on a busy machine a scenario's load may be too low to cause the violation at once
+        report = await SCENARIOS[scenario](host)
+        reported += [f.why for f in report.violations[:5]]
+        if any(f.rule == rule and word in f.why for f in report.violations):
             return
-    raise AssertionError(seen)
+    raise AssertionError(reported)
 
 
-def test_a_run_without_lines_has_judged_nothing() -> None:
-    findings = check([], RULES)
-    assert findings.passed and findings.judged_counts.get("asked", 0) == 0
+def test_a_run_without_lines_has_checked_nothing() -> None:
+    report = check([], RULES)
+    assert report.passed and report.judged_counts.get("asked", 0) == 0
