--- a/ternlane/testing/platform/__init__.py
+++ b/ternlane/testing/platform/__init__.py
@@ -1,13 +1,23 @@
-"""Fake model servers and a fake discovery agent of the platform, written from its protocol pages.
+"""Fake model servers and a fake discovery agent of the platform, written from its protocol documentation.
 
-What a server does with a request is scripted: `FakeModelServer.script` is asked for each attempt, and names a way to go
-wrong, or nothing for a good answer. What happens is kept in `FakeFleet`.
+`FakeModelServer.script` is called for each attempt and returns the name of a fault, or "" for a good answer. What the
+servers receive and hold is recorded in `FakeFleet`.
 """
 
-from ternlane.testing.platform.answers import DONE, EVENT, HEAD, USAGE, framed
+from ternlane.testing.platform.answers import DONE, EVENT, RESPONSE_HEAD, USAGE, encode_chunk
 from ternlane.testing.platform.discovery import FakeDiscovery
 from ternlane.testing.platform.fleet import FakeFleet
 from ternlane.testing.platform.gate import Gate
 from ternlane.testing.platform.model_server import FakeModelServer
 
-__all__ = ["DONE", "EVENT", "HEAD", "USAGE", "FakeDiscovery", "FakeFleet", "Gate", "FakeModelServer", "framed"]
+__all__ = [
+    "DONE",
+    "EVENT",
+    "RESPONSE_HEAD",
+    "USAGE",
+    "FakeDiscovery",
+    "FakeFleet",
+    "Gate",
+    "FakeModelServer",
+    "encode_chunk",
+]
--- a/ternlane/testing/platform/answers.py
+++ b/ternlane/testing/platform/answers.py
@@ -1,4 +1,4 @@
-"""The bytes of the platform's answers: good ones, and those that go wrong."""
+"""Raw responses of the platform's model servers: good ones and faulty ones."""
 
 from __future__ import annotations
 
@@ -8,34 +8,40 @@
     b'"prompt_tokens_details":{"cached_tokens":4}}}\n\n'
 )
 DONE = b"data: [DONE]\n\n"
-HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def framed(data: bytes) -> bytes:
-    """As a chunk of a chunked body."""
+def encode_chunk(data: bytes) -> bytes:
+    """Encodes `data` as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-GOOD = HEAD + framed(EVENT) + framed(EVENT) + framed(USAGE) + framed(DONE) + LAST_CHUNK
-# Wrong answers by name. The connection then stays open, or closes where the name ends in "cut".
-WRONG = {
+GOOD_ANSWER = (
+    RESPONSE_HEAD + encode_chunk(EVENT) + encode_chunk(EVENT) + encode_chunk(USAGE) + encode_chunk(DONE) + LAST_CHUNK
+)
+# Faulty responses by name. Afterwards the connection stays open, or closes if the name ends in "cut".
+FAULTY_ANSWERS = {
     "noise": b"\x80\xca\x54\xeb\r\n\r\n" * 8,
     "odd_status": b"HTTP/1.1 2x0 OK\r\n\r\n",
     "endless_head": b"HTTP/1.1 200 OK\r\n" + b"x-more: of the same\r\n" * 4096,
-    "first_not_event": HEAD + framed(b"what is this\n\n"),
-    "first_not_json": HEAD + framed(b"data: {nonsense\n\n"),
-    "first_chunk_bad": HEAD + b"zz\r\n" + EVENT + b"\r\n",
-    "later_chunk_bad": HEAD + framed(EVENT) + b"-1\r\n" + EVENT + b"\r\n",
-    "later_chunk_misfit": HEAD + framed(EVENT) + b"%x\r\n" % (len(EVENT) - 9) + EVENT + b"\r\n",
-    "later_noise": HEAD + framed(EVENT) + framed(b"\x00\x01\x02 noise"),
-    "huge_chunk": HEAD + framed(EVENT) + b"c0000000\r\n" + b"z" * 400_000,
-    "endless_event": HEAD + framed(EVENT) + b"c0000000\r\ndata: {" + b"z" * 400_000,
-    "later_not_event": HEAD + framed(EVENT) + framed(b"what is this\n\n") + framed(DONE) + LAST_CHUNK,
-    "later_silent": HEAD + framed(EVENT),
-    "opening_cut": HEAD,
-    "later_cut": HEAD + framed(EVENT),
-    "no_done": HEAD + framed(EVENT) + LAST_CHUNK,
+    "first_not_event": RESPONSE_HEAD + encode_chunk(b"what is this\n\n"),
+    "first_not_json": RESPONSE_HEAD + encode_chunk(b"data: {nonsense\n\n"),
+    "first_chunk_bad": RESPONSE_HEAD + b"zz\r\n" + EVENT + b"\r\n",
+    "later_chunk_bad": RESPONSE_HEAD + encode_chunk(EVENT) + b"-1\r\n" + EVENT + b"\r\n",
+    "later_chunk_misfit": RESPONSE_HEAD + encode_chunk(EVENT) + b"%x\r\n" % (len(EVENT) - 9) + EVENT + b"\r\n",
+    "later_noise": RESPONSE_HEAD + encode_chunk(EVENT) + encode_chunk(b"\x00\x01\x02 noise"),
+    "huge_chunk": RESPONSE_HEAD + encode_chunk(EVENT) + b"c0000000\r\n" + b"z" * 400_000,
+    "endless_event": RESPONSE_HEAD + encode_chunk(EVENT) + b"c0000000\r\ndata: {" + b"z" * 400_000,
+    "later_not_event": RESPONSE_HEAD
+    + encode_chunk(EVENT)
+    + encode_chunk(b"what is this\n\n")
+    + encode_chunk(DONE)
+    + LAST_CHUNK,
+    "later_silent": RESPONSE_HEAD + encode_chunk(EVENT),
+    "opening_cut": RESPONSE_HEAD,
+    "later_cut": RESPONSE_HEAD + encode_chunk(EVENT),
+    "no_done": RESPONSE_HEAD + encode_chunk(EVENT) + LAST_CHUNK,
     "status_500": b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n",
     "status_503": b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n",
     "full_503": b"HTTP/1.1 503 No\r\nnot-started: 1\r\ncontent-length: 0\r\n\r\n",
--- a/ternlane/testing/platform/discovery.py
+++ b/ternlane/testing/platform/discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery agent of the platform: the whole endpoint list, and a watch with heartbeats."""
+"""A fake discovery agent of the platform: serves the whole endpoint list, and watches with heartbeats."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from ternlane.testing.sockets import address_of, listen_on_loopback
 
 HEARTBEAT_MS = 2000.0
-REQUEST_TIMEOUT_MS = 5e3  # for a head to arrive, or an answer to be taken
+REQUEST_TIMEOUT_MS = 5e3  # to receive a request head, or for the client to read a response
 IDLE_TIMEOUT_MS = 30e3
 
 
 class FakeDiscovery:
-    """What it does wrong is set at any time."""
+    """Serves the endpoint list. Faults can be set at any time."""
 
     def __init__(self, nursery: trio.Nursery, heartbeat_ms: float = HEARTBEAT_MS) -> None:
         """Listens from `start` on."""
         self.nursery = nursery
         self.heartbeat_ms = heartbeat_ms
-        self.index = 1  # of the list's version
-        self.log: list[dict[str, Any]] = [{}]  # of each version, what changed
+        self.index = 1  # version of the list
+        self.log: list[dict[str, Any]] = [{}]  # the change of each version
         self.entries: dict[str, dict[str, Any]] = {}
-        self.asked: list[str] = []  # the indexes that watches began with
-        self.watching = 0  # watches that are open
-        self.silent = False  # says nothing any more
+        self.asked: list[str] = []  # the start index of each watch request
+        self.watching = 0  # open watches
+        self.silent = False  # sends nothing
         self.garbage = b""  # sent in place of the next change
-        self.indent: int | None = None  # of its JSON
-        self.cut_at = 0  # the next change breaks off after so many bytes, and its connection with it
-        self.gates: dict[str, Gate] = {}  # "watch": a watch was asked for; "list": before its next line
+        self.indent: int | None = None  # indentation of the JSON
+        self.truncate_at = 0  # if set, the next change is cut after this many bytes and its connection reset
+        self.gates: dict[str, Gate] = {}  # "watch": on a watch request; "list": before the next line of a watch
         self.address = ""
         self.changed = trio.Event()
-        self._silenced_watches = 0  # those that were asked for by then say nothing more
+        self._silenced_watches = 0  # number of watch requests, from the first on, that are sent nothing more
         self.conns: set[trio.SocketStream] = set()
 
     def put(
@@ -62,17 +62,17 @@
         self.changed = trio.Event()
 
     def listing(self) -> dict[str, Any]:
-        """The whole list as it says it."""
+        """Returns the whole list in the protocol's format."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     async def start(self) -> None:
-        """Listens, again at the address of before where it has one."""
+        """Listens, at the previous address if there is one."""
         self.listener = await listen_on_loopback(self.address)
         self.address = address_of(self.listener)
         self.nursery.start_soon(self._accept, self.listener)
 
     def start_outage(self, silent: bool, listening: bool) -> None:
-        """Out of service: it says no more, on open connections or new ones, or takes no new ones at all."""
+        """Takes the agent out of service: it sends nothing, or with `listening` unset closes all connections too."""
         self.silent = silent
         if not listening:
             self.listener.socket.close()
@@ -80,12 +80,12 @@
                 stream.socket.close()
 
     def silence_open_watches(self) -> None:
-        """The watches that are open now say nothing any more; new ones are served."""
+        """Sends nothing more on the watches that are open now; new ones are served."""
         self.silent = False
         self._silenced_watches = len(self.asked)
 
     async def end_outage(self) -> None:
-        """New calls are served again; those that hang go on doing so."""
+        """Serves new requests again; requests that already hang stay unanswered."""
         self.silent = False
         if self.listener.socket.fileno() < 0:
             await self.start()
@@ -134,7 +134,7 @@
         return self.silent or watch_number <= self._silenced_watches
 
     async def _watch(self, exchange: Exchange, index: int, number: int) -> None:
-        """Sends what changed since `index`, until the client leaves or a change breaks off."""
+        """Sends what changed since `index`, until the client disconnects or a change is truncated."""
         await self._pass_gate("watch")
         if self.silent:
             await trio.sleep_forever()
@@ -151,8 +151,8 @@
                 continue
             line = self._change_since(index)
             index = self.index
-            if self.cut_at:
-                await self._send_cut(exchange, line)
+            if self.truncate_at:
+                await self._send_truncated(exchange, line)
                 return
             await exchange.chunk(line + b"\n")
 
@@ -164,14 +164,14 @@
         change = {"index": self.index, "snapshot": False, "endpoints": self.log[index : self.index]}
         return json.dumps(change, indent=self.indent).encode()
 
-    async def _send_cut(self, exchange: Exchange, line: bytes) -> None:
-        line = line[: self.cut_at]
-        self.cut_at = 0
+    async def _send_truncated(self, exchange: Exchange, line: bytes) -> None:
+        line = line[: self.truncate_at]
+        self.truncate_at = 0
         await exchange.chunk(line)
         exchange.reset()
 
     async def _wait_or_heartbeat(self, exchange: Exchange, number: int) -> None:
-        """Until the list changes; after a while without a change, an empty line."""
+        """Waits until the list changes; sends an empty line after a heartbeat interval without a change."""
         with trio.move_on_after(self.heartbeat_ms / 1000) as wait:
             await self.changed.wait()
         if wait.cancelled_caught and not self._is_silent(number):
--- a/ternlane/testing/platform/gate.py
+++ b/ternlane/testing/platform/gate.py
@@ -6,17 +6,17 @@
 
 
 class Gate:
-    """Whoever comes waits here until the gate is opened."""
+    """Blocks each task that reaches it until the gate is opened."""
 
     def __init__(self) -> None:
         self.reached = trio.Event()
         self.opened = trio.Event()
 
     async def hold(self) -> None:
-        """Waits until `open`."""
+        """Waits until the gate is opened."""
         self.reached.set()
         await self.opened.wait()
 
     def open(self) -> None:
-        """Lets all go on, now and later."""
+        """Lets all tasks pass, those that wait and later ones."""
         self.opened.set()
--- a/ternlane/testing/platform/model_server.py
+++ b/ternlane/testing/platform/model_server.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.http1 import Exchange, serve_connection
-from ternlane.testing.platform.answers import DONE, EVENT, GOOD, USAGE, WRONG
+from ternlane.testing.platform.answers import DONE, EVENT, FAULTY_ANSWERS, GOOD_ANSWER, USAGE
 from ternlane.testing.platform.fleet import FakeFleet
 from ternlane.testing.platform.gate import Gate
 from ternlane.testing.sockets import address_of, listen_on_loopback
@@ -19,42 +19,42 @@
 DECODE_ROLE = "write"
 LEASES_PATH = "/kv/leases/"
 MAX_BODY_BYTES = 2**18
-REQUEST_TIMEOUT_MS = 5e3  # for a head or a body to arrive, or an answer to be taken
+REQUEST_TIMEOUT_MS = 5e3  # to receive a request head or body, or for the client to read a response
 IDLE_TIMEOUT_MS = 30e3
-LATE_STATE_S = 0.05  # by how much a prefill outlasts its client
-SPOILED_TIMEOUT_S = 5  # for the gateway to leave after a wrong answer
-PIECES = 13  # of an answer that is cut at random places
+LATE_STATE_S = 0.05  # how long a prefill continues after its client has disconnected
+FAULTY_ANSWER_TIMEOUT_S = 5  # for the gateway to disconnect after a faulty answer
+PIECES = 13  # number of pieces of an answer that is split at random places
 PIECE_PAUSE_S = 0.001
 
 
 @dataclass(eq=False)
 class FakeModelServer:
-    """Listens on loopback; what it does wrong is set at any time."""
+    """Listens on loopback. Faults can be set at any time."""
 
     name: str
     role: str  # "read" (prefill) or "write" (decode)
     fleet: FakeFleet
-    script: Callable[[str], str] = lambda _: ""  # by id: how this attempt goes wrong
+    script: Callable[[str], str] = lambda _: ""  # by request id: the fault of this attempt
     prefill_ms: float = 1.0
     event_ms: float = 1.0
     events: int = 2
-    never_reads: bool = False  # takes connections, and reads and sends nothing
-    lease_call_fault: str = ""  # how calls for leases go wrong: "silent", or a name of WRONG
-    # Where it holds: "request" (complete, nothing done yet), "queue" (a decode waits for its state), "event" (one event
-    # has been sent), "end" (all but the last chunk has been sent), "lease" (a call for a lease has come), "second"
-    # (before a second answer).
+    never_reads: bool = False  # accepts connections, but reads and sends nothing
+    lease_call_fault: str = ""  # fault of lease calls: "silent", or a name in FAULTY_ANSWERS
+    # Points at which the server can be held: "request" (received, nothing done yet), "queue" (a decode waits for its
+    # state), "event" (one event has been sent), "end" (all but the last chunk has been sent), "lease" (a lease call has
+    # been received), "second" (before a second answer).
     gates: dict[str, Gate] = field(default_factory=dict)
     address: str = ""
     listener: trio.SocketListener | None = None
 
     async def start(self) -> None:
-        """Listens, again at the address of before where it has one."""
+        """Listens, at the previous address if there is one."""
         self.listener = await listen_on_loopback(self.address)
         self.address = address_of(self.listener)
         self.fleet.nursery.start_soon(self._accept, self.listener)
 
     def stop(self) -> None:
-        """Takes no new connections; open ones go on."""
+        """Accepts no new connections; open ones are still served."""
         assert self.listener is not None
         self.listener.socket.close()
 
@@ -100,17 +100,17 @@
         self.fleet.seen.append((self.name, exchange.method, ident))
         await self._pass_gate("lease")
         if self.lease_call_fault:
-            await self._spoil(exchange, self.lease_call_fault)
+            await self._send_faulty(exchange, self.lease_call_fault)
             return
         await trio.sleep(self.fleet.release_delay_ms / 1000)
-        if exchange.method == "DELETE" and ident not in self.fleet.awaited:
+        if exchange.method == "DELETE" and ident not in self.fleet.queued:
             self.fleet.end_hold(ident)
         await exchange.answer(204, [], b"")
 
     async def _request(self, exchange: Exchange, ident: str) -> None:
         self.fleet.seen.append((self.name, self.role, ident))
         if self.role == DECODE_ROLE and self.fleet.run_counts[ident]:
-            self.fleet.repeated.add(ident)
+            self.fleet.repeated_after_run.add(ident)
         self.fleet.stated_timeouts_s.append(float(exchange.header(b"request-timeout") or "nan"))
         self.fleet.open[self.name] += 1
         try:
@@ -122,7 +122,7 @@
     async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
         if fault == "silent":
             await exchange.wait_until_disconnected()
-        elif fault == "late_state":  # its client has gone, and it reads on for a while
+        elif fault == "late_state":  # the prefill goes on for a while after its client has disconnected
             await exchange.wait_until_disconnected()
             await trio.sleep(LATE_STATE_S)
             self.fleet.hold(ident, self.name)
@@ -141,7 +141,7 @@
         await exchange.answer(202, [("Server-Load", "inflight=1,x0=0.1")], b'{"cached_tokens":4}')
 
     async def _decode(self, exchange: Exchange, ident: str, fault: str) -> None:
-        if not fault.startswith(("status_", "full_", "gone_")):  # it refuses before it looks for the state
+        if not fault.startswith(("status_", "full_", "gone_")):  # a refusal comes before the state is taken
             if await self._take_state(ident):
                 self.fleet.run_counts[ident] += 1
             else:
@@ -149,13 +149,13 @@
         await self._answer(exchange, ident, fault)
 
     async def _take_state(self, ident: str) -> bool:
-        """Waits in the queue and takes the state. While it waits, no DELETE releases that state (users' page)."""
-        self.fleet.awaited.add(ident)
+        """Waits in the queue and takes the state. Meanwhile no DELETE releases that state, by the protocol."""
+        self.fleet.queued.add(ident)
         try:
             await self._pass_gate("queue")
             return self.fleet.end_hold(ident)
         finally:
-            self.fleet.awaited.discard(ident)
+            self.fleet.queued.discard(ident)
 
     async def _answer(self, exchange: Exchange, ident: str, fault: str) -> None:
         match fault:
@@ -169,11 +169,11 @@
             case "second_answer":
                 await self._stream(exchange, [])
                 await self._pass_gate("second")
-                await exchange.stream.send_all(GOOD)
+                await exchange.stream.send_all(GOOD_ANSWER)
             case "":
                 await self._stream(exchange, [])
             case _:
-                await self._spoil(exchange, fault)
+                await self._send_faulty(exchange, fault)
 
     async def _stream(self, exchange: Exchange, more_headers: list[tuple[str, str]]) -> None:
         headers = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked"), *more_headers]
@@ -187,19 +187,19 @@
         await exchange.end(DONE + b": Server-Load: inflight=2,x0=0.2\n\n")
 
     async def _send_in_pieces(self, exchange: Exchange, ident: str) -> None:
-        """A good answer, in pieces that are cut at random places: the same for the same id."""
-        whole = GOOD.replace(b"transfer", b"connection: close\r\ntransfer", 1)
+        """Sends a good answer in pieces split at random places, which depend only on the request id."""
+        whole = GOOD_ANSWER.replace(b"transfer", b"connection: close\r\ntransfer", 1)
         cuts = sorted(random.Random(ident).sample(range(1, len(whole)), PIECES - 1))
         for begin, end in pairwise([0, *cuts, len(whole)]):
             await exchange.stream.send_all(whole[begin:end])
             await trio.sleep(PIECE_PAUSE_S)
         exchange.reset()
 
-    async def _spoil(self, exchange: Exchange, fault: str) -> None:
-        """`fault`: "silent", or a name of WRONG."""
+    async def _send_faulty(self, exchange: Exchange, fault: str) -> None:
+        """Sends a faulty answer. `fault` is "silent" or a name in FAULTY_ANSWERS."""
         if fault != "silent":
-            await exchange.stream.send_all(WRONG[fault])
+            await exchange.stream.send_all(FAULTY_ANSWERS[fault])
         if not fault.endswith("cut"):
-            with trio.move_on_after(SPOILED_TIMEOUT_S):
+            with trio.move_on_after(FAULTY_ANSWER_TIMEOUT_S):
                 await exchange.wait_until_disconnected()
         exchange.reset()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -156,7 +156,9 @@
             listed_status = one.answer[9:12]
             assert listed_status in (b"200", b"502", b"503"), one.answer
             if one.request_class == "note":
-                assert one.ident not in self.p.fleet.repeated and (listed_status != b"503" or not run_counts[one.ident])
+                assert one.ident not in self.p.fleet.repeated_after_run and (
+                    listed_status != b"503" or not run_counts[one.ident]
+                )
         for server, before in self.told_to_leave_alone.items():
             assert self.attempts(server) == before, server
 
--- a/tests/test_races_discovery.py
+++ b/tests/test_races_discovery.py
@@ -173,7 +173,7 @@
 async def test_a_list_that_is_cut_within_a_line_is_asked_for_anew_and_whole() -> None:
     """A watch ends within a list. Nothing of it is used, and the whole list is asked for."""
     async with platform("r0", "w0") as p:
-        p.discovery.cut_at = 60
+        p.discovery.truncate_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         assert p.discovery.asked == [str(p.discovery.index - 1)] * 2
--- a/tests/test_races_servers.py
+++ b/tests/test_races_servers.py
@@ -21,7 +21,7 @@
 from ternlane.platform import model_server_client as client_module
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, Effect, Group
-from ternlane.testing.platform import DONE, EVENT, HEAD, Gate, framed
+from ternlane.testing.platform import DONE, EVENT, RESPONSE_HEAD, Gate, encode_chunk
 from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 from tests.gateway_cluster import FLEET_CONFIG, Reply, gateway_cluster
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
@@ -191,14 +191,14 @@
     stream, peer = await pair()
     caller = ClientConnection(stream, "a:1", ("", 0))
     await caller.send_request("GET", "/", [])
-    peer.send(HEAD + framed(EVENT))
+    peer.send(RESPONSE_HEAD + encode_chunk(EVENT))
     assert (await caller.read_head()).status_code == 200
     caller.set_read_deadline(trio.current_time() - 1)
     got: list[bytes] = []
     with pytest.raises(ReadTimeout):
         async for piece in caller.chunks():
             got.append(piece)
-            peer.send(framed(b": comment\n\n"))  # there is always something to read
+            peer.send(encode_chunk(b": comment\n\n"))  # there is always something to read
             arrived(stream)
     assert got[0] == EVENT and len(got) <= 2
     caller.close_now()
