--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of crossing events share: raw clients, sockets whose bytes arrive at a chosen moment, waits."""
+"""Helpers of the race tests: raw clients, sockets whose bytes arrive at a chosen moment, gates and waits."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from ternlane.http1.nonblocking import is_readable
 from tests.platform_gateway import BODY, Platform
 
-WITHIN_S = 5.0  # for what must happen; no order depends on it
+TIMEOUT_S = 5.0  # bounds waits for what must happen; no order of events depends on it
 
 
-async def wait_until(true: Callable[[], Any]) -> None:
-    """Waits for something that is certain to come; fails when it does not."""
-    with trio.fail_after(WITHIN_S):
-        while not true():
+async def wait_until(condition: Callable[[], Any]) -> None:
+    """Polls until the condition is true; fails after `TIMEOUT_S`."""
+    with trio.fail_after(TIMEOUT_S):
+        while not condition():
             await trio.sleep(0.001)
 
 
@@ -31,22 +31,22 @@
 
 
 class RawClient:
-    """A client's connection whose sends take place at once, without a scheduler's turn in between."""
+    """A client's connection that sends at once, without yielding to the scheduler."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         self.sock = socket.create_connection((host, int(port)))
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock.setblocking(False)
-        self.got = b""
+        self.received = b""
         self.reset = False
 
     def send(self, data: bytes) -> None:
-        """What it writes has arrived at the other side's socket when this returns: loopback."""
+        """Sends all bytes. Over loopback they have arrived at the peer's socket when this returns."""
         assert self.sock.send(data) == len(data)
 
     def disconnect(self, how: str) -> None:
-        """By "close", "half-close" or "reset"."""
+        """Ends the connection; `how` is "close", "half-close" or "reset"."""
         if how == "half-close":
             return self.sock.shutdown(socket.SHUT_WR)
         if how == "reset":
@@ -54,9 +54,9 @@
         self.sock.close()
 
     async def read_until(self, end: Callable[[bytes], int]) -> bytes:
-        """What has come up to where `end` says, or to the connection's end; the rest is kept for the next call."""
-        with trio.fail_after(WITHIN_S):
-            while end(self.got) < 0:
+        """Reads up to the offset that `end` returns, or to end of file; keeps the rest for the next call."""
+        with trio.fail_after(TIMEOUT_S):
+            while end(self.received) < 0:
                 await trio.lowlevel.wait_readable(self.sock)
                 try:
                     piece = self.sock.recv(65536)
@@ -65,40 +65,40 @@
                     break
                 if not piece:
                     break
-                self.got += piece
-        at = end(self.got)
-        out, self.got = (self.got, b"") if at < 0 else (self.got[:at], self.got[at:])
+                self.received += piece
+        at = end(self.received)
+        out, self.received = (self.received, b"") if at < 0 else (self.received[:at], self.received[at:])
         return out
 
     async def answer(self) -> bytes:
-        """One answer, streamed or with a length."""
+        """Reads one response, chunked or with a length."""
         return await self.read_until(answer_end)
 
-    async def rest_of_answer(self) -> bytes:
-        """The rest of a streamed answer whose beginning has been taken already."""
-        return await self.read_until(lambda got: len(got) if got.endswith(b"\r\n0\r\n\r\n") else -1)
+    async def read_to_last_chunk(self) -> bytes:
+        """Reads the rest of a chunked response whose beginning has been read already."""
+        return await self.read_until(lambda received: len(received) if received.endswith(b"\r\n0\r\n\r\n") else -1)
 
     async def rest(self) -> bytes:
-        """Whatever comes until the other side ends the connection."""
+        """Reads until the peer closes the connection."""
         return await self.read_until(lambda _: -1)
 
 
-def answer_end(got: bytes) -> int:
-    """Where the first answer in these bytes ends, streamed or with a length; -1 where it has not ended yet."""
-    head, found, body = got.partition(b"\r\n\r\n")
+def answer_end(received: bytes) -> int:
+    """Returns the offset at which the first response ends, chunked or with a length, or -1 if it is incomplete."""
+    head, found, body = received.partition(b"\r\n\r\n")
     if not found:
         return -1
     begin = len(head) + 4
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
             end = begin + int(line[15:])
-            return end if len(got) >= end else -1
+            return end if len(received) >= end else -1
     last = body.find(b"\r\n0\r\n\r\n")
     return begin + last + 7 if last >= 0 else -1
 
 
-class Wrapped:
-    """A stream of which a test replaces something."""
+class StreamWrapper:
+    """A stream of which a test overrides single methods."""
 
     def __init__(self, inner: trio.SocketStream) -> None:
         self.inner = inner
@@ -107,12 +107,12 @@
         return getattr(self.inner, name)
 
 
-class LateBytes(Wrapped):
-    """The server's side of a connection on which bytes arrive in the very moment in which its wait for them ends."""
+class BytesAtTimeout(StreamWrapper):
+    """The server's side of a connection on which bytes arrive just as the first wait for them times out."""
 
-    def __init__(self, inner: trio.SocketStream, arrive: Callable[[], None]) -> None:
+    def __init__(self, inner: trio.SocketStream, on_timeout: Callable[[], None]) -> None:
         super().__init__(inner)
-        self.arrive = arrive
+        self.on_timeout = on_timeout
         self.armed = True
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
@@ -122,20 +122,20 @@
             await trio.sleep_forever()
         finally:
             self.armed = False
-            self.arrive()
-            arrived(self.inner)
+            self.on_timeout()
+            block_until_readable(self.inner)
         raise AssertionError
 
 
-def arrived(stream: trio.SocketStream) -> None:
-    """Waits, without a scheduler's turn, until the kernel has handed over what the peer has sent."""
+def block_until_readable(stream: trio.SocketStream) -> None:
+    """Blocks, without yielding to the scheduler, until the kernel has received what the peer has sent."""
     poll = select.poll()
     poll.register(stream.socket.fileno(), select.POLLIN)
-    assert poll.poll(WITHIN_S * 1000) and is_readable(stream)
+    assert poll.poll(TIMEOUT_S * 1000) and is_readable(stream)
 
 
-async def pair() -> tuple[trio.SocketStream, RawClient]:
-    """A connection: the server's side and the client's."""
+async def connected_pair() -> tuple[trio.SocketStream, RawClient]:
+    """Opens a connection and returns the server's side and the client's."""
     listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
     client = RawClient("127.0.0.1:%d" % listener.socket.getsockname()[1])
     stream = await listener.accept()
@@ -143,19 +143,19 @@
     return stream, client
 
 
-def server_side(p: Platform, client: RawClient) -> trio.SocketStream:
-    """The gateway's stream of this client's connection."""
+def gateway_stream(p: Platform, client: RawClient) -> trio.SocketStream:
+    """Returns the gateway's stream of this client's connection."""
     return next(
         c.stream for c in p.gateway.chat_server.idle if c.stream.socket.getpeername() == client.sock.getsockname()
     )
 
 
-def descriptors() -> int:
+def open_descriptor_count() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
-class Turnstile:
-    """A gate that lets those who wait at it through one by one, in any order; `open` lets all through from then on."""
+class StepGate:
+    """A gate that releases waiting tasks one by one, in any order; after `open` it blocks no task."""
 
     def __init__(self) -> None:
         self.waiting: list[trio.Event] = []
@@ -167,11 +167,11 @@
             self.waiting.append(event)
             await event.wait()
 
-    def let_through(self, nth: int) -> None:
+    def release_one(self, nth: int) -> None:
         if self.waiting:
             self.waiting.pop(nth % len(self.waiting)).set()
 
     def open(self) -> None:
         self.opened = True
         while self.waiting:
-            self.let_through(0)
+            self.release_one(0)
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -15,16 +15,16 @@
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
-class Forgetful:
+class ForgettingServer:
     """A peer that no longer knows a connection once it was idle for so long, and says so only when it is used."""
 
-    def __init__(self, knows_s: float) -> None:
-        self.knows_s, self.resets, self.served = knows_s, 0, 0
+    def __init__(self, remembers_s: float) -> None:
+        self.remembers_s, self.resets, self.served = remembers_s, 0, 0
 
     async def serve(self, stream: trio.SocketStream) -> None:
         at = trio.current_time()
         while await stream.receive_some(4096):
-            if trio.current_time() - at > self.knows_s:
+            if trio.current_time() - at > self.remembers_s:
                 self.resets += 1
                 stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 stream.socket.close()
@@ -48,7 +48,7 @@
 
 async def test_connections_that_break_after_some_idling_are_avoided_at_that_age_and_fresh_ones_are_used() -> None:
     """A server forgets connections that were idle for 30 ms, and resets them only once they are used."""
-    peer = Forgetful(0.03)
+    peer = ForgettingServer(0.03)
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, peer.serve, [listener])
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -20,14 +20,14 @@
 from tests.race_helpers import RawClient, client_request, wait_until
 
 
-class Faulty:
+class RouterWithFault:
     """A chooser in whose place another one stands for some of the events."""
 
-    def __init__(self, inner: Any, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
-        self.inner, self.instead = inner, instead
+    def __init__(self, inner: Any, replacement: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
+        self.inner, self.replacement = inner, replacement
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
-        actions = self.instead(events)
+        actions = self.replacement(events)
         return self.inner.take(now, events) if actions is None else actions
 
 
@@ -35,8 +35,8 @@
     return sum(isinstance(event, messages.RequestArrived) for event in events)
 
 
-def replace_decisions(p: Platform, instead: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
-    p.gateway.runtime.router = Faulty(p.gateway.runtime.router, instead)  # type: ignore[assignment]
+def replace_decisions(p: Platform, replacement: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
+    p.gateway.runtime.router = RouterWithFault(p.gateway.runtime.router, replacement)  # type: ignore[assignment]
 
 
 async def test_a_request_on_which_the_decisions_fail_is_answered_and_takes_no_other_with_it() -> None:
@@ -138,17 +138,17 @@
     """The router raises on its regular timer, whose next one it would have set itself. The loop fires it again, or
     no deadline would ever be kept."""
     monkeypatch.setattr(event_loop, "FAULT_PAUSE_MS", 50.0)
-    looks: list[bool] = []
+    timer_events: list[bool] = []
 
     def fail_first(events: list[messages.Event]) -> None:
         if any(isinstance(event, messages.TimerFired) for event in events):
-            looks.append(True)
-            if len(looks) == 1:
+            timer_events.append(True)
+            if len(timer_events) == 1:
                 raise KeyError("a fault in the decisions")
 
     async with platform("r0", "w0") as p:
         replace_decisions(p, fail_first)
-        await wait_until(lambda: len(looks) > 5)
+        await wait_until(lambda: len(timer_events) > 5)
         assert p.gateway.runtime.reporter.counts["fault"] == 1 and (await p.ask()).status == 200
 
 
@@ -186,7 +186,7 @@
     """As above: the router raises on an arrival, here in the chat gateway."""
     async with gateway_cluster() as w:
         chooser = w.gateway.runtime.router
-        w.gateway.runtime.router = Faulty(chooser, lambda events: 1 / 0 if arrivals(events) else None)
+        w.gateway.runtime.router = RouterWithFault(chooser, lambda events: 1 / 0 if arrivals(events) else None)
         with trio.fail_after(3):
             reply = await w.ask(headers={"X-Ternlane-Time-Limit-Ms": "400"})
         assert reply.status == 502
@@ -221,7 +221,9 @@
             nodes=InlineSource(nodes=w.lines()),
         )
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
-            routing.runtime.router = Faulty(routing.runtime.router, lambda events: [] if arrivals(events) else None)
+            routing.runtime.router = RouterWithFault(
+                routing.runtime.router, lambda events: [] if arrivals(events) else None
+            )
             asked = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
             with trio.fail_after(3), pytest.raises(FailedError):
                 async with routing.request(asked, request_timeout_ms=400) as stream:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -19,14 +19,14 @@
 
 from ternlane.policy.messages import EndpointStatus
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, platform
-from tests.race_helpers import RawClient, Turnstile, client_request, wait_until
+from tests.race_helpers import RawClient, StepGate, client_request, wait_until
 
-PATIENT = PLATFORM_SETTINGS | {
+LONG_TIMEOUTS = PLATFORM_SETTINGS | {
     "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 2000.0},
     "profiles": [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]],
 }  # so that no time-out plays a part: the steps decide
 SERVERS = ("r0", "r1", "w0", "w1")
-WAYS = ["", "", "", "full_503", "gone_410", "opening_cut", "status_500", "later_cut", "noise", "second_answer"]
+FAULTS = ["", "", "", "full_503", "gone_410", "opening_cut", "status_500", "later_cut", "noise", "second_answer"]
 STEPS = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from(["summary", "note"])),
     st.tuples(st.just("half"), st.integers(1, 400)),
@@ -42,26 +42,26 @@
 
 
 @dataclass(eq=False)
-class Asked:
+class ClientRequest:
     """A request, and what its client has of it."""
 
     client: RawClient
     ident: str
     request_class: str
     rest: bytes = b""  # of the request, not sent yet
-    left: bool = False
+    disconnected: bool = False
     answer: bytes = b""
 
 
 @dataclass(eq=False)
-class Play:
+class ScriptRun:
     """One script being played."""
 
     p: Platform
-    asked: list[Asked] = field(default_factory=list)
-    told_to_leave_alone: dict[str, int] = field(default_factory=dict)  # requests that it had got by then
-    attempts_when_left: dict[str, int] = field(default_factory=dict)
-    ending: bool = False
+    requests: list[ClientRequest] = field(default_factory=list)
+    draining_servers: dict[str, int] = field(default_factory=dict)  # requests that it had got by then
+    attempts_at_disconnect: dict[str, int] = field(default_factory=dict)
+    draining: bool = False
 
     def attempts(self, server: str) -> int:
         return sum(name == server and kind in ("read", "write") for name, kind, _ in self.p.fleet.seen)
@@ -73,41 +73,41 @@
         await cast(Any, getattr(self, "do_" + step[0].replace(" ", "_")))(*step[1:])
         await trio.testing.wait_all_tasks_blocked()
 
-    async def do_ask(self, request_class: str) -> Asked | None:
-        if self.ending:
+    async def do_ask(self, request_class: str) -> ClientRequest | None:
+        if self.draining:
             return None
         whole = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
-        one = Asked(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
+        one = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
         one.client.send(whole)
-        self.asked.append(one)
+        self.requests.append(one)
         return one
 
     async def do_half(self, at: int) -> None:
-        if not self.ending:
+        if not self.draining:
             whole = client_request(self.p, Request_Timeout="15")
-            one = Asked(RawClient(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
+            one = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
             one.client.send(whole[:at])
-            self.asked.append(one)
+            self.requests.append(one)
 
     async def do_rest(self, nth: int) -> None:
-        halves = [one for one in self.asked if one.rest and not one.left]
+        halves = [one for one in self.requests if one.rest and not one.disconnected]
         if halves:
             one = halves[nth % len(halves)]
             one.client.send(one.rest)
             one.rest = b""
 
     async def do_leave(self, nth: int, how: str) -> None:
-        here = [one for one in self.asked if not one.left]
-        if here:
-            one = here[nth % len(here)]
-            one.left = True
+        connected = [one for one in self.requests if not one.disconnected]
+        if connected:
+            one = connected[nth % len(connected)]
+            one.disconnected = True
             one.client.disconnect(how)
             idents = self.p.gateway.runtime.requests_by_id
             await wait_until(lambda: one.ident not in idents or idents[one.ident].is_finished)
-            self.attempts_when_left[one.ident] = self.attempts_for(one.ident)
+            self.attempts_at_disconnect[one.ident] = self.attempts_for(one.ident)
 
     async def do_go_on(self, server: str, nth: int) -> None:
-        cast(Turnstile, self.p.servers[server].gates["request"]).let_through(nth)
+        cast(StepGate, self.p.servers[server].gates["request"]).release_one(nth)
 
     async def put(self, server: str, listed_status: str, status: EndpointStatus) -> None:
         kind = "reader" if server[0] == "r" else "writer"
@@ -115,14 +115,14 @@
         await wait_until(lambda: self.p.gateway.runtime.endpoint_registry.servers[server].status is status)
 
     async def do_drain(self, server: str) -> None:
-        if server not in self.told_to_leave_alone:
+        if server not in self.draining_servers:
             await self.put(server, "DRAINING", EndpointStatus.DRAINING)
             await trio.testing.wait_all_tasks_blocked()
-            self.told_to_leave_alone[server] = self.attempts(server)
+            self.draining_servers[server] = self.attempts(server)
 
     async def do_back(self, server: str) -> None:
-        if server in self.told_to_leave_alone:
-            assert self.attempts(server) == self.told_to_leave_alone.pop(server), server
+        if server in self.draining_servers:
+            assert self.attempts(server) == self.draining_servers.pop(server), server
             await self.put(server, "SERVING", EndpointStatus.READY)
 
     async def do_watch_resets(self) -> None:
@@ -133,25 +133,25 @@
         self.p.gateway.chat_server.close_longest_idle()  # a request that has begun makes room for nobody
 
     async def do_shutdown(self) -> None:
-        if not self.ending:
-            self.ending = True
+        if not self.draining:
+            self.draining = True
             self.p.gateway.begin_drain()
 
     async def finish(self) -> None:
         """Sends what is still to be sent, opens every gate, and checks the rules."""
-        for one in self.asked:
-            if one.rest and not one.left:
+        for one in self.requests:
+            if one.rest and not one.disconnected:
                 one.client.send(one.rest)
         for server in self.p.servers.values():
-            cast(Turnstile, server.gates["request"]).open()
-        for one in self.asked:
-            if not one.left:
+            cast(StepGate, server.gates["request"]).open()
+        for one in self.requests:
+            if not one.disconnected:
                 one.answer = await one.client.answer()
         await self.p.wait_until_idle()  # nothing is open, nothing held
         run_counts = Counter(self.p.fleet.run_counts)
-        for one in self.asked:
-            if one.left:
-                assert self.attempts_for(one.ident) == self.attempts_when_left[one.ident], one.ident
+        for one in self.requests:
+            if one.disconnected:
+                assert self.attempts_for(one.ident) == self.attempts_at_disconnect[one.ident], one.ident
                 continue
             listed_status = one.answer[9:12]
             assert listed_status in (b"200", b"502", b"503"), one.answer
@@ -159,28 +159,28 @@
                 assert one.ident not in self.p.fleet.repeated_after_run and (
                     listed_status != b"503" or not run_counts[one.ident]
                 )
-        for server, before in self.told_to_leave_alone.items():
+        for server, before in self.draining_servers.items():
             assert self.attempts(server) == before, server
 
 
 async def play(steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]) -> None:
     """Plays the steps; `reads` and `writes` are the ways in which the first attempts of each kind go."""
-    ways = {"read": list(prefills), "write": list(decodes)}
-    async with platform(*SERVERS, platform_settings=PATIENT) as p:
+    faults = {"read": list(prefills), "write": list(decodes)}
+    async with platform(*SERVERS, platform_settings=LONG_TIMEOUTS) as p:
         for server in p.servers.values():
-            server.gates["request"] = cast(Any, Turnstile())
-            server.script = lambda _, left=ways[server.role]: left.pop() if left else ""  # type: ignore[misc]
-        playing = Play(p)
+            server.gates["request"] = cast(Any, StepGate())
+            server.script = lambda _, remaining=faults[server.role]: remaining.pop() if remaining else ""  # type: ignore[misc]
+        script_run = ScriptRun(p)
         for step in steps:
-            await playing.step(step)
-        await playing.finish()
+            await script_run.step(step)
+        await script_run.finish()
 
 
 @settings(max_examples=40, deadline=None, derandomize=True, database=None)
 @given(
     st.lists(STEPS, min_size=2, max_size=14),
-    st.lists(st.sampled_from(WAYS), max_size=3),
-    st.lists(st.sampled_from(WAYS), max_size=4),
+    st.lists(st.sampled_from(FAULTS), max_size=3),
+    st.lists(st.sampled_from(FAULTS), max_size=4),
 )
 @example(steps=[("ask", "note")], prefills=[], decodes=["opening_cut", "opening_cut"])
 @example(steps=[("half", 40), ("displace",), ("shutdown",)], prefills=[], decodes=[])
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -18,7 +18,16 @@
 from ternlane.platform.settings import ProcessLimits
 from ternlane.testing.platform import DONE, EVENT, Gate
 from tests.platform_gateway import BODY, HEAD, PLATFORM_SETTINGS, platform
-from tests.race_helpers import LateBytes, RawClient, Wrapped, arrived, client_request, pair, server_side, wait_until
+from tests.race_helpers import (
+    BytesAtTimeout,
+    RawClient,
+    StreamWrapper,
+    block_until_readable,
+    client_request,
+    connected_pair,
+    gateway_stream,
+    wait_until,
+)
 
 LIMITS = ConnectionLimits(2**18, head_ms=3000, body_ms=3000, idle_ms=50, send_ms=3000)
 PLAIN = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -34,8 +43,8 @@
 async def test_a_request_that_arrives_as_the_idle_time_ends_is_served(nursery: trio.Nursery) -> None:
     """A request arrives in the moment in which its connection's idle time ends. It is served: the connection is no
     longer idle."""
-    stream, client = await pair()
-    late = LateBytes(stream, lambda: client.send(PLAIN))
+    stream, client = await connected_pair()
+    late = BytesAtTimeout(stream, lambda: client.send(PLAIN))
     nursery.start_soon(ServerConnection(cast(Any, late), hello, LIMITS).serve)
     assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
     client.sock.close()
@@ -43,8 +52,8 @@
 
 async def test_half_a_head_that_arrives_as_the_idle_time_ends_is_waited_for(nursery: trio.Nursery) -> None:
     """Half a head arrives in the moment in which the idle time ends. The other half is waited for."""
-    stream, client = await pair()
-    late = LateBytes(stream, lambda: client.send(PLAIN[:9]))
+    stream, client = await connected_pair()
+    late = BytesAtTimeout(stream, lambda: client.send(PLAIN[:9]))
     nursery.start_soon(ServerConnection(cast(Any, late), hello, LIMITS).serve)
     await wait_until(lambda: not late.armed)
     client.send(PLAIN[9:])
@@ -59,9 +68,9 @@
         client = RawClient(p.address)
         await wait_until(lambda: p.gateway.chat_server.idle)
         whole = client_request(p)
-        side = server_side(p, client)
+        side = gateway_stream(p, client)
         client.send(whole[:part])
-        arrived(side)
+        block_until_readable(side)
         assert not p.gateway.chat_server.close_longest_idle()  # before the gateway has had a turn to read it
         if part is not None:
             await wait_until(lambda: not p.gateway.chat_server.idle)
@@ -108,9 +117,9 @@
 
 async def test_a_client_that_resets_the_connection_as_its_request_is_read_is_no_fault(nursery: trio.Nursery) -> None:
     """A client resets its connection while its request is read. No fault is logged."""
-    stream, client = await pair()
+    stream, client = await connected_pair()
 
-    class Reset(Wrapped):
+    class Reset(StreamWrapper):
         async def receive_some(self, max_bytes: int | None = None) -> bytes:
             data = bytes(await self.inner.receive_some(max_bytes))
             client.disconnect("reset")
@@ -132,7 +141,7 @@
 
         def at_the_end(active_request: Any, final: Any) -> None:
             client.send(b"x" * 100)  # still unread when the connection is ended, in this same turn
-            arrived(active_request.exchange.stream)
+            block_until_readable(active_request.exchange.stream)
             settle(active_request, final)
 
         runtime.finish_request = at_the_end  # type: ignore[method-assign]
@@ -188,11 +197,11 @@
             client.send(client_request(p))
             assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         await wait_until(lambda: p.gateway.chat_server.idle)
-        whole, side = client_request(p), server_side(p, client)
+        whole, side = client_request(p), gateway_stream(p, client)
         part = {"nothing": 0, "unread": len(whole), "half a head": 30, "half a body": len(whole) - 9}[sent]
         if part:
             client.send(whole[:part])
-            arrived(side)
+            block_until_readable(side)
         if sent.startswith("half"):
             await wait_until(lambda: not p.gateway.chat_server.idle)  # it has been read
         p.gateway.begin_drain()  # in this very turn: nobody has read meanwhile
@@ -220,7 +229,7 @@
             await written(self, data)
             if data.endswith(b"0\r\n\r\n") and self.stream.socket.getpeername() == client.sock.getsockname():
                 client.send(client_request(p))  # arrives while this answer's last bytes are written
-                arrived(self.stream)
+                block_until_readable(self.stream)
 
         monkeypatch.setattr(Exchange, "send", send)
         client.send(client_request(p))
@@ -259,7 +268,7 @@
         await wait_until(done.is_set)
 
 
-class ShortOfDescriptors:
+class FailingListener:
     """A listener that fails some times, as where descriptors have run out, before it goes on."""
 
     def __init__(self, listener: trio.SocketListener, fails: int, number: int) -> None:
@@ -282,7 +291,7 @@
         await trio.testing.wait_all_tasks_blocked()
         client = RawClient(p.address)  # left to the listener's queue
         client.send(client_request(p))
-        p.gateway.listener = ShortOfDescriptors(p.gateway.listener, 3, number)  # type: ignore[assignment]
+        p.gateway.listener = FailingListener(p.gateway.listener, 3, number)  # type: ignore[assignment]
         p.nursery.start_soon(p.gateway.drain)
         assert (await client.answer()).startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 "))
         assert idle.runtime.reporter.counts["no descriptors"] == (0 if number == errno.ECONNABORTED else 3)
@@ -293,7 +302,7 @@
     """accept fails for want of descriptors for ever. The shutdown ends all the same."""
     monkeypatch.setattr(acceptor_module, "SHORTAGE_PAUSE_MS", 1.0)
     async with platform("r0", "w0") as p:
-        p.gateway.listener = ShortOfDescriptors(p.gateway.listener, 10**9, errno.EMFILE)  # type: ignore[assignment]
+        p.gateway.listener = FailingListener(p.gateway.listener, 10**9, errno.EMFILE)  # type: ignore[assignment]
         with trio.fail_after(4):
             await p.gateway.drain()
 
@@ -380,7 +389,7 @@
         first = await client.read_until(lambda got: got.find(EVENT) + len(EVENT) if EVENT in got else -1)
         assert first.endswith(EVENT) and not gate.opened.is_set()
         gate.open()
-        assert (await client.rest_of_answer()).endswith(b"0\r\n\r\n")
+        assert (await client.read_to_last_chunk()).endswith(b"0\r\n\r\n")
         client.sock.close()
 
 
@@ -388,7 +397,7 @@
     async with platform("r0", "w0") as p:
         client = RawClient(p.address)
         await wait_until(lambda: p.gateway.chat_server.idle)
-        streams = [server_side(p, client)]
+        streams = [gateway_stream(p, client)]
         client.send(client_request(p))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         streams += [caller.stream for caller in p.gateway.pool.open]
--- a/tests/test_races_discovery.py
+++ b/tests/test_races_discovery.py
@@ -38,10 +38,10 @@
 # -- the first list and the first request
 
 
-async def restarted(p: Platform, known: bytes) -> gateway_module.Gateway:
+async def new_gateway(p: Platform, known: bytes) -> gateway_module.Gateway:
     """Another process of the same gateway, that knows the servers by an older list; not started yet."""
     host, _, number = p.discovery.address.partition(":")
-    post = GatewayConfiguration(
+    configuration = GatewayConfiguration(
         "n1",
         ("127.0.0.1", 0),
         (host, int(number)),
@@ -49,7 +49,7 @@
         parse_endpoint_list(known),
         Deployment(1, PLATFORM_SETTINGS),
     )
-    return gateway_module.Gateway(post, p.nursery, p.log)
+    return gateway_module.Gateway(configuration, p.nursery, p.log)
 
 
 async def test_a_first_request_does_not_go_to_a_server_that_began_to_drain_before_the_start() -> None:
@@ -58,7 +58,7 @@
         known = json.dumps(p.discovery.listing()).encode()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         gate = p.discovery.gates["watch"] = Gate()
-        gateway = await restarted(p, known)
+        gateway = await new_gateway(p, known)
         p.nursery.start_soon(gateway.start)
         await gate.reached.wait()
         assert not gateway.chat_server.ready  # also not asked whether it is: it takes no connection yet
@@ -76,7 +76,7 @@
     monkeypatch.setattr(gateway_module, "FIRST_LIST_MS", 100.0)
     async with platform("r0", "w0") as p:
         p.discovery.silent = True
-        gateway = await restarted(p, json.dumps(p.discovery.listing()).encode())
+        gateway = await new_gateway(p, json.dumps(p.discovery.listing()).encode())
         with trio.fail_after(1):
             await gateway.start()
         assert gateway.chat_server.ready
@@ -393,7 +393,7 @@
     assert deployment_module.__name__ in names
 
 
-def processor_s(pid: int) -> float:
+def cpu_time_s(pid: int) -> float:
     """The processor time that a process has taken, by proc(5): fields 14 and 15."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -424,7 +424,7 @@
             )
             try:
                 await wait_until_ready(p)
-                used_s = processor_s(process_.pid)
+                used_s = cpu_time_s(process_.pid)
                 client = RawClient(p.address)
                 client.send(client_request(p)[:40])
             finally:
--- a/tests/test_races_servers.py
+++ b/tests/test_races_servers.py
@@ -25,14 +25,21 @@
 from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 from tests.gateway_cluster import FLEET_CONFIG, Reply, gateway_cluster
 from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_always, fault_once, platform
-from tests.race_helpers import RawClient, Wrapped, arrived, client_request, pair, wait_until
+from tests.race_helpers import (
+    RawClient,
+    StreamWrapper,
+    block_until_readable,
+    client_request,
+    connected_pair,
+    wait_until,
+)
 
 
 def platform_settings(**limits: Any) -> dict[str, Any]:
     return PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | limits}
 
 
-async def asked(p: Platform, into: list[Reply], **headers: str) -> None:
+async def ask_into(p: Platform, into: list[Reply], **headers: str) -> None:
     into.append(await p.ask(**headers))
 
 
@@ -68,7 +75,7 @@
     async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
         held = DelayedConnects(monkeypatch, p.servers[name].address)
         replies: list[Reply] = []
-        p.nursery.start_soon(partial(asked, p, replies))
+        p.nursery.start_soon(partial(ask_into, p, replies))
         await held.gate.reached.wait()
         await p.add(other)
         p.discovery.put(name, p.servers[name].address, kind, "DRAINING")
@@ -92,7 +99,7 @@
         for each in gates:
             each["lease"] = gate
         replies: list[Reply] = []
-        p.nursery.start_soon(partial(asked, p, replies))
+        p.nursery.start_soon(partial(ask_into, p, replies))
         await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
@@ -156,7 +163,7 @@
             server.gates["lease"] = gate
         replies: list[Reply] = []
         since = trio.current_time()
-        p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="1.5"))
+        p.nursery.start_soon(partial(ask_into, p, replies, Request_Timeout="1.5"))
         await gate.reached.wait()
         await trio.sleep(0.2)  # the time that passes, not the order, is the matter here
         gate.open()
@@ -168,15 +175,15 @@
 
 async def test_an_answer_that_arrives_as_its_time_ends_is_read(nursery: trio.Nursery) -> None:
     """An answer arrives in the moment in which its timeout strikes. It is read."""
-    stream, peer = await pair()
+    stream, peer = await connected_pair()
 
-    class Late(Wrapped):
+    class Late(StreamWrapper):
         async def receive_some(self, max_bytes: int | None = None) -> bytes:
             try:
                 await trio.sleep_forever()
             finally:
                 peer.send(b"HTTP/1.1 204 \r\n\r\n")
-                arrived(self.inner)
+                block_until_readable(self.inner)
             raise AssertionError
 
     caller = ClientConnection(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
@@ -188,7 +195,7 @@
 
 async def test_a_peer_that_never_stops_sending_is_not_waited_for_beyond_its_time() -> None:
     """A server sends on without end after its timeout. It is read once more, not for ever."""
-    stream, peer = await pair()
+    stream, peer = await connected_pair()
     caller = ClientConnection(stream, "a:1", ("", 0))
     await caller.send_request("GET", "/", [])
     peer.send(RESPONSE_HEAD + encode_chunk(EVENT))
@@ -199,7 +206,7 @@
         async for piece in caller.chunks():
             got.append(piece)
             peer.send(encode_chunk(b": comment\n\n"))  # there is always something to read
-            arrived(stream)
+            block_until_readable(stream)
     assert got[0] == EVENT and len(got) <= 2
     caller.close_now()
 
@@ -255,7 +262,7 @@
     async with platform("r0", "w0", platform_settings=KEYED, w0=fault_once("opening_cut")) as p:
         replies: list[Reply] = []
         gate = p.servers["w0"].gates["request"] = Gate()
-        p.nursery.start_soon(partial(asked, p, replies, Request_Timeout="4"))
+        p.nursery.start_soon(partial(ask_into, p, replies, Request_Timeout="4"))
         await gate.reached.wait()
         second = await p.add("w1")
         await wait_until(lambda: "w1" in p.gateway.runtime.endpoint_registry.servers)
@@ -310,7 +317,7 @@
         assert (await p.ask()).status == 200
         await gate.reached.wait()
         replies: list[Reply] = []
-        p.nursery.start_soon(partial(asked, p, replies))
+        p.nursery.start_soon(partial(ask_into, p, replies))
         await wait_until(lambda: p.fleet.count("read") == 2 and not p.fleet.open["r0"])
         await wait_until(lambda: p.fleet.conns["w0"] == 2 or replies)  # over a connection of its own
         gate.open()
@@ -405,7 +412,7 @@
         for server in p.servers.values():
             server.gates["lease"] = lease
         replies: list[Reply] = []
-        p.nursery.start_soon(partial(asked, p, replies))
+        p.nursery.start_soon(partial(ask_into, p, replies))
         await lease.reached.wait()  # the first state is to be released, and the prompt read anew
         p.servers["w0"].gates["request"] = write
         await write.reached.wait()  # the second state is at hand for its writer
@@ -431,7 +438,7 @@
     async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
         held = DelayedConnects(monkeypatch, p.servers["w0"].address)
         replies: list[Reply] = []
-        p.nursery.start_soon(partial(asked, p, replies))
+        p.nursery.start_soon(partial(ask_into, p, replies))
         await held.gate.reached.wait()
         await p.add("w1")
         p.servers["w0"].stop()
@@ -511,7 +518,7 @@
 
 
 async def test_pool_gives_no_connection_before_it_has_rested() -> None:
-    stream, peer = await pair()
+    stream, peer = await connected_pair()
     pool = ConnectionPool(100.0, 10_000.0)
     caller = ClientConnection(stream, "127.0.0.1:9", ("", 0))
     pool.open.add(caller)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -55,7 +55,7 @@
         monkeypatch.setattr(kind, "accept", fail_first)
 
 
-async def served(p: Platform) -> int:
+async def request_status(p: Platform) -> int:
     with trio.fail_after(5):
         return (await p.ask()).status
 
@@ -66,9 +66,9 @@
         for number in ACCEPT_ERRORS:
             with pytest.MonkeyPatch.context() as patch:
                 failing = FailingAccept(patch, p.address, [number] * 3)
-                assert await served(p) == 200  # by the call of accept that waits already
+                assert await request_status(p) == 200  # by the call of accept that waits already
                 await wait_until(lambda failing=failing: not failing.numbers)
-                assert await served(p) == 200, errno.errorcode[number]
+                assert await request_status(p) == 200, errno.errorcode[number]
         await p.wait_until_idle()
 
 
@@ -132,7 +132,7 @@
             return await reach(host, port, source)
 
         monkeypatch.setattr(connection_pool_module, "open_stream", failing)
-        assert await served(p) == 200 and len(failed) == times
+        assert await request_status(p) == 200 and len(failed) == times
         await p.wait_until_idle()
         ejected = any(event == "info server" for event, _ in p.log.lines)
         assert ejected == (times == 1)  # a fault of ours is not held against a server
