--- a/tests/shutdown_scenario.py
+++ b/tests/shutdown_scenario.py
@@ -1,7 +1,7 @@
 """One shutdown of a gateway process under random faults, checked by what clients and model servers record.
 
-The gateway serves for a while, receives SIGTERM, and is killed at the earliest time that the platform's documentation
-allows. Clients use every open connection until then. Model servers hang, fail, stall behind proxies, drain and recover;
+The gateway serves for a while, receives SIGTERM, and is killed at the earliest time that the platform protocol allows.
+Clients use every open connection until then. Model servers hang, fail, stall behind proxies, drain and recover;
 discovery becomes silent; the gateway process is paused for moments. The same seed gives the same settings, clients and
 faults.
 """
@@ -204,9 +204,7 @@
             case "recover":
                 self.server_faults[server] = ""
                 self.unreliable.add(server)
-                self.proxies[
-                    server
-                ].reset_all()  # by the platform's documentation, stalled connections are reset on recovery
+                self.proxies[server].reset_all()  # the platform resets stalled connections on recovery
             case "server down":
                 self.unreliable.add(server)
                 self.p.servers[server].stop()
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Idle connections to servers, used again by the gateway: what breaks on them, and which are used no more."""
+"""Reuse of idle connections to servers: failures on reuse, and which connections are no longer reused."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ForgettingServer:
-    """A peer that no longer knows a connection once it was idle for so long, and says so only when it is used."""
+    """A server that drops connections idle for longer than `remembers_s`, and resets them only when they are used."""
 
     def __init__(self, remembers_s: float) -> None:
         self.remembers_s, self.resets, self.served = remembers_s, 0, 0
@@ -46,8 +46,8 @@
     return True
 
 
-async def test_connections_that_break_after_some_idling_are_avoided_at_that_age_and_fresh_ones_are_used() -> None:
-    """A server forgets connections that were idle for 30 ms, and resets them only once they are used."""
+async def test_connections_of_an_idle_time_that_breaks_are_avoided_and_fresh_ones_are_reused() -> None:
+    """A server drops connections that were idle for 30 ms, and resets them only when they are used."""
     peer = ForgettingServer(0.03)
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
@@ -60,14 +60,16 @@
             await trio.sleep(0.045)
         assert outcomes.count(False) == peer.resets == 2 and all(outcomes[4:])
         made = pool.made
-        for _ in range(5):  # used again at once, as before
+        for _ in range(5):  # reused without an idle time
             assert await ask(pool, address)
         assert pool.made <= made + 1
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("broke_every, avoided", [(2, True), (int(2 / BREAK_SHARE_LIMIT), False)])
-def test_what_breaks_now_and_then_is_chance_and_what_is_avoided_is_tried_again(broke_every: int, avoided: bool) -> None:
+def test_occasional_breaks_are_tolerated_and_avoided_idle_times_are_tried_again(
+    broke_every: int, avoided: bool
+) -> None:
     age = ConnectionAge(1000.0)
     for i in range(100):
         age.record(200.0, i % broke_every == 0, 0.0)
@@ -77,7 +79,7 @@
 
 
 @pytest.mark.parametrize("reads_all", [False, True])
-async def test_a_break_before_the_last_byte_is_written_never_ran_and_one_after_may_have(reads_all: bool) -> None:
+async def test_a_request_may_have_run_only_if_its_last_byte_was_written_before_the_break(reads_all: bool) -> None:
     body, got = b"x" * 8_000_000, 0
 
     async def serve(stream: trio.SocketStream) -> None:
@@ -98,7 +100,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_connection_that_said_something_while_idle_is_not_used_again() -> None:
+async def test_a_connection_that_received_unsolicited_bytes_while_idle_is_not_reused() -> None:
     made = 0
 
     async def serve(stream: trio.SocketStream) -> None:
@@ -108,7 +110,7 @@
             while await stream.receive_some(4096):
                 await stream.send_all(ANSWER)
                 await trio.sleep(0.02)
-                await stream.send_all(ANSWER.replace(b"ok", b"no"))  # of nobody's request
+                await stream.send_all(ANSWER.replace(b"ok", b"no"))  # unsolicited
 
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,4 +1,4 @@
-"""Each request has one final answer in time, whatever goes wrong beside it, a fault of this program included."""
+"""Each request has one final answer in time, also when the gateway itself has an internal error."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RouterWithFault:
-    """A chooser in whose place another one stands for some of the events."""
+    """A router whose actions are replaced for some of the events."""
 
     def __init__(self, inner: Any, replacement: Callable[[list[messages.Event]], list[messages.Action] | None]) -> None:
         self.inner, self.replacement = inner, replacement
@@ -39,9 +39,9 @@
     p.gateway.runtime.router = RouterWithFault(p.gateway.runtime.router, replacement)  # type: ignore[assignment]
 
 
-async def test_a_request_on_which_the_decisions_fail_is_answered_and_takes_no_other_with_it() -> None:
-    """The router raises on one request's arrival. That request has its answer by its time, and requests beside it
-    are served."""
+async def test_a_request_on_which_the_router_raises_is_answered_and_affects_no_other_request() -> None:
+    """The router raises on one request's arrival. That request is answered by its deadline, and other requests are
+    served."""
     failed: list[int] = []
 
     def fail_once(events: list[messages.Event]) -> None:
@@ -65,9 +65,9 @@
         await p.wait_until_idle()
 
 
-async def test_a_request_that_the_decisions_forget_is_failed_in_its_time() -> None:
-    """The router takes a request and decides nothing for it. The gateway fails it shortly after its deadline; else
-    its client would wait for ever."""
+async def test_a_request_without_a_decision_fails_shortly_after_its_deadline() -> None:
+    """The router returns no action for a request. The gateway fails it shortly after its deadline; otherwise its
+    client would wait for ever."""
     async with platform("r0", "w0") as p:
         replace_decisions(p, lambda events: [] if arrivals(events) else None)
         with trio.fail_after(0.4 + 0.5):
@@ -75,10 +75,10 @@
         assert not p.gateway.runtime.active_requests
 
 
-async def test_a_request_in_whose_handling_this_program_fails_is_answered_before_the_close(
+async def test_a_request_whose_handler_raises_is_answered_before_the_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The handler of a request raises. Its client has a 500 before the connection ends, rather than a reset."""
+    """The handler of a request raises. Its client receives a 500 before the connection ends, and no reset."""
     async with platform("r0", "w0") as p:
 
         def fail(*_: Any) -> None:
@@ -88,15 +88,16 @@
             patched.setattr(p.gateway.runtime, "receive_request", fail)
             client = RawClient(p.address)
             client.send(client_request(p))
-            client.send(b"GET /behind")  # unread bytes do not take the answer with them
+            client.send(b"GET /behind")  # unread bytes must not cause a reset that loses the answer
             said = await client.rest()
         assert said.startswith(b"HTTP/1.1 500 ") and not client.reset
         assert (await p.ask()).status == 200
         await p.wait_until_idle()
 
 
-async def test_a_stream_that_has_begun_outlasts_its_request_s_time() -> None:
-    """A stream is still running as its request's deadline passes. It is no overdue request: it goes on to its end."""
+async def test_a_stream_that_has_begun_continues_beyond_the_request_deadline() -> None:
+    """A stream is still running when its request's deadline passes. The request is not overdue and continues to its
+    end."""
     gate = Gate()
     async with platform("r0", "w0") as p:
         p.servers["w0"].gates["event"] = gate
@@ -110,8 +111,8 @@
         assert not p.gateway.runtime.reporter.counts["overdue"]
 
 
-async def test_what_comes_once_its_request_is_overdue_is_not_passed_on() -> None:
-    """The request has one answer: it failed. What the server still writes does not come behind it."""
+async def test_data_that_arrives_after_its_request_was_failed_as_overdue_is_not_forwarded() -> None:
+    """The failure is the request's only answer. Data that the server sends later is not appended to it."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
         begin = StreamForwarder.write_first_events
@@ -134,9 +135,9 @@
         await p.wait_until_idle()
 
 
-async def test_the_regular_looks_go_on_after_one_that_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The router raises on its regular timer, whose next one it would have set itself. The loop fires it again, or
-    no deadline would ever be kept."""
+async def test_the_router_timer_keeps_firing_after_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The router raises on its regular timer before it schedules the next one. The event loop fires the timer again;
+    otherwise no deadline would be enforced any more."""
     monkeypatch.setattr(event_loop, "FAULT_PAUSE_MS", 50.0)
     timer_events: list[bool] = []
 
@@ -152,9 +153,9 @@
         assert p.gateway.runtime.reporter.counts["fault"] == 1 and (await p.ask()).status == 200
 
 
-async def test_an_action_that_can_t_be_carried_out_keeps_no_other_from_it() -> None:
-    """Two requests are rejected in one batch, and the first rejection raises. The second client has its answer all
-    the same."""
+async def test_an_action_that_raises_does_not_prevent_the_others() -> None:
+    """Two requests are rejected in one batch, and the first rejection raises. The second client is answered
+    nevertheless."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
         settle, refused = runtime.finish_request, list[Any]()
@@ -182,8 +183,8 @@
         assert sorted(statuses) == [502, 503]
 
 
-async def test_the_chat_gateway_too_answers_what_its_decisions_fail_on() -> None:
-    """As above: the router raises on an arrival, here in the chat gateway."""
+async def test_the_chat_gateway_answers_a_request_on_which_its_router_raises() -> None:
+    """The router raises on an arrival, here in the chat gateway."""
     async with gateway_cluster() as w:
         chooser = w.gateway.runtime.router
         w.gateway.runtime.router = RouterWithFault(chooser, lambda events: 1 / 0 if arrivals(events) else None)
@@ -195,10 +196,10 @@
         await w.wait_until_idle()
 
 
-async def test_the_chat_gateway_too_answers_before_the_close_where_its_handler_fails(
+async def test_the_chat_gateway_answers_before_the_close_if_its_handler_raises(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """As above: a handler raises, here in the chat gateway."""
+    """A handler raises, here in the chat gateway."""
     async with gateway_cluster() as w:
 
         def fail(*_: Any) -> None:
@@ -210,8 +211,8 @@
         assert (await w.ask()).done == 1
 
 
-async def test_the_library_too_ends_a_request_that_its_decisions_forget() -> None:
-    """As above: the router decides nothing for a request, here in the library."""
+async def test_the_library_fails_a_request_without_a_decision() -> None:
+    """The router returns no action for a request, here in the library."""
     async with gateway_cluster() as w:
         config = GatewayConfig(
             name="lib",
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -1,7 +1,6 @@
-"""State held for a request is taken or released in time, also where what was sent to take it never arrives.
+"""State held for a request is taken or released in time, even if the decode attempt never reaches its server.
 
-The gateway is a process of its own; a proxy stands between it and the decode servers and falls silent, connections
-open.
+The gateway runs as a separate process. Proxies in front of the decode servers stall with their connections open.
 """
 
 from __future__ import annotations
@@ -21,11 +20,11 @@
 from tests.test_platform_bounds import running
 
 RELEASE_MS = PLATFORM_SETTINGS["specifics"]["release"]
-SLACK_MS = 300.0  # what the users' page gives a gateway on top
+SLACK_MS = 300.0  # the platform protocol allows a gateway this much more
 
 
 def settings(target_ms: float, deadline_ms: float) -> dict[str, Any]:
-    """Both classes, that which may be repeated and that which may not, with these times."""
+    """Settings with these times for both classes, the idempotent one and the one that may run only once."""
     return PLATFORM_SETTINGS | {
         "profiles": [p | {"aim": target_ms, "deadline": deadline_ms} for p in PLATFORM_SETTINGS["profiles"]]
     }
@@ -44,15 +43,15 @@
 
 
 async def warm_up(p: Platform, proxies: list[StallingProxy]) -> None:
-    """Leaves kept connections to all decode servers, as a gateway has that has served for a while."""
+    """Sends requests until there are idle connections to all decode servers."""
     await wait_until_ready(p)
     while any(not p.fleet.run_counts or p.fleet.conns[name] == 0 for name in p.servers if name[0] == "w"):
         assert all(reply.status == 200 for reply in await ask_all(p, *["summary"] * 2 * len(proxies), timeout_s=3.0))
-    await trio.sleep(0.1)  # a connection rests before it is used again
+    await trio.sleep(0.1)  # longer than the reuse delay of a connection
 
 
-async def test_a_state_is_released_in_time_though_its_decode_attempt_never_arrives(tmp_path: Path) -> None:
-    """Both classes wait for longer than the release time for an answer that will not come."""
+async def test_a_state_is_released_in_time_although_its_decode_attempt_never_arrives(tmp_path: Path) -> None:
+    """Requests of both classes wait longer than the release time for an answer that never arrives."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("r0", platform_settings=platform_settings) as p:
         proxies = [await p.add_behind_proxy("w0")]
@@ -65,7 +64,7 @@
 
 
 async def test_attempts_that_never_arrive_one_after_the_other_do_not_prolong_the_release_time(tmp_path: Path) -> None:
-    """Each of four decode servers is given up on well within the release time, all of them together are not."""
+    """Each attempt at four decode servers times out well within the release time, but all of them together do not."""
     platform_settings = settings(target_ms=400.0, deadline_ms=10e3)
     async with platform("r0", platform_settings=platform_settings) as p:
         proxies = [await p.add_behind_proxy(f"w{n}") for n in range(4)]
@@ -77,8 +76,8 @@
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
 
-async def test_four_decode_servers_in_five_fall_silent_under_many_requests(tmp_path: Path) -> None:
-    """All are answered, the fifth serves, nothing stays held, and no effect happens twice."""
+async def test_four_of_five_decode_servers_stall_under_many_requests(tmp_path: Path) -> None:
+    """All requests are answered, the fifth server serves, no state stays held, and no effect happens twice."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("r0", "r1", "w4", platform_settings=platform_settings) as p:
         proxies = [await p.add_behind_proxy(f"w{n}") for n in range(4)]
@@ -93,10 +92,10 @@
 
 
 @pytest.mark.parametrize("name", ["summary", "note"])
-async def test_an_attempt_that_arrives_after_its_state_was_released_is_prefilled_anew(
+async def test_an_attempt_that_arrives_after_its_state_was_released_is_prefilled_again(
     tmp_path: Path, name: str
 ) -> None:
-    """The decode server finds no state and has run nothing, so that even what may run only once is served."""
+    """The decode server finds no state and has run nothing, so even a request that may run only once is served."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("r0", platform_settings=platform_settings) as p:
         proxy = await p.add_behind_proxy("w0")
@@ -114,10 +113,10 @@
 
 
 @pytest.mark.parametrize("name", ["summary", "note"])
-async def test_an_attempt_that_waits_at_its_server_for_longer_than_the_release_time_is_served(
+async def test_an_attempt_queued_at_its_server_for_longer_than_the_release_time_is_served(
     tmp_path: Path, name: str
 ) -> None:
-    """It has arrived, so the server keeps what it waits for, whatever is released meanwhile."""
+    """The attempt has arrived, so the state that it waits for is kept, whatever is released meanwhile."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with (
         platform("r0", "w0", platform_settings=platform_settings) as p,
@@ -134,8 +133,8 @@
         assert replies[0].status == 200 and p.fleet.count("read") == p.fleet.count("write") == 1
 
 
-async def test_a_release_finds_a_server_though_all_that_answered_last_are_silent_too(tmp_path: Path) -> None:
-    """The prefill server answers everything but releases."""
+async def test_a_release_reaches_a_server_although_the_last_ones_that_answered_stall(tmp_path: Path) -> None:
+    """The prefill server answers everything but releases, and the decode servers that answered last have stalled."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("w9", platform_settings=platform_settings) as p:
         proxies = [await p.add_behind_proxy(name) for name in ("w0", "w1", "w2")]
@@ -155,8 +154,8 @@
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
 
-async def test_a_gateway_that_is_told_to_end_leaves_nothing_held_behind_a_silent_attempt(tmp_path: Path) -> None:
-    """A gateway is told to end while a decode attempt is out unanswered. The state is released before the process
+async def test_a_gateway_that_shuts_down_releases_the_state_of_a_stalled_attempt(tmp_path: Path) -> None:
+    """A gateway receives SIGTERM while decode attempts are unanswered. Their states are released before the process
     ends."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=1500.0)
     async with platform("r0", platform_settings=platform_settings) as p:
@@ -169,16 +168,16 @@
                 p.nursery.start_soon(ask_into, p, name, replies, 1.5)
             await wait_until(lambda: len(p.fleet.states) == 2)
             process.send_signal(signal.SIGTERM)
-            with trio.fail_after(1.5 + 0.7):  # the longest deadline and 0.7 s: a kill comes no sooner
+            with trio.fail_after(1.5 + 0.7):  # SIGKILL follows after the longest deadline and 0.7 s at the earliest
                 assert await process.wait() == 0
             assert not p.fleet.states and p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
             await wait_until(lambda: len(replies) == 2)
             assert all(reply.status in (502, 503) for reply in replies)
 
 
-async def test_a_gateway_that_stands_still_for_a_moment_releases_in_time_all_the_same(tmp_path: Path) -> None:
-    """The gateway's process is stopped for a moment while it owes a release. The release goes out in time all the
-    same."""
+async def test_a_gateway_that_is_paused_for_a_moment_releases_in_time_nevertheless(tmp_path: Path) -> None:
+    """The gateway's process is stopped for a moment while a release is due soon. The release is sent in time
+    nevertheless."""
     platform_settings = settings(target_ms=2000.0, deadline_ms=10e3)
     async with platform("r0", platform_settings=platform_settings) as p:
         proxy = await p.add_behind_proxy("w0")
@@ -196,14 +195,15 @@
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
 
-async def test_a_release_that_no_server_hears_for_a_while_is_said_again() -> None:
-    """In the test's own process, as a server's way of answering changes meanwhile."""
+async def test_an_unconfirmed_release_is_repeated_until_a_server_confirms_it() -> None:
+    """Lease calls first stay unanswered and succeed later. The gateway runs in the test's process, so that the fakes
+    can be changed meanwhile."""
     async with platform("r0", "w0", w0=fault_always("status_500")) as p:
         for server in p.servers.values():
             server.lease_call_fault = "silent"
         p.fleet.hold("00000000000000cc", "r0")
         assert (await p.ask(Request_Class="note", Request_Id="00000000000000cc")).status == 502
-        p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state waits
+        p.fleet.hold("00000000000000cc", "r0")  # the decode has failed, and a state is held
         counts = p.gateway.runtime.reporter.counts
         await wait_until(lambda: counts["release unconfirmed"] >= 2)
         assert p.gateway.runtime.releases_in_flight == 1
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -1,6 +1,6 @@
-"""Clients' connections: what happens when a request, a leaving client or a shutdown meets a connection's end.
+"""Races on clients' connections: a request, a disconnecting client or a shutdown coincides with a connection's end.
 
-Each order of events is forced by gates in the stand-ins or by sockets whose bytes arrive at a chosen moment.
+Each order of events is forced by gates in the fake servers or by sockets whose bytes arrive at a chosen moment.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
     await exchange.answer(200, [], b"hello")
 
 
-# -- the idle limit, and closing for descriptors
+# -- idle time-out, and closing idle connections to free descriptors
 
 
 async def test_a_request_that_arrives_as_the_idle_time_ends_is_served(nursery: trio.Nursery) -> None:
-    """A request arrives in the moment in which its connection's idle time ends. It is served: the connection is no
-    longer idle."""
+    """A request arrives just as its connection's idle time-out expires. It is served, since the connection is not idle
+    any more."""
     stream, client = await connected_pair()
     late = BytesAtTimeout(stream, lambda: client.send(PLAIN))
     nursery.start_soon(ServerConnection(cast(Any, late), hello, LIMITS).serve)
@@ -51,7 +51,7 @@
 
 
 async def test_half_a_head_that_arrives_as_the_idle_time_ends_is_waited_for(nursery: trio.Nursery) -> None:
-    """Half a head arrives in the moment in which the idle time ends. The other half is waited for."""
+    """Half a request head arrives just as the idle time-out expires. The gateway waits for the other half."""
     stream, client = await connected_pair()
     late = BytesAtTimeout(stream, lambda: client.send(PLAIN[:9]))
     nursery.start_soon(ServerConnection(cast(Any, late), hello, LIMITS).serve)
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("part", [1, 40, -5, None])
-async def test_a_connection_on_which_a_request_has_begun_does_not_make_room_for_another(part: int | None) -> None:
-    """Unread in the kernel, or read in part: a byte, half a head, all but the end of the body."""
+async def test_a_connection_on_which_a_request_has_begun_is_not_closed_for_another(part: int | None) -> None:
+    """The begun request is still in the kernel's buffer or read in part: a byte, half a head, or nearly the whole."""
     async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
         client = RawClient(p.address)
         await wait_until(lambda: p.gateway.chat_server.idle)
@@ -71,27 +71,27 @@
         side = gateway_stream(p, client)
         client.send(whole[:part])
         block_until_readable(side)
-        assert not p.gateway.chat_server.close_longest_idle()  # before the gateway has had a turn to read it
+        assert not p.gateway.chat_server.close_longest_idle()  # before the gateway has read it
         if part is not None:
             await wait_until(lambda: not p.gateway.chat_server.idle)
-            assert not p.gateway.chat_server.close_longest_idle()  # and after that
+            assert not p.gateway.chat_server.close_longest_idle()  # and afterwards
             client.send(whole[part:])
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
         await p.wait_until_idle()
 
 
-async def test_an_idle_connection_does_make_room() -> None:
+async def test_an_idle_connection_is_closed_for_another() -> None:
     async with platform("r0", "w0") as p:
         client = RawClient(p.address)
         await wait_until(lambda: p.gateway.chat_server.idle)
         assert p.gateway.chat_server.close_longest_idle() and await client.rest() == b"" and not client.reset
 
 
-async def test_a_request_behind_an_answer_whose_last_bytes_are_still_being_written_is_the_next_one(
+async def test_a_request_that_arrives_while_the_last_bytes_of_an_answer_are_written_is_the_next_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client has the whole answer, and asks again, before the gateway's own write of its end has returned."""
+    """The client has the complete answer and sends its next request before the gateway's last write has returned."""
     async with platform("r0", "w0") as p:
         written, gate = exchange_module.Exchange.send, Gate()
 
@@ -105,9 +105,9 @@
         client.send(client_request(p))
         first = await client.answer()
         assert first.startswith(b"HTTP/1.1 200 ") and gate.reached.is_set()
-        client.send(client_request(p, BODY[:-1] + b" " * 100_000 + b"}"))  # larger than what is kept ahead of its turn
+        client.send(client_request(p, BODY[:-1] + b" " * 100_000 + b"}"))  # larger than the early-data buffer
         await wait_until(lambda: p.gateway.chat_server.connections == 1)
-        for _ in range(20):  # turns for whoever reads meanwhile
+        for _ in range(20):  # lets the reading task run
             await trio.lowlevel.checkpoint()
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -115,8 +115,8 @@
         await p.wait_until_idle()
 
 
-async def test_a_client_that_resets_the_connection_as_its_request_is_read_is_no_fault(nursery: trio.Nursery) -> None:
-    """A client resets its connection while its request is read. No fault is logged."""
+async def test_a_client_that_resets_its_connection_during_a_request_raises_no_error(nursery: trio.Nursery) -> None:
+    """A client resets its connection while its request is read. Serving it raises no exception."""
     stream, client = await connected_pair()
 
     class Reset(StreamWrapper):
@@ -129,18 +129,18 @@
     await ServerConnection(cast(Any, Reset(stream)), hello, LIMITS).serve()  # raises nothing
 
 
-# -- an answer's end
+# -- end of an answer
 
 
-async def test_what_a_client_sends_at_the_end_of_a_broken_stream_does_not_reset_its_events() -> None:
-    """Unread bytes at the close would turn the end into a reset, which takes events with it."""
+async def test_bytes_from_a_client_at_the_end_of_a_broken_stream_do_not_lose_its_events() -> None:
+    """Unread bytes at the close would cause a reset, which can discard events that the client has not read yet."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].script = lambda _: "later_cut"
         runtime, client = p.gateway.runtime, RawClient(p.address)
         settle = runtime.finish_request
 
         def at_the_end(active_request: Any, final: Any) -> None:
-            client.send(b"x" * 100)  # still unread when the connection is ended, in this same turn
+            client.send(b"x" * 100)  # still unread when the connection is ended, without a scheduler cycle in between
             block_until_readable(active_request.exchange.stream)
             settle(active_request, final)
 
@@ -152,8 +152,8 @@
 
 @pytest.mark.parametrize("way", ["later_cut", "later_noise", "later_silent"])
 async def test_a_stream_that_breaks_ends_without_its_last_chunk_and_without_a_reset(way: str) -> None:
-    """A stream breaks while unread bytes of the client lie in the socket. The client reads all events, then the end,
-    without a reset that would take them."""
+    """A model server's stream breaks. The client reads all events and then the end of the connection, without a reset
+    that would discard them."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].script = lambda _: way
         client = RawClient(p.address)
@@ -165,15 +165,15 @@
 # -- slow clients
 
 
-async def test_a_slow_client_may_write_for_as_long_as_a_silent_one_may_stay() -> None:
-    """The page ends those who send nothing 3 s after they connect; all of that is a slow client's, less the way."""
+async def test_a_slow_client_has_as_much_time_as_a_silent_one() -> None:
+    """The platform closes connections without a request after 3 s; a slow client has all of that, less the transit."""
     async with platform("r0", "w0") as p:
         limits = p.gateway.chat_server.limits
         assert 2500 <= limits.first_ms == limits.head_ms == limits.body_ms < 3000 and limits.idle_ms < limits.first_ms
 
 
 async def test_a_body_whose_last_byte_comes_late_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that took longer than 1.2 s was refused with 408."""
+    """Guards against a too short body time-out: bodies that took longer than 1.2 s were refused with 408."""
     async with platform("r0", "w0") as p:
         client, whole = RawClient(p.address), client_request(p)
         client.send(whole[:-1])
@@ -183,14 +183,14 @@
         client.sock.close()
 
 
-# -- the shutdown
+# -- shutdown
 
 
 @pytest.mark.parametrize("sent", ["nothing", "unread", "half a head", "half a body"])
 @pytest.mark.parametrize("served", [False, True])
-async def test_what_a_shutdown_meets_on_a_connection_is_answered_or_ended_cleanly(sent: str, served: bool) -> None:
-    """A shutdown meets a connection that is idle, or on which a request has begun. What has begun is answered, the
-    rest ends without a reset."""
+async def test_a_shutdown_answers_begun_requests_and_closes_idle_connections_cleanly(sent: str, served: bool) -> None:
+    """A shutdown begins while a connection is idle or has received a request in part. A begun request is answered; an
+    idle connection is closed without a reset."""
     async with platform("r0", "w0") as p:
         client = RawClient(p.address)
         if served:
@@ -204,7 +204,7 @@
             block_until_readable(side)
         if sent.startswith("half"):
             await wait_until(lambda: not p.gateway.chat_server.idle)  # it has been read
-        p.gateway.begin_drain()  # in this very turn: nobody has read meanwhile
+        p.gateway.begin_drain()  # without a scheduler cycle: no task has read meanwhile
         p.nursery.start_soon(p.gateway.drain)
         if part:
             if part < len(whole):
@@ -217,10 +217,11 @@
         client.sock.close()
 
 
-async def test_a_request_that_meets_the_end_of_an_answer_during_a_shutdown_is_answered_and_is_the_last(
+async def test_a_request_that_arrives_with_the_end_of_an_answer_during_a_shutdown_is_answered_as_the_last(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The head of that answer could not say yet that the connection ends, so its client may ask again at once."""
+    """The first answer's head was written before the shutdown and without `Connection: close`, so the client may send
+    another request at once."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["end"] = Gate()
         client, written = RawClient(p.address), Exchange.send
@@ -246,7 +247,7 @@
 
 
 async def test_a_stream_whose_server_finishes_during_a_shutdown_reaches_its_end() -> None:
-    """A server finishes its stream while the gateway shuts down. The client has the whole of it."""
+    """A model server finishes its stream while the gateway shuts down. The client receives all of it."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["end"] = Gate()
         client = RawClient(p.address)
@@ -259,7 +260,7 @@
             done.set()
 
         p.nursery.start_soon(drain)
-        await wait_until(lambda: p.gateway.listener.socket.fileno() < 0)  # all that the drain closes is closed
+        await wait_until(lambda: p.gateway.listener.socket.fileno() < 0)  # the drain has closed its listener
         assert not done.is_set()
         gate.open()
         out = await client.rest()
@@ -269,7 +270,7 @@
 
 
 class FailingListener:
-    """A listener that fails some times, as where descriptors have run out, before it goes on."""
+    """A listener whose accept fails `fails` times, as without free descriptors, and then works."""
 
     def __init__(self, listener: trio.SocketListener, fails: int, number: int) -> None:
         self.listener, self.fails, self.number, self.socket = listener, fails, number, listener.socket
@@ -282,14 +283,14 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ECONNABORTED])
-async def test_a_shutdown_while_descriptors_are_short_takes_what_waits_at_the_listener(number: int) -> None:
-    """A client waits in the listener's queue, and accept fails for want of descriptors as the gateway shuts down.
-    The client is answered."""
+async def test_a_shutdown_without_free_descriptors_accepts_queued_connections(number: int) -> None:
+    """A client waits in the listener's queue, and accept fails for lack of descriptors as the gateway shuts down. The
+    client is answered."""
     async with platform("r0", "w0") as p:
         p.gateway.accept_scope.cancel()
         idle = p.gateway.chat_server
         await trio.testing.wait_all_tasks_blocked()
-        client = RawClient(p.address)  # left to the listener's queue
+        client = RawClient(p.address)  # stays in the listener's queue
         client.send(client_request(p))
         p.gateway.listener = FailingListener(p.gateway.listener, 3, number)  # type: ignore[assignment]
         p.nursery.start_soon(p.gateway.drain)
@@ -298,8 +299,8 @@
         client.sock.close()
 
 
-async def test_a_shutdown_ends_though_no_descriptor_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    """accept fails for want of descriptors for ever. The shutdown ends all the same."""
+async def test_a_shutdown_ends_although_no_descriptor_becomes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """accept keeps failing for lack of descriptors. The shutdown completes nevertheless."""
     monkeypatch.setattr(acceptor_module, "SHORTAGE_PAUSE_MS", 1.0)
     async with platform("r0", "w0") as p:
         p.gateway.listener = FailingListener(p.gateway.listener, 10**9, errno.EMFILE)  # type: ignore[assignment]
@@ -307,26 +308,27 @@
             await p.gateway.drain()
 
 
-async def test_a_shutdown_ends_though_a_late_connection_rests_after_the_last_look() -> None:
-    """It is taken from the queue, says nothing, and must not be waited for until its first request is overdue."""
+async def test_a_shutdown_does_not_wait_for_silent_connections_accepted_late() -> None:
+    """A connection accepted from the queue sends nothing. The shutdown must not wait for its first-request time-out."""
     async with platform("r0", "w0") as p:
         p.gateway.accept_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         clients = [RawClient(p.address) for _ in range(3)]
-        with trio.fail_after(1.5):  # a silent connection would rest for 2.3 s
+        with trio.fail_after(1.5):  # a silent connection would stay open for 2.3 s
             await p.gateway.drain()
         for client in clients:
             assert await client.rest() == b"" and not client.reset
             client.sock.close()
 
 
-# -- clients that leave
+# -- clients that disconnect
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
 @pytest.mark.parametrize("where", ["read", "hand-over", "stream"])
-async def test_a_client_that_leaves_is_sent_on_no_more_and_nothing_stays_held(how: str, where: str) -> None:
-    """A client leaves before its request is forwarded. Nothing is sent, and nothing stays held."""
+async def test_a_request_whose_client_disconnects_is_not_forwarded_and_holds_no_state(how: str, where: str) -> None:
+    """A client disconnects during the prefill, before the decode or within the stream. No further attempt is sent, and
+    no state stays held."""
     async with platform("r0", "w0") as p:
         server, point = {"read": ("r0", "request"), "hand-over": ("w0", "request"), "stream": ("w0", "event")}[where]
         gate = p.servers[server].gates[point] = Gate()
@@ -341,17 +343,17 @@
         await wait_until(lambda: not p.gateway.chat_server.connections)
 
 
-async def test_many_clients_that_leave_while_they_wait_are_none_of_them_sent_on() -> None:
-    """They wait for a place while every server is believed full; then they leave, and places come free."""
-    patient = [
+async def test_requests_of_clients_that_disconnect_while_queued_are_not_forwarded() -> None:
+    """Requests are queued because every server seems full. The clients disconnect before capacity becomes free."""
+    long_deadlines = [
         profile | {"aim": 5000.0, "deadline": 10e3} for profile in PLATFORM_SETTINGS["profiles"]
     ]  # none is rejected meanwhile
-    async with platform("r0", "w0", platform_settings=PLATFORM_SETTINGS | {"profiles": patient}) as p:
+    async with platform("r0", "w0", platform_settings=PLATFORM_SETTINGS | {"profiles": long_deadlines}) as p:
         gate = p.servers["r0"].gates["request"] = Gate()
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
         await wait_until(lambda: p.gateway.runtime.endpoint_registry.servers["r0"].status.name == "DRAINING")
-        scheduler.rules.admission.has_servers_for = lambda course: True  # it waits, rather than being rejected at once
+        scheduler.rules.admission.has_servers_for = lambda course: True  # queued instead of rejected at once
         clients = [RawClient(p.address) for _ in range(40)]
         for client in clients:
             client.send(client_request(p, Request_Timeout="10"))
@@ -370,17 +372,17 @@
         await p.wait_until_idle()
 
 
-async def test_bad_requests_in_half_are_ended_within_three_seconds() -> None:
+async def test_an_incomplete_request_is_refused_within_three_seconds() -> None:
     async with platform("r0", "w0") as p:
         said = await p.send_raw(HEAD + b"Content-Length: 9\r\n\r\n{", within=3.0)
         assert said.startswith(b"HTTP/1.1 408 ")
 
 
-# -- events as they come
+# -- events are forwarded at once
 
 
 async def test_an_event_reaches_its_client_before_its_server_writes_the_next_one() -> None:
-    """Never gathered: the server holds behind the first event until the client has it."""
+    """Events are not buffered: the server waits after the first event until the client has it."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["event"] = Gate()
         client = RawClient(p.address)
@@ -393,7 +395,7 @@
         client.sock.close()
 
 
-async def test_small_writes_are_held_back_on_neither_side() -> None:
+async def test_small_writes_are_not_delayed_on_either_side() -> None:
     async with platform("r0", "w0") as p:
         client = RawClient(p.address)
         await wait_until(lambda: p.gateway.chat_server.idle)
--- a/tests/test_races_discovery.py
+++ b/tests/test_races_discovery.py
@@ -1,6 +1,7 @@
-"""Discovery's lists and the configuration: what a first request, a reload or a silent agent may meet.
+"""Races of endpoint lists and configuration with a first request, a reload, a silent agent or a move of discovery.
 
-The order is forced by gates in the stand-in agent; times are the registry's own, shortened where a test waits for them.
+The order is forced by gates in the fake agent. Time-outs are those of the discovery watch, shortened where a test waits
+for them.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
     return p.gateway.runtime.endpoint_registry.servers[name].status
 
 
-# -- the first list and the first request
+# -- first list and first request
 
 
 async def new_gateway(p: Platform, known: bytes) -> gateway_module.Gateway:
-    """Another process of the same gateway, that knows the servers by an older list; not started yet."""
+    """Returns a new gateway that is not started yet and whose configuration has an older endpoint list."""
     host, _, number = p.discovery.address.partition(":")
     configuration = GatewayConfiguration(
         "n1",
@@ -53,7 +54,7 @@
 
 
 async def test_a_first_request_does_not_go_to_a_server_that_began_to_drain_before_the_start() -> None:
-    """What the agent has counts as told from the first moment; the list at hand is older."""
+    """The agent's list takes effect before the first request, although the configured list is older."""
     async with platform("r0", "w0", "w1") as p:
         known = json.dumps(p.discovery.listing()).encode()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
@@ -61,7 +62,7 @@
         gateway = await new_gateway(p, known)
         p.nursery.start_soon(gateway.start)
         await gate.reached.wait()
-        assert not gateway.chat_server.ready  # also not asked whether it is: it takes no connection yet
+        assert not gateway.chat_server.ready  # and accepts no connection yet, not even for a readiness check
         p.address = "127.0.0.1:%d" % gateway.listener.socket.getsockname()[1]
         client = RawClient(p.address)
         client.send(client_request(p))  # waits in the listener's queue
@@ -71,8 +72,8 @@
         client.sock.close()
 
 
-async def test_a_start_does_not_wait_for_an_agent_that_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery is silent as a gateway starts. It serves by the list of its configuration after a bounded time."""
+async def test_a_start_does_not_wait_for_a_silent_agent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Discovery is silent as a gateway starts. After a bounded time it serves with the list of its configuration."""
     monkeypatch.setattr(gateway_module, "FIRST_LIST_MS", 100.0)
     async with platform("r0", "w0") as p:
         p.discovery.silent = True
@@ -85,10 +86,10 @@
     assert discovery_watch.FIRST_LIST_MS < 2000
 
 
-# -- the worst case of each path
+# -- worst-case delays
 
 
-def test_what_a_new_address_has_to_tell_is_heard_in_time_though_the_first_call_hangs() -> None:
+def test_the_list_of_a_new_address_arrives_in_time_although_the_first_call_hangs() -> None:
     call = discovery_watch.CONNECT_TIMEOUT_MS + discovery_watch.HEAD_TIMEOUT_MS
     assert (
         discovery_watch.ADDRESS_CHANGE_WORST_CASE_MS
@@ -99,8 +100,8 @@
 
 
 @pytest.mark.parametrize("when", ["at once", "after a line", "late", "within a line"])
-async def test_a_watch_that_falls_silent_is_opened_anew_in_time(when: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """At a tenth of the real times. The change comes while the watch is silent."""
+async def test_a_watch_that_becomes_silent_is_reopened_in_time(when: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The list changes while the watch is silent. All time-outs are a tenth of the real ones."""
     for name in (
         "HEARTBEAT_MS",
         "WATCH_TIMEOUT_MS",
@@ -116,17 +117,17 @@
         discovery.put("w0", "127.0.0.1:1", "writer")
         await discovery.start()
         host, _, number = discovery.address.partition(":")
-        heard, index = trio.Event(), [discovery.index]
+        draining_received, index = trio.Event(), [discovery.index]
 
-        def hear(listing: EndpointList) -> None:
+        def on_list(listing: EndpointList) -> None:
             index[0] = listing.index
             if any(entry.status == "DRAINING" for entry in listing.endpoints):
-                heard.set()
+                draining_received.set()
 
         if when == "at once":
             discovery.silent = True
         watch = discovery_watch.DiscoveryWatch(
-            (host, int(number)), lambda: index[0], hear, lambda _: None, 7, nursery, None
+            (host, int(number)), lambda: index[0], on_list, lambda _: None, 7, nursery, None
         )
         watch.start()
         await wait_until(lambda: discovery.asked)
@@ -140,16 +141,16 @@
             discovery.garbage = b'{"index":9,"snapshot":false,"endpo'
             discovery.put("w1", "127.0.0.1:2", "writer")
             await wait_until(lambda: not discovery.garbage)
-        discovery.silence_open_watches()  # open watches say no more, new ones are served
+        discovery.silence_open_watches()  # new watches are served
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
-        await wait_until(heard.is_set)
+        await wait_until(draining_received.is_set)
         assert (trio.current_time() - since) * 1000 < discovery_watch.PROPAGATION_MS / 10
         nursery.cancel_scope.cancel()
 
 
-async def test_a_watch_that_is_reset_is_opened_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The agent is on the same machine, and what it has counts as told: no wait is left to us there."""
+async def test_a_watch_that_is_reset_is_reopened_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The agent runs on the same machine and its list counts as known to the gateway, so there is no time to wait."""
     pauses: list[float] = []
 
     async def pause(_: Any, usual_ms: float) -> None:
@@ -160,7 +161,7 @@
     monkeypatch.setattr(discovery_watch, "WATCH_TIMEOUT_MS", 250.0)
     async with platform("r0", "w0") as p:
         await p.gateway.watch.opened.wait()
-        await trio.sleep(0.3)  # it has worked for longer than it may be silent
+        await trio.sleep(0.3)  # the watch has worked for longer than its time-out
         for stream in list(p.discovery.conns):
             stream.socket.close()
         await wait_until(lambda: len(p.discovery.asked) == 2)
@@ -170,8 +171,8 @@
         )
 
 
-async def test_a_list_that_is_cut_within_a_line_is_asked_for_anew_and_whole() -> None:
-    """A watch ends within a list. Nothing of it is used, and the whole list is asked for."""
+async def test_a_list_truncated_within_a_line_is_requested_again() -> None:
+    """A watch ends within a line. Nothing of it is used, and the change is requested again from the same index."""
     async with platform("r0", "w0") as p:
         p.discovery.truncate_at = 60
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
@@ -179,13 +180,13 @@
         assert p.discovery.asked == [str(p.discovery.index - 1)] * 2
 
 
-# -- the move of discovery
+# -- discovery moves to another address
 
 
-async def test_an_old_agent_whose_watch_ends_during_a_pause_is_not_asked_again_after_the_move(
+async def test_an_old_agent_whose_watch_is_in_backoff_during_the_move_is_not_queried_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Discovery moves while the old agent's watch waits to be opened anew. The old agent is not asked again."""
+    """Discovery moves while the watch of the old agent waits to be reopened. The old agent is not queried again."""
     gate = Gate()
 
     async def held(*_: Any) -> None:
@@ -199,8 +200,8 @@
         await p.gateway.watch.opened.wait()
         for stream in list(p.discovery.conns):
             stream.socket.close()
-        await gate.reached.wait()  # the old watch has ended, and waits before it would ask again
-        other.gates["watch"] = Gate()  # so that the new one has not spoken yet
+        await gate.reached.wait()  # the old watch has ended and is in backoff
+        other.gates["watch"] = Gate()  # holds back the new agent's list
         asked = len(p.discovery.asked)
         host, _, number = other.address.partition(":")
         p.gateway.watch.change_address((host, int(number)))
@@ -213,8 +214,8 @@
         assert len(p.discovery.asked) == asked
 
 
-async def test_a_drain_that_only_the_new_agent_tells_is_heard_though_the_old_one_is_silent() -> None:
-    """Discovery moves, the old agent is silent, and only the new one tells of a drain. It is heard."""
+async def test_a_drain_reported_only_by_the_new_agent_takes_effect_while_the_old_one_is_silent() -> None:
+    """Discovery moves, the old agent is silent, and only the new one reports a drain. The drain takes effect."""
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         p.discovery.silence_open_watches()
@@ -228,8 +229,8 @@
         await wait_until(lambda: len(p.gateway.watch.watch_scopes) == 1)
 
 
-async def test_what_an_old_agent_says_after_the_new_one_undoes_nothing() -> None:
-    """An old agent's list comes after a newer one of the new agent. It is ignored."""
+async def test_a_late_list_of_the_old_agent_is_ignored() -> None:
+    """An older list of the old agent arrives after a newer one of the new agent. It is ignored."""
     async with platform("r0", "w0", "w1") as p:
         await p.gateway.watch.opened.wait()
         old = json.dumps(p.discovery.listing()).encode()
@@ -237,22 +238,22 @@
         other.index, other.log, other.entries = p.discovery.index, list(p.discovery.log), dict(p.discovery.entries)
         await other.start()
         gate = p.discovery.gates["list"] = Gate()
-        p.discovery.put("w9", "127.0.0.1:9", "writer")  # the old agent is about to say something
+        p.discovery.put("w9", "127.0.0.1:9", "writer")  # the old agent is about to send a change
         await gate.reached.wait()
         other.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         host, _, number = other.address.partition(":")
         p.gateway.watch.change_address((host, int(number)))
         await wait_until(lambda: status(p, "w0") is EndpointStatus.DRAINING)
         gate.open()
-        p.gateway.runtime.update_endpoints(parse_endpoint_list(old))  # as it would come from there
+        p.gateway.runtime.update_endpoints(parse_endpoint_list(old))  # as it would arrive from the old agent
         assert status(p, "w0") is EndpointStatus.DRAINING
 
 
 # -- reloads
 
 
-async def test_a_reload_takes_over_the_limits_of_connections(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A customer with other limits must not meet the first one's; and back again."""
+async def test_a_reload_applies_the_connection_limits(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A reload replaces the limits, and a second reload restores the first ones."""
     async with platform("r0", "w0") as p:
         pool, chat_server = p.gateway.pool, p.gateway.chat_server
         first = (
@@ -285,7 +286,7 @@
         ) == first
 
 
-async def test_kept_connections_that_a_shorter_idle_limit_forbids_are_closed() -> None:
+async def test_idle_connections_beyond_a_shortened_idle_time_out_are_closed() -> None:
     pool = ConnectionPool(100.0, 1000.0)
     async with platform("r0", "w0") as p:
         for server in p.servers.values():
@@ -299,21 +300,22 @@
         assert not pool.idle_of_all and not pool.open
 
 
-async def test_settings_beside_the_start_facts_are_taken_over_too(
+async def test_a_reload_that_changes_only_memory_or_tenants_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Memory of a kind of server, tenants, columns of reports: a reload that changed only these changed nothing."""
+    """Guards against reloads without effect: one that changed only the memory of a kind of server, tenants or report
+    columns was ignored."""
     async with platform("r0", "w0") as p:
         kinds = PLATFORM_SETTINGS["specifics"] | {"tokens_by_kind": [1000, 3000]}
         reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"specifics": kinds, "tenants": [{"name": "a"}]})
         servers, first = p.gateway.runtime.endpoint_registry.servers, p.gateway.runtime.deployment.tenants["a"]
         assert servers["r0"].kv_capacity_tokens == 1000 and servers["w0"].kv_capacity_tokens == 3000
         reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"tenants": [{"name": "a"}, {"name": "b"}]})
-        assert p.gateway.runtime.deployment.tenants["a"] is first  # still the same customer
+        assert p.gateway.runtime.deployment.tenants["a"] is first  # unchanged tenants are kept
         assert servers["r0"].kv_capacity_tokens == 200000 and len(p.gateway.runtime.deployment.tenants) == 2
 
 
-async def test_nothing_that_was_learnt_under_other_terms_shows_under_new_ones(
+async def test_estimates_learnt_under_other_settings_are_not_used_under_new_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
@@ -331,8 +333,8 @@
             scheduler.rules.affinity.cached_share,
         )
         assert new is not old and not any(request_class in table for request_class in (old, new) for table in tables)
-        assert scheduler.rules.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # as if nothing had been met yet
-        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS)  # and back: its terms are new ones again
+        assert scheduler.rules.latency.usual_ms(new, Stage.PREFILL) == 700.0 / 8  # the default without observations
+        reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS)  # the restored settings start without observations too
         assert (
             scheduler.rules.latency.usual_ms(runtime.deployment.request_classes["summary"], Stage.PREFILL) == 500.0 / 8
         )
@@ -340,7 +342,7 @@
         await p.wait_until_idle()
 
 
-async def test_a_request_that_is_open_during_a_reload_ends_under_the_terms_it_came_with(
+async def test_a_request_open_during_a_reload_ends_under_the_settings_it_started_with(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
@@ -350,7 +352,7 @@
         await gate.reached.wait()
         other = [profile | {"name": profile["name"] + "-2"} for profile in PLATFORM_SETTINGS["profiles"]]
         reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"profiles": other})
-        assert (await p.ask()).status == 400  # the class is not served any more
+        assert (await p.ask()).status == 400  # the request class no longer exists
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         assert (await p.ask(Request_Class="summary-2")).status == 200
@@ -358,9 +360,9 @@
         await p.wait_until_idle()
 
 
-# -- the start
+# -- start-up
 
-# What `run` reads in beside the standard library: each costs every restart its time and every gateway its memory.
+# Packages imported beside the standard library: each costs start-up time and memory in every gateway.
 PACKAGES = {
     "ternlane",
     "trio",
@@ -394,14 +396,15 @@
 
 
 def cpu_time_s(pid: int) -> float:
-    """The processor time that a process has taken, by proc(5): fields 14 and 15."""
+    """Returns the processor time used by a process: fields 14 and 15 of /proc/PID/stat, see proc(5)."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def test_a_restart_is_ready_within_a_fraction_of_the_processor_time_it_may_take(tmp_path: Path) -> None:
-    """Nine in ten are to be ready within 10 s, on a small share of a core: counted in processor time, not on a clock
-    that a busy machine delays. Killed right after its first connection, it starts again at the same address."""
+async def test_a_restarted_gateway_is_ready_within_its_processor_time_budget(tmp_path: Path) -> None:
+    """Nine in ten restarts have to be ready within 10 s on a small share of a core. Processor time is measured because
+    a busy machine delays the wall clock. The process is killed right after its first connection and starts again at the
+    same address."""
     async with platform("r0", "w0") as p:
         p.reserve_address()
         config = tmp_path / "config.json"
@@ -428,8 +431,8 @@
                 client = RawClient(p.address)
                 client.send(client_request(p)[:40])
             finally:
-                process_.send_signal(signal.SIGKILL)  # with a connection accepted, and half a request on it
+                process_.send_signal(signal.SIGKILL)  # with an accepted connection that has sent half a request
                 await process_.wait()
             assert await client.rest() == b""
             client.sock.close()
-            assert used_s < 1.0  # a tenth of a core has it ready within 10 s
+            assert used_s < 1.0  # ready within 10 s on a tenth of a core
--- a/tests/test_races_servers.py
+++ b/tests/test_races_servers.py
@@ -1,6 +1,6 @@
-"""Attempts and what is held at model servers: drains, deadlines, windows and releases that meet them half-way.
+"""Races of attempts and held state at model servers with drains, deadlines, deduplication windows and releases.
 
-Each order of events is forced by gates in the stand-ins, or at the one point of ours that the event has to meet.
+Each order of events is forced by gates in the fake servers, or by a patch at the one point of the gateway concerned.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class DelayedConnects:
-    """Connections come up at once, and nobody hears of it before `gate` opens: a slow handshake."""
+    """Simulates a slow handshake: connections are established at once, but reported only when `gate` opens."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str) -> None:
         self.gate, self.address, reach = Gate(), address, connection_pool_module.open_stream
@@ -59,19 +59,19 @@
         monkeypatch.setattr(connection_pool_module, "open_stream", slow)
 
     def after(self, p: Platform, role: str) -> None:
-        """Holds the connections to servers of this duty once one of them has been asked."""
+        """Delays connections to servers of this role once one of them has received a request."""
         addresses = {server.address for server in p.servers.values() if server.role == role}
         self.holds = lambda address: address in addresses and p.fleet.count(role) > 0
 
 
-# -- draining x send
+# -- draining servers
 
 
 @pytest.mark.parametrize("name, other, kind", [("r0", "r1", "reader"), ("w0", "w1", "writer")])
 async def test_a_server_that_begins_to_drain_during_the_connect_is_sent_nothing(
     name: str, other: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The attempt was decided before; it is judged where it begins."""
+    """The attempt was decided before the drain, but drains are checked again when the attempt begins."""
     async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
         held = DelayedConnects(monkeypatch, p.servers[name].address)
         replies: list[Reply] = []
@@ -90,7 +90,7 @@
 
 
 async def test_a_server_that_begins_to_drain_while_an_attempt_waits_for_a_release_is_sent_nothing() -> None:
-    """An attempt waits for an earlier one's release, and its server begins to drain meanwhile. It is sent nothing."""
+    """An attempt waits for the release of an earlier one, and its server begins to drain. Nothing is sent there."""
     async with platform(
         "r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0), w0=fault_once("gone_410")
     ) as p:
@@ -100,7 +100,7 @@
             each["lease"] = gate
         replies: list[Reply] = []
         p.nursery.start_soon(partial(ask_into, p, replies))
-        await gate.reached.wait()  # the prompt is to be read anew, once what was held is released
+        await gate.reached.wait()  # the prefill is to be repeated after the release
         await p.add("r1")
         p.discovery.put("r0", p.servers["r0"].address, "reader", "DRAINING")
         await wait_until(
@@ -137,9 +137,9 @@
         await w.wait_until_idle()
 
 
-def test_an_attempt_that_was_withheld_lets_the_release_time_run_on_and_blames_no_server() -> None:
-    """A decode attempt was not started, as its server drained. That proves nothing of the held state, whose release
-    time runs on."""
+def test_an_attempt_that_was_not_started_neither_stops_the_release_timer_nor_counts_as_a_failure() -> None:
+    """A decode attempt is not started because its server drains. The state is still held, so its release timer keeps
+    running, and the server is not ejected."""
     host = make_host(("w2", "w3"))
     request, attempt = host.start_decode(Effect.SIDE_EFFECTING)
     second = started_attempt(host.end_attempt(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
@@ -151,10 +151,10 @@
     assert not host.router.scheduler.rules.endpoints[attempt.server.router_state].ejected
 
 
-# -- the time that is left
+# -- remaining time
 
 
-async def test_the_time_told_is_what_is_left_also_after_a_wait_for_a_release() -> None:
+async def test_the_stated_time_out_is_the_remaining_time_also_after_a_wait_for_a_release() -> None:
     async with platform(
         "r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0), w0=fault_once("gone_410")
     ) as p:
@@ -165,7 +165,7 @@
         since = trio.current_time()
         p.nursery.start_soon(partial(ask_into, p, replies, Request_Timeout="1.5"))
         await gate.reached.wait()
-        await trio.sleep(0.2)  # the time that passes, not the order, is the matter here
+        await trio.sleep(0.2)  # the elapsed time matters here, not the order
         gate.open()
         await wait_until(lambda: len(p.fleet.stated_timeouts_s) > 2)
         assert p.fleet.stated_timeouts_s[2] <= 1.5 - (trio.current_time() - since) + 0.1
@@ -173,8 +173,8 @@
         assert replies[0].status == 200
 
 
-async def test_an_answer_that_arrives_as_its_time_ends_is_read(nursery: trio.Nursery) -> None:
-    """An answer arrives in the moment in which its timeout strikes. It is read."""
+async def test_an_answer_that_arrives_as_its_time_out_expires_is_read(nursery: trio.Nursery) -> None:
+    """An answer arrives just as its time-out expires. It is read."""
     stream, peer = await connected_pair()
 
     class Late(StreamWrapper):
@@ -193,8 +193,8 @@
     caller.close_now()
 
 
-async def test_a_peer_that_never_stops_sending_is_not_waited_for_beyond_its_time() -> None:
-    """A server sends on without end after its timeout. It is read once more, not for ever."""
+async def test_a_peer_that_never_stops_sending_is_read_only_once_after_the_deadline() -> None:
+    """A server keeps sending after its read deadline. It is read once more, not for ever."""
     stream, peer = await connected_pair()
     caller = ClientConnection(stream, "a:1", ("", 0))
     await caller.send_request("GET", "/", [])
@@ -205,23 +205,23 @@
     with pytest.raises(ReadTimeout):
         async for piece in caller.chunks():
             got.append(piece)
-            peer.send(encode_chunk(b": comment\n\n"))  # there is always something to read
+            peer.send(encode_chunk(b": comment\n\n"))  # there are always unread bytes
             block_until_readable(stream)
     assert got[0] == EVENT and len(got) <= 2
     caller.close_now()
 
 
-async def test_an_event_that_arrives_as_a_stream_counts_as_silent_is_passed_on_and_so_is_the_rest(
+async def test_an_event_that_arrives_as_the_idle_time_out_expires_is_forwarded_with_the_rest(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An event arrives in the moment in which its stream counts as silent. It is forwarded, and the stream goes on."""
+    """An event arrives just as the stream's idle time-out expires. It is forwarded, and the stream goes on."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["event"] = Gate()
         receive, held = ClientConnection._receive, Gate()
         now = trio.current_time
 
         async def at_the_limit(self: ClientConnection) -> bytes:
-            """Once the first event has been passed on: all of the rest is there, and the time is over."""
+            """After the first event has been forwarded, lets all the rest arrive and the idle time-out expire."""
             if self.peer == p.servers["w0"].address and gate.reached.is_set() and not held.opened.is_set():
                 held.open()
                 gate.open()
@@ -237,7 +237,7 @@
         await p.wait_until_idle()
 
 
-# -- windows of repeats
+# -- deduplication windows
 
 KEYED = PLATFORM_SETTINGS | {
     "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 1500.0},
@@ -255,10 +255,10 @@
 }
 
 
-async def test_a_window_that_ends_between_the_decision_and_the_send_forbids_the_repeat(
+async def test_a_window_that_ends_between_the_decision_and_the_send_forbids_the_retry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its servers have forgotten the first attempt by then, and would let the second one take effect."""
+    """The servers no longer deduplicate the first attempt by then, so a second one would take effect again."""
     async with platform("r0", "w0", platform_settings=KEYED, w0=fault_once("opening_cut")) as p:
         replies: list[Reply] = []
         gate = p.servers["w0"].gates["request"] = Gate()
@@ -267,8 +267,8 @@
         second = await p.add("w1")
         await wait_until(lambda: "w1" in p.gateway.runtime.endpoint_registry.servers)
         held = DelayedConnects(monkeypatch, second.address)
-        gate.open()  # it breaks off: it may have run
-        await held.gate.reached.wait()  # a repeat was allowed, and its connection is slow
+        gate.open()  # the attempt breaks off, so it may have run
+        await held.gate.reached.wait()  # a retry was allowed, and its connection is slow
         await trio.sleep(0.45)  # the window is over
         held.gate.open()
         await wait_until(lambda: replies)
@@ -284,7 +284,7 @@
     return host
 
 
-def test_a_repeat_may_begin_only_while_the_window_lasts() -> None:
+def test_a_retry_may_begin_only_within_the_window() -> None:
     host = keyed(3000.0)
     request, attempt = host.start_decode(Effect.DEDUPLICATED)
     assert attempt.start_within_ms == float("inf")  # nothing may have run yet
@@ -293,25 +293,25 @@
 
 
 @pytest.mark.parametrize("after, answer", [(100.0, messages.Reject), (2900.0, messages.Fail), (3100.0, messages.Fail)])
-def test_a_repeat_by_its_client_is_called_harmless_only_where_it_would_come_within_the_window(
+def test_a_request_is_rejected_as_retryable_only_if_the_client_would_retry_within_the_window(
     after: float, answer: type
 ) -> None:
-    """The client may come back after the return time that it is told, and then runs again."""
+    """The client may retry after the time in Retry-After, and the request then runs again."""
     host = keyed(3000.0)
     request, attempt = host.start_decode(Effect.DEDUPLICATED)
     host.update_endpoints(w0=messages.EndpointStatus.DRAINING, w1=messages.EndpointStatus.DRAINING)
     assert answer in action_types(host.end_attempt(request, attempt.server, AttemptOutcome.RESET, after=after))
 
 
-# -- second answers, kept connections
+# -- second answers, reused connections
 
 
-async def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(
+async def test_a_late_second_answer_is_not_taken_for_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A server answers a request twice, the second time some milliseconds late. The second is not taken for the next
     request's answer."""
-    monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 60e3)  # so that a slow machine is still within it
+    monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 60e3)  # long enough on a slow machine
     async with platform("r0", "w0", w0=fault_once("second_answer")) as p:
         gate = p.servers["w0"].gates["second"] = Gate()
         assert (await p.ask()).status == 200
@@ -319,25 +319,26 @@
         replies: list[Reply] = []
         p.nursery.start_soon(partial(ask_into, p, replies))
         await wait_until(lambda: p.fleet.count("read") == 2 and not p.fleet.open["r0"])
-        await wait_until(lambda: p.fleet.conns["w0"] == 2 or replies)  # over a connection of its own
+        await wait_until(lambda: p.fleet.conns["w0"] == 2 or replies)  # on a new connection
         gate.open()
         await wait_until(lambda: replies)
         assert replies[0].status == 200
-        assert replies[0].body.endswith(b": Server-Load: inflight=2,x0=0.2\n\n")  # its own answer, not that one
+        assert replies[0].body.endswith(b": Server-Load: inflight=2,x0=0.2\n\n")  # its own answer
         await p.wait_until_idle()
 
 
-def test_a_connection_rests_for_longer_than_a_late_answer_takes() -> None:
+def test_the_reuse_delay_exceeds_the_delay_of_a_late_answer() -> None:
     assert 20 <= client_module.REUSE_DELAY_MS <= 100
 
 
 @pytest.mark.parametrize("request_class, status", [("summary", 200), ("note", 502)])
-async def test_a_kept_connection_that_its_server_closes_as_it_is_used_is_a_reset(
+async def test_an_idle_connection_that_its_server_closes_as_it_is_reused_counts_as_a_reset(
     request_class: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Looked at and found well, then closed before the request is written: it may have run, for all one can tell."""
+    """The connection passes the check before reuse and is then closed before the request is written. The request may
+    have run, as far as the gateway can tell."""
     monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 0.0)
-    # So that no time-out plays a part, nor the release time: finding the server's side holds the loop up for long.
+    # Neither time-outs nor the release timer may expire: finding the server's side of the connection blocks the loop.
     profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]]
     platform_settings = PLATFORM_SETTINGS | {
         "profiles": profiles,
@@ -348,15 +349,15 @@
             assert (await p.ask(Request_Timeout="15")).status == 200
         dead, closing = ClientConnection.dead.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
 
-        def well(self: ClientConnection) -> bool:
-            said: bool = dead(self)
-            if not said and self.peer in closing:
+        def dead_then_closed(self: ClientConnection) -> bool:
+            was_dead: bool = dead(self)
+            if not was_dead and self.peer in closing:
                 closing.clear()
-                self.stream.socket.shutdown(trio.socket.SHUT_RD)  # what it is sent is answered by nothing
+                self.stream.socket.shutdown(trio.socket.SHUT_RD)  # no answer is read
                 _reset_by_peer(p, self)
-            return said
+            return was_dead
 
-        monkeypatch.setattr(ClientConnection, "dead", property(well))
+        monkeypatch.setattr(ClientConnection, "dead", property(dead_then_closed))
         before = p.fleet.count("write")
         reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
@@ -365,7 +366,7 @@
 
 
 def _reset_by_peer(p: Platform, caller: ClientConnection) -> None:
-    """The server's side of this connection is closed."""
+    """Closes the server's side of this connection."""
     import gc
 
     ours = caller.stream.socket.getsockname()
@@ -378,10 +379,10 @@
                 pass
 
 
-async def test_a_request_that_is_half_written_when_its_client_leaves_is_never_whole(
+async def test_a_request_that_is_partly_written_when_its_client_disconnects_is_never_completed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Also where attempts may not be called off: this one has not begun."""
+    """This holds even if attempts may not be cancelled, since the attempt has not begun at the server."""
     async with platform("r0", "w0", platform_settings=platform_settings(cancel=False)) as p:
         gate, send = Gate(), connection_module.send
 
@@ -402,22 +403,22 @@
         assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
 
 
-# -- hand-overs and releases
+# -- handovers and releases
 
 
-async def test_a_release_that_is_overtaken_by_a_new_read_costs_a_read_and_nothing_else() -> None:
-    """A DELETE that a server held up takes the state of the read that came after it."""
+async def test_a_release_that_is_overtaken_by_a_new_prefill_costs_only_one_prefill() -> None:
+    """A server delays a DELETE, which then releases the state of the following prefill."""
     async with platform("r0", "w0", platform_settings=platform_settings(most_tries=8), w0=fault_once("gone_410")) as p:
         lease, write = Gate(), Gate()
         for server in p.servers.values():
             server.gates["lease"] = lease
         replies: list[Reply] = []
         p.nursery.start_soon(partial(ask_into, p, replies))
-        await lease.reached.wait()  # the first state is to be released, and the prompt read anew
+        await lease.reached.wait()  # the first state is to be released and the prefill repeated
         p.servers["w0"].gates["request"] = write
-        await write.reached.wait()  # the second state is at hand for its writer
+        await write.reached.wait()  # the second state is held for the decode
         lease.open()
-        await wait_until(lambda: not p.fleet.states)  # and now it is gone
+        await wait_until(lambda: not p.fleet.states)  # and now it is released
         write.open()
         await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1 and p.fleet.count("read") == 3
@@ -425,16 +426,16 @@
 
 
 @pytest.mark.parametrize("way", ["full_503", "gone_410", "status_500", "opening_cut"])
-async def test_a_state_whose_writer_fails_it_in_any_way_is_not_left_behind(way: str) -> None:
-    """A decode server fails in any way with a state at hand. The state is taken by another one, or released."""
+async def test_the_state_of_a_failed_decode_does_not_stay_held(way: str) -> None:
+    """A decode fails while its state is held. The state is taken by another decode server or released."""
     async with platform("r0", "w0", w0=fault_always(way)) as p:
         assert (await p.ask(Request_Class="note")).status in (502, 503)
         await p.wait_until_idle()
         assert not p.fleet.states and not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
-async def test_a_writer_that_dies_as_the_state_is_at_hand_leaves_it_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A decode server dies as its prefill ends. Another one takes the state."""
+async def test_the_state_for_a_decode_server_that_dies_is_taken_by_another(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A decode server dies as the prefill ends. Another decode server takes the state."""
     async with platform("r0", "w0", platform_settings=platform_settings(connect_timeout=1000.0)) as p:
         held = DelayedConnects(monkeypatch, p.servers["w0"].address)
         replies: list[Reply] = []
@@ -450,11 +451,11 @@
         await p.wait_until_idle()
 
 
-# -- the shutdown
+# -- shutdown
 
 
-async def test_a_shutdown_waits_for_a_release_that_is_under_way() -> None:
-    """A gateway shuts down while a release is in flight. It waits for it."""
+async def test_a_shutdown_waits_for_a_release_in_flight() -> None:
+    """A gateway shuts down while a release is in flight. It waits for its confirmation."""
     slow = PLATFORM_SETTINGS | {"specifics": PLATFORM_SETTINGS["specifics"] | {"release": 5000.0}}
     async with platform("r0", "w0", platform_settings=slow, w0=fault_always("status_500")) as p:
         gate = Gate()
@@ -467,7 +468,7 @@
         def look(served_only: bool = False) -> None:
             close_idle(served_only)
             if not served_only:
-                looked.set()  # by the last loop: nothing but the release is left to wait for
+                looked.set()  # called by the last loop of the drain: only the release is left to wait for
 
         p.gateway.chat_server.close_idle = look  # type: ignore[method-assign]
 
@@ -484,8 +485,8 @@
 
 
 @pytest.mark.parametrize("point, server", [("request", "r0"), ("request", "w0"), ("event", "w0")])
-async def test_what_is_under_way_when_a_shutdown_begins_is_finished(point: str, server: str) -> None:
-    """A read under way, between prefill and decode, within the stream."""
+async def test_requests_in_progress_when_a_shutdown_begins_are_finished(point: str, server: str) -> None:
+    """The shutdown begins during the prefill, between prefill and decode, or within the stream."""
     async with platform("r0", "w0") as p:
         gate = p.servers[server].gates[point] = Gate()
         client = RawClient(p.address)
@@ -499,8 +500,8 @@
         await p.wait_until_idle()
 
 
-async def test_a_shutdown_while_all_servers_hang_answers_everything_and_ends() -> None:
-    """All model servers hang as a gateway shuts down. Each client has its answer, and the process ends in time."""
+async def test_a_shutdown_while_all_servers_hang_answers_all_requests_and_ends() -> None:
+    """All model servers hang as a gateway shuts down. Each client is answered, and the shutdown ends in time."""
     async with platform("r0", "w0", r0=fault_always("silent")) as p:
         clients = [RawClient(p.address) for _ in range(12)]
         for client in clients:
@@ -514,10 +515,10 @@
         await p.wait_until_idle()
 
 
-# -- errors are what they were
+# -- reuse delay
 
 
-async def test_pool_gives_no_connection_before_it_has_rested() -> None:
+async def test_the_pool_does_not_reuse_a_connection_within_the_reuse_delay() -> None:
     stream, peer = await connected_pair()
     pool = ConnectionPool(100.0, 10_000.0)
     caller = ClientConnection(stream, "127.0.0.1:9", ("", 0))
@@ -528,7 +529,9 @@
     pool.give_back(caller)
     assert caller.conn.our_state is h11.IDLE
     refused: Callable[[], Any] = partial(pool.take, "127.0.0.1:9", 60e3)
-    with pytest.raises(connection_module.ConnectError):  # nobody listens there; the kept one is not used
+    with pytest.raises(
+        connection_module.ConnectError
+    ):  # a new connection is refused there, and the idle one is not used
         await refused()
     assert await pool.take("127.0.0.1:9") is caller
     caller.close_now()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail in the ways their manual pages name: none of them ends the gateway or other requests."""
+"""Failing system calls, with the errors of their manual pages: none of them ends the gateway or other requests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class FailingAccept:
-    """The accept of the listener at this address fails with these errors first, one after the other."""
+    """Makes accept on the listener at this address fail with these errors, one after the other, and then work."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str, numbers: list[int]) -> None:
         self.numbers = list(numbers)
@@ -61,21 +61,23 @@
 
 
 async def test_no_error_of_accept_ends_the_gateway() -> None:
-    """accept fails with each error that the system may give. The gateway goes on, and serves the next client."""
+    """accept fails with each error that the system may report. The gateway serves the next client nevertheless."""
     async with platform("r0", "w0") as p:
         for number in ACCEPT_ERRORS:
             with pytest.MonkeyPatch.context() as patch:
                 failing = FailingAccept(patch, p.address, [number] * 3)
-                assert await request_status(p) == 200  # by the call of accept that waits already
+                assert await request_status(p) == 200  # accepted by the call that waits already
                 await wait_until(lambda failing=failing: not failing.numbers)
                 assert await request_status(p) == 200, errno.errorcode[number]
         await p.wait_until_idle()
 
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENFILE, errno.EINVAL, errno.EBADF])
-async def test_a_shutdown_takes_what_waits_though_accept_fails(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
-    """A client waits in the listener's queue as the gateway shuts down, and accept fails some times first. The
-    client is taken and answered."""
+async def test_a_shutdown_accepts_queued_connections_although_accept_fails(
+    monkeypatch: pytest.MonkeyPatch, number: int
+) -> None:
+    """A client waits in the listener's queue as the gateway shuts down, and accept fails first. The connection is
+    accepted and the client answered."""
     async with platform("r0", "w0") as p:
         p.gateway.accept_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
@@ -89,13 +91,13 @@
         await p.wait_until_idle()
 
 
-async def test_the_chat_gateway_too_outlives_errors_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As above, in the chat gateway."""
+async def test_no_error_of_accept_ends_the_chat_gateway(monkeypatch: pytest.MonkeyPatch) -> None:
+    """accept fails, here in the chat gateway."""
     monkeypatch.setattr(gateway_listeners, "ACCEPT_PAUSE_S", 0.01)
     async with gateway_cluster() as w:
         failing = FailingAccept(monkeypatch, w.gateway.address, [errno.EINVAL, errno.EBADF, errno.EMFILE])
         with trio.fail_after(5):
-            for _ in range(2):  # the first by the call of accept that waits already
+            for _ in range(2):  # the first is accepted by the call that waits already
                 assert (await w.ask()).status == 200
         assert not failing.numbers
 
@@ -103,22 +105,22 @@
 @pytest.mark.parametrize(
     "number, times",
     [
-        (errno.EMFILE, 6),  # this machine's, whatever the server
+        (errno.EMFILE, 6),  # errors of this machine
         (errno.ENFILE, 6),
         (errno.ENOBUFS, 6),
         (errno.ENOMEM, 6),
         (errno.EADDRNOTAVAIL, 6),
         (errno.ENETUNREACH, 6),
-        (errno.EHOSTUNREACH, 1),  # that server's
+        (errno.EHOSTUNREACH, 1),  # errors of the server
         (errno.ETIMEDOUT, 1),
         (errno.ECONNREFUSED, 1),
     ],
 )
-async def test_a_connection_that_can_not_be_made_for_a_moment_costs_no_request(
+async def test_a_short_lack_of_local_resources_fails_no_request(
     monkeypatch: pytest.MonkeyPatch, number: int, times: int
 ) -> None:
-    """This machine is out of ports or descriptors for a moment as an attempt connects. It is tried again, and the
-    server is not blamed."""
+    """This machine is out of ports or descriptors for a moment as an attempt connects. The connect is retried, and the
+    server is not ejected. An error of the server itself is not retried there and ejects it."""
     async with platform() as p:
         servers = {server.address for server in p.servers.values()}
         failed: list[str] = []
@@ -135,30 +137,28 @@
         assert await request_status(p) == 200 and len(failed) == times
         await p.wait_until_idle()
         ejected = any(event == "info server" for event, _ in p.log.lines)
-        assert ejected == (times == 1)  # a fault of ours is not held against a server
+        assert ejected == (times == 1)  # only errors of the server eject it
 
 
 # -- the log
 
 
 def test_a_log_line_that_can_t_be_written_is_dropped_and_counted() -> None:
-    """Nobody reads the log's pipe, and then it is closed. Lines are dropped and counted; the writer neither waits
-    nor fails."""
+    """The log's pipe is full and then closed. Lines are dropped and counted; the writer neither blocks nor fails."""
     prefill_server, decode_server = os.pipe()
     log = LogOutput(decode_server)
     log.write("a line\n")
     assert os.read(prefill_server, 100) == b"a line\n" and log.dropped == 0
-    while log.dropped == 0:  # nobody reads any more
+    while log.dropped == 0:  # the pipe is not read any more
         log.write("x" * PIPE_BYTES)
     os.close(prefill_server)
-    log.write("nobody listens\n")
+    log.write("no reader\n")
     os.close(decode_server)
     log.write("it is closed\n")
     assert log.dropped == 3
 
 
-def test_a_full_disk_ends_no_log_line_s_writer() -> None:
-    """The disk of the log is full. The line is dropped and counted."""
+def test_a_log_line_is_dropped_and_counted_on_a_full_disk() -> None:
     full = os.open("/dev/full", os.O_WRONLY)
     try:
         log = LogOutput(full)
@@ -168,8 +168,8 @@
         os.close(full)
 
 
-async def test_a_gateway_whose_log_nobody_reads_goes_on(tmp_path: Path) -> None:
-    """The log's file is cut while the gateway runs. Requests are served all the same."""
+async def test_a_gateway_whose_log_file_is_truncated_continues(tmp_path: Path) -> None:
+    """The log file is truncated while the gateway runs. Requests are served nevertheless."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, log):
         await wait_until_ready(p)
         os.close(os.open(log, os.O_WRONLY | os.O_TRUNC))
@@ -177,8 +177,8 @@
             assert (await p.ask()).status == 200
 
 
-def test_descriptors_can_t_be_counted_where_none_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No descriptor is left to count the open ones with. The report says -1, and goes on."""
+def test_the_descriptor_count_is_minus_one_if_it_can_not_be_read(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Counting the open descriptors needs a free one. Without one the report has -1 instead of failing."""
 
     def no_descriptors(_: str) -> list[str]:
         raise OSError(errno.EMFILE, "Too many open files")
