--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -1,9 +1,9 @@
-"""Random orders of what clients, model servers, discovery and the operators do, judged by what crossed the sockets.
+"""Random interleavings of clients, model servers, discovery and operators, checked by the traffic on the sockets.
 
-Hypothesis draws a script of steps; every model server holds each request until a step lets it go on. At the end all
-that holds is opened, and the rules are checked: one answer for each client that stayed, no effect twice and none behind
-a rejection, nothing to a server that the gateway had been told to leave alone, nothing begun for clients that had left,
-and nothing held at the end. What fails shrinks to a short script, which becomes a test by name.
+Hypothesis draws a script of steps; every model server holds each request until a step releases it. At the end all gates
+are opened and the rules are checked: one answer for each client that stayed connected, no effect twice and none after a
+rejection, no attempt at a draining server, none begun for clients that had disconnected, and no state held. A failing
+script is shrunk and added as an example.
 """
 
 from __future__ import annotations
@@ -23,45 +23,46 @@
 
 LONG_TIMEOUTS = PLATFORM_SETTINGS | {
     "limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 2000.0},
-    "profiles": [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]],
-}  # so that no time-out plays a part: the steps decide
+    "profiles": [profile | {"aim": 5000.0, "deadline": 20e3} for profile in PLATFORM_SETTINGS["profiles"]],
+}  # so that no time-out expires and only the steps decide
 SERVERS = ("r0", "r1", "w0", "w1")
 FAULTS = ["", "", "", "full_503", "gone_410", "opening_cut", "status_500", "later_cut", "noise", "second_answer"]
 STEPS = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from(["summary", "note"])),
-    st.tuples(st.just("half"), st.integers(1, 400)),
-    st.tuples(st.just("rest"), st.integers(0, 9)),
-    st.tuples(st.just("leave"), st.integers(0, 9), st.sampled_from(["close", "half-close", "reset"])),
-    st.tuples(st.just("go on"), st.sampled_from(SERVERS), st.integers(0, 9)),
+    st.tuples(st.just("send part"), st.integers(1, 400)),
+    st.tuples(st.just("send rest"), st.integers(0, 9)),
+    st.tuples(st.just("disconnect"), st.integers(0, 9), st.sampled_from(["close", "half-close", "reset"])),
+    st.tuples(st.just("release one"), st.sampled_from(SERVERS), st.integers(0, 9)),
     st.tuples(st.just("drain"), st.sampled_from(SERVERS)),
-    st.tuples(st.just("back"), st.sampled_from(SERVERS)),
+    st.tuples(st.just("serve again"), st.sampled_from(SERVERS)),
     st.tuples(st.just("watch resets")),
-    st.tuples(st.just("displace")),
+    st.tuples(st.just("close idle")),
     st.tuples(st.just("shutdown")),
 )
 
 
 @dataclass(eq=False)
 class ClientRequest:
-    """A request, and what its client has of it."""
+    """A request and what its client has sent and received."""
 
     client: RawClient
     ident: str
     request_class: str
-    rest: bytes = b""  # of the request, not sent yet
+    rest: bytes = b""  # the part of the request that is not sent yet
     disconnected: bool = False
     answer: bytes = b""
 
 
 @dataclass(eq=False)
 class ScriptRun:
-    """One script being played."""
+    """The execution of one script."""
 
     p: Platform
     requests: list[ClientRequest] = field(default_factory=list)
-    draining_servers: dict[str, int] = field(default_factory=dict)  # requests that it had got by then
+    # By server: the number of attempts received when its drain took effect.
+    draining_servers: dict[str, int] = field(default_factory=dict)
     attempts_at_disconnect: dict[str, int] = field(default_factory=dict)
-    draining: bool = False
+    gateway_draining: bool = False
 
     def attempts(self, server: str) -> int:
         return sum(name == server and kind in ("read", "write") for name, kind, _ in self.p.fleet.seen)
@@ -74,39 +75,39 @@
         await trio.testing.wait_all_tasks_blocked()
 
     async def do_ask(self, request_class: str) -> ClientRequest | None:
-        if self.draining:
+        if self.gateway_draining:
             return None
-        whole = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
-        one = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
-        one.client.send(whole)
-        self.requests.append(one)
-        return one
-
-    async def do_half(self, at: int) -> None:
-        if not self.draining:
-            whole = client_request(self.p, Request_Timeout="15")
-            one = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", "summary", whole[at:])
-            one.client.send(whole[:at])
-            self.requests.append(one)
-
-    async def do_rest(self, nth: int) -> None:
-        halves = [one for one in self.requests if one.rest and not one.disconnected]
-        if halves:
-            one = halves[nth % len(halves)]
-            one.client.send(one.rest)
-            one.rest = b""
-
-    async def do_leave(self, nth: int, how: str) -> None:
-        connected = [one for one in self.requests if not one.disconnected]
+        data = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
+        request = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
+        request.client.send(data)
+        self.requests.append(request)
+        return request
+
+    async def do_send_part(self, at: int) -> None:
+        if not self.gateway_draining:
+            data = client_request(self.p, Request_Timeout="15")
+            request = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", "summary", data[at:])
+            request.client.send(data[:at])
+            self.requests.append(request)
+
+    async def do_send_rest(self, nth: int) -> None:
+        incomplete = [request for request in self.requests if request.rest and not request.disconnected]
+        if incomplete:
+            request = incomplete[nth % len(incomplete)]
+            request.client.send(request.rest)
+            request.rest = b""
+
+    async def do_disconnect(self, nth: int, how: str) -> None:
+        connected = [request for request in self.requests if not request.disconnected]
         if connected:
-            one = connected[nth % len(connected)]
-            one.disconnected = True
-            one.client.disconnect(how)
+            request = connected[nth % len(connected)]
+            request.disconnected = True
+            request.client.disconnect(how)
             idents = self.p.gateway.runtime.requests_by_id
-            await wait_until(lambda: one.ident not in idents or idents[one.ident].is_finished)
-            self.attempts_at_disconnect[one.ident] = self.attempts_for(one.ident)
+            await wait_until(lambda: request.ident not in idents or idents[request.ident].is_finished)
+            self.attempts_at_disconnect[request.ident] = self.attempts_for(request.ident)
 
-    async def do_go_on(self, server: str, nth: int) -> None:
+    async def do_release_one(self, server: str, nth: int) -> None:
         cast(StepGate, self.p.servers[server].gates["request"]).release_one(nth)
 
     async def put(self, server: str, listed_status: str, status: EndpointStatus) -> None:
@@ -120,7 +121,7 @@
             await trio.testing.wait_all_tasks_blocked()
             self.draining_servers[server] = self.attempts(server)
 
-    async def do_back(self, server: str) -> None:
+    async def do_serve_again(self, server: str) -> None:
         if server in self.draining_servers:
             assert self.attempts(server) == self.draining_servers.pop(server), server
             await self.put(server, "SERVING", EndpointStatus.READY)
@@ -129,42 +130,42 @@
         for stream in list(self.p.discovery.conns):
             stream.socket.close()
 
-    async def do_displace(self) -> None:
-        self.p.gateway.chat_server.close_longest_idle()  # a request that has begun makes room for nobody
+    async def do_close_idle(self) -> None:
+        self.p.gateway.chat_server.close_longest_idle()  # a connection with a begun request must not be closed
 
     async def do_shutdown(self) -> None:
-        if not self.draining:
-            self.draining = True
+        if not self.gateway_draining:
+            self.gateway_draining = True
             self.p.gateway.begin_drain()
 
     async def finish(self) -> None:
-        """Sends what is still to be sent, opens every gate, and checks the rules."""
-        for one in self.requests:
-            if one.rest and not one.disconnected:
-                one.client.send(one.rest)
+        """Sends the remaining parts of requests, opens every gate, and checks the rules."""
+        for request in self.requests:
+            if request.rest and not request.disconnected:
+                request.client.send(request.rest)
         for server in self.p.servers.values():
             cast(StepGate, server.gates["request"]).open()
-        for one in self.requests:
-            if not one.disconnected:
-                one.answer = await one.client.answer()
-        await self.p.wait_until_idle()  # nothing is open, nothing held
+        for request in self.requests:
+            if not request.disconnected:
+                request.answer = await request.client.answer()
+        await self.p.wait_until_idle()  # no request is open and no state held
         run_counts = Counter(self.p.fleet.run_counts)
-        for one in self.requests:
-            if one.disconnected:
-                assert self.attempts_for(one.ident) == self.attempts_at_disconnect[one.ident], one.ident
+        for request in self.requests:
+            if request.disconnected:
+                assert self.attempts_for(request.ident) == self.attempts_at_disconnect[request.ident], request.ident
                 continue
-            listed_status = one.answer[9:12]
-            assert listed_status in (b"200", b"502", b"503"), one.answer
-            if one.request_class == "note":
-                assert one.ident not in self.p.fleet.repeated_after_run and (
-                    listed_status != b"503" or not run_counts[one.ident]
+            status_code = request.answer[9:12]
+            assert status_code in (b"200", b"502", b"503"), request.answer
+            if request.request_class == "note":
+                assert request.ident not in self.p.fleet.repeated_after_run and (
+                    status_code != b"503" or not run_counts[request.ident]
                 )
         for server, before in self.draining_servers.items():
             assert self.attempts(server) == before, server
 
 
 async def play(steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]) -> None:
-    """Plays the steps; `reads` and `writes` are the ways in which the first attempts of each kind go."""
+    """Runs the steps; `prefills` and `decodes` are the faults of the first attempts of each kind, used from the end."""
     faults = {"read": list(prefills), "write": list(decodes)}
     async with platform(*SERVERS, platform_settings=LONG_TIMEOUTS) as p:
         for server in p.servers.values():
@@ -183,7 +184,7 @@
     st.lists(st.sampled_from(FAULTS), max_size=4),
 )
 @example(steps=[("ask", "note")], prefills=[], decodes=["opening_cut", "opening_cut"])
-@example(steps=[("half", 40), ("displace",), ("shutdown",)], prefills=[], decodes=[])
+@example(steps=[("send part", 40), ("close idle",), ("shutdown",)], prefills=[], decodes=[])
 def test_no_order_of_events_breaks_a_rule(
     steps: list[tuple[Any, ...]], prefills: list[str], decodes: list[str]
 ) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,7 +1,7 @@
-"""Every request that a gateway has taken has its final answer before the gateway may be killed.
+"""Every request that a gateway has accepted has its final answer before the gateway may be killed.
 
-The gateway is a process of its own. It is told to end by SIGTERM and killed at the earliest time that the users' page
-allows; until then clients go on writing on the connections that are open.
+The gateway runs as a separate process. It receives SIGTERM and is killed at the earliest time that the platform
+protocol allows; until then clients keep writing on open connections.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from tests.race_helpers import RawClient, client_request, wait_until
 from tests.test_platform_bounds import running
 
-LONGEST_S, AFTER_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s
-LATE_S = 0.9  # a request that comes so late has to be answered, however long its client would wait
+LONGEST_S, AFTER_S = 3.0, 0.7  # SIGKILL follows SIGTERM after min(3 s, longest deadline) + 0.7 s at the earliest
+LATE_S = 0.9  # a request sent this long after SIGTERM still has to be answered, whatever its time-out
 SETTINGS = PLATFORM_SETTINGS | {
     "profiles": [profile | {"aim": 2000.0, "deadline": 12e3} for profile in PLATFORM_SETTINGS["profiles"]],
     "specifics": PLATFORM_SETTINGS["specifics"]
-    | {"token_aim": [10.0, 10.0]},  # so that a usual stream fits into the time left
+    | {"token_aim": [10.0, 10.0]},  # so that a usual stream fits into the remaining time
 }
-CLIENT_COUNT = 24  # clients at once
-CLASSES = ("summary", "note")  # one that may be repeated, one that may run only once
+CLIENT_COUNT = 24  # concurrent clients
+CLASSES = ("summary", "note")  # one idempotent, one that may run only once
 
 
 @dataclass
 class StoppingGateway:
-    """A gateway that has been told to end."""
+    """A gateway process that receives SIGTERM during the test."""
 
     p: Platform
     process: trio.Process
@@ -47,11 +47,11 @@
         self.sigterm_at = trio.current_time()
 
     async def wait_until(self, after_s: float) -> None:
-        """Waits until so long after SIGTERM."""
+        """Waits until `after_s` after SIGTERM."""
         await trio.sleep_until(self.sigterm_at + after_s)
 
     async def kill(self) -> None:
-        """At the earliest time that is allowed."""
+        """Kills the process at the earliest time that the platform allows."""
         await self.wait_until(LONGEST_S + AFTER_S)
         self.process.kill()
         await self.process.wait()
@@ -69,7 +69,7 @@
 
 
 def is_complete(answer: bytes) -> bool:
-    """Is this one final answer from its first byte to its last?"""
+    """Whether this is exactly one complete final answer."""
     head, _, body = answer.partition(b"\r\n\r\n")
     if head.startswith(b"HTTP/1.1 200 "):
         return DONE in body and body.endswith(b"\r\n0\r\n\r\n")
@@ -80,11 +80,11 @@
 
 
 def use_long_streams(p: Platform) -> None:
-    """Each takes longer than a gateway that is told to end may have."""
+    """Makes each stream take longer than the gateway has between SIGTERM and SIGKILL."""
     p.servers["w0"].events, p.servers["w0"].event_ms = 150, 30.0
 
 
-async def test_a_shutdown_tells_of_every_request_that_it_ends_and_of_what_it_can_not_finish(tmp_path: Path) -> None:
+async def test_a_shutdown_logs_every_request_that_it_ends_or_can_not_finish(tmp_path: Path) -> None:
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, running_gateway(p, tmp_path) as gateway:
         use_long_streams(p)
         streaming, refused = RawClient(p.address), RawClient(p.address)
@@ -122,7 +122,7 @@
 
 
 def start_late_request(p: Platform, name: str, timeout_s: float = 9.0) -> tuple[RawClient, bytes]:
-    """A client that has written all but the end of its request, and that end."""
+    """Sends all but the end of a request. Returns the client and that end."""
     data = client_request(p, Request_Class=name, Request_Timeout=str(timeout_s))
     client = RawClient(p.address)
     client.send(data[:-9])
@@ -137,12 +137,12 @@
 
 
 async def find_unanswered_late_requests(fault: str, folder: Path, unanswered: list[str]) -> None:
-    """Sends a request of each class late in a shutdown, and adds those without a whole answer at the kill."""
+    """Sends a request of each class late in a shutdown and records those without a complete answer at the kill."""
     scripts, prepare = FAULTS[fault]
     async with platform("r0", "w0", platform_settings=SETTINGS, **scripts) as p, running_gateway(p, folder) as gateway:
         prepare(p)
         clients = {name: start_late_request(p, name) for name in CLASSES}
-        await trio.sleep(0.1)  # their halves are read before the signal
+        await trio.sleep(0.1)  # their first parts are read before the signal
         gateway.send_sigterm()
         await gateway.wait_until(LATE_S)
         for client, rest in clients.values():
@@ -153,8 +153,9 @@
                 unanswered.append(f"{fault}: {name}")
 
 
-async def test_requests_that_come_late_in_a_shutdown_are_answered_before_the_kill(tmp_path: Path) -> None:
-    """As reported: the first event never comes, or the stream takes longer than the time that is left."""
+async def test_requests_that_arrive_late_in_a_shutdown_are_answered_before_the_kill(tmp_path: Path) -> None:
+    """Guards against late requests that got no answer because the first event never came, or because the stream took
+    longer than the remaining time."""
     unanswered: list[str] = []
     async with trio.open_nursery() as nursery:
         for fault in FAULTS:
@@ -164,8 +165,8 @@
     assert not unanswered
 
 
-async def test_requests_that_a_shutdown_finds_open_are_answered_before_the_kill(tmp_path: Path) -> None:
-    """Their clients would wait for longer. What may run only once may have run, so it may not be called rejected."""
+async def test_requests_open_at_sigterm_are_answered_before_the_kill(tmp_path: Path) -> None:
+    """Their clients would wait longer. A request that may run only once may have run, so it must not be rejected."""
     async with (
         platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
         running_gateway(p, tmp_path) as gateway,
@@ -183,8 +184,8 @@
         assert not p.fleet.states
 
 
-async def test_a_stream_of_before_goes_on_up_to_the_kill(tmp_path: Path) -> None:
-    """Nothing is gained by cutting it sooner: the kill may come later than at its earliest."""
+async def test_a_stream_open_at_sigterm_continues_until_the_kill(tmp_path: Path) -> None:
+    """Truncating it earlier has no benefit, since the kill may come later than the earliest time."""
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, running_gateway(p, tmp_path) as gateway:
         p.servers["w0"].events, p.servers["w0"].event_ms = 110, 30.0
         client = RawClient(p.address)
@@ -195,15 +196,15 @@
         assert 2.8 < trio.current_time() - gateway.sigterm_at < LONGEST_S + AFTER_S
 
 
-async def test_half_a_request_is_answered_before_the_kill(tmp_path: Path) -> None:
-    """A slow client has time for its head and again for its body, together more than a gateway that ends. It stops
-    within its request, or its last byte comes just before the kill."""
+async def test_an_incomplete_request_is_answered_before_the_kill(tmp_path: Path) -> None:
+    """The time-outs of a request head and a body add up to more than the gateway has after SIGTERM. The client stops
+    within its request, or sends the last byte just before the kill."""
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, running_gateway(p, tmp_path) as gateway:
         clients = [RawClient(p.address) for _ in CLASSES]
         for client in clients:
             client.send(client_request(p))
             assert is_complete(await client.answer())
-        await trio.sleep(0.1)  # they rest
+        await trio.sleep(0.1)  # the connections are idle
         halves = [client_request(p, Request_Timeout="9") for _ in clients]
         for client, data in zip(clients, halves, strict=False):
             client.send(data[:40])
@@ -220,8 +221,8 @@
         assert all(is_complete(answer) and answer.startswith(b"HTTP/1.1 503 ") for answer in answers), answers
 
 
-async def test_a_gateway_that_is_told_to_end_while_it_starts_answers_in_time(tmp_path: Path) -> None:
-    """It waits for its agent's first list; its time has run since the signal all the same."""
+async def test_a_gateway_that_receives_sigterm_while_it_starts_answers_in_time(tmp_path: Path) -> None:
+    """The gateway still waits for the first list of its agent, but the time until the kill runs from the signal."""
     async with platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p:
         p.discovery.silent = True
         async with running(p, tmp_path, settings=SETTINGS) as (process, log):
@@ -241,8 +242,8 @@
             assert all(is_complete(answer) for answer in answers), answers
 
 
-async def test_a_gateway_that_stands_still_around_its_signal_and_its_end_answers_in_time(tmp_path: Path) -> None:
-    """The signal is seen 0.15 s late, and requests come around the time after which they have to be answered."""
+async def test_a_gateway_paused_around_sigterm_and_before_the_kill_answers_in_time(tmp_path: Path) -> None:
+    """The signal is handled 0.15 s late, and requests arrive around the time up to which they are forwarded."""
     async with (
         platform("r0", "w0", platform_settings=SETTINGS, w0=fault_always("silent")) as p,
         running_gateway(p, tmp_path) as gateway,
@@ -265,10 +266,10 @@
         assert all(is_complete(answer) for answer in answers), answers
 
 
-async def test_a_request_on_a_connection_whose_stream_ends_late_in_a_shutdown_is_answered_or_not_read(
+async def test_a_request_after_a_stream_that_ends_late_in_a_shutdown_is_answered_or_not_read(
     tmp_path: Path,
 ) -> None:
-    """The answer's head was written before the signal and could not say that the connection ends."""
+    """The head of the stream was written before the signal, without `Connection: close`."""
     async with platform("r0", "w0", platform_settings=SETTINGS) as p, running_gateway(p, tmp_path) as gateway:
         gate = p.servers["w0"].gates["end"] = Gate()
         replies: dict[str, bytes] = {}
@@ -290,7 +291,8 @@
             p.servers["w0"].script = fault_always("silent")
             gateway.send_sigterm()
             await gateway.wait_until(LATE_S)
-            gate.open()  # all streams end at once, and a loop with much to do reads on before it closes
+            # All streams end at once, so a busy event loop may read further requests before it closes connections.
+            gate.open()
             await gateway.kill()
         assert len(replies) == CLIENT_COUNT
         sent_on = {ident for _, _, ident in p.fleet.seen}
