--- a/ternlane/gateway/__init__.py
+++ b/ternlane/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The running chat gateway: an HTTP API for clients, a runtime for the decisions, attempts at the model servers."""
+"""The chat gateway: an HTTP API for clients, and a runtime that executes the router's actions on model servers."""
 
 from ternlane.gateway.gateway import Gateway, open_gateway
 from ternlane.gateway.runtime import GatewayRuntime
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -1,4 +1,4 @@
-"""One request on the gateway, between its client and the decisions."""
+"""The state that the gateway keeps of one request in flight."""
 
 from __future__ import annotations
 
@@ -21,102 +21,102 @@
 
 @dataclass(slots=True)
 class Streamed:
-    """The whole answer, as it was forwarded."""
+    """The final answer of a request whose text was forwarded completely."""
 
-    recorded_as: ClassVar[str] = "streamed"  # the word that the wire, the ledger and the journal have for it
+    recorded_as: ClassVar[str] = "streamed"  # the outcome's name on the wire, in the ledger and in the journal
 
     text: str
     finish: str
     usage: dict[str, Any]
-    more: Extras | None = None  # besides the text
+    more: Extras | None = None  # tool calls, refusal, reasoning and logprobs
 
 
 Final = Rejected | Failed | Streamed
 
 
 class ResponseWriter(ABC):
-    """Where a request's text goes. `extra`: further fields of its head."""
+    """Receives the text of an answer. `extra`: additional response headers."""
 
     def __init__(self) -> None:
         self.extra: list[tuple[str, str]] = []
 
     @abstractmethod
     async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
-        """Takes one piece; `more` is what it has besides text."""
+        """Writes one piece of the answer; `more` holds what it has besides text, such as tool calls."""
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """One request in flight. `final` is set once, by the runtime; the chat API, which watches for the client's leaving,
-    is then woken. Times are in ms of the event loop's clock."""
+    """One request in flight. The runtime sets `final` once and cancels `watch`, the scope in which the chat API waits
+    for the client to disconnect. Times are in ms of the event loop's clock."""
 
     ident: str
     chat_request: ChatRequest
     intake_record: IntakeRecord
     response_writer: ResponseWriter
     since: float
-    key: str  # under which engines drop repeats
-    join: StreamJoin  # its text, over all attempts
-    repeat_key: str = ""  # Idempotency-Key with its owner; "": none
-    mark: bytes = b""  # digest of the body
-    noted: str = ""  # its name in the journal
-    hold: Any = None  # tenants.Hold, settled when the request is done
-    made: list[TokenUsage] = field(default_factory=list)  # by each attempt, as far as it is known
+    key: str  # idempotency key sent to engines
+    join: StreamJoin  # the text of all attempts
+    repeat_key: str = ""  # the client's Idempotency-Key with its owner; "": none
+    mark: bytes = b""  # digest of the body, where there is an Idempotency-Key
+    noted: str = ""  # id in the journal; "": not in the journal
+    hold: Any = None  # tenants.BudgetReservation, settled when the request is done
+    made: list[TokenUsage] = field(default_factory=list)  # known token usage of each attempt
     final: Final | None = None
     watch: trio.CancelScope = field(default_factory=trio.CancelScope)
     when_over: Callable[[], None] = lambda: None
-    left: bool = False  # the client has gone
-    taken: float = 0.0  # when the decisions heard of it
-    begun: bool = False  # the client has a part
-    streaming: bool = False  # the present attempt streams
-    prompt_said: int = 0  # tokens of the prompt, by the first engine that said
-    kept_said: int = 0  # of them found cached
-    broke_at: int | None = None  # attempts in `made` when its stream broke first
+    left: bool = False  # the client has disconnected
+    taken: float = 0.0  # when it was handed to the router
+    begun: bool = False  # the client has received part of the answer
+    streaming: bool = False  # the current attempt has begun to stream
+    prompt_said: int = 0  # prompt tokens, as the first engine that reported usage counted them
+    kept_said: int = 0  # how many of them were cached
+    broke_at: int | None = None  # length of `made` when the stream first broke
     attempt: AttemptPlan | None = None
     attempts: int = 0
     attempt_log: list[str] = field(default_factory=list)  # server, stage and outcome of each attempt
     why: str = ""
-    extras: MessageExtras = field(default_factory=MessageExtras)  # of the answer, besides its text
-    state: dict[str, Any] | None = None  # as the prefill server gave it, to hand to a decode server
-    holders: dict[Server, None] = field(default_factory=dict)  # servers that may hold a state for it
+    extras: MessageExtras = field(default_factory=MessageExtras)  # parts of the answer other than text
+    state: dict[str, Any] | None = None  # KV transfer parameters from the prefill server, passed to a decode server
+    holders: dict[Server, None] = field(default_factory=dict)  # servers that may hold KV state for this request
 
     @property
     def request(self) -> Request:
-        """The request as the decisions see it."""
+        """The request as the router sees it."""
         return self.intake_record.request
 
     @property
     def is_over(self) -> bool:
-        """Has it its final answer, or has its client gone? Nothing is owed any more."""
+        """True once the final answer is set or the client has disconnected: no answer is due any more."""
         return self.final is not None or self.left
 
     @property
     def unanswered(self) -> bool:
-        """Is its client there, and has nothing of its answer yet?"""
+        """True while the client is connected and has received nothing of its answer."""
         return self.final is None and not self.left and not self.begun
 
     @property
     def deadline_ms(self) -> float:
-        """By when its client has to have the answer."""
+        """The time by which the client must have its answer."""
         return self.taken + self.request.client_timeout_ms
 
     @property
     def pieces(self) -> list[str]:
-        """The text that the client has, as it came."""
+        """The text that the client has received, in pieces as forwarded."""
         return self.join.pieces
 
     def for_repeats(self) -> Final | None:
-        """What a repeat under its key hears once it has ended; None: it may run."""
+        """The answer for later requests with the same Idempotency-Key; None where such a request may run again."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
             case RepeatPolicy.NOTHING:
                 return None
             case RepeatPolicy.UNSURE:
-                return Failed("the first client left; it may have run")
+                return Failed("the first client disconnected; the request may have run")
         return self.final
 
     def settle(self, final: Final) -> bool:
-        """The one final answer; a second one is refused."""
+        """Sets the final answer; returns False where there is one already or the client has disconnected."""
         if self.is_over:
             return False
         self.final = final
--- a/ternlane/gateway/api_errors.py
+++ b/ternlane/gateway/api_errors.py
@@ -1,23 +1,23 @@
-"""Why the chat API does not take a request that is valid as it stands."""
+"""Errors with which the chat API rejects a well-formed request before any attempt is made."""
 
 from __future__ import annotations
 
 from ternlane.tenants import BudgetRejection
 from ternlane.tenants.reservation import retry_after_s
 
-DEFAULT_BUDGET_WAIT_MS = 1000.0  # where the budget does not say when it has room again
-MAX_BUDGET_WAIT_MS = 1e9  # a bound on what is said to clients, not on what is waited for
+DEFAULT_BUDGET_WAIT_MS = 1000.0  # where the budget gives no time at which it has room again
+MAX_BUDGET_WAIT_MS = 1e9  # upper bound of the retry-after-ms header
 
 BUDGETS = {
-    "minute": "tokens a minute",
+    "minute": "tokens per minute",
     "period": "tokens of the billing period",
-    "at_once": "generations at once",
-    "overdraft": "tokens a minute, the overdraft is used up",
+    "at_once": "concurrent generations",
+    "overdraft": "tokens per minute, the overdraft is used up",
 }
 
 
 class RequestNotAdmittedError(Exception):
-    """A request that is rejected before any attempt: nothing ran. `after_s` says when to come back, in s."""
+    """A request rejected before any attempt: nothing ran. `after_s`: value of Retry-After in seconds."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
 
 
 class OverBudgetError(RequestNotAdmittedError):
-    """The tenant's budget has no room: a rejection, which promises that nothing ran."""
+    """The tenant's budget has no room for the request. Nothing ran."""
 
     def __init__(self, reason: BudgetRejection) -> None:
         wait_ms = reason.wait_ms if reason.wait_ms > 0 else DEFAULT_BUDGET_WAIT_MS
--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Records how an attempt ended: in the log, the metrics, the request, and in what is learnt of prompts and servers."""
+"""Records the result of an attempt in the log, the metrics, the request and the learned prompt statistics."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptRecorder:
-    """Notes each attempt's end before the decisions hear of it."""
+    """Records each attempt's result before the router is told of it."""
 
     def __init__(self, runtime: RuntimePort, intake: RequestIntake) -> None:
         self.runtime = runtime
@@ -23,7 +23,7 @@
     def record(
         self, active_request: ActiveRequest, server: Server, stage: Stage, result: AttemptResult, took_ms: float
     ) -> None:
-        """Notes one end; a prefill that proves useless becomes an error in `result`."""
+        """Records one result; a prefill that is of no use to a resumed stream becomes an error in `result`."""
         ident = self.runtime.registry.endpoints[server].ident
         self.log(active_request, ident, stage, result, took_ms)
         self.check_prefill(active_request, result)
@@ -36,7 +36,7 @@
     def log(
         self, active_request: ActiveRequest, ident: str, stage: Stage, result: AttemptResult, took_ms: float
     ) -> None:
-        """Writes the end into the request's trail, the metrics and the log."""
+        """Adds the result to the request's attempt log, the metrics and the log."""
         stage_name = STAGE_LABELS[stage].upper()
         outcome_name = OUTCOME_NAMES[result.outcome]
         active_request.attempt_log.append(f"{ident} {stage_name} {outcome_name}")
@@ -54,16 +54,16 @@
 
     @staticmethod
     def check_prefill(active_request: ActiveRequest, result: AttemptResult) -> None:
-        """A prefill for a resumed stream that read the prompt alone is an error: its decode server would begin the
-        answer anew, and the client would have its beginning twice."""
+        """Turns a prefill for a resumed stream into an error where the server read only the prompt, without the text
+        sent so far: the decode server would start the answer over, and the client would get its beginning twice."""
         if result.outcome is not AttemptOutcome.PREFILLED or result.usage is None:
             return
         if not active_request.join.prefill_covers_text(result.usage.prompt_tokens, active_request.prompt_said):
             result.outcome = AttemptOutcome.ERROR
-            result.why = "it read no more than the prompt, and can't go on with the text"
+            result.why = "prefill covered only the prompt, so the text can't be continued"
 
     def learn_usage(self, active_request: ActiveRequest, stage: Stage, result: AttemptResult, took_ms: float) -> None:
-        """Books what the attempt made, and learns the prompt's length from a first reading."""
+        """Records the attempt's token usage, and learns the prompt's length while no stream has been resumed."""
         made = tokens_made(stage, result, active_request.join.attempt_pieces)
         active_request.made.append(made)
         if result.usage is None or active_request.join.resumed:
--- a/ternlane/gateway/attempts.py
+++ b/ternlane/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Builds attempts out of the decisions, and says what one is known to have made. No I/O."""
+"""Builds attempts from the router's actions, and derives the token usage of their results. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def stage_at(server: Server, active_request: ActiveRequest) -> Stage:
-    """Which part of the request this server is asked for."""
+    """The stage that this server is asked to run."""
     if server.role is Role.PREFILL:
         return Stage.PREFILL
     if server.role is Role.DECODE and active_request.state is not None:
@@ -27,7 +27,8 @@
 
 
 def plan_attempt(active_request: ActiveRequest, server: Server, endpoint: Endpoint, times: StartAttempt) -> AttemptPlan:
-    """Where the attempt goes and for how long. It must not begin once its client has left or has its answer."""
+    """Address, time limits and start check of an attempt, which must not start once its client has left or been
+    answered."""
     may_begin = make_start_check(server, times.start_within_ms, lambda: active_request.is_over)
     return AttemptPlan(
         endpoint.address, [], b"", times.timeout_ms, times.idle_timeout_ms, times.total_timeout_ms, may_begin
@@ -37,8 +38,8 @@
 def build_attempt(
     active_request: ActiveRequest, endpoint: Endpoint, stage: Stage, number: int, plan: AttemptPlan
 ) -> AttemptRequest:
-    """What the server is asked. An attempt that continues a text is another request than the first, and no repeat of
-    it: it has a key of its own."""
+    """The request to the server. An attempt that continues a text sends another request than the first attempt, so it
+    gets an idempotency key of its own: engines would otherwise drop it as a repeat."""
     join = active_request.join
     key = f"{active_request.key}.{join.attempts}" if join.continues else active_request.key
     return AttemptRequest(
@@ -58,7 +59,7 @@
 
 
 def tokens_made(stage: Stage, result: AttemptResult, pieces: int) -> TokenUsage:
-    """What an attempt is known to have made: by its usage, or, of a stream that broke, the pieces that came."""
+    """Token usage of an attempt as the engine reported it; without a report, the number of pieces received counts."""
     usage = result.usage
     if stage is Stage.PREFILL:
         return TokenUsage(usage.prompt_tokens, cached_tokens(usage), 0) if usage is not None else TokenUsage()
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -1,6 +1,7 @@
-"""Tenants at the gateway: who asks, whether it fits the budget, and the bill at the end.
+"""Enforces tenants' budgets at the gateway: authenticates requests, reserves tokens and writes bills.
 
-Usage accounting decides, the ledger keeps; this part reads the files they need and asks for quota in the background.
+Usage accounting decides and the ledger stores; this module reads the files they need and leases quota in the
+background.
 """
 
 from __future__ import annotations
@@ -24,13 +25,14 @@
 from ternlane.tenants.tenant_registry import Budget, TenantRegistryConfig
 from ternlane.tenants.usage_accounting import PeriodShortage
 
-TENANTS_POLL_S = 0.5  # between two looks at the tenants' file: a revoked key works no longer than that
-FLUSH_S = 3.0  # for bills that wait as the gateway ends
+TENANTS_POLL_S = 0.5  # interval between checks of the tenants file: a revoked key works at most this long
+FLUSH_S = 3.0  # time limit for writing pending bills at shutdown
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaAsk:
-    """What one tenant wants of the shared quota, in tokens; negative to give back. `target`: its bucket's level."""
+    """Tokens that one tenant wants from the shared quota; a negative `want` returns tokens. `target`: level of its
+    bucket."""
 
     tenant: str
     want: float
@@ -40,7 +42,7 @@
 
 
 class BudgetEnforcer:
-    """One gateway's tenants, their budgets and their bills."""
+    """The tenants of one gateway, with their budgets and bills."""
 
     def __init__(self, config: GatewayConfig, log: Any) -> None:
         assert config.tenants is not None and config.ledger is not None
@@ -59,7 +61,7 @@
         self.closed = False
 
     def remember(self, totals: UsageTotals) -> None:
-        """Tells usage accounting what the ledger holds beyond what it was told before."""
+        """Passes to usage accounting what the ledger holds beyond the totals passed before."""
         for key, it in totals.sums.items():
             tokens = it.billed.prompt + it.billed.answer
             if tokens > self.told.get(key, 0):
@@ -67,12 +69,12 @@
                 self.told[key] = tokens
 
     def stat(self) -> tuple[int, int, int]:
-        """Tells one version of the tenants' file from another."""
+        """Inode, size and modification time, which identify a version of the tenants file."""
         it = os.stat(self.path)
         return it.st_ino, it.st_size, it.st_mtime_ns
 
     async def follow(self) -> None:
-        """Reads the tenants again when their file has changed; a wrong one changes nothing. Sweeps idle meters."""
+        """Reloads the tenants file when it has changed; an invalid one changes nothing. Also sweeps idle meters."""
         while True:
             await trio.sleep(TENANTS_POLL_S)
             self.usage_accounting.sweep(now_ms(), self.usage_accounting.clock(time.time()))
@@ -80,12 +82,12 @@
                 if (identity := self.stat()) != self.file_identity:
                     self.file_identity = identity
                     self.tenants = TenantRegistry(read_config(self.path, TenantRegistryConfig))
-                    self.log.info("tenants read again", tenants=len(self.tenants.tenants))
+                    self.log.info("tenants reloaded", tenants=len(self.tenants.tenants))
             except (OSError, ConfigError) as why:
-                self.log.error("tenants not read again", why=str(why))
+                self.log.error("tenants reload failed", why=str(why))
 
     async def borrow(self) -> None:
-        """Asks for the quota that traffic showed to be wanted; nobody waits for it."""
+        """Leases quota that recent traffic needs, in the background: no request waits for it."""
         while self.config.lender is not None:
             await trio.sleep(self.config.look_ms / 1000)
             asks = self.wanted_quota()
@@ -94,14 +96,14 @@
                 continue
             try:
                 granted, chunks = await trio.to_thread.run_sync(partial(self.ask_for_quota, asks, periods))
-            except OSError as error:  # what was to be given back is lost: the bucket refills all the same
-                self.log.warning("lender not reached", why=str(error))
+            except OSError as error:  # tokens to be returned are lost; the bucket refills regardless
+                self.log.warning("quota lease failed", why=str(error))
                 continue
             self.take_quota(asks, granted)
             self.take_period_chunks(periods, chunks)
 
     def wanted_quota(self) -> list[QuotaAsk]:
-        """What each tenant wants beyond its share, or can give back."""
+        """The tokens that each tenant needs beyond its share, or can return."""
         wall = self.usage_accounting.clock(time.time())
         asks = []
         for name in list(self.usage_accounting.borrowers):
@@ -114,21 +116,21 @@
         return asks
 
     def take_quota(self, asks: list[QuotaAsk], granted: list[float]) -> None:
-        """Puts the tokens that were granted into the tenants' buckets."""
+        """Adds the granted tokens to the tenants' buckets."""
         for ask, tokens in zip(asks, granted, strict=True):
             meter = self.usage_accounting.meters.get((ask.tenant, ""))
             if meter is not None and tokens > 0:
                 meter.draw(tokens, ask.target)
 
     def take_period_chunks(self, periods: list[PeriodShortage], chunks: list[float]) -> None:
-        """Adds the parts of budgets of a period, unless another period has begun meanwhile."""
+        """Adds the granted parts of period budgets, except where another billing period has begun meanwhile."""
         for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
             meter = self.usage_accounting.meters.get((name, request_class))
             if meter is not None and meter.period is not None and meter.period.name == period:
                 meter.allowed += chunk
 
     def ask_for_quota(self, asks: list[QuotaAsk], periods: list[PeriodShortage]) -> tuple[list[float], list[float]]:
-        """In a thread: one change of the shared quota table for all tenants that want something."""
+        """Updates the shared quota table once for all requests. Blocks on file I/O: runs in a thread."""
         with open_quota_leases(
             Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000
         ) as lender:
@@ -151,23 +153,23 @@
         return granted, chunks
 
     def whose(self, authorization: str | None) -> Tenant:
-        """Raises tenants.UnknownKeyError."""
+        """The tenant of an API key. Raises tenants.UnknownKeyError."""
         return self.tenants.whose(authorization, time.time())
 
     def reserve(
         self, tenant: Tenant, request_class: str, prompt: float, most: int
     ) -> BudgetReservation | BudgetRejection:
-        """Reserves a request's tokens, or says why there is no room."""
+        """Reserves a request's tokens, or returns why the budget has no room."""
         return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def affords(self, active_request: ActiveRequest) -> bool:
-        """False for a stream that its tenant wants cut, as it has passed the overdraft."""
+        """False where the stream has used up the overdraft and its tenant wants such streams cut."""
         return active_request.hold is None or not self.usage_accounting.overrun(
             active_request.hold, len(active_request.pieces)
         )
 
     def done(self, active_request: ActiveRequest) -> None:
-        """Every attempt has ended: the bill is made out and kept."""
+        """Bills a request whose attempts have all ended."""
         if active_request.hold is None:
             return
         outcome = "left" if active_request.final is None else active_request.final.recorded_as
@@ -195,7 +197,7 @@
         )
 
     def headers(self, hold: BudgetReservation) -> list[tuple[str, str]]:
-        """The x-ratelimit fields of the tightest budget of tokens a minute."""
+        """The x-ratelimit headers of the tightest tokens-per-minute budget."""
         found = [m for m in hold.meters if m.budget.minute is not None]
         if not found:
             return []
@@ -209,11 +211,12 @@
         ]
 
     async def close(self) -> None:
-        """Keeps what waits. A disk that fails to the end keeps its lock on the store: nothing else is tried on it."""
+        """Writes pending bills and closes the ledger. Where the disk fails until the time limit, the ledger stays
+        locked."""
         if self.closed:
             return
         if not await self.writer.flush(FLUSH_S):
-            self.log.error("bills not kept at the end", waiting=self.writer.waiting)
+            self.log.error("bills not written at shutdown", waiting=self.writer.waiting)
             return
         self.closed = True
         if self.writer.owns_log:
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -1,4 +1,4 @@
-"""The clients' side: the chat completions API over HTTP/1.1. Each request taken gets exactly one final answer."""
+"""The chat completions API over HTTP/1.1. Each admitted request gets exactly one final answer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ChatApi:
-    """The routes of the API. `busy`: requests that are being answered."""
+    """The routes of the API. `busy`: number of requests being handled."""
 
     def __init__(
         self,
@@ -51,31 +51,31 @@
 
     @property
     def draining(self) -> bool:
-        """Is nothing new admitted any more?"""
+        """True once new requests are rejected."""
         return self.admission.draining
 
     def drain(self) -> None:
-        """From here on nothing new is admitted."""
+        """Rejects new requests from now on."""
         self.admission.draining = True
 
     def alter(self, config: GatewayConfig, models: dict[str, RequestClass]) -> None:
-        """New limits, from the next connection on, and other request classes, from the next request on; the answers
-        kept for repeats stay."""
+        """Applies changed limits from the next connection on, and request classes from the next request on. Answers
+        stored for repeats are kept."""
         self.admission.alter(config, models)
         self.connections.limits = config.door
 
     def restore(self, known_answers: list[KnownAnswer]) -> None:
-        """What a process before this one had answered, or had out when it was lost."""
+        """Takes over from the journal what a previous process had answered, or had in flight when it was lost."""
         self.admission.restore(known_answers)
 
     async def connection(self, stream: trio.SocketStream) -> None:
-        """Serves one client's connection."""
+        """Serves one client connection."""
         await self.connections.serve(stream)
 
     # -- routes
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answers one request of any route."""
+        """Handles one request."""
         self.busy += 1
         try:
             await self.route(exchange)
@@ -83,7 +83,7 @@
             self.busy -= 1
 
     async def route(self, exchange: Exchange) -> None:
-        """Answers by method and path."""
+        """Dispatches on method and path."""
         method = exchange.method
         path = exchange.path
         if (method, path) == ("POST", CHAT_PATH):
@@ -120,14 +120,14 @@
         param: str | None = None,
         extra: list[tuple[str, str]] | None = None,
     ) -> None:
-        """Answers a request that was never taken."""
+        """Answers a request that was not admitted."""
         self.metrics.refused.labels(code).inc()
         await exchange.answer(status, extra or [], error_body(status, why, code, param))
 
     # -- chat
 
     async def chat(self, exchange: Exchange) -> None:
-        """From a chat request to its one answer."""
+        """Handles one chat request."""
         try:
             admitted = await self.admit(exchange)
         except InvalidRequestError as error:
@@ -140,7 +140,7 @@
             await self.run(exchange, admitted)
 
     async def admit(self, exchange: Exchange) -> ActiveRequest | None:
-        """The request that is to run; None for a repeat, which is answered here. Raises InvalidRequestError and
+        """The request to run; None for a repeat, which this method answers itself. Raises InvalidRequestError and
         RequestNotAdmittedError."""
         since = now_ms()
         admission = self.admission
@@ -160,29 +160,29 @@
         try:
             return admission.admit(exchange, chat_request, tenant, key, client_timeout_ms, since, after)
         except BaseException:
-            if key is not None:  # the key's first request did not come to run: the next one is the first
+            if key is not None:  # the first request with this key did not run: the next one counts as the first
                 admission.forget(key)
             raise
 
     async def run(self, exchange: Exchange, active_request: ActiveRequest) -> None:
-        """Has the request run, and answers it."""
+        """Runs an admitted request and answers it."""
         try:
             self.runtime.arrived(active_request)
             await self.answer(exchange, active_request)
         finally:
-            if not active_request.is_over:  # the connection's task was ended from outside
+            if not active_request.is_over:  # the connection's task was cancelled
                 self.runtime.client_left(active_request)
             if active_request.repeat_key:
                 self.admission.remember(active_request.repeat_key, active_request)
 
     async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
-        """Waits for the final answer, or for the client to leave, and gives it."""
+        """Waits for the final answer or for the client to disconnect, and sends the answer."""
         if active_request.final is None:
-            with active_request.watch:  # cancelled when the answer is settled
+            with active_request.watch:  # cancelled when the final answer is set
                 await exchange.until_left()
                 self.runtime.client_left(active_request)
         if active_request.left or active_request.final is None:
-            return  # the connection ends without an answer, or without its last chunk
+            return  # the connection closes without an answer, or without its last chunk
         try:
             writer = active_request.response_writer
             if isinstance(writer, StreamResponseWriter) and active_request.begun:
@@ -190,4 +190,4 @@
             else:
                 await send_final(exchange, active_request, active_request.final)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # gone before it took its answer: the answer was given all the same
+            pass  # the client disconnected before it received the answer; the request counts as answered
--- a/ternlane/gateway/client_connections.py
+++ b/ternlane/gateway/client_connections.py
@@ -1,4 +1,4 @@
-"""Serves clients' connections, up to a limit."""
+"""Serves client connections, up to a limit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClientConnections:
-    """`open`: connections now. `limits` hold from the next connection on."""
+    """`open`: number of open connections. A change of `limits` applies from the next connection on."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self.open = 0
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serves one client's connection; closes it at once where there are too many."""
+        """Serves one client connection; closes it at once where the limit is reached."""
         if self.open >= self.limits.conn_limit:
             stream.socket.close()
             self.metrics.refused.labels("conn_limit").inc()
@@ -42,10 +42,10 @@
         self.open += 1
         self.metrics.conns.set(self.open)
         with suppress(OSError):
-            stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # each token is a segment of its own
+            stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # send each token without delay
         try:
             await self._serve(stream)
-        except Exception:  # a fault of this program must not take the other connections with it
+        except Exception:  # a defect in this program must not end the other connections
             self.log.exception("connection")
         finally:
             self.open -= 1
--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The process around one gateway: signals, reload, an orderly end."""
+"""The process of one gateway: signals, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def inherited_listeners() -> list[trio.SocketListener] | None:
-    """Listening sockets handed over by whoever started this process (the LISTEN_FDS protocol), or None."""
+    """Listening sockets passed by the parent process (the LISTEN_FDS protocol), or None."""
     if os.environ.get("LISTEN_PID") not in (None, str(os.getpid())) or not os.environ.get("LISTEN_FDS"):
         return None
     count = int(os.environ.pop("LISTEN_FDS"))
@@ -36,23 +36,23 @@
 
 
 def notify(state: str) -> None:
-    """Tells a service manager how it stands (the sd_notify protocol: one datagram to NOTIFY_SOCKET)."""
+    """Reports the state to the service manager (the sd_notify protocol: one datagram to NOTIFY_SOCKET)."""
     path = os.environ.get("NOTIFY_SOCKET")
     if path:
-        # Who does not listen need not hear.
+        # A service manager that does not listen is no error.
         with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock, suppress(OSError):
             sock.sendto(state.encode(), "\0" + path[1:] if path.startswith("@") else path)
 
 
 def write_pid(path: Path) -> None:
-    """Whole or not at all: whoever reads it meanwhile sees the old number or the new one."""
+    """Replaces the file atomically: a reader sees the old process id or the new one."""
     fresh = path.with_name(f"{path.name}.{os.getpid()}")
     fresh.write_text(f"{os.getpid()}\n")
     fresh.replace(path)
 
 
 def drop_pid(path: Path) -> None:
-    """Removes the file unless a process that took over has put its own number there."""
+    """Removes the file unless a successor process has written its own id there."""
     try:
         if path.read_text().strip() == str(os.getpid()):
             path.unlink()
@@ -63,8 +63,8 @@
 async def run_gateway(
     path: str, config: GatewayConfig, chooser: Callable[..., Any] | None = None, pid_file: str | None = None
 ) -> None:
-    """Serves until SIGTERM or SIGINT, then drains; a second one ends it at once. SIGHUP reads the document again and
-    takes over what can change without a restart."""
+    """Serves until SIGTERM or SIGINT, then drains; a second signal stops it at once. SIGHUP reloads the configuration
+    and applies what can change without a restart."""
     log = structlog.get_logger(gateway=config.name)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with open_gateway(config, chooser or Router, log, listeners=inherited_listeners()) as gateway:
@@ -81,7 +81,7 @@
 
 
 async def reload_until_end(path: str, gateway: Gateway, signals: AsyncIterator[int], log: Any) -> None:
-    """Takes the document over at each SIGHUP, until another signal comes. A wrong document changes nothing."""
+    """Reloads the configuration at each SIGHUP, until another signal arrives. An invalid one changes nothing."""
     async for number in signals:
         if number != signal.SIGHUP:
             return
@@ -95,11 +95,11 @@
 
 
 async def drain(gateway: Gateway, signals: AsyncIterator[int]) -> None:
-    """Drains the gateway; a further signal to end cuts that short."""
+    """Drains the gateway; another SIGTERM or SIGINT stops it at once."""
     async with trio.open_nursery() as nursery:
 
         async def end_at_once() -> None:
-            """Waits for the further signal."""
+            """Cancels the drain at the next SIGTERM or SIGINT."""
             async for number in signals:
                 if number != signal.SIGHUP:
                     nursery.cancel_scope.cancel()
--- a/ternlane/gateway/endpoint_watcher.py
+++ b/ternlane/gateway/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list at its source, and keeps the last one on disk for the next start."""
+"""Watches the source of the endpoint list, and caches the latest list on disk for the next start."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EndpointWatcher:
-    """`on_change` hears what changed in a list, `on_failure` that the list could not be read."""
+    """`on_change` is called with the changes of each list, `on_failure` when the list could not be read."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.watching = trio.CancelScope()
 
     def found(self, lines: list[NodeLine]) -> None:
-        """The whole list of model servers has been read anew."""
+        """Applies a complete list of model servers."""
         self.metrics.lists.labels("read").inc()
         change = self.registry.update(lines, time.time(), now_ms())
         self.on_change(change)
@@ -60,25 +60,26 @@
             self.save_now.set()
 
     def failed(self, why: str) -> None:
-        """The list could not be read; the last one holds."""
+        """Reports that the list could not be read; the previous one stays in use."""
         self.metrics.lists.labels("failed").inc()
-        self.log.warning("node list", why=why)
+        self.log.warning("node list not read", why=why)
         self.on_failure()
 
     def load_cache(self) -> None:
-        """Takes what this gateway knew before it was restarted, until its source says more. A torn file is not used."""
+        """Loads the list that this gateway cached before its restart, until its source answers. A torn file is
+        ignored."""
         if self.config.state is None:
             return
         try:
             lines = read_cache(Path(self.config.state))
         except TornCacheError as error:
-            self.log.error("kept node list not used", why=str(error))
+            self.log.error("cached node list not used", why=str(error))
             return
         if lines:
             self.on_change(self.registry.update(lines, time.time(), now_ms()))
 
     async def save(self) -> None:
-        """Writes the newest list off the loop; a disk that fails is said aloud and costs nothing else."""
+        """Writes the latest list in a thread. A failing disk is logged and has no other effect."""
         while self.config.state is not None:
             await self.save_now.wait()
             self.save_now = trio.Event()
@@ -88,10 +89,10 @@
                 if lines is not None:
                     await trio.to_thread.run_sync(write_cache, Path(self.config.state), lines)
             except OSError as error:
-                self.log.error("node list not kept", why=str(error))
+                self.log.error("node list not cached", why=str(error))
 
     async def watch(self) -> None:
-        """Follows the source for as long as the gateway runs, and the next one after `restart`."""
+        """Follows the source as long as the gateway runs; `restart` switches to another one."""
         while True:
             with trio.CancelScope() as self.watching:
                 match self.config.nodes:
@@ -104,6 +105,6 @@
                         await trio.sleep_forever()
 
     def restart(self, config: GatewayConfig) -> None:
-        """Watches another source from now on."""
+        """Switches to the source of another configuration."""
         self.config = config
         self.watching.cancel()
--- a/ternlane/gateway/final_responses.py
+++ b/ternlane/gateway/final_responses.py
@@ -1,4 +1,4 @@
-"""The final answer as one HTTP response, of a client that has nothing of it yet."""
+"""Sends the final answer as one HTTP response to a client that has received nothing yet."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ternlane.http1 import Exchange
 
 MS_PER_S = 1000
-MIN_RETRY_AFTER_MS = 1.0  # clients take 0 for "not said"
+MIN_RETRY_AFTER_MS = 1.0  # clients take 0 for "not given"
 NO_RETRY = ("x-should-retry", "false")  # the request may have run
 REPLAYED = ("Idempotency-Replayed", "true")
 
 
 async def send_final(exchange: Exchange, active_request: ActiveRequest, final: Final) -> None:
-    """Answers a request whose client has nothing yet."""
+    """Answers a request whose client has received nothing yet."""
     ident = ("X-Request-Id", active_request.ident)
     match final:
         case Streamed():
@@ -32,7 +32,7 @@
 
 
 async def send_rejected(exchange: Exchange, ident: tuple[str, str], pause_ms: float) -> None:
-    """Tells a client that nothing has run, and when to come back, rounded up to whole seconds and in ms."""
+    """Rejects a request of which nothing ran. Retry-After is rounded up to whole seconds; retry-after-ms is exact."""
     seconds = max(1, -(-int(pause_ms) // MS_PER_S))
     head = [
         ident,
@@ -46,8 +46,8 @@
 async def send_replayed(
     exchange: Exchange, final: Final, chat_request: ChatRequest, ident: str, after: int, event_ids: bool
 ) -> None:
-    """The first request's answer again, in the form that is asked for now; nothing runs. A stream begins `after` so
-    many characters; its events carry ids where `event_ids`."""
+    """Answers a repeat with the first request's answer, in the form that the repeat asks for; nothing runs. A stream
+    starts `after` this many characters; its events carry ids where `event_ids` is set."""
     if not isinstance(final, Streamed):
         why = final.why if isinstance(final, Failed) else ""
         await exchange.answer(502, [REPLAYED, NO_RETRY], error_body(502, f"Terminated: {why}", "terminated"))
@@ -64,5 +64,5 @@
 
 
 def body_of(ident: str, model: str, final: Streamed) -> bytes:
-    """A whole answer in the form of the chat completions API."""
+    """The body of a complete chat completion."""
     return answer_body(ident, int(time.time()), model, final.text, final.finish, final.usage, final.more)
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway in a nursery: open_gateway starts it, and nothing of it is left when the block ends."""
+"""`open_gateway` runs a gateway in a nursery; when the block ends, all of its tasks and sockets are gone."""
 
 from __future__ import annotations
 
@@ -32,15 +32,22 @@
 from ternlane.policy.router import Router
 from ternlane.version import VERSION
 
-RELOADABLE = ("door", "nodes", "request_classes", "fleet", "gateways", "zone")  # taken over by a running gateway
-GRACE_S = 0.05  # for requests that were under way to a client's connection as draining began
-DRAIN_LOOK_S = 0.02  # between two looks whether all requests have ended
+RELOADABLE = (
+    "door",
+    "nodes",
+    "request_classes",
+    "fleet",
+    "gateways",
+    "zone",
+)  # fields that a running gateway can change
+GRACE_S = 0.05  # for requests that clients had sent before draining began
+DRAIN_LOOK_S = 0.02  # interval between checks whether all requests have ended
 STOP_LOOK_S = 0.01
-LAST_ANSWERS_S = 0.2  # beside the time for releases, until open requests are given up on
+LAST_ANSWERS_S = 0.2  # for final answers, in addition to the time limit of releases
 
 
 class Gateway:
-    """A gateway that runs in its owner's nursery: `address` is where it listens, as host:port."""
+    """A gateway that runs in the caller's nursery. `address`: where it listens, as host:port."""
 
     def __init__(
         self,
@@ -94,15 +101,15 @@
         )
 
     def found(self, lines: list[NodeLine]) -> None:
-        """The whole list of model servers has been read anew."""
+        """Applies a complete list of model servers."""
         self.endpoint_watcher.found(lines)
 
     def list_failed(self, why: str) -> None:
-        """The list could not be read; the last one holds."""
+        """Reports that the list could not be read; the previous one stays in use."""
         self.endpoint_watcher.failed(why)
 
     def reload(self, config: GatewayConfig) -> tuple[list[str], list[str]]:
-        """Takes over what can change while running. Gives the fields that did, and those that wait for a restart."""
+        """Applies what can change while running. Returns the changed fields, and those that need a restart."""
         differing = [name for name in config.__struct_fields__ if getattr(self.config, name) != getattr(config, name)]
         changed = [name for name in differing if name in RELOADABLE]
         waiting = [name for name in differing if name not in RELOADABLE]
@@ -140,13 +147,13 @@
         self.log.info("serving", address=self.address, gateway=self.config.name)
 
     async def _take_over_journal(self) -> None:
-        """What the process before had in flight when it was lost."""
+        """Recovers the requests that the previous process had in flight when it was lost."""
         assert self.journal_writer is not None
         self.chat_api.restore(await self.journal_writer.take_up(self.transport, self.router_config.release_ms))
         self.journal_writer.ready = True
 
     async def drain(self) -> None:
-        """Takes nothing new, lets what is open end, and gives up on the rest when the time is over."""
+        """Stops admitting requests, waits for open ones to end, and fails the rest when `drain_ms` is over."""
         await self.listeners.drain()
         await trio.sleep(GRACE_S)
         self.chat_api.drain()
@@ -156,10 +163,10 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Gives up on what is open, releases what is held, and keeps the bills. After `drain` there is nothing left
-        to do; a block that ends without it loses nothing either."""
+        """Fails open requests, releases what servers hold for them and writes the bills. After `drain` nothing is left
+        to do; a block that ends without `drain` loses no bill or release either."""
         for active_request in list(self.runtime.active_requests.values()):
-            self.runtime.abort_request(active_request, "the gateway went down")
+            self.runtime.abort_request(active_request, "the gateway is shutting down")
         with trio.move_on_after(self.router_config.release_ms / 1000 + LAST_ANSWERS_S):
             while self.runtime.active_requests or self.runtime.server_calls.releasing or self.chat_api.busy:
                 await trio.sleep(STOP_LOOK_S)
@@ -178,8 +185,8 @@
     listeners: list[trio.SocketListener] | None = None,
     transport: Transport | None = None,
 ) -> AsyncIterator[Gateway]:
-    """Everything lives in a nursery that this block owns. Raises ConfigError for settings that no document could hold,
-    OSError where its address is taken, Damaged where the ledger is."""
+    """Runs a gateway in a nursery that this block owns. Raises ConfigError for invalid settings, OSError where the
+    address is in use, CorruptLedgerError where the ledger is damaged."""
     config = checked(config)
     async with trio.open_nursery() as nursery:
         gateway = Gateway(config, chooser, nursery, log or library_log(), host_type, transport)
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -1,4 +1,4 @@
-"""Keeps the journal of what is in flight, and takes it up after a loss."""
+"""Writes the journal of requests in flight, and recovers from it after a crash."""
 
 from __future__ import annotations
 
@@ -25,13 +25,15 @@
 )
 
 JOURNAL: LogFormat[Record, InFlightRequests] = LogFormat("takes", b"TLTAKES1", decode_record, InFlightRequests)
-SEGMENT_BYTES = 4 << 20  # a start reads the last one: some tens of ms
-GATHER_MS = 20.0  # what nobody waits for may share a sync
+SEGMENT_BYTES = 4 << 20  # the last segment is read at start, which takes some tens of ms
+GATHER_MS = 20.0  # records that no attempt waits for are synced in groups of this interval
 
 
 class JournalWriter:
-    """`until_kept` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
-    has it."""
+    """Journals requests with an Idempotency-Key, and prefills, which leave state at servers.
+
+    Where an effect must not happen twice, the caller waits with `writer.until_kept` until the attempt's record is on
+    disk before it sends the attempt."""
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
@@ -39,24 +41,24 @@
         self.writer: GroupCommitWriter[Record, InFlightRequests] = GroupCommitWriter(
             self.store, log, on_recovered=self.taken_up, what="journal", gather_ms=GATHER_MS
         )
-        self.lost: InFlightRequests | None = None  # what the process before had open
+        self.lost: InFlightRequests | None = None  # what the previous process had open
         self.folder_is_ours = trio.Event()
-        self.ready = False  # repeats know what they hear
+        self.ready = False  # recovery is complete: repeats can be answered
         self.birth = f"{time.time_ns():x}"
         self.count = count(1)
 
     def taken_up(self, found: InFlightRequests) -> None:
-        """The folder is this process's; `found` is what the one before had open."""
+        """Called once this process holds the lock of the folder; `found` is what the previous one had open."""
         self.lost = InFlightRequests(dict(found.opened), dict(found.known), found.at)
         self.folder_is_ours.set()
 
-    # -- what happens
+    # -- records of requests and attempts
 
     def took(self, active_request: ActiveRequest) -> None:
-        """A request was taken."""
+        """Records that a request was admitted, where it has an Idempotency-Key."""
         request_class = active_request.request.request_class
         now = time.time() * 1000
-        if not active_request.repeat_key:  # nobody can ask for it again: only what it holds need be known
+        if not active_request.repeat_key:  # can't be repeated: only its prefills are recorded
             active_request.noted = ""
             return
         active_request.noted = f"{self.birth}.{next(self.count)}"
@@ -75,7 +77,7 @@
     def sends(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
-        """Gives the number to wait for, where the attempt must not go out before it is kept."""
+        """Records an attempt. Returns the record's number where the attempt must wait until the record is on disk."""
         if not active_request.repeat_key and not prefills:
             return None
         active_request.noted = active_request.noted or f"{self.birth}.{next(self.count)}"
@@ -90,12 +92,12 @@
         return number if needed else None
 
     def freed(self, active_request: ActiveRequest) -> None:
-        """No server holds anything for it any more."""
+        """Records that no server holds state for the request any more."""
         if active_request.noted:
             self.writer.add(StateFreed(active_request.noted))
 
     def ended(self, active_request: ActiveRequest, outcome: str) -> None:
-        """It has its final answer, or its client has left."""
+        """Records that the request has its final answer, or that its client has disconnected."""
         if not active_request.repeat_key:
             return
         kept = RequestEnded(active_request.noted, outcome)
@@ -114,14 +116,14 @@
                 kept = RequestEnded(active_request.noted, "terminated", True, why=why)
         self.writer.add(kept)
 
-    # -- after a loss
+    # -- recovery
 
     async def take_up(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
-        """Waits until the folder is this process's; releases what servers hold still. Gives what repeats hear."""
+        """Waits for the lock of the folder, and releases what servers still hold. Returns the answers for repeats."""
         await self.folder_is_ours.wait()
         lost = self.lost or InFlightRequests()
         self.lost = None
-        answers = lost.answers(time.time() * 1000)  # before the ends below come to the same objects
+        answers = lost.answers(time.time() * 1000)  # before the records added below change the same objects
         async with trio.open_nursery() as nursery:
             for ident, held in lost.held():
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
@@ -130,27 +132,28 @@
                 self.writer.add(it.lost())
             self.writer.add(StateFreed(ident))
         if lost.opened:
-            self.log.warning("generations were open when the process before was lost", open=len(lost.opened))
+            self.log.warning("requests were in flight when the previous process was lost", open=len(lost.opened))
         return answers
 
     async def release(
         self, transport: Transport, ident: str, held: list[tuple[str, str, str]], within_ms: float
     ) -> None:
-        """Releases what servers hold still for a request of the process before."""
+        """Releases what servers still hold for a request of the previous process."""
         for server, address, protocol in held:
             if not await transport.release(server, address, ident, within_ms, protocol):
                 self.log.warning("release unheard", gen=ident, server=server)
 
     async def close(self, within_s: float = 2.0) -> None:
-        """Keeps what waits. A disk that fails to the end keeps its lock on the folder."""
+        """Writes pending records and closes the journal. Where the disk fails until the time limit, the folder stays
+        locked."""
         if self.writer.owns_log and not await self.writer.flush(within_s):
-            self.log.error("journal not kept at the end", waiting=self.writer.waiting)
+            self.log.error("journal not written at shutdown", waiting=self.writer.waiting)
             return
         self.store.close()
 
 
 def final_of(known: KnownAnswer) -> Final:
-    """The answer that a repeat of this request hears."""
+    """The answer for repeats of this request."""
     it = known.ended
     if it.outcome != "streamed":
         return Failed(it.why)
--- a/ternlane/gateway/listeners.py
+++ b/ternlane/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The sockets on which clients connect: opened or handed over, accepted from, and emptied at the end."""
+"""Listening sockets: opened or inherited, accepted from, and their queues emptied at shutdown."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 import trio
 
-BACKLOG = 4096  # connections that may wait: a burst must not be refused while the loop is busy
-ACCEPT_PAUSE_S = 0.1  # after a connection could not be taken: files or memory have to come free first
-MAX_ACCEPT_FAILURES = 5  # while a listener's queue is emptied at the end: the shutdown must not hang on them
-QUEUE_EMPTY_S = 0.01  # no connection for so long: the queue is empty
+BACKLOG = 4096  # pending connections: a burst must not be refused while the event loop is busy
+ACCEPT_PAUSE_S = 0.1  # after a failed accept: file descriptors or memory have to become free first
+MAX_ACCEPT_FAILURES = 5  # while a queue is emptied at shutdown, which must not hang on failures
+QUEUE_EMPTY_S = 0.01  # without a connection for this long, the queue counts as empty
 
 Serve = Callable[[trio.SocketStream], Awaitable[None]]
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of host:port, where an IPv6 host stands in brackets."""
+    """Splits host:port, where an IPv6 host is in brackets."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Listeners:
-    """`handed_over`: the sockets are another process's too, which serves what waits in their queues. Each connection is
-    a task of `nursery`."""
+    """`handed_over`: the sockets are shared with another process, which serves the connections left in their queues.
+    Each connection runs as a task of `nursery`."""
 
     def __init__(self, serve: Serve, nursery: trio.Nursery, log: Any) -> None:
         self.serve = serve
@@ -34,8 +34,8 @@
         self.accepting = trio.CancelScope()
 
     async def open(self, address: str, handed_over: list[trio.SocketListener] | None) -> str:
-        """Listens, at `address` where no sockets were handed over; gives host:port. Raises OSError where the address is
-        taken."""
+        """Listens at `address`, or on the inherited sockets; returns host:port. Raises OSError where the address is in
+        use."""
         if handed_over is not None:
             self.listeners = handed_over
             self.handed_over = True
@@ -53,30 +53,30 @@
                     nursery.start_soon(self._accept, listener)
 
     async def _accept(self, listener: trio.SocketListener) -> None:
-        """Takes connections until told to stop; does not close the listener, whose queue `drain` still empties."""
+        """Accepts connections until cancelled. Does not close the listener, whose queue `drain` still empties."""
         while True:
             try:
                 stream = await listener.accept()
             except (trio.ClosedResourceError, OSError) as error:
                 if listener.socket.fileno() < 0:
-                    return  # closed by `drain` or the end, with a connection just arriving
-                # Files or memory ran out, and what closes meanwhile makes room; or a connection or the network failed:
-                # none of it may end the connections that are served.
-                self.log.error("no connection can be taken", why=repr(error))
+                    return  # closed by `drain` or `close` while a connection was arriving
+                # Out of file descriptors or memory, which connections free as they close; or the connection or the
+                # network failed. None of this may end the connections being served.
+                self.log.error("accept failed", why=repr(error))
                 await trio.sleep(ACCEPT_PAUSE_S)
             else:
                 self.nursery.start_soon(self.serve, stream)
 
     async def drain(self) -> None:
-        """Stops listening. Who has come already is served; who comes now hears that nobody listens."""
+        """Stops listening. Connections already in the queue are served, later ones are refused."""
         self.accepting.cancel()
         for listener in self.listeners:
-            if not self.handed_over:  # where another process has the socket too, its queue is that one's
+            if not self.handed_over:  # another process with the same socket serves its queue
                 await self._accept_the_rest(listener)
             listener.socket.close()
 
     async def _accept_the_rest(self, listener: trio.SocketListener) -> None:
-        """Takes what waits in the listener's queue. A connection that can't be taken is tried again for a while."""
+        """Accepts what is left in the listener's queue; gives up after MAX_ACCEPT_FAILURES."""
         failures = 0
         while failures < MAX_ACCEPT_FAILURES:
             stream = None
@@ -85,7 +85,7 @@
                     stream = await listener.accept()
             except (trio.ClosedResourceError, OSError) as error:
                 failures += 1
-                self.log.error("no connection can be taken", why=repr(error))
+                self.log.error("accept failed", why=repr(error))
                 await trio.sleep(ACCEPT_PAUSE_S)
                 continue
             if stream is None:
--- a/ternlane/gateway/logs.py
+++ b/ternlane/gateway/logs.py
@@ -1,6 +1,6 @@
-"""Where lines go that nobody has said a place for: the standard logger "ternlane", as a library should.
+"""The default log when the caller passes none: the standard logger "ternlane", as is usual for a library.
 
-Nothing is configured and no handler is made; the standard library shows warnings on standard error and nothing less.
+No handler is installed and nothing is configured, so the standard library prints warnings and errors to stderr.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def library_log() -> Any:
-    """A log to the standard logger, filtered by that logger's level."""
+    """A structlog logger that writes to the standard logger, filtered by that logger's level."""
     return structlog.wrap_logger(
         logging.getLogger("ternlane"),
         wrapper_class=structlog.stdlib.BoundLogger,
--- a/ternlane/gateway/metrics.py
+++ b/ternlane/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""What the gateway counts, in a registry of its own: nothing is left behind in the process."""
+"""The gateway's metrics, in a registry of their own so that nothing is left in the process's global one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ternlane.recovery import RecoveryOutcome
 from ternlane.wire_names import OUTCOME_NAMES
 
-# Label values of the metrics. Dashboards were built on them: they keep their form whatever the code calls a thing.
+# Label values of the metrics. Dashboards depend on them, so they stay whatever the code calls these values.
 STATUS_LABELS = {
     EndpointStatus.READY: "up",
     EndpointStatus.DRAINING: "draining",
@@ -25,7 +25,7 @@
 
 
 class GatewayMetrics:
-    """The counters of one gateway. Their names are what dashboards were built on, and stay."""
+    """The metrics of one gateway. Their names stay, as dashboards depend on them."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -48,5 +48,5 @@
         self.servers = Gauge("ternlane_servers", "Model servers on the list", ["life"], registry=r)
 
     def text(self) -> bytes:
-        """All of them in the Prometheus text format."""
+        """All metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/ternlane/gateway/metrics_server.py
+++ b/ternlane/gateway/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves the gateway's metrics to a scraper, on a listener of their own."""
+"""Serves the gateway's metrics over HTTP on a separate listener."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from ternlane.http1 import Exchange, serve_connection
 
 METRICS_PATH = "/metrics"
-MAX_BODY_BYTES = 1024  # a scrape has none
-READ_TIMEOUT_MS = 5e3  # for a scrape's head, its body and the answer each: scrapers are near
-IDLE_TIMEOUT_MS = 60e3  # longer than the usual interval of scrapes
+MAX_BODY_BYTES = 1024  # a scrape has no body
+READ_TIMEOUT_MS = 5e3  # each for reading the head, reading the body and sending the answer; scrapers are close by
+IDLE_TIMEOUT_MS = 60e3  # longer than the usual scrape interval
 
 
 async def serve_metrics(metrics: GatewayMetrics, stream: trio.SocketStream) -> None:
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -1,8 +1,8 @@
-"""Admits chat requests: who asks, is it a repeat, may it run now. What is rejected here never reached the decisions.
+"""Admits chat requests. A request rejected here never reaches the router.
 
-The rules in their order: the gateway is not draining, the tenant is known, the body is valid, the gateway has a place,
-the time limit and the resume position are valid, the Idempotency-Key was not met before, the model exists, the rest of
-a lost stream can be had, and the tenant's budget has room.
+The checks in their order: the gateway is not draining, the tenant is known, the body is valid, the limit of open
+requests is not reached, the time limit and the resume position are valid, the Idempotency-Key is new, the model exists,
+the rest of a lost stream can be reproduced, and the tenant's budget has room.
 """
 
 from __future__ import annotations
@@ -36,18 +36,17 @@
 from ternlane.recovery.inflight import KnownAnswer
 from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, UnknownKeyError
 
-REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,80}")  # a client's own name for its request that engines can take
+REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,80}")  # a client's X-Request-Id in a form that engines accept
 TIME_LIMIT_HEADER = b"x-ternlane-time-limit-ms"
-MAX_TIME_LIMIT_MS = 1e9  # a longer one is a mistake
+MAX_TIME_LIMIT_MS = 1e9  # a longer one is taken for a mistake
 MAX_KEY_LENGTH = 255  # characters of an Idempotency-Key
-MAX_EVENT_ID_DIGITS = 9  # of a position within a stream's text
-RETRY_SOON_S = 1  # a place may be free, or another process ready, by then
-RETRY_LEDGER_S = 5  # a full disk takes longer
+MAX_EVENT_ID_DIGITS = 9  # digits of a position within a stream's text
+RETRY_SOON_S = 1  # an open request may have ended, or another process be ready, by then
+RETRY_LEDGER_S = 5  # a full disk takes longer to clear
 
 
 class RequestAdmission:
-    """The rules of one gateway, and the requests that it knows by their Idempotency-Key. `draining`: nothing new is
-    admitted."""
+    """Checks new requests, and holds the answers known by Idempotency-Key. `draining`: no request is admitted."""
 
     def __init__(
         self,
@@ -67,16 +66,17 @@
         self.alter(config, models)
 
     def alter(self, config: GatewayConfig, models: dict[str, RequestClass]) -> None:
-        """Other limits and request classes, from the next request on; stored answers stay."""
+        """Applies changed limits and request classes from the next request on; stored answers are kept."""
         self.config = config
         self.models = models
         self.names = {request_class: name for name, request_class in reversed(models.items())}
         self.idempotency_cache.byte_limit = config.door.repeat_bytes
 
-    # -- who asks, and for what
+    # -- tenant and headers
 
     def tenant(self, exchange: Exchange) -> Tenant | None:
-        """Who asks; None where the gateway has no tenants. Raises RequestNotAdmittedError."""
+        """The tenant of the request's API key; None where the gateway has no tenants. Raises
+        RequestNotAdmittedError."""
         if self.draining:
             raise RequestNotAdmittedError(503, "This gateway is going down", "draining", RETRY_SOON_S)
         if self.budget_enforcer is None:
@@ -86,19 +86,21 @@
         except UnknownKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
         if not self.budget_enforcer.writer.may_take:
-            raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", RETRY_LEDGER_S)
+            raise RequestNotAdmittedError(
+                503, "Usage can't be recorded now: the billing ledger can't be written", "ledger_full", RETRY_LEDGER_S
+            )
         return tenant
 
     def check_open_limit(self) -> None:
-        """Raises RequestNotAdmittedError where the gateway holds as many requests as it may."""
+        """Raises RequestNotAdmittedError where the limit of open requests is reached."""
         if len(self.runtime.active_requests) >= self.config.door.open_limit:
             raise RequestNotAdmittedError(
-                503, "This gateway holds as many generations as it may", "open_limit", RETRY_SOON_S
+                503, "This gateway has reached its limit of open requests", "open_limit", RETRY_SOON_S
             )
 
     def client_timeout_ms(self, exchange: Exchange, model: str) -> float:
-        """The client's time limit where it states a shorter one than the request class, less what has been spent and
-        what the answer's way back may take. Raises InvalidRequestError."""
+        """The shorter of the request class's deadline and the client's time limit, less the time since arrival and the
+        time that the answer's way back may take. Raises InvalidRequestError."""
         request_class = self.models.get(model)
         limit_ms = request_class.deadline_ms if request_class is not None else 0.0
         header = exchange.header(TIME_LIMIT_HEADER)
@@ -108,14 +110,17 @@
         return max(0.0, limit_ms - spent_ms - self.config.door.answer_ms)
 
     def resume_position(self, exchange: Exchange, chat_request: ChatRequest) -> int:
-        """How many characters of its answer the client has, by Last-Event-ID: the rest is what it asks for. Raises
+        """How many characters of the answer the client has already, by its Last-Event-ID; 0 for a new request. Raises
         RequestNotAdmittedError and InvalidRequestError."""
         header = exchange.header(b"last-event-id")
         if not header:
             return 0
         if not self.config.streams.ids or not chat_request.stream:
             raise RequestNotAdmittedError(
-                409, "Streams can't be taken up again here", "resume_not_offered", param="Last-Event-ID"
+                409,
+                "This gateway does not resume streams, or the request is not a stream",
+                "resume_not_offered",
+                param="Last-Event-ID",
             )
         if not header.isascii() or not header.isdecimal() or len(header) > MAX_EVENT_ID_DIGITS:
             raise InvalidRequestError("Last-Event-ID", "must be the id of an event of this stream")
@@ -124,8 +129,9 @@
     # -- repeats
 
     def repeat_key(self, exchange: Exchange, tenant: Tenant | None) -> str | None:
-        """The Idempotency-Key with its owner: one owner's keys are no other's. Raises InvalidRequestError, and
-        RequestNotAdmittedError while the first request of a key may be out at the process before."""
+        """The Idempotency-Key qualified by its owner, as keys of different owners are unrelated. Raises
+        InvalidRequestError, and RequestNotAdmittedError until the journal is recovered, as the first request with a key
+        may have run in the previous process."""
         header = exchange.header(b"idempotency-key")
         if header is None:
             return None
@@ -134,26 +140,26 @@
         journal_writer = self.runtime.journal_writer
         if journal_writer is not None and not journal_writer.ready:
             raise RequestNotAdmittedError(
-                503, "The journal of the process before is being taken over", "taking_over", RETRY_SOON_S
+                503, "The journal of the previous process is being recovered", "taking_over", RETRY_SOON_S
             )
         owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
         return f"{owner}\0{header}"
 
     def stored_answer(self, key: str, body: bytes, now: float) -> Final | None:
-        """The answer that a repeat hears; None for the first of its key, which `remember` or `forget` then ends. Raises
-        RequestNotAdmittedError."""
+        """The stored answer for a repeat; None for the first request of a key, which the caller must end with
+        `remember` or `forget`. Raises RequestNotAdmittedError."""
         match self.idempotency_cache.begin(key, xxh3_128_digest(body), now):
             case RequestInProgress():
                 raise RequestNotAdmittedError(
                     409,
-                    "The first request with this Idempotency-Key is still out",
+                    "A request with this Idempotency-Key is still in progress",
                     "idempotency_key_in_use",
                     param="Idempotency-Key",
                 )
             case BodyMismatch():
                 raise RequestNotAdmittedError(
                     422,
-                    "This Idempotency-Key came with another body before",
+                    "This Idempotency-Key was used before with a different body",
                     "idempotency_key_reused",
                     param="Idempotency-Key",
                 )
@@ -163,7 +169,7 @@
         return None
 
     def remember(self, key: str, active_request: ActiveRequest) -> None:
-        """Ends the key's first request with what a repeat will hear."""
+        """Ends the key's first request, and stores the answer for repeats."""
         request_class = active_request.request.request_class
         final = active_request.for_repeats()
         size = len(final.text) if isinstance(final, Streamed) else 0
@@ -172,11 +178,11 @@
         self.idempotency_cache.sweep(now_ms())
 
     def forget(self, key: str) -> None:
-        """Ends the key's first request as one that never ran."""
+        """Ends the key's first request as one that did not run."""
         self.idempotency_cache.end(key, None, 0, 0.0)
 
     def restore(self, known_answers: list[KnownAnswer]) -> None:
-        """What a process before this one had answered, or had out when it was lost."""
+        """Stores the answers that the journal holds of the previous process, also for what it had in flight."""
         since_wall_ms = now_ms() - time.time() * 1000
         for known in known_answers:
             self.idempotency_cache.restore(
@@ -187,7 +193,7 @@
                 known.taken.until + since_wall_ms,
             )
 
-    # -- admitted
+    # -- building the request
 
     def admit(
         self,
@@ -199,15 +205,16 @@
         since: float,
         after: int,
     ) -> ActiveRequest:
-        """Makes the request and reserves its budget. `after`: characters of the answer that the client has. Raises
-        InvalidRequestError, and RequestNotAdmittedError where the budget has no room."""
+        """Builds the request and reserves its budget. `after`: characters of the answer that the client has already.
+        Raises InvalidRequestError, and RequestNotAdmittedError where the rest of a stream can't be reproduced or the
+        budget has no room."""
         owner = tenant.name if tenant is not None else ""
         record = self.intake.take(chat_request, client_timeout_ms, owner)
         if after and not is_reproducible(chat_request.raw, record.request.request_class.effect):
             raise RequestNotAdmittedError(
                 409,
-                "The rest of this answer can't be had: it is not kept, and another run must not be, or "
-                "would not come out the same",
+                "This stream can't be resumed: its answer is not stored, and another run is not allowed or would "
+                "give a different text",
                 "resume_not_possible",
                 param="Last-Event-ID",
             )
@@ -244,7 +251,7 @@
     def response_writer(
         self, exchange: Exchange, chat_request: ChatRequest, ident: str, after: int, hold: BudgetReservation | None
     ) -> ResponseWriter:
-        """Where the answer's text goes, by the form that the client asks for."""
+        """The writer for the form of answer that the client asks for."""
         writer: ResponseWriter = BufferedResponseWriter()
         if chat_request.stream:
             position = after if self.config.streams.ids else None
@@ -256,27 +263,27 @@
         return writer
 
     def engine_key(self, ident: str, key: str | None) -> str:
-        """The key by which engines drop repeats; one of the gateway's own can't meet another gateway's."""
+        """The key by which engines drop repeats. A generated key is unique among all gateways."""
         if key is None:
             return f"{self.birth}-{ident}-{next(self.count)}"
         return xxh3_64_hexdigest(key.encode())
 
     def request_id(self, exchange: Exchange, tenant: str) -> str:
-        """The client's own name for it if it is a plain one that is not in use; a tenant's go by the tenant, as a
-        stranger who guessed one could otherwise have its state released."""
+        """The client's X-Request-Id where it is valid and not in use, else a new id. A tenant's ids are prefixed with
+        the tenant: another tenant that guessed an id could otherwise have its state released."""
         header = exchange.header(b"x-request-id") or ""
-        ident = f"{tenant}:{header}" if tenant else header  # no tenant's name holds a colon
+        ident = f"{tenant}:{header}" if tenant else header  # tenant names contain no colon
         if not REQUEST_ID.fullmatch(header) or ident in self.runtime.idents:
             return self.new_id()
         return ident
 
     def new_id(self) -> str:
-        """A request id that no other process gives."""
+        """A request id that no other process generates."""
         return f"{self.birth}-{next(self.count)}"
 
 
 def parse_time_limit(header: str) -> float:
-    """A client's time limit in ms. Raises InvalidRequestError."""
+    """Parses the client's time limit in ms. Raises InvalidRequestError."""
     try:
         limit_ms = float(header)
     except ValueError:
--- a/ternlane/gateway/response_writers.py
+++ b/ternlane/gateway/response_writers.py
@@ -1,4 +1,4 @@
-"""How the text of an answer reaches its client: as a stream of events, or in one piece at the end."""
+"""Writers of an answer's text: as server-sent events while it arrives, or as one response at the end."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class StreamResponseWriter(ResponseWriter):
-    """Text goes out as server-sent events while it comes."""
+    """Sends text as server-sent events while it arrives."""
 
     def __init__(
         self, exchange: Exchange, ident: str, model: str, include_usage: bool, after: int | None = None
     ) -> None:
-        """`after`: characters that the client has already; None where events carry no ids."""
+        """`after`: characters that the client has already, from which event ids count; None for events without ids."""
         super().__init__()
         self.exchange = exchange
         self.ident = ident
@@ -32,7 +32,7 @@
         self.created = int(time.time())
 
     async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
-        """Sends one event, the first with the answer's head."""
+        """Sends one event; the first one follows the response head."""
         if self.after is not None:
             self.after += len(text)
         data = event_bytes(chunk(self.ident, self.created, self.model, text, None, first, more), self.after)
@@ -42,7 +42,7 @@
             await self.exchange.chunk(data)
 
     async def end(self, final: Final) -> None:
-        """Ends the stream. Where the answer broke off, the error event takes the place of [DONE]."""
+        """Ends the stream. Where the answer is incomplete, an error event replaces [DONE]."""
         if not isinstance(final, Streamed):
             why = final.why if isinstance(final, Failed) else "throttled"
             await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
@@ -54,7 +54,7 @@
 
 
 class BufferedResponseWriter(ResponseWriter):
-    """Text is kept by the request until the answer is whole."""
+    """Writes nothing: the request keeps the text until the answer is complete."""
 
     async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
         """Nothing is sent before the end."""
--- a/ternlane/gateway/router_config.py
+++ b/ternlane/gateway/router_config.py
@@ -1,4 +1,4 @@
-"""From the operator's document to what the decisions are told at start."""
+"""Builds the router's configuration from the gateway's configuration file."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ternlane.config import GatewayConfig, RequestClassConfig
 from ternlane.policy.messages import RequestClass, RouterConfig
 
-STEP_MS = 1.0  # the runtime hands events over as they come
+STEP_MS = 1.0  # the runtime dispatches events as they arrive
 
 
 @dataclass(slots=True, frozen=True)
 class ConfiguredModels:
-    """What a document comes to: request classes by their names and by all model names, the longest answer of each (in
-    tokens), and what the decisions are told."""
+    """The configured request classes by name and by model name, the maximum answer tokens of each, and the router's
+    configuration."""
 
     request_classes: dict[str, RequestClass]
     models: dict[str, RequestClass]
@@ -23,8 +23,8 @@
 
 
 def configure_models(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> ConfiguredModels:
-    """A request class of `held` whose terms are the same stays the object that it is, with all that was learnt of it; a
-    changed one is another, and what was taken before keeps its own."""
+    """Builds the request classes. One that is unchanged from `held` stays the same object, and so keeps its learned
+    statistics; a changed one is a new object, and requests admitted before keep the old one."""
     request_classes = {
         line.name: request_class_of(line, (held or {}).get(line.name)) for line in config.request_classes
     }
@@ -39,7 +39,7 @@
 
 
 def request_class_of(line: RequestClassConfig, held: RequestClass | None) -> RequestClass:
-    """The terms of one line of the document, or `held` where they are its own."""
+    """The request class of one configuration entry; `held` itself where the two are equal."""
     new = RequestClass(
         EFFECTS[line.effect],
         GROUPS[line.group],
@@ -55,7 +55,7 @@
 
 
 def build_router_config(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> RouterConfig:
-    """What the decisions are told of the fleet."""
+    """The configuration of the router."""
     fleet = config.fleet
     return RouterConfig(
         seed=config.seed,
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -1,9 +1,9 @@
-"""The gateway's runtime: tells the decisions what happens and carries out what they decide. It decides nothing.
+"""The gateway's runtime: dispatches events to the router and executes the router's actions. It decides nothing itself.
 
-One loop owns the router: `tell` puts an event in, and whoever finds the loop idle empties it. Sockets, timers and the
-endpoint list all come through here. Its parts: `attempts` (what is sent), `stream_forwarder` (text to the client),
-`attempt_recorder` (what an attempt's end tells), `stream_resumer` (streams that broke), `server_calls` (releases,
-reservations, probes).
+The event loop owns the router. Sockets, timers and the endpoint list reach the router only through this module. Its
+parts: `attempts` (builds requests to servers), `stream_forwarder` (sends text to the client), `attempt_recorder`
+(records results of attempts), `stream_resumer` (resumes broken streams), `server_calls` (releases, reservations,
+probes).
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 
 
 class GatewayRuntime(EventLoop[ActiveRequest]):
-    """One gateway's requests in flight. `on_done` is called with each request that has ended and holds nothing,
-    `affords` before each piece of text, `on_follow` when the decisions want the endpoint list watched."""
+    """The requests in flight of one gateway. `on_done` is called with each request that has ended and holds nothing
+    more, `affords` before each piece of text, `on_follow` when the router asks for the endpoint list to be watched."""
 
     def __init__(
         self,
@@ -76,17 +76,17 @@
         self.affords: Callable[[ActiveRequest], bool] = lambda _: True
         self.on_follow: Callable[[], None] = lambda: None
 
-    # -- the loop
+    # -- the event loop
 
     def endpoints_changed(self, change: messages.EndpointsUpdated) -> None:
-        """The endpoint list has changed."""
+        """Dispatches a change of the endpoint list."""
         for server in change.servers:
             if server.status is EndpointStatus.REMOVED:
                 self.stream_recovery.server_removed(server)
         self.dispatch(change)
 
     def alter(self, configured: ConfiguredModels) -> None:
-        """Other settings from now on. Attempts that are out end as they began; homes and what was learnt stay."""
+        """Applies a changed configuration. Running attempts keep theirs; home pairs and learned statistics are kept."""
         self.router_config = configured.router_config
         self.server_calls.silent.clear()
         self.intake.configure(configured.models, configured.max_tokens)
@@ -94,7 +94,7 @@
         self.dispatch(messages.ConfigChanged(configured.router_config))
 
     def execute_host_action(self, action: messages.Action) -> None:
-        """Carries out what only this gateway's transport can."""
+        """Executes the actions that this gateway's transport carries out."""
         match action:
             case messages.Release(request):
                 self.release_all(self.active_requests.get(request))
@@ -110,21 +110,21 @@
                 self.server_calls.probe(server)
 
     def on_timers_fired(self) -> None:
-        """Time to close what lay idle."""
+        """Closes idle connections."""
         self.transport.sweep()
 
     def on_fault(self, fault: Exception) -> None:
-        """A fault of this program: logged, and the other requests go on."""
+        """Logs a defect in this program; other requests continue."""
         self.log.error("fault", exc_info=fault)
 
     # -- requests
 
     def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
-        """The text of a new request, over all its attempts."""
+        """Creates the join of a new request's text over all its attempts."""
         return self.stream_recovery.join(raw, request)
 
     def arrived(self, active_request: ActiveRequest) -> None:
-        """A request was admitted by the chat API: the decisions hear of it."""
+        """Hands an admitted request to the router."""
         active_request.taken = now_ms()
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
@@ -133,24 +133,26 @@
         self.metrics.open.set(len(self.active_requests))
 
     def client_left(self, active_request: ActiveRequest) -> None:
-        """The client has gone: nothing is owed any more, and everything held for it is released."""
+        """Ends a request whose client has disconnected, and releases everything held for it."""
         if active_request.is_over:
             return
         active_request.left = True
         if active_request.attempt is not None and active_request.streaming:
-            active_request.attempt.cancel()  # a stream that nobody reads
+            active_request.attempt.cancel()  # nobody reads this stream
         self.dispatch(messages.ClientDisconnected(active_request.request))
         self.close(active_request, "left")
 
     def finish_request(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
-        """Gives the one final answer; a second one is ignored."""
-        if active_request.begun and isinstance(final, Rejected):  # its client has a part: nothing to come back for
-            final = Failed(active_request.why or "nobody could go on with it")
+        """Sets the final answer; a second one is ignored."""
+        if active_request.begun and isinstance(
+            final, Rejected
+        ):  # part of the answer was sent, so the client can't retry
+            final = Failed(active_request.why or "no server could continue the answer")
         if active_request.settle(final):
             self.close(active_request, final.recorded_as)
 
     def settle_streamed(self, active_request: ActiveRequest, finish: str, usage: Usage | None) -> None:
-        """Gives the whole answer; `usage` is the last attempt's."""
+        """Sets the complete answer as the final one; `usage` is that of the last attempt."""
         join = active_request.join
         extras = active_request.extras
         self.intake.answered(active_request.intake_record, extras.echoed(join.text))
@@ -158,7 +160,7 @@
         self.finish_request(active_request, Streamed(join.text, finish, told, extras.combined() if extras else None))
 
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
-        """Writes down how the request ended."""
+        """Records the request's outcome in the journal, the metrics and the log."""
         if self.journal_writer is not None:
             self.journal_writer.ended(active_request, outcome)
         self.metrics.outcomes.labels(active_request.chat_request.model, outcome).inc()
@@ -175,37 +177,37 @@
         self.forget(active_request)
 
     def forget(self, active_request: ActiveRequest) -> None:
-        """A request stays until its answer is settled, its last attempt has ended and what it held is released."""
+        """Drops a request once its final answer is set, its last attempt has ended and its state is released."""
         if active_request.attempt is not None or not active_request.is_over or active_request.holders:
             return
         if self.active_requests.pop(active_request.request, None) is not None:
             complete = isinstance(active_request.final, Streamed)
             self.stream_recovery.ended(active_request, active_request.join, complete)
-            if self.stream_resumer.due_ms < inf:  # others wait, perhaps for its place
+            if self.stream_resumer.due_ms < inf:  # other streams wait to be resumed, perhaps for this slot
                 self.resume_streams()
             self.idents.discard(active_request.ident)
             self.on_done(active_request)
         self.metrics.open.set(len(self.active_requests))
 
     def release_all(self, active_request: ActiveRequest | None) -> None:
-        """Releases what servers hold for a request."""
+        """Releases what servers hold for the request."""
         if active_request is not None:
             self.server_calls.release(active_request)
             self.forget(active_request)
 
     def resume_streams(self) -> None:
-        """Lets broken streams go on whose turn it is."""
+        """Resumes the broken streams whose turn it is."""
         self.stream_resumer.resume()
 
     # -- attempts
 
     def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
-        """Starts an attempt as a task of the nursery."""
+        """Starts an attempt as a task in the nursery."""
         endpoint = self.registry.endpoints[server]
         number = active_request.attempts
         active_request.attempts += 1
         stage = stage_at(server, active_request)
-        if stage is Stage.PREFILL:  # from now on: a prefill whose end is not heard may have left its state
+        if stage is Stage.PREFILL:  # a prefill whose result is lost may have left state
             active_request.holders[server] = None
         plan = plan_attempt(active_request, server, endpoint, times)
         active_request.attempt = plan
@@ -221,12 +223,12 @@
     async def run_attempt(
         self, active_request: ActiveRequest, server: Server, journal_number: int | None, ask: AttemptRequest
     ) -> None:
-        """One attempt from its start to its end."""
+        """Runs one attempt."""
         started_ms = now_ms()
         forwarder = StreamForwarder(self, active_request, server, ask.plan)
         if journal_number is not None and not await self.journalled(journal_number, ask.plan):
             outcome = AttemptOutcome.CANCELLED if ask.plan.cancelled else AttemptOutcome.OVERLOADED
-            result = AttemptResult(outcome, why="the journal can't be kept")
+            result = AttemptResult(outcome, why="the journal could not be written in time")
         else:
             result = await self.exchange(active_request, ask, forwarder)
         self.attempt_ended(active_request, server, ask.stage, result, now_ms() - started_ms, ask.plan)
@@ -234,23 +236,25 @@
     async def exchange(
         self, active_request: ActiveRequest, ask: AttemptRequest, forwarder: StreamForwarder
     ) -> AttemptResult:
-        """Has the transport carry the attempt; whatever happens there comes to a result."""
+        """Sends the attempt over the transport; any exception there becomes a result."""
         try:
             if ask.stage is Stage.PREFILL:
                 return await self.transport.read(ask)
             return await self.transport.stream(ask, forwarder.forward)
         except ClientGone:
             self.client_left(active_request)
-            return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
+            return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client disconnected")
         except Exception as fault:
             self.on_fault(fault)
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
 
     async def journalled(self, number: int, plan: AttemptPlan) -> bool:
-        """Waits until the disk has it that this attempt goes out; where it hasn't in time, the attempt is not sent.
+        """Waits until the record of this attempt is on disk; returns False where it is not in time, or the attempt was
+        cancelled.
 
-        Without the wait a gateway that is killed could send an effect and not know of it after its restart. During the
-        wait a scope of its own stands in the plan, so that a cancellation ends it."""
+        Without the wait, a gateway that is killed could have sent an attempt with an effect and not know of it after
+        its restart. During the wait the plan holds a scope of its own, so that a cancellation ends the wait.
+        """
         assert self.journal_writer is not None
         attempt_scope = plan.scope
         plan.scope = trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000)
@@ -269,13 +273,13 @@
         took_ms: float,
         plan: AttemptPlan,
     ) -> None:
-        """Learns from an attempt's end, settles the request where it is its end, and tells the decisions."""
+        """Records an attempt's result, settles the request where it ends with it, and tells the router."""
         active_request.attempt = None
         active_request.streaming = False
         self.attempt_recorder.record(active_request, server, stage, result, took_ms)
         broken = self.settle_attempt(active_request, result, plan)
         if result.outcome in NOTHING_RAN and server.role is Role.PREFILL:
-            active_request.holders.pop(server, None)  # it ran nothing, so it left nothing
+            active_request.holders.pop(server, None)  # nothing ran, so no state is left
         prompt_tokens_cached = float(cached_tokens(result.usage)) if result.usage is not None else 0.0
         self.dispatch(
             messages.AttemptEnded(
@@ -295,7 +299,7 @@
             self.resume_streams()
 
     def settle_attempt(self, active_request: ActiveRequest, result: AttemptResult, plan: AttemptPlan) -> bool:
-        """Settles the request where its attempt's end is its own; true where its stream waits to be resumed."""
+        """Settles the request where it ends with this attempt; returns True where its stream waits to be resumed."""
         join = active_request.join
         if result.outcome is AttemptOutcome.STREAMED and not join.attempt_completed():
             self.finish_request(active_request, Failed(join.why))
@@ -305,7 +309,7 @@
             may_resume = not plan.cancelled and not active_request.left
             if may_resume and self.stream_resumer.attempt_broke(active_request, result):
                 return True
-            # Its client has part of the answer, and hears that there is no more.
+            # The client has part of the answer, and is told that the rest will not follow.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
             self.finish_request(active_request, Failed(why))
         return False
--- a/ternlane/gateway/runtime_port.py
+++ b/ternlane/gateway/runtime_port.py
@@ -1,4 +1,4 @@
-"""What the parts of the gateway's runtime ask of it, so that none of them imports it."""
+"""The interface of the gateway's runtime for its parts, so that these need not import it."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     affords: Callable[[ActiveRequest], bool]
 
     def dispatch(self, event: messages.Event) -> None:
-        """Tells the decisions of an event."""
+        """Dispatches an event to the router."""
 
     def call_at(self, when_ms: float, call: Callable[[], None]) -> None:
-        """Has `call` made at that time."""
+        """Calls `call` at this time."""
 
     def finish_request(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
-        """Gives the one final answer."""
+        """Sets the final answer."""
 
     def settle_streamed(self, active_request: ActiveRequest, finish: str, usage: Usage | None) -> None:
-        """Gives the whole answer."""
+        """Sets the complete answer as the final one."""
 
     def resume_streams(self) -> None:
-        """Lets broken streams go on whose turn it is."""
+        """Resumes the broken streams whose turn it is."""
--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -1,4 +1,4 @@
-"""Calls to servers outside attempts: releases, reservations, probes. Each runs as a task of the gateway's nursery."""
+"""Calls to servers outside attempts: releases, reservations and probes, each as a task in the gateway's nursery."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 
 class ServerCalls:
-    """`releasing`: releases under way. `silent`: servers that were asked for their load and did not tell it."""
+    """`releasing`: number of releases in progress. `silent`: ids of servers that answered a probe without a load
+    report."""
 
     def __init__(self, runtime: RuntimePort) -> None:
         self.runtime = runtime
@@ -18,7 +19,7 @@
         self.silent: set[str] = set()
 
     def release(self, active_request: ActiveRequest) -> None:
-        """Releases what any server may hold for a request."""
+        """Releases the state that any server may hold for a request."""
         active_request.state = None
         holders = list(active_request.holders)
         active_request.holders = {}
@@ -46,7 +47,7 @@
             runtime.log.warning("release unheard", gen=active_request.ident, server=endpoint.ident)
 
     def reserve(self, active_request: ActiveRequest, server: Server) -> None:
-        """Reserves a place. It is released like a state, so the server counts as a holder from now on."""
+        """Reserves a place at a server. It is released like KV state, so the server counts as a holder from now on."""
         active_request.holders[server] = None
         self.runtime.nursery.start_soon(self._reserve_at, active_request, server)
 
@@ -65,11 +66,11 @@
             self.runtime.dispatch(messages.ReservationResult(request, reserved))
 
     def probe(self, server: Server) -> None:
-        """Asks a server for its load."""
+        """Requests a load report from a server."""
         self.runtime.nursery.start_soon(self._probe, server)
 
     async def _probe(self, server: Server) -> None:
-        """One that does not tell its load counts as having answered all the same, and is named in the log once."""
+        """A server that answers without a load report counts as reachable, and is logged once."""
         runtime = self.runtime
         endpoint = runtime.registry.endpoints[server]
         outcome, report = await runtime.transport.load(
@@ -79,5 +80,5 @@
         answered = outcome in (AttemptOutcome.STREAMED, AttemptOutcome.ERROR)
         if report is None and answered and endpoint.ident not in self.silent:
             self.silent.add(endpoint.ident)
-            runtime.log.warning("load not told", server=endpoint.ident, why="no metrics that can be read at /metrics")
+            runtime.log.warning("no load report", server=endpoint.ident, why="no readable metrics at /metrics")
         runtime.dispatch(messages.ProbeResult(server, outcome, report))
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards the text of one attempt to its client, and tells recovery and decisions what they learn from it."""
+"""Forwards the text of one attempt to its client, and reports its progress to stream recovery and the router."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 class StreamForwarder:
-    """The sink of one attempt. Text goes straight to the client's socket; no queue lies between, so a slow client slows
-    its server."""
+    """Receives the text of one attempt and writes it to the client's socket without a queue, so that a slow client
+    slows its server down."""
 
     def __init__(
         self, runtime: RuntimePort, active_request: ActiveRequest, server: messages.Server, plan: AttemptPlan
@@ -32,20 +32,20 @@
         self.explores = runtime.stream_recovery.stream_pacing.explores()
 
     async def forward(self, text: str, first: bool, more: Extras | None = None) -> None:
-        """One piece of the engine's stream. Raises ClientGone where nobody takes it."""
+        """Forwards one piece of the engine's stream. Raises ClientGone where the client has disconnected."""
         recovery = self.runtime.stream_recovery
         if not first:
             recovery.piece_after(self.server, now_ms() - self.last_piece_ms, self.explores)
         try:
             await self.take_piece(text, first, more)
         finally:
-            self.last_piece_ms = now_ms()  # a client that takes its time is not the engine's silence
+            self.last_piece_ms = now_ms()  # time spent on a slow client is not the engine's silence
         self.plan.idle_timeout_ms = recovery.idle_timeout_ms(
             self.active_request.join, self.server, self.longest_silence_ms, self.explores
         )
 
     async def take_piece(self, text: str, first: bool, more: Extras | None) -> None:
-        """Joins the piece to the text, and writes what is new of it. Raises ClientGone where nobody takes it."""
+        """Joins the piece to the text and writes its new part. Raises ClientGone where the client has disconnected."""
         if self.active_request.is_over:
             raise ClientGone
         if first:
@@ -55,7 +55,7 @@
             await self.write(new, more)
 
     def begin(self) -> None:
-        """The attempt streams: the decode server has fetched the state, and nobody else holds it any more."""
+        """Records the first piece: the decode server has fetched the state, so no prefill server holds it any more."""
         runtime = self.runtime
         active_request = self.active_request
         active_request.streaming = True
@@ -68,11 +68,11 @@
         paused_ms = runtime.stream_recovery.first_piece(active_request, now_ms(), active_request.taken)
         if paused_ms is not None:
             runtime.metrics.resumed.observe(paused_ms / MS_PER_S)
-            runtime.resume_streams()  # its place is free
+            runtime.resume_streams()  # its slot is free
         runtime.dispatch(messages.FirstToken(active_request.request, self.server, now_ms() - self.started_ms))
 
     def join(self, text: str) -> str | None:
-        """What of the piece is new to the client; None where the attempt ends with it."""
+        """The part of the piece that is new to the client; None where the attempt ends here."""
         join = self.active_request.join
         try:
             new = join.take(text)
@@ -86,9 +86,9 @@
         return new
 
     async def write(self, new: str, more: Extras | None) -> None:
-        """Writes to the client. Raises ClientGone where its connection is broken."""
+        """Writes to the client. Raises ClientGone where the connection is broken."""
         active_request = self.active_request
-        if not self.runtime.affords(active_request):  # its tenant wants streams cut that pass the overdraft
+        if not self.runtime.affords(active_request):  # the tenant has such streams cut
             active_request.why = "over budget: the overdraft is used up"
             self.plan.cancel()
         head = not active_request.begun
@@ -97,7 +97,7 @@
             active_request.extras.add(more)
             active_request.join.disable_for_extras()
         elif not new and not head:
-            return  # a replay's, which the client has
+            return  # replayed text that the client has already
         try:
             if more is None:
                 await active_request.response_writer.piece(new, head)
--- a/ternlane/gateway/stream_resumer.py
+++ b/ternlane/gateway/stream_resumer.py
@@ -1,4 +1,4 @@
-"""Has broken streams resumed: what becomes of each, and when the next may go."""
+"""Resumes broken streams when stream recovery allows it."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class StreamResumer:
-    """Carries out what `StreamRecovery` says. `due_ms`: when it is asked again; inf while nothing waits."""
+    """Executes the decisions of `StreamRecovery`. `due_ms`: time of the next check; inf while no stream waits."""
 
     def __init__(self, runtime: RuntimePort) -> None:
         self.runtime = runtime
         self.due_ms = inf
 
     def attempt_broke(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
-        """Whether another attempt may give the rest; if so it waits for its turn."""
+        """True where another attempt may continue the stream, which then waits for its turn."""
         if active_request.broke_at is None:
             active_request.broke_at = len(active_request.made)
         outcome = self.runtime.stream_recovery.attempt_broke(
@@ -42,12 +42,12 @@
         return outcome is RecoveryOutcome.RESUMES
 
     def prefill_servers(self) -> int:
-        """Servers at which a prompt may be prefilled."""
+        """The number of servers that can prefill."""
         servers = self.runtime.registry.servers.values()
         return sum(s.status is EndpointStatus.READY and s.role is not Role.DECODE for s in servers)
 
     def resume(self) -> None:
-        """Lets broken streams go on whose turn it is; those that have waited too long are given up."""
+        """Resumes the broken streams whose turn it is, and fails those that have waited too long."""
         ready, late = self.runtime.stream_recovery.next(now_ms())
         for active_request in ready:
             self.runtime.dispatch(messages.ResumeStream(active_request.request))
@@ -60,6 +60,6 @@
             self.runtime.call_at(due_ms, self.resume_due)
 
     def resume_due(self) -> None:
-        """The time has come that `resume` asked for."""
+        """Runs the check that `resume` scheduled."""
         self.due_ms = inf
         self.resume()
