--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -112,7 +112,7 @@
             case RepeatPolicy.NOTHING:
                 return None
             case RepeatPolicy.UNSURE:
-                return Failed("the first client disconnected; the request may have run")
+                return Failed("the first client left; it may have run")
         return self.final
 
     def settle(self, final: Final) -> bool:
--- a/ternlane/gateway/api_errors.py
+++ b/ternlane/gateway/api_errors.py
@@ -9,10 +9,10 @@
 MAX_BUDGET_WAIT_MS = 1e9  # upper bound of the retry-after-ms header
 
 BUDGETS = {
-    "minute": "tokens per minute",
+    "minute": "tokens a minute",
     "period": "tokens of the billing period",
-    "at_once": "concurrent generations",
-    "overdraft": "tokens per minute, the overdraft is used up",
+    "at_once": "generations at once",
+    "overdraft": "tokens a minute, the overdraft is used up",
 }
 
 
--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -60,7 +60,7 @@
             return
         if not active_request.join.prefill_covers_text(result.usage.prompt_tokens, active_request.prompt_said):
             result.outcome = AttemptOutcome.ERROR
-            result.why = "prefill covered only the prompt, so the text can't be continued"
+            result.why = "it read no more than the prompt, and can't go on with the text"
 
     def learn_usage(self, active_request: ActiveRequest, stage: Stage, result: AttemptResult, took_ms: float) -> None:
         """Records the attempt's token usage, and learns the prompt's length while no stream has been resumed."""
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -166,7 +166,7 @@
         """Fails open requests, releases what servers hold for them and writes the bills. After `drain` nothing is left
         to do; a block that ends without `drain` loses no bill or release either."""
         for active_request in list(self.runtime.active_requests.values()):
-            self.runtime.abort_request(active_request, "the gateway is shutting down")
+            self.runtime.abort_request(active_request, "the gateway went down")
         with trio.move_on_after(self.router_config.release_ms / 1000 + LAST_ANSWERS_S):
             while self.runtime.active_requests or self.runtime.server_calls.releasing or self.chat_api.busy:
                 await trio.sleep(STOP_LOOK_S)
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -86,16 +86,14 @@
         except UnknownKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
         if not self.budget_enforcer.writer.may_take:
-            raise RequestNotAdmittedError(
-                503, "Usage can't be recorded now: the billing ledger can't be written", "ledger_full", RETRY_LEDGER_S
-            )
+            raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", RETRY_LEDGER_S)
         return tenant
 
     def check_open_limit(self) -> None:
         """Raises RequestNotAdmittedError where the limit of open requests is reached."""
         if len(self.runtime.active_requests) >= self.config.door.open_limit:
             raise RequestNotAdmittedError(
-                503, "This gateway has reached its limit of open requests", "open_limit", RETRY_SOON_S
+                503, "This gateway holds as many generations as it may", "open_limit", RETRY_SOON_S
             )
 
     def client_timeout_ms(self, exchange: Exchange, model: str) -> float:
@@ -118,7 +116,7 @@
         if not self.config.streams.ids or not chat_request.stream:
             raise RequestNotAdmittedError(
                 409,
-                "This gateway does not resume streams, or the request is not a stream",
+                "Streams can't be taken up again here",
                 "resume_not_offered",
                 param="Last-Event-ID",
             )
@@ -140,7 +138,7 @@
         journal_writer = self.runtime.journal_writer
         if journal_writer is not None and not journal_writer.ready:
             raise RequestNotAdmittedError(
-                503, "The journal of the previous process is being recovered", "taking_over", RETRY_SOON_S
+                503, "The journal of the process before is being taken over", "taking_over", RETRY_SOON_S
             )
         owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
         return f"{owner}\0{header}"
@@ -152,14 +150,14 @@
             case RequestInProgress():
                 raise RequestNotAdmittedError(
                     409,
-                    "A request with this Idempotency-Key is still in progress",
+                    "The first request with this Idempotency-Key is still out",
                     "idempotency_key_in_use",
                     param="Idempotency-Key",
                 )
             case BodyMismatch():
                 raise RequestNotAdmittedError(
                     422,
-                    "This Idempotency-Key was used before with a different body",
+                    "This Idempotency-Key came with another body before",
                     "idempotency_key_reused",
                     param="Idempotency-Key",
                 )
@@ -213,8 +211,8 @@
         if after and not is_reproducible(chat_request.raw, record.request.request_class.effect):
             raise RequestNotAdmittedError(
                 409,
-                "This stream can't be resumed: its answer is not stored, and another run is not allowed or would "
-                "give a different text",
+                "The rest of this answer can't be had: it is not kept, and another run must not be, or "
+                "would not come out the same",
                 "resume_not_possible",
                 param="Last-Event-ID",
             )
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -147,7 +147,7 @@
         if active_request.begun and isinstance(
             final, Rejected
         ):  # part of the answer was sent, so the client can't retry
-            final = Failed(active_request.why or "no server could continue the answer")
+            final = Failed(active_request.why or "nobody could go on with it")
         if active_request.settle(final):
             self.close(active_request, final.recorded_as)
 
@@ -228,7 +228,7 @@
         forwarder = StreamForwarder(self, active_request, server, ask.plan)
         if journal_number is not None and not await self.journalled(journal_number, ask.plan):
             outcome = AttemptOutcome.CANCELLED if ask.plan.cancelled else AttemptOutcome.OVERLOADED
-            result = AttemptResult(outcome, why="the journal could not be written in time")
+            result = AttemptResult(outcome, why="the journal can't be kept")
         else:
             result = await self.exchange(active_request, ask, forwarder)
         self.attempt_ended(active_request, server, ask.stage, result, now_ms() - started_ms, ask.plan)
@@ -243,7 +243,7 @@
             return await self.transport.stream(ask, forwarder.forward)
         except ClientGone:
             self.client_left(active_request)
-            return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client disconnected")
+            return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
         except Exception as fault:
             self.on_fault(fault)
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
