--- a/ternlane/chat/__init__.py
+++ b/ternlane/chat/__init__.py
@@ -1,4 +1,4 @@
-"""From a chat request to a Request and back to an answer. Free of I/O."""
+"""Parses chat requests into router requests, and builds the bodies of answers. No I/O."""
 
 from ternlane.chat.idempotency_cache import (
     BodyMismatch,
--- a/ternlane/chat/idempotency_cache.py
+++ b/ternlane/chat/idempotency_cache.py
@@ -1,7 +1,7 @@
-"""What is known of requests that came with an Idempotency-Key (the IETF HTTPAPI draft of that header field).
+"""Caches the answers of requests with an Idempotency-Key (the IETF HTTPAPI draft of that header field).
 
-A repeat while the first is out is told so (409); one with another body is rejected (422); one after the end gets the
-same answer again and nothing runs. A rejected request leaves no trace: it may simply be tried again.
+A repeat while the first request is in progress is rejected (409), and so is one with another body (422); a later repeat
+gets the stored answer and nothing runs. A rejected request is not stored: it may be sent again.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 from ternlane.policy.messages import Effect
 
-RECORD_BYTES = 400  # of a record, beside its key and the answer that it keeps
-SWEEP_RECORDS = 64  # looked at in one sweep: a bound on what it adds to a request's time
+RECORD_BYTES = 400  # memory of a record in addition to its key and its answer
+SWEEP_RECORDS = 64  # checked in one sweep: bounds what a sweep adds to a request's latency
 
 
 @dataclass(slots=True)
 class FirstRequest:
-    """Not met before: the request is to run, and `IdempotencyCache.end` is owed."""
+    """The key is new: the request is to run, and the caller must call `IdempotencyCache.end`."""
 
 
 @dataclass(slots=True)
 class RequestInProgress:
-    """The first one is still out."""
+    """The first request with this key has not ended."""
 
 
 @dataclass(slots=True)
 class BodyMismatch:
-    """The key came with another body before."""
+    """The key was used before with another body."""
 
 
 @dataclass(slots=True)
 class StoredAnswer:
-    """The first one has ended with this answer."""
+    """The first request with this key ended with this answer."""
 
     answer: Any
 
@@ -43,18 +43,18 @@
 
 
 class RepeatPolicy(Enum):
-    """What a repeat hears once the first request has ended."""
+    """How a repeat is answered once the first request has ended."""
 
-    NOTHING = auto()  # it may run: the key is free
-    ANSWER = auto()  # the same answer
-    UNSURE = auto()  # that it may have run
+    NOTHING = auto()  # the repeat runs, as a first request
+    ANSWER = auto()  # with the stored answer
+    UNSURE = auto()  # with an error: the first request may have run
 
 
 def repeat_policy(effect: Effect, outcome: str, attempts: int) -> RepeatPolicy:
-    """`outcome` is streamed, throttled, terminated or left, as the journal has it.
+    """How repeats of a request are answered. `outcome`: streamed, throttled, terminated or left, as in the journal.
 
-    A rejection promises that nothing ran; where a second run does no harm, only a whole answer is worth keeping; a
-    client that left before any attempt was sent never came.
+    After a rejection nothing ran, and an idempotent request does no harm twice, so that only a complete answer is
+    stored. Where the client left before any attempt was sent, nothing ran either.
     """
     if outcome == "streamed":
         return RepeatPolicy.ANSWER
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """One key. `body_digest` tells another body; `until` is when it is forgotten, in ms."""
+    """The state of one key. `body_digest` detects another body; `until`: when the record expires, in ms."""
 
     body_digest: bytes
     until: float = 0.0
@@ -77,7 +77,7 @@
 
 
 class IdempotencyCache:
-    """Bounded by bytes: ended records go first, the oldest before others; those still out are never dropped."""
+    """Stored answers, bounded in bytes: the oldest ended records are evicted first, requests in progress never."""
 
     def __init__(self, byte_limit: int) -> None:
         self.byte_limit = byte_limit
@@ -86,7 +86,7 @@
         self.in_progress: dict[str, Record] = {}
 
     def begin(self, key: str, body_digest: bytes, now: float) -> LookupResult:
-        """Looks a key up, and notes the first request of it."""
+        """Looks a key up; a new key is registered as in progress."""
         record = self.in_progress.get(key) or self.ended.get(key)
         if record is not None and not record.in_progress and record.until <= now:
             self.drop(key)
@@ -99,13 +99,13 @@
         return RequestInProgress() if record.in_progress else StoredAnswer(record.answer)
 
     def restore(self, key: str, body_digest: bytes, answer: Any, size_bytes: int, until: float) -> None:
-        """What a process before this one knew. Nothing that this one has met since is touched."""
+        """Adds an answer of a previous process, unless this process has seen the key since."""
         if key not in self.in_progress and key not in self.ended:
             self.in_progress[key] = Record(body_digest)
             self.end(key, answer, size_bytes, until)
 
     def end(self, key: str, answer: Any, size_bytes: int, until: float) -> None:
-        """`answer` None: nothing ran or nothing need be kept, the key is free again."""
+        """Ends the first request of a key. `answer` None: nothing to store, the key is free again."""
         record = self.in_progress.pop(key, None)
         if record is None or answer is None:
             return
@@ -119,11 +119,11 @@
             self.drop(next(iter(self.ended)))
 
     def drop(self, key: str) -> None:
-        """Forgets an ended request."""
+        """Removes an ended record."""
         self.bytes -= self.ended.pop(key).size_bytes
 
     def sweep(self, now: float, most: int = SWEEP_RECORDS) -> None:
-        """Drops what has run out, a few at a time."""
+        """Removes expired records, looking at no more than `most` of the oldest."""
         for key in [k for k, _ in zip(self.ended, range(most), strict=False)]:
             if self.ended[key].until <= now:
                 self.drop(key)
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -1,4 +1,4 @@
-"""Makes the Request that the decisions see out of a chat request."""
+"""Builds the router's Request from a chat request: its session, shared prefix and estimated length."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ternlane.chat.session_index import SessionIndex, chain
 from ternlane.policy.messages import Effect, Group, Request, RequestClass, Tenant
 
-DEFAULT_TOKENS_A_BYTE = 0.25  # until engines have said how many there were; usual for English
-RATIO_WEIGHT = 1 / 32  # of one more report in the mean ratio: some dozens of prompts set it
-MAX_TOKENS_A_BYTE = 4  # no tokenizer splits a byte further: a larger count is absurd
-TEMPLATE_TOKENS = 64  # that an engine may add around a short prompt
-BLOCKS_A_SESSION = 8  # prefix blocks kept for each session that may be recognised
+DEFAULT_TOKENS_A_BYTE = 0.25  # until engines have reported token counts; typical of English
+RATIO_WEIGHT = 1 / 32  # weight of a new report in the moving average, which follows some dozens of prompts
+MAX_TOKENS_A_BYTE = 4  # no tokenizer makes more of a byte: larger counts are invalid
+TEMPLATE_TOKENS = 64  # an engine's chat template may add this many to a short prompt
+BLOCKS_A_SESSION = 8  # prefix blocks kept per session of the session limit
 
 EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class IntakeRecord:
-    """What the intake remembers of one request until it ends."""
+    """What the intake keeps of one request until it ends."""
 
     request: Request
     session: str
@@ -37,7 +37,8 @@
 
 
 class RequestIntake:
-    """One gateway's knowledge of conversations. `models` maps each model name to its request class."""
+    """Builds requests, with the sessions and prefixes that this gateway has seen. `models`: request class by model
+    name."""
 
     def __init__(
         self, models: dict[str, RequestClass], max_tokens: dict[RequestClass, int], session_limit: int
@@ -50,12 +51,13 @@
         self.tokens_a_byte: dict[RequestClass, float] = {}
 
     def configure(self, models: dict[str, RequestClass], max_tokens: dict[RequestClass, int]) -> None:
-        """Other request classes from the next request on; what is known of conversations stays."""
+        """Applies changed request classes from the next request on; known sessions and prefixes are kept."""
         self.models = models
         self.max_tokens = max_tokens
 
     def take(self, chat_request: ChatRequest, client_timeout_ms: float, owner: str = "") -> IntakeRecord:
-        """Two owners' equal conversations are two. Raises InvalidRequestError for a model that is not offered."""
+        """Builds the request. Equal conversations of different owners are different sessions. Raises
+        InvalidRequestError for an unknown model."""
         model = chat_request.model
         request_class = self.models.get(model)
         if request_class is None:
@@ -80,20 +82,20 @@
         return IntakeRecord(request, session, hashes[-1], len(text))
 
     def session_of(self, chat_request: ChatRequest, owner: str, hashes: list[bytes]) -> str:
-        """The session that the client names, or the conversation that the request goes on with."""
+        """The session named by `prompt_cache_key`, else the one of the conversation that the request continues."""
         if not chat_request.cache_key:
             return self.sessions.find(hashes)
         named = f"{owner}\0{chat_request.user or ''}\0{chat_request.cache_key}"
         return "k" + xxh3_64_hexdigest(named.encode())
 
     def shared_prefix(self, text: bytes, session: str) -> tuple[str | None, int]:
-        """The part of the prompt's beginning that other sessions have sent: its name, and its length in blocks."""
+        """The hash and the length in blocks of the longest prefix that the prompt shares with other sessions."""
         run = blocks(text)
         shared = self.prefixes.meet(run, xxh3_64_intdigest(session.encode()) >> 1)
         return (xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None), shared
 
     def learn_prompt(self, record: IntakeRecord, prompt_tokens: float) -> None:
-        """An engine has said how many tokens the prompt had; absurd figures are not believed."""
+        """Learns the ratio of tokens to bytes from an engine's count of the prompt's tokens; ignores invalid counts."""
         if not 0 < prompt_tokens <= MAX_TOKENS_A_BYTE * record.prompt_bytes + TEMPLATE_TOKENS:
             return
         request_class = record.request.request_class
@@ -102,6 +104,6 @@
         self.tokens_a_byte[request_class] = ratio if mean is None else mean + RATIO_WEIGHT * (ratio - mean)
 
     def answered(self, record: IntakeRecord, message: dict[str, Any]) -> None:
-        """Lets the next turn be recognised by the message that was answered."""
+        """Registers the answer, so that the conversation's next turn is recognised."""
         end = xxh3_128_digest(record.last_hash + canonical(message))
         self.sessions.remember(end, record.session)
--- a/ternlane/chat/message_extras.py
+++ b/ternlane/chat/message_extras.py
@@ -1,16 +1,16 @@
-"""What an answer has besides its text: tool calls, a refusal, reasoning, probabilities. Engines stream it in pieces, as
-the OpenAI API reference has them; a whole answer has them put together. Free of I/O."""
+"""Parts of an answer other than text: tool calls, refusal, reasoning and logprobs. Engines stream them in pieces, as
+the OpenAI API reference describes; a complete answer has them assembled. No I/O."""
 
 from __future__ import annotations
 
 from typing import Any
 
-TEXT_FIELDS = ("refusal", "reasoning_content", "reasoning")  # fields of a delta whose pieces are joined end to end
+TEXT_FIELDS = ("refusal", "reasoning_content", "reasoning")  # string fields of a delta that are concatenated
 Extras = dict[str, Any]  # {"delta": further fields of a delta, "logprobs": of its tokens}
 
 
 class MessageExtras:
-    """Puts the pieces together. Truth: is there anything?"""
+    """Assembles the pieces. False as a bool while there are none."""
 
     def __init__(self) -> None:
         self.texts: dict[str, str] = {}
@@ -21,7 +21,7 @@
         return bool(self.texts or self.calls or self.probs)
 
     def add(self, more: Extras) -> None:
-        """Takes one piece in."""
+        """Adds one piece."""
         delta = more.get("delta") or {}
         for name in TEXT_FIELDS:
             if isinstance(delta.get(name), str):
@@ -33,7 +33,7 @@
                 self.probs.setdefault(name, []).extend(values)
 
     def add_call(self, piece: dict[str, Any]) -> None:
-        """A piece of the call at its `index`: name and id come whole, arguments bit by bit."""
+        """Adds a piece of the tool call at its `index`: name and id are complete, arguments are concatenated."""
         index = int(piece.get("index", len(self.calls)))
         call = self.calls.setdefault(index, {"type": "function", "function": {}})
         for name in ("id", "type"):
@@ -45,7 +45,7 @@
         call["function"]["arguments"] = call["function"].get("arguments", "") + (function.get("arguments") or "")
 
     def message(self, text: str) -> dict[str, Any]:
-        """The assistant's message; its content is null where it has calls and no text."""
+        """The assistant message; `content` is null where there are tool calls and no text."""
         out: dict[str, Any] = {
             "role": "assistant",
             "content": text or (None if self.calls else ""),
@@ -57,15 +57,15 @@
         return out
 
     def echoed(self, text: str) -> dict[str, Any]:
-        """The message as clients send it back in the next turn."""
+        """The message as clients repeat it in the next turn's request."""
         return {k: v for k, v in self.message(text).items() if k not in TEXT_FIELDS}
 
     def logprobs(self) -> dict[str, Any] | None:
-        """The probabilities of all tokens; None for none."""
+        """The logprobs of all tokens, or None."""
         return dict(self.probs) or None
 
     def combined(self) -> Extras:
-        """All of it as one piece, to be told again."""
+        """All pieces as one, for replaying a stored answer."""
         delta: dict[str, Any] = dict(self.texts)
         if self.calls:
             delta["tool_calls"] = [{"index": i, **call} for i, call in sorted(self.calls.items())]
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -1,8 +1,8 @@
-"""Finds how much of a prompt's beginning has been met in other sessions.
+"""Finds how much of a prompt's prefix other sessions have sent before.
 
-A radix tree over the hashes of fixed-size blocks: an edge holds a run of blocks as one array of 64-bit words, so a
-long text that only one session ever sent costs eight bytes a block and one node. Nodes carry whose they are: one
-session's, or shared. A set of blocks is dropped leaf by leaf, the longest unused first.
+A radix tree over the hashes of fixed-size blocks. An edge holds a run of blocks as one array of 64-bit words, so that a
+long text that only one session has sent costs eight bytes per block and one node. Each node is owned by one session or
+shared. Beyond the limit, leaves are evicted in least-recently-used order.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 def blocks(text: bytes, block: int = BLOCK) -> array[int]:
-    """Hashes of the whole blocks of a text; an unfinished last one is left out."""
+    """Hashes of the complete blocks of a text; a partial last block is left out."""
     return array("Q", (xxh3_64_intdigest(text[i : i + block]) for i in range(0, len(text) - block + 1, block)))
 
 
 class Node:
-    """A run of blocks, and the run before it. `owner` is a session's number, or SHARED."""
+    """A run of blocks that continues the parent's. `owner`: a session's number, or SHARED."""
 
     __slots__ = ("run", "parent", "children", "owner", "older", "newer")
 
@@ -32,23 +32,23 @@
         self.parent = parent
         self.owner = owner
         self.children: dict[int, Node] | None = None
-        self.older: Node | None = None  # neighbours in the order of last use
+        self.older: Node | None = None  # neighbours in the LRU list
         self.newer: Node | None = None
 
 
 class PrefixIndex:
-    """`meet` takes a prompt's blocks and its session's number, and says how many of them others have begun with."""
+    """The radix tree. `meet` adds a prompt, and returns how many of its leading blocks other sessions share."""
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
-        self.held = 0  # blocks
+        self.held = 0  # blocks in the tree
         self.nodes = 0
         self.root = Node(array("Q"), None, SHARED)
         self.oldest: Node | None = None
         self.newest: Node | None = None
 
     def meet(self, run: array[int], session: int) -> int:
-        """Blocks at the start of `run` that another session's prompt began with; `run` is remembered."""
+        """The number of leading blocks of `run` that another session's prompt had too; adds `run` to the tree."""
         node = self.root
         at = 0
         shared = 0
@@ -72,7 +72,7 @@
             at += same
             node = child
             path.append(child)
-        for used in reversed(path):  # a parent is always newer than its children
+        for used in reversed(path):  # a parent is always more recently used than its children
             self.unlink(used)
             self.link(used)
         while self.held > self.block_limit and self.drop_oldest():
@@ -81,7 +81,8 @@
 
     @staticmethod
     def common(edge: array[int], run: array[int], at: int) -> int:
-        """How many blocks an edge and a run share; arrays are compared whole first, as most edges match whole."""
+        """The length of the common prefix of an edge and a run. Compares whole arrays first, as most edges match
+        fully."""
         n = min(len(edge), len(run) - at)
         if edge[:n] == run[at : at + n]:
             return n
@@ -96,7 +97,7 @@
         return low
 
     def add(self, parent: Node, run: array[int], session: int) -> Node:
-        """A new leaf, of one session."""
+        """Adds a leaf owned by one session."""
         node = Node(run, parent, session)
         if parent.children is None:
             parent.children = {}
@@ -107,7 +108,7 @@
         return node
 
     def split(self, node: Node, at: int) -> Node:
-        """Cuts an edge; gives the upper part."""
+        """Splits an edge; returns the upper node."""
         upper = Node(node.run[:at], node.parent, node.owner)
         assert node.parent is not None and node.parent.children is not None
         node.parent.children[upper.run[0]] = upper
@@ -119,7 +120,7 @@
         return upper
 
     def link(self, node: Node) -> None:
-        """Puts a node at the end of the order of last use."""
+        """Appends a node to the LRU list as the most recently used."""
         node.older = self.newest
         node.newer = None
         if self.newest is not None:
@@ -128,7 +129,7 @@
         self.oldest = self.oldest or node
 
     def unlink(self, node: Node) -> None:
-        """Takes a node out of the order of last use."""
+        """Removes a node from the LRU list."""
         if node.older is not None:
             node.older.newer = node.newer
         else:
@@ -139,7 +140,8 @@
             self.newest = node.older
 
     def drop_oldest(self) -> bool:
-        """Drops the least recently used leaf; the oldest node is one, as parents are newer than children."""
+        """Evicts the least recently used leaf: the oldest node, as parents are more recently used than their children.
+        Returns False where there is none."""
         node = self.oldest
         while node is not None and node.children:
             node = node.newer
@@ -163,7 +165,7 @@
 
 
 class WholePrefixes:
-    """The plain way, kept to measure against: a dict from the hash of every beginning to whose it was."""
+    """The baseline for benchmarks and tests: a dict from the hash of every prefix to its owner."""
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
--- a/ternlane/chat/request.py
+++ b/ternlane/chat/request.py
@@ -1,4 +1,4 @@
-"""Reads the body of POST /v1/chat/completions, as the OpenAI API reference describes it."""
+"""Parses the body of POST /v1/chat/completions as the OpenAI API reference describes it."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import msgspec
 
 ROLES = {"system", "developer", "user", "assistant", "tool", "function"}
-MAX_TOKENS = 10_000_000  # of an answer: more is a mistake, not a wish
+MAX_TOKENS = 10_000_000  # of an answer: a larger number is taken for a mistake
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be taken: HTTP status, field and code for OpenAI's error form."""
+    """An invalid request. `status`, `param` and `code` go into the OpenAI error body."""
 
     def __init__(self, param: str | None, why: str, code: str = "invalid_value", status: int = 400) -> None:
         super().__init__(why)
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ChatRequest:
-    """A checked request. `raw` is the whole body: fields unknown here are passed on to the engines."""
+    """A validated request. `raw`: the whole body, of which unknown fields are passed on to engines."""
 
     raw: dict[str, Any]
     model: str
@@ -38,7 +38,7 @@
 
 
 def canonical(message: dict[str, Any]) -> bytes:
-    """The same bytes for the same message, however its JSON was laid out; text parts count as their text."""
+    """Canonical bytes of a message, independent of its JSON layout; a list of text parts equals the joined text."""
     content = message.get("content")
     if isinstance(content, list) and all(p.get("type") == "text" for p in content):
         content = "".join(p["text"] for p in content)
@@ -50,7 +50,7 @@
 
 
 def check_message(message: Any, at: str) -> None:
-    """Raises InvalidRequestError for a message that the API does not have; `at` is its place in the body."""
+    """Raises InvalidRequestError for an invalid message. `at`: its path in the body."""
     if not isinstance(message, dict):
         raise InvalidRequestError(at, f"{at} must be an object", "invalid_type")
     role = message.get("role")
@@ -68,7 +68,7 @@
 
 
 def check_part(part: Any, at: str) -> None:
-    """Raises InvalidRequestError for a part of a message's content that the API does not have."""
+    """Raises InvalidRequestError for an invalid content part."""
     if not isinstance(part, dict) or not isinstance(part.get("type"), str):
         raise InvalidRequestError(at, f"{at} must be an object with a type", "invalid_type")
     if part["type"] == "text" and not isinstance(part.get("text"), str):
@@ -76,7 +76,7 @@
 
 
 def optional_field(raw: dict[str, Any], name: str, kind: type, what: str) -> Any:
-    """A field's value, None where it is not given. Raises InvalidRequestError for another type."""
+    """The value of a field, or None where it is missing. Raises InvalidRequestError for another type."""
     value = raw.get(name)
     if value is None:
         return None
@@ -86,7 +86,7 @@
 
 
 def parse_chat_request(body: bytes) -> ChatRequest:
-    """Checks a body. Raises InvalidRequestError, which names the first wrong field."""
+    """Parses and validates a body. Raises InvalidRequestError, which names the first invalid field."""
     raw = parse_object(body)
     model = parse_model(raw)
     messages = parse_messages(raw)
@@ -128,7 +128,7 @@
 
 
 def parse_messages(raw: dict[str, Any]) -> list[dict[str, Any]]:
-    """The messages, each checked. Raises InvalidRequestError."""
+    """The validated messages. Raises InvalidRequestError."""
     messages: list[dict[str, Any]] | None = optional_field(raw, "messages", list, "a list")
     if not messages:
         raise InvalidRequestError("messages", "messages must hold at least one message", "missing_required_parameter")
@@ -138,7 +138,8 @@
 
 
 def parse_max_tokens(raw: dict[str, Any]) -> int | None:
-    """The lesser of the two limits that the API has; None for no limit. Raises InvalidRequestError."""
+    """The lower of `max_completion_tokens` and `max_tokens`; None where neither is given. Raises
+    InvalidRequestError."""
     limits = []
     for name in ("max_completion_tokens", "max_tokens"):
         value = optional_field(raw, name, int, "a whole number")
@@ -151,7 +152,7 @@
 
 
 def parse_include_usage(raw: dict[str, Any], stream: bool) -> bool:
-    """Whether a stream ends with its usage. Raises InvalidRequestError."""
+    """Whether the stream ends with a usage event. Raises InvalidRequestError."""
     options = optional_field(raw, "stream_options", dict, "an object")
     if options is None:
         return False
--- a/ternlane/chat/response_body.py
+++ b/ternlane/chat/response_body.py
@@ -1,4 +1,4 @@
-"""Bodies of answers, in the forms of the OpenAI API reference."""
+"""Builds response bodies and stream events as the OpenAI API reference describes them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ErrorInfo(msgspec.Struct):
-    """What went wrong, in the API's form."""
+    """The error object of the API."""
 
     message: str
     type: str
@@ -21,13 +21,13 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """The body of an answer that is an error."""
+    """The body of an error response."""
 
     error: ErrorInfo
 
 
 class Delta(msgspec.Struct, omit_defaults=True):
-    """What one event adds to the answer."""
+    """The part of the message that one event adds."""
 
     role: str | None = None
     content: str | None = None
@@ -66,14 +66,14 @@
 
 
 def error_body(status: int, why: str, code: str | None, param: str | None = None) -> bytes:
-    """The body of an error: `code` and the field `param` as the API has them."""
+    """The body of an error response; `param` is the invalid field."""
     return encode(ErrorBody(ErrorInfo(why, ERROR_TYPES.get(status, "server_error"), param, code)))
 
 
 def chunk(
     ident: str, created: int, model: str, text: str | None, finish: str | None, first: bool, more: Extras | None = None
 ) -> bytes:
-    """One event; `more` is what it has besides the text."""
+    """One stream event; `more` holds what it has besides text, such as tool calls."""
     if more:
         return extended_chunk(ident, created, model, text, finish, first, more)
     delta = Delta("assistant" if first else None, text)
@@ -83,7 +83,7 @@
 def extended_chunk(
     ident: str, created: int, model: str, text: str | None, finish: str | None, first: bool, more: Extras
 ) -> bytes:
-    """An event that has more than text."""
+    """A stream event that has more than text."""
     delta: dict[str, Any] = {"role": "assistant"} if first else {}
     if text:
         delta["content"] = text
@@ -95,7 +95,7 @@
 
 
 def usage_chunk(ident: str, created: int, model: str, usage: dict[str, Any]) -> bytes:
-    """The event that tells the usage of the whole."""
+    """The stream event with the usage of the whole answer."""
     return encode(
         {
             "id": ident,
@@ -111,7 +111,7 @@
 def answer_body(
     ident: str, created: int, model: str, text: str, finish: str, usage: dict[str, Any], more: Extras | None = None
 ) -> bytes:
-    """A whole answer; `more` is what it has besides the text."""
+    """The body of a complete answer; `more` holds what it has besides text."""
     extras = MessageExtras()
     extras.add(more or {})
     return encode(
--- a/ternlane/chat/session_index.py
+++ b/ternlane/chat/session_index.py
@@ -1,4 +1,4 @@
-"""Recognises which conversation a request goes on with, by the hashes of what was said so far."""
+"""Recognises the conversation that a request continues by the hashes of its messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def chain(texts: list[bytes], root: bytes = b"") -> list[bytes]:
-    """The hash of each beginning of a conversation: the i-th stands for messages 0 to i together."""
+    """The hash of each prefix of a conversation; the i-th covers messages 0 to i."""
     hashes = []
     last = xxh3_128_digest(root)
     for text in texts:
@@ -18,11 +18,12 @@
 
 
 class SessionIndex:
-    """Ends of conversations seen lately, and whose they were. Holds `limit` at most, the oldest go first.
+    """Maps hashes of recent conversations to their sessions. Holds at most `limit`; the oldest are evicted first.
 
-    A conversation is known by its last prompt and by that prompt with our answer. The next turn repeats both and
-    adds to them; the longest known beginning names the session. A client that words the answer otherwise is still
-    known by the prompt. Two users' equal conversations are told apart by `user`.
+    A conversation is stored under the hash of its last prompt, and of that prompt with the answer. The next turn
+    repeats both and adds messages, so that its longest known prefix gives the session. A client that changes the
+    answer's text is still recognised by the prompt. The root of the hashes tells equal conversations of different users
+    apart.
     """
 
     def __init__(self, limit: int) -> None:
@@ -30,7 +31,7 @@
         self.ends: OrderedDict[bytes, str] = OrderedDict()
 
     def find(self, hashes: list[bytes]) -> str:
-        """The session that the hashes go on with, or a new one named by them; either is remembered."""
+        """The session that the conversation continues, or a new one named by its hash. Stores the last hash."""
         session = next((self.ends[h] for h in reversed(hashes) if h in self.ends), None)
         if session is None:
             session = f"c{xxh3_64_intdigest(hashes[-1]):016x}"
@@ -38,7 +39,7 @@
         return session
 
     def remember(self, end: bytes, session: str) -> None:
-        """A conversation that ends so is this session's."""
+        """Stores the hash of a conversation's end as this session's."""
         self.ends[end] = session
         self.ends.move_to_end(end)
         if len(self.ends) > self.limit:
