--- a/ternlane/chat/__init__.py
+++ b/ternlane/chat/__init__.py
@@ -13,7 +13,7 @@
 from ternlane.chat.prefixes import PrefixIndex
 from ternlane.chat.request import ChatRequest, InvalidRequestError, parse_chat_request
 from ternlane.chat.response_body import ErrorBody, answer_body, chunk, error_body, usage_chunk
-from ternlane.chat.session_index import SessionIndex, chain
+from ternlane.chat.session_index import SessionIndex, prefix_hashes
 
 __all__ = [
     "RequestInProgress",
@@ -30,7 +30,7 @@
     "SessionIndex",
     "InvalidRequestError",
     "answer_body",
-    "chain",
+    "prefix_hashes",
     "chunk",
     "error_body",
     "repeat_policy",
--- a/ternlane/chat/idempotency_cache.py
+++ b/ternlane/chat/idempotency_cache.py
@@ -122,8 +122,8 @@
         """Removes an ended record."""
         self.bytes -= self.ended.pop(key).size_bytes
 
-    def sweep(self, now: float, most: int = SWEEP_RECORDS) -> None:
-        """Removes expired records, looking at no more than `most` of the oldest."""
-        for key in [k for k, _ in zip(self.ended, range(most), strict=False)]:
+    def sweep(self, now: float, max_records: int = SWEEP_RECORDS) -> None:
+        """Removes expired records, looking at no more than `max_records` of the oldest."""
+        for key in [k for k, _ in zip(self.ended, range(max_records), strict=False)]:
             if self.ended[key].until <= now:
                 self.drop(key)
--- a/ternlane/chat/message_extras.py
+++ b/ternlane/chat/message_extras.py
@@ -14,11 +14,11 @@
 
     def __init__(self) -> None:
         self.texts: dict[str, str] = {}
-        self.calls: dict[int, dict[str, Any]] = {}
-        self.probs: dict[str, list[Any]] = {}
+        self.tool_calls: dict[int, dict[str, Any]] = {}
+        self.token_logprobs: dict[str, list[Any]] = {}
 
     def __bool__(self) -> bool:
-        return bool(self.texts or self.calls or self.probs)
+        return bool(self.texts or self.tool_calls or self.token_logprobs)
 
     def add(self, more: Extras) -> None:
         """Adds one piece."""
@@ -30,12 +30,12 @@
             self.add_call(call)
         for name, values in (more.get("logprobs") or {}).items():
             if isinstance(values, list):
-                self.probs.setdefault(name, []).extend(values)
+                self.token_logprobs.setdefault(name, []).extend(values)
 
     def add_call(self, piece: dict[str, Any]) -> None:
         """Adds a piece of the tool call at its `index`: name and id are complete, arguments are concatenated."""
-        index = int(piece.get("index", len(self.calls)))
-        call = self.calls.setdefault(index, {"type": "function", "function": {}})
+        index = int(piece.get("index", len(self.tool_calls)))
+        call = self.tool_calls.setdefault(index, {"type": "function", "function": {}})
         for name in ("id", "type"):
             if piece.get(name):
                 call[name] = piece[name]
@@ -48,25 +48,25 @@
         """The assistant message; `content` is null where there are tool calls and no text."""
         out: dict[str, Any] = {
             "role": "assistant",
-            "content": text or (None if self.calls else ""),
+            "content": text or (None if self.tool_calls else ""),
             "refusal": None,
             **self.texts,
         }
-        if self.calls:
-            out["tool_calls"] = [call for _, call in sorted(self.calls.items())]
+        if self.tool_calls:
+            out["tool_calls"] = [call for _, call in sorted(self.tool_calls.items())]
         return out
 
-    def echoed(self, text: str) -> dict[str, Any]:
+    def next_turn_message(self, text: str) -> dict[str, Any]:
         """The message as clients repeat it in the next turn's request."""
         return {k: v for k, v in self.message(text).items() if k not in TEXT_FIELDS}
 
     def logprobs(self) -> dict[str, Any] | None:
         """The logprobs of all tokens, or None."""
-        return dict(self.probs) or None
+        return dict(self.token_logprobs) or None
 
-    def combined(self) -> Extras:
+    def merged(self) -> Extras:
         """All pieces as one, for replaying a stored answer."""
         delta: dict[str, Any] = dict(self.texts)
-        if self.calls:
-            delta["tool_calls"] = [{"index": i, **call} for i, call in sorted(self.calls.items())]
-        return {"delta": delta, **({"logprobs": self.probs} if self.probs else {})}
+        if self.tool_calls:
+            delta["tool_calls"] = [{"index": i, **call} for i, call in sorted(self.tool_calls.items())]
+        return {"delta": delta, **({"logprobs": self.token_logprobs} if self.token_logprobs else {})}
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -41,8 +41,8 @@
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
-        self.held = 0  # blocks in the tree
-        self.nodes = 0
+        self.block_count = 0  # blocks in the tree
+        self.node_count = 0
         self.root = Node(array("Q"), None, SHARED)
         self.oldest: Node | None = None
         self.newest: Node | None = None
@@ -75,7 +75,7 @@
         for used in reversed(path):  # a parent is always more recently used than its children
             self.unlink(used)
             self.link(used)
-        while self.held > self.block_limit and self.drop_oldest():
+        while self.block_count > self.block_limit and self.drop_oldest():
             pass
         return shared
 
@@ -102,8 +102,8 @@
         if parent.children is None:
             parent.children = {}
         parent.children[run[0]] = node
-        self.held += len(run)
-        self.nodes += 1
+        self.block_count += len(run)
+        self.node_count += 1
         self.link(node)
         return node
 
@@ -115,7 +115,7 @@
         node.run = node.run[at:]
         node.parent = upper
         upper.children = {node.run[0]: node}
-        self.nodes += 1
+        self.node_count += 1
         self.link(upper)
         return upper
 
@@ -151,8 +151,8 @@
         del node.parent.children[node.run[0]]
         if not node.parent.children:
             node.parent.children = None
-        self.held -= len(node.run)
-        self.nodes -= 1
+        self.block_count -= len(node.run)
+        self.node_count -= 1
         return True
 
     def walk(self) -> Iterator[Node]:
--- a/ternlane/chat/request.py
+++ b/ternlane/chat/request.py
@@ -44,9 +44,9 @@
         content = "".join(p["text"] for p in content)
     rest = {k: v for k, v in message.items() if k not in ("role", "content") and v is not None}
     tail = msgspec.json.encode(rest, order="sorted") if rest else b""
-    said = content.encode("utf-8", "surrogatepass") if isinstance(content, str) else msgspec.json.encode(content)
+    text = content.encode("utf-8", "surrogatepass") if isinstance(content, str) else msgspec.json.encode(content)
     role: str = message["role"]
-    return role.encode() + b"\x1e" + said + b"\x1e" + tail + b"\x1f"
+    return role.encode() + b"\x1e" + text + b"\x1e" + tail + b"\x1f"
 
 
 def check_message(message: Any, at: str) -> None:
--- a/ternlane/chat/session_index.py
+++ b/ternlane/chat/session_index.py
@@ -7,7 +7,7 @@
 from xxhash import xxh3_64_intdigest, xxh3_128_digest
 
 
-def chain(texts: list[bytes], root: bytes = b"") -> list[bytes]:
+def prefix_hashes(texts: list[bytes], root: bytes = b"") -> list[bytes]:
     """The hash of each prefix of a conversation; the i-th covers messages 0 to i."""
     hashes = []
     last = xxh3_128_digest(root)
@@ -28,19 +28,19 @@
 
     def __init__(self, limit: int) -> None:
         self.limit = max(limit, 2)
-        self.ends: OrderedDict[bytes, str] = OrderedDict()
+        self.session_by_hash: OrderedDict[bytes, str] = OrderedDict()
 
-    def find(self, hashes: list[bytes]) -> str:
+    def find_or_add(self, hashes: list[bytes]) -> str:
         """The session that the conversation continues, or a new one named by its hash. Stores the last hash."""
-        session = next((self.ends[h] for h in reversed(hashes) if h in self.ends), None)
+        session = next((self.session_by_hash[h] for h in reversed(hashes) if h in self.session_by_hash), None)
         if session is None:
             session = f"c{xxh3_64_intdigest(hashes[-1]):016x}"
-        self.remember(hashes[-1], session)
+        self.add(hashes[-1], session)
         return session
 
-    def remember(self, end: bytes, session: str) -> None:
+    def add(self, end: bytes, session: str) -> None:
         """Stores the hash of a conversation's end as this session's."""
-        self.ends[end] = session
-        self.ends.move_to_end(end)
-        if len(self.ends) > self.limit:
-            self.ends.popitem(last=False)
+        self.session_by_hash[end] = session
+        self.session_by_hash.move_to_end(end)
+        if len(self.session_by_hash) > self.limit:
+            self.session_by_hash.popitem(last=False)
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -47,31 +47,31 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """One request in flight. The runtime sets `final` once and cancels `watch`, the scope in which the chat API waits
-    for the client to disconnect. Times are in ms of the event loop's clock."""
+    """One request in flight. The runtime sets `final` once and cancels `disconnect_scope`, the scope in which the chat
+    API waits for the client to disconnect. Times are in ms of the event loop's clock."""
 
     ident: str
     chat_request: ChatRequest
     intake_record: IntakeRecord
     response_writer: ResponseWriter
-    since: float
+    received_ms: float
     key: str  # idempotency key sent to engines
     join: StreamJoin  # the text of all attempts
     repeat_key: str = ""  # the client's Idempotency-Key with its owner; "": none
     mark: bytes = b""  # digest of the body, where there is an Idempotency-Key
     noted: str = ""  # id in the journal; "": not in the journal
-    hold: Any = None  # tenants.BudgetReservation, settled when the request is done
-    made: list[TokenUsage] = field(default_factory=list)  # known token usage of each attempt
+    budget_reservation: Any = None  # tenants.BudgetReservation, settled when the request is done
+    usage_by_attempt: list[TokenUsage] = field(default_factory=list)  # known token usage of each attempt
     final: Final | None = None
-    watch: trio.CancelScope = field(default_factory=trio.CancelScope)
+    disconnect_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     when_over: Callable[[], None] = lambda: None
-    left: bool = False  # the client has disconnected
-    taken: float = 0.0  # when it was handed to the router
+    client_gone: bool = False  # the client has disconnected
+    admitted_ms: float = 0.0  # when it was handed to the router
     begun: bool = False  # the client has received part of the answer
     streaming: bool = False  # the current attempt has begun to stream
-    prompt_said: int = 0  # prompt tokens, as the first engine that reported usage counted them
-    kept_said: int = 0  # how many of them were cached
-    broke_at: int | None = None  # length of `made` when the stream first broke
+    reported_prompt_tokens: int = 0  # prompt tokens, as the first engine that reported usage counted them
+    reported_cached_tokens: int = 0  # how many of them were cached
+    attempts_before_break: int | None = None  # length of `usage_by_attempt` when the stream first broke
     attempt: AttemptPlan | None = None
     attempts: int = 0
     attempt_log: list[str] = field(default_factory=list)  # server, stage and outcome of each attempt
@@ -88,17 +88,17 @@
     @property
     def is_over(self) -> bool:
         """True once the final answer is set or the client has disconnected: no answer is due any more."""
-        return self.final is not None or self.left
+        return self.final is not None or self.client_gone
 
     @property
     def unanswered(self) -> bool:
         """True while the client is connected and has received nothing of its answer."""
-        return self.final is None and not self.left and not self.begun
+        return self.final is None and not self.client_gone and not self.begun
 
     @property
     def deadline_ms(self) -> float:
         """The time by which the client must have its answer."""
-        return self.taken + self.request.client_timeout_ms
+        return self.admitted_ms + self.request.client_timeout_ms
 
     @property
     def pieces(self) -> list[str]:
@@ -120,6 +120,6 @@
         if self.is_over:
             return False
         self.final = final
-        self.watch.cancel()
+        self.disconnect_scope.cancel()
         self.when_over()
         return True
--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -58,18 +58,20 @@
         sent so far: the decode server would start the answer over, and the client would get its beginning twice."""
         if result.outcome is not AttemptOutcome.PREFILLED or result.usage is None:
             return
-        if not active_request.join.prefill_covers_text(result.usage.prompt_tokens, active_request.prompt_said):
+        if not active_request.join.prefill_covers_text(
+            result.usage.prompt_tokens, active_request.reported_prompt_tokens
+        ):
             result.outcome = AttemptOutcome.ERROR
             result.why = "it read no more than the prompt, and can't go on with the text"
 
     def learn_usage(self, active_request: ActiveRequest, stage: Stage, result: AttemptResult, took_ms: float) -> None:
         """Records the attempt's token usage, and learns the prompt's length while no stream has been resumed."""
-        made = tokens_made(stage, result, active_request.join.attempt_pieces)
-        active_request.made.append(made)
+        usage = tokens_made(stage, result, active_request.join.attempt_pieces)
+        active_request.usage_by_attempt.append(usage)
         if result.usage is None or active_request.join.resumed:
             return
         self.intake.learn_prompt(active_request.intake_record, result.usage.prompt_tokens)
         if stage is not Stage.DECODE:
-            active_request.prompt_said = result.usage.prompt_tokens
-            active_request.kept_said = made.cached
-            self.runtime.stream_recovery.prefilled(now_ms(), made.prompt - made.cached, took_ms)
+            active_request.reported_prompt_tokens = result.usage.prompt_tokens
+            active_request.reported_cached_tokens = usage.cached
+            self.runtime.stream_recovery.prefilled(now_ms(), usage.prompt - usage.cached, took_ms)
--- a/ternlane/gateway/attempts.py
+++ b/ternlane/gateway/attempts.py
@@ -9,7 +9,7 @@
 from ternlane.policy.messages import AttemptOutcome, Role, Server, StartAttempt
 from ternlane.tenants.billing import TokenUsage
 
-NOTHING_RAN = (
+NOT_RUN_OUTCOMES = (
     AttemptOutcome.OVERLOADED,
     AttemptOutcome.CONNECT_FAILED,
     AttemptOutcome.CLIENT_GONE,
@@ -17,7 +17,7 @@
 )
 
 
-def stage_at(server: Server, active_request: ActiveRequest) -> Stage:
+def select_stage(server: Server, active_request: ActiveRequest) -> Stage:
     """The stage that this server is asked to run."""
     if server.role is Role.PREFILL:
         return Stage.PREFILL
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -26,19 +26,19 @@
 from ternlane.tenants.usage_accounting import PeriodShortage
 
 TENANTS_POLL_S = 0.5  # interval between checks of the tenants file: a revoked key works at most this long
-FLUSH_S = 3.0  # time limit for writing pending bills at shutdown
+FLUSH_TIMEOUT_S = 3.0  # time limit for writing pending bills at shutdown
 
 
 @dataclass(slots=True, frozen=True)
-class QuotaAsk:
-    """Tokens that one tenant wants from the shared quota; a negative `want` returns tokens. `target`: level of its
-    bucket."""
+class QuotaRequest:
+    """Tokens that one tenant wants from the shared quota; negative to return some. `target_level`: level of
+    its bucket."""
 
     tenant: str
-    want: float
-    target: float
+    tokens: float
+    target_level: float
     budget: Budget
-    least: float
+    min_balance: float
 
 
 class BudgetEnforcer:
@@ -50,77 +50,79 @@
         self.log = log
         self.path = Path(config.tenants)
         self.tenants = TenantRegistry(read_config(self.path, TenantRegistryConfig))
-        self.file_identity = self.stat()
+        self.loaded_version = self.file_version()
         self.usage_accounting = UsageAccounting(config.gateways, config.name, config.lender is not None)
         self.usage_accounting.clock(time.time())
-        kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
-        self.store = BillingLedger(Disk(Path(config.ledger)), **kept)
-        self.told: dict[tuple[str, str, str], int] = {}
-        self.remember(BillingLedger(Disk(Path(config.ledger))).read_sums())
-        self.writer = GroupCommitWriter(self.store, log, on_recovered=self.remember)
+        ledger_options = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
+        self.store = BillingLedger(Disk(Path(config.ledger)), **ledger_options)
+        self.known_tokens: dict[tuple[str, str, str], int] = {}
+        self.add_recorded_usage(BillingLedger(Disk(Path(config.ledger))).read_sums())
+        self.writer = GroupCommitWriter(self.store, log, on_recovered=self.add_recorded_usage)
         self.closed = False
 
-    def remember(self, totals: UsageTotals) -> None:
+    def add_recorded_usage(self, totals: UsageTotals) -> None:
         """Passes to usage accounting what the ledger holds beyond the totals passed before."""
-        for key, it in totals.sums.items():
-            tokens = it.billed.prompt + it.billed.answer
-            if tokens > self.told.get(key, 0):
-                self.usage_accounting.remember(*key, tokens - self.told.get(key, 0))
-                self.told[key] = tokens
+        for key, row in totals.sums.items():
+            tokens = row.billed.prompt + row.billed.answer
+            if tokens > self.known_tokens.get(key, 0):
+                self.usage_accounting.remember(*key, tokens - self.known_tokens.get(key, 0))
+                self.known_tokens[key] = tokens
 
-    def stat(self) -> tuple[int, int, int]:
+    def file_version(self) -> tuple[int, int, int]:
         """Inode, size and modification time, which identify a version of the tenants file."""
-        it = os.stat(self.path)
-        return it.st_ino, it.st_size, it.st_mtime_ns
+        stat = os.stat(self.path)
+        return stat.st_ino, stat.st_size, stat.st_mtime_ns
 
-    async def follow(self) -> None:
+    async def watch_tenants_file(self) -> None:
         """Reloads the tenants file when it has changed; an invalid one changes nothing. Also sweeps idle meters."""
         while True:
             await trio.sleep(TENANTS_POLL_S)
             self.usage_accounting.sweep(now_ms(), self.usage_accounting.clock(time.time()))
             try:
-                if (identity := self.stat()) != self.file_identity:
-                    self.file_identity = identity
+                if (version := self.file_version()) != self.loaded_version:
+                    self.loaded_version = version
                     self.tenants = TenantRegistry(read_config(self.path, TenantRegistryConfig))
                     self.log.info("tenants reloaded", tenants=len(self.tenants.tenants))
             except (OSError, ConfigError) as why:
                 self.log.error("tenants reload failed", why=str(why))
 
-    async def borrow(self) -> None:
+    async def lease_quota(self) -> None:
         """Leases quota that recent traffic needs, in the background: no request waits for it."""
         while self.config.lender is not None:
             await trio.sleep(self.config.look_ms / 1000)
-            asks = self.wanted_quota()
+            quota_requests = self.collect_quota_requests()
             periods = self.usage_accounting.short_of_period()
-            if not asks and not periods:
+            if not quota_requests and not periods:
                 continue
             try:
-                granted, chunks = await trio.to_thread.run_sync(partial(self.ask_for_quota, asks, periods))
+                granted, chunks = await trio.to_thread.run_sync(partial(self.request_quota, quota_requests, periods))
             except OSError as error:  # tokens to be returned are lost; the bucket refills regardless
                 self.log.warning("quota lease failed", why=str(error))
                 continue
-            self.take_quota(asks, granted)
+            self.take_quota(quota_requests, granted)
             self.take_period_chunks(periods, chunks)
 
-    def wanted_quota(self) -> list[QuotaAsk]:
+    def collect_quota_requests(self) -> list[QuotaRequest]:
         """The tokens that each tenant needs beyond its share, or can return."""
         wall = self.usage_accounting.clock(time.time())
-        asks = []
+        quota_requests = []
         for name in list(self.usage_accounting.borrowers):
             tenant = self.tenants.tenants.get(name)
             if tenant is None or not tenant.budget.minute:
                 continue
-            want, target = self.usage_accounting.wants(tenant, now_ms(), wall)
+            want, target_level = self.usage_accounting.wants(tenant, now_ms(), wall)
             if abs(want) >= 1:
-                asks.append(QuotaAsk(name, want, target, tenant.budget, self.usage_accounting.least(name)))
-        return asks
+                quota_requests.append(
+                    QuotaRequest(name, want, target_level, tenant.budget, self.usage_accounting.least(name))
+                )
+        return quota_requests
 
-    def take_quota(self, asks: list[QuotaAsk], granted: list[float]) -> None:
+    def take_quota(self, quota_requests: list[QuotaRequest], granted: list[float]) -> None:
         """Adds the granted tokens to the tenants' buckets."""
-        for ask, tokens in zip(asks, granted, strict=True):
-            meter = self.usage_accounting.meters.get((ask.tenant, ""))
+        for quota_request, tokens in zip(quota_requests, granted, strict=True):
+            meter = self.usage_accounting.meters.get((quota_request.tenant, ""))
             if meter is not None and tokens > 0:
-                meter.draw(tokens, ask.target)
+                meter.draw(tokens, quota_request.target_level)
 
     def take_period_chunks(self, periods: list[PeriodShortage], chunks: list[float]) -> None:
         """Adds the granted parts of period budgets, except where another billing period has begun meanwhile."""
@@ -129,22 +131,24 @@
             if meter is not None and meter.period is not None and meter.period.name == period:
                 meter.allowed += chunk
 
-    def ask_for_quota(self, asks: list[QuotaAsk], periods: list[PeriodShortage]) -> tuple[list[float], list[float]]:
+    def request_quota(
+        self, quota_requests: list[QuotaRequest], periods: list[PeriodShortage]
+    ) -> tuple[list[float], list[float]]:
         """Updates the shared quota table once for all requests. Blocks on file I/O: runs in a thread."""
         with open_quota_leases(
             Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000
         ) as lender:
             granted = [
                 lender.ask(
-                    ask.tenant,
+                    quota_request.tenant,
                     self.config.name,
-                    ask.want,
-                    ask.budget.minute or 0,
-                    ask.budget.most_saved,
+                    quota_request.tokens,
+                    quota_request.budget.minute or 0,
+                    quota_request.budget.most_saved,
                     time.time(),
-                    ask.least,
+                    quota_request.min_balance,
                 )
-                for ask in asks
+                for quota_request in quota_requests
             ]
             chunks = [
                 lender.draw(f"{name}/{request_class}", period, budget)
@@ -162,29 +166,29 @@
         """Reserves a request's tokens, or returns why the budget has no room."""
         return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
-    def affords(self, active_request: ActiveRequest) -> bool:
+    def within_budget(self, active_request: ActiveRequest) -> bool:
         """False where the stream has used up the overdraft and its tenant wants such streams cut."""
-        return active_request.hold is None or not self.usage_accounting.overrun(
-            active_request.hold, len(active_request.pieces)
+        return active_request.budget_reservation is None or not self.usage_accounting.overrun(
+            active_request.budget_reservation, len(active_request.pieces)
         )
 
-    def done(self, active_request: ActiveRequest) -> None:
+    def settle_request(self, active_request: ActiveRequest) -> None:
         """Bills a request whose attempts have all ended."""
-        if active_request.hold is None:
+        if active_request.budget_reservation is None:
             return
         outcome = "left" if active_request.final is None else active_request.final.recorded_as
         billed = bill_for(
-            active_request.made,
+            active_request.usage_by_attempt,
             active_request.begun,
             isinstance(active_request.final, Streamed),
             len(active_request.pieces),
-            active_request.hold.prompt,
-            active_request.broke_at,
+            active_request.budget_reservation.prompt,
+            active_request.attempts_before_break,
             active_request.final.usage["completion_tokens"] if isinstance(active_request.final, Streamed) else 0,
         )
         self.writer.add(
             self.usage_accounting.settle(
-                active_request.hold,
+                active_request.budget_reservation,
                 active_request.ident,
                 outcome,
                 billed,
@@ -196,9 +200,9 @@
             )
         )
 
-    def headers(self, hold: BudgetReservation) -> list[tuple[str, str]]:
+    def headers(self, budget_reservation: BudgetReservation) -> list[tuple[str, str]]:
         """The x-ratelimit headers of the tightest tokens-per-minute budget."""
-        found = [m for m in hold.meters if m.budget.minute is not None]
+        found = [m for m in budget_reservation.meters if m.budget.minute is not None]
         if not found:
             return []
         now = now_ms()
@@ -215,7 +219,7 @@
         locked."""
         if self.closed:
             return
-        if not await self.writer.flush(FLUSH_S):
+        if not await self.writer.flush(FLUSH_TIMEOUT_S):
             self.log.error("bills not written at shutdown", waiting=self.writer.waiting)
             return
         self.closed = True
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -142,7 +142,7 @@
     async def admit(self, exchange: Exchange) -> ActiveRequest | None:
         """The request to run; None for a repeat, which this method answers itself. Raises InvalidRequestError and
         RequestNotAdmittedError."""
-        since = now_ms()
+        received_ms = now_ms()
         admission = self.admission
         tenant = admission.tenant(exchange)
         chat_request = parse_chat_request(exchange.body)
@@ -151,17 +151,17 @@
         after = admission.resume_position(exchange, chat_request)
         key = admission.repeat_key(exchange, tenant) if chat_request.model in admission.models else None
         if key is not None:
-            final = admission.stored_answer(key, exchange.body, since)
+            final = admission.stored_answer(key, exchange.body, received_ms)
             if final is not None:
                 ident = f"chatcmpl-{admission.new_id()}"
                 event_ids = admission.config.streams.ids
                 await send_replayed(exchange, final, chat_request, ident, after, event_ids)
                 return None
         try:
-            return admission.admit(exchange, chat_request, tenant, key, client_timeout_ms, since, after)
+            return admission.admit(exchange, chat_request, tenant, key, client_timeout_ms, received_ms, after)
         except BaseException:
             if key is not None:  # the first request with this key did not run: the next one counts as the first
-                admission.forget(key)
+                admission.release_key(key)
             raise
 
     async def run(self, exchange: Exchange, active_request: ActiveRequest) -> None:
@@ -173,15 +173,15 @@
             if not active_request.is_over:  # the connection's task was cancelled
                 self.runtime.client_left(active_request)
             if active_request.repeat_key:
-                self.admission.remember(active_request.repeat_key, active_request)
+                self.admission.complete_key(active_request.repeat_key, active_request)
 
     async def answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
         """Waits for the final answer or for the client to disconnect, and sends the answer."""
         if active_request.final is None:
-            with active_request.watch:  # cancelled when the final answer is set
+            with active_request.disconnect_scope:  # cancelled when the final answer is set
                 await exchange.until_left()
                 self.runtime.client_left(active_request)
-        if active_request.left or active_request.final is None:
+        if active_request.client_gone or active_request.final is None:
             return  # the connection closes without an answer, or without its last chunk
         try:
             writer = active_request.response_writer
--- a/ternlane/gateway/endpoint_watcher.py
+++ b/ternlane/gateway/endpoint_watcher.py
@@ -43,11 +43,11 @@
         self.agent = agent
         self.metrics = metrics
         self.log = log
-        self.unsaved: list[NodeLine] | None = None
-        self.save_now = trio.Event()
-        self.watching = trio.CancelScope()
+        self.unsaved_lines: list[NodeLine] | None = None
+        self.save_requested = trio.Event()
+        self.watch_scope = trio.CancelScope()
 
-    def found(self, lines: list[NodeLine]) -> None:
+    def apply_list(self, lines: list[NodeLine]) -> None:
         """Applies a complete list of model servers."""
         self.metrics.lists.labels("read").inc()
         change = self.registry.update(lines, time.time(), now_ms())
@@ -56,10 +56,10 @@
             servers = sum(server.status is status for server in self.registry.servers.values())
             self.metrics.servers.labels(STATUS_LABELS[status]).set(servers)
         if change.servers:
-            self.unsaved = lines
-            self.save_now.set()
+            self.unsaved_lines = lines
+            self.save_requested.set()
 
-    def failed(self, why: str) -> None:
+    def report_failure(self, why: str) -> None:
         """Reports that the list could not be read; the previous one stays in use."""
         self.metrics.lists.labels("failed").inc()
         self.log.warning("node list not read", why=why)
@@ -81,10 +81,10 @@
     async def save(self) -> None:
         """Writes the latest list in a thread. A failing disk is logged and has no other effect."""
         while self.config.state is not None:
-            await self.save_now.wait()
-            self.save_now = trio.Event()
-            lines = self.unsaved
-            self.unsaved = None
+            await self.save_requested.wait()
+            self.save_requested = trio.Event()
+            lines = self.unsaved_lines
+            self.unsaved_lines = None
             try:
                 if lines is not None:
                     await trio.to_thread.run_sync(write_cache, Path(self.config.state), lines)
@@ -94,17 +94,17 @@
     async def watch(self) -> None:
         """Follows the source as long as the gateway runs; `restart` switches to another one."""
         while True:
-            with trio.CancelScope() as self.watching:
+            with trio.CancelScope() as self.watch_scope:
                 match self.config.nodes:
                     case FileSource() as source:
-                        await follow_file(source, self.found, self.failed)
+                        await follow_file(source, self.apply_list, self.report_failure)
                     case ConsulSource() as source:
-                        await follow_consul(source, self.found, self.failed, self.agent)
+                        await follow_consul(source, self.apply_list, self.report_failure, self.agent)
                     case inline:
-                        self.found(inline.nodes)
+                        self.apply_list(inline.nodes)
                         await trio.sleep_forever()
 
     def restart(self, config: GatewayConfig) -> None:
         """Switches to the source of another configuration."""
         self.config = config
-        self.watching.cancel()
+        self.watch_scope.cancel()
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -40,10 +40,10 @@
     "gateways",
     "zone",
 )  # fields that a running gateway can change
-GRACE_S = 0.05  # for requests that clients had sent before draining began
-DRAIN_LOOK_S = 0.02  # interval between checks whether all requests have ended
-STOP_LOOK_S = 0.01
-LAST_ANSWERS_S = 0.2  # for final answers, in addition to the time limit of releases
+DRAIN_START_DELAY_S = 0.05  # for requests that clients had sent before draining began
+DRAIN_POLL_S = 0.02  # interval between checks whether all requests have ended
+STOP_POLL_S = 0.01
+FINAL_ANSWERS_TIMEOUT_S = 0.2  # for final answers, in addition to the time limit of releases
 
 
 class Gateway:
@@ -83,8 +83,8 @@
         )
         self.budget_enforcer = BudgetEnforcer(config, log) if config.tenants is not None else None
         if self.budget_enforcer is not None:
-            self.runtime.on_done = self.budget_enforcer.done
-            self.runtime.affords = self.budget_enforcer.affords
+            self.runtime.on_done = self.budget_enforcer.settle_request
+            self.runtime.within_budget = self.budget_enforcer.within_budget
         self.journal_writer = JournalWriter(Path(config.journal), log) if config.journal is not None else None
         self.runtime.journal_writer = self.journal_writer
         models = self.configured.models
@@ -102,11 +102,11 @@
 
     def found(self, lines: list[NodeLine]) -> None:
         """Applies a complete list of model servers."""
-        self.endpoint_watcher.found(lines)
+        self.endpoint_watcher.apply_list(lines)
 
     def list_failed(self, why: str) -> None:
         """Reports that the list could not be read; the previous one stays in use."""
-        self.endpoint_watcher.failed(why)
+        self.endpoint_watcher.report_failure(why)
 
     def reload(self, config: GatewayConfig) -> tuple[list[str], list[str]]:
         """Applies what can change while running. Returns the changed fields, and those that need a restart."""
@@ -134,32 +134,32 @@
         self.nursery.start_soon(self.endpoint_watcher.save)
         self.nursery.start_soon(self.runtime.run_timers)
         if self.budget_enforcer is not None:
-            self.nursery.start_soon(self.budget_enforcer.follow)
-            self.nursery.start_soon(self.budget_enforcer.borrow)
+            self.nursery.start_soon(self.budget_enforcer.watch_tenants_file)
+            self.nursery.start_soon(self.budget_enforcer.lease_quota)
             self.nursery.start_soon(self.budget_enforcer.writer.run)
         if self.journal_writer is not None:
             self.nursery.start_soon(self.journal_writer.writer.run)
-            self.nursery.start_soon(self._take_over_journal)
+            self.nursery.start_soon(self._recover_journal)
         self.nursery.start_soon(self.listeners.run)
         if self.config.metrics is not None:
             host, port = split_address(self.config.metrics)
             await self.nursery.start(partial(trio.serve_tcp, partial(serve_metrics, self.metrics), port, host=host))
         self.log.info("serving", address=self.address, gateway=self.config.name)
 
-    async def _take_over_journal(self) -> None:
+    async def _recover_journal(self) -> None:
         """Recovers the requests that the previous process had in flight when it was lost."""
         assert self.journal_writer is not None
-        self.chat_api.restore(await self.journal_writer.take_up(self.transport, self.router_config.release_ms))
+        self.chat_api.restore(await self.journal_writer.recover(self.transport, self.router_config.release_ms))
         self.journal_writer.ready = True
 
     async def drain(self) -> None:
         """Stops admitting requests, waits for open ones to end, and fails the rest when `drain_ms` is over."""
         await self.listeners.drain()
-        await trio.sleep(GRACE_S)
+        await trio.sleep(DRAIN_START_DELAY_S)
         self.chat_api.drain()
         with trio.move_on_after(self.config.door.drain_ms / 1000):
             while self.runtime.active_requests:
-                await trio.sleep(DRAIN_LOOK_S)
+                await trio.sleep(DRAIN_POLL_S)
         await self.stop()
 
     async def stop(self) -> None:
@@ -167,9 +167,9 @@
         to do; a block that ends without `drain` loses no bill or release either."""
         for active_request in list(self.runtime.active_requests.values()):
             self.runtime.abort_request(active_request, "the gateway went down")
-        with trio.move_on_after(self.router_config.release_ms / 1000 + LAST_ANSWERS_S):
+        with trio.move_on_after(self.router_config.release_ms / 1000 + FINAL_ANSWERS_TIMEOUT_S):
             while self.runtime.active_requests or self.runtime.server_calls.releasing or self.chat_api.busy:
-                await trio.sleep(STOP_LOOK_S)
+                await trio.sleep(STOP_POLL_S)
         if self.budget_enforcer is not None:
             await self.budget_enforcer.close()
         if self.journal_writer is not None:
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -39,18 +39,18 @@
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
         self.writer: GroupCommitWriter[Record, InFlightRequests] = GroupCommitWriter(
-            self.store, log, on_recovered=self.taken_up, what="journal", gather_ms=GATHER_MS
+            self.store, log, on_recovered=self.on_lock_acquired, what="journal", gather_ms=GATHER_MS
         )
-        self.lost: InFlightRequests | None = None  # what the previous process had open
-        self.folder_is_ours = trio.Event()
+        self.previous_requests: InFlightRequests | None = None  # what the previous process had open
+        self.lock_acquired = trio.Event()
         self.ready = False  # recovery is complete: repeats can be answered
-        self.birth = f"{time.time_ns():x}"
-        self.count = count(1)
+        self.id_prefix = f"{time.time_ns():x}"
+        self.id_counter = count(1)
 
-    def taken_up(self, found: InFlightRequests) -> None:
+    def on_lock_acquired(self, found: InFlightRequests) -> None:
         """Called once this process holds the lock of the folder; `found` is what the previous one had open."""
-        self.lost = InFlightRequests(dict(found.opened), dict(found.known), found.at)
-        self.folder_is_ours.set()
+        self.previous_requests = InFlightRequests(dict(found.opened), dict(found.known), found.at)
+        self.lock_acquired.set()
 
     # -- records of requests and attempts
 
@@ -61,7 +61,7 @@
         if not active_request.repeat_key:  # can't be repeated: only its prefills are recorded
             active_request.noted = ""
             return
-        active_request.noted = f"{self.birth}.{next(self.count)}"
+        active_request.noted = f"{self.id_prefix}.{next(self.id_counter)}"
         self.writer.add(
             RequestTaken(
                 active_request.noted,
@@ -80,7 +80,7 @@
         """Records an attempt. Returns the record's number where the attempt must wait until the record is on disk."""
         if not active_request.repeat_key and not prefills:
             return None
-        active_request.noted = active_request.noted or f"{self.birth}.{next(self.count)}"
+        active_request.noted = active_request.noted or f"{self.id_prefix}.{next(self.id_counter)}"
         number = self.writer.add(
             AttemptSent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
         )
@@ -118,21 +118,21 @@
 
     # -- recovery
 
-    async def take_up(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
+    async def recover(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
         """Waits for the lock of the folder, and releases what servers still hold. Returns the answers for repeats."""
-        await self.folder_is_ours.wait()
-        lost = self.lost or InFlightRequests()
-        self.lost = None
-        answers = lost.answers(time.time() * 1000)  # before the records added below change the same objects
+        await self.lock_acquired.wait()
+        previous = self.previous_requests or InFlightRequests()
+        self.previous_requests = None
+        answers = previous.answers(time.time() * 1000)  # before the records added below change the same objects
         async with trio.open_nursery() as nursery:
-            for ident, held in lost.held():
+            for ident, held in previous.held():
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
-        for ident, it in lost.opened.items():
+        for ident, it in previous.opened.items():
             if not it.ended:
                 self.writer.add(it.lost())
             self.writer.add(StateFreed(ident))
-        if lost.opened:
-            self.log.warning("requests were in flight when the previous process was lost", open=len(lost.opened))
+        if previous.opened:
+            self.log.warning("requests were in flight when the previous process was lost", open=len(previous.opened))
         return answers
 
     async def release(
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -41,8 +41,8 @@
 MAX_TIME_LIMIT_MS = 1e9  # a longer one is taken for a mistake
 MAX_KEY_LENGTH = 255  # characters of an Idempotency-Key
 MAX_EVENT_ID_DIGITS = 9  # digits of a position within a stream's text
-RETRY_SOON_S = 1  # an open request may have ended, or another process be ready, by then
-RETRY_LEDGER_S = 5  # a full disk takes longer to clear
+RETRY_AFTER_S = 1  # an open request may have ended, or another process be ready, by then
+LEDGER_RETRY_AFTER_S = 5  # a full disk takes longer to clear
 
 
 class RequestAdmission:
@@ -60,8 +60,8 @@
         self.intake = intake
         self.budget_enforcer = budget_enforcer
         self.idempotency_cache = IdempotencyCache(config.door.repeat_bytes)
-        self.count = count(1)
-        self.birth = xxh3_64_hexdigest(f"{config.name} {time.time_ns()}".encode())[:10]
+        self.id_counter = count(1)
+        self.id_prefix = xxh3_64_hexdigest(f"{config.name} {time.time_ns()}".encode())[:10]
         self.draining = False
         self.alter(config, models)
 
@@ -69,7 +69,7 @@
         """Applies changed limits and request classes from the next request on; stored answers are kept."""
         self.config = config
         self.models = models
-        self.names = {request_class: name for name, request_class in reversed(models.items())}
+        self.class_names = {request_class: name for name, request_class in reversed(models.items())}
         self.idempotency_cache.byte_limit = config.door.repeat_bytes
 
     # -- tenant and headers
@@ -78,7 +78,7 @@
         """The tenant of the request's API key; None where the gateway has no tenants. Raises
         RequestNotAdmittedError."""
         if self.draining:
-            raise RequestNotAdmittedError(503, "This gateway is going down", "draining", RETRY_SOON_S)
+            raise RequestNotAdmittedError(503, "This gateway is going down", "draining", RETRY_AFTER_S)
         if self.budget_enforcer is None:
             return None
         try:
@@ -86,14 +86,14 @@
         except UnknownKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
         if not self.budget_enforcer.writer.may_take:
-            raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", RETRY_LEDGER_S)
+            raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", LEDGER_RETRY_AFTER_S)
         return tenant
 
     def check_open_limit(self) -> None:
         """Raises RequestNotAdmittedError where the limit of open requests is reached."""
         if len(self.runtime.active_requests) >= self.config.door.open_limit:
             raise RequestNotAdmittedError(
-                503, "This gateway holds as many generations as it may", "open_limit", RETRY_SOON_S
+                503, "This gateway holds as many generations as it may", "open_limit", RETRY_AFTER_S
             )
 
     def client_timeout_ms(self, exchange: Exchange, model: str) -> float:
@@ -138,7 +138,7 @@
         journal_writer = self.runtime.journal_writer
         if journal_writer is not None and not journal_writer.ready:
             raise RequestNotAdmittedError(
-                503, "The journal of the process before is being taken over", "taking_over", RETRY_SOON_S
+                503, "The journal of the process before is being taken over", "taking_over", RETRY_AFTER_S
             )
         owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
         return f"{owner}\0{header}"
@@ -166,7 +166,7 @@
                 return final
         return None
 
-    def remember(self, key: str, active_request: ActiveRequest) -> None:
+    def complete_key(self, key: str, active_request: ActiveRequest) -> None:
         """Ends the key's first request, and stores the answer for repeats."""
         request_class = active_request.request.request_class
         final = active_request.for_repeats()
@@ -175,7 +175,7 @@
         self.idempotency_cache.end(key, final, size, until_ms)
         self.idempotency_cache.sweep(now_ms())
 
-    def forget(self, key: str) -> None:
+    def release_key(self, key: str) -> None:
         """Ends the key's first request as one that did not run."""
         self.idempotency_cache.end(key, None, 0, 0.0)
 
@@ -200,15 +200,15 @@
         tenant: Tenant | None,
         key: str | None,
         client_timeout_ms: float,
-        since: float,
+        received_ms: float,
         after: int,
     ) -> ActiveRequest:
         """Builds the request and reserves its budget. `after`: characters of the answer that the client has already.
         Raises InvalidRequestError, and RequestNotAdmittedError where the rest of a stream can't be reproduced or the
         budget has no room."""
         owner = tenant.name if tenant is not None else ""
-        record = self.intake.take(chat_request, client_timeout_ms, owner)
-        if after and not is_reproducible(chat_request.raw, record.request.request_class.effect):
+        intake_record = self.intake.take(chat_request, client_timeout_ms, owner)
+        if after and not is_reproducible(chat_request.raw, intake_record.request.request_class.effect):
             raise RequestNotAdmittedError(
                 409,
                 "The rest of this answer can't be had: it is not kept, and another run must not be, or "
@@ -216,23 +216,26 @@
                 "resume_not_possible",
                 param="Last-Event-ID",
             )
-        hold = self.reserve_budget(
-            tenant, record.request.request_class, record.request.prompt_tokens, int(record.request.max_tokens)
+        budget_reservation = self.reserve_budget(
+            tenant,
+            intake_record.request.request_class,
+            intake_record.request.prompt_tokens,
+            int(intake_record.request.max_tokens),
         )
         ident = self.request_id(exchange, owner)
-        join = self.runtime.join_for(chat_request.raw, record.request)
+        join = self.runtime.join_for(chat_request.raw, intake_record.request)
         join.skip_characters = after
         return ActiveRequest(
             ident,
             chat_request,
-            record,
-            self.response_writer(exchange, chat_request, ident, after, hold),
-            since,
+            intake_record,
+            self.response_writer(exchange, chat_request, ident, after, budget_reservation),
+            received_ms,
             self.engine_key(ident, key),
             join,
             key or "",
             xxh3_128_digest(exchange.body) if key is not None else b"",
-            hold=hold,
+            budget_reservation=budget_reservation,
         )
 
     def reserve_budget(
@@ -241,13 +244,20 @@
         """Reserves the request's tokens. Raises OverBudgetError."""
         if self.budget_enforcer is None or tenant is None:
             return None
-        hold = self.budget_enforcer.reserve(tenant, self.names[request_class], prompt_tokens, max_tokens)
-        if isinstance(hold, BudgetRejection):
-            raise OverBudgetError(hold)
-        return hold
+        budget_reservation = self.budget_enforcer.reserve(
+            tenant, self.class_names[request_class], prompt_tokens, max_tokens
+        )
+        if isinstance(budget_reservation, BudgetRejection):
+            raise OverBudgetError(budget_reservation)
+        return budget_reservation
 
     def response_writer(
-        self, exchange: Exchange, chat_request: ChatRequest, ident: str, after: int, hold: BudgetReservation | None
+        self,
+        exchange: Exchange,
+        chat_request: ChatRequest,
+        ident: str,
+        after: int,
+        budget_reservation: BudgetReservation | None,
     ) -> ResponseWriter:
         """The writer for the form of answer that the client asks for."""
         writer: ResponseWriter = BufferedResponseWriter()
@@ -256,14 +266,14 @@
             writer = StreamResponseWriter(
                 exchange, f"chatcmpl-{ident}", chat_request.model, chat_request.include_usage, position
             )
-        if self.budget_enforcer is not None and hold is not None:
-            writer.extra = self.budget_enforcer.headers(hold)
+        if self.budget_enforcer is not None and budget_reservation is not None:
+            writer.extra = self.budget_enforcer.headers(budget_reservation)
         return writer
 
     def engine_key(self, ident: str, key: str | None) -> str:
         """The key by which engines drop repeats. A generated key is unique among all gateways."""
         if key is None:
-            return f"{self.birth}-{ident}-{next(self.count)}"
+            return f"{self.id_prefix}-{ident}-{next(self.id_counter)}"
         return xxh3_64_hexdigest(key.encode())
 
     def request_id(self, exchange: Exchange, tenant: str) -> str:
@@ -277,7 +287,7 @@
 
     def new_id(self) -> str:
         """A request id that no other process generates."""
-        return f"{self.birth}-{next(self.count)}"
+        return f"{self.id_prefix}-{next(self.id_counter)}"
 
 
 def parse_time_limit(header: str) -> float:
--- a/ternlane/gateway/router_config.py
+++ b/ternlane/gateway/router_config.py
@@ -22,11 +22,11 @@
     router_config: RouterConfig
 
 
-def configure_models(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> ConfiguredModels:
-    """Builds the request classes. One that is unchanged from `held` stays the same object, and so keeps its learned
+def configure_models(config: GatewayConfig, previous: dict[str, RequestClass] | None = None) -> ConfiguredModels:
+    """Builds the request classes. One that is unchanged from `previous` stays the same object, and so keeps its learned
     statistics; a changed one is a new object, and requests admitted before keep the old one."""
     request_classes = {
-        line.name: request_class_of(line, (held or {}).get(line.name)) for line in config.request_classes
+        line.name: request_class_of(line, (previous or {}).get(line.name)) for line in config.request_classes
     }
     models: dict[str, RequestClass] = {}
     max_tokens: dict[RequestClass, int] = {}
@@ -38,8 +38,8 @@
     return ConfiguredModels(request_classes, models, max_tokens, build_router_config(config, request_classes))
 
 
-def request_class_of(line: RequestClassConfig, held: RequestClass | None) -> RequestClass:
-    """The request class of one configuration entry; `held` itself where the two are equal."""
+def request_class_of(line: RequestClassConfig, previous: RequestClass | None) -> RequestClass:
+    """The request class of one configuration entry; `previous` itself where the two are equal."""
     new = RequestClass(
         EFFECTS[line.effect],
         GROUPS[line.group],
@@ -51,7 +51,7 @@
         line.priority_weight,
         line.late_value_share,
     )
-    return held if held is not None and astuple(held) == astuple(new) else new
+    return previous if previous is not None and astuple(previous) == astuple(new) else new
 
 
 def build_router_config(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> RouterConfig:
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -30,7 +30,7 @@
 from ternlane.event_loop import EventLoop, RouterProtocol, now_ms
 from ternlane.gateway.active_request import ActiveRequest, Failed, Rejected, Streamed
 from ternlane.gateway.attempt_recorder import AttemptRecorder
-from ternlane.gateway.attempts import NOTHING_RAN, build_attempt, plan_attempt, stage_at
+from ternlane.gateway.attempts import NOT_RUN_OUTCOMES, build_attempt, plan_attempt, select_stage
 from ternlane.gateway.journal_writer import JournalWriter
 from ternlane.gateway.metrics import GatewayMetrics
 from ternlane.gateway.router_config import ConfiguredModels
@@ -44,7 +44,8 @@
 
 class GatewayRuntime(EventLoop[ActiveRequest]):
     """The requests in flight of one gateway. `on_done` is called with each request that has ended and holds nothing
-    more, `affords` before each piece of text, `on_follow` when the router asks for the endpoint list to be watched."""
+    more, `within_budget` before each piece of text, `on_watch_endpoints` when the router asks for the endpoint list to
+    be watched."""
 
     def __init__(
         self,
@@ -73,8 +74,8 @@
         self.idents: set[str] = set()
         self.journal_writer: JournalWriter | None = None
         self.on_done: Callable[[ActiveRequest], None] = lambda _: None
-        self.affords: Callable[[ActiveRequest], bool] = lambda _: True
-        self.on_follow: Callable[[], None] = lambda: None
+        self.within_budget: Callable[[ActiveRequest], bool] = lambda _: True
+        self.on_watch_endpoints: Callable[[], None] = lambda: None
 
     # -- the event loop
 
@@ -88,7 +89,7 @@
     def alter(self, configured: ConfiguredModels) -> None:
         """Applies a changed configuration. Running attempts keep theirs; home pairs and learned statistics are kept."""
         self.router_config = configured.router_config
-        self.server_calls.silent.clear()
+        self.server_calls.servers_without_load.clear()
         self.intake.configure(configured.models, configured.max_tokens)
         self.stream_recovery.alter(configured.router_config)
         self.dispatch(messages.ConfigChanged(configured.router_config))
@@ -99,7 +100,7 @@
             case messages.Release(request):
                 self.release_all(self.active_requests.get(request))
             case messages.WatchEndpoints():
-                self.on_follow()
+                self.on_watch_endpoints()
             case messages.Log(server, text):
                 self.log.info("server", server=self.registry.endpoints[server].ident, text=text)
             case messages.Reserve(request, server):
@@ -125,7 +126,7 @@
 
     def arrived(self, active_request: ActiveRequest) -> None:
         """Hands an admitted request to the router."""
-        active_request.taken = now_ms()
+        active_request.admitted_ms = now_ms()
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
             self.journal_writer.took(active_request)
@@ -136,7 +137,7 @@
         """Ends a request whose client has disconnected, and releases everything held for it."""
         if active_request.is_over:
             return
-        active_request.left = True
+        active_request.client_gone = True
         if active_request.attempt is not None and active_request.streaming:
             active_request.attempt.cancel()  # nobody reads this stream
         self.dispatch(messages.ClientDisconnected(active_request.request))
@@ -155,9 +156,13 @@
         """Sets the complete answer as the final one; `usage` is that of the last attempt."""
         join = active_request.join
         extras = active_request.extras
-        self.intake.answered(active_request.intake_record, extras.echoed(join.text))
-        told = join.usage(active_request.prompt_said, active_request.kept_said, (usage or Usage()).told())
-        self.finish_request(active_request, Streamed(join.text, finish, told, extras.combined() if extras else None))
+        self.intake.learn_answer(active_request.intake_record, extras.next_turn_message(join.text))
+        total_usage = join.usage(
+            active_request.reported_prompt_tokens, active_request.reported_cached_tokens, (usage or Usage()).told()
+        )
+        self.finish_request(
+            active_request, Streamed(join.text, finish, total_usage, extras.merged() if extras else None)
+        )
 
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
         """Records the request's outcome in the journal, the metrics and the log."""
@@ -171,7 +176,7 @@
             session=active_request.intake_record.session,
             outcome=outcome,
             legs=active_request.attempt_log,
-            took_ms=round(now_ms() - active_request.since, 1),
+            took_ms=round(now_ms() - active_request.received_ms, 1),
             why=active_request.why,
         )
         self.forget(active_request)
@@ -206,7 +211,7 @@
         endpoint = self.registry.endpoints[server]
         number = active_request.attempts
         active_request.attempts += 1
-        stage = stage_at(server, active_request)
+        stage = select_stage(server, active_request)
         if stage is Stage.PREFILL:  # a prefill whose result is lost may have left state
             active_request.holders[server] = None
         plan = plan_attempt(active_request, server, endpoint, times)
@@ -221,26 +226,28 @@
         self.nursery.start_soon(self.run_attempt, active_request, server, journal_number, attempt_request)
 
     async def run_attempt(
-        self, active_request: ActiveRequest, server: Server, journal_number: int | None, ask: AttemptRequest
+        self, active_request: ActiveRequest, server: Server, journal_number: int | None, attempt_request: AttemptRequest
     ) -> None:
         """Runs one attempt."""
         started_ms = now_ms()
-        forwarder = StreamForwarder(self, active_request, server, ask.plan)
-        if journal_number is not None and not await self.journalled(journal_number, ask.plan):
-            outcome = AttemptOutcome.CANCELLED if ask.plan.cancelled else AttemptOutcome.OVERLOADED
+        forwarder = StreamForwarder(self, active_request, server, attempt_request.plan)
+        if journal_number is not None and not await self.wait_for_journal(journal_number, attempt_request.plan):
+            outcome = AttemptOutcome.CANCELLED if attempt_request.plan.cancelled else AttemptOutcome.OVERLOADED
             result = AttemptResult(outcome, why="the journal can't be kept")
         else:
-            result = await self.exchange(active_request, ask, forwarder)
-        self.attempt_ended(active_request, server, ask.stage, result, now_ms() - started_ms, ask.plan)
+            result = await self.exchange(active_request, attempt_request, forwarder)
+        self.attempt_ended(
+            active_request, server, attempt_request.stage, result, now_ms() - started_ms, attempt_request.plan
+        )
 
     async def exchange(
-        self, active_request: ActiveRequest, ask: AttemptRequest, forwarder: StreamForwarder
+        self, active_request: ActiveRequest, attempt_request: AttemptRequest, forwarder: StreamForwarder
     ) -> AttemptResult:
         """Sends the attempt over the transport; any exception there becomes a result."""
         try:
-            if ask.stage is Stage.PREFILL:
-                return await self.transport.read(ask)
-            return await self.transport.stream(ask, forwarder.forward)
+            if attempt_request.stage is Stage.PREFILL:
+                return await self.transport.read(attempt_request)
+            return await self.transport.stream(attempt_request, forwarder.forward)
         except ClientGone:
             self.client_left(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
@@ -248,7 +255,7 @@
             self.on_fault(fault)
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
 
-    async def journalled(self, number: int, plan: AttemptPlan) -> bool:
+    async def wait_for_journal(self, number: int, plan: AttemptPlan) -> bool:
         """Waits until the record of this attempt is on disk; returns False where it is not in time, or the attempt was
         cancelled.
 
@@ -278,7 +285,7 @@
         active_request.streaming = False
         self.attempt_recorder.record(active_request, server, stage, result, took_ms)
         broken = self.settle_attempt(active_request, result, plan)
-        if result.outcome in NOTHING_RAN and server.role is Role.PREFILL:
+        if result.outcome in NOT_RUN_OUTCOMES and server.role is Role.PREFILL:
             active_request.holders.pop(server, None)  # nothing ran, so no state is left
         prompt_tokens_cached = float(cached_tokens(result.usage)) if result.usage is not None else 0.0
         self.dispatch(
@@ -306,7 +313,7 @@
         elif result.outcome is AttemptOutcome.STREAMED or join.stopped:
             self.settle_streamed(active_request, "stop" if join.stopped else result.finish, result.usage)
         elif result.begun:
-            may_resume = not plan.cancelled and not active_request.left
+            may_resume = not plan.cancelled and not active_request.client_gone
             if may_resume and self.stream_resumer.attempt_broke(active_request, result):
                 return True
             # The client has part of the answer, and is told that the rest will not follow.
--- a/ternlane/gateway/runtime_port.py
+++ b/ternlane/gateway/runtime_port.py
@@ -28,7 +28,7 @@
     stream_recovery: StreamRecovery[ActiveRequest]
     journal_writer: JournalWriter | None
     active_requests: dict[messages.Request, ActiveRequest]
-    affords: Callable[[ActiveRequest], bool]
+    within_budget: Callable[[ActiveRequest], bool]
 
     def dispatch(self, event: messages.Event) -> None:
         """Dispatches an event to the router."""
--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -10,13 +10,13 @@
 
 
 class ServerCalls:
-    """`releasing`: number of releases in progress. `silent`: ids of servers that answered a probe without a load
-    report."""
+    """`releasing`: number of releases in progress. `servers_without_load`: ids of servers that answered a probe without
+    a load report."""
 
     def __init__(self, runtime: RuntimePort) -> None:
         self.runtime = runtime
         self.releasing = 0
-        self.silent: set[str] = set()
+        self.servers_without_load: set[str] = set()
 
     def release(self, active_request: ActiveRequest) -> None:
         """Releases the state that any server may hold for a request."""
@@ -78,7 +78,7 @@
         )
         runtime.metrics.probes.labels("told" if report is not None else OUTCOME_LABELS[outcome]).inc()
         answered = outcome in (AttemptOutcome.STREAMED, AttemptOutcome.ERROR)
-        if report is None and answered and endpoint.ident not in self.silent:
-            self.silent.add(endpoint.ident)
+        if report is None and answered and endpoint.ident not in self.servers_without_load:
+            self.servers_without_load.add(endpoint.ident)
             runtime.log.warning("no load report", server=endpoint.ident, why="no readable metrics at /metrics")
         runtime.dispatch(messages.ProbeResult(server, outcome, report))
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -63,9 +63,9 @@
             runtime.journal_writer.freed(active_request)
         active_request.holders.clear()
         if not active_request.begun:
-            waited_s = (now_ms() - active_request.since) / MS_PER_S
+            waited_s = (now_ms() - active_request.received_ms) / MS_PER_S
             runtime.metrics.first.labels(active_request.chat_request.model).observe(waited_s)
-        paused_ms = runtime.stream_recovery.first_piece(active_request, now_ms(), active_request.taken)
+        paused_ms = runtime.stream_recovery.first_piece(active_request, now_ms(), active_request.admitted_ms)
         if paused_ms is not None:
             runtime.metrics.resumed.observe(paused_ms / MS_PER_S)
             runtime.resume_streams()  # its slot is free
@@ -88,7 +88,7 @@
     async def write(self, new: str, more: Extras | None) -> None:
         """Writes to the client. Raises ClientGone where the connection is broken."""
         active_request = self.active_request
-        if not self.runtime.affords(active_request):  # the tenant has such streams cut
+        if not self.runtime.within_budget(active_request):  # the tenant has such streams cut
             active_request.why = "over budget: the overdraft is used up"
             self.plan.cancel()
         head = not active_request.begun
--- a/ternlane/gateway/stream_resumer.py
+++ b/ternlane/gateway/stream_resumer.py
@@ -23,8 +23,8 @@
 
     def attempt_broke(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
         """True where another attempt may continue the stream, which then waits for its turn."""
-        if active_request.broke_at is None:
-            active_request.broke_at = len(active_request.made)
+        if active_request.attempts_before_break is None:
+            active_request.attempts_before_break = len(active_request.usage_by_attempt)
         outcome = self.runtime.stream_recovery.attempt_broke(
             active_request,
             active_request.join,
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -48,7 +48,7 @@
 def test_a_conversation_is_recognised_by_what_was_said() -> None:
     known = intake()
     first = known.take(ask("hello there"), 1000)  # type: ignore[arg-type]
-    known.answered(first, {"role": "assistant", "content": "good day"})
+    known.learn_answer(first, {"role": "assistant", "content": "good day"})
     assert known.take(ask("hello there", "good day", "more"), 1000).session == first.session  # type: ignore[arg-type]
     assert known.take(ask("hello there", "other words", "more"), 1000).session == first.session  # type: ignore[arg-type]
     assert known.take(ask("hello there", user="v"), 1000).session != first.session  # type: ignore[arg-type]
@@ -85,8 +85,8 @@
 def test_known_ends_of_conversations_are_bounded() -> None:
     sessions = SessionIndex(50)
     for i in range(500):
-        sessions.find([i.to_bytes(8, "big")])
-    assert len(sessions.ends) == 50
+        sessions.find_or_add([i.to_bytes(8, "big")])
+    assert len(sessions.session_by_hash) == 50
 
 
 runs = st.lists(st.tuples(st.integers(0, 3), st.lists(st.integers(0, 2), min_size=1, max_size=12)), max_size=40)
@@ -98,7 +98,7 @@
     tree, plain = PrefixIndex(10**6), WholePrefixes(10**6)
     for session, run in met:
         assert tree.meet(array("Q", run), session) == plain.meet(array("Q", run), session)
-    assert tree.held == sum(len(n.run) for n in tree.walk())
+    assert tree.block_count == sum(len(n.run) for n in tree.walk())
 
 
 @settings(max_examples=80, deadline=None)
@@ -107,7 +107,7 @@
     tree = PrefixIndex(limit)
     for session, run in met:
         tree.meet(array("Q", run), session)
-        assert tree.held <= max(limit, 0) and tree.nodes == sum(1 for _ in tree.walk()) - 1
+        assert tree.block_count <= max(limit, 0) and tree.node_count == sum(1 for _ in tree.walk()) - 1
         listed, node = set(), tree.oldest
         while node is not None:
             listed.add(id(node))
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -100,7 +100,7 @@
     intake = RequestIntake({"m": request_class}, {request_class: 100}, 500)
     for i in range(20_000):
         intake.take(ask(f"folder {i} " * 60), 1000)  # type: ignore[arg-type]
-    assert len(intake.sessions.ends) <= 1000 and intake.prefixes.held <= 4000
+    assert len(intake.sessions.session_by_hash) <= 1000 and intake.prefixes.block_count <= 4000
 
 
 def test_two_gateways_spending_the_last_tokens_at_once_spend_no_more_than_there_are() -> None:
