--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -1,4 +1,5 @@
-"""Requests become generations; conversations, shared openings and repeats are recognised, within bounds."""
+"""Tests of the chat package (sessions, shared prefixes, idempotency keys), of load reports and of configuration
+errors."""
 
 from __future__ import annotations
 
@@ -45,18 +46,18 @@
     return RequestIntake({"m": p}, {p: 100}, limit)
 
 
-def test_a_conversation_is_recognised_by_what_was_said() -> None:
-    known = intake()
-    first = known.take(ask("hello there"), 1000)  # type: ignore[arg-type]
-    known.learn_answer(first, {"role": "assistant", "content": "good day"})
-    assert known.take(ask("hello there", "good day", "more"), 1000).session == first.session  # type: ignore[arg-type]
-    assert known.take(ask("hello there", "other words", "more"), 1000).session == first.session  # type: ignore[arg-type]
-    assert known.take(ask("hello there", user="v"), 1000).session != first.session  # type: ignore[arg-type]
-    named = known.take(ask("x", key="folder"), 1000)  # type: ignore[arg-type]
-    assert known.take(ask("y", key="folder"), 1000).session == named.session  # type: ignore[arg-type]
+def test_a_conversation_is_recognised_by_its_messages() -> None:
+    chat_intake = intake()
+    first = chat_intake.take(ask("hello there"), 1000)  # type: ignore[arg-type]
+    chat_intake.learn_answer(first, {"role": "assistant", "content": "good day"})
+    assert chat_intake.take(ask("hello there", "good day", "more"), 1000).session == first.session  # type: ignore[arg-type]
+    assert chat_intake.take(ask("hello there", "other words", "more"), 1000).session == first.session  # type: ignore[arg-type]
+    assert chat_intake.take(ask("hello there", user="v"), 1000).session != first.session  # type: ignore[arg-type]
+    named = chat_intake.take(ask("x", key="folder"), 1000)  # type: ignore[arg-type]
+    assert chat_intake.take(ask("y", key="folder"), 1000).session == named.session  # type: ignore[arg-type]
 
 
-def test_how_a_message_is_laid_out_does_not_matter() -> None:
+def test_canonical_text_is_independent_of_the_json_layout() -> None:
     plain = parse_chat_request(b'{"model":"m","messages":[{"role":"user","content":"a\\u00e9"}]}')
     parts = parse_chat_request(
         '{"messages":[{"content":[{"type":"text","text":"aé"}],"role":"user","name":null}],"model":"m"}'.encode()
@@ -64,25 +65,25 @@
     assert plain.texts == parts.texts
 
 
-def test_a_shared_prefix_is_what_another_session_began_with() -> None:
-    known, shared = intake(), "the rules of the bonus " * 60
-    requests = [known.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
+def test_a_shared_prefix_is_found_across_sessions() -> None:
+    chat_intake, shared = intake(), "the rules of the bonus " * 60
+    requests = [chat_intake.take(ask(shared + c * 600), 1000).request for c in "abc"]  # type: ignore[arg-type]
     assert requests[0].prefix is None and requests[1].prefix == requests[2].prefix is not None
     assert 0 < requests[2].prefix_tokens <= requests[2].prompt_tokens
     assert abs(requests[2].prefix_tokens * 4 - len(shared)) <= BLOCK + 8
 
 
-def test_token_counts_follow_what_engines_report_and_absurd_ones_do_not_count() -> None:
-    known = intake()
+def test_token_estimates_follow_engine_reports_and_ignore_invalid_ones() -> None:
+    chat_intake = intake()
     for _ in range(100):
-        it = known.take(ask("w" * 1000), 1000)  # type: ignore[arg-type]
-        known.learn_prompt(it, 500)
+        it = chat_intake.take(ask("w" * 1000), 1000)  # type: ignore[arg-type]
+        chat_intake.learn_prompt(it, 500)
     for absurd in (-3, 0, 10**9):
-        known.learn_prompt(it, absurd)
-    assert known.take(ask("w" * 1000), 1000).request.prompt_tokens == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
+        chat_intake.learn_prompt(it, absurd)
+    assert chat_intake.take(ask("w" * 1000), 1000).request.prompt_tokens == pytest.approx(500, rel=0.05)  # type: ignore[arg-type]
 
 
-def test_known_ends_of_conversations_are_bounded() -> None:
+def test_the_session_index_is_bounded() -> None:
     sessions = SessionIndex(50)
     for i in range(500):
         sessions.find_or_add([i.to_bytes(8, "big")])
@@ -94,18 +95,18 @@
 
 @settings(max_examples=150, deadline=None)
 @given(runs)
-def test_the_tree_says_the_same_as_a_dict_of_all_beginnings(met: list[tuple[int, list[int]]]) -> None:
+def test_the_tree_agrees_with_a_hash_table_of_all_prefixes(prompts: list[tuple[int, list[int]]]) -> None:
     tree, plain = PrefixIndex(10**6), WholePrefixes(10**6)
-    for session, run in met:
+    for session, run in prompts:
         assert tree.meet(array("Q", run), session) == plain.meet(array("Q", run), session)
     assert tree.block_count == sum(len(n.run) for n in tree.walk())
 
 
 @settings(max_examples=80, deadline=None)
 @given(runs, st.integers(1, 12))
-def test_the_tree_keeps_its_bound_and_its_order(met: list[tuple[int, list[int]]], limit: int) -> None:
+def test_the_tree_keeps_its_limit_and_lru_order(prompts: list[tuple[int, list[int]]], limit: int) -> None:
     tree = PrefixIndex(limit)
-    for session, run in met:
+    for session, run in prompts:
         tree.meet(array("Q", run), session)
         assert tree.block_count <= max(limit, 0) and tree.node_count == sum(1 for _ in tree.walk()) - 1
         listed, node = set(), tree.oldest
@@ -115,31 +116,31 @@
         assert listed == {id(n) for n in tree.walk()} - {id(tree.root)}
 
 
-def test_blocks_leave_out_what_is_not_whole() -> None:
+def test_a_partial_block_is_left_out() -> None:
     assert len(blocks(b"x" * (3 * BLOCK + 1))) == 3
 
 
 def test_a_key_is_in_progress_then_answered_then_forgotten() -> None:
-    repeats = IdempotencyCache(10_000)
-    assert isinstance(repeats.begin("k", b"1", 0), FirstRequest)
-    assert isinstance(repeats.begin("k", b"1", 0), RequestInProgress)
-    assert isinstance(repeats.begin("k", b"2", 0), BodyMismatch)
-    repeats.end("k", "answer", 6, until=100)
-    found = repeats.begin("k", b"1", 50)
+    cache = IdempotencyCache(10_000)
+    assert isinstance(cache.begin("k", b"1", 0), FirstRequest)
+    assert isinstance(cache.begin("k", b"1", 0), RequestInProgress)
+    assert isinstance(cache.begin("k", b"2", 0), BodyMismatch)
+    cache.end("k", "answer", 6, until=100)
+    found = cache.begin("k", b"1", 50)
     assert isinstance(found, StoredAnswer) and found.answer == "answer"
-    assert isinstance(repeats.begin("k", b"1", 100), FirstRequest)
-    repeats.end("k", None, 0, 0)  # throttled: free again
-    assert isinstance(repeats.begin("k", b"3", 100), FirstRequest)
+    assert isinstance(cache.begin("k", b"1", 100), FirstRequest)
+    cache.end("k", None, 0, 0)  # rejected: the key is free again
+    assert isinstance(cache.begin("k", b"3", 100), FirstRequest)
 
 
-def test_answers_kept_for_repeats_are_bounded_and_those_out_are_not_dropped() -> None:
-    repeats = IdempotencyCache(5_000)
-    repeats.begin("out", b"", 0)
+def test_stored_answers_are_bounded_and_keys_in_progress_are_kept() -> None:
+    cache = IdempotencyCache(5_000)
+    cache.begin("out", b"", 0)
     for i in range(100):
-        repeats.begin(str(i), b"", 0)
-        repeats.end(str(i), "x" * 500, 500, until=1e9)
-    assert repeats.bytes <= 5_000 and repeats.bytes == sum(r.size_bytes for r in repeats.ended.values())
-    assert isinstance(repeats.begin("out", b"", 0), RequestInProgress)
+        cache.begin(str(i), b"", 0)
+        cache.end(str(i), "x" * 500, 500, until=1e9)
+    assert cache.bytes <= 5_000 and cache.bytes == sum(r.size_bytes for r in cache.ended.values())
+    assert isinstance(cache.begin("out", b"", 0), RequestInProgress)
 
 
 @settings(max_examples=100, deadline=None)
@@ -148,14 +149,14 @@
     st.sampled_from(["\n", "\r\n", "\r"]),
     st.randoms(use_true_random=False),
 )
-def test_events_are_read_however_their_bytes_are_cut(said: list[str], end: str, rng: random.Random) -> None:
+def test_events_are_parsed_however_their_bytes_are_split(said: list[str], end: str, rng: random.Random) -> None:
     raw = "".join("".join(f"data: {line}{end}" for line in s.split("\n")) + end for s in said).encode()
-    prefill_server, got = EventReader(), []
+    event_reader, got = EventReader(), []
     while raw:
         n = rng.randint(1, 4)
-        got += prefill_server.feed(raw[:n])
+        got += event_reader.feed(raw[:n])
         raw = raw[n:]
-    got += prefill_server.feed(b"\n") if end == "\r" else []  # a CR alone ends a line once it is no CRLF
+    got += event_reader.feed(b"\n") if end == "\r" else []  # a CR ends a line only once the next byte is no LF
     assert got == said
 
 
@@ -172,17 +173,17 @@
         ('JSON {"named_metrics":{"kv_cache_usage_perc":-7,"num_requests_running":1}}', None, 1.0),
     ],
 )
-def test_load_reports_are_read_in_both_forms(said: str, mem: float | None, out: float | None) -> None:
+def test_load_reports_are_parsed_in_both_formats(said: str, mem: float | None, out: float | None) -> None:
     report = load_from_header(said)
     assert report is not None and (report.memory_share, report.open_requests) == (mem, out)
 
 
 @pytest.mark.parametrize("said", [None, "", "TEXT a=b", "JSON {", "XML <a/>", "JSON [1]"])
-def test_an_unreadable_report_counts_as_none(said: str | None) -> None:
+def test_an_unreadable_load_report_is_ignored(said: str | None) -> None:
     assert load_from_header(said) is None
 
 
-GOOD = """{
+VALID_CONFIG = """{
   // a gateway
   name: "g1", listen: "127.0.0.1:8080",
   products: [
@@ -205,8 +206,8 @@
         ("nodes: []}", "nodes: [}", 8, ""),
     ],
 )
-def test_a_wrong_document_is_refused_with_line_and_field(old: str, new: str, line: int, field: str) -> None:
-    read_text(GOOD, GatewayConfig)
+def test_an_invalid_configuration_is_rejected_with_line_and_field(old: str, new: str, line: int, field: str) -> None:
+    read_text(VALID_CONFIG, GatewayConfig)
     with pytest.raises(ConfigError) as bad:
-        read_text(GOOD.replace(old, new, 1), GatewayConfig, "gate.json5")
+        read_text(VALID_CONFIG.replace(old, new, 1), GatewayConfig, "gate.json5")
     assert (bad.value.where, bad.value.field) == (f"gate.json5:{line}", field)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Stories through real sockets: from a client, by the gateway's choices, to stand-in engines and back."""
+"""End-to-end tests of the chat gateway over real sockets, between clients and fake engines."""
 
 from __future__ import annotations
 
@@ -61,10 +61,10 @@
         assert len({v["id"] for v in w.said("leg", stage="read")}) == 1
 
 
-# -- clients that go, or send what they should not
+# -- clients that disconnect or send invalid requests
 
 
-async def leave(
+async def send_and_disconnect(
     w: World,
     after_ms: float,
     text: str = "hello",
@@ -84,31 +84,30 @@
 
 
 async def test_a_client_that_leaves_midway_frees_its_decode_server() -> None:
-    """A client closes its connection while its answer streams. Nobody reads the rest: the attempt is cancelled."""
+    """A client disconnects while its answer streams. The attempt is cancelled, as nobody reads the rest."""
     async with world(build=SLOW) as w:
-        await leave(w, 250)
+        await send_and_disconnect(w, 250)
         await w.settled()
         assert [v["how"] for v in w.said("leg_end")] == ["read", "dropped"]
 
 
 async def test_a_client_that_leaves_before_the_first_event_leaves_no_state_behind() -> None:
-    """A client closes its connection before any text has come. A prefill server may hold a state by then, which has to
-    be released."""
+    """A client disconnects before the first event. A prefill server may hold state by then, which must be released."""
     async with world(build=replace(BUILD, prefill_tokens_per_s=2000.0)) as w:
-        await leave(w, 100, text="x" * 1600)  # 200 ms to read
+        await send_and_disconnect(w, 100, text="x" * 1600)  # 200 ms to prefill
         await trio.sleep(0.15)
         await w.settled()
         assert len(w.said("leg")) == 1
 
 
-async def test_a_client_that_leaves_while_its_request_waits_costs_nothing() -> None:
-    """A client closes its connection while its request waits for a server. Nothing may be sent for it any more."""
+async def test_a_request_whose_client_leaves_while_it_is_queued_is_sent_nowhere() -> None:
+    """A client disconnects while its request is queued. No attempt may be sent for it any more."""
     async with world(("r0", "w0"), build=replace(BUILD, kv_capacity_tokens=3000.0, token_ms=60.0)) as w:
         async with trio.open_nursery() as nursery:
             for _ in range(2):
                 nursery.start_soon(w.ask, "summary", "y" * 4000)
             await until(lambda: len(w.said("leg")) >= 2, 2)
-            await leave(w, 80, text="z" * 8000, headers={"X-Request-Id": "gone"})
+            await send_and_disconnect(w, 80, text="z" * 8000, headers={"X-Request-Id": "gone"})
             await until(lambda: "gone" not in w.gateway.runtime.idents, 1)
             assert w.said("leg", gen="gone") == []
         await w.settled()
@@ -164,26 +163,26 @@
         ({"model": "nobody"}, "model", 404),
     ],
 )
-async def test_a_wrong_field_is_named(change: dict[str, Any], param: str, status: int) -> None:
+async def test_an_invalid_field_is_named_in_the_error(change: dict[str, Any], param: str, status: int) -> None:
     async with world() as w:
         body = {"model": "summary", "messages": [{"role": "user", "content": "a"}], "stream": True, "new_field": 1}
         reply = await w.post(body | change)
         assert (reply.status, reply.error and reply.error["param"]) == (status, param)
-        assert (await w.post(body)).done == 1  # an unknown field passes
+        assert (await w.post(body)).done == 1  # unknown fields are accepted
 
 
-async def test_a_shorter_time_limit_of_the_client_holds() -> None:
+async def test_a_shorter_time_limit_of_the_client_is_kept() -> None:
     async with world(build=replace(BUILD, prefill_tokens_per_s=100.0)) as w:
         since = trio.current_time()
         reply = await w.ask(text="x" * 400, headers={"X-Ternlane-Time-Limit-Ms": "300"})
         assert reply.status in (429, 504) and trio.current_time() - since < 0.3
 
 
-# -- engines that fail
+# -- failing engines
 
 
 async def test_a_decode_server_that_stalls_after_its_first_event_ends_in_an_error_event() -> None:
-    """A decode server falls silent within a stream, its connection open. The client must not wait for ever."""
+    """A decode server stalls during a stream with its connection open. The client must not wait forever."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=30.0)) as w:
 
         async def hang() -> None:
@@ -202,7 +201,8 @@
 
 @pytest.mark.parametrize("model, served", [("summary", True), ("note", False), ("form", True)])
 async def test_a_decode_server_that_dies_before_the_first_event(model: str, served: bool) -> None:
-    """An idempotent generation goes elsewhere, a deduplicated one within its cell, a side-effecting one nowhere."""
+    """After the failure, an idempotent request is retried anywhere, a deduplicated one within its cell, a
+    side-effecting one not at all."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=150.0)) as w:
 
         async def kill() -> None:
@@ -232,7 +232,7 @@
 
 
 async def test_a_decode_server_that_dies_midway_ends_in_an_error_event() -> None:
-    """A decode server dies within a stream that may not be resumed. The client hears that there is no more."""
+    """A decode server dies during a stream that may not be resumed. The client gets an error event."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=40.0)) as w:
 
         async def kill() -> None:
@@ -247,8 +247,8 @@
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
-async def test_a_lost_answer_is_never_decoded_twice_where_that_matters(model: str) -> None:
-    """A decode server has done its work, and its answer is lost on the way. What has effects must not run again."""
+async def test_only_an_idempotent_request_is_decoded_again_after_a_lost_answer(model: str) -> None:
+    """A decode server has run the request, and its answer is lost. A request with effects must not run again."""
     async with world(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
             w.engines[ident].fault.lost_answer_share = 1.0
@@ -257,15 +257,17 @@
         assert reply.status in (429, 504) and trio.current_time() - since < 2.05
         assert len(w.said("effect")) == 1 if model == "note" else len(w.said("effect")) >= 1
         if model == "note":
-            assert reply.status == 504  # a throttle would promise that nothing ran
+            assert reply.status == 504  # 429 would claim that nothing ran
         await w.settled()
 
 
 async def test_a_prefill_server_that_dies_with_the_state_is_replaced() -> None:
-    """A prefill server dies after its answer, before its state was fetched. Another has to prefill."""
+    """A prefill server dies after its answer, before its state is fetched. Another one must prefill."""
     async with world(("r0", "r0b", "w0")) as w:
         w.engines["w0"].fault.slowdown = 1.0
-        w.engines["w0"].busy = w.engines["w0"].profile.slots  # the writer lets it wait before it fetches
+        w.engines["w0"].busy = w.engines[
+            "w0"
+        ].profile.slots  # the decode server queues the request before it fetches the state
 
         async def kill() -> None:
             while not w.said("leg", stage="write"):
@@ -282,7 +284,7 @@
 
 
 async def test_a_decode_server_that_is_listed_but_dead_is_passed_over() -> None:
-    """A decode server is on the list, and nothing listens at its address. Requests go to another."""
+    """A decode server is listed but nothing listens at its address. Requests go to another one."""
     async with world(("r0", "w0", "w0b")) as w:
         w.engines["w0"].die()
         await trio.sleep(0.02)
@@ -291,8 +293,8 @@
         assert {v["id"] for v in w.said("effect")} == {"w0b"}
 
 
-async def test_a_connection_that_hangs_is_given_up_in_time() -> None:
-    with socket.socket() as deaf:  # its queue of connections is full: further ones are never answered
+async def test_a_connect_that_hangs_times_out() -> None:
+    with socket.socket() as deaf:  # its accept queue is full: further connects get no answer
         deaf.bind(("127.0.0.1", 0))
         deaf.listen(0)
         fill = [socket.socket() for _ in range(3)]
@@ -341,7 +343,9 @@
         ([HEAD, chunked(b"data: [DONE]\n\n") + b"0\r\n\r\n"], AttemptOutcome.STREAMED, True),
     ],
 )
-async def test_what_the_end_of_an_attempt_proves(steps: list[Any], outcome: AttemptOutcome, begun: bool) -> None:
+async def test_the_outcome_of_an_attempt_follows_from_the_bytes_received(
+    steps: list[Any], outcome: AttemptOutcome, begun: bool
+) -> None:
     async with trio.open_nursery() as nursery:
         peer, pool, got = Scripted(steps), ConnectionPool(200, 1000), []
         await peer.run(nursery)
@@ -357,7 +361,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b"[1]", b"{", b'{"kv_transfer_params": 7}'])
-async def test_a_prefill_server_that_answers_nonsense_has_failed(body: bytes) -> None:
+async def test_an_invalid_answer_of_a_prefill_server_is_an_error(body: bytes) -> None:
     async with trio.open_nursery() as nursery:
         peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
@@ -366,7 +370,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_nothing_goes_to_a_server_that_drains_and_a_state_that_waits_is_handed_elsewhere() -> None:
+async def test_a_draining_decode_server_gets_no_attempt_and_the_state_goes_to_another() -> None:
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=4000.0)) as w:
         async with trio.open_nursery() as nursery:
 
@@ -383,7 +387,7 @@
         assert w.said("effect")[0]["id"] != w.gateway.registry.endpoints[drained].ident
 
 
-async def test_a_list_that_empties_and_fills_again() -> None:
+async def test_requests_are_rejected_while_the_endpoint_list_is_empty() -> None:
     async with world() as w:
         w.gateway.found([])
         reply = await w.ask()
@@ -409,11 +413,11 @@
         again = await w.ask("note", headers=key)
         assert again.text == got[0].text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
         assert (await w.ask("note", text="other", headers=key)).status == 422
-        assert (await w.ask("note", headers=key)).done == 1  # a refused one has not unsettled the first
+        assert (await w.ask("note", headers=key)).done == 1  # the rejected request has not changed the stored answer
         assert len(w.said("effect")) == 1 and len(w.said("leg")) == attempts
 
 
-async def test_an_effect_that_may_have_happened_is_remembered_under_its_key() -> None:
+async def test_a_repeat_of_a_request_that_may_have_run_gets_an_error() -> None:
     async with world(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
             w.engines[ident].fault.lost_answer_share = 1.0
@@ -426,23 +430,23 @@
         assert len(w.said("effect")) == 1
 
 
-# -- the gateway's own life
+# -- start, drain and resources of the gateway
 
 
-async def test_a_restarted_gateway_serves_by_its_last_list(tmp_path: Path) -> None:
+async def test_a_restarted_gateway_serves_from_its_cached_endpoint_list(tmp_path: Path) -> None:
     kept, nobody = str(tmp_path / "nodes"), ConsulSource(address="127.0.0.1:9", service="engines", retry_ms=50)
     async with world(state=kept) as w:
         await w.settled()
         await until(lambda: os.path.exists(kept), 2)
         from ternlane.gateway import open_gateway
 
-        config = replace_paper(w.gateway.config, nodes=nobody)
+        config = replace_config(w.gateway.config, nodes=nobody)
         async with open_gateway(config) as second:
             w.gateway, first = second, w.gateway
             assert (await w.ask()).done == 1
             w.gateway = first
         raw = bytearray(Path(kept).read_bytes())
-        raw[-9] ^= 1  # torn: recognised, not used, and not fatal
+        raw[-9] ^= 1  # a corrupt cache is detected, ignored, and not fatal
         Path(kept).write_bytes(raw)
         async with open_gateway(config) as third:
             w.gateway = third
@@ -450,13 +454,13 @@
             w.gateway = first
 
 
-def replace_paper(config: Any, **changes: Any) -> Any:
+def replace_config(config: Any, **changes: Any) -> Any:
     import msgspec
 
     return msgspec.structs.replace(config, **changes)
 
 
-async def test_the_registry_is_followed_through_failures_restarts_and_nonsense() -> None:
+async def test_the_registry_is_watched_through_failures_restarts_and_invalid_answers() -> None:
     async with trio.open_nursery() as nursery:
         registry = Registry(Traffic(None))
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -490,13 +494,13 @@
         await until(lambda: {n.id for n in found[-1]} == {"a", "b"}, 2)
         registry.put(
             RegisteredEndpoint("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5)
-        )  # one bad entry costs only itself
+        )  # an invalid entry does not affect the others
         await until(lambda: any("c:" in why for why in failed), 2)
         assert {n.id for n in found[-1]} == {"a", "b"}
         nursery.cancel_scope.cancel()
 
 
-async def test_a_gateway_that_drains_finishes_what_it_holds() -> None:
+async def test_a_draining_gateway_finishes_its_open_requests() -> None:
     async with world(build=replace(BUILD, token_ms=40.0)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
@@ -512,7 +516,7 @@
             await w.ask()
 
 
-async def test_what_outlasts_the_drain_is_failed() -> None:
+async def test_requests_that_outlast_the_drain_time_fail() -> None:
     async with world(build=replace(BUILD, token_ms=400.0), door=ServerLimits(drain_ms=100)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
@@ -527,7 +531,7 @@
         await w.settled()
 
 
-async def test_files_tasks_and_sockets_are_back_where_they_were() -> None:
+async def test_no_descriptor_or_task_is_leaked() -> None:
     def count() -> tuple[int, int]:
         return len(os.listdir("/proc/self/fd")), trio.lowlevel.current_statistics().tasks_living
 
@@ -537,16 +541,16 @@
     before = count()
     for _ in range(3):
         async with world(build=SLOW) as w:
-            await leave(w, 120)
+            await send_and_disconnect(w, 120)
             await w.ask("nobody")
             w.engines["w0"].die()
-            await leave(w, 200)
+            await send_and_disconnect(w, 200)
     await trio.sleep(0.1)
     after = count()
     assert after[0] <= before[0] + 1 and after[1] <= before[1]
 
 
-async def test_a_caller_that_finds_its_connection_closed_makes_another() -> None:
+async def test_a_connection_closed_by_a_restarted_engine_is_replaced() -> None:
     async with world(("r0", "w0")) as w:
         assert (await w.ask()).done == 1
         w.engines["r0"].die()
@@ -557,7 +561,7 @@
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
-async def test_a_prefill_whose_answer_is_lost_is_told_by_a_later_one(model: str) -> None:
+async def test_a_later_prefill_shows_that_an_earlier_answer_is_lost(model: str) -> None:
     async with world(request_classes=patient(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
         prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
@@ -568,7 +572,7 @@
             replies.append(await w.ask(model, text="the same"))
 
         nursery.start_soon(mute)
-        with trio.fail_after(3):  # under the 3.2 s for which it would be waited
+        with trio.fail_after(3):  # less than the 3.2 s after which the prefill would time out
             while len(w.said("leg", stage="read", id=prefill_server.ident)) < 2:
                 await trio.sleep(0.001)
             request = w.said("leg", stage="read")[-1]["gen"]
@@ -581,10 +585,10 @@
         await w.settled()
 
 
-async def test_a_state_that_a_prefill_left_late_is_released_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_state_that_appears_after_its_release_is_released_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async with world(("r0", "r0b", "w0")) as w:
         heard: list[str] = []
-        for ident in ("r0", "r0b"):  # each hears the first word of it too early
+        for ident in ("r0", "r0b"):  # each gets its first release before it holds the state
 
             def too_early(request: str, how: str, ident: str = ident, real: Any = w.engines[ident].drop_state) -> bool:
                 heard.append(ident)
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -1,4 +1,4 @@
-"""A gateway is lost with generations in flight: the next process knows what may have run, wherever its journal ends."""
+"""Tests of the journal: after a crash the next process knows which requests may have run, wherever the journal ends."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
 
 
 def history(draws: list[tuple[int, int, bool]]) -> list[Record]:
-    """Interleaved courses of generations, each as far as it was drawn: taken, read, written, freed, ended."""
+    """Interleaved records of requests, each up to a drawn stage: admitted, prefilled, decoded, state released,
+    ended."""
     courses: list[list[Record]] = []
     for i, (upto, effect, keyed) in enumerate(draws):
         ident, kind = f"g{i}", ("IDEMPOTENT", "DEDUPLICATED", "SIDE_EFFECTING")[effect]
@@ -50,12 +51,12 @@
     return out
 
 
-def store_of(disk: Any, **sizes: int) -> SegmentedLog[Record, InFlightRequests]:
+def journal_on(disk: Any, **sizes: int) -> SegmentedLog[Record, InFlightRequests]:
     return SegmentedLog(JOURNAL, disk, **sizes)
 
 
-def must_be_safe(found: InFlightRequests, records: list[Record]) -> None:
-    """What is recovered, against the records that it was recovered from, gone through one by one."""
+def assert_safe_recovery(found: InFlightRequests, records: list[Record]) -> None:
+    """Checks what was recovered against the records it was recovered from, one request at a time."""
     taken = {r.ident: r for r in records if isinstance(r, RequestTaken)}
     ended = {r.ident: r for r in records if isinstance(r, RequestEnded)}
     ran = {r.ident for r in records if isinstance(r, AttemptSent) and r.decodes}
@@ -76,9 +77,9 @@
 
 @given(st.lists(st.tuples(st.integers(1, 5), st.integers(0, 2), st.booleans()), min_size=1, max_size=5))
 @settings(max_examples=25, deadline=None)
-def test_every_cut_of_the_journal_is_recovered_from(draws: list[tuple[int, int, bool]]) -> None:
+def test_a_journal_cut_at_any_byte_is_recovered(draws: list[tuple[int, int, bool]]) -> None:
     records, disk = history(draws), FakeDisk()
-    store = store_of(disk)
+    store = journal_on(disk)
     for record in records:
         store.append(record)
     store.commit()
@@ -86,23 +87,23 @@
     for cut in range(len(raw) + 1):
         torn = FakeDisk()
         torn.files[JOURNAL.segment_name(1)], torn.synced[JOURNAL.segment_name(1)] = bytearray(raw[:cut]), cut
-        again = store_of(torn)
+        again = journal_on(torn)
         again.recover()
         whole = len(read_segment(raw[:cut], "s", JOURNAL).records)
-        must_be_safe(again.totals, records[:whole])
-        again.append(RequestEnded("g0", "lost"))  # and it goes on from there
+        assert_safe_recovery(again.totals, records[:whole])
+        again.append(RequestEnded("g0", "lost"))  # the recovered journal can be appended to
         again.commit()
-        third = store_of(torn)
+        third = journal_on(torn)
         third.recover()
         assert third.sequence == again.sequence
 
 
 @pytest.mark.parametrize("how", ["crash", "full", "short", "sync"])
-def test_whichever_call_of_the_disk_fails_what_was_kept_is_known(how: str) -> None:
+def test_durable_records_survive_a_failure_of_any_disk_call(how: str) -> None:
     records = history([(5, 2, True), (3, 2, True), (4, 1, True), (2, 0, False)] * 6)
     for fail_at in range(1, 90):
         disk = FakeDisk(fail_at, how)
-        store, told = store_of(disk, segment_bytes=300, keep_segments=1), 0
+        store, durable = journal_on(disk, segment_bytes=300, keep_segments=1), 0
         try:
             for i in range(0, len(records), 5):
                 for record in records[i : i + 5]:
@@ -112,20 +113,20 @@
                         store.commit()
                     except OSError:
                         continue
-                told = store.kept
+                durable = store.kept
         except CrashError:
             pass
         after = FakeDisk()
         after.files, after.synced = disk.files, disk.synced
-        again = store_of(after)
+        again = journal_on(after)
         again.recover()
-        assert again.sequence >= told
-        must_be_safe(again.totals, records[: again.sequence])
+        assert again.sequence >= durable
+        assert_safe_recovery(again.totals, records[: again.sequence])
 
 
-def test_a_journal_stays_small_however_many_it_has_seen() -> None:
+def test_the_size_of_the_journal_is_bounded() -> None:
     disk = FakeDisk()
-    store = store_of(disk, segment_bytes=4000, keep_segments=1)
+    store = journal_on(disk, segment_bytes=4000, keep_segments=1)
     for i in range(3000):
         late = NOW + i
         for record in (
@@ -136,14 +137,14 @@
             store.append(record)
         store.commit()
     assert sum(map(len, disk.files.values())) < 400_000 and len(store.totals.opened) == 0
-    again = store_of(disk)
+    again = journal_on(disk)
     again.recover()
     assert [v.taken.ident for v in again.totals.answers(NOW + 2999)] == [f"g{i}" for i in range(2950, 3000)]
 
 
-def test_damage_that_no_crash_leaves_is_refused(tmp_path: Path) -> None:
+def test_corruption_that_no_crash_causes_is_refused(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
-    store = store_of(disk)
+    store = journal_on(disk)
     for record in history([(5, 2, True)] * 3):
         store.append(record)
     store.commit()
@@ -153,15 +154,15 @@
     raw[40] ^= 8
     path.write_bytes(raw)
     with pytest.raises(CorruptLedgerError, match="byte"):
-        store_of(Disk(tmp_path)).recover()
+        journal_on(Disk(tmp_path)).recover()
 
 
 # -- over sockets
 
 
 @asynccontextmanager
-async def next_gateway(w: World, folder: Path) -> AsyncIterator[str]:
-    """The next process, with the journal as a kill at this moment would leave it."""
+async def gateway_after_crash(w: World, folder: Path) -> AsyncIterator[str]:
+    """A gateway started with a copy of the journal, as a kill at this moment would leave it."""
     copy = folder.with_name(folder.name + "-after")
     shutil.copytree(folder, copy)
     config = msgspec.structs.replace(w.gateway.config, journal=str(copy), listen="127.0.0.1:0")
@@ -170,7 +171,7 @@
         yield gateway.address
 
 
-async def ask_at(address: str, model: str, key: str) -> Reply:
+async def ask_with_key(address: str, model: str, key: str) -> Reply:
     caller = await ConnectionPool(1000, 1000).connect(address)
     try:
         return await heard(
@@ -184,8 +185,9 @@
 
 
 @pytest.mark.parametrize("model", ["note", "form", "summary"])
-async def test_a_repeat_after_the_loss_hears_that_it_may_have_run(model: str, tmp_path: Path) -> None:
-    """A gateway is killed with a keyed request out, whose effect has happened. Its client asks the next process."""
+async def test_a_repeat_after_a_crash_is_told_that_the_request_may_have_run(model: str, tmp_path: Path) -> None:
+    """A gateway is killed while a request with an Idempotency-Key is in flight and its effect has happened. The client
+    repeats the request at the next process."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
         replies: list[Reply] = []
 
@@ -194,67 +196,70 @@
 
         w.nursery.start_soon(first)
         await until(lambda: w.said("effect"), 2)
-        async with next_gateway(w, tmp_path / "j") as address:
-            reply = await ask_at(address, model, "k1")
-            if model == "summary":  # harmless: it simply runs
+        async with gateway_after_crash(w, tmp_path / "j") as address:
+            reply = await ask_with_key(address, model, "k1")
+            if model == "summary":  # idempotent: it runs again
                 assert reply.done == 1
             else:
                 assert reply.status == 502 and "may have run" in reply.error["message"]  # type: ignore[index]
                 assert reply.headers["x-should-retry"] == "false" and len(w.said("effect")) == 1
-            other = await ask_at(address, model, "k2")
+            other = await ask_with_key(address, model, "k2")
             assert other.done == 1
 
 
-async def test_gateway_and_decode_server_lost_together_double_nothing(tmp_path: Path) -> None:
-    """A gateway and the decode server of its request are lost at once. Nobody left knows how far the request came."""
+async def test_losing_gateway_and_decode_server_together_repeats_no_effect(tmp_path: Path) -> None:
+    """A gateway and the decode server of its request are lost at once, so nobody knows how far the request came."""
     async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=60.0), journal=str(tmp_path / "j")) as w:
-        w.nursery.start_soon(ask_at, w.gateway.address, "form", "k1")
+        w.nursery.start_soon(ask_with_key, w.gateway.address, "form", "k1")
         await until(lambda: w.said("effect"), 2)
-        async with next_gateway(w, tmp_path / "j") as address:
+        async with gateway_after_crash(w, tmp_path / "j") as address:
             w.engines[w.said("effect")[0]["id"]].die()
-            reply = await ask_at(address, "form", "k1")
+            reply = await ask_with_key(address, "form", "k1")
             assert reply.status == 502 and len(w.said("effect")) == 1
 
 
-async def test_a_repeat_after_the_loss_hears_the_answer_that_was_given(tmp_path: Path) -> None:
-    """A gateway is killed after it gave an answer. Its client never got it, and asks again."""
+async def test_a_repeat_after_a_crash_gets_the_stored_answer(tmp_path: Path) -> None:
+    """A gateway is killed after it has answered. The client did not get the answer, and repeats the request."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
         await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
-        async with next_gateway(w, tmp_path / "j") as address:
-            again = await ask_at(address, "note", "k1")
+        async with gateway_after_crash(w, tmp_path / "j") as address:
+            again = await ask_with_key(address, "note", "k1")
             assert again.text == reply.text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
             assert len(w.said("effect")) == 1
 
 
-async def test_an_idempotent_request_that_failed_may_run_again_before_a_loss_and_after(tmp_path: Path) -> None:
+async def test_a_failed_idempotent_request_may_run_again_before_and_after_a_crash(tmp_path: Path) -> None:
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         w.engines["w0"].fault.script = "midway"
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 0
         w.engines["w0"].fault.script = ""
         await w.gateway.journal_writer.writer.flush(1.0)  # type: ignore[union-attr]
-        async with next_gateway(w, tmp_path / "j") as address:
-            assert (await ask_at(address, "summary", "k1")).done == 1
+        async with gateway_after_crash(w, tmp_path / "j") as address:
+            assert (await ask_with_key(address, "summary", "k1")).done == 1
         assert (await w.ask(headers={"Idempotency-Key": "k1"})).done == 1
 
 
-async def test_states_that_the_lost_gateway_held_are_released(tmp_path: Path) -> None:
-    """A gateway is killed between prefill and decode. Its state would stay until the engine's own lease ends."""
+async def test_states_held_by_a_crashed_gateway_are_released(tmp_path: Path) -> None:
+    """A gateway is killed between prefill and decode. Without a release the state would stay until the engine's lease
+    expires."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        w.engines["w0"].busy = w.engines["w0"].profile.slots  # writes wait: the state stays at its reader
+        w.engines["w0"].busy = w.engines[
+            "w0"
+        ].profile.slots  # decodes are queued, so the state stays at the prefill server
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.ask)
             await until(lambda: w.said("leg", stage="write"), 2)
             await trio.sleep(0.05)
             assert len(w.engines["r0"].states) == 1
-            async with next_gateway(w, tmp_path / "j"):
+            async with gateway_after_crash(w, tmp_path / "j"):
                 assert w.engines["r0"].states == {} and len(w.said("released")) == 1
             w.engines["w0"].busy = 0
             nursery.cancel_scope.cancel()
 
 
-async def test_with_a_full_disk_nothing_runs_that_could_not_be_remembered(tmp_path: Path) -> None:
-    """The journal's disk is full. An effect that is not written down could be doubled after a loss."""
+async def test_with_a_full_disk_no_request_runs_that_can_not_be_journalled(tmp_path: Path) -> None:
+    """The journal's disk is full. An attempt with an effect that is not journalled could run again after a crash."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         journal_writer = w.gateway.journal_writer
         assert journal_writer is not None
@@ -266,27 +271,27 @@
         write, journal_writer.store.disk.write = journal_writer.store.disk.write, full  # type: ignore[method-assign]
         reply = await w.ask("note", headers={"Idempotency-Key": "k1"})
         assert reply.status == 429 and w.said("effect") == []
-        assert (await w.ask("note")).done == 1  # without a key nobody was promised anything
+        assert (await w.ask("note")).done == 1  # a request without a key is never repeated
         journal_writer.store.disk.write = write  # type: ignore[method-assign]
         await until(lambda: not journal_writer.writer.waiting, 3)
         assert (await w.ask("note", headers={"Idempotency-Key": "k1"})).done == 1
 
 
-async def test_while_the_process_before_has_the_journal_keyed_requests_are_not_admitted(tmp_path: Path) -> None:
-    """The process before still holds the journal's lock. The first request of a key may be out there."""
+async def test_keyed_requests_are_rejected_while_the_previous_process_holds_the_journal(tmp_path: Path) -> None:
+    """The previous process still holds the journal's lock, and may run the first request of a key."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
         await until(lambda: w.gateway.journal_writer.ready, 1)  # type: ignore[union-attr]
         config = msgspec.structs.replace(w.gateway.config, listen="127.0.0.1:0")
         async with open_gateway(config) as second:
-            reply = await ask_at(second.address, "note", "k1")
+            reply = await ask_with_key(second.address, "note", "k1")
             assert reply.status == 503 and reply.error["code"] == "taking_over"  # type: ignore[index]
             await w.gateway.drain()
             await until(lambda: second.journal_writer.ready, 2)  # type: ignore[union-attr]
-            assert (await ask_at(second.address, "note", "k1")).done == 1
+            assert (await ask_with_key(second.address, "note", "k1")).done == 1
 
 
-async def test_a_daemon_killed_outright_doubles_nothing(tmp_path: Path) -> None:
-    """A daemon gets SIGKILL with a keyed request out, and is started again."""
+async def test_a_killed_daemon_repeats_no_effect(tmp_path: Path) -> None:
+    """A daemon gets SIGKILL while a request with a key is in flight, and is restarted."""
     async with world(("r0", "w0"), build=replace(BUILD, token_ms=60.0)) as w:
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
@@ -312,20 +317,20 @@
                     except ConnectError:
                         await trio.sleep(0.03)
 
-        async def ask_until_taken() -> Any:  # 503 while it takes the journal up, 429 until it has had reports
-            while (reply := await ask_at(f"127.0.0.1:{port}", "note", "k1")).status in (429, 503):
+        async def ask_until_admitted() -> Any:  # 503 while the journal is recovered, 429 until servers have reported
+            while (reply := await ask_with_key(f"127.0.0.1:{port}", "note", "k1")).status in (429, 503):
                 await trio.sleep(0.02)
             return reply
 
         process = await start()
         try:
-            w.nursery.start_soon(ask_until_taken)
+            w.nursery.start_soon(ask_until_admitted)
             await until(lambda: w.said("effect"), 20)
             process.send_signal(signal.SIGKILL)
             await process.wait()
             process = await start()
             with trio.fail_after(20):
-                reply = await ask_until_taken()
+                reply = await ask_until_admitted()
             assert reply.status == 502 and len(w.said("effect")) == 1
         finally:
             process.kill()
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -1,4 +1,4 @@
-"""Stories of a switch to other settings in a running gateway, and back: nothing is lost, nothing runs twice."""
+"""Tests of configuration reloads in a running gateway, and back: no request is lost, and none runs twice."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
 SLOW = replace(BUILD, token_ms=25.0, answer_tokens=(16, 16))
 
 
-def other_shape(config: GatewayConfig) -> GatewayConfig:
-    """Loads told to probes only, no advice, fewer attempts, other terms, one product gone and one new."""
+def changed_config(config: GatewayConfig) -> GatewayConfig:
+    """A configuration with load probes, no Retry-After, fewer attempts, and one request class removed, changed and
+    added."""
     fleet = msgspec.structs.replace(
         TERMS,
         ask_load=True,
@@ -50,12 +51,12 @@
     )
 
 
-def written(w: World) -> Counter[str]:
-    """Answers begun at decode servers, by request, as the engines saw it."""
+def decode_attempts(w: World) -> Counter[str]:
+    """Number of decode attempts by request, as the engines recorded them."""
     return Counter(str(line["gen"]) for line in w.said("leg", stage="write"))
 
 
-async def test_a_switch_and_the_way_back_lose_nothing_and_repeat_nothing() -> None:
+async def test_a_reload_and_its_reversal_lose_no_request_and_repeat_none() -> None:
     replies: list[Reply] = []
     async with world(build=SLOW, request_classes=patient(4)) as w:
         before = w.gateway.config
@@ -63,8 +64,8 @@
         async def ask(model: str) -> None:
             replies.append(await w.ask(model))
 
-        async def some(*models: str) -> None:
-            """When it ends all have come, and some stream while the last ones don't."""
+        async def start_requests(*models: str) -> None:
+            """Returns once all requests have arrived; the last two start once one streams."""
             held, due = (
                 w.gateway.runtime.active_requests,
                 len(replies) + len(w.gateway.runtime.active_requests) + len(models),
@@ -80,29 +81,29 @@
                     await trio.sleep(0.001)
 
         async with trio.open_nursery() as nursery:
-            await some("summary", "note", "form", "note", "summary", "note")
-            changed, waits = w.gateway.reload(other_shape(before))
+            await start_requests("summary", "note", "form", "note", "summary", "note")
+            changed, waits = w.gateway.reload(changed_config(before))
             assert set(changed) == {"products", "fleet", "gateways", "zone"} and not waits
             assert not w.said("asked")
-            await some("note", "quote", "summary", "note")
+            await start_requests("note", "quote", "summary", "note")
             assert (await w.ask("form")).status == 404
             with trio.fail_after(5):
                 while not w.said("asked"):
                     await trio.sleep(0.001)
             assert w.gateway.reload(before) == (changed, [])
-            await some("form", "note", "summary")
+            await start_requests("form", "note", "summary")
             assert (await w.ask("quote")).status == 404
         await w.settled(5)
         asked = len(w.said("asked"))
         await ask("form")
         assert len(w.said("asked")) == asked
         assert len(replies) == 14
-        for reply in replies:  # each has one final answer, and it is the whole one
+        for reply in replies:  # each has exactly one final answer, which is complete
             assert reply.status == 200 and reply.done == 1 and reply.error is None and len(reply.text.split()) == 16
-        assert len(written(w)) == 14 and set(written(w).values()) == {1}
+        assert len(decode_attempts(w)) == 14 and set(decode_attempts(w).values()) == {1}
 
 
-async def test_what_breaks_after_a_switch_goes_on_or_ends_as_its_old_request_class_says() -> None:
+async def test_a_stream_that_breaks_after_a_reload_follows_its_old_request_class() -> None:
     replies: dict[str, Reply] = {}
     async with world(("r0", "w0", "w1", "w2"), build=SLOW) as w, trio.open_nursery() as nursery:
 
@@ -116,7 +117,7 @@
         w.gateway.reload(
             msgspec.structs.replace(
                 w.gateway.config,
-                request_classes=[  # the two have changed places
+                request_classes=[  # the two classes swap their effects
                     msgspec.structs.replace(first, effect="side-effecting"),
                     msgspec.structs.replace(first, name="note"),
                 ],
@@ -129,24 +130,24 @@
             await trio.sleep(0.02)
     assert replies["summary"].done == 1 and len(replies["summary"].text.split()) == 16
     assert replies["note"].done == 0 and replies["note"].error is not None
-    assert sorted(written(w).values()) == [1, 2]
+    assert sorted(decode_attempts(w).values()) == [1, 2]
 
 
-async def test_a_library_switches_too_and_a_wrong_document_changes_nothing() -> None:
+async def test_the_library_reloads_and_an_invalid_configuration_changes_nothing() -> None:
     async with world() as w:
         config = w.gateway.config
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
             async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
                 with pytest.raises(ConfigError, match="leg_limit"):
                     routing.alter(msgspec.structs.replace(config, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
-                routing.alter(other_shape(config))
+                routing.alter(changed_config(config))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(InvalidRequestError, match="does not exist"):
                 async with routing.request({"model": "form", "messages": [{"role": "user", "content": "b"}]}):
                     pass
 
 
-def test_a_wrong_document_changes_nothing_and_is_named(tmp_path: Path) -> None:
+def test_an_invalid_configuration_changes_nothing_and_is_logged(tmp_path: Path) -> None:
     path, number = gateway_config(tmp_path)
     old = path.read_text()
     new = json.dumps(
@@ -188,7 +189,7 @@
     assert [set(fields) for fields in taken] == [{"gateways", "products", "fleet"}] * 2
 
 
-def test_fewer_attempts_than_one_has_had_end_it_at_its_next_outcome(host: FakeHost) -> None:
+def test_a_lowered_attempt_limit_ends_a_request_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
     assert host.tell(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
     assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
@@ -197,7 +198,7 @@
     ]
 
 
-def test_homes_are_kept_over_a_switch(host: FakeHost) -> None:
+def test_home_pairs_survive_a_reload(host: FakeHost) -> None:
     request, attempt = host.written(session="s")
     home = request.router_state.prefill_server.server
     host.first(request, attempt.server)
@@ -210,7 +211,7 @@
     assert sent(host.arrive(host.request(session="s"))).server is home
 
 
-def test_load_is_asked_for_before_a_pair_is_chosen_and_nobody_waits_long_for_it() -> None:
+def test_load_is_probed_before_a_pair_is_chosen_and_delays_requests_briefly() -> None:
     host = build(may_probe=True, reports_on_probe=True)
     request = host.request()
     asked = [a.server for a in host.arrive(request)]
@@ -219,24 +220,26 @@
     assert host.tell(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
     said = host.tell(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
     attempt = next(a for a in said if isinstance(a, messages.StartAttempt))
-    assert attempt.server is idle and attempt.timeout_ms == 2000.0  # slow, but not silent: twice its latency objective
+    assert (
+        attempt.server is idle and attempt.timeout_ms == 2000.0
+    )  # twice the latency objective, as the server is known to be slow, not silent
     assert sent(build().arrive(request)).timeout_ms == 1000.0
     late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
     assert messages.Probe in kinds(said) and messages.StartAttempt not in kinds(said)
-    assert messages.StartAttempt in kinds(host.tell(after=100.0))  # none has answered
+    assert messages.StartAttempt in kinds(host.tell(after=100.0))  # no probe has been answered
 
 
-@pytest.mark.parametrize("patience", [20.0, 40.0, 80.0, 150.0])
-def test_nobody_waits_for_loads_beyond_its_clients_timeout(patience: float) -> None:
+@pytest.mark.parametrize("client_timeout_ms", [20.0, 40.0, 80.0, 150.0])
+def test_waiting_for_probes_ends_well_before_the_client_timeout(client_timeout_ms: float) -> None:
     host = build(may_probe=True, reports_on_probe=True)
-    request = host.request(client_timeout_ms=patience)
-    said = host.arrive(request, after=20.0)  # between two ticks
+    request = host.request(client_timeout_ms=client_timeout_ms)
+    said = host.arrive(request, after=20.0)  # between two timer ticks
     answered = host.now
     while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
-        said = host.tell(after=50.0)  # no engine says its load
+        said = host.tell(after=50.0)  # no engine reports its load
         answered = host.now
-    assert answered <= request.router_state.deadline - 0.5 * patience
+    assert answered <= request.router_state.deadline - 0.5 * client_timeout_ms
 
 
 @pytest.mark.parametrize(
@@ -249,6 +252,6 @@
         ("", None),
     ],
 )
-def test_metrics_that_say_nothing_are_no_report(text: str, report: tuple[float, float | None] | None) -> None:
+def test_metrics_without_a_load_are_no_report(text: str, report: tuple[float, float | None] | None) -> None:
     said = load_from_metrics(text)
     assert (None if said is None else (said.open_requests, said.memory_share)) == report
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""What a gateway does beside generations: connections kept and closed, the followed file, metrics, a reload."""
+"""Tests of connection reuse, the watched node file, metrics and reload, and of budgets, the ledger and reservations."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         assert 0.1 < trio.current_time() - since < 0.6 and len(w.said("effect")) == 3
 
 
-async def test_engines_whose_new_connections_are_slow_still_serve() -> None:
+async def test_slow_connects_to_engines_delay_a_request_without_failing_it() -> None:
     async with world(build=replace(BUILD)) as w:
         for engine in w.engines.values():
             engine.fault.handshake_delay_ms = 80.0
@@ -51,7 +51,7 @@
         assert trio.current_time() - since > 0.15 and len(w.said("effect")) == 1
 
 
-async def test_a_file_of_nodes_is_followed_and_a_wrong_one_changes_nothing(tmp_path: Path) -> None:
+async def test_a_node_file_is_watched_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     path, found, failed = tmp_path / "nodes.json5", list[list[NodeLine]](), list[str]()
     node = {"id": "a", "address": "h:1", "duty": "read", "mem_toks": 5}
 
@@ -83,7 +83,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_metrics_on_their_own_port_and_a_reload_of_the_servers_limits() -> None:
+async def test_metrics_have_their_own_port_and_server_limits_are_reloaded() -> None:
     async with world(metrics="127.0.0.1:31099") as w:
         assert (await w.ask()).done == 1
         caller = await w.pool.connect("127.0.0.1:31099")
@@ -95,7 +95,7 @@
         assert (await w.ask(text="x" * 60)).status == 413
 
 
-def test_a_user_of_very_many_sessions_is_held_in_bounds() -> None:
+def test_sessions_and_prefixes_of_many_conversations_are_bounded() -> None:
     request_class = RequestClass(Effect.IDEMPOTENT, Group.ALL, 0, 400, 0, 60, 2000, 1, 0)
     intake = RequestIntake({"m": request_class}, {request_class: 100}, 500)
     for i in range(20_000):
@@ -103,23 +103,23 @@
     assert len(intake.sessions.session_by_hash) <= 1000 and intake.prefixes.block_count <= 4000
 
 
-def test_two_gateways_spending_the_last_tokens_at_once_spend_no_more_than_there_are() -> None:
+def test_two_gateways_do_not_overspend_a_shared_budget() -> None:
     line = tenant(minute=600, burst=600)
-    cashiers = [UsageAccounting(2, f"g{i}") for i in range(2)]
-    let_in = sum(
-        isinstance(c.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation) for _ in range(20) for c in cashiers
+    accountings = [UsageAccounting(2, f"g{i}") for i in range(2)]
+    admitted = sum(
+        isinstance(c.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation) for _ in range(20) for c in accountings
     )
-    assert let_in == 6
+    assert admitted == 6
 
 
-def test_a_clock_set_far_ahead_stays_in_the_later_period_until_time_has_caught_up() -> None:
+def test_a_clock_set_back_stays_in_the_later_billing_period() -> None:
     usage_accounting, line = UsageAccounting(), tenant(period=100)
     assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
     assert isinstance(usage_accounting.reserve(line, "s", 90, 10, 0.0, NOON + 40 * 86400), BudgetReservation)
     assert not isinstance(usage_accounting.reserve(line, "s", 1, 1, 0.0, NOON), BudgetReservation)
 
 
-def test_chunks_drawn_and_spent_before_a_restart_are_not_owed_again() -> None:
+def test_period_chunks_spent_before_a_restart_can_not_be_spent_again() -> None:
     line, lender = tenant(period=24_000), QuotaLeases(3)
     before = UsageAccounting(3, "g", leases_quota=True)
     while before.meters.get(("noto", "")) is None or before.meters["noto", ""].spent < 5000:
@@ -131,12 +131,13 @@
     after.remember("noto", "s", "2026-12", before.meters["noto", ""].spent)
     assert not isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
     assert after.short_of_period() == [("noto", "", "2026-12", 24_000)]
-    after.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)  # one chunk, and it goes on
+    after.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)  # one more chunk makes room
     assert isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
 
 
-class Books(RuleBasedStateMachine):
-    """Reserve, settle, let time and periods pass, crash and recover: the ledger, the meters and a plain sum agree."""
+class LedgerStateMachine(RuleBasedStateMachine):
+    """Reserves, settles, advances time and billing periods, crashes and recovers: ledger, meters and a plain sum
+    agree."""
 
     holds = Bundle("holds")
 
@@ -162,7 +163,7 @@
     @rule(it=consumes(holds), answer=st.integers(0, 100), commit=st.booleans())
     def settle(self, it: object, answer: int, commit: bool) -> None:
         if not isinstance(it, tuple) or it[0] is not self.status:
-            return  # refused, or died with a gateway
+            return  # rejected, or lost in a crash
         self.n += 1
         hold = it[1]
         billed = Bill(TokenUsage(hold.prompt, 0, answer), TokenUsage())
@@ -190,7 +191,7 @@
         self.start()
 
     @invariant()
-    def books_agree(self) -> None:
+    def ledger_and_meter_agree(self) -> None:
         sums: dict[str, int] = {}
         for period, tokens in self.kept.values():
             sums[period] = sums.get(period, 0) + tokens
@@ -201,12 +202,12 @@
             assert meter.spent >= sums.get(meter.period.name, 0) - 1e-9 or meter.period.begin > NOON + self.now / 1000
 
 
-TestBooks = Books.TestCase
-TestBooks.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+TestLedgerStateMachine = LedgerStateMachine.TestCase
+TestLedgerStateMachine.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
 
 
 @pytest.mark.parametrize("n", [1, 3])
-def test_segments_beyond_those_to_be_kept_are_dropped(n: int) -> None:
+def test_segments_beyond_keep_segments_are_deleted(n: int) -> None:
     disk = FakeDisk()
     store = BillingLedger(disk, 300, keep_segments=n)  # type: ignore[arg-type]
     from tests.tenant_data import entry
@@ -218,8 +219,8 @@
 
 
 async def test_a_reserved_place_is_taken_by_the_decode_or_released() -> None:
-    class Holds(Router):
-        """The decisions, with a place held at the home writer beside each read."""
+    class ReservingRouter(Router):
+        """The router, with a reservation at the home decode server for each prefill."""
 
         def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
             out = super().take(now, events)
@@ -231,11 +232,13 @@
 
     told: list[messages.ReservationResult] = []
     terms = msgspec.structs.replace(TERMS, holds=True)
-    async with world(("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=Holds, terms=terms) as w:
+    async with world(
+        ("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=ReservingRouter, terms=terms
+    ) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
         assert [e.held for e in told] == [True]
         assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
-        with trio.move_on_after(0.05):  # a client that leaves within the read
+        with trio.move_on_after(0.05):  # a client that disconnects during the prefill
             await w.ask("note", "y" * 1600)
         await w.settled()
         assert len(w.said("released", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A small world in one trio run: stand-in engines, gateways, clients, all over loopback sockets."""
+"""A chat gateway with fake engines and a client, in one trio run over loopback sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def patient(times: float) -> list[RequestClassConfig]:
-    """The same products with longer times, where a busy machine must not matter."""
+    """REQUEST_CLASSES with longer times, for tests that a busy machine must not fail."""
     return [
         msgspec.structs.replace(p, slo_ms=times * p.slo_ms, deadline_ms=times * p.deadline_ms) for p in REQUEST_CLASSES
     ]
@@ -141,7 +141,7 @@
         return [v for v in self.traffic.lines if v["k"] == kind and all(v.get(k) == x for k, x in match.items())]
 
     async def settled(self, within: float = 1.5) -> None:
-        """Waits until nothing is open at the gateway and nothing is held at any engine."""
+        """Waits until the gateway has no open request and no engine holds state or runs a request."""
 
         def left() -> list[Any]:
             return [
@@ -157,11 +157,11 @@
             raise AssertionError(f"left: {remains}")
 
 
-POLL_S = 0.002  # between two looks at a condition that a test waits for
+POLL_S = 0.002  # interval between checks of a condition
 
 
 async def until(condition: Callable[[], object], within_s: float) -> None:
-    """Waits for a condition; fails the test where it does not come true in time."""
+    """Waits for a condition; fails the test where it is not met in time."""
     with trio.fail_after(within_s):
         while not condition():
             await trio.sleep(POLL_S)
