--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -265,9 +265,8 @@
     """A prefill server dies after its answer, before its state is fetched. Another one must prefill."""
     async with world(("r0", "r0b", "w0")) as w:
         w.engines["w0"].fault.slowdown = 1.0
-        w.engines["w0"].busy = w.engines[
-            "w0"
-        ].profile.slots  # the decode server queues the request before it fetches the state
+        # The decode server queues the request before it fetches the state.
+        w.engines["w0"].busy = w.engines["w0"].profile.slots
 
         async def kill() -> None:
             while not w.said("leg", stage="write"):
@@ -492,9 +491,8 @@
         registry.restart()
         registry.put(RegisteredEndpoint("b", "127.0.0.1", 2, "write", "z", 0, 1e5))
         await until(lambda: {n.id for n in found[-1]} == {"a", "b"}, 2)
-        registry.put(
-            RegisteredEndpoint("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5)
-        )  # an invalid entry does not affect the others
+        # An invalid entry does not affect the others.
+        registry.put(RegisteredEndpoint("c", "127.0.0.1", 3, "sideways", "z", 0, 1e5))
         await until(lambda: any("c:" in why for why in failed), 2)
         assert {n.id for n in found[-1]} == {"a", "b"}
         nursery.cancel_scope.cancel()
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -244,9 +244,8 @@
     """A gateway is killed between prefill and decode. Without a release the state would stay until the engine's lease
     expires."""
     async with world(("r0", "w0"), journal=str(tmp_path / "j")) as w:
-        w.engines["w0"].busy = w.engines[
-            "w0"
-        ].profile.slots  # decodes are queued, so the state stays at the prefill server
+        # Decodes are queued, so the state stays at the prefill server.
+        w.engines["w0"].busy = w.engines["w0"].profile.slots
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.ask)
             await until(lambda: w.said("leg", stage="write"), 2)
