--- a/ternlane/gateway/final_responses.py
+++ b/ternlane/gateway/final_responses.py
@@ -22,7 +22,7 @@
         case Streamed():
             head = [ident, *active_request.response_writer.extra]
             model = active_request.chat_request.model
-            await exchange.answer(200, head, body_of(f"chatcmpl-{active_request.ident}", model, final))
+            await exchange.answer(200, head, completion_body(f"chatcmpl-{active_request.ident}", model, final))
         case Rejected(pause_ms):
             await send_rejected(exchange, ident, pause_ms)
         case Failed(why, timed_out):
@@ -53,7 +53,7 @@
         await exchange.answer(502, [REPLAYED, NO_RETRY], error_body(502, f"Terminated: {why}", "terminated"))
         return
     if not chat_request.stream:
-        await exchange.answer(200, [REPLAYED], body_of(ident, chat_request.model, final))
+        await exchange.answer(200, [REPLAYED], completion_body(ident, chat_request.model, final))
         return
     response_writer = StreamResponseWriter(
         exchange, ident, chat_request.model, chat_request.include_usage, after if event_ids else None
@@ -63,6 +63,6 @@
     await response_writer.end(final)
 
 
-def body_of(ident: str, model: str, final: Streamed) -> bytes:
+def completion_body(ident: str, model: str, final: Streamed) -> bytes:
     """The body of a complete chat completion."""
     return answer_body(ident, int(time.time()), model, final.text, final.finish, final.usage, final.more)
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -57,7 +57,7 @@
     def took(self, active_request: ActiveRequest) -> None:
         """Records that a request was admitted, where it has an Idempotency-Key."""
         request_class = active_request.request.request_class
-        now = time.time() * 1000
+        now_wall_ms = time.time() * 1000
         if not active_request.repeat_key:  # can't be repeated: only its prefills are recorded
             active_request.noted = ""
             return
@@ -69,8 +69,8 @@
                 active_request.repeat_key,
                 active_request.mark,
                 request_class.effect.name,
-                now,
-                now + max(request_class.window_ms, request_class.deadline_ms),
+                now_wall_ms,
+                now_wall_ms + max(request_class.window_ms, request_class.deadline_ms),
             )
         )
 
@@ -100,10 +100,10 @@
         """Records that the request has its final answer, or that its client has disconnected."""
         if not active_request.repeat_key:
             return
-        kept = RequestEnded(active_request.noted, outcome)
+        record = RequestEnded(active_request.noted, outcome)
         match active_request.for_repeats():
             case Streamed(text, finish, usage, more):
-                kept = RequestEnded(
+                record = RequestEnded(
                     active_request.noted,
                     outcome,
                     True,
@@ -113,8 +113,8 @@
                     more=more or {},
                 )
             case Failed(why):
-                kept = RequestEnded(active_request.noted, "terminated", True, why=why)
-        self.writer.add(kept)
+                record = RequestEnded(active_request.noted, "terminated", True, why=why)
+        self.writer.add(record)
 
     # -- recovery
 
@@ -127,9 +127,9 @@
         async with trio.open_nursery() as nursery:
             for ident, held in previous.held():
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
-        for ident, it in previous.opened.items():
-            if not it.ended:
-                self.writer.add(it.lost())
+        for ident, open_request in previous.opened.items():
+            if not open_request.ended:
+                self.writer.add(open_request.lost())
             self.writer.add(StateFreed(ident))
         if previous.opened:
             self.log.warning("requests were in flight when the previous process was lost", open=len(previous.opened))
@@ -154,7 +154,7 @@
 
 def final_of(known: KnownAnswer) -> Final:
     """The answer for repeats of this request."""
-    it = known.ended
-    if it.outcome != "streamed":
-        return Failed(it.why)
-    return Streamed(it.text, it.finish, dict(it.usage), it.more or None)
+    ended = known.ended
+    if ended.outcome != "streamed":
+        return Failed(ended.why)
+    return Streamed(ended.text, ended.finish, dict(ended.usage), ended.more or None)
--- a/ternlane/gateway/router_config.py
+++ b/ternlane/gateway/router_config.py
@@ -26,7 +26,7 @@
     """Builds the request classes. One that is unchanged from `previous` stays the same object, and so keeps its learned
     statistics; a changed one is a new object, and requests admitted before keep the old one."""
     request_classes = {
-        line.name: request_class_of(line, (previous or {}).get(line.name)) for line in config.request_classes
+        line.name: build_request_class(line, (previous or {}).get(line.name)) for line in config.request_classes
     }
     models: dict[str, RequestClass] = {}
     max_tokens: dict[RequestClass, int] = {}
@@ -38,7 +38,7 @@
     return ConfiguredModels(request_classes, models, max_tokens, build_router_config(config, request_classes))
 
 
-def request_class_of(line: RequestClassConfig, previous: RequestClass | None) -> RequestClass:
+def build_request_class(line: RequestClassConfig, previous: RequestClass | None) -> RequestClass:
     """The request class of one configuration entry; `previous` itself where the two are equal."""
     new = RequestClass(
         EFFECTS[line.effect],
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -129,18 +129,18 @@
         first = await accounts.ask(w, "noto", text="x" * 200, max_tokens=10)
         assert first.done == 1 and float(first.headers["x-ratelimit-remaining-tokens"]) < 150
         assert first.headers["x-ratelimit-limit-tokens"] == "6000"
-        attempts, no = len(w.said("leg")), Reply()
+        attempts, rejected = len(w.said("leg")), Reply()
         for _ in range(6):
-            no = await accounts.ask(w, "noto", text="x" * 200, max_tokens=10)
-            if no.status == 429:
+            rejected = await accounts.ask(w, "noto", text="x" * 200, max_tokens=10)
+            if rejected.status == 429:
                 break
             attempts = len(w.said("leg"))
-        assert no.status == 429 and no.error is not None and no.error["code"] == "rate_limit_exceeded"
+        assert rejected.status == 429 and rejected.error is not None and rejected.error["code"] == "rate_limit_exceeded"
         assert len(w.said("leg")) == attempts
         assert (
             await accounts.ask(w, "avola", text="x" * 200, max_tokens=10)
         ).done == 1  # another tenant's budget is separate
-        await trio.sleep(float(no.headers["retry-after-ms"]) / 1000 + 0.02)
+        await trio.sleep(float(rejected.headers["retry-after-ms"]) / 1000 + 0.02)
         assert (await accounts.ask(w, "noto", text="x" * 200, max_tokens=10)).done == 1
 
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -149,7 +149,7 @@
         self.start()
 
     def start(self) -> None:
-        self.store, self.usage_accounting, self.status = BillingLedger(self.disk, 500), UsageAccounting(), object()  # type: ignore[arg-type]
+        self.store, self.usage_accounting, self.epoch = BillingLedger(self.disk, 500), UsageAccounting(), object()  # type: ignore[arg-type]
         self.usage_accounting.clock(NOON + self.now / 1000)
         self.store.recover()
         for (name, request_class, period), it in self.store.totals.sums.items():
@@ -158,11 +158,11 @@
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
         got = self.usage_accounting.reserve(self.line, "s", prompt, 100, self.now, NOON + self.now / 1000)
-        return (self.status, got) if isinstance(got, BudgetReservation) else None
+        return (self.epoch, got) if isinstance(got, BudgetReservation) else None
 
     @rule(it=consumes(holds), answer=st.integers(0, 100), commit=st.booleans())
     def settle(self, it: object, answer: int, commit: bool) -> None:
-        if not isinstance(it, tuple) or it[0] is not self.status:
+        if not isinstance(it, tuple) or it[0] is not self.epoch:
             return  # rejected, or lost in a crash
         self.n += 1
         hold = it[1]
--- a/tests/world.py
+++ b/tests/world.py
@@ -64,8 +64,8 @@
 
     @property
     def text(self) -> str:
-        said = [json.loads(e) for e in self.events if e != "[DONE]"]
-        return "".join(c["delta"].get("content") or "" for s in said if "choices" in s for c in s["choices"])
+        parsed = [json.loads(e) for e in self.events if e != "[DONE]"]
+        return "".join(c["delta"].get("content") or "" for s in parsed if "choices" in s for c in s["choices"])
 
     @property
     def done(self) -> int:
@@ -74,8 +74,8 @@
     @property
     def error(self) -> dict[str, Any] | None:
         if self.events:
-            said = [json.loads(e) for e in self.events if e != "[DONE]"]
-            return next((s["error"] for s in said if "error" in s), None)
+            parsed = [json.loads(e) for e in self.events if e != "[DONE]"]
+            return next((s["error"] for s in parsed if "error" in s), None)
         return json.loads(self.body).get("error")
 
 
@@ -91,15 +91,15 @@
         role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
         engine = FakeEngine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
         self.engines[ident] = engine
-        up = trio.Event()
-        self.nursery.start_soon(engine.run, self.nursery, up)
-        await up.wait()
+        listening = trio.Event()
+        self.nursery.start_soon(engine.run, self.nursery, listening)
+        await listening.wait()
         return engine
 
     async def revive(self, ident: str) -> None:
-        up = trio.Event()
-        self.nursery.start_soon(self.engines[ident].run, self.nursery, up)
-        await up.wait()
+        listening = trio.Event()
+        self.nursery.start_soon(self.engines[ident].run, self.nursery, listening)
+        await listening.wait()
 
     def lines(self, **changes: str) -> list[NodeLine]:
         return [
@@ -143,16 +143,16 @@
     async def settled(self, within: float = 1.5) -> None:
         """Waits until the gateway has no open request and no engine holds state or runs a request."""
 
-        def left() -> list[Any]:
+        def unfinished() -> list[Any]:
             return [
                 *self.gateway.runtime.active_requests.values(),
                 *((e.ident, e.states, e.busy) for e in self.engines.values() if e.states or e.busy),
             ]
 
         with trio.move_on_after(within):
-            while left():
+            while unfinished():
                 await trio.sleep(0.01)
-        remains = left()
+        remains = unfinished()
         if remains:
             raise AssertionError(f"left: {remains}")
 
@@ -197,25 +197,25 @@
     **changes: Any,
 ) -> AsyncIterator[World]:
     async with trio.open_nursery() as nursery:
-        made = World(nursery)
+        cluster = World(nursery)
         for ident in engines:
-            await made.add(ident, build)
+            await cluster.add(ident, build)
         config = GatewayConfig(
             name="g1",
             listen="127.0.0.1:0",
             request_classes=request_classes,
             fleet=terms,
-            nodes=InlineSource(nodes=made.lines()),
+            nodes=InlineSource(nodes=cluster.lines()),
             door=changes.pop("door", ServerLimits(drain_ms=800)),
             **changes,
         )
-        async with open_gateway(config, chooser=chooser, host_type=host_type) as made.gateway:
+        async with open_gateway(config, chooser=chooser, host_type=host_type) as cluster.gateway:
             await trio.sleep(0.01)
             try:
-                yield made
+                yield cluster
             finally:
-                made.pool.close()
-                for engine in made.engines.values():
+                cluster.pool.close()
+                for engine in cluster.engines.values():
                     engine.die()
         nursery.cancel_scope.cancel()
 
