--- a/ternlane/chat/idempotency_cache.py
+++ b/ternlane/chat/idempotency_cache.py
@@ -45,9 +45,9 @@
 class RepeatPolicy(Enum):
     """How a repeat is answered once the first request has ended."""
 
-    NOTHING = auto()  # the repeat runs, as a first request
+    RUN_AGAIN = auto()  # the repeat runs, as a first request
     ANSWER = auto()  # with the stored answer
-    UNSURE = auto()  # with an error: the first request may have run
+    OUTCOME_UNKNOWN = auto()  # with an error: the first request may have run
 
 
 def repeat_policy(effect: Effect, outcome: str, attempts: int) -> RepeatPolicy:
@@ -59,10 +59,10 @@
     if outcome == "streamed":
         return RepeatPolicy.ANSWER
     if outcome == "throttled" or effect is Effect.IDEMPOTENT:
-        return RepeatPolicy.NOTHING
+        return RepeatPolicy.RUN_AGAIN
     if outcome != "left":
         return RepeatPolicy.ANSWER
-    return RepeatPolicy.UNSURE if attempts else RepeatPolicy.NOTHING
+    return RepeatPolicy.OUTCOME_UNKNOWN if attempts else RepeatPolicy.RUN_AGAIN
 
 
 @dataclass(slots=True)
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -91,7 +91,7 @@
     def shared_prefix(self, text: bytes, session: str) -> tuple[str | None, int]:
         """The hash and the length in blocks of the longest prefix that the prompt shares with other sessions."""
         run = blocks(text)
-        shared = self.prefixes.meet(run, xxh3_64_intdigest(session.encode()) >> 1)
+        shared = self.prefixes.match_and_add(run, xxh3_64_intdigest(session.encode()) >> 1)
         return (xxh3_64_hexdigest(run[:shared].tobytes()) if shared else None), shared
 
     def learn_prompt(self, record: IntakeRecord, prompt_tokens: float) -> None:
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -37,7 +37,8 @@
 
 
 class PrefixIndex:
-    """The radix tree. `meet` adds a prompt, and returns how many of its leading blocks other sessions share."""
+    """The radix tree. `match_and_add` adds a prompt, and returns how many of its leading blocks other sessions
+    share."""
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
@@ -47,7 +48,7 @@
         self.oldest: Node | None = None
         self.newest: Node | None = None
 
-    def meet(self, run: array[int], session: int) -> int:
+    def match_and_add(self, run: array[int], session: int) -> int:
         """The number of leading blocks of `run` that another session's prompt had too; adds `run` to the tree."""
         node = self.root
         at = 0
@@ -164,15 +165,15 @@
             stack.extend((node.children or {}).values())
 
 
-class WholePrefixes:
+class PrefixHashTable:
     """The baseline for benchmarks and tests: a dict from the hash of every prefix to its owner."""
 
     def __init__(self, block_limit: int) -> None:
         self.block_limit = block_limit
         self.known: OrderedDict[int, int] = OrderedDict()
 
-    def meet(self, run: array[int], session: int) -> int:
-        """As `PrefixIndex.meet`."""
+    def match_and_add(self, run: array[int], session: int) -> int:
+        """As `PrefixIndex.match_and_add`."""
         shared = 0
         all_shared = True
         key = 0
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -31,7 +31,7 @@
     more: Extras | None = None  # tool calls, refusal, reasoning and logprobs
 
 
-Final = Rejected | Failed | Streamed
+FinalAnswer = Rejected | Failed | Streamed
 
 
 class ResponseWriter(ABC):
@@ -58,13 +58,13 @@
     key: str  # idempotency key sent to engines
     join: StreamJoin  # the text of all attempts
     repeat_key: str = ""  # the client's Idempotency-Key with its owner; "": none
-    mark: bytes = b""  # digest of the body, where there is an Idempotency-Key
-    noted: str = ""  # id in the journal; "": not in the journal
+    body_digest: bytes = b""  # digest of the body, where there is an Idempotency-Key
+    journal_id: str = ""  # id in the journal; "": not in the journal
     budget_reservation: Any = None  # tenants.BudgetReservation, settled when the request is done
     usage_by_attempt: list[TokenUsage] = field(default_factory=list)  # known token usage of each attempt
-    final: Final | None = None
+    final: FinalAnswer | None = None
     disconnect_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    when_over: Callable[[], None] = lambda: None
+    on_finished: Callable[[], None] = lambda: None
     client_gone: bool = False  # the client has disconnected
     admitted_ms: float = 0.0  # when it was handed to the router
     begun: bool = False  # the client has received part of the answer
@@ -86,7 +86,7 @@
         return self.intake_record.request
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """True once the final answer is set or the client has disconnected: no answer is due any more."""
         return self.final is not None or self.client_gone
 
@@ -105,21 +105,21 @@
         """The text that the client has received, in pieces as forwarded."""
         return self.join.pieces
 
-    def for_repeats(self) -> Final | None:
+    def answer_for_repeats(self) -> FinalAnswer | None:
         """The answer for later requests with the same Idempotency-Key; None where such a request may run again."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
-            case RepeatPolicy.NOTHING:
+            case RepeatPolicy.RUN_AGAIN:
                 return None
-            case RepeatPolicy.UNSURE:
+            case RepeatPolicy.OUTCOME_UNKNOWN:
                 return Failed("the first client left; it may have run")
         return self.final
 
-    def settle(self, final: Final) -> bool:
+    def settle(self, final: FinalAnswer) -> bool:
         """Sets the final answer; returns False where there is one already or the client has disconnected."""
-        if self.is_over:
+        if self.is_finished:
             return False
         self.final = final
         self.disconnect_scope.cancel()
-        self.when_over()
+        self.on_finished()
         return True
--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -74,4 +74,4 @@
         if stage is not Stage.DECODE:
             active_request.reported_prompt_tokens = result.usage.prompt_tokens
             active_request.reported_cached_tokens = usage.cached
-            self.runtime.stream_recovery.prefilled(now_ms(), usage.prompt - usage.cached, took_ms)
+            self.runtime.stream_recovery.record_prefill(now_ms(), usage.prompt - usage.cached, took_ms)
--- a/ternlane/gateway/attempts.py
+++ b/ternlane/gateway/attempts.py
@@ -29,7 +29,7 @@
 def plan_attempt(active_request: ActiveRequest, server: Server, endpoint: Endpoint, times: StartAttempt) -> AttemptPlan:
     """Address, time limits and start check of an attempt, which must not start once its client has left or been
     answered."""
-    may_begin = make_start_check(server, times.start_within_ms, lambda: active_request.is_over)
+    may_begin = make_start_check(server, times.start_within_ms, lambda: active_request.is_finished)
     return AttemptPlan(
         endpoint.address, [], b"", times.timeout_ms, times.idle_timeout_ms, times.total_timeout_ms, may_begin
     )
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -56,7 +56,7 @@
         ledger_options = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
         self.store = BillingLedger(Disk(Path(config.ledger)), **ledger_options)
         self.known_tokens: dict[tuple[str, str, str], int] = {}
-        self.add_recorded_usage(BillingLedger(Disk(Path(config.ledger))).read_sums())
+        self.add_recorded_usage(BillingLedger(Disk(Path(config.ledger))).read_totals())
         self.writer = GroupCommitWriter(self.store, log, on_recovered=self.add_recorded_usage)
         self.closed = False
 
@@ -156,9 +156,9 @@
             ]
         return granted, chunks
 
-    def whose(self, authorization: str | None) -> Tenant:
+    def authenticate(self, authorization: str | None) -> Tenant:
         """The tenant of an API key. Raises tenants.UnknownKeyError."""
-        return self.tenants.whose(authorization, time.time())
+        return self.tenants.authenticate(authorization, time.time())
 
     def reserve(
         self, tenant: Tenant, request_class: str, prompt: float, most: int
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -22,7 +22,7 @@
 from ternlane.gateway.runtime import GatewayRuntime
 from ternlane.http1 import Exchange
 from ternlane.policy.messages import RequestClass
-from ternlane.recovery.inflight import KnownAnswer
+from ternlane.recovery.inflight import RecoveredAnswer
 
 CHAT_PATH = "/v1/chat/completions"
 MODELS_PATH = "/v1/models"
@@ -64,9 +64,9 @@
         self.admission.alter(config, models)
         self.connections.limits = config.door
 
-    def restore(self, known_answers: list[KnownAnswer]) -> None:
+    def restore(self, recovered_answers: list[RecoveredAnswer]) -> None:
         """Takes over from the journal what a previous process had answered, or had in flight when it was lost."""
-        self.admission.restore(known_answers)
+        self.admission.restore(recovered_answers)
 
     async def connection(self, stream: trio.SocketStream) -> None:
         """Serves one client connection."""
@@ -170,8 +170,8 @@
             self.runtime.arrived(active_request)
             await self.answer(exchange, active_request)
         finally:
-            if not active_request.is_over:  # the connection's task was cancelled
-                self.runtime.client_left(active_request)
+            if not active_request.is_finished:  # the connection's task was cancelled
+                self.runtime.client_disconnected(active_request)
             if active_request.repeat_key:
                 self.admission.complete_key(active_request.repeat_key, active_request)
 
@@ -179,8 +179,8 @@
         """Waits for the final answer or for the client to disconnect, and sends the answer."""
         if active_request.final is None:
             with active_request.disconnect_scope:  # cancelled when the final answer is set
-                await exchange.until_left()
-                self.runtime.client_left(active_request)
+                await exchange.wait_until_disconnected()
+                self.runtime.client_disconnected(active_request)
         if active_request.client_gone or active_request.final is None:
             return  # the connection closes without an answer, or without its last chunk
         try:
--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -44,14 +44,14 @@
             sock.sendto(state.encode(), "\0" + path[1:] if path.startswith("@") else path)
 
 
-def write_pid(path: Path) -> None:
+def write_pid_file(path: Path) -> None:
     """Replaces the file atomically: a reader sees the old process id or the new one."""
     fresh = path.with_name(f"{path.name}.{os.getpid()}")
     fresh.write_text(f"{os.getpid()}\n")
     fresh.replace(path)
 
 
-def drop_pid(path: Path) -> None:
+def remove_pid_file(path: Path) -> None:
     """Removes the file unless a successor process has written its own id there."""
     try:
         if path.read_text().strip() == str(os.getpid()):
@@ -69,14 +69,14 @@
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with open_gateway(config, chooser or Router, log, listeners=inherited_listeners()) as gateway:
             if pid_file is not None:
-                write_pid(Path(pid_file))
+                write_pid_file(Path(pid_file))
             notify(f"READY=1\nSTATUS=serving at {gateway.address}\nMAINPID={os.getpid()}")
             await reload_until_end(path, gateway, signals, log)
             notify("STOPPING=1")
             log.info("draining", open=len(gateway.runtime.active_requests))
             await drain(gateway, signals)
             if pid_file is not None:
-                drop_pid(Path(pid_file))
+                remove_pid_file(Path(pid_file))
             log.info("ended")
 
 
--- a/ternlane/gateway/endpoint_watcher.py
+++ b/ternlane/gateway/endpoint_watcher.py
@@ -11,11 +11,11 @@
 
 from ternlane.config import ConsulSource, FileSource, GatewayConfig, NodeLine
 from ternlane.discovery import (
+    CorruptCacheError,
     EndpointRegistry,
-    TornCacheError,
-    follow_consul,
-    follow_file,
     read_cache,
+    watch_consul,
+    watch_file,
     write_cache,
 )
 from ternlane.event_loop import now_ms
@@ -72,7 +72,7 @@
             return
         try:
             lines = read_cache(Path(self.config.state))
-        except TornCacheError as error:
+        except CorruptCacheError as error:
             self.log.error("cached node list not used", why=str(error))
             return
         if lines:
@@ -97,9 +97,9 @@
             with trio.CancelScope() as self.watch_scope:
                 match self.config.nodes:
                     case FileSource() as source:
-                        await follow_file(source, self.apply_list, self.report_failure)
+                        await watch_file(source, self.apply_list, self.report_failure)
                     case ConsulSource() as source:
-                        await follow_consul(source, self.apply_list, self.report_failure, self.agent)
+                        await watch_consul(source, self.apply_list, self.report_failure, self.agent)
                     case inline:
                         self.apply_list(inline.nodes)
                         await trio.sleep_forever()
--- a/ternlane/gateway/final_responses.py
+++ b/ternlane/gateway/final_responses.py
@@ -5,7 +5,7 @@
 import time
 
 from ternlane.chat import ChatRequest, answer_body, error_body
-from ternlane.gateway.active_request import ActiveRequest, Failed, Final, Rejected, Streamed
+from ternlane.gateway.active_request import ActiveRequest, Failed, FinalAnswer, Rejected, Streamed
 from ternlane.gateway.response_writers import StreamResponseWriter
 from ternlane.http1 import Exchange
 
@@ -15,7 +15,7 @@
 REPLAYED = ("Idempotency-Replayed", "true")
 
 
-async def send_final(exchange: Exchange, active_request: ActiveRequest, final: Final) -> None:
+async def send_final(exchange: Exchange, active_request: ActiveRequest, final: FinalAnswer) -> None:
     """Answers a request whose client has received nothing yet."""
     ident = ("X-Request-Id", active_request.ident)
     match final:
@@ -44,7 +44,7 @@
 
 
 async def send_replayed(
-    exchange: Exchange, final: Final, chat_request: ChatRequest, ident: str, after: int, event_ids: bool
+    exchange: Exchange, final: FinalAnswer, chat_request: ChatRequest, ident: str, after: int, event_ids: bool
 ) -> None:
     """Answers a repeat with the first request's answer, in the form that the repeat asks for; nothing runs. A stream
     starts `after` this many characters; its events carry ids where `event_ids` is set."""
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -168,7 +168,7 @@
         for active_request in list(self.runtime.active_requests.values()):
             self.runtime.abort_request(active_request, "the gateway went down")
         with trio.move_on_after(self.router_config.release_ms / 1000 + FINAL_ANSWERS_TIMEOUT_S):
-            while self.runtime.active_requests or self.runtime.server_calls.releasing or self.chat_api.busy:
+            while self.runtime.active_requests or self.runtime.server_calls.releases_in_flight or self.chat_api.busy:
                 await trio.sleep(STOP_POLL_S)
         if self.budget_enforcer is not None:
             await self.budget_enforcer.close()
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -10,36 +10,38 @@
 import trio
 
 from ternlane.engine import Transport
-from ternlane.gateway.active_request import ActiveRequest, Failed, Final, Streamed
+from ternlane.gateway.active_request import ActiveRequest, Failed, FinalAnswer, Streamed
 from ternlane.ledger import Disk, GroupCommitWriter, LogFormat, SegmentedLog
 from ternlane.policy.messages import Effect
 from ternlane.recovery.inflight import (
     AttemptSent,
     InFlightRequests,
-    KnownAnswer,
-    Record,
+    JournalRecord,
+    RecoveredAnswer,
+    RequestAdmitted,
     RequestEnded,
-    RequestTaken,
-    StateFreed,
-    decode_record,
+    StateReleased,
+    decode_journal_record,
 )
 
-JOURNAL: LogFormat[Record, InFlightRequests] = LogFormat("takes", b"TLTAKES1", decode_record, InFlightRequests)
+JOURNAL: LogFormat[JournalRecord, InFlightRequests] = LogFormat(
+    "takes", b"TLTAKES1", decode_journal_record, InFlightRequests
+)
 SEGMENT_BYTES = 4 << 20  # the last segment is read at start, which takes some tens of ms
-GATHER_MS = 20.0  # records that no attempt waits for are synced in groups of this interval
+COMMIT_DELAY_MS = 20.0  # records that no attempt waits for are synced in groups of this interval
 
 
 class JournalWriter:
     """Journals requests with an Idempotency-Key, and prefills, which leave state at servers.
 
-    Where an effect must not happen twice, the caller waits with `writer.until_kept` until the attempt's record is on
+    Where an effect must not happen twice, the caller waits with `writer.wait_durable` until the attempt's record is on
     disk before it sends the attempt."""
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
-        self.writer: GroupCommitWriter[Record, InFlightRequests] = GroupCommitWriter(
-            self.store, log, on_recovered=self.on_lock_acquired, what="journal", gather_ms=GATHER_MS
+        self.writer: GroupCommitWriter[JournalRecord, InFlightRequests] = GroupCommitWriter(
+            self.store, log, on_recovered=self.on_lock_acquired, what="journal", commit_delay_ms=COMMIT_DELAY_MS
         )
         self.previous_requests: InFlightRequests | None = None  # what the previous process had open
         self.lock_acquired = trio.Event()
@@ -54,35 +56,35 @@
 
     # -- records of requests and attempts
 
-    def took(self, active_request: ActiveRequest) -> None:
+    def record_request(self, active_request: ActiveRequest) -> None:
         """Records that a request was admitted, where it has an Idempotency-Key."""
         request_class = active_request.request.request_class
         now_wall_ms = time.time() * 1000
         if not active_request.repeat_key:  # can't be repeated: only its prefills are recorded
-            active_request.noted = ""
+            active_request.journal_id = ""
             return
-        active_request.noted = f"{self.id_prefix}.{next(self.id_counter)}"
+        active_request.journal_id = f"{self.id_prefix}.{next(self.id_counter)}"
         self.writer.add(
-            RequestTaken(
-                active_request.noted,
+            RequestAdmitted(
+                active_request.journal_id,
                 active_request.ident,
                 active_request.repeat_key,
-                active_request.mark,
+                active_request.body_digest,
                 request_class.effect.name,
                 now_wall_ms,
                 now_wall_ms + max(request_class.window_ms, request_class.deadline_ms),
             )
         )
 
-    def sends(
+    def record_attempt(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
         """Records an attempt. Returns the record's number where the attempt must wait until the record is on disk."""
         if not active_request.repeat_key and not prefills:
             return None
-        active_request.noted = active_request.noted or f"{self.id_prefix}.{next(self.id_counter)}"
+        active_request.journal_id = active_request.journal_id or f"{self.id_prefix}.{next(self.id_counter)}"
         number = self.writer.add(
-            AttemptSent(active_request.noted, active_request.ident, server, address, protocol, prefills, decodes)
+            AttemptSent(active_request.journal_id, active_request.ident, server, address, protocol, prefills, decodes)
         )
         needed = (
             decodes
@@ -91,20 +93,20 @@
         )
         return number if needed else None
 
-    def freed(self, active_request: ActiveRequest) -> None:
+    def record_state_released(self, active_request: ActiveRequest) -> None:
         """Records that no server holds state for the request any more."""
-        if active_request.noted:
-            self.writer.add(StateFreed(active_request.noted))
+        if active_request.journal_id:
+            self.writer.add(StateReleased(active_request.journal_id))
 
-    def ended(self, active_request: ActiveRequest, outcome: str) -> None:
+    def record_end(self, active_request: ActiveRequest, outcome: str) -> None:
         """Records that the request has its final answer, or that its client has disconnected."""
         if not active_request.repeat_key:
             return
-        record = RequestEnded(active_request.noted, outcome)
-        match active_request.for_repeats():
+        record = RequestEnded(active_request.journal_id, outcome)
+        match active_request.answer_for_repeats():
             case Streamed(text, finish, usage, more):
                 record = RequestEnded(
-                    active_request.noted,
+                    active_request.journal_id,
                     outcome,
                     True,
                     text,
@@ -113,12 +115,12 @@
                     more=more or {},
                 )
             case Failed(why):
-                record = RequestEnded(active_request.noted, "terminated", True, why=why)
+                record = RequestEnded(active_request.journal_id, "terminated", True, why=why)
         self.writer.add(record)
 
     # -- recovery
 
-    async def recover(self, transport: Transport, within_ms: float) -> list[KnownAnswer]:
+    async def recover(self, transport: Transport, within_ms: float) -> list[RecoveredAnswer]:
         """Waits for the lock of the folder, and releases what servers still hold. Returns the answers for repeats."""
         await self.lock_acquired.wait()
         previous = self.previous_requests or InFlightRequests()
@@ -130,7 +132,7 @@
         for ident, open_request in previous.opened.items():
             if not open_request.ended:
                 self.writer.add(open_request.lost())
-            self.writer.add(StateFreed(ident))
+            self.writer.add(StateReleased(ident))
         if previous.opened:
             self.log.warning("requests were in flight when the previous process was lost", open=len(previous.opened))
         return answers
@@ -152,7 +154,7 @@
         self.store.close()
 
 
-def final_of(known: KnownAnswer) -> Final:
+def final_of(known: RecoveredAnswer) -> FinalAnswer:
     """The answer for repeats of this request."""
     ended = known.ended
     if ended.outcome != "streamed":
--- a/ternlane/gateway/listeners.py
+++ b/ternlane/gateway/listeners.py
@@ -31,7 +31,7 @@
         self.log = log
         self.listeners: list[trio.SocketListener] = []
         self.handed_over = False
-        self.accepting = trio.CancelScope()
+        self.accept_scope = trio.CancelScope()
 
     async def open(self, address: str, handed_over: list[trio.SocketListener] | None) -> str:
         """Listens at `address`, or on the inherited sockets; returns host:port. Raises OSError where the address is in
@@ -47,7 +47,7 @@
 
     async def run(self) -> None:
         """Accepts connections until `drain`."""
-        with self.accepting:
+        with self.accept_scope:
             async with trio.open_nursery() as nursery:
                 for listener in self.listeners:
                     nursery.start_soon(self._accept, listener)
@@ -69,7 +69,7 @@
 
     async def drain(self) -> None:
         """Stops listening. Connections already in the queue are served, later ones are refused."""
-        self.accepting.cancel()
+        self.accept_scope.cancel()
         for listener in self.listeners:
             if not self.handed_over:  # another process with the same socket serves its queue
                 await self._accept_the_rest(listener)
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -24,7 +24,7 @@
 )
 from ternlane.config import GatewayConfig
 from ternlane.event_loop import now_ms
-from ternlane.gateway.active_request import ActiveRequest, Final, ResponseWriter, Streamed
+from ternlane.gateway.active_request import ActiveRequest, FinalAnswer, ResponseWriter, Streamed
 from ternlane.gateway.api_errors import OverBudgetError, RequestNotAdmittedError
 from ternlane.gateway.budget_enforcer import BudgetEnforcer
 from ternlane.gateway.journal_writer import final_of
@@ -33,7 +33,7 @@
 from ternlane.http1 import Exchange
 from ternlane.policy.messages import RequestClass
 from ternlane.recovery import is_reproducible
-from ternlane.recovery.inflight import KnownAnswer
+from ternlane.recovery.inflight import RecoveredAnswer
 from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, UnknownKeyError
 
 REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,80}")  # a client's X-Request-Id in a form that engines accept
@@ -82,10 +82,10 @@
         if self.budget_enforcer is None:
             return None
         try:
-            tenant = self.budget_enforcer.whose(exchange.header(b"authorization"))
+            tenant = self.budget_enforcer.authenticate(exchange.header(b"authorization"))
         except UnknownKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
-        if not self.budget_enforcer.writer.may_take:
+        if not self.budget_enforcer.writer.has_capacity:
             raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", LEDGER_RETRY_AFTER_S)
         return tenant
 
@@ -143,7 +143,7 @@
         owner = tenant.name if tenant is not None else exchange.header(b"authorization") or ""
         return f"{owner}\0{header}"
 
-    def stored_answer(self, key: str, body: bytes, now: float) -> Final | None:
+    def stored_answer(self, key: str, body: bytes, now: float) -> FinalAnswer | None:
         """The stored answer for a repeat; None for the first request of a key, which the caller must end with
         `remember` or `forget`. Raises RequestNotAdmittedError."""
         match self.idempotency_cache.begin(key, xxh3_128_digest(body), now):
@@ -162,14 +162,14 @@
                     param="Idempotency-Key",
                 )
             case StoredAnswer(answer):
-                final: Final = answer
+                final: FinalAnswer = answer
                 return final
         return None
 
     def complete_key(self, key: str, active_request: ActiveRequest) -> None:
         """Ends the key's first request, and stores the answer for repeats."""
         request_class = active_request.request.request_class
-        final = active_request.for_repeats()
+        final = active_request.answer_for_repeats()
         size = len(final.text) if isinstance(final, Streamed) else 0
         until_ms = now_ms() + max(request_class.window_ms, request_class.deadline_ms)
         self.idempotency_cache.end(key, final, size, until_ms)
@@ -179,10 +179,10 @@
         """Ends the key's first request as one that did not run."""
         self.idempotency_cache.end(key, None, 0, 0.0)
 
-    def restore(self, known_answers: list[KnownAnswer]) -> None:
+    def restore(self, recovered_answers: list[RecoveredAnswer]) -> None:
         """Stores the answers that the journal holds of the previous process, also for what it had in flight."""
         since_wall_ms = now_ms() - time.time() * 1000
-        for known in known_answers:
+        for known in recovered_answers:
             self.idempotency_cache.restore(
                 known.taken.key,
                 known.taken.mark,
@@ -224,7 +224,7 @@
         )
         ident = self.request_id(exchange, owner)
         join = self.runtime.join_for(chat_request.raw, intake_record.request)
-        join.skip_characters = after
+        join.characters_to_skip = after
         return ActiveRequest(
             ident,
             chat_request,
--- a/ternlane/gateway/response_writers.py
+++ b/ternlane/gateway/response_writers.py
@@ -6,8 +6,8 @@
 
 from ternlane.chat import chunk, error_body, usage_chunk
 from ternlane.chat.message_extras import Extras
-from ternlane.gateway.active_request import Failed, Final, ResponseWriter, Streamed
-from ternlane.http1 import Exchange, event_bytes
+from ternlane.gateway.active_request import Failed, FinalAnswer, ResponseWriter, Streamed
+from ternlane.http1 import Exchange, encode_event
 
 STREAM_HEAD = [
     ("Content-Type", "text/event-stream; charset=utf-8"),
@@ -35,22 +35,22 @@
         """Sends one event; the first one follows the response head."""
         if self.after is not None:
             self.after += len(text)
-        data = event_bytes(chunk(self.ident, self.created, self.model, text, None, first, more), self.after)
+        data = encode_event(chunk(self.ident, self.created, self.model, text, None, first, more), self.after)
         if first:
             await self.exchange.begin(200, [*STREAM_HEAD, ("X-Request-Id", self.ident), *self.extra], data)
         else:
             await self.exchange.chunk(data)
 
-    async def end(self, final: Final) -> None:
+    async def end(self, final: FinalAnswer) -> None:
         """Ends the stream. Where the answer is incomplete, an error event replaces [DONE]."""
         if not isinstance(final, Streamed):
             why = final.why if isinstance(final, Failed) else "throttled"
-            await self.exchange.end(event_bytes(error_body(502, f"The answer broke off: {why}", "stream_broken")))
+            await self.exchange.end(encode_event(error_body(502, f"The answer broke off: {why}", "stream_broken")))
             return
-        data = event_bytes(chunk(self.ident, self.created, self.model, None, final.finish, False))
+        data = encode_event(chunk(self.ident, self.created, self.model, None, final.finish, False))
         if self.include_usage:
-            data += event_bytes(usage_chunk(self.ident, self.created, self.model, final.usage))
-        await self.exchange.end(data + event_bytes(b"[DONE]"))
+            data += encode_event(usage_chunk(self.ident, self.created, self.model, final.usage))
+        await self.exchange.end(data + encode_event(b"[DONE]"))
 
 
 class BufferedResponseWriter(ResponseWriter):
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -129,13 +129,13 @@
         active_request.admitted_ms = now_ms()
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
-            self.journal_writer.took(active_request)
+            self.journal_writer.record_request(active_request)
         self.add_request(active_request)
         self.metrics.open.set(len(self.active_requests))
 
-    def client_left(self, active_request: ActiveRequest) -> None:
+    def client_disconnected(self, active_request: ActiveRequest) -> None:
         """Ends a request whose client has disconnected, and releases everything held for it."""
-        if active_request.is_over:
+        if active_request.is_finished:
             return
         active_request.client_gone = True
         if active_request.attempt is not None and active_request.streaming:
@@ -167,7 +167,7 @@
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
         """Records the request's outcome in the journal, the metrics and the log."""
         if self.journal_writer is not None:
-            self.journal_writer.ended(active_request, outcome)
+            self.journal_writer.record_end(active_request, outcome)
         self.metrics.outcomes.labels(active_request.chat_request.model, outcome).inc()
         self.log.info(
             "generation",
@@ -183,7 +183,7 @@
 
     def forget(self, active_request: ActiveRequest) -> None:
         """Drops a request once its final answer is set, its last attempt has ended and its state is released."""
-        if active_request.attempt is not None or not active_request.is_over or active_request.holders:
+        if active_request.attempt is not None or not active_request.is_finished or active_request.holders:
             return
         if self.active_requests.pop(active_request.request, None) is not None:
             complete = isinstance(active_request.final, Streamed)
@@ -219,7 +219,7 @@
         journal_number = None
         if self.journal_writer is not None:
             prefills = stage is Stage.PREFILL
-            journal_number = self.journal_writer.sends(
+            journal_number = self.journal_writer.record_attempt(
                 active_request, endpoint.ident, endpoint.address, endpoint.line.protocol, prefills, not prefills
             )
         attempt_request = build_attempt(active_request, endpoint, stage, number, plan)
@@ -249,7 +249,7 @@
                 return await self.transport.read(attempt_request)
             return await self.transport.stream(attempt_request, forwarder.forward)
         except ClientGone:
-            self.client_left(active_request)
+            self.client_disconnected(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
         except Exception as fault:
             self.on_fault(fault)
@@ -266,7 +266,7 @@
         attempt_scope = plan.scope
         plan.scope = trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000)
         with plan.scope:
-            await self.journal_writer.writer.until_kept(number)
+            await self.journal_writer.writer.wait_durable(number)
         kept = not plan.scope.cancelled_caught
         plan.scope = attempt_scope
         return kept and not plan.cancelled
@@ -294,7 +294,7 @@
                 server,
                 result.outcome,
                 took_ms,
-                active_request.is_over,
+                active_request.is_finished,
                 prompt_tokens_cached,
                 result.state_lost,
                 result.report,
@@ -314,7 +314,7 @@
             self.settle_streamed(active_request, "stop" if join.stopped else result.finish, result.usage)
         elif result.begun:
             may_resume = not plan.cancelled and not active_request.client_gone
-            if may_resume and self.stream_resumer.attempt_broke(active_request, result):
+            if may_resume and self.stream_resumer.attempt_failed(active_request, result):
                 return True
             # The client has part of the answer, and is told that the rest will not follow.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -10,12 +10,12 @@
 
 
 class ServerCalls:
-    """`releasing`: number of releases in progress. `servers_without_load`: ids of servers that answered a probe without
-    a load report."""
+    """`releases_in_flight`: number of releases in progress. `servers_without_load`: ids of servers that answered a
+    probe without a load report."""
 
     def __init__(self, runtime: RuntimePort) -> None:
         self.runtime = runtime
-        self.releasing = 0
+        self.releases_in_flight = 0
         self.servers_without_load: set[str] = set()
 
     def release(self, active_request: ActiveRequest) -> None:
@@ -24,7 +24,7 @@
         holders = list(active_request.holders)
         active_request.holders = {}
         for server in holders:
-            self.releasing += 1
+            self.releases_in_flight += 1
             self.runtime.nursery.start_soon(self._release_at, active_request, server)
 
     async def _release_at(self, active_request: ActiveRequest, server: Server) -> None:
@@ -39,9 +39,9 @@
                 endpoint.line.protocol,
             )
         finally:
-            self.releasing -= 1
+            self.releases_in_flight -= 1
             if runtime.journal_writer is not None:
-                runtime.journal_writer.freed(active_request)
+                runtime.journal_writer.record_state_released(active_request)
         runtime.metrics.releases.labels("confirmed" if confirmed else "unheard").inc()
         if not confirmed:
             runtime.log.warning("release unheard", gen=active_request.ident, server=endpoint.ident)
@@ -62,7 +62,7 @@
             self.runtime.router_config.release_ms,
             endpoint.line.protocol,
         )
-        if request in self.runtime.active_requests and not active_request.is_over:
+        if request in self.runtime.active_requests and not active_request.is_finished:
             self.runtime.dispatch(messages.ReservationResult(request, reserved))
 
     def probe(self, server: Server) -> None:
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -29,13 +29,13 @@
         self.started_ms = now_ms()
         self.last_piece_ms = 0.0
         self.longest_silence_ms = plan.idle_timeout_ms
-        self.explores = runtime.stream_recovery.stream_pacing.explores()
+        self.explores = runtime.stream_recovery.stall_detector.explores()
 
     async def forward(self, text: str, first: bool, more: Extras | None = None) -> None:
         """Forwards one piece of the engine's stream. Raises ClientGone where the client has disconnected."""
         recovery = self.runtime.stream_recovery
         if not first:
-            recovery.piece_after(self.server, now_ms() - self.last_piece_ms, self.explores)
+            recovery.record_piece_interval(self.server, now_ms() - self.last_piece_ms, self.explores)
         try:
             await self.take_piece(text, first, more)
         finally:
@@ -46,7 +46,7 @@
 
     async def take_piece(self, text: str, first: bool, more: Extras | None) -> None:
         """Joins the piece to the text and writes its new part. Raises ClientGone where the client has disconnected."""
-        if self.active_request.is_over:
+        if self.active_request.is_finished:
             raise ClientGone
         if first:
             self.begin()
@@ -60,7 +60,7 @@
         active_request = self.active_request
         active_request.streaming = True
         if active_request.holders and runtime.journal_writer is not None:
-            runtime.journal_writer.freed(active_request)
+            runtime.journal_writer.record_state_released(active_request)
         active_request.holders.clear()
         if not active_request.begun:
             waited_s = (now_ms() - active_request.received_ms) / MS_PER_S
--- a/ternlane/gateway/stream_resumer.py
+++ b/ternlane/gateway/stream_resumer.py
@@ -21,11 +21,11 @@
         self.runtime = runtime
         self.due_ms = inf
 
-    def attempt_broke(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
+    def attempt_failed(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
         """True where another attempt may continue the stream, which then waits for its turn."""
         if active_request.attempts_before_break is None:
             active_request.attempts_before_break = len(active_request.usage_by_attempt)
-        outcome = self.runtime.stream_recovery.attempt_broke(
+        outcome = self.runtime.stream_recovery.attempt_failed(
             active_request,
             active_request.join,
             active_request.request,
--- a/tests/world.py
+++ b/tests/gateway_cluster.py
@@ -33,14 +33,14 @@
 ]
 
 
-def patient(times: float) -> list[RequestClassConfig]:
+def scaled_request_classes(times: float) -> list[RequestClassConfig]:
     """REQUEST_CLASSES with longer times, for tests that a busy machine must not fail."""
     return [
         msgspec.structs.replace(p, slo_ms=times * p.slo_ms, deadline_ms=times * p.deadline_ms) for p in REQUEST_CLASSES
     ]
 
 
-BUILD = EngineProfile(
+ENGINE_PROFILE = EngineProfile(
     slots=8,
     prefill_tokens_per_s=40e3,
     token_ms=3.0,
@@ -49,7 +49,7 @@
     slow_start_ms=2000,
     slow_start_share=0.3,
 )
-TERMS = FleetConfig(
+FLEET_CONFIG = FleetConfig(
     connect_ms=150, release_ms=300, slow_start_ms=2000, slow_start_share=0.3, fall_multiple=3, fall_ms=1000
 )
 
@@ -79,7 +79,7 @@
         return json.loads(self.body).get("error")
 
 
-class World:
+class GatewayCluster:
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
         self.traffic = Traffic(None)
@@ -87,16 +87,16 @@
         self.gateway: Gateway
         self.pool = ConnectionPool(1000, 1000)
 
-    async def add(self, ident: str, build: EngineProfile = BUILD, zone: str = "hall") -> FakeEngine:
+    async def add(self, ident: str, profile: EngineProfile = ENGINE_PROFILE, zone: str = "hall") -> FakeEngine:
         role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
-        engine = FakeEngine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, build, self.traffic, 1)
+        engine = FakeEngine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, profile, self.traffic, 1)
         self.engines[ident] = engine
         listening = trio.Event()
         self.nursery.start_soon(engine.run, self.nursery, listening)
         await listening.wait()
         return engine
 
-    async def revive(self, ident: str) -> None:
+    async def restart_engine(self, ident: str) -> None:
         listening = trio.Event()
         self.nursery.start_soon(self.engines[ident].run, self.nursery, listening)
         await listening.wait()
@@ -115,7 +115,7 @@
             for e in self.engines.values()
         ]
 
-    def list(self, **changes: str) -> None:
+    def publish_endpoints(self, **changes: str) -> None:
         self.gateway.found(self.lines(**changes))
 
     async def post(
@@ -127,7 +127,7 @@
     ) -> Reply:
         caller = await self.pool.connect(self.gateway.address)
         try:
-            return await heard(caller, body, headers or {}, path, method)
+            return await send_request(caller, body, headers or {}, path, method)
         finally:
             caller.close_now()
 
@@ -137,10 +137,10 @@
             {"model": model, "messages": [{"role": "user", "content": text}], "stream": stream, **more}, headers
         )
 
-    def said(self, kind: str, **match: Any) -> list[dict[str, Any]]:
+    def traffic_events(self, kind: str, **match: Any) -> list[dict[str, Any]]:
         return [v for v in self.traffic.lines if v["k"] == kind and all(v.get(k) == x for k, x in match.items())]
 
-    async def settled(self, within: float = 1.5) -> None:
+    async def wait_until_idle(self, within: float = 1.5) -> None:
         """Waits until the gateway has no open request and no engine holds state or runs a request."""
 
         def unfinished() -> list[Any]:
@@ -167,7 +167,7 @@
             await trio.sleep(POLL_S)
 
 
-async def heard(
+async def send_request(
     caller: ClientConnection, body: dict[str, Any] | bytes, headers: dict[str, str], path: str, method: str = "POST"
 ) -> Reply:
     reply = Reply()
@@ -187,24 +187,24 @@
 
 
 @asynccontextmanager
-async def world(
+async def gateway_cluster(
     engines: tuple[str, ...] = ("r0", "w0", "r1", "w1"),
-    build: EngineProfile = BUILD,
+    profile: EngineProfile = ENGINE_PROFILE,
     host_type: type[GatewayRuntime] = GatewayRuntime,
     chooser: Any = Router,
-    terms: FleetConfig = TERMS,
+    fleet: FleetConfig = FLEET_CONFIG,
     request_classes: list[RequestClassConfig] = REQUEST_CLASSES,
     **changes: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[GatewayCluster]:
     async with trio.open_nursery() as nursery:
-        cluster = World(nursery)
+        cluster = GatewayCluster(nursery)
         for ident in engines:
-            await cluster.add(ident, build)
+            await cluster.add(ident, profile)
         config = GatewayConfig(
             name="g1",
             listen="127.0.0.1:0",
             request_classes=request_classes,
-            fleet=terms,
+            fleet=fleet,
             nodes=InlineSource(nodes=cluster.lines()),
             door=changes.pop("door", ServerLimits(drain_ms=800)),
             **changes,
@@ -220,4 +220,14 @@
         nursery.cancel_scope.cancel()
 
 
-__all__ = ["BUILD", "REQUEST_CLASSES", "TERMS", "Reply", "World", "heard", "patient", "replace", "world"]
+__all__ = [
+    "ENGINE_PROFILE",
+    "REQUEST_CLASSES",
+    "FLEET_CONFIG",
+    "Reply",
+    "GatewayCluster",
+    "send_request",
+    "scaled_request_classes",
+    "replace",
+    "gateway_cluster",
+]
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -16,7 +16,7 @@
 from ternlane.ledger.reconciliation import reconcile
 from ternlane.tenants import ApiKey, Budget, Prices, Tenant, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
-from tests.world import BUILD, Reply, World, replace, world
+from tests.gateway_cluster import ENGINE_PROFILE, GatewayCluster, Reply, gateway_cluster, replace
 
 
 class TenantAccounts:
@@ -38,12 +38,14 @@
         self.lines = lines
         (self.folder / "tenants.json5").write_bytes(msgspec.json.encode(TenantRegistryConfig(tenants=lines)))
 
-    async def ask(self, w: World, name: str, model: str = "summary", text: str = "hello", **more: Any) -> Reply:
+    async def ask(
+        self, w: GatewayCluster, name: str, model: str = "summary", text: str = "hello", **more: Any
+    ) -> Reply:
         headers = {"Authorization": f"Bearer {self.keys[name]}"} | more.pop("headers", {})
         return await w.ask(model, text, headers=headers, **more)
 
-    def reconcile_with_engines(self, w: World) -> Any:
-        return reconcile(read_entries([self.folder / "ledger"]), w.said("made"))
+    def reconcile_with_engines(self, w: GatewayCluster) -> Any:
+        return reconcile(read_entries([self.folder / "ledger"]), w.traffic_events("made"))
 
 
 @asynccontextmanager
@@ -51,17 +53,19 @@
     folder: Path,
     names: tuple[str, ...] = ("noto", "avola"),
     engines: tuple[str, ...] = ("r0", "w0"),
-    build: Any = BUILD,
+    profile: Any = ENGINE_PROFILE,
     budget: dict[str, Any] | None = None,
-) -> AsyncIterator[tuple[World, TenantAccounts]]:
+) -> AsyncIterator[tuple[GatewayCluster, TenantAccounts]]:
     accounts = TenantAccounts(folder, names, **(budget or {}))
-    async with world(engines, build=build, tenants=str(folder / "tenants.json5"), ledger=str(folder / "ledger")) as w:
+    async with gateway_cluster(
+        engines, profile=profile, tenants=str(folder / "tenants.json5"), ledger=str(folder / "ledger")
+    ) as w:
         yield w, accounts
         await w.gateway.drain()
 
 
 async def test_only_a_valid_key_is_admitted_and_a_revoked_one_keeps_its_running_stream(tmp_path: Path) -> None:
-    async with gateway_with_tenants(tmp_path, build=replace(BUILD, token_ms=150.0)) as (w, accounts):
+    async with gateway_with_tenants(tmp_path, profile=replace(ENGINE_PROFILE, token_ms=150.0)) as (w, accounts):
         assert (await w.ask()).status == 401
         assert (await w.ask(headers={"Authorization": "Bearer tl-ffff-nothing"})).error == {
             "message": "Incorrect API key provided",
@@ -93,21 +97,21 @@
 async def test_bills_match_what_servers_counted_over_several_attempts(tmp_path: Path) -> None:
     """A decode server dies during a stream: that request fails, and a later one is prefilled again."""
     async with gateway_with_tenants(
-        tmp_path, engines=("r0", "r0b", "w0", "w0b"), build=replace(BUILD, token_ms=12.0)
+        tmp_path, engines=("r0", "r0b", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=12.0)
     ) as (w, accounts):
         for i in range(12):
             await accounts.ask(w, "noto", text=f"folder {i} " * 30)
 
         async def kill() -> None:
-            while len(w.said("effect")) < 13:
+            while len(w.traffic_events("effect")) < 13:
                 await trio.sleep(0.002)
-            w.engines[w.said("effect")[-1]["id"]].die()
+            w.engines[w.traffic_events("effect")[-1]["id"]].die()
 
         w.nursery.start_soon(kill)
         lost = await accounts.ask(w, "avola", "note", text="lost midway " * 40)
         again = await accounts.ask(w, "avola", text="read again " * 40)
         assert again.done == 1 and lost.status in (200, 502)
-        await w.settled()
+        await w.wait_until_idle()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = accounts.reconcile_with_engines(w)
         assert found.off <= 0.01 and not found.duplicates and not found.unsettled
@@ -129,14 +133,14 @@
         first = await accounts.ask(w, "noto", text="x" * 200, max_tokens=10)
         assert first.done == 1 and float(first.headers["x-ratelimit-remaining-tokens"]) < 150
         assert first.headers["x-ratelimit-limit-tokens"] == "6000"
-        attempts, rejected = len(w.said("leg")), Reply()
+        attempts, rejected = len(w.traffic_events("leg")), Reply()
         for _ in range(6):
             rejected = await accounts.ask(w, "noto", text="x" * 200, max_tokens=10)
             if rejected.status == 429:
                 break
-            attempts = len(w.said("leg"))
+            attempts = len(w.traffic_events("leg"))
         assert rejected.status == 429 and rejected.error is not None and rejected.error["code"] == "rate_limit_exceeded"
-        assert len(w.said("leg")) == attempts
+        assert len(w.traffic_events("leg")) == attempts
         assert (
             await accounts.ask(w, "avola", text="x" * 200, max_tokens=10)
         ).done == 1  # another tenant's budget is separate
@@ -147,8 +151,8 @@
 @pytest.mark.parametrize("cut", [False, True])
 async def test_a_stream_is_cut_for_its_overrun_only_where_the_tenant_wants_it(tmp_path: Path, cut: bool) -> None:
     budget = {"minute": 60, "burst": 100, "overdraft": 20, "cut": cut}
-    build = replace(BUILD, answer_tokens=(200, 200), token_ms=1.0)
-    async with gateway_with_tenants(tmp_path, names=("noto",), build=build, budget=budget) as (w, accounts):
+    profile = replace(ENGINE_PROFILE, answer_tokens=(200, 200), token_ms=1.0)
+    async with gateway_with_tenants(tmp_path, names=("noto",), profile=profile, budget=budget) as (w, accounts):
         for _ in range(20):  # so that the estimated answer is short
             w.gateway.budget_enforcer.usage_accounting.lengths.learn("noto", "summary", 10)
         reply = await accounts.ask(w, "noto", max_tokens=200)
@@ -166,7 +170,7 @@
         for engine in w.engines.values():
             engine.fault.usage_reporting = metering
         assert (await accounts.ask(w, "noto", text="x" * 400)).done == 1
-        await w.settled()
+        await w.wait_until_idle()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = next(read_entries([tmp_path / "ledger"]))
         assert found.note and found.billed.answer == 6 and 80 <= found.billed.prompt <= 120
@@ -179,9 +183,9 @@
         w.gateway.runtime.start_attempt = lambda *_: None  # type: ignore[method-assign]
         with trio.move_on_after(0.2):
             await accounts.ask(w, "noto")
-        assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.said("leg") == []
+        assert w.gateway.budget_enforcer.usage_accounting.meters == {} or w.traffic_events("leg") == []
         found = accounts.reconcile_with_engines(w)
-        assert not w.said("leg") and not found.unsettled and found.billed.prompt == 0
+        assert not w.traffic_events("leg") and not found.unsettled and found.billed.prompt == 0
         w.gateway.runtime.active_requests.clear()
 
 
@@ -201,7 +205,7 @@
                 nursery.start_soon(one, "avola")
         assert got["avola"] == [200] * 3
         assert 1 <= got["noto"].count(200) <= 8 and got["noto"].count(429) == 80 - got["noto"].count(200)
-        assert len(w.said("leg", stage="write")) == got["noto"].count(200) + 3
+        assert len(w.traffic_events("leg", stage="write")) == got["noto"].count(200) + 3
         await w.gateway.budget_enforcer.writer.flush(1.0)
         assert accounts.reconcile_with_engines(w).off == 0
 
@@ -212,7 +216,7 @@
     async with gateway_with_tenants(tmp_path) as (w, accounts):
         for name in accounts.keys:
             assert (await accounts.ask(w, name, headers={"X-Request-Id": "same"})).done == 1
-        assert {v["gen"] for v in w.said("leg")} == {"noto:same", "avola:same"}
+        assert {v["gen"] for v in w.traffic_events("leg")} == {"noto:same", "avola:same"}
 
 
 async def test_a_full_ledger_disk_rejects_requests_once_too_many_bills_wait(tmp_path: Path) -> None:
@@ -242,9 +246,9 @@
     """A program leaves the block of `open_gateway` during a stream: the stream is billed all the same."""
     accounts = TenantAccounts(tmp_path, ("noto",))
     async with trio.open_nursery() as nursery:
-        async with world(
+        async with gateway_cluster(
             ("r0", "w0"),
-            build=replace(BUILD, token_ms=40.0),
+            profile=replace(ENGINE_PROFILE, token_ms=40.0),
             tenants=str(tmp_path / "tenants.json5"),
             ledger=str(tmp_path / "ledger"),
         ) as w:
@@ -259,9 +263,9 @@
     """After a handover of sockets, the second process serves at once, and writes its bills when the first has ended."""
     accounts = TenantAccounts(tmp_path, ("noto",), period=100_000)
     more: dict[str, Any] = {"tenants": str(tmp_path / "tenants.json5"), "ledger": str(tmp_path / "ledger")}
-    async with world(("r0", "w0"), **more) as first:
+    async with gateway_cluster(("r0", "w0"), **more) as first:
         assert (await accounts.ask(first, "noto")).done == 1
-        async with world(("r0", "w0"), **more) as second:
+        async with gateway_cluster(("r0", "w0"), **more) as second:
             for _ in range(3):
                 assert (await accounts.ask(second, "noto")).done == 1
             assert (await accounts.ask(first, "noto")).done == 1
@@ -284,12 +288,12 @@
     async with gateway_with_tenants(tmp_path, names=("a", "a.b")) as (w, accounts):
         assert (await accounts.ask(w, "a.b", headers={"X-Request-Id": "c"})).done == 1
         assert (await accounts.ask(w, "a", headers={"X-Request-Id": "b.c"})).done == 1
-        assert {v["gen"] for v in w.said("leg")} == {"a.b:c", "a:b.c"}
+        assert {v["gen"] for v in w.traffic_events("leg")} == {"a.b:c", "a:b.c"}
 
 
 async def test_a_killed_gateway_loses_only_bills_in_flight_and_they_are_listed(tmp_path: Path) -> None:
     """Nothing is settled from some moment on, as after SIGKILL, while servers still run one request."""
-    async with gateway_with_tenants(tmp_path, build=replace(BUILD, token_ms=60.0)) as (w, accounts):
+    async with gateway_with_tenants(tmp_path, profile=replace(ENGINE_PROFILE, token_ms=60.0)) as (w, accounts):
         assert (await accounts.ask(w, "noto")).done == 1
         await w.gateway.budget_enforcer.writer.flush(1.0)
         async with trio.open_nursery() as nursery:
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -21,7 +21,7 @@
     StoredAnswer,
     parse_chat_request,
 )
-from ternlane.chat.prefixes import BLOCK, WholePrefixes, blocks
+from ternlane.chat.prefixes import BLOCK, PrefixHashTable, blocks
 from ternlane.config import ConfigError, GatewayConfig, read_text
 from ternlane.engine.load_report import load_from_header
 from ternlane.http1 import EventReader
@@ -96,9 +96,9 @@
 @settings(max_examples=150, deadline=None)
 @given(runs)
 def test_the_tree_agrees_with_a_hash_table_of_all_prefixes(prompts: list[tuple[int, list[int]]]) -> None:
-    tree, plain = PrefixIndex(10**6), WholePrefixes(10**6)
+    tree, plain = PrefixIndex(10**6), PrefixHashTable(10**6)
     for session, run in prompts:
-        assert tree.meet(array("Q", run), session) == plain.meet(array("Q", run), session)
+        assert tree.match_and_add(array("Q", run), session) == plain.match_and_add(array("Q", run), session)
     assert tree.block_count == sum(len(n.run) for n in tree.walk())
 
 
@@ -107,7 +107,7 @@
 def test_the_tree_keeps_its_limit_and_lru_order(prompts: list[tuple[int, list[int]]], limit: int) -> None:
     tree = PrefixIndex(limit)
     for session, run in prompts:
-        tree.meet(array("Q", run), session)
+        tree.match_and_add(array("Q", run), session)
         assert tree.block_count <= max(limit, 0) and tree.node_count == sum(1 for _ in tree.walk()) - 1
         listed, node = set(), tree.oldest
         while node is not None:
--- a/tests/test_switch.py
+++ b/tests/test_config_reload.py
@@ -21,18 +21,26 @@
 from ternlane.engine import SocketTransport
 from ternlane.engine.load_report import load_from_metrics
 from ternlane.policy import messages
-from tests.conftest import ROUTER_CONFIG, FakeHost, build, kinds, sent
+from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, build, started_attempt
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    FLEET_CONFIG,
+    GatewayCluster,
+    Reply,
+    gateway_cluster,
+    replace,
+    scaled_request_classes,
+)
 from tests.test_days import gateway_config, wait_for
-from tests.world import BUILD, TERMS, Reply, World, patient, replace, world
 
-SLOW = replace(BUILD, token_ms=25.0, answer_tokens=(16, 16))
+SLOW = replace(ENGINE_PROFILE, token_ms=25.0, answer_tokens=(16, 16))
 
 
 def changed_config(config: GatewayConfig) -> GatewayConfig:
     """A configuration with load probes, no Retry-After, fewer attempts, and one request class removed, changed and
     added."""
     fleet = msgspec.structs.replace(
-        TERMS,
+        FLEET_CONFIG,
         ask_load=True,
         reports_mem=False,
         max_retry_after_ms=0.0,
@@ -51,14 +59,14 @@
     )
 
 
-def decode_attempts(w: World) -> Counter[str]:
+def decode_attempts(w: GatewayCluster) -> Counter[str]:
     """Number of decode attempts by request, as the engines recorded them."""
-    return Counter(str(line["gen"]) for line in w.said("leg", stage="write"))
+    return Counter(str(line["gen"]) for line in w.traffic_events("leg", stage="write"))
 
 
 async def test_a_reload_and_its_reversal_lose_no_request_and_repeat_none() -> None:
     replies: list[Reply] = []
-    async with world(build=SLOW, request_classes=patient(4)) as w:
+    async with gateway_cluster(profile=SLOW, request_classes=scaled_request_classes(4)) as w:
         before = w.gateway.config
 
         async def ask(model: str) -> None:
@@ -84,19 +92,19 @@
             await start_requests("summary", "note", "form", "note", "summary", "note")
             changed, waits = w.gateway.reload(changed_config(before))
             assert set(changed) == {"products", "fleet", "gateways", "zone"} and not waits
-            assert not w.said("asked")
+            assert not w.traffic_events("asked")
             await start_requests("note", "quote", "summary", "note")
             assert (await w.ask("form")).status == 404
             with trio.fail_after(5):
-                while not w.said("asked"):
+                while not w.traffic_events("asked"):
                     await trio.sleep(0.001)
             assert w.gateway.reload(before) == (changed, [])
             await start_requests("form", "note", "summary")
             assert (await w.ask("quote")).status == 404
-        await w.settled(5)
-        asked = len(w.said("asked"))
+        await w.wait_until_idle(5)
+        asked = len(w.traffic_events("asked"))
         await ask("form")
-        assert len(w.said("asked")) == asked
+        assert len(w.traffic_events("asked")) == asked
         assert len(replies) == 14
         for reply in replies:  # each has exactly one final answer, which is complete
             assert reply.status == 200 and reply.done == 1 and reply.error is None and len(reply.text.split()) == 16
@@ -105,7 +113,7 @@
 
 async def test_a_stream_that_breaks_after_a_reload_follows_its_old_request_class() -> None:
     replies: dict[str, Reply] = {}
-    async with world(("r0", "w0", "w1", "w2"), build=SLOW) as w, trio.open_nursery() as nursery:
+    async with gateway_cluster(("r0", "w0", "w1", "w2"), profile=SLOW) as w, trio.open_nursery() as nursery:
 
         async def ask(model: str) -> None:
             replies[model] = await w.ask(model)
@@ -123,7 +131,7 @@
                 ],
             )
         )
-        for name in {line["id"] for line in w.said("leg", stage="write")}:
+        for name in {line["id"] for line in w.traffic_events("leg", stage="write")}:
             w.engines[name].die()
         nursery.cancel_scope.deadline = trio.current_time() + 4
         while len(replies) < 2:
@@ -134,12 +142,14 @@
 
 
 async def test_the_library_reloads_and_an_invalid_configuration_changes_nothing() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         config = w.gateway.config
         async with open_routing(config, SocketTransport(w.pool, "t")) as routing:
             async with routing.request({"model": "form", "messages": [{"role": "user", "content": "a"}]}) as stream:
                 with pytest.raises(ConfigError, match="leg_limit"):
-                    routing.alter(msgspec.structs.replace(config, fleet=msgspec.structs.replace(TERMS, max_attempts=0)))
+                    routing.alter(
+                        msgspec.structs.replace(config, fleet=msgspec.structs.replace(FLEET_CONFIG, max_attempts=0))
+                    )
                 routing.alter(changed_config(config))
                 assert len((await stream.text()).split()) == 6
             with pytest.raises(InvalidRequestError, match="does not exist"):
@@ -191,8 +201,8 @@
 
 def test_a_lowered_attempt_limit_ends_a_request_at_its_next_outcome(host: FakeHost) -> None:
     request, attempt = host.written()
-    assert host.tell(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
-    assert kinds(host.end(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
+    assert host.deliver(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
+    assert action_types(host.end_attempt(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
         messages.Reject,
         messages.Release,
     ]
@@ -202,13 +212,13 @@
     request, attempt = host.written(session="s")
     home = request.router_state.prefill_server.server
     host.first(request, attempt.server)
-    host.end(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
-    host.tell(
+    host.end_attempt(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
+    host.deliver(
         messages.ConfigChanged(
             replace(ROUTER_CONFIG, gateways=50, max_attempts=4, max_retry_after_ms=0.0, may_send_retry_after=False)
         )
     )
-    assert sent(host.arrive(host.request(session="s"))).server is home
+    assert started_attempt(host.arrive(host.request(session="s"))).server is home
 
 
 def test_load_is_probed_before_a_pair_is_chosen_and_delays_requests_briefly() -> None:
@@ -217,17 +227,17 @@
     asked = [a.server for a in host.arrive(request)]
     assert len(asked) == 2 and all(server.role is messages.Role.PREFILL for server in asked)
     busy, idle = asked
-    assert host.tell(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
-    said = host.tell(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
+    assert host.deliver(messages.ProbeResult(busy, messages.AttemptOutcome.STREAMED, messages.Report(30.0, 0.99))) == []
+    said = host.deliver(messages.ProbeResult(idle, messages.AttemptOutcome.STREAMED, messages.Report(0.0, 0.05)))
     attempt = next(a for a in said if isinstance(a, messages.StartAttempt))
     assert (
         attempt.server is idle and attempt.timeout_ms == 2000.0
     )  # twice the latency objective, as the server is known to be slow, not silent
-    assert sent(build().arrive(request)).timeout_ms == 1000.0
+    assert started_attempt(build().arrive(request)).timeout_ms == 1000.0
     late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
-    assert messages.Probe in kinds(said) and messages.StartAttempt not in kinds(said)
-    assert messages.StartAttempt in kinds(host.tell(after=100.0))  # no probe has been answered
+    assert messages.Probe in action_types(said) and messages.StartAttempt not in action_types(said)
+    assert messages.StartAttempt in action_types(host.deliver(after=100.0))  # no probe has been answered
 
 
 @pytest.mark.parametrize("client_timeout_ms", [20.0, 40.0, 80.0, 150.0])
@@ -237,7 +247,7 @@
     said = host.arrive(request, after=20.0)  # between two timer ticks
     answered = host.now
     while not any(isinstance(a, (messages.StartAttempt, messages.Reject)) for a in said):
-        said = host.tell(after=50.0)  # no engine reports its load
+        said = host.deliver(after=50.0)  # no engine reports its load
         answered = host.now
     assert answered <= request.router_state.deadline - 0.5 * client_timeout_ms
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,23 +22,32 @@
 from ternlane.testing.registry import RegisteredEndpoint, Registry
 from ternlane.testing.scripted import Scripted
 from ternlane.testing.traffic import Traffic
-from tests.world import BUILD, Reply, World, heard, patient, replace, until, world
+from tests.gateway_cluster import (
+    ENGINE_PROFILE,
+    GatewayCluster,
+    Reply,
+    gateway_cluster,
+    replace,
+    scaled_request_classes,
+    send_request,
+    until,
+)
 
-SLOW = replace(BUILD, token_ms=80.0, answer_tokens=(8, 8))
+SLOW = replace(ENGINE_PROFILE, token_ms=80.0, answer_tokens=(8, 8))
 
 
 async def test_a_chat_is_prefilled_decoded_and_streamed() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         reply = await w.ask(stream_options={"include_usage": True})
         assert (reply.status, reply.done, reply.broke) == (200, 1, False)
         assert len(reply.text.split()) == 6
         assert json.loads(reply.events[-2])["usage"]["completion_tokens"] == 6
-        assert [v["stage"] for v in w.said("leg")] == ["read", "write"]
-        await w.settled()
+        assert [v["stage"] for v in w.traffic_events("leg")] == ["read", "write"]
+        await w.wait_until_idle()
 
 
 async def test_a_plain_answer_has_the_same_text_as_a_streamed_one() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         streamed, plain = await w.ask(), await w.ask(stream=False)
         body = json.loads(plain.body)
         assert body["choices"][0]["message"]["content"] == streamed.text
@@ -46,26 +55,26 @@
 
 
 async def test_a_mixed_server_prefills_and_decodes_in_one_attempt() -> None:
-    async with world(("m0",)) as w:
+    async with gateway_cluster(("m0",)) as w:
         reply = await w.ask()
         assert reply.done == 1
-        assert [v["stage"] for v in w.said("leg")] == ["whole"]
+        assert [v["stage"] for v in w.traffic_events("leg")] == ["whole"]
 
 
 async def test_the_next_turn_goes_to_the_prefill_server_that_caches_the_conversation() -> None:
-    async with world(("r0", "r1", "r2", "w0", "w1", "w2")) as w:
+    async with gateway_cluster(("r0", "r1", "r2", "w0", "w1", "w2")) as w:
         messages = [{"role": "user", "content": "tell me of the bonus " * 100}]
         for turn in range(4):
             reply = await w.post({"model": "summary", "messages": messages, "stream": True})
             messages += [{"role": "assistant", "content": reply.text}, {"role": "user", "content": f"and {turn}?"}]
-        assert len({v["id"] for v in w.said("leg", stage="read")}) == 1
+        assert len({v["id"] for v in w.traffic_events("leg", stage="read")}) == 1
 
 
 # -- clients that disconnect or send invalid requests
 
 
 async def send_and_disconnect(
-    w: World,
+    w: GatewayCluster,
     after_ms: float,
     text: str = "hello",
     model: str = "summary",
@@ -74,7 +83,7 @@
 ) -> None:
     caller = await w.pool.connect(w.gateway.address)
     with trio.move_on_after(after_ms / 1000):
-        await heard(
+        await send_request(
             caller,
             {"model": model, "messages": [{"role": "user", "content": text}], "stream": stream},
             headers or {},
@@ -85,36 +94,38 @@
 
 async def test_a_client_that_leaves_midway_frees_its_decode_server() -> None:
     """A client disconnects while its answer streams. The attempt is cancelled, as nobody reads the rest."""
-    async with world(build=SLOW) as w:
+    async with gateway_cluster(profile=SLOW) as w:
         await send_and_disconnect(w, 250)
-        await w.settled()
-        assert [v["how"] for v in w.said("leg_end")] == ["read", "dropped"]
+        await w.wait_until_idle()
+        assert [v["how"] for v in w.traffic_events("leg_end")] == ["read", "dropped"]
 
 
 async def test_a_client_that_leaves_before_the_first_event_leaves_no_state_behind() -> None:
     """A client disconnects before the first event. A prefill server may hold state by then, which must be released."""
-    async with world(build=replace(BUILD, prefill_tokens_per_s=2000.0)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=2000.0)) as w:
         await send_and_disconnect(w, 100, text="x" * 1600)  # 200 ms to prefill
         await trio.sleep(0.15)
-        await w.settled()
-        assert len(w.said("leg")) == 1
+        await w.wait_until_idle()
+        assert len(w.traffic_events("leg")) == 1
 
 
 async def test_a_request_whose_client_leaves_while_it_is_queued_is_sent_nowhere() -> None:
     """A client disconnects while its request is queued. No attempt may be sent for it any more."""
-    async with world(("r0", "w0"), build=replace(BUILD, kv_capacity_tokens=3000.0, token_ms=60.0)) as w:
+    async with gateway_cluster(
+        ("r0", "w0"), profile=replace(ENGINE_PROFILE, kv_capacity_tokens=3000.0, token_ms=60.0)
+    ) as w:
         async with trio.open_nursery() as nursery:
             for _ in range(2):
                 nursery.start_soon(w.ask, "summary", "y" * 4000)
-            await until(lambda: len(w.said("leg")) >= 2, 2)
+            await until(lambda: len(w.traffic_events("leg")) >= 2, 2)
             await send_and_disconnect(w, 80, text="z" * 8000, headers={"X-Request-Id": "gone"})
             await until(lambda: "gone" not in w.gateway.runtime.idents, 1)
-            assert w.said("leg", gen="gone") == []
-        await w.settled()
+            assert w.traffic_events("leg", gen="gone") == []
+        await w.wait_until_idle()
 
 
 async def test_a_client_that_sends_a_second_request_early_is_answered_once_and_rejected_once() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         body = json.dumps({"model": "summary", "messages": [{"role": "user", "content": "a"}]}).encode()
         request = b"POST /v1/chat/completions HTTP/1.1\r\nHost: g\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         stream = await trio.open_tcp_stream("127.0.0.1", int(w.gateway.address.split(":")[1]))
@@ -124,11 +135,11 @@
             while more := await stream.receive_some(65536):
                 got += more
         assert got.count(b"HTTP/1.1 200") == 1 and got.count(b"HTTP/1.1 400") == 1 and b"pipelin" in got
-        assert len(w.said("effect")) == 1
+        assert len(w.traffic_events("effect")) == 1
 
 
 async def test_large_slow_and_broken_requests_are_rejected_with_a_reason() -> None:
-    async with world(door=ServerLimits(body_bytes=2000, head_ms=80, body_ms=80)) as w:
+    async with gateway_cluster(door=ServerLimits(body_bytes=2000, head_ms=80, body_ms=80)) as w:
         assert (await w.ask(text="x" * 3000)).status == 413
         for begun, status in (
             (b"POST /v1/chat/completions HTTP/1.1\r\nHo", b"408"),
@@ -140,7 +151,7 @@
             with trio.fail_after(1):
                 assert status in (await stream.receive_some(65536)).split(b"\r\n")[0]
             await stream.aclose()
-        assert w.said("leg") == []
+        assert w.traffic_events("leg") == []
 
 
 @pytest.mark.parametrize(
@@ -164,7 +175,7 @@
     ],
 )
 async def test_an_invalid_field_is_named_in_the_error(change: dict[str, Any], param: str, status: int) -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         body = {"model": "summary", "messages": [{"role": "user", "content": "a"}], "stream": True, "new_field": 1}
         reply = await w.post(body | change)
         assert (reply.status, reply.error and reply.error["param"]) == (status, param)
@@ -172,7 +183,7 @@
 
 
 async def test_a_shorter_time_limit_of_the_client_is_kept() -> None:
-    async with world(build=replace(BUILD, prefill_tokens_per_s=100.0)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=100.0)) as w:
         since = trio.current_time()
         reply = await w.ask(text="x" * 400, headers={"X-Ternlane-Time-Limit-Ms": "300"})
         assert reply.status in (429, 504) and trio.current_time() - since < 0.3
@@ -183,10 +194,10 @@
 
 async def test_a_decode_server_that_stalls_after_its_first_event_ends_in_an_error_event() -> None:
     """A decode server stalls during a stream with its connection open. The client must not wait forever."""
-    async with world(("r0", "w0"), build=replace(BUILD, token_ms=30.0)) as w:
+    async with gateway_cluster(("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=30.0)) as w:
 
         async def hang() -> None:
-            while not w.said("effect"):
+            while not w.traffic_events("effect"):
                 await trio.sleep(0.005)
             await trio.sleep(0.06)
             w.engines["w0"].fault.hung = True
@@ -194,52 +205,52 @@
         w.nursery.start_soon(hang)
         reply = await w.ask("note")
         assert reply.status == 200 and reply.done == 0 and reply.error is not None and not reply.broke
-        assert len(w.said("leg", stage="write")) == 1
+        assert len(w.traffic_events("leg", stage="write")) == 1
         w.engines["w0"].fault.hung = False
-        await w.settled()
+        await w.wait_until_idle()
 
 
 @pytest.mark.parametrize("model, served", [("summary", True), ("note", False), ("form", True)])
 async def test_a_decode_server_that_dies_before_the_first_event(model: str, served: bool) -> None:
     """After the failure, an idempotent request is retried anywhere, a deduplicated one within its cell, a
     side-effecting one not at all."""
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=150.0)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=150.0)) as w:
 
         async def kill() -> None:
-            while not w.said("effect"):
+            while not w.traffic_events("effect"):
                 await trio.sleep(0.005)
-            w.engines[w.said("effect")[0]["id"]].die()
+            w.engines[w.traffic_events("effect")[0]["id"]].die()
 
         w.nursery.start_soon(kill)
         reply = await w.ask(model)
         assert (reply.done == 1) is served
         if not served:
-            assert reply.status in (502, 504) and len(w.said("effect")) == 1
-        await w.settled()
+            assert reply.status in (502, 504) and len(w.traffic_events("effect")) == 1
+        await w.wait_until_idle()
 
 
 async def test_a_deduplicated_request_does_not_leave_its_cell() -> None:
-    async with world(("r0", "r1", "w0", "w1"), build=replace(BUILD, token_ms=150.0)) as w:
+    async with gateway_cluster(("r0", "r1", "w0", "w1"), profile=replace(ENGINE_PROFILE, token_ms=150.0)) as w:
 
         async def kill() -> None:
-            while not w.said("effect"):
+            while not w.traffic_events("effect"):
                 await trio.sleep(0.005)
-            w.engines[w.said("effect")[0]["id"]].die()
+            w.engines[w.traffic_events("effect")[0]["id"]].die()
 
         w.nursery.start_soon(kill)
         reply = await w.ask("form")
-        assert reply.status in (502, 504) and len(w.said("effect")) == 1
+        assert reply.status in (502, 504) and len(w.traffic_events("effect")) == 1
 
 
 async def test_a_decode_server_that_dies_midway_ends_in_an_error_event() -> None:
     """A decode server dies during a stream that may not be resumed. The client gets an error event."""
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, token_ms=40.0)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=40.0)) as w:
 
         async def kill() -> None:
-            while not w.said("effect"):
+            while not w.traffic_events("effect"):
                 await trio.sleep(0.005)
             await trio.sleep(0.1)
-            w.engines[w.said("effect")[0]["id"]].die()
+            w.engines[w.traffic_events("effect")[0]["id"]].die()
 
         w.nursery.start_soon(kill)
         reply = await w.ask("note")
@@ -249,29 +260,29 @@
 @pytest.mark.parametrize("model", ["summary", "note"])
 async def test_only_an_idempotent_request_is_decoded_again_after_a_lost_answer(model: str) -> None:
     """A decode server has run the request, and its answer is lost. A request with effects must not run again."""
-    async with world(("r0", "w0", "w0b")) as w:
+    async with gateway_cluster(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
             w.engines[ident].fault.lost_answer_share = 1.0
         since = trio.current_time()
         reply = await w.ask(model)
         assert reply.status in (429, 504) and trio.current_time() - since < 2.05
-        assert len(w.said("effect")) == 1 if model == "note" else len(w.said("effect")) >= 1
+        assert len(w.traffic_events("effect")) == 1 if model == "note" else len(w.traffic_events("effect")) >= 1
         if model == "note":
             assert reply.status == 504  # 429 would claim that nothing ran
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_a_prefill_server_that_dies_with_the_state_is_replaced() -> None:
     """A prefill server dies after its answer, before its state is fetched. Another one must prefill."""
-    async with world(("r0", "r0b", "w0")) as w:
+    async with gateway_cluster(("r0", "r0b", "w0")) as w:
         w.engines["w0"].fault.slowdown = 1.0
         # The decode server queues the request before it fetches the state.
         w.engines["w0"].busy = w.engines["w0"].profile.slots
 
         async def kill() -> None:
-            while not w.said("leg", stage="write"):
+            while not w.traffic_events("leg", stage="write"):
                 await trio.sleep(0.005)
-            w.engines[w.said("state")[0]["id"]].die()
+            w.engines[w.traffic_events("state")[0]["id"]].die()
             await trio.sleep(0.05)
             w.engines["w0"].busy = 1
             w.engines["w0"].free_slot()
@@ -279,17 +290,19 @@
         w.nursery.start_soon(kill)
         reply = await w.ask("note")
         assert reply.done == 1
-        assert len({v["id"] for v in w.said("leg", stage="read")}) == 2 and len(w.said("effect")) == 1
+        assert (
+            len({v["id"] for v in w.traffic_events("leg", stage="read")}) == 2 and len(w.traffic_events("effect")) == 1
+        )
 
 
 async def test_a_decode_server_that_is_listed_but_dead_is_passed_over() -> None:
     """A decode server is listed but nothing listens at its address. Requests go to another one."""
-    async with world(("r0", "w0", "w0b")) as w:
+    async with gateway_cluster(("r0", "w0", "w0b")) as w:
         w.engines["w0"].die()
         await trio.sleep(0.02)
         for _ in range(4):
             assert (await w.ask("note")).done == 1
-        assert {v["id"] for v in w.said("effect")} == {"w0b"}
+        assert {v["id"] for v in w.traffic_events("effect")} == {"w0b"}
 
 
 async def test_a_connect_that_hangs_times_out() -> None:
@@ -370,34 +383,34 @@
 
 
 async def test_a_draining_decode_server_gets_no_attempt_and_the_state_goes_to_another() -> None:
-    async with world(("r0", "w0", "w0b"), build=replace(BUILD, prefill_tokens_per_s=4000.0)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=4000.0)) as w:
         async with trio.open_nursery() as nursery:
 
             async def drain() -> None:
-                while not w.said("leg"):
+                while not w.traffic_events("leg"):
                     await trio.sleep(0.005)
                 home = next(iter(w.gateway.runtime.active_requests)).router_state.decode_server.server
-                w.list(**{w.gateway.registry.endpoints[home].ident: "draining"})
+                w.publish_endpoints(**{w.gateway.registry.endpoints[home].ident: "draining"})
 
             nursery.start_soon(drain)
             reply = await w.ask("note", "x" * 1600)
         drained = next(s for s in w.gateway.registry.servers.values() if s.status.name == "DRAINING")
         assert reply.done == 1
-        assert w.said("effect")[0]["id"] != w.gateway.registry.endpoints[drained].ident
+        assert w.traffic_events("effect")[0]["id"] != w.gateway.registry.endpoints[drained].ident
 
 
 async def test_requests_are_rejected_while_the_endpoint_list_is_empty() -> None:
-    async with world() as w:
+    async with gateway_cluster() as w:
         w.gateway.found([])
         reply = await w.ask()
         assert reply.status == 429 and int(reply.headers["retry-after"]) >= 1
         assert float(reply.headers["retry-after-ms"]) > 0
-        w.list()
+        w.publish_endpoints()
         assert (await w.ask()).done == 1
 
 
 async def test_repeats_under_one_key_run_once() -> None:
-    async with world(build=replace(BUILD, token_ms=30.0)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, token_ms=30.0)) as w:
         key = {"Idempotency-Key": "folder-17"}
         async with trio.open_nursery() as nursery:
             got: list[Any] = []
@@ -408,16 +421,16 @@
             nursery.start_soon(first)
             await trio.sleep(0.06)
             assert (await w.ask("note", headers=key)).status == 409
-        attempts = len(w.said("leg"))
+        attempts = len(w.traffic_events("leg"))
         again = await w.ask("note", headers=key)
         assert again.text == got[0].text and again.done == 1 and again.headers["idempotency-replayed"] == "true"
         assert (await w.ask("note", text="other", headers=key)).status == 422
         assert (await w.ask("note", headers=key)).done == 1  # the rejected request has not changed the stored answer
-        assert len(w.said("effect")) == 1 and len(w.said("leg")) == attempts
+        assert len(w.traffic_events("effect")) == 1 and len(w.traffic_events("leg")) == attempts
 
 
 async def test_a_repeat_of_a_request_that_may_have_run_gets_an_error() -> None:
-    async with world(("r0", "w0", "w0b")) as w:
+    async with gateway_cluster(("r0", "w0", "w0b")) as w:
         for ident in ("w0", "w0b"):
             w.engines[ident].fault.lost_answer_share = 1.0
         key = {"Idempotency-Key": "folder-18"}
@@ -426,7 +439,7 @@
             w.engines[ident].fault.lost_answer_share = 0.0
         again = await w.ask("note", headers=key)
         assert again.status == 502 and again.headers["idempotency-replayed"] == "true"
-        assert len(w.said("effect")) == 1
+        assert len(w.traffic_events("effect")) == 1
 
 
 # -- start, drain and resources of the gateway
@@ -434,8 +447,8 @@
 
 async def test_a_restarted_gateway_serves_from_its_cached_endpoint_list(tmp_path: Path) -> None:
     kept, nobody = str(tmp_path / "nodes"), ConsulSource(address="127.0.0.1:9", service="engines", retry_ms=50)
-    async with world(state=kept) as w:
-        await w.settled()
+    async with gateway_cluster(state=kept) as w:
+        await w.wait_until_idle()
         await until(lambda: os.path.exists(kept), 2)
         from ternlane.gateway import open_gateway
 
@@ -465,12 +478,12 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(registry.serve, listeners)
         address = "127.0.0.1:%d" % listeners[0].socket.getsockname()[1]
-        from ternlane.discovery import follow_consul
+        from ternlane.discovery import watch_consul
 
         found: list[list[NodeLine]] = []
         failed: list[str] = []
         nursery.start_soon(
-            follow_consul,
+            watch_consul,
             ConsulSource(address=address, service="engines", wait_ms=200, retry_ms=20),
             found.append,
             failed.append,
@@ -499,7 +512,7 @@
 
 
 async def test_a_draining_gateway_finishes_its_open_requests() -> None:
-    async with world(build=replace(BUILD, token_ms=40.0)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, token_ms=40.0)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
@@ -515,7 +528,7 @@
 
 
 async def test_requests_that_outlast_the_drain_time_fail() -> None:
-    async with world(build=replace(BUILD, token_ms=400.0), door=ServerLimits(drain_ms=100)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, token_ms=400.0), door=ServerLimits(drain_ms=100)) as w:
         got: list[Any] = []
         async with trio.open_nursery() as nursery:
 
@@ -526,19 +539,19 @@
             await trio.sleep(0.05)
             await w.gateway.drain()
         assert got[0].status == 502
-        await w.settled()
+        await w.wait_until_idle()
 
 
 async def test_no_descriptor_or_task_is_leaked() -> None:
     def count() -> tuple[int, int]:
         return len(os.listdir("/proc/self/fd")), trio.lowlevel.current_statistics().tasks_living
 
-    async with world() as w:
+    async with gateway_cluster() as w:
         await w.ask()
     await trio.sleep(0.05)
     before = count()
     for _ in range(3):
-        async with world(build=SLOW) as w:
+        async with gateway_cluster(profile=SLOW) as w:
             await send_and_disconnect(w, 120)
             await w.ask("nobody")
             w.engines["w0"].die()
@@ -549,20 +562,20 @@
 
 
 async def test_a_connection_closed_by_a_restarted_engine_is_replaced() -> None:
-    async with world(("r0", "w0")) as w:
+    async with gateway_cluster(("r0", "w0")) as w:
         assert (await w.ask()).done == 1
         w.engines["r0"].die()
         await trio.sleep(0.02)
-        await w.revive("r0")
+        await w.restart_engine("r0")
         assert (await w.ask("note")).done == 1
         assert isinstance(await w.pool.connect(w.gateway.address), ClientConnection)
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
 async def test_a_later_prefill_shows_that_an_earlier_answer_is_lost(model: str) -> None:
-    async with world(request_classes=patient(8)) as w, trio.open_nursery() as nursery:
+    async with gateway_cluster(request_classes=scaled_request_classes(8)) as w, trio.open_nursery() as nursery:
         await w.ask(text="the same")
-        prefill_server = w.engines[w.said("leg", stage="read")[0]["id"]]
+        prefill_server = w.engines[w.traffic_events("leg", stage="read")[0]["id"]]
         prefill_server.fault.script = "silent"
         replies: list[Reply] = []
 
@@ -571,20 +584,20 @@
 
         nursery.start_soon(mute)
         with trio.fail_after(3):  # less than the 3.2 s after which the prefill would time out
-            while len(w.said("leg", stage="read", id=prefill_server.ident)) < 2:
+            while len(w.traffic_events("leg", stage="read", id=prefill_server.ident)) < 2:
                 await trio.sleep(0.001)
-            request = w.said("leg", stage="read")[-1]["gen"]
+            request = w.traffic_events("leg", stage="read")[-1]["gen"]
             prefill_server.fault.script = ""
             while not replies:
                 await w.ask(text="the same")
-        prefills = [line["id"] for line in w.said("leg", stage="read", gen=request)]
+        prefills = [line["id"] for line in w.traffic_events("leg", stage="read", gen=request)]
         assert len(prefills) == 2 and prefills[0] == prefill_server.ident != prefills[1]
-        assert replies[0].done == 1 and len(w.said("leg", stage="write", gen=request)) == 1
-        await w.settled()
+        assert replies[0].done == 1 and len(w.traffic_events("leg", stage="write", gen=request)) == 1
+        await w.wait_until_idle()
 
 
 async def test_a_state_that_appears_after_its_release_is_released_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with world(("r0", "r0b", "w0")) as w:
+    async with gateway_cluster(("r0", "r0b", "w0")) as w:
         heard: list[str] = []
         for ident in ("r0", "r0b"):  # each gets its first release before it holds the state
 
@@ -595,6 +608,6 @@
             monkeypatch.setattr(w.engines[ident], "drop_state", too_early)
             w.engines[ident].fault.lost_answer_share = 1.0
         reply = await w.ask()
-        assert reply.status == 429 and w.said("state")
-        await w.settled()
-        assert set(heard) == {line["id"] for line in w.said("state")} and set(Counter(heard).values()) == {2}
+        assert reply.status == 429 and w.traffic_events("state")
+        await w.wait_until_idle()
+        assert set(heard) == {line["id"] for line in w.traffic_events("state")} and set(Counter(heard).values()) == {2}
--- a/tests/test_upkeep.py
+++ b/tests/test_gateway_maintenance.py
@@ -15,7 +15,7 @@
 from ternlane.chat import RequestIntake
 from ternlane.config import FileSource, NodeLine
 from ternlane.config.gateway import ServerLimits
-from ternlane.discovery import follow_file
+from ternlane.discovery import watch_file
 from ternlane.ledger import BillingLedger
 from ternlane.policy import messages
 from ternlane.policy.messages import Effect, Group, RequestClass
@@ -23,32 +23,32 @@
 from ternlane.tenants import BudgetReservation, QuotaLeases, UsageAccounting
 from ternlane.tenants.billing import Bill, TokenUsage
 from tests.fake_disk import FakeDisk
+from tests.gateway_cluster import ENGINE_PROFILE, FLEET_CONFIG, gateway_cluster, replace, send_request
 from tests.tenant_data import NOON, tenant
 from tests.test_chat import ask
-from tests.world import BUILD, TERMS, heard, replace, world
 
 BODY = {"model": "summary", "messages": [{"role": "user", "content": "a"}], "stream": True}
 
 
 async def test_one_connection_serves_many_requests_and_an_idle_one_is_closed() -> None:
-    async with world(door=ServerLimits(idle_ms=150)) as w:
+    async with gateway_cluster(door=ServerLimits(idle_ms=150)) as w:
         caller = await w.pool.connect(w.gateway.address)
         for _ in range(3):
-            assert (await heard(caller, BODY, {}, "/v1/chat/completions")).done == 1
+            assert (await send_request(caller, BODY, {}, "/v1/chat/completions")).done == 1
             caller.conn.start_next_cycle()
         since = trio.current_time()
         with trio.fail_after(1):
             assert await caller.stream.receive_some(1) == b""
-        assert 0.1 < trio.current_time() - since < 0.6 and len(w.said("effect")) == 3
+        assert 0.1 < trio.current_time() - since < 0.6 and len(w.traffic_events("effect")) == 3
 
 
 async def test_slow_connects_to_engines_delay_a_request_without_failing_it() -> None:
-    async with world(build=replace(BUILD)) as w:
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE)) as w:
         for engine in w.engines.values():
             engine.fault.handshake_delay_ms = 80.0
         since = trio.current_time()
         assert (await w.ask("note")).done == 1
-        assert trio.current_time() - since > 0.15 and len(w.said("effect")) == 1
+        assert trio.current_time() - since > 0.15 and len(w.traffic_events("effect")) == 1
 
 
 async def test_a_node_file_is_watched_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
@@ -61,7 +61,7 @@
 
     put(json.dumps({"nodes": [node]}))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(follow_file, FileSource(path=str(path), look_ms=10), found.append, failed.append)
+        nursery.start_soon(watch_file, FileSource(path=str(path), look_ms=10), found.append, failed.append)
 
         async def until(many: int, bad: int) -> None:
             with trio.fail_after(1):
@@ -84,10 +84,10 @@
 
 
 async def test_metrics_have_their_own_port_and_server_limits_are_reloaded() -> None:
-    async with world(metrics="127.0.0.1:31099") as w:
+    async with gateway_cluster(metrics="127.0.0.1:31099") as w:
         assert (await w.ask()).done == 1
         caller = await w.pool.connect("127.0.0.1:31099")
-        text = (await heard(caller, b"", {}, "/metrics", "GET")).body.decode()
+        text = (await send_request(caller, b"", {}, "/metrics", "GET")).body.decode()
         assert 'ternlane_generations_total{model="summary",outcome="streamed"} 1.0' in text
         assert 'ternlane_legs_total{stage="write",verdict="streamed"} 1.0' in text
         changed = msgspec.structs.replace(w.gateway.config, door=ServerLimits(body_bytes=50), seed=5)
@@ -231,14 +231,14 @@
             return out
 
     told: list[messages.ReservationResult] = []
-    terms = msgspec.structs.replace(TERMS, holds=True)
-    async with world(
-        ("r0", "w0"), build=replace(BUILD, prefill_tokens_per_s=4000.0), chooser=ReservingRouter, terms=terms
+    terms = msgspec.structs.replace(FLEET_CONFIG, holds=True)
+    async with gateway_cluster(
+        ("r0", "w0"), profile=replace(ENGINE_PROFILE, prefill_tokens_per_s=4000.0), chooser=ReservingRouter, fleet=terms
     ) as w:
         assert (await w.ask("note", "x" * 800)).done == 1
         assert [e.held for e in told] == [True]
-        assert len(w.said("taken", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
+        assert len(w.traffic_events("taken", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
         with trio.move_on_after(0.05):  # a client that disconnects during the prefill
             await w.ask("note", "y" * 1600)
-        await w.settled()
-        assert len(w.said("released", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
+        await w.wait_until_idle()
+        assert len(w.traffic_events("released", id="w0")) == 1 and w.engines["w0"].used_tokens == 0
