--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -185,10 +185,10 @@
         for known in recovered_answers:
             self.idempotency_cache.restore(
                 known.taken.key,
-                known.taken.mark,
+                known.taken.body_digest,
                 final_of(known),
                 len(known.ended.text),
-                known.taken.until + since_wall_ms,
+                known.taken.expires_ms + since_wall_ms,
             )
 
     # -- building the request
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -14,9 +14,9 @@
 import trio
 
 from ternlane.deployment import Deployment
-from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, keep_open
+from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, extend_deadline
 from ternlane.platform.answer_order import AnswerOrder
-from ternlane.platform.attempt import Attempt, AttemptResult, ResponseWriter
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt, ResponseWriter
 from ternlane.platform.errors import NOT_STARTED_REASONS, AttemptNotStartedError, ClientDisconnectedError
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.platform.protocol import (
@@ -43,7 +43,7 @@
 # A corrupt answer may be followed by another some milliseconds later (users' page). On a connection that is used again
 # sooner, that one would be taken for the answer to the next request; within this time it is seen, and the connection
 # closed. Long against a network's delays, short against the time between two requests to one server.
-REST_MS = 50.0
+REUSE_DELAY_MS = 50.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +77,7 @@
 
     # -- attempts
 
-    async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
+    async def run(self, attempt: ModelServerAttempt, response_writer: ResponseWriter) -> AttemptResult:
         """Runs an attempt to its end. Raises ClientDisconnectedError and outer cancellations, nothing else."""
         result = AttemptResult()
         connection: ClientConnection | None = None
@@ -85,7 +85,7 @@
         attempt.scope.deadline = min(attempt.scope.deadline, attempt.last_by)
         try:
             with attempt.scope:
-                connection = await self.pool.take(attempt.address, REST_MS)
+                connection = await self.pool.take(attempt.address, REUSE_DELAY_MS)
                 await self._start(attempt, connection)
                 complete = await self._read_response(attempt, connection, response_writer, result)
         except ClientDisconnectedError:
@@ -105,7 +105,7 @@
             self._record_cancellation(attempt, result)
         return result
 
-    async def _start(self, attempt: Attempt, connection: ClientConnection) -> None:
+    async def _start(self, attempt: ModelServerAttempt, connection: ClientConnection) -> None:
         """Writes the request. Attempts start here and nowhere else, after every wait for a connection or a release.
 
         Raises AttemptNotStartedError, or ConnectError where the connection breaks before all is written.
@@ -122,10 +122,14 @@
         await connection.send_request(attempt.method, attempt.target, headers, attempt.body)
         attempt.written_at = trio.current_time()
         attempt.scope.deadline = inf  # from here on reads end by themselves, not without what has arrived by then
-        connection.expect_by(attempt.last_by)
+        connection.set_read_deadline(attempt.last_by)
 
     async def _read_response(
-        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+        self,
+        attempt: ModelServerAttempt,
+        connection: ClientConnection,
+        response_writer: ResponseWriter,
+        result: AttemptResult,
     ) -> bool:
         """Reads the answer into `result`. True once it has come to its last byte."""
         head = await connection.read_head()
@@ -145,7 +149,11 @@
         return True
 
     async def forward_stream(
-        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+        self,
+        attempt: ModelServerAttempt,
+        connection: ClientConnection,
+        response_writer: ResponseWriter,
+        result: AttemptResult,
     ) -> bool:
         """Forwards a decode server's events as they come. True once the last chunk has come.
 
@@ -159,15 +167,15 @@
                 continue
             if not events:
                 continue
-            await keep_open(attempt.scope, inf)  # cancelled in this very moment: the client is given nothing
+            await extend_deadline(attempt.scope, inf)  # cancelled in this very moment: the client is given nothing
             is_first = not result.begun
             result.begun = True
             try:
-                await (response_writer.first(events) if is_first else response_writer.more(events))
+                await (response_writer.write_first_events(events) if is_first else response_writer.write_events(events))
             except BROKEN:
                 raise ClientDisconnectedError from None
             # Counted from here: a client that takes its bytes slowly is not the server's silence.
-            connection.expect_by(trio.current_time() + attempt.idle_timeout_ms / 1000)
+            connection.set_read_deadline(trio.current_time() + attempt.idle_timeout_ms / 1000)
         if not parser.done:
             raise ValueError("the stream ended before its last event")
         result.outcome = AttemptOutcome.STREAMED
@@ -176,7 +184,7 @@
         self.has_answered(attempt.address)
         return True
 
-    def _record_failure(self, attempt: Attempt, result: AttemptResult, error: Exception) -> None:
+    def _record_failure(self, attempt: ModelServerAttempt, result: AttemptResult, error: Exception) -> None:
         """What an exception says of the attempt. Raises it again where it is a fault of this program."""
         match error:
             case ReadTimeout():
@@ -199,7 +207,7 @@
             case _:
                 raise error
 
-    def _record_cancellation(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _record_cancellation(self, attempt: ModelServerAttempt, result: AttemptResult) -> None:
         """How an attempt ended whose scope was cancelled: by its timeout before it was written, or by the router."""
         if attempt.written:
             result.outcome = AttemptOutcome.CANCELLED if attempt.cancelled else AttemptOutcome.TIMED_OUT
