--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -41,7 +41,11 @@
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
         self.writer: GroupCommitWriter[JournalRecord, InFlightRequests] = GroupCommitWriter(
-            self.store, log, on_recovered=self.on_lock_acquired, what="journal", commit_delay_ms=COMMIT_DELAY_MS
+            self.store,
+            log,
+            on_recovered=self.on_lock_acquired,
+            entries_label="journal",
+            commit_delay_ms=COMMIT_DELAY_MS,
         )
         self.previous_requests: InFlightRequests | None = None  # what the previous process had open
         self.lock_acquired = trio.Event()
@@ -131,7 +135,7 @@
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
         for ident, open_request in previous.opened.items():
             if not open_request.ended:
-                self.writer.add(open_request.lost())
+                self.writer.add(open_request.outcome_after_crash())
             self.writer.add(StateReleased(ident))
         if previous.opened:
             self.log.warning("requests were in flight when the previous process was lost", open=len(previous.opened))
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -114,7 +114,7 @@
         await w.wait_until_idle()
         await w.gateway.budget_enforcer.writer.flush(1.0)
         found = accounts.reconcile_with_engines(w)
-        assert found.off <= 0.01 and not found.duplicates and not found.unsettled
+        assert found.unexplained_share <= 0.01 and not found.duplicates and not found.unsettled
         rows = bill_rows([tmp_path / "ledger"], "noto", None)
         assert rows[0]["generations"] == 12 and rows[0]["answer"] == 72
         assert rows[0]["micros"] == 3 * (rows[0]["prompt"] - rows[0]["kept"]) + rows[0]["kept"] + 12 * 72
@@ -207,7 +207,7 @@
         assert 1 <= got["noto"].count(200) <= 8 and got["noto"].count(429) == 80 - got["noto"].count(200)
         assert len(w.traffic_events("leg", stage="write")) == got["noto"].count(200) + 3
         await w.gateway.budget_enforcer.writer.flush(1.0)
-        assert accounts.reconcile_with_engines(w).off == 0
+        assert accounts.reconcile_with_engines(w).unexplained_share == 0
 
 
 async def test_equal_request_ids_of_different_tenants_are_distinct_at_servers(tmp_path: Path) -> None:
@@ -302,7 +302,7 @@
             w.gateway.runtime.on_done = lambda _: None  # nothing is settled from here on, as after SIGKILL
             await trio.sleep(0.5)
         found = accounts.reconcile_with_engines(w)
-        assert list(found.unsettled.values())[0].answer == 6 and found.off == 0
+        assert list(found.unsettled.values())[0].answer == 6 and found.unexplained_share == 0
         assert isinstance(next(iter(w.gateway.runtime.active_requests.values()), None), ActiveRequest | None)
 
 
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -21,7 +21,7 @@
 from ternlane.engine import SocketTransport
 from ternlane.engine.load_report import load_from_metrics
 from ternlane.policy import messages
-from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, build, started_attempt
+from tests.conftest import ROUTER_CONFIG, FakeHost, action_types, make_host, started_attempt
 from tests.gateway_cluster import (
     ENGINE_PROFILE,
     FLEET_CONFIG,
@@ -200,7 +200,7 @@
 
 
 def test_a_lowered_attempt_limit_ends_a_request_at_its_next_outcome(host: FakeHost) -> None:
-    request, attempt = host.written()
+    request, attempt = host.start_decode()
     assert host.deliver(messages.ConfigChanged(replace(ROUTER_CONFIG, max_attempts=1))) == []
     assert action_types(host.end_attempt(request, attempt.server, messages.AttemptOutcome.OVERLOADED)) == [
         messages.Reject,
@@ -209,9 +209,9 @@
 
 
 def test_home_pairs_survive_a_reload(host: FakeHost) -> None:
-    request, attempt = host.written(session="s")
+    request, attempt = host.start_decode(session="s")
     home = request.router_state.prefill_server.server
-    host.first(request, attempt.server)
+    host.first_token(request, attempt.server)
     host.end_attempt(request, attempt.server, messages.AttemptOutcome.STREAMED, over=True)
     host.deliver(
         messages.ConfigChanged(
@@ -222,7 +222,7 @@
 
 
 def test_load_is_probed_before_a_pair_is_chosen_and_delays_requests_briefly() -> None:
-    host = build(may_probe=True, reports_on_probe=True)
+    host = make_host(may_probe=True, reports_on_probe=True)
     request = host.request()
     asked = [a.server for a in host.arrive(request)]
     assert len(asked) == 2 and all(server.role is messages.Role.PREFILL for server in asked)
@@ -233,7 +233,7 @@
     assert (
         attempt.server is idle and attempt.timeout_ms == 2000.0
     )  # twice the latency objective, as the server is known to be slow, not silent
-    assert started_attempt(build().arrive(request)).timeout_ms == 1000.0
+    assert started_attempt(make_host().arrive(request)).timeout_ms == 1000.0
     late = host.request(prefix="other")
     said = host.arrive(late, after=3000.0)
     assert messages.Probe in action_types(said) and messages.StartAttempt not in action_types(said)
@@ -242,7 +242,7 @@
 
 @pytest.mark.parametrize("client_timeout_ms", [20.0, 40.0, 80.0, 150.0])
 def test_waiting_for_probes_ends_well_before_the_client_timeout(client_timeout_ms: float) -> None:
-    host = build(may_probe=True, reports_on_probe=True)
+    host = make_host(may_probe=True, reports_on_probe=True)
     request = host.request(client_timeout_ms=client_timeout_ms)
     said = host.arrive(request, after=20.0)  # between two timer ticks
     answered = host.now
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -130,7 +130,7 @@
                         store.commit()
                     except OSError:
                         continue
-                durable = store.kept
+                durable = store.durable_sequence
         except CrashError:
             pass
         after = FakeDisk()
