--- a/ternlane/chat/idempotency_cache.py
+++ b/ternlane/chat/idempotency_cache.py
@@ -51,7 +51,8 @@
 
 
 def repeat_policy(effect: Effect, outcome: str, attempts: int) -> RepeatPolicy:
-    """How repeats of a request are answered. `outcome`: streamed, throttled, terminated or left, as in the journal.
+    """Decides how repeats of a request are answered. `outcome`: streamed, throttled, terminated or left, as in the
+    journal.
 
     After a rejection nothing ran, and an idempotent request does no harm twice, so that only a complete answer is
     stored. Where the client left before any attempt was sent, nothing ran either.
--- a/ternlane/chat/intake.py
+++ b/ternlane/chat/intake.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class IntakeRecord:
-    """What the intake keeps of one request until it ends."""
+    """A request with the data that the intake needs when its answer or its usage is known."""
 
     request: Request
     session: str
--- a/ternlane/chat/message_extras.py
+++ b/ternlane/chat/message_extras.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 TEXT_FIELDS = ("refusal", "reasoning_content", "reasoning")  # string fields of a delta that are concatenated
-Extras = dict[str, Any]  # {"delta": further fields of a delta, "logprobs": of its tokens}
+Extras = dict[str, Any]  # {"delta": additional delta fields, "logprobs": logprobs of its tokens}
 
 
 class MessageExtras:
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -173,7 +173,7 @@
         self.known: OrderedDict[int, int] = OrderedDict()
 
     def match_and_add(self, run: array[int], session: int) -> int:
-        """As `PrefixIndex.match_and_add`."""
+        """Does the same as `PrefixIndex.match_and_add`."""
         shared = 0
         all_shared = True
         key = 0
--- a/ternlane/chat/request.py
+++ b/ternlane/chat/request.py
@@ -152,7 +152,7 @@
 
 
 def parse_include_usage(raw: dict[str, Any], stream: bool) -> bool:
-    """Whether the stream ends with a usage event. Raises InvalidRequestError."""
+    """Returns whether the stream ends with a usage event. Raises InvalidRequestError."""
     options = optional_field(raw, "stream_options", dict, "an object")
     if options is None:
         return False
--- a/ternlane/chat/response_body.py
+++ b/ternlane/chat/response_body.py
@@ -34,7 +34,7 @@
 
 
 class Choice(msgspec.Struct):
-    """The one choice of an event."""
+    """The choice of a stream event."""
 
     index: int
     delta: Delta
@@ -43,7 +43,7 @@
 
 
 class Chunk(msgspec.Struct, omit_defaults=True):
-    """One event of a stream."""
+    """A stream event."""
 
     id: str
     object: str
@@ -73,7 +73,7 @@
 def chunk(
     ident: str, created: int, model: str, text: str | None, finish: str | None, first: bool, more: Extras | None = None
 ) -> bytes:
-    """One stream event; `more` holds what it has besides text, such as tool calls."""
+    """A stream event; `more` holds what it has besides text, such as tool calls."""
     if more:
         return extended_chunk(ident, created, model, text, finish, first, more)
     delta = Delta("assistant" if first else None, text)
@@ -95,7 +95,7 @@
 
 
 def usage_chunk(ident: str, created: int, model: str, usage: dict[str, Any]) -> bytes:
-    """The stream event with the usage of the whole answer."""
+    """The stream event with the usage of the complete answer."""
     return encode(
         {
             "id": ident,
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """One request in flight. The runtime sets `final` once and cancels `disconnect_scope`, the scope in which the chat
+    """A request in flight. The runtime sets `final` once and cancels `disconnect_scope`, the scope in which the chat
     API waits for the client to disconnect. Times are in ms of the event loop's clock."""
 
     ident: str
--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -14,7 +14,7 @@
 
 
 class AttemptRecorder:
-    """Records each attempt's result before the router is told of it."""
+    """Records each attempt's result before the router gets it."""
 
     def __init__(self, runtime: RuntimePort, intake: RequestIntake) -> None:
         self.runtime = runtime
--- a/ternlane/gateway/attempts.py
+++ b/ternlane/gateway/attempts.py
@@ -18,7 +18,7 @@
 
 
 def select_stage(server: Server, active_request: ActiveRequest) -> Stage:
-    """The stage that this server is asked to run."""
+    """The stage of the request that this server runs."""
     if server.role is Role.PREFILL:
         return Stage.PREFILL
     if server.role is Role.DECODE and active_request.state is not None:
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaRequest:
-    """Tokens that one tenant wants from the shared quota; negative to return some. `target_level`: level of
+    """Tokens to lease from the shared quota for one tenant; negative to return some. `target_level`: level of
     its bucket."""
 
     tenant: str
@@ -167,7 +167,7 @@
         return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def within_budget(self, active_request: ActiveRequest) -> bool:
-        """False where the stream has used up the overdraft and its tenant wants such streams cut."""
+        """False where the stream has used up the overdraft and the tenant's budget is set to cut such streams."""
         return active_request.budget_reservation is None or not self.usage_accounting.overrun(
             active_request.budget_reservation, len(active_request.pieces)
         )
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -55,7 +55,7 @@
         return self.admission.draining
 
     def drain(self) -> None:
-        """Rejects new requests from now on."""
+        """Starts to reject new requests."""
         self.admission.draining = True
 
     def alter(self, config: GatewayConfig, models: dict[str, RequestClass]) -> None:
@@ -108,7 +108,7 @@
             await self.reject(exchange, 404, f"The model `{name}` does not exist", "model_not_found", "model")
 
     def model(self, name: str) -> dict[str, Any]:
-        """One model as the API lists it."""
+        """The model object of the API."""
         return {"id": name, "object": "model", "created": self.started, "owned_by": "ternlane"}
 
     async def reject(
--- a/ternlane/gateway/final_responses.py
+++ b/ternlane/gateway/final_responses.py
@@ -32,7 +32,7 @@
 
 
 async def send_rejected(exchange: Exchange, ident: tuple[str, str], pause_ms: float) -> None:
-    """Rejects a request of which nothing ran. Retry-After is rounded up to whole seconds; retry-after-ms is exact."""
+    """Rejects a request of which nothing ran. Retry-After is rounded up to full seconds; retry-after-ms is exact."""
     seconds = max(1, -(-int(pause_ms) // MS_PER_S))
     head = [
         ident,
--- a/ternlane/gateway/listeners.py
+++ b/ternlane/gateway/listeners.py
@@ -76,7 +76,7 @@
             listener.socket.close()
 
     async def _accept_the_rest(self, listener: trio.SocketListener) -> None:
-        """Accepts what is left in the listener's queue; gives up after MAX_ACCEPT_FAILURES."""
+        """Accepts the connections left in the listener's queue, until it is empty or MAX_ACCEPT_FAILURES is reached."""
         failures = 0
         while failures < MAX_ACCEPT_FAILURES:
             stream = None
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -41,7 +41,7 @@
 MAX_TIME_LIMIT_MS = 1e9  # a longer one is taken for a mistake
 MAX_KEY_LENGTH = 255  # characters of an Idempotency-Key
 MAX_EVENT_ID_DIGITS = 9  # digits of a position within a stream's text
-RETRY_AFTER_S = 1  # an open request may have ended, or another process be ready, by then
+RETRY_AFTER_S = 1  # an open request usually ends, or the journal is recovered, within about this time
 LEDGER_RETRY_AFTER_S = 5  # a full disk takes longer to clear
 
 
@@ -108,8 +108,8 @@
         return max(0.0, limit_ms - spent_ms - self.config.door.answer_ms)
 
     def resume_position(self, exchange: Exchange, chat_request: ChatRequest) -> int:
-        """How many characters of the answer the client has already, by its Last-Event-ID; 0 for a new request. Raises
-        RequestNotAdmittedError and InvalidRequestError."""
+        """Returns the number of characters that the client has already received, by its Last-Event-ID; 0 for a new
+        request. Raises RequestNotAdmittedError and InvalidRequestError."""
         header = exchange.header(b"last-event-id")
         if not header:
             return 0
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -44,8 +44,8 @@
 
 class GatewayRuntime(EventLoop[ActiveRequest]):
     """The requests in flight of one gateway. `on_done` is called with each request that has ended and holds nothing
-    more, `within_budget` before each piece of text, `on_watch_endpoints` when the router asks for the endpoint list to
-    be watched."""
+    more, `within_budget` before each piece of text, `on_watch_endpoints` when the router requests that the endpoint
+    list be watched."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
             return
         active_request.client_gone = True
         if active_request.attempt is not None and active_request.streaming:
-            active_request.attempt.cancel()  # nobody reads this stream
+            active_request.attempt.cancel()  # the rest of the stream has no reader
         self.dispatch(messages.ClientDisconnected(active_request.request))
         self.close(active_request, "left")
 
@@ -201,7 +201,7 @@
             self.forget(active_request)
 
     def resume_streams(self) -> None:
-        """Resumes the broken streams whose turn it is."""
+        """Resumes the broken streams that are due."""
         self.stream_resumer.resume()
 
     # -- attempts
@@ -280,7 +280,7 @@
         took_ms: float,
         plan: AttemptPlan,
     ) -> None:
-        """Records an attempt's result, settles the request where it ends with it, and tells the router."""
+        """Records an attempt's result, settles the request where it ends with it, and dispatches it to the router."""
         active_request.attempt = None
         active_request.streaming = False
         self.attempt_recorder.record(active_request, server, stage, result, took_ms)
@@ -316,7 +316,7 @@
             may_resume = not plan.cancelled and not active_request.client_gone
             if may_resume and self.stream_resumer.attempt_failed(active_request, result):
                 return True
-            # The client has part of the answer, and is told that the rest will not follow.
+            # The client has received part of the answer, so the stream ends with an error event.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
             self.finish_request(active_request, Failed(why))
         return False
--- a/ternlane/gateway/runtime_port.py
+++ b/ternlane/gateway/runtime_port.py
@@ -43,4 +43,4 @@
         """Sets the complete answer as the final one."""
 
     def resume_streams(self) -> None:
-        """Resumes the broken streams whose turn it is."""
+        """Resumes the broken streams that are due."""
--- a/ternlane/gateway/server_calls.py
+++ b/ternlane/gateway/server_calls.py
@@ -47,7 +47,8 @@
             runtime.log.warning("release unheard", gen=active_request.ident, server=endpoint.ident)
 
     def reserve(self, active_request: ActiveRequest, server: Server) -> None:
-        """Reserves a place at a server. It is released like KV state, so the server counts as a holder from now on."""
+        """Reserves a place at a server. The reservation is released like KV state, so the server is added to the
+        holders."""
         active_request.holders[server] = None
         self.runtime.nursery.start_soon(self._reserve_at, active_request, server)
 
--- a/ternlane/gateway/stream_resumer.py
+++ b/ternlane/gateway/stream_resumer.py
@@ -47,7 +47,7 @@
         return sum(s.status is EndpointStatus.READY and s.role is not Role.DECODE for s in servers)
 
     def resume(self) -> None:
-        """Resumes the broken streams whose turn it is, and fails those that have waited too long."""
+        """Resumes the broken streams that are due, and fails those that have waited too long."""
         ready, late = self.runtime.stream_recovery.next(now_ms())
         for active_request in ready:
             self.runtime.dispatch(messages.ResumeStream(active_request.request))
--- a/tests/test_budget_enforcer.py
+++ b/tests/test_budget_enforcer.py
@@ -190,7 +190,7 @@
 
 
 async def test_a_burst_of_one_tenant_does_not_affect_another(tmp_path: Path) -> None:
-    """One tenant sends 80 requests at once, far over its budget, while another one sends a few."""
+    """A tenant sends 80 requests at once, far over its budget, while another one sends a few."""
     async with gateway_with_tenants(tmp_path, budget={"minute": 3000, "burst": 200, "at_once": 4}) as (w, accounts):
         got: dict[str, list[int]] = {"noto": [], "avola": []}
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -93,7 +93,7 @@
 
 
 async def test_a_client_that_leaves_midway_frees_its_decode_server() -> None:
-    """A client disconnects while its answer streams. The attempt is cancelled, as nobody reads the rest."""
+    """A client disconnects while its answer streams. The attempt must be cancelled."""
     async with gateway_cluster(profile=SLOW) as w:
         await send_and_disconnect(w, 250)
         await w.wait_until_idle()
@@ -306,7 +306,7 @@
 
 
 async def test_a_connect_that_hangs_times_out() -> None:
-    with socket.socket() as deaf:  # its accept queue is full: further connects get no answer
+    with socket.socket() as deaf:  # its accept queue is full: more connects get no answer
         deaf.bind(("127.0.0.1", 0))
         deaf.listen(0)
         fill = [socket.socket() for _ in range(3)]
--- a/tests/test_inflight.py
+++ b/tests/test_inflight.py
@@ -227,7 +227,7 @@
 
 
 async def test_losing_gateway_and_decode_server_together_repeats_no_effect(tmp_path: Path) -> None:
-    """A gateway and the decode server of its request are lost at once, so nobody knows how far the request came."""
+    """A gateway and the decode server of its request are lost at once, so it is unknown how far the request got."""
     async with gateway_cluster(
         ("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=60.0), journal=str(tmp_path / "j")
     ) as w:
