--- a/ternlane/chat/session_index.py
+++ b/ternlane/chat/session_index.py
@@ -23,7 +23,7 @@
     A conversation is stored under the hash of its last prompt, and of that prompt with the answer. The next turn
     repeats both and adds messages, so that its longest known prefix gives the session. A client that changes the
     answer's text is still recognised by the prompt. The root of the hashes separates equal conversations of different
-    users apart.
+    users.
     """
 
     def __init__(self, limit: int) -> None:
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -267,9 +267,9 @@
         plan.scope = trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000)
         with plan.scope:
             await self.journal_writer.writer.wait_durable(number)
-        kept = not plan.scope.cancelled_caught
+        is_durable = not plan.scope.cancelled_caught
         plan.scope = attempt_scope
-        return kept and not plan.cancelled
+        return is_durable and not plan.cancelled
 
     def attempt_ended(
         self,
