--- a/ternlane/recovery/__init__.py
+++ b/ternlane/recovery/__init__.py
@@ -1,8 +1,8 @@
-"""What becomes of a stream that breaks off: may it be resumed, where does its text join, when is its turn. No I/O."""
+"""Recovery of broken streams: whether one may be resumed, how its text is joined, when its turn comes. No I/O."""
 
 from ternlane.recovery.errors import RecoveryError, ReplayMismatchError
-from ternlane.recovery.recovery_pace import RecoveryPace
 from ternlane.recovery.replay_buffer import ReplayBuffer
+from ternlane.recovery.resume_limiter import ResumeLimiter
 from ternlane.recovery.resume_strategy import ResumeDecision, ResumeStrategy, choose_resume_strategy, is_reproducible
 from ternlane.recovery.stall_detector import StallDetector
 from ternlane.recovery.stream_join import StreamJoin
@@ -11,7 +11,7 @@
 __all__ = [
     "RecoveryError",
     "RecoveryOutcome",
-    "RecoveryPace",
+    "ResumeLimiter",
     "ReplayBuffer",
     "ReplayMismatchError",
     "ResumeDecision",
--- a/ternlane/recovery/errors.py
+++ b/ternlane/recovery/errors.py
@@ -1,11 +1,11 @@
-"""What can go wrong where a broken stream is resumed."""
+"""Errors of resuming a broken stream."""
 
 from __future__ import annotations
 
 
 class RecoveryError(Exception):
-    """A broken stream cannot be resumed. Base of all errors of this package."""
+    """A broken stream cannot be resumed. Base class of this package's errors."""
 
 
 class ReplayMismatchError(RecoveryError):
-    """A replayed request gave another text than the client has."""
+    """A replayed request produced a text other than the one that the client has received."""
--- a/ternlane/recovery/inflight.py
+++ b/ternlane/recovery/inflight.py
@@ -1,7 +1,7 @@
-"""What a gateway had taken and not ended when it was lost: records of its journal, and what they come to. No I/O.
+"""Journal records of a gateway's requests, and the state after a crash that they add up to. No I/O.
 
-A record is written before what it tells of is done (an attempt is sent), or after (an answer is settled), so that the
-worst reading of a journal that stops anywhere is the safe one: what may have run is taken to have run.
+An attempt is recorded before it is sent, an answer after it is final. A journal that stops at any point therefore errs
+on the safe side: what may have run counts as having run.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from ternlane.chat import RepeatPolicy, repeat_policy
 from ternlane.policy.messages import Effect
 
-SWEEP_EVERY = 1024  # requests taken: a sweep looks at all known answers, and costs little so rarely
+EXPIRY_CHECK_PERIOD = 1024  # admitted requests; each check goes through all stored answers
 MAY_HAVE_RUN = "the gateway was lost while it was out; it may have run"
 
 
 class RequestAdmitted(msgspec.Struct, array_like=True, tag="t"):
-    """A request, by a name of the journal's own; `name` is what engines know it by. `key`: its Idempotency-Key with
-    its owner, "" for none; `body_digest`: of the body; `at` and `expires_ms`: when, and how long a repeat is known, in
-    ms of the wall clock."""
+    """A request was admitted. `ident`: its id in the journal; `name`: its id at engines; `key`: its Idempotency-Key
+    with the key's owner, "" if none; `at`: when it came; `expires_ms`: until when repeats are recognized. Times are ms
+    of the wall clock."""
 
     ident: str
     name: str
@@ -33,8 +33,8 @@
 
 
 class AttemptSent(msgspec.Struct, array_like=True, tag="s"):
-    """An attempt is about to be sent; without a key only prefills are noted, for what they hold. `prefills`: the server
-    may hold a state from now on; `decodes`: it may run."""
+    """An attempt is about to be sent. `prefills`: the server may hold a state from now on; `decodes`: the request may
+    run from now on. For requests without a key only prefills are recorded, so that their states can be released."""
 
     ident: str
     name: str
@@ -46,13 +46,13 @@
 
 
 class StateReleased(msgspec.Struct, array_like=True, tag="f"):
-    """No server holds anything for it any more."""
+    """No server holds a state for the request any more."""
 
     ident: str
 
 
 class RequestEnded(msgspec.Struct, array_like=True, tag="e"):
-    """Its final answer; `kept`: a repeat under its key hears it, a whole answer or why it was terminated."""
+    """A request has ended. `kept`: repeats under its key get this answer, complete or as the reason of its end."""
 
     ident: str
     outcome: str
@@ -68,8 +68,8 @@
 decode_journal_record = msgspec.msgpack.Decoder(JournalRecord).decode
 
 
-class OpenRequest(msgspec.Struct, array_like=True):
-    """One request that has not come to its end, or that still holds something."""
+class InFlightRequest(msgspec.Struct, array_like=True):
+    """A request that has not ended, or for which servers still hold states."""
 
     taken: RequestAdmitted
     held: list[tuple[str, str, str]] = []  # server, address, protocol
@@ -77,101 +77,106 @@
     ended: bool = False
 
     def outcome_after_crash(self) -> RequestEnded:
-        """How it ends where its gateway was lost: as one whose client left, by the same rule for repeats."""
+        """How the request ends if its gateway crashed: as one whose client left, by the same rule for repeats."""
         kept = repeat_policy(Effect[self.taken.effect], "left", int(self.may_have_run)) is RepeatPolicy.OUTCOME_UNKNOWN
         return RequestEnded(self.taken.ident, "terminated" if kept else "lost", kept, why=MAY_HAVE_RUN if kept else "")
 
 
 class RecoveredAnswer(msgspec.Struct, array_like=True):
-    """What a repeat hears."""
+    """The answer that repeats of a request get."""
 
     taken: RequestAdmitted
     ended: RequestEnded
 
 
 class Snapshot(msgspec.Struct):
-    """What is written beside the segments, so that a start need not read them all."""
+    """The form of a snapshot on disk, which saves a start from reading all segments."""
 
     seq: int
-    opened: list[OpenRequest]
+    opened: list[InFlightRequest]
     known: list[RecoveredAnswer]
     at: float
 
 
 @dataclass
 class InFlightRequests:
-    """The fold of a journal. `at` follows the records' own time, so that what has run out is dropped as it grows."""
+    """The state that the records of a journal add up to. Answers expire by `at`, the time of the latest record."""
 
-    opened: dict[str, OpenRequest] = field(default_factory=dict)
+    opened: dict[str, InFlightRequest] = field(default_factory=dict)
     known: dict[str, RecoveredAnswer] = field(default_factory=dict)
     at: float = 0.0
-    adds: int = 0
+    admitted_count: int = 0
 
     def add(self, entry: JournalRecord) -> None:
-        """Takes in one record, in the order of the journal."""
+        """Applies the next record of the journal."""
         match entry:
             case RequestAdmitted(ident=ident, at=at):
                 self.at = max(self.at, at)
-                self.opened[ident] = OpenRequest(entry)
+                self.opened[ident] = InFlightRequest(entry)
                 if entry.key:
                     self.known.pop(entry.key, None)
-                self.sweep()
+                self.remove_expired()
             case AttemptSent(ident=ident, name=name) if ident in self.opened or entry.prefills:
                 if ident not in self.opened:
-                    self.opened[ident] = OpenRequest(
+                    self.opened[ident] = InFlightRequest(
                         RequestAdmitted(ident, name, "", b"", Effect.IDEMPOTENT.name, 0.0, 0.0), ended=True
                     )
-                it = self.opened[ident]
+                in_flight = self.opened[ident]
                 if entry.prefills:
-                    it.held = [*it.held, (entry.server, entry.address, entry.protocol)]
-                it.may_have_run = it.may_have_run or entry.decodes
+                    in_flight.held = [*in_flight.held, (entry.server, entry.address, entry.protocol)]
+                in_flight.may_have_run = in_flight.may_have_run or entry.decodes
             case StateReleased(ident=ident) if ident in self.opened:
                 self.opened[ident].held = []
-                self.drop(ident)
+                self.remove_finished(ident)
             case RequestEnded(ident=ident) if ident in self.opened:
-                it = self.opened[ident]
-                it.ended = True
-                if it.taken.key and entry.kept:
-                    self.known[it.taken.key] = RecoveredAnswer(it.taken, entry)
-                self.drop(ident)
+                in_flight = self.opened[ident]
+                in_flight.ended = True
+                if in_flight.taken.key and entry.kept:
+                    self.known[in_flight.taken.key] = RecoveredAnswer(in_flight.taken, entry)
+                self.remove_finished(ident)
             case _:
-                pass  # of a request that a snapshot had dropped already
+                pass  # of a request that the snapshot no longer holds
 
-    def drop(self, ident: str) -> None:
-        """Forgets a request that has ended and holds nothing."""
-        it = self.opened[ident]
-        if it.ended and not it.held:
+    def remove_finished(self, ident: str) -> None:
+        """Drops a request once it has ended and no server holds a state for it."""
+        in_flight = self.opened[ident]
+        if in_flight.ended and not in_flight.held:
             del self.opened[ident]
 
-    def sweep(self) -> None:
-        """Now and then drops answers whose time has run out."""
-        self.adds += 1
-        if self.adds % SWEEP_EVERY == 0:
-            self.known = {k: v for k, v in self.known.items() if v.taken.expires_ms > self.at}
+    def remove_expired(self) -> None:
+        """Drops expired answers, once in EXPIRY_CHECK_PERIOD calls."""
+        self.admitted_count += 1
+        if self.admitted_count % EXPIRY_CHECK_PERIOD == 0:
+            self.known = {key: answer for key, answer in self.known.items() if answer.taken.expires_ms > self.at}
 
     def dump(self, seq: int) -> bytes:
-        """The snapshot after `seq` records."""
+        """The content of a snapshot after `seq` records."""
         return msgspec.msgpack.encode(Snapshot(seq, list(self.opened.values()), list(self.known.values()), self.at))
 
     def load(self, raw: bytes) -> int:
-        """Takes up a snapshot; gives the number of its records. Raises msgspec.DecodeError."""
-        it = msgspec.msgpack.decode(raw, type=Snapshot)
-        self.opened = {o.taken.ident: o for o in it.opened}
-        self.known = {k.taken.key: k for k in it.known}
-        self.at = it.at
-        return it.seq
+        """Replaces the state by a snapshot; returns its number of records. Raises msgspec.DecodeError."""
+        snapshot = msgspec.msgpack.decode(raw, type=Snapshot)
+        self.opened = {request.taken.ident: request for request in snapshot.opened}
+        self.known = {answer.taken.key: answer for answer in snapshot.known}
+        self.at = snapshot.at
+        return snapshot.seq
 
-    # -- after the loss
+    # -- after a crash
 
     def answers(self, now: float) -> list[RecoveredAnswer]:
-        """What repeats will hear from now on: stored answers, and of what may have run without one, that it may have.
-        What can't have run, or may run again without harm, is free."""
-        out = [v for v in self.known.values() if v.taken.expires_ms > now]
-        for it in self.opened.values():
-            if it.taken.key and not it.ended and it.taken.expires_ms > now and it.outcome_after_crash().kept:
-                out.append(RecoveredAnswer(it.taken, it.outcome_after_crash()))
-        return out
+        """What repeats get from now on: the stored answers, and for requests that may have run without an answer, the
+        notice that they may have. A request that cannot have run, or may safely run again, is not among them."""
+        answers = [answer for answer in self.known.values() if answer.taken.expires_ms > now]
+        for in_flight in self.opened.values():
+            if (
+                in_flight.taken.key
+                and not in_flight.ended
+                and in_flight.taken.expires_ms > now
+                and in_flight.outcome_after_crash().kept
+            ):
+                answers.append(RecoveredAnswer(in_flight.taken, in_flight.outcome_after_crash()))
+        return answers
 
     def held(self) -> list[tuple[str, list[tuple[str, str, str]]]]:
-        """States that servers may hold still, by the request's name there."""
-        return [(it.taken.name, it.held) for it in self.opened.values() if it.held]
+        """The states that servers may still hold, by the request's id at engines."""
+        return [(in_flight.taken.name, in_flight.held) for in_flight in self.opened.values() if in_flight.held]
--- a/ternlane/recovery/replay_buffer.py
+++ b/ternlane/recovery/replay_buffer.py
@@ -1,4 +1,4 @@
-"""Bounds on the text that is kept for streams that might break."""
+"""Limits on the text that is buffered so that broken streams can be resumed."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 @dataclass(slots=True)
 class ReplayBuffer:
-    """How much text may be kept: tokens and bytes of UTF-8 of one stream, and bytes of all streams together."""
+    """How much text may be buffered: tokens and UTF-8 bytes for one stream, and bytes for all streams together."""
 
     max_tokens: int
     max_stream_bytes: int
     max_total_bytes: int
     used_bytes: int = 0
-    dropped: int = 0  # streams that outgrew it
+    overflowed_streams: int = 0  # streams whose text exceeded a limit
 
     def add(self, size_bytes: int) -> None:
-        """Counts a piece that is kept."""
+        """Counts a buffered piece."""
         self.used_bytes += size_bytes
 
     def free(self, size_bytes: int) -> None:
-        """Counts what is kept no longer."""
+        """Counts buffered text that was released."""
         self.used_bytes -= size_bytes
 
     def is_exceeded_by(self, stream_bytes: int, stream_tokens: int) -> bool:
-        """Whether a stream of that size, or all streams together, are more than may be kept."""
+        """Whether a stream of that size, or all streams together, exceed the limits."""
         return (
             stream_bytes > self.max_stream_bytes
             or self.used_bytes > self.max_total_bytes
--- a/ternlane/recovery/resume_strategy.py
+++ b/ternlane/recovery/resume_strategy.py
@@ -1,4 +1,4 @@
-"""Which broken streams may be resumed, and how. One table; docs/recovery.md gives the reasons."""
+"""Decides which broken streams may be resumed, and how; docs/recovery.md gives the reasons."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class ResumeStrategy(Enum):
-    """CONTINUE: the prompt with what the client has, continued from there. REPLAY: the same request again; what the
-    client has is compared and skipped. END: the client is told that the stream broke."""
+    """CONTINUE sends the prompt with the text that the client has, to be continued from there. REPLAY sends the same
+    request again; the text that the client has is compared and skipped. END tells the client that the stream broke."""
 
     CONTINUE = auto()
     REPLAY = auto()
@@ -20,17 +20,18 @@
 
 
 class ResumeDecision(NamedTuple):
-    """How a request's stream may be resumed, and why not by CONTINUE."""
+    """How a request's stream may be resumed, and why not by CONTINUE; the reason can reach the client."""
 
     strategy: ResumeStrategy
     reason: str
 
 
 def choose_resume_strategy(raw: dict[str, Any], effect: Effect, continues: bool = True) -> ResumeDecision:
-    """The strategy for a request body. `continues`: engines can go on with a text.
+    """The strategy for a request body. `continues`: engines can continue a partial answer.
 
-    A text can be continued where nothing but the text is carried on. Where more is (a grammar's state, an open tool
-    call, the draws of a seed), only a whole new run joins on, and only if it must come out the same.
+    An answer can be continued if its text is all the state that generation depends on. If there is more (the state of a
+    grammar, an open tool call, the random sequence of a seed), only a complete rerun can be joined, and only if it is
+    certain to produce the same text.
     """
     if effect is Effect.SIDE_EFFECTING:
         return ResumeDecision(ResumeStrategy.END, "it may have run, and must not run twice")
@@ -38,27 +39,27 @@
         return ResumeDecision(ResumeStrategy.REPLAY, "engines drop its repeats by the request itself")
     if raw.get("n") not in (None, 1):
         return ResumeDecision(ResumeStrategy.END, "several answers at once can't be joined")
-    obstacle = state_besides_text(raw) if continues else "engines can't go on with a text"
+    obstacle = non_text_state(raw) if continues else "engines can't go on with a text"
     if not obstacle:
         return ResumeDecision(ResumeStrategy.CONTINUE, "")
-    if has_fixed_outcome(raw):
+    if is_deterministic(raw):
         return ResumeDecision(ResumeStrategy.REPLAY, obstacle)
     return ResumeDecision(ResumeStrategy.END, f"{obstacle}, and another run would not come out the same")
 
 
-def has_fixed_outcome(raw: dict[str, Any]) -> bool:
-    """Does sampling give the same text in each run?"""
+def is_deterministic(raw: dict[str, Any]) -> bool:
+    """Whether sampling produces the same text in every run."""
     return raw.get("temperature") == 0 or raw.get("seed") is not None
 
 
 def is_reproducible(raw: dict[str, Any], effect: Effect) -> bool:
-    """May a whole new run stand for one that was lost, whose text is not known here?"""
+    """Whether a rerun may replace a lost run whose text this gateway does not know."""
     plain_text = not raw.get("tools") and not raw.get("logprobs")
-    return effect is Effect.IDEMPOTENT and has_fixed_outcome(raw) and plain_text
+    return effect is Effect.IDEMPOTENT and is_deterministic(raw) and plain_text
 
 
-def state_besides_text(raw: dict[str, Any]) -> str:
-    """What an answer carries on besides its text; empty if nothing."""
+def non_text_state(raw: dict[str, Any]) -> str:
+    """Which state generation depends on besides the text of the answer; empty if none."""
     response_format = raw.get("response_format")
     has_format = isinstance(response_format, dict) and response_format.get("type") not in (None, "text")
     if has_format or any(raw.get(name) for name in GUIDED_DECODING_FIELDS):
--- a/ternlane/recovery/stall_detector.py
+++ b/ternlane/recovery/stall_detector.py
@@ -1,14 +1,14 @@
-"""When a silent stream has stalled: by how unlikely the silence is among its peers, never sooner than a resume pays.
+"""Decides when a silent stream has stalled, from how unlikely the silence is among all streams of the fleet.
 
-A server's own pace is a running median of the waits between its pieces. How much longer than that a wait may be is
-learnt from all servers together, as a histogram of ratios that fades. Pauses that decode servers do make (a big prompt
-joins the batch, a garbage collection, a preemption) are in it, so they raise no alarm. Beyond what was seen its tail is
-carried on as a power law by Hill's estimate. And since giving up costs a resume, no stream is given up before it has
-been silent for as long as one takes: whatever then turns out, it has cost at most twice the best.
+Each server has a running median of the intervals between its pieces. How far an interval may exceed that median is
+learnt from all servers together, in a decaying histogram of ratios. Pauses that healthy decode servers make (a large
+prompt joins the batch, a garbage collection, a preemption) are part of it and raise no alarm. Beyond the largest ratios
+seen, the tail is extrapolated as a power law with Hill's estimator. Abandoning a stream costs a resume, so none is
+abandoned before it has been silent for as long as a resume takes; the total is then at most twice the optimum.
 
-A stream that is given up never shows how long it would have been silent, so the rule would unlearn the pauses that it
-cuts off. One stream in `EXPLORED_ONE_IN` is therefore left to the decisions' own bound, and its longer waits count for
-the others.
+An abandoned stream does not show how long its silence would have lasted, so the histogram would lose the pauses that
+the timeout cuts off. One stream in `EXPLORATION_PERIOD` therefore keeps the router's idle timeout, and its long
+intervals are counted for the other streams as well.
 """
 
 from __future__ import annotations
@@ -17,100 +17,103 @@
 from collections.abc import Hashable
 from math import ceil, log, log2
 
-BUCKETS_PER_OCTAVE = 8  # of the histogram of ratios: neighbours differ by a tenth
-LOWEST_BUCKET = -6 * BUCKETS_PER_OCTAVE  # ratios below 2**-6 are all alike: no stall begins there
-BUCKETS = 22 * BUCKETS_PER_OCTAVE  # up to ratios of 2**16
-MEDIAN_STEP = 0.05  # by which each wait moves the running median, relative
-TAIL_WAITS = 32  # that the tail's slope is taken from: fewer give no steady estimate
-MIN_WAITS = 2000  # before anything is said, and between two looks at the tail
-EXPLORED_ONE_IN = 16  # streams: enough to go on learning, few enough to wait for
-FADE_SHARE = 1 / 4  # what stays of the histogram when it is full
-MAX_WEIGHT = 200_000  # of the histogram: older waits fade, as fleets change
+BUCKETS_PER_OCTAVE = 8  # of ratio: adjacent buckets differ by 9 %
+LOWEST_BUCKET = -6 * BUCKETS_PER_OCTAVE  # smaller ratios are irrelevant to stalls and share a bucket
+BUCKETS = 22 * BUCKETS_PER_OCTAVE  # up to a ratio of 2**16
+MEDIAN_STEP = 0.05  # relative step of the running median per interval
+MIN_TAIL_SAMPLES = 32  # with fewer the estimate of the tail's slope is unstable
+MIN_SAMPLES = 2000  # before the first timeout, and between two updates of it
+EXPLORATION_PERIOD = 16  # streams; trades learning against streams that wait out a stall
+DECAY_FACTOR = 1 / 4
+MAX_TOTAL_WEIGHT = 200_000  # beyond it all buckets decay, so that changes of the fleet are followed
 
 
 class StallDetector:
-    """`alarms`: how many false ones there may be a stream. All times in ms."""
+    """`false_alarms_per_stream`: the accepted rate of streams that are taken to have stalled and have not."""
 
-    def __init__(self, alarms: float, seed: int = 0) -> None:
-        self.alarms = alarms
+    def __init__(self, false_alarms_per_stream: float, seed: int = 0) -> None:
+        self.false_alarms_per_stream = false_alarms_per_stream
         self.seed = seed
-        self.turn = 0
-        self.counts = [0.0] * BUCKETS
-        self.total = 0.0
-        self.paces: dict[Hashable, float] = {}
-        self.tokens = 32.0  # pieces a stream, mean
-        self.first_ms = 0.0  # arrival to first piece, mean: what a resume is taken to cost until one was seen
-        self.resume_ms = 0.0  # what a resume takes, mean; 0: not known
-        self.longest_ratio = 0.0  # that is passed by a part `alarms / tokens` of waits
-        self.stale = 0
+        self.stream_count = 0
+        self.bucket_weights = [0.0] * BUCKETS
+        self.total_weight = 0.0
+        self.median_intervals_ms: dict[Hashable, float] = {}
+        self.tokens = 32.0  # mean number of pieces per stream
+        self.first_ms = 0.0  # mean time to the first piece: the assumed cost of a resume until one was seen
+        self.resume_ms = 0.0  # mean duration of a resume; 0 if unknown
+        self.max_ratio = 0.0  # exceeded by the share `false_alarms_per_stream / tokens` of all intervals
+        self.intervals_since_update = 0
 
     def explores(self) -> bool:
-        """Whether the next stream is one of those that are never given up early."""
-        self.turn += 1
-        return zlib.crc32(b"%d %d" % (self.seed, self.turn)) % EXPLORED_ONE_IN == 0
-
-    def record_piece_interval(self, server: Hashable, wait_ms: float, explored: bool = False) -> None:
-        """A piece came `wait_ms` after the one before; `explored`: in a stream that `explores` had chosen."""
-        pace = self.paces.get(server)
-        if pace is None:
-            self.paces[server] = max(wait_ms, 0.01)
+        """Counts a new stream; true if it is an exploratory one, which keeps the router's idle timeout."""
+        self.stream_count += 1
+        return zlib.crc32(b"%d %d" % (self.seed, self.stream_count)) % EXPLORATION_PERIOD == 0
+
+    def record_piece_interval(self, server: Hashable, interval_ms: float, exploratory: bool = False) -> None:
+        """Records the interval between two pieces; `exploratory`: of a stream for which `explores` returned true."""
+        median_ms = self.median_intervals_ms.get(server)
+        if median_ms is None:
+            self.median_intervals_ms[server] = max(interval_ms, 0.01)
             return
-        ratio = max(wait_ms, 1e-3) / pace
-        self.paces[server] = pace * (1 + MEDIAN_STEP) if ratio > 1 else pace / (1 + MEDIAN_STEP)
+        ratio = max(interval_ms, 1e-3) / median_ms
+        self.median_intervals_ms[server] = median_ms * (1 + MEDIAN_STEP) if ratio > 1 else median_ms / (1 + MEDIAN_STEP)
         bucket = min(BUCKETS - 1, max(0, ceil(BUCKETS_PER_OCTAVE * log2(ratio)) - LOWEST_BUCKET))
-        weight = EXPLORED_ONE_IN if explored and self.longest_ratio and ratio > self.longest_ratio else 1
-        self.counts[bucket] += weight
-        self.total += weight
-        self.stale += 1
-        if self.total > MAX_WEIGHT:
-            self.counts = [n * FADE_SHARE for n in self.counts]
-            self.total *= FADE_SHARE
+        weight = EXPLORATION_PERIOD if exploratory and self.max_ratio and ratio > self.max_ratio else 1
+        self.bucket_weights[bucket] += weight
+        self.total_weight += weight
+        self.intervals_since_update += 1
+        if self.total_weight > MAX_TOTAL_WEIGHT:
+            self.bucket_weights = [bucket_weight * DECAY_FACTOR for bucket_weight in self.bucket_weights]
+            self.total_weight *= DECAY_FACTOR
 
     def ended(self, pieces: int) -> None:
-        """A stream came to its end with so many pieces."""
+        """Records a completed stream."""
         self.tokens += (pieces - self.tokens) / 64
 
     def first_piece(self, took_ms: float) -> None:
-        """A stream's first piece, since its arrival."""
+        """Records the time from a request's arrival to its first piece."""
         self.first_ms += (took_ms - self.first_ms) / (64 if self.first_ms else 1)
 
     def resumed(self, took_ms: float) -> None:
-        """From a loss to the next piece."""
+        """Records the time from a break to the next piece."""
         self.resume_ms = took_ms if not self.resume_ms else self.resume_ms + (took_ms - self.resume_ms) / 16
 
-    def forget(self, server: Hashable) -> None:
-        """A server is no longer listed."""
-        self.paces.pop(server, None)
+    def remove_server(self, server: Hashable) -> None:
+        """Drops a server that is no longer listed."""
+        self.median_intervals_ms.pop(server, None)
 
     def idle_timeout_ms(self, server: Hashable) -> float | None:
-        """How long a stream of this server may be silent; None while too little is known."""
-        pace = self.paces.get(server)
-        cost = self.resume_ms or self.first_ms
-        if pace is None or self.total < MIN_WAITS or not cost:
+        """How long a stream of this server may be silent; None until there are enough samples."""
+        median_ms = self.median_intervals_ms.get(server)
+        resume_cost_ms = self.resume_ms or self.first_ms
+        if median_ms is None or self.total_weight < MIN_SAMPLES or not resume_cost_ms:
             return None
-        if self.stale >= MIN_WAITS:
-            self.stale = 0
-            self.longest_ratio = self.passed_by(self.alarms / max(self.tokens, 1.0))
-        elif not self.longest_ratio:
-            self.longest_ratio = self.passed_by(self.alarms / max(self.tokens, 1.0))
-        return max(pace * self.longest_ratio, cost)
-
-    def passed_by(self, part: float) -> float:
-        """The ratio that only this part of waits passes."""
-        want = part * self.total
-        seen = 0.0
-        logs = seen_logs = 0.0  # of the tail
+        if self.intervals_since_update >= MIN_SAMPLES:
+            self.intervals_since_update = 0
+            self.max_ratio = self.ratio_exceeded_by(self.false_alarms_per_stream / max(self.tokens, 1.0))
+        elif not self.max_ratio:
+            self.max_ratio = self.ratio_exceeded_by(self.false_alarms_per_stream / max(self.tokens, 1.0))
+        return max(median_ms * self.max_ratio, resume_cost_ms)
+
+    def ratio_exceeded_by(self, share: float) -> float:
+        """The ratio to the median that this share of all intervals exceeds."""
+        wanted_weight = share * self.total_weight
+        tail_weight = 0.0
+        weighted_logs = summed_weight = 0.0  # of the buckets above the present one
         for i in range(BUCKETS - 1, -1, -1):
-            n = self.counts[i]
-            if not n:
+            weight = self.bucket_weights[i]
+            if not weight:
                 continue
-            seen += n
-            top = (i + LOWEST_BUCKET) / BUCKETS_PER_OCTAVE
-            if seen >= max(want, TAIL_WAITS) or i == 0:
-                if want >= TAIL_WAITS:
-                    return float(2.0**top)
-                slope = logs / seen_logs - top if seen_logs else 0.0  # mean excess: 1 / index
-                return float(2.0 ** (top + max(slope, 1 / BUCKETS_PER_OCTAVE) * log(seen / want)))
-            logs += n * top
-            seen_logs += n
+            tail_weight += weight
+            bucket_log2 = (i + LOWEST_BUCKET) / BUCKETS_PER_OCTAVE
+            if tail_weight >= max(wanted_weight, MIN_TAIL_SAMPLES) or i == 0:
+                if wanted_weight >= MIN_TAIL_SAMPLES:
+                    return float(2.0**bucket_log2)
+                # Mean excess, the inverse of the tail index.
+                slope = weighted_logs / summed_weight - bucket_log2 if summed_weight else 0.0
+                return float(
+                    2.0 ** (bucket_log2 + max(slope, 1 / BUCKETS_PER_OCTAVE) * log(tail_weight / wanted_weight))
+                )
+            weighted_logs += weight * bucket_log2
+            summed_weight += weight
         return float(2.0 ** ((BUCKETS + LOWEST_BUCKET) / BUCKETS_PER_OCTAVE))
--- a/ternlane/recovery/stream_join.py
+++ b/ternlane/recovery/stream_join.py
@@ -1,4 +1,4 @@
-"""Joins the text of several attempts into the one stream that a client sees: nothing twice, nothing left out."""
+"""Joins the text of several attempts into one stream for the client, without duplicates or gaps."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ternlane.recovery.replay_buffer import ReplayBuffer
 from ternlane.recovery.resume_strategy import ResumeStrategy
 
-INCOMPLETE_CHARACTER = "\ufffd"  # an engine's mark for a character of which only some bytes had come
+INCOMPLETE_CHARACTER = "\ufffd"  # sent by an engine for a character of which it has only some bytes
 
 
 class StreamJoin:
-    """One request's text over its attempts. Tokens are counted by pieces, or by the engine where it says how many.
+    """One request's text over its attempts. Tokens are those that the engine reports, otherwise one per piece.
 
-    `strategy` may turn to END: when the text outgrows the replay buffer, or a replay differs. The client then keeps its
-    stream as long as the attempt lasts, but a loss ends it.
+    `strategy` changes to END if the text exceeds the replay buffer or a replay differs. The present attempt then goes
+    on, but its failure ends the client's stream.
     """
 
     def __init__(
@@ -26,131 +26,134 @@
         self.replay_buffer = replay_buffer
         self.max_tokens = max_tokens
         self.pieces: list[str] = []
-        self.kept_bytes = 0
-        self.tokens = 0  # that the client has by attempts that are over
+        self.buffered_bytes = 0
+        self.tokens = 0  # that the client has from attempts that are over
         self.attempt_pieces = 0  # of the present attempt
-        self.attempts = 0  # that broke after their first piece
-        self.replay_rest = ""  # what a replay has still to say before anything new
-        self.characters_to_skip = 0  # that the client has of a run that is not known here
+        self.attempts = 0  # that failed after their first piece
+        self.replay_remaining = ""  # text that a replay has to repeat before anything new
+        self.characters_to_skip = 0  # that the client has from a run that this gateway does not know
         self.stopped = False
         self.mismatched = False
-        stops = [stop] if isinstance(stop, str) else stop if isinstance(stop, list) else []
-        self.stops = [s for s in stops if isinstance(s, str) and s]
+        stop_strings = [stop] if isinstance(stop, str) else stop if isinstance(stop, list) else []
+        self.stop_strings = [s for s in stop_strings if isinstance(s, str) and s]
 
     @property
     def text(self) -> str:
-        """All that the client has."""
+        """All text that the client has."""
         return "".join(self.pieces)
 
     @property
     def resumed(self) -> bool:
-        """Has an attempt broken after its first piece?"""
+        """Whether an attempt has failed after its first piece."""
         return self.attempts > 0
 
     @property
     def continues(self) -> bool:
-        """Does the present attempt go on with a text that an earlier one began?"""
+        """Whether the present attempt continues the text of an earlier one."""
         return self.resumed and self.strategy is ResumeStrategy.CONTINUE
 
     def remaining_tokens(self) -> int:
-        """Tokens that the answer may still have."""
+        """How many more tokens the answer may have."""
         return self.max_tokens - self.tokens if self.strategy is ResumeStrategy.CONTINUE else self.max_tokens
 
     def take(self, piece: str) -> str:
-        """A piece of the present attempt; gives what of it is new to the client. Raises ReplayMismatchError."""
+        """Takes a piece of the present attempt; returns the part that is new to the client. Raises
+        ReplayMismatchError."""
         if self.mismatched:
             raise ReplayMismatchError
         if self.stopped:
             return ""
         self.attempt_pieces += 1
-        if self.replay_rest:
+        if self.replay_remaining:
             piece = self.skip_replayed(piece)
-        elif self.continues and self.stops:
-            piece = self.up_to_stop(piece)
+        elif self.continues and self.stop_strings:
+            piece = self.drop_after_stop(piece)
         if piece:
-            self.keep(piece)
-        return self.skip_known(piece)
+            self.buffer_piece(piece)
+        return self.skip_delivered(piece)
 
     def skip_replayed(self, piece: str) -> str:
-        """What of a replay's piece lies beyond the text that the client has. Raises ReplayMismatchError."""
-        known = piece[: len(self.replay_rest)]
-        new = piece[len(self.replay_rest) :]
-        if not self.replay_rest.startswith(known):
-            self.mismatch()
+        """The part of a replay's piece that goes beyond the client's text. Raises ReplayMismatchError."""
+        replayed = piece[: len(self.replay_remaining)]
+        new = piece[len(self.replay_remaining) :]
+        if not self.replay_remaining.startswith(replayed):
+            self.record_mismatch()
             raise ReplayMismatchError
-        self.replay_rest = self.replay_rest[len(known) :]
+        self.replay_remaining = self.replay_remaining[len(replayed) :]
         return new
 
-    def skip_known(self, piece: str) -> str:
-        """What of a new run's piece comes after the characters that the client has of an earlier one."""
-        known = min(self.characters_to_skip, len(piece))
-        self.characters_to_skip -= known
-        return piece[known:]
+    def skip_delivered(self, piece: str) -> str:
+        """The part of a rerun's piece that goes beyond the characters that the client has from an earlier run."""
+        delivered = min(self.characters_to_skip, len(piece))
+        self.characters_to_skip -= delivered
+        return piece[delivered:]
 
-    def up_to_stop(self, piece: str) -> str:
-        """A stop string that began before the loss: the engine that goes on can't see it whole."""
-        reach = max(map(len, self.stops)) - 1
+    def drop_after_stop(self, piece: str) -> str:
+        """Ends the text at a stop string that began in an earlier attempt, which the present engine cannot
+        recognize."""
+        overlap = max(map(len, self.stop_strings)) - 1
         tail = ""
-        for kept in reversed(self.pieces):
-            if len(tail) >= reach:
+        for earlier_piece in reversed(self.pieces):
+            if len(tail) >= overlap:
                 break
-            tail = kept + tail
-        tail = tail[-reach:] if reach else ""
-        both = tail + piece
-        ends = [at for s in self.stops if 0 <= (at := both.find(s)) < len(tail) < at + len(s)]
+            tail = earlier_piece + tail
+        tail = tail[-overlap:] if overlap else ""
+        joined = tail + piece
+        ends = [at for s in self.stop_strings if 0 <= (at := joined.find(s)) < len(tail) < at + len(s)]
         if not ends:
             return piece
         self.stopped = True
         return ""
 
-    def keep(self, piece: str) -> None:
-        """Keeps a piece for a replay; a stream that outgrows the buffer can't be resumed from here on."""
+    def buffer_piece(self, piece: str) -> None:
+        """Buffers a piece for a resume; a stream that exceeds the buffer can no longer be resumed."""
         size = len(piece.encode("utf-8", "surrogatepass"))
         self.pieces.append(piece)
-        self.kept_bytes += size
+        self.buffered_bytes += size
         self.replay_buffer.add(size)
         if self.strategy is ResumeStrategy.END:
             return
-        if self.replay_buffer.is_exceeded_by(self.kept_bytes, self.tokens + self.attempt_pieces):
-            self.replay_buffer.dropped += 1
+        if self.replay_buffer.is_exceeded_by(self.buffered_bytes, self.tokens + self.attempt_pieces):
+            self.replay_buffer.overflowed_streams += 1
             self.disable("it outgrew what is kept for a loss")
 
-    def mismatch(self) -> None:
-        """A replay gave another text: the client's stream can't be joined."""
+    def record_mismatch(self) -> None:
+        """A replay produced another text, which cannot be joined to the client's."""
         self.mismatched = True
         self.disable("a repeat gave another answer")
 
     def disable(self, why: str) -> None:
-        """From here on a loss ends the stream."""
+        """From now on a failed attempt ends the stream; `why` can reach the client."""
         self.strategy = ResumeStrategy.END
         self.why = why
 
     def disable_for_extras(self) -> None:
-        """The client has more than text, which no other attempt can go on from."""
+        """The client has received more than text, which no other attempt can continue."""
         if self.strategy is not ResumeStrategy.END:
             self.disable("it had more than text")
 
     def attempt_completed(self) -> bool:
-        """The present attempt has ended well; false where it is a replay that said less than the client has."""
-        if self.replay_rest or self.characters_to_skip:
-            self.mismatch()
+        """Ends the present attempt as completed; false if it was a replay shorter than the client's text."""
+        if self.replay_remaining or self.characters_to_skip:
+            self.record_mismatch()
         return not self.mismatched
 
     def prefill_covers_text(self, prompt_tokens: int, first_prompt_tokens: int) -> bool:
-        """Did a prefill server take in what the client has? One that doesn't know `continue_final_message` reads the
-        prompt alone, and its decode server would begin the answer anew. By its count of tokens and the first one's."""
+        """Whether a prefill server has read the client's text along with the prompt, by its token count and that of the
+        first prefill. A server that does not support `continue_final_message` reads the prompt alone, and the decode
+        server would start the answer again."""
         if not self.continues or not prompt_tokens or not first_prompt_tokens:
             return True
         return prompt_tokens >= first_prompt_tokens + self.tokens / 2
 
     def attempt_failed(self, completion_tokens: int | None) -> int | None:
-        """The present attempt is lost after its first piece; `completion_tokens` by its engine's word. Gives the tokens
-        that have to be prefilled anew besides the prompt; None where the stream can't be resumed."""
+        """Ends the present attempt as failed after its first piece; `completion_tokens`: as its engine counted them.
+        Returns how many tokens a resume prefills besides the prompt; None if the stream cannot be resumed."""
         if self.strategy is ResumeStrategy.END:
             return None
         self.attempts += 1
         if self.strategy is ResumeStrategy.REPLAY:
-            self.replay_rest = self.text
+            self.replay_remaining = self.text
             self.attempt_pieces = 0
             return 0
         self.tokens += self.attempt_pieces if completion_tokens is None else max(completion_tokens, 0)
@@ -161,36 +164,46 @@
         return self.tokens
 
     def release_buffer(self) -> None:
-        """Nothing can break any more: its bytes count no longer."""
-        self.replay_buffer.free(self.kept_bytes)
-        self.kept_bytes = 0
+        """Releases the request's share of the replay buffer once it has ended."""
+        self.replay_buffer.free(self.buffered_bytes)
+        self.buffered_bytes = 0
 
     def request(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """The request body of the next attempt."""
+        """The request body of the next attempt, which continues the client's text if the strategy says so."""
         if not self.continues:
             return raw
         messages = list(raw["messages"])
         last = messages[-1]
         if last.get("role") == "assistant" and raw.get("continue_final_message"):
-            messages[-1] = {**last, "content": plain(last.get("content")) + self.text}
+            messages[-1] = {**last, "content": content_text(last.get("content")) + self.text}
         else:
             messages.append({"role": "assistant", "content": self.text})
         return {**raw, "messages": messages, "continue_final_message": True, "add_generation_prompt": False}
 
-    def usage(self, prompt: int, kept: int, said: dict[str, Any]) -> dict[str, Any]:
-        """The usage of the whole from the last attempt's: the `prompt` as first read, `kept` of it cached then (which a
-        decode server that took a state over can't know), and all tokens of the answer."""
-        answer = said["completion_tokens"] + (self.tokens if self.strategy is ResumeStrategy.CONTINUE else 0)
-        if not prompt:
-            return {**said, "completion_tokens": answer, "total_tokens": said["prompt_tokens"] + answer}
-        out = {**said, "prompt_tokens": prompt, "completion_tokens": answer, "total_tokens": prompt + answer}
-        if "prompt_tokens_details" in said:
-            out["prompt_tokens_details"] = {"cached_tokens": kept}
+    def usage(self, prompt_tokens: int, cached: int, reported: dict[str, Any]) -> dict[str, Any]:
+        """The usage of the whole request, from that `reported` for the last attempt. `prompt_tokens` and the `cached`
+        ones among them come from the first prefill, as a decode server that fetched a state does not know them; the
+        tokens of the answer are those of all attempts."""
+        answer_tokens = reported["completion_tokens"] + (self.tokens if self.strategy is ResumeStrategy.CONTINUE else 0)
+        if not prompt_tokens:
+            return {
+                **reported,
+                "completion_tokens": answer_tokens,
+                "total_tokens": reported["prompt_tokens"] + answer_tokens,
+            }
+        out = {
+            **reported,
+            "prompt_tokens": prompt_tokens,
+            "completion_tokens": answer_tokens,
+            "total_tokens": prompt_tokens + answer_tokens,
+        }
+        if "prompt_tokens_details" in reported:
+            out["prompt_tokens_details"] = {"cached_tokens": cached}
         return out
 
 
-def plain(content: Any) -> str:
-    """The text of a message's content."""
+def content_text(content: Any) -> str:
+    """The text of a message's content, which may be a list of parts."""
     if isinstance(content, list):
         return "".join(p.get("text", "") for p in content if isinstance(p, dict))
     return content or ""
--- a/ternlane/recovery/stream_recovery.py
+++ b/ternlane/recovery/stream_recovery.py
@@ -1,6 +1,6 @@
-"""One gateway's broken streams: what may be resumed, when silence is a stall, whose turn it is. No I/O.
+"""Recovery of one gateway's broken streams: which may be resumed, when silence is a stall, which is next. No I/O.
 
-The gateway's runtime tells it what happens and carries out what it says; which server goes on is the decisions' word.
+The gateway's runtime reports events and carries out the results. The router chooses the server that continues a stream.
 """
 
 from __future__ import annotations
@@ -12,52 +12,54 @@
 
 from ternlane.config import StreamConfig
 from ternlane.policy.messages import Request, RouterConfig
-from ternlane.recovery.recovery_pace import RecoveryPace
 from ternlane.recovery.replay_buffer import ReplayBuffer
+from ternlane.recovery.resume_limiter import ResumeLimiter
 from ternlane.recovery.resume_strategy import ResumeDecision, ResumeStrategy, choose_resume_strategy
 from ternlane.recovery.stall_detector import StallDetector
 from ternlane.recovery.stream_join import StreamJoin
 
-SAME_READ_MS = 0.2  # pieces closer than that came in one read of the socket: no wait of the engine's
-SPAN_SHARE = 1 / 4  # of the longest deadline: for so long work of resumes may be saved up
-DEFAULT_DEADLINE_MS = 1000.0  # where no request class is configured
+SAME_READ_MS = 0.2  # closer pieces came in one read of the socket and tell nothing of the engine
+WINDOW_DEADLINE_SHARE = 1 / 4  # of the longest deadline
+DEFAULT_DEADLINE_MS = 1000.0  # if no request class is configured
 T = TypeVar("T", bound=Hashable)
 
 
 class RecoveryOutcome(Enum):
-    """Of a stream whose attempt broke."""
+    """What happens to a stream whose attempt failed."""
 
-    RESUMES = auto()  # it waits for its turn
-    COMPLETE = auto()  # all of its text had come, but not its end
-    ENDS = auto()  # its client keeps a part
+    RESUMES = auto()  # queued to be resumed
+    COMPLETE = auto()  # the client has all of the text; only the end of the stream is missing
+    ENDS = auto()  # not resumable: the client keeps a partial answer
 
 
-def span_ms(router_config: RouterConfig) -> float:
-    """For how long work of resumes may be saved up."""
+def limiter_window_ms(router_config: RouterConfig) -> float:
+    """The depth of the resume limiter's bucket, in ms of refill."""
     deadlines = (request_class.deadline_ms for request_class in router_config.request_classes)
-    return max(deadlines, default=DEFAULT_DEADLINE_MS) * SPAN_SHARE
+    return max(deadlines, default=DEFAULT_DEADLINE_MS) * WINDOW_DEADLINE_SHARE
 
 
 class StreamRecovery(Generic[T]):
-    """`T`: what the runtime knows a request by. Times are ms."""
-
-    def __init__(self, terms: StreamConfig, router_config: RouterConfig) -> None:
-        self.terms = terms
-        self.replay_buffer = ReplayBuffer(terms.keep_tokens, terms.keep_bytes, terms.keep_all_bytes)
-        self.stall_detector = StallDetector(terms.alarms, router_config.seed)
-        self.pace: RecoveryPace[T] = RecoveryPace(terms.share, span_ms(router_config), router_config.gateways)
+    """`T`: the runtime's handle of a request. All times in ms."""
+
+    def __init__(self, config: StreamConfig, router_config: RouterConfig) -> None:
+        self.config = config
+        self.replay_buffer = ReplayBuffer(config.keep_tokens, config.keep_bytes, config.keep_all_bytes)
+        self.stall_detector = StallDetector(config.alarms, router_config.seed)
+        self.resume_limiter: ResumeLimiter[T] = ResumeLimiter(
+            config.share, limiter_window_ms(router_config), router_config.gateways
+        )
         self.broken_since_ms: dict[T, float] = {}
 
     def alter(self, router_config: RouterConfig) -> None:
-        """The fleet's figures have changed; what waits keeps its turn."""
-        self.pace.span_ms = span_ms(router_config)
-        self.pace.gateways = router_config.gateways
+        """Takes over a changed configuration; queued streams keep their places."""
+        self.resume_limiter.window_ms = limiter_window_ms(router_config)
+        self.resume_limiter.gateways = router_config.gateways
 
     def join(self, raw: dict[str, Any], request: Request) -> StreamJoin:
-        """The text of a new request, with the strategy by which its stream may be resumed."""
+        """The StreamJoin of a new request, with the strategy by which its stream may be resumed."""
         decision = ResumeDecision(ResumeStrategy.END, "resuming is off")
-        if self.terms.resume:
-            decision = choose_resume_strategy(raw, request.request_class.effect, self.terms.continues)
+        if self.config.resume:
+            decision = choose_resume_strategy(raw, request.request_class.effect, self.config.continues)
         return StreamJoin(
             decision.strategy, decision.reason, self.replay_buffer, int(request.max_tokens), raw.get("stop")
         )
@@ -65,9 +67,9 @@
     # -- an attempt streams
 
     def first_piece(self, item: T, now: float, since: float) -> float | None:
-        """An attempt's first piece, of a request that came at `since`; for how long its client had waited since a break
-        (ms), None where there was none."""
-        self.pace.resumed(item)
+        """Records an attempt's first piece, of a request that arrived at `since`; returns how long its client had
+        waited since the break (ms), None if there was none."""
+        self.resume_limiter.resumed(item)
         broken_since = self.broken_since_ms.pop(item, None)
         if broken_since is None:
             self.stall_detector.first_piece(now - since)
@@ -75,26 +77,26 @@
         self.stall_detector.resumed(now - broken_since)
         return now - broken_since
 
-    def record_piece_interval(self, server: Hashable, wait_ms: float, explored: bool) -> None:
-        """A further piece, so long after the one before; `explored`: of a stream that is never given up early."""
-        if wait_ms > SAME_READ_MS:
-            self.stall_detector.record_piece_interval(server, wait_ms, explored)
+    def record_piece_interval(self, server: Hashable, interval_ms: float, exploratory: bool) -> None:
+        """Records the interval between two pieces; `exploratory`: of a stream that keeps the router's idle timeout."""
+        if interval_ms > SAME_READ_MS:
+            self.stall_detector.record_piece_interval(server, interval_ms, exploratory)
 
-    def idle_timeout_ms(self, join: StreamJoin, server: Hashable, longest_ms: float, explored: bool) -> float:
-        """How long the present attempt may be silent: `longest_ms`, by the decisions, or less for a resumable one."""
-        if join.strategy is ResumeStrategy.END or explored or not self.terms.alarms:
+    def idle_timeout_ms(self, join: StreamJoin, server: Hashable, longest_ms: float, exploratory: bool) -> float:
+        """How long the present attempt may be silent: the router's `longest_ms`, or less if it can be resumed."""
+        if join.strategy is ResumeStrategy.END or exploratory or not self.config.alarms:
             return longest_ms
         return min(longest_ms, self.stall_detector.idle_timeout_ms(server) or longest_ms)
 
     def server_removed(self, server: Hashable) -> None:
-        """A server is no longer listed."""
-        self.stall_detector.forget(server)
+        """Drops a server that is no longer listed."""
+        self.stall_detector.remove_server(server)
 
     def record_prefill(self, now: float, tokens: float, took_ms: float) -> None:
-        """A server has prefilled so many tokens of an ordinary prompt."""
-        self.pace.record_prefill(now, tokens, took_ms)
+        """Records a finished prefill outside resumes; `tokens` are those that were not cached."""
+        self.resume_limiter.record_prefill(now, tokens, took_ms)
 
-    # -- an attempt broke
+    # -- an attempt has failed
 
     def attempt_failed(
         self,
@@ -106,36 +108,37 @@
         deadline_ms: float,
         prefill_servers: int,
     ) -> RecoveryOutcome:
-        """`completion_tokens` of the attempt by its engine's word; `deadline_ms`: of the client; `prefill_servers` that
-        may be asked. A request that is resumed grows by what is there."""
+        """Queues the stream to be resumed, if that is possible. Its request then also covers the text that is already
+        there. `completion_tokens`: of the attempt, as its engine counted them; `deadline_ms`: of the client;
+        `prefill_servers`: how many accept prompts."""
         tokens_before = join.tokens
-        tokens_again = join.attempt_failed(completion_tokens)
-        if tokens_again is None:
+        tokens_to_prefill = join.attempt_failed(completion_tokens)
+        if tokens_to_prefill is None:
             return RecoveryOutcome.ENDS
-        if join.remaining_tokens() <= 0:  # lost between its last token and its end
+        if join.remaining_tokens() <= 0:  # failed between its last token and its end
             return RecoveryOutcome.COMPLETE
         self.broken_since_ms[item] = now
-        request.prompt_tokens += tokens_again - tokens_before
+        request.prompt_tokens += tokens_to_prefill - tokens_before
         request.max_tokens = float(join.remaining_tokens())
-        self.pace.prefill_servers = prefill_servers
-        self.pace.wait(
+        self.resume_limiter.prefill_servers = prefill_servers
+        self.resume_limiter.enqueue(
             item, request.prompt_tokens, request.request_class.priority_weight, float(join.tokens), deadline_ms
         )
         return RecoveryOutcome.RESUMES
 
     def next(self, now: float) -> tuple[list[T], list[T]]:
-        """Which may be resumed now, and which have waited too long."""
-        return self.pace.next(now)
+        """The streams that may be resumed now, and those whose deadline has passed."""
+        return self.resume_limiter.next(now)
 
     def due(self, now: float) -> float:
-        """When to ask `next` again."""
-        due = self.pace.due(now)
+        """When to call `next` again; infinite if nothing waits."""
+        due = self.resume_limiter.due(now)
         return inf if due is None else due
 
     def ended(self, item: T, join: StreamJoin, complete: bool) -> None:
-        """Its final answer is given, or its client has left."""
+        """Drops a request that has its final answer or whose client has left."""
         if complete:
             self.stall_detector.ended(len(join.pieces))
         join.release_buffer()
         self.broken_since_ms.pop(item, None)
-        self.pace.remove(item)
+        self.resume_limiter.remove(item)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -24,9 +24,9 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def node(w: GatewayCluster, script: str, *args: str) -> str:
+async def node(cluster: GatewayCluster, script: str, *args: str) -> str:
     done = await trio.run_process(
-        [str(NODE), str(JS / script), f"http://{w.gateway.address}", *args],
+        [str(NODE), str(JS / script), f"http://{cluster.gateway.address}", *args],
         capture_stdout=True,
         capture_stderr=True,
         check=False,
@@ -40,28 +40,28 @@
     "scene, effects", [("served", 2), ("aborted", 1), ("throttled", 1), ("lost", 1), ("keyed", 1), ("unreached", 0)]
 )
 async def test_the_javascript_client(scene: str, effects: int) -> None:
-    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as w:
+    async with gateway_cluster(("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as cluster:
         if scene == "throttled":
-            w.gateway.found([])
+            cluster.gateway.found([])
 
             async def fill() -> None:
                 await trio.sleep(0.4)
-                w.publish_endpoints()
+                cluster.publish_endpoints()
 
-            w.nursery.start_soon(fill)
+            cluster.nursery.start_soon(fill)
         if scene == "lost":
             for ident in ("w0", "w0b"):
-                w.engines[ident].fault.lost_answer_share = 1.0
-        said = await node(w, "test/against.mjs", scene)
+                cluster.engines[ident].fault.lost_answer_share = 1.0
+        said = await node(cluster, "test/against.mjs", scene)
         assert json.loads(said.splitlines()[-1]) == {"scene": scene, "passed": True}
-        assert len(w.traffic_events("effect")) == effects
-        await w.wait_until_idle()
+        assert len(cluster.traffic_events("effect")) == effects
+        await cluster.wait_until_idle()
 
 
 @needs_node
 async def test_the_example_runs() -> None:
-    async with gateway_cluster() as w:
-        lines = (await node(w, "examples/stream.mjs", "summary")).splitlines()
+    async with gateway_cluster() as cluster:
+        lines = (await node(cluster, "examples/stream.mjs", "summary")).splitlines()
         assert len(lines) == 2 and lines[0] == lines[1] and len(lines[0].split()) == 6
 
 
@@ -76,10 +76,10 @@
 
 
 async def test_the_python_client_streams_comes_back_and_leaves() -> None:
-    async with gateway_cluster(("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as w:
+    async with gateway_cluster(("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as cluster:
 
         def talk() -> None:
-            with Client(f"http://{w.gateway.address}") as client:
+            with Client(f"http://{cluster.gateway.address}") as client:
                 pieces = list(client.stream(REQUEST))
                 whole = client.complete(REQUEST, key="folder-9")
                 assert "".join(pieces) == whole["text"] and whole["usage"]["completion_tokens"] == len(pieces) == 6
@@ -93,20 +93,20 @@
                 left.close()  # type: ignore[attr-defined]
 
         await trio.to_thread.run_sync(talk)
-        await w.wait_until_idle()
-        assert len(w.traffic_events("effect")) == 3 and w.traffic_events("leg_end")[-1]["how"] == "dropped"
-        w.gateway.found([])
+        await cluster.wait_until_idle()
+        assert len(cluster.traffic_events("effect")) == 3 and cluster.traffic_events("leg_end")[-1]["how"] == "dropped"
+        cluster.gateway.found([])
 
         async def fill() -> None:
             await trio.sleep(0.2)
-            w.publish_endpoints()
+            cluster.publish_endpoints()
 
-        w.nursery.start_soon(fill)
+        cluster.nursery.start_soon(fill)
 
         def back() -> None:
-            with Client(f"http://{w.gateway.address}", retries=5) as client:
+            with Client(f"http://{cluster.gateway.address}", retries=5) as client:
                 assert client.complete(REQUEST)["text"]
-            with Client(f"http://{w.gateway.address}", retries=0) as client, pytest.raises(Rejected) as no:
+            with Client(f"http://{cluster.gateway.address}", retries=0) as client, pytest.raises(Rejected) as no:
                 client.complete(REQUEST, request_timeout_ms=1)
             assert no.value.retry_after_ms is not None
 
@@ -114,12 +114,12 @@
 
 
 async def test_the_python_client_repeats_only_what_can_not_have_run() -> None:
-    async with gateway_cluster(("r0", "w0", "w0b")) as w:
+    async with gateway_cluster(("r0", "w0", "w0b")) as cluster:
         for ident in ("w0", "w0b"):
-            w.engines[ident].fault.lost_answer_share = 1.0
+            cluster.engines[ident].fault.lost_answer_share = 1.0
 
         def lost() -> None:
-            with Client(f"http://{w.gateway.address}", retries=3) as client, pytest.raises(Failed) as why:
+            with Client(f"http://{cluster.gateway.address}", retries=3) as client, pytest.raises(Failed) as why:
                 client.complete(REQUEST)
             assert why.value.may_have_run
             with Client("http://127.0.0.1:9", retries=1) as nobody, pytest.raises(Unconnected) as refused:
@@ -127,7 +127,7 @@
             assert not refused.value.may_have_run
 
         await trio.to_thread.run_sync(lost)
-        assert len(w.traffic_events("effect")) == 1
+        assert len(cluster.traffic_events("effect")) == 1
         broken = Scripted(
             [
                 b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -135,7 +135,7 @@
                 "reset",
             ]
         )
-        await broken.run(w.nursery)
+        await broken.run(cluster.nursery)
 
         def torn() -> None:
             with Client(f"http://{broken.address}", retries=3) as client, pytest.raises(Unconnected) as why:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -20,7 +20,7 @@
 
 import ternlane
 from ternlane.engine import LocalTransport
-from tests.test_transports import REQUEST, Local, config
+from tests.test_transports import REQUEST, FakeLocalEngine, gateway_config
 
 ROOT = Path(__file__).parent.parent
 
@@ -33,8 +33,8 @@
 
 def test_decisions_alone_bring_no_http_stack_and_all_names_are_there() -> None:
     heavy = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
-    said = python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
-    assert not heavy & set(said.split())
+    output = python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
+    assert not heavy & set(output.split())
     for name in ternlane.__all__:
         assert getattr(ternlane, name) is not None
     with pytest.raises(AttributeError, match="no attribute 'nothing'"):
@@ -49,16 +49,16 @@
     assert all(f"### `{name}" in text for name in ternlane.__all__[1:]) and "`.take(now: float," in text
 
 
-def engines() -> tuple[dict[str, Local], LocalTransport]:
-    made = {i: Local() for i in ("r0", "w0")}
-    return made, LocalTransport(dict(made))  # type: ignore[arg-type]
+def engines() -> tuple[dict[str, FakeLocalEngine], LocalTransport]:
+    engine_map = {i: FakeLocalEngine() for i in ("r0", "w0")}
+    return engine_map, LocalTransport(dict(engine_map))  # type: ignore[arg-type]
 
 
 def test_plain_threads_share_one_router_and_it_ends_with_its_block() -> None:
-    made, transport = engines()
+    engine_map, transport = engines()
     got: list[str] = []
     before = threading.active_count()
-    with ternlane.Blocking(config("r0", "w0"), lambda: transport) as routing:
+    with ternlane.Blocking(gateway_config("r0", "w0"), lambda: transport) as routing:
         threads = [threading.Thread(target=lambda: got.append("".join(routing.request(REQUEST)))) for _ in range(8)]
         for thread in threads:
             thread.start()
@@ -69,7 +69,7 @@
         early.close()  # type: ignore[attr-defined]
         with pytest.raises(ternlane.InvalidRequestError):
             list(routing.request(REQUEST | {"model": "x"}))
-        made["w0"].trouble = "broken"
+        engine_map["w0"].fault = "broken"
         with pytest.raises(ternlane.FailedError):
             list(routing.request(REQUEST))
     assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
@@ -78,43 +78,43 @@
 
 
 def test_asyncio_callers_are_served_and_may_cancel() -> None:
-    made, transport = engines()
+    engine_map, transport = engines()
 
     async def main() -> list[str]:
-        with ternlane.Bridged(config("r0", "w0"), lambda: transport) as routing:
+        with ternlane.Bridged(gateway_config("r0", "w0"), lambda: transport) as routing:
 
             async def one() -> str:
                 return "".join([text async for text in routing.agenerate(REQUEST)])
 
             got = list(await asyncio.gather(*[one() for _ in range(4)]))
-            made["w0"].trouble = "stalls"
+            engine_map["w0"].fault = "stalls"
             task = asyncio.create_task(one())
             await asyncio.sleep(0.1)
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
             for _ in range(200):
-                if made["w0"].closed == 5:
+                if engine_map["w0"].closed == 5:
                     break
                 await asyncio.sleep(0.01)
             return got
 
     assert asyncio.run(main()) == ["0 1 2 3 4 5 "] * 4
-    assert made["w0"].closed == 5
+    assert engine_map["w0"].closed == 5
 
 
 def test_a_router_that_can_not_start_says_so_where_it_is_made() -> None:
     def make() -> LocalTransport:
         raise OSError("no such engines")
 
-    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(config("r0"), make):
+    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(gateway_config("r0"), make):
         pass
 
 
 def test_an_interpreter_that_ends_with_a_router_open_ends() -> None:
     code = (
         "from tests.test_library import *\n_, t = engines()\n"
-        "r = ternlane.Blocking(config('r0', 'w0'), lambda: t).__enter__()\n"
+        "r = ternlane.Blocking(gateway_config('r0', 'w0'), lambda: t).__enter__()\n"
         "print(''.join(r.request(REQUEST)).strip()[-1])"
     )
     assert python(code).split()[-1] == "5"
@@ -148,21 +148,21 @@
     manager = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     manager.bind(str(tmp_path / "notify"))
     manager.settimeout(10)
-    door = socket.create_server(("127.0.0.1", 0), backlog=256)
-    port, results, stop = door.getsockname()[1], list[int](), threading.Event()
+    listener = socket.create_server(("127.0.0.1", 0), backlog=256)
+    port, results, stop = listener.getsockname()[1], list[int](), threading.Event()
 
     def keep_asking() -> None:
         while not stop.is_set():
             results.append(httpx.get(f"http://127.0.0.1:{port}/v1/models", timeout=5).status_code)
 
-    first = serve(tmp_path, port, str(tmp_path / "notify"), door)
+    first = serve(tmp_path, port, str(tmp_path / "notify"), listener)
     second = None
     try:
         assert b"READY=1" in manager.recv(4096)
         client = threading.Thread(target=keep_asking)
         client.start()
         time.sleep(0.2)
-        second = serve(tmp_path, port, str(tmp_path / "notify"), door)
+        second = serve(tmp_path, port, str(tmp_path / "notify"), listener)
         assert b"READY=1" in manager.recv(4096)
         first.send_signal(signal.SIGTERM)
         assert b"STOPPING=1" in manager.recv(4096) and first.wait(10) == 0
@@ -183,20 +183,20 @@
                 process.kill()
                 process.wait()
         manager.close()
-        door.close()
+        listener.close()
 
 
 def test_a_fork_after_import_can_route_in_both(tmp_path: Path) -> None:
     """Nothing is started by importing, so a child has all that its parent has."""
-    said = python(
+    output = python(
         "import os\nfrom tests.test_library import *\nternlane.Blocking, ternlane.open_gateway\n"
         "pid = os.fork()\n_, t = engines()\n"
-        "with ternlane.Blocking(config('r0', 'w0'), lambda: t) as r:\n"
+        "with ternlane.Blocking(gateway_config('r0', 'w0'), lambda: t) as r:\n"
         "    text = ''.join(r.request(REQUEST)).strip()\n"
         "os.write(1, (text[-1] + chr(10)).encode())\n"
         "pid and os.waitpid(pid, 0)\n"
     )
-    assert said.split() == ["5", "5"]
+    assert output.split() == ["5", "5"]
 
 
 @pytest.mark.parametrize("after_ms", [0, 60, 150, 250, 400])
@@ -223,15 +223,15 @@
                 process.send_signal(number)
                 time.sleep(0.01 if ready else 0.0)
             assert process.wait(5) == 0
-            told = []
+            notifications = []
             manager.setblocking(False)
             while True:
                 try:
-                    told.append(manager.recv(4096))
+                    notifications.append(manager.recv(4096))
                 except BlockingIOError:
                     break
             manager.settimeout(10)
-            assert told[-1] == b"STOPPING=1" and (b"RELOADING=1" in told) is bool(ready)
+            assert notifications[-1] == b"STOPPING=1" and (b"RELOADING=1" in notifications) is bool(ready)
         finally:
             if process.poll() is None:
                 process.kill()
@@ -242,13 +242,13 @@
 async def test_two_routers_in_one_process_do_not_know_each_other() -> None:
     (one, first), (two, second) = engines(), engines()
     async with (
-        ternlane.open_routing(config("r0", "w0"), first) as a,
-        ternlane.open_routing(config("r0", "w0", seed=9), second) as b,
+        ternlane.open_routing(gateway_config("r0", "w0"), first) as a,
+        ternlane.open_routing(gateway_config("r0", "w0", seed=9), second) as b,
     ):
         async with a.request(REQUEST) as stream:
             assert await stream.text()
         assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.runtime.active_requests
-        two["r0"].trouble = "hung"
+        two["r0"].fault = "hung"
         with trio.move_on_after(0.05):
             async with b.request(REQUEST) as stream:
                 await stream.text()
@@ -260,9 +260,9 @@
     """The n-th step of a generation is cancelled, for every n: nothing is held, no effect twice, no task stays."""
 
     async def once(n: int) -> bool:
-        made, transport = engines()
+        engine_map, transport = engines()
         steps, done = 0, False
-        async with ternlane.open_routing(config("r0", "w0"), transport) as routing:
+        async with ternlane.open_routing(gateway_config("r0", "w0"), transport) as routing:
             with trio.CancelScope() as scope:
 
                 class Count(trio.abc.Instrument):
@@ -283,8 +283,8 @@
             with trio.fail_after(1):
                 while routing.runtime.active_requests or routing.runtime.server_calls.releases_in_flight:
                     await trio.sleep(0.002)
-            assert made["w0"].effects <= 1 and made["w0"].closed == made["w0"].effects
-            assert made["w0"].effects or not made["r0"].states
+            assert engine_map["w0"].effects <= 1 and engine_map["w0"].closed == engine_map["w0"].effects
+            assert engine_map["w0"].effects or not engine_map["r0"].states
         return done
 
     before = trio.lowlevel.current_statistics().tasks_living
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -42,17 +42,17 @@
 )
 
 
-class Local:
+class FakeLocalEngine:
     """A model server in this process, with the troubles that a test gives it."""
 
     def __init__(self) -> None:
         self.states: set[str] = set()
-        self.trouble, self.effects, self.closed = "", 0, 0
+        self.fault, self.effects, self.closed = "", 0, 0
 
     async def read(self, ask: AttemptRequest) -> PrefillResult:
-        if self.trouble == "full":
+        if self.fault == "full":
             raise AttemptRejectedError("queue-full")
-        if self.trouble == "hung":
+        if self.fault == "hung":
             await trio.sleep_forever()
         await trio.sleep(0.002)
         self.states.add(ask.ident)
@@ -61,12 +61,12 @@
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
         if ask.stage is Stage.DECODE and (ask.state or {}).get("of") != ask.ident:
             raise AttemptRejectedError("no-state", state_lost=True)
-        if self.trouble == "broken":
+        if self.fault == "broken":
             raise RuntimeError("out of memory")
         self.effects += 1
         try:
             for i in range(6):
-                if self.trouble == "hung" or (self.trouble == "stalls" and i == 2):
+                if self.fault == "hung" or (self.fault == "stalls" and i == 2):
                     await trio.sleep_forever()
                 await trio.sleep(0.002)
                 yield f"{i} "
@@ -77,12 +77,12 @@
         self.states.discard(ident)
 
 
-class Bed:
+class TransportTestBed:
     """A transport with one reader and one writer behind it, and the means to trouble them."""
 
     def __init__(self, kind: str, nursery: trio.Nursery) -> None:
         self.kind, self.gateway_cluster = kind, GatewayCluster(nursery)
-        self.local = {"r0": Local(), "w0": Local()}
+        self.local = {"r0": FakeLocalEngine(), "w0": FakeLocalEngine()}
 
     async def open(self) -> Transport:
         if self.kind == "local":
@@ -100,14 +100,14 @@
             server, address, stage, ident, 0, "k", raw, state, 6, AttemptPlan(address, [], b"", timeout, 60)
         )
 
-    def trouble(self, server: str, what: str) -> None:
-        self.local[server].trouble = what
+    def fault(self, server: str, what: str) -> None:
+        self.local[server].fault = what
         if self.kind == "sockets":
             engine = self.gateway_cluster.engines[server]
             engine.fault.hung = what == "hung"
             engine.draining = what == "full"
 
-    def held(self) -> int:
+    def states_held(self) -> int:
         return len(self.local["r0"].states) if self.kind == "local" else len(self.gateway_cluster.engines["r0"].states)
 
 
@@ -124,58 +124,61 @@
 @pytest.mark.parametrize("kind", ["local", "sockets"])
 async def test_the_suite_of_every_transport(kind: str) -> None:
     async with trio.open_nursery() as nursery:
-        bed = Bed(kind, nursery)
-        transport = await bed.open()
-        end = await transport.read(bed.ask("r0", Stage.PREFILL))
+        test_bed = TransportTestBed(kind, nursery)
+        transport = await test_bed.open()
+        end = await transport.read(test_bed.ask("r0", Stage.PREFILL))
         assert (
             end.outcome is AttemptOutcome.PREFILLED
             and end.state is not None
             and end.usage is not None
-            and bed.held() == 1
+            and test_bed.states_held() == 1
         )
-        wrote, got = await collect(transport, bed.ask("w0", Stage.DECODE, end.state))
+        wrote, got = await collect(transport, test_bed.ask("w0", Stage.DECODE, end.state))
         assert wrote.outcome is AttemptOutcome.STREAMED and wrote.begun and len(got) == 6
         assert wrote.usage is not None and wrote.usage.completion_tokens == 6
         if kind == "local":
-            bed.local["r0"].states.clear()  # a local engine hands its state on as it likes
-        again = await transport.read(bed.ask("r0", Stage.PREFILL, ident="h"))
-        assert bed.held() == 1 and await transport.release("r0", bed.ask("r0", Stage.PREFILL).address, "h", 200)
-        assert bed.held() == 0 and again.outcome is AttemptOutcome.PREFILLED
+            test_bed.local["r0"].states.clear()  # a local engine hands its state on as it likes
+        again = await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="h"))
+        assert test_bed.states_held() == 1 and await transport.release(
+            "r0", test_bed.ask("r0", Stage.PREFILL).address, "h", 200
+        )
+        assert test_bed.states_held() == 0 and again.outcome is AttemptOutcome.PREFILLED
 
         lost, _ = await collect(
-            transport, bed.ask("w0", Stage.DECODE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i")
+            transport,
+            test_bed.ask("w0", Stage.DECODE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i"),
         )
         assert (lost.outcome, lost.state_lost) == (AttemptOutcome.OVERLOADED, True)
-        bed.trouble("r0", "full")
-        assert (await transport.read(bed.ask("r0", Stage.PREFILL))).outcome is AttemptOutcome.OVERLOADED
-        bed.trouble("r0", "hung")
-        assert (await transport.read(bed.ask("r0", Stage.PREFILL, timeout=50))).outcome is AttemptOutcome.TIMED_OUT
-        bed.trouble("r0", "")
-
-        called = bed.ask("r0", Stage.PREFILL)
-        bed.trouble("r0", "hung")
-        nursery.start_soon(_cancel, called)
+        test_bed.fault("r0", "full")
+        assert (await transport.read(test_bed.ask("r0", Stage.PREFILL))).outcome is AttemptOutcome.OVERLOADED
+        test_bed.fault("r0", "hung")
+        assert (await transport.read(test_bed.ask("r0", Stage.PREFILL, timeout=50))).outcome is AttemptOutcome.TIMED_OUT
+        test_bed.fault("r0", "")
+
+        called = test_bed.ask("r0", Stage.PREFILL)
+        test_bed.fault("r0", "hung")
+        nursery.start_soon(cancel_soon, called)
         assert (await transport.read(called)).outcome is AttemptOutcome.CANCELLED
-        bed.trouble("r0", "")
+        test_bed.fault("r0", "")
 
-        state = (await transport.read(bed.ask("r0", Stage.PREFILL, ident="j"))).state
+        state = (await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="j"))).state
 
         async def gone(text: str, first: bool) -> None:
             raise ClientGone
 
         with pytest.raises(ClientGone):
-            await transport.stream(bed.ask("w0", Stage.DECODE, state, ident="j"), gone)
-        assert kind == "sockets" or bed.local["w0"].closed == bed.local["w0"].effects
+            await transport.stream(test_bed.ask("w0", Stage.DECODE, state, ident="j"), gone)
+        assert kind == "sockets" or test_bed.local["w0"].closed == test_bed.local["w0"].effects
         transport.close()
         nursery.cancel_scope.cancel()
 
 
-async def _cancel(ask: AttemptRequest) -> None:
+async def cancel_soon(ask: AttemptRequest) -> None:
     await trio.sleep(0.03)
     ask.plan.cancel()
 
 
-def config(*idents: str, **more: Any) -> GatewayConfig:
+def gateway_config(*idents: str, **more: Any) -> GatewayConfig:
     role = {"r": "read", "w": "write"}
     return GatewayConfig(
         name="lib",
@@ -193,8 +196,8 @@
 
 
 async def test_the_router_alone_routes_by_direct_calls() -> None:
-    engines = {i: Local() for i in ("r0", "w0")}
-    async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+    engines = {i: FakeLocalEngine() for i in ("r0", "w0")}
+    async with open_routing(gateway_config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
             assert await stream.text() == "0 1 2 3 4 5 "
         assert stream.usage["completion_tokens"] == 6 and stream.finish == "stop"
@@ -205,24 +208,24 @@
 
 
 async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
-    engines = {i: Local() for i in ("r0", "w0", "w1")}
-    async with open_routing(config("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
+    engines = {i: FakeLocalEngine() for i in ("r0", "w0", "w1")}
+    async with open_routing(gateway_config("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
         for local in ("w0", "w1"):
-            engines[local].trouble = "broken"
+            engines[local].fault = "broken"
         with pytest.raises(FailedError, match="out of memory") as bad:
             async with routing.request(REQUEST) as stream:
                 await stream.text()
         assert not bad.value.begun
         await until(lambda: not engines["r0"].states, 1)  # released in the background
-        engines["r0"].trouble = "full"
+        engines["r0"].fault = "full"
         with pytest.raises(RejectedError):
             async with routing.request(REQUEST, request_timeout_ms=200) as stream:
                 await stream.text()
 
 
 async def test_leaving_early_cancels_and_releases() -> None:
-    engines = {i: Local() for i in ("r0", "w0")}
-    async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
+    engines = {i: FakeLocalEngine() for i in ("r0", "w0")}
+    async with open_routing(gateway_config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
             async for _ in stream:
                 break
@@ -235,8 +238,8 @@
 
 async def test_routers_made_and_discarded_leave_nothing() -> None:
     async def round_trip() -> None:
-        engines = {i: Local() for i in ("r0", "w0")}
-        async with open_routing(config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore  # noqa: SIM117
+        engines = {i: FakeLocalEngine() for i in ("r0", "w0")}
+        async with open_routing(gateway_config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore  # noqa: SIM117
             async with routing.request(REQUEST) as stream:
                 async for _ in stream:
                     break
@@ -256,51 +259,51 @@
     assert not issubclass(EngineUnreachableError, AttemptRejectedError)
 
 
-class Public(FakeEngine):
+class PublicApiEngine(FakeEngine):
     """A server of the public chat API that knows nothing of ours, and says so."""
 
     async def handle(self, exchange: Exchange) -> None:
         body = msgspec.json.decode(exchange.body) if exchange.body else {}
-        strange = {"kv_transfer_params", "prompt_cache_key"} & set(body)
-        if strange or exchange.path != "/v1/chat/completions" or exchange.header(b"idempotency-key"):
-            self.strange.append(exchange.path)
+        unexpected_paths = {"kv_transfer_params", "prompt_cache_key"} & set(body)
+        if unexpected_paths or exchange.path != "/v1/chat/completions" or exchange.header(b"idempotency-key"):
+            self.unexpected_paths.append(exchange.path)
             await exchange.answer(400, [], b'{"error": {"message": "unknown"}}')
         elif self.down:
             await exchange.answer(503, [("Retry-After", "1")], b"{}")
         else:
             await super().handle(exchange)
 
-    strange: list[str] = []
+    unexpected_paths: list[str] = []
     down = False
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
 async def test_plain_chat_servers_stand_beside_the_others(model: str) -> None:
-    async with gateway_cluster(("m0",)) as w:
+    async with gateway_cluster(("m0",)) as cluster:
         engines = []
         for i in range(2):
-            engine = Public(f"p{i}", "both", "hall", 1, "127.0.0.1", 0, ENGINE_PROFILE, w.traffic, 1)
-            engine.strange = []
+            engine = PublicApiEngine(f"p{i}", "both", "hall", 1, "127.0.0.1", 0, ENGINE_PROFILE, cluster.traffic, 1)
+            engine.unexpected_paths = []
             up = trio.Event()
-            w.nursery.start_soon(engine.run, w.nursery, up)
+            cluster.nursery.start_soon(engine.run, cluster.nursery, up)
             await up.wait()
             engines.append(engine)
-        w.gateway.found(
+        cluster.gateway.found(
             [
                 NodeLine(id=e.ident, address=f"{e.host}:{e.port}", role="both", kv_capacity_tokens=2e5, protocol="chat")
                 for e in engines
             ]
         )
-        reply = await w.ask(model, prompt_cache_key="folder")
-        assert reply.done == 1 and not engines[0].strange and not engines[1].strange
+        reply = await cluster.ask(model, prompt_cache_key="folder")
+        assert reply.done == 1 and not engines[0].unexpected_paths and not engines[1].unexpected_paths
         for engine in engines:
             engine.down = True
-        down = await w.ask(model)  # a 503 of a stranger proves nothing
-        asked = len(w.traffic_events("leg"))
+        down = await cluster.ask(model)  # a 503 of a stranger proves nothing
+        asked = len(cluster.traffic_events("leg"))
         assert down.status == (502 if model == "note" else 429) and asked == 1
         for engine in engines:
             engine.die()
-            assert not engine.strange
+            assert not engine.unexpected_paths
 
 
 def test_a_plain_chat_server_cannot_be_a_prefill_server() -> None:
@@ -309,7 +312,7 @@
 
 
 async def test_typed_settings_meet_the_checks_of_a_document() -> None:
-    good = config("r0", "w0")
+    good = gateway_config("r0", "w0")
     assert ternlane.checked(good) == good
     for changes, field in (
         ({"gateways": 0}, r"\$.gateways"),
