--- a/ternlane/engine/__init__.py
+++ b/ternlane/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Attempts at model servers: what is asked, how it is said on the wire, and how it ended."""
+"""Attempts at model servers: the request, its form on the wire, and the result."""
 
 from ternlane.engine.attempt import AttemptPlan, AttemptRequest, AttemptResult, Stage, TextSink
 from ternlane.engine.errors import (
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -1,4 +1,4 @@
-"""What an attempt is asked for and how it ended, whichever transport carries it."""
+"""The request and the result of an attempt, independent of the transport."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Stage(Enum):
-    """Which part of a request an attempt asks for."""
+    """The part of a request that an attempt runs."""
 
     PREFILL = auto()
     DECODE = auto()
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True)
 class AttemptPlan:
-    """Where an attempt goes, under which headers, and for how long (all times in ms).
+    """The address, headers, body and time limits (ms) of an attempt.
 
-    `timeout_ms` bounds the time until the answer begins, `idle_timeout_ms` the silence between two events of a stream
-    that has begun, `total_timeout_ms` the time from the send to the end.
+    `timeout_ms` limits the time until the answer begins, `idle_timeout_ms` the time between two events of a stream that
+    has begun, `total_timeout_ms` the time from sending to the end. `barred` is asked right before the attempt is sent.
     """
 
     address: str
@@ -42,32 +42,33 @@
     cancelled: bool = False
 
     def cancel(self) -> None:
-        """Ends the wait at once; the attempt ends as CANCELLED."""
+        """Cancels the attempt at once; its outcome is CANCELLED."""
         self.cancelled = True
         self.scope.cancel()
 
 
 @dataclass(slots=True)
 class AttemptRequest:
-    """One attempt: to which server, which stage, what is asked, and for how long (`plan`)."""
+    """One attempt: its server, its stage, the client's request, and the limits in `plan`."""
 
-    server: str  # its id
+    server: str  # id of the server
     address: str
     stage: Stage
     ident: str  # of the request
     number: int
-    key: str  # under which an engine drops repeats
+    key: str  # idempotency key, by which an engine drops repeats
     raw: dict[str, Any]  # the client's request
     state: dict[str, Any] | None
     max_tokens: int
     plan: AttemptPlan
     protocol: str = "disaggregated"
-    goes_on: bool = False  # `raw` ends with what the client has of the answer, to be continued from there
+    goes_on: bool = False  # `raw` ends with the part of the answer that the client has; the engine continues it
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended. `begun`: its first token had come; `state` is a prefill server's, to hand on."""
+    """How an attempt ended. `begun`: its first token had arrived; `state`: from a prefill server, for the decode
+    server."""
 
     outcome: AttemptOutcome
     begun: bool = False
@@ -80,19 +81,19 @@
 
 
 class TextSink(Protocol):
-    """Takes one piece of an answer; `more` is what it has besides text (`ternlane.chat.message_extras`)."""
+    """Takes one piece of an answer; `more` holds its fields other than text (`ternlane.chat.message_extras`)."""
 
     def __call__(self, text: str, first: bool, more: dict[str, Any] | None = None) -> Awaitable[None]:
-        """`first`: no other piece of this attempt came before. Raises ClientGone."""
+        """`first`: this is the attempt's first piece. Raises ClientGone."""
 
 
 def start_timeout(plan: AttemptPlan) -> None:
-    """Begins the wait for the answer's first piece."""
+    """Starts the time limit for the first piece of the answer."""
     plan.scope.deadline = min(plan.scope.deadline, trio.current_time() + plan.timeout_ms / 1000)
 
 
 def record_cancellation(plan: AttemptPlan, result: AttemptResult) -> None:
-    """Where the plan's scope ended the attempt: it was cancelled from outside, or its time was over."""
+    """Sets the outcome of an attempt that its plan's scope ended: cancelled from outside, or timed out."""
     if not plan.scope.cancelled_caught:
         return
     result.outcome = AttemptOutcome.CANCELLED if plan.cancelled else AttemptOutcome.TIMED_OUT
--- a/ternlane/engine/control_calls.py
+++ b/ternlane/engine/control_calls.py
@@ -1,4 +1,4 @@
-"""Small calls to an engine outside the attempts of a request: release, reserve, load."""
+"""Calls to an engine outside the attempts of a request: release, reserve, load."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 import msgspec
 import trio
 
-from ternlane.engine.endpoints import MAX_RESPONSE_BYTES, METRICS_PATH, RELEASE_PATH, RESERVE_PATH
 from ternlane.engine.http_attempt import CONNECTION_BROKEN
+from ternlane.engine.http_constants import MAX_RESPONSE_BYTES, METRICS_PATH, RELEASE_PATH, RESERVE_PATH
 from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool
 from ternlane.policy.messages import AttemptOutcome
 
-CONFIRMED = (200, 204)
+CONFIRMED_STATUSES = (200, 204)
 NOT_FOUND = 404
-RELEASE_TRIES = 8  # within the time for a release, if each is answered at once
+RELEASE_TRIES = 8  # within the time limit of a release, if each is answered at once
 
 Headers = list[tuple[str, str]]
 
 
 async def release(pool: ConnectionPool, address: str, ident: str, headers: Headers, within_ms: float) -> bool:
-    """Releases all that an engine holds for a request, within so many ms; true if the engine has confirmed it.
+    """Releases everything that an engine holds for a request; true if the engine confirms it within the time limit.
 
-    An engine that holds nothing (404) is asked again while there is time: a prefill that was given up on may still run
-    there, and keep its state at its end. Asked once only, it would keep that state until its own lease is over.
+    An engine that holds nothing (404) is asked again while time remains, as an abandoned prefill may still be running
+    and leave a state when it ends. After a single call that state would stay until its lease expires.
     """
     body = msgspec.json.encode({"request_id": ident})
-    holds_nothing = False
+    not_found = False
     with trio.move_on_after(within_ms / 1000):
         while True:
             status = await release_once(pool, address, headers, body)
-            if status in CONFIRMED:
+            if status in CONFIRMED_STATUSES:
                 return True
-            holds_nothing = holds_nothing or status == NOT_FOUND
+            not_found = not_found or status == NOT_FOUND
             await trio.sleep(within_ms / (RELEASE_TRIES * 1000))
-    return holds_nothing
+    return not_found
 
 
 async def release_once(pool: ConnectionPool, address: str, headers: Headers, body: bytes) -> int | None:
-    """The status of the engine's answer; None where there was none."""
+    """Asks an engine once; returns the status of its answer, None if there was none."""
     connection: ClientConnection | None = None
     try:
         connection = await pool.take(address)
@@ -58,7 +58,7 @@
 async def call_once(
     pool: ConnectionPool, address: str, method: str, path: str, headers: Headers, body: bytes, within_ms: float
 ) -> tuple[AttemptOutcome, bytes]:
-    """Asks an engine for something small, once, within so many ms: the answer's body, or how it failed."""
+    """Makes one call with a small answer; returns the outcome, STREAMED for success, and the body of the answer."""
     connection: ClientConnection | None = None
     failure = AttemptOutcome.TIMED_OUT
     with trio.move_on_after(within_ms / 1000):
@@ -67,7 +67,11 @@
             head = await connection.ask(method, path, headers, body)
             answer = await connection.body(MAX_RESPONSE_BYTES)
             pool.give_back(connection)
-            return (AttemptOutcome.STREAMED, answer) if head.status_code in CONFIRMED else (AttemptOutcome.ERROR, b"")
+            return (
+                (AttemptOutcome.STREAMED, answer)
+                if head.status_code in CONFIRMED_STATUSES
+                else (AttemptOutcome.ERROR, b"")
+            )
         except ConnectError:
             return AttemptOutcome.CONNECT_FAILED, b""
         except (h11.RemoteProtocolError, *CONNECTION_BROKEN):
@@ -78,7 +82,7 @@
 
 
 async def load(pool: ConnectionPool, address: str, headers: Headers, within_ms: float) -> tuple[AttemptOutcome, str]:
-    """Asks an engine for its metrics: the text, or how it failed."""
+    """Reads an engine's metrics; returns the outcome, STREAMED for success, and the text."""
     outcome, answer = await call_once(pool, address, "GET", METRICS_PATH, headers, b"", within_ms)
     return outcome, answer.decode(errors="replace")
 
@@ -86,7 +90,7 @@
 async def reserve(
     pool: ConnectionPool, address: str, ident: str, tokens: float, headers: Headers, within_ms: float
 ) -> bool:
-    """Asks a decode server to reserve a slot and memory for so many tokens; false unless that is free at once."""
+    """Reserves a slot and memory for `tokens` at a decode server; false unless both are free now."""
     body = msgspec.json.encode({"request_id": ident, "tokens": tokens})
     outcome, _ = await call_once(pool, address, "POST", RESERVE_PATH, headers, body, within_ms)
     return outcome is AttemptOutcome.STREAMED
--- a/ternlane/engine/errors.py
+++ b/ternlane/engine/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between a gateway and an engine, as one tree of exceptions."""
+"""Errors between a gateway and an engine."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class EngineError(Exception):
-    """An attempt did not run at its engine. Base of all errors of this package but ClientGone."""
+    """An attempt did not run at its engine. Base class of this package's errors except ClientGone."""
 
 
 class AttemptRejectedError(EngineError):
-    """A local engine rejects an attempt: nothing ran. `state_lost` where it has no state to go on with."""
+    """A local engine rejects an attempt: nothing ran. `state_lost`: it does not have the prefill state."""
 
     def __init__(self, why: str = "full", state_lost: bool = False) -> None:
         super().__init__(why)
@@ -22,7 +22,7 @@
 
 
 class AttemptNotStartedError(EngineError):
-    """The attempt must not begin any more: the client left, the server drains, or the time to begin is over."""
+    """The attempt may no longer be sent: the client disconnected, the server drains, or the time to begin is over."""
 
     def __init__(self, outcome: AttemptOutcome) -> None:
         super().__init__("the client left, the server drains, or the time to begin is over")
@@ -30,8 +30,8 @@
 
 
 class UnsupportedAttemptError(EngineError):
-    """The server's protocol cannot express the attempt: nothing was sent."""
+    """The server's protocol does not support the attempt: nothing was sent."""
 
 
 class ClientGone(Exception):
-    """The client's side broke while the answer was passed on; says nothing of the engine."""
+    """The client disconnected while the answer was forwarded; no fault of the engine."""
--- a/ternlane/engine/local_engine.py
+++ b/ternlane/engine/local_engine.py
@@ -1,4 +1,4 @@
-"""A model server in the same process, as a library's user writes one."""
+"""The interface of a model server in the same process, which users of the library implement."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class PrefillResult:
-    """What a local engine gives for a prompt it has read: a state to hand on, and how much it had to read."""
+    """The result of a local engine's prefill: the state for the decode server, and the token counts."""
 
     state: dict[str, Any]
     prompt_tokens: int
@@ -21,15 +21,16 @@
 
 
 class LocalEngine(Protocol):
-    """A model server in the same process: three calls, no bytes. Errors of its own mean that it may have run."""
+    """A model server in the same process. An exception other than this package's means that the attempt may have
+    run."""
 
     async def read(self, ask: AttemptRequest) -> PrefillResult:
-        """Reads the prompt of `ask.raw` and keeps its state until written or released. Where `ask.goes_on` its last
-        message is the beginning of the answer, and counts as read."""
+        """Prefills the prompt of `ask.raw` and keeps the state until it is used by `write` or released. If
+        `ask.goes_on`, the last message is the beginning of the answer and is prefilled too."""
 
     def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
-        """Writes the answer from `ask.state`, or from the prompt where that is None; a piece counts as a token.
-        Where `ask.goes_on`, only what comes after the last message."""
+        """Generates the answer from `ask.state`, or from the prompt if that is None; each piece counts as a token.
+        If `ask.goes_on`, only the text after the last message."""
 
     async def release(self, ident: str) -> None:
-        """Drops what is kept for a request; nothing kept is no error."""
+        """Releases the state of a request; no error if there is none."""
--- a/ternlane/engine/local_transport.py
+++ b/ternlane/engine/local_transport.py
@@ -1,4 +1,4 @@
-"""The transport of engines in the same process: direct calls, no bytes."""
+"""The transport to engines in the same process, by direct calls."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class LocalTransport(Transport):
-    """Direct calls to engines by their ids, for a library's users and for tests."""
+    """Direct calls to engines by their ids, for users of the library and for tests."""
 
     def __init__(self, engines: dict[str, LocalEngine]) -> None:
         self.engines = engines
 
     async def read(self, ask: AttemptRequest) -> AttemptResult:
-        """Has the engine read the prompt."""
+        """Has the engine prefill the prompt."""
         result = AttemptResult(AttemptOutcome.TIMED_OUT)
 
         async def call() -> None:
-            """The engine's own code."""
+            """Runs the engine's code."""
             prefill = await self._engine(ask).read(ask)
             result.outcome = AttemptOutcome.PREFILLED
             result.state = prefill.state
@@ -36,42 +36,47 @@
         return await self._run(ask, result, call)
 
     async def stream(self, ask: AttemptRequest, pass_on: TextSink) -> AttemptResult:
-        """Has the engine write; a piece counts as a token. Raises ClientGone where `pass_on` does."""
+        """Has the engine generate the answer; each piece counts as a token. Raises ClientGone if `pass_on` does."""
         result = AttemptResult(AttemptOutcome.TIMED_OUT)
-        last_s = trio.current_time() + ask.plan.total_timeout_ms / 1000
+        deadline_s = trio.current_time() + ask.plan.total_timeout_ms / 1000
 
         async def call() -> None:
-            """The engine's own code, and the client's side of each piece."""
+            """Runs the engine's code, and forwards each piece to the client."""
             pieces = self._engine(ask).write(ask)
             try:
-                written = await self._forward(pieces, ask, result, pass_on, last_s)
+                piece_count = await self._forward(pieces, ask, result, pass_on, deadline_s)
             finally:
                 await close_iterator(pieces)
-            if not result.begun:  # an answer of no tokens has begun with its end
+            if not result.begun:  # an empty answer begins when it ends
                 result.begun = True
                 await pass_on("", True)
             result.outcome = AttemptOutcome.STREAMED
-            result.usage = Usage(0, written, written)
+            result.usage = Usage(0, piece_count, piece_count)
 
         return await self._run(ask, result, call)
 
     async def _forward(
-        self, pieces: AsyncIterator[str], ask: AttemptRequest, result: AttemptResult, pass_on: TextSink, last_s: float
+        self,
+        pieces: AsyncIterator[str],
+        ask: AttemptRequest,
+        result: AttemptResult,
+        pass_on: TextSink,
+        deadline_s: float,
     ) -> int:
-        """Passes the engine's pieces on, and gives their number."""
+        """Forwards the engine's pieces; returns their number."""
         scope = ask.plan.scope
-        written = 0
+        piece_count = 0
         async for text in pieces:
             if not result.begun:
-                await extend_deadline(scope, last_s)
+                await extend_deadline(scope, deadline_s)
             first = not result.begun
             result.begun = True
-            written += 1
-            scope.deadline = last_s  # a slow client is not the engine's silence
+            piece_count += 1
+            scope.deadline = deadline_s  # the time of a slow client does not count as the engine's
             await pass_on(text, first)
-            scope.deadline = min(last_s, trio.current_time() + ask.plan.idle_timeout_ms / 1000)
+            scope.deadline = min(deadline_s, trio.current_time() + ask.plan.idle_timeout_ms / 1000)
             await trio.lowlevel.checkpoint()
-        return written
+        return piece_count
 
     def _engine(self, ask: AttemptRequest) -> LocalEngine:
         try:
@@ -94,7 +99,7 @@
             result.why = str(error)
         except ClientGone:
             raise
-        except Exception as error:  # the engine is the caller's code: whatever it raises, it may have run
+        except Exception as error:  # the engine is the caller's code: with any exception it may have run
             result.outcome = AttemptOutcome.ERROR
             result.why = repr(error)
         record_cancellation(ask.plan, result)
@@ -103,32 +108,32 @@
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """True once the engine's own `release` has returned in time."""
+        """True if the engine's `release` returned within the time limit."""
         engine = self.engines.get(server)
         if engine is None:
             return False
         with trio.move_on_after(within_ms / 1000) as scope:
             try:
                 await engine.release(ident)
-            except Exception:  # the caller's code: unconfirmed, and said so in the log by the runtime
+            except Exception:  # the caller's code; the runtime logs that the release is not confirmed
                 return False
         return not scope.cancelled_caught
 
     async def hold(
         self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """False: an engine in this process has no place to reserve."""
+        """Returns false, as local engines have nothing to reserve."""
         return False
 
     def sweep(self) -> None:
-        """Nothing lies idle."""
+        """Does nothing, as there are no connections."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing, as there are no connections."""
 
 
 async def close_iterator(pieces: AsyncIterator[str]) -> None:
-    """Closes an engine's generator, also when its attempt was cancelled: what it holds is freed there."""
+    """Closes an engine's generator, also after a cancellation, so that it can free its resources."""
     close = getattr(pieces, "aclose", None)
     if close is not None:
         with trio.CancelScope(shield=True):
--- a/ternlane/engine/messages.py
+++ b/ternlane/engine/messages.py
@@ -1,4 +1,4 @@
-"""Messages from engines, in the form of the public chat API (docs/engine-protocol.md). No I/O."""
+"""Messages from engines in the format of the public chat API (docs/engine-protocol.md). No I/O."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class PromptTokensDetails(msgspec.Struct):
-    """How many tokens of the prompt were found in the engine's prefix cache."""
+    """Details of the prompt's tokens: how many were found in the engine's prefix cache."""
 
     cached_tokens: int | None = None
 
 
 class Usage(msgspec.Struct):
-    """Tokens as an engine counted them, in the public API's form."""
+    """Token counts of an engine, in the format of the public API."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -25,7 +25,7 @@
     prompt_tokens_details: PromptTokensDetails | None = None
 
     def told(self) -> dict[str, Any]:
-        """As the client is told."""
+        """The usage object in the answer to the client."""
         usage: dict[str, Any] = {
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.completion_tokens,
@@ -37,21 +37,21 @@
 
 
 def cached_tokens(usage: Usage) -> int:
-    """Tokens of the prompt that were found in the prefix cache; 0 where the engine does not say."""
+    """The tokens of the prompt that were found in the prefix cache; 0 if the engine does not report them."""
     if usage.prompt_tokens_details is None:
         return 0
     return usage.prompt_tokens_details.cached_tokens or 0
 
 
 class PrefillResponse(msgspec.Struct):
-    """A prefill server's answer: the parameters by which a decode server fetches the state."""
+    """A prefill server's answer, with the parameters by which a decode server fetches the state."""
 
     kv_transfer_params: dict[str, Any] | None = None
     usage: Usage | None = None
 
 
 class StreamDelta(msgspec.Struct):
-    """What one event adds to the answer."""
+    """The part of the answer that one event adds."""
 
     content: str | None = None
     tool_calls: list[dict[str, Any]] | None = None
@@ -61,14 +61,15 @@
 
 
 class StreamChoice(msgspec.Struct):
-    """The one choice of an event; a gateway asks for one answer a request."""
+    """The choice of an event; a gateway requests one answer only."""
 
     delta: StreamDelta | None = None
     finish_reason: str | None = None
     logprobs: dict[str, Any] | None = None
 
     def extras(self) -> dict[str, Any] | None:
-        """What it has besides text, as `ternlane.chat.message_extras` puts it together; None for nothing."""
+        """Its fields other than text, in the form that `ternlane.chat.message_extras` combines; None if there are
+        none."""
         extras: dict[str, Any] = {}
         if self.delta is not None:
             fields = {name: value for name in EXTRA_FIELDS if (value := getattr(self.delta, name))}
--- a/ternlane/engine/prefill_attempt.py
+++ b/ternlane/engine/prefill_attempt.py
@@ -1,21 +1,21 @@
-"""An attempt that has a prompt read over HTTP and its state kept for a decode server."""
+"""A prefill attempt over HTTP, whose state is kept for a decode server."""
 
 from __future__ import annotations
 
 from ternlane.engine.attempt import AttemptPlan, AttemptResult
-from ternlane.engine.endpoints import CHAT_PATH, MAX_RESPONSE_BYTES
 from ternlane.engine.http_attempt import record_rejection, run_attempt, take_connection
+from ternlane.engine.http_constants import CHAT_PATH, MAX_RESPONSE_BYTES
 from ternlane.engine.messages import decode_prefill_response
 from ternlane.http1 import ConnectionPool
 from ternlane.policy.messages import AttemptOutcome
 
 
 async def prefill_attempt(pool: ConnectionPool, plan: AttemptPlan) -> AttemptResult:
-    """Has a prompt read. Never raises but for an outer cancellation."""
+    """Has a prompt prefilled. Raises nothing but an outer cancellation."""
     result = AttemptResult(AttemptOutcome.TIMED_OUT)
 
     async def exchange() -> None:
-        """One request and its answer."""
+        """Sends the request and reads the answer."""
         connection = await take_connection(pool, plan)
         try:
             head = await connection.ask("POST", CHAT_PATH, plan.headers, plan.body)
@@ -31,7 +31,7 @@
 
 
 def record_prefill(body: bytes, result: AttemptResult) -> None:
-    """Notes the state and the usage of a prefill server's answer. Raises msgspec.DecodeError."""
+    """Records the state and the usage in a prefill server's answer. Raises msgspec.DecodeError."""
     response = decode_prefill_response(body)
     if response.kv_transfer_params is None:
         result.outcome = AttemptOutcome.ERROR
--- a/ternlane/engine/protocols/__init__.py
+++ b/ternlane/engine/protocols/__init__.py
@@ -1,4 +1,4 @@
-"""Engine protocols that a node list may name, by those names."""
+"""The engine protocols by their names in an endpoint list."""
 
 from ternlane.engine.protocols.base import EngineProtocol
 from ternlane.engine.protocols.disaggregated import DisaggregatedProtocol
--- a/ternlane/engine/protocols/base.py
+++ b/ternlane/engine/protocols/base.py
@@ -1,4 +1,4 @@
-"""What a protocol of engines has to say."""
+"""The interface of engine protocols."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class EngineProtocol(Protocol):
-    """How an attempt is asked for; what comes back is read alike for all protocols."""
+    """How an attempt is encoded; answers have the same form in all protocols."""
 
-    holds_states: bool  # is there anything held that can be released?
-    goes_on: bool  # can it continue a last message? (continue_final_message, as servers of the field have it)
+    holds_states: bool  # engines keep states that can be released
+    goes_on: bool  # engines can continue the last message (continue_final_message)
 
     def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
-        """Headers and body of POST /v1/chat/completions. Raises ValueError for a stage that it does not know."""
+        """Headers and body of POST /v1/chat/completions. Raises ValueError for a stage that it does not support."""
--- a/ternlane/engine/protocols/disaggregated.py
+++ b/ternlane/engine/protocols/disaggregated.py
@@ -1,4 +1,4 @@
-"""The protocol of engines that prefill and decode apart."""
+"""The protocol of engines with separate prefill and decode."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class DisaggregatedProtocol(EngineProtocol):
-    """Prefill and decode servers that hand a state on by kv_transfer_params; mixed ones too."""
+    """Prefill and decode servers that hand over a state with kv_transfer_params, and mixed servers."""
 
     holds_states = True
     goes_on = True
 
     def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
-        """Every stage has its body; an engine drops repeats by the Idempotency-Key."""
+        """Each stage has its own body; engines drop repeats by the Idempotency-Key."""
         headers = [
             ("Content-Type", "application/json"),
             ("X-Request-Id", f"{ask.ident}.{ask.number}"),
--- a/ternlane/engine/protocols/plain_chat.py
+++ b/ternlane/engine/protocols/plain_chat.py
@@ -1,4 +1,4 @@
-"""The protocol of any server of the public chat completions API."""
+"""The protocol of servers that implement only the public chat completions API."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class PlainChatProtocol(EngineProtocol):
-    """A server that prefills and decodes in one attempt, and of which nothing of ours is asked. It keeps no state
-    between attempts, and vouches for nothing: only a 429 proves that nothing ran."""
+    """A server that prefills and decodes in one attempt, without any extension of ternlane's. It keeps no state between
+    attempts, and only its status 429 proves that nothing ran."""
 
     holds_states = False
     goes_on = False
 
     def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
-        """Raises ValueError for a stage of its own."""
+        """Raises ValueError for any stage but WHOLE."""
         if ask.stage is not Stage.WHOLE:
-            raise ValueError("a plain chat server reads and writes in one leg")
+            raise ValueError("a plain chat server cannot run prefill and decode as separate attempts")
         body = combined_body(ask.raw, ask.max_tokens)
-        body.pop("prompt_cache_key", None)  # servers that check their fields refuse it
+        body.pop("prompt_cache_key", None)  # servers with strict validation reject it
         headers = [
             ("Content-Type", "application/json"),
             ("User-Agent", agent),
--- a/ternlane/engine/rejection.py
+++ b/ternlane/engine/rejection.py
@@ -1,4 +1,4 @@
-"""What an engine's answer without success proves: was the attempt rejected, or may it have run? No I/O."""
+"""Classifies unsuccessful answers of engines: the attempt was rejected, or it may have run. No I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """What an answer without success proves. `state_lost`: the engine has no state to go on with."""
+    """The meaning of an unsuccessful answer. `state_lost`: the engine does not have the prefill state."""
 
     outcome: AttemptOutcome
     state_lost: bool = False
 
 
-def rejection_of(status: int, not_run: str | None) -> Rejection:
-    """What an answer without success proves. A 429 is a rejection by its meaning; other statuses
-    only with our header."""
+def classify_rejection(status: int, not_run: str | None) -> Rejection:
+    """The meaning of an unsuccessful answer. Status 429 is always a rejection, any other one only with the header
+    NOT_RUN_HEADER, whose value is `not_run`."""
     if not_run == "no-state":
         return Rejection(AttemptOutcome.OVERLOADED, state_lost=True)
     if not_run is not None or status == 429:
--- a/ternlane/engine/request_body.py
+++ b/ternlane/engine/request_body.py
@@ -8,7 +8,7 @@
 
 
 def prefill_body(raw: dict[str, Any]) -> bytes:
-    """The prompt to a prefill server: one token, and the state kept for another engine to fetch."""
+    """The body for a prefill server: it generates one token and keeps the state for another engine to fetch."""
     body = {k: v for k, v in raw.items() if k not in ("stream_options", "max_completion_tokens")}
     body.update(
         stream=False,
@@ -26,14 +26,14 @@
 
 
 def decode_body(raw: dict[str, Any], state: dict[str, Any], max_tokens: int) -> bytes:
-    """To a decode server: the prefill server's parameters come back with do_remote_prefill."""
+    """The body for a decode server: the prefill server's parameters with do_remote_prefill."""
     body = combined_body(raw, max_tokens)
     body["kv_transfer_params"] = {**state, "do_remote_decode": False, "do_remote_prefill": True}
     return msgspec.json.encode(body)
 
 
 def combined_body(raw: dict[str, Any], max_tokens: int) -> dict[str, Any]:
-    """The client's request as a stream whose usage is told, `max_tokens` long at the most."""
+    """The client's request as a stream with usage, limited to `max_tokens`."""
     body = {k: v for k, v in raw.items() if k not in ("max_completion_tokens", "kv_transfer_params")}
     body.update(stream=True, max_tokens=max_tokens, stream_options={"include_usage": True})
     return body
--- a/ternlane/engine/socket_transport.py
+++ b/ternlane/engine/socket_transport.py
@@ -1,4 +1,4 @@
-"""The transport over sockets."""
+"""The transport over HTTP/1.1 connections."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 
 class SocketTransport(Transport):
-    """Engine protocols over HTTP/1.1, each server's by the node list."""
+    """Engine protocols over HTTP/1.1; the endpoint list names the protocol of each server."""
 
     def __init__(self, pool: ConnectionPool, agent: str) -> None:
         self.pool = pool
         self.agent = agent
-        self._headers = [("User-Agent", agent)]  # of calls outside the attempts
+        self._headers = [("User-Agent", agent)]  # of calls other than attempts
 
-    def _fill(self, ask: AttemptRequest) -> AttemptPlan:
-        """The plan with what is sent. Raises UnsupportedAttemptError for what its protocol cannot say."""
+    def _fill_plan(self, ask: AttemptRequest) -> AttemptPlan:
+        """The plan with headers and body filled in. Raises UnsupportedAttemptError if the protocol does not support
+        it."""
         protocol = PROTOCOLS[ask.protocol]
         if ask.goes_on and not protocol.goes_on:
             raise UnsupportedAttemptError("it can't go on with a text")
@@ -33,23 +34,24 @@
         return ask.plan
 
     async def read(self, ask: AttemptRequest) -> AttemptResult:
-        """Has a prompt read; OVERLOADED where the server's protocol cannot express it."""
+        """Has a prompt prefilled; OVERLOADED if the server's protocol does not support the attempt."""
         try:
-            return await prefill_attempt(self.pool, self._fill(ask))
+            return await prefill_attempt(self.pool, self._fill_plan(ask))
         except UnsupportedAttemptError as error:
             return AttemptResult(AttemptOutcome.OVERLOADED, why=str(error))
 
     async def stream(self, ask: AttemptRequest, pass_on: TextSink) -> AttemptResult:
-        """Has an answer written; OVERLOADED where the server's protocol cannot express it. Raises ClientGone."""
+        """Has an answer generated; OVERLOADED if the server's protocol does not support the attempt. Raises
+        ClientGone."""
         try:
-            return await stream_attempt(self.pool, self._fill(ask), pass_on)
+            return await stream_attempt(self.pool, self._fill_plan(ask), pass_on)
         except UnsupportedAttemptError as error:
             return AttemptResult(AttemptOutcome.OVERLOADED, why=str(error))
 
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """True at once for a server whose protocol holds no states."""
+        """Releases the state; true at once for a server whose protocol holds no states."""
         if not PROTOCOLS[protocol].holds_states:
             return True
         return await control_calls.release(self.pool, address, ident, self._headers, within_ms)
@@ -57,7 +59,7 @@
     async def hold(
         self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """False for a server whose protocol holds no states."""
+        """Reserves a place; false for a server whose protocol holds no states."""
         if not PROTOCOLS[protocol].holds_states:
             return False
         return await control_calls.reserve(self.pool, address, ident, tokens, self._headers, within_ms)
@@ -65,12 +67,12 @@
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
     ) -> tuple[AttemptOutcome, Report | None]:
-        """Reads the server's /metrics."""
+        """Reads the load from the server's /metrics."""
         outcome, text = await control_calls.load(self.pool, address, self._headers, within_ms)
         return outcome, load_from_metrics(text) if outcome is AttemptOutcome.STREAMED else None
 
     def sweep(self) -> None:
-        """Closes connections that lay idle."""
+        """Closes connections that have been idle for too long."""
         self.pool.sweep()
 
     def close(self) -> None:
--- a/ternlane/engine/transport.py
+++ b/ternlane/engine/transport.py
@@ -1,8 +1,7 @@
-"""How attempts reach the model servers: the interface of every transport.
+"""The interface of transports, which carry attempts to model servers.
 
-The gateway's runtime knows nothing of bytes. It hands a transport an `AttemptRequest` and gets an `AttemptResult`; what
-crosses a socket, or a function call, is the matter of the transport. Every kind passes the same suite
-(tests/test_transports.py).
+The gateway's runtime hands a transport an `AttemptRequest` and gets an `AttemptResult`, independent of whether sockets
+or function calls lie between. All transports pass the same tests (tests/test_transports.py).
 """
 
 from __future__ import annotations
@@ -14,33 +13,33 @@
 
 
 class Transport(Protocol):
-    """How attempts reach model servers. An implementation never raises for what a server does: it says so in an
-    AttemptResult. Times are in ms."""
+    """Carries attempts to model servers. Faults of a server are never raised, but reported in the AttemptResult. Times
+    are in ms."""
 
     async def read(self, ask: AttemptRequest) -> AttemptResult:
-        """Has a prompt read and its state kept. Never raises but for an outer cancellation."""
+        """Has a prompt prefilled and its state kept. Raises nothing but an outer cancellation."""
 
     async def stream(self, ask: AttemptRequest, pass_on: TextSink) -> AttemptResult:
-        """Has an answer written; each piece goes to `pass_on`. Raises ClientGone where that does."""
+        """Has an answer generated; each piece goes to `pass_on`. Raises ClientGone if that does."""
 
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """Releases what a server holds for a request; true once it has confirmed."""
+        """Releases everything that a server holds for a request; true once the server has confirmed it."""
 
     async def hold(
         self, server: str, address: str, ident: str, tokens: float, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """Holds a place ahead at a decode server, if one is free at once."""
+        """Reserves a place at a decode server for `tokens`; false unless one is free now."""
 
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
     ) -> tuple[AttemptOutcome, Report | None]:
-        """Asks a server how loaded it is, outside any request; None where it does not say, as here."""
+        """Reads a server's load outside any request; the report is None if there is none, as in this default."""
         return AttemptOutcome.ERROR, None
 
     def sweep(self) -> None:
-        """Called now and then: a time to close what lay idle."""
+        """Called at intervals, to close idle connections."""
 
     def close(self) -> None:
-        """Nothing is asked any more."""
+        """Closes the transport; no calls follow."""
