--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -1,11 +1,12 @@
-"""A thin client of the chat API for Python tools, over httpx (the extra `client`).
+"""A small client of the chat API for Python tools, based on httpx (the extra `client`).
 
     with Client("http://127.0.0.1:8080", api_key) as client:
         for text in client.stream({"model": "summary", "messages": [...]}):
             print(text, end="")
 
-It repeats as the JavaScript one does: after a rejection when it was told to; after a connection that was refused, as
-nothing was sent; anything else only for requests said to be `idempotent`; never a stream that has begun.
+It retries like the JavaScript client: after a rejection, at the time that Retry-After names; after a refused
+connection, as nothing was sent; after other failures only requests that the caller declares `idempotent`; never a
+stream that has begun.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 
 import httpx
 
-DEFAULT_RETRY_AFTER_MS = 500.0  # after a rejection that does not say when to come back
-FIRST_BACKOFF_MS = 100.0  # doubled with each further try
-BACKOFF_JITTER = 0.1  # share of a pause, so that clients do not come back together
+DEFAULT_RETRY_AFTER_MS = 500.0  # after a rejection without Retry-After
+FIRST_BACKOFF_MS = 100.0  # doubled with each retry
+BACKOFF_JITTER = 0.1  # share of the delay, so that clients do not retry in step
 
 
 class ClientError(Exception):
-    """`may_have_run`: an effect may have happened. `begun`: part of a stream had come."""
+    """`may_have_run`: the request may have had its effect. `begun`: a part of the stream was received."""
 
     def __init__(
         self,
@@ -48,38 +49,38 @@
 
 
 class RequestError(ClientError):
-    """Wrong as it stands: 400, 401, 404, 409, 413, 422."""
+    """The request is invalid and must not be repeated unchanged: status 400, 401, 404, 409, 413, 422."""
 
 
 class Rejected(ClientError):
-    """Nothing ran; `retry_after_ms` is when to come back."""
+    """The request was rejected and did not run; `retry_after_ms` is the time until a retry."""
 
 
 class Failed(ClientError):
-    """Given up, or broken off: it may have run."""
+    """The gateway gave the request up, or its stream broke; it may have run."""
 
 
 class Unconnected(ClientError):
-    """No gateway was reached, or the connection broke."""
+    """No gateway could be reached, or the connection broke."""
 
 
-def failure(response: httpx.Response) -> ClientError:
-    """The error that an answer without success stands for."""
+def error_from_response(response: httpx.Response) -> ClientError:
+    """The exception for an unsuccessful response."""
     try:
-        info = response.json().get("error") or {}
+        error = response.json().get("error") or {}
     except (ValueError, AttributeError):
-        info = {}
-    why = info.get("message") or f"HTTP {response.status_code}"
-    told: dict[str, Any] = {"status": response.status_code, "code": info.get("code"), "param": info.get("param")}
+        error = {}
+    why = error.get("message") or f"HTTP {response.status_code}"
+    fields: dict[str, Any] = {"status": response.status_code, "code": error.get("code"), "param": error.get("param")}
     if response.status_code in (429, 503):
-        return Rejected(why, retry_after_ms=return_ms(response.headers), **told)
+        return Rejected(why, retry_after_ms=retry_delay_ms(response.headers), **fields)
     if response.status_code >= 500:
-        return Failed(why, may_have_run=True, **told)
-    return RequestError(why, **told)
+        return Failed(why, may_have_run=True, **fields)
+    return RequestError(why, **fields)
 
 
-def return_ms(headers: httpx.Headers) -> float:
-    """When to come back, in ms."""
+def retry_delay_ms(headers: httpx.Headers) -> float:
+    """The time until a retry, in ms."""
     for name, scale in (("retry-after-ms", 1.0), ("retry-after", 1000.0)):
         try:
             return max(0.0, float(headers[name]) * scale)
@@ -89,7 +90,7 @@
 
 
 class Client:
-    """`retries`: further tries at the most. A longer return time than `max_retry_after_ms` is not waited for."""
+    """`retries`: retries at most. A delay longer than `max_retry_after_ms` is not waited for."""
 
     def __init__(
         self,
@@ -111,24 +112,24 @@
         self.http.close()
 
     @contextmanager
-    def answer(
+    def open_response(
         self, request: dict[str, Any], stream: bool, key: str | None, idempotent: bool, request_timeout_ms: float | None
     ) -> Iterator[httpx.Response]:
-        """A response with status 200, repeated as far as that does no harm."""
+        """Opens a response with status 200; retries as described in the module's doc comment."""
         body = {**request, "stream": stream} | ({"stream_options": {"include_usage": True}} if stream else {})
         headers = {"idempotency-key": key} if key else {}
         if request_timeout_ms:
             headers["x-ternlane-time-limit-ms"] = f"{request_timeout_ms:.1f}"
         for attempt in range(self.retries + 1):
-            pause = FIRST_BACKOFF_MS * 2**attempt
+            delay_ms = FIRST_BACKOFF_MS * 2**attempt
             try:
                 response = self.http.send(
                     self.http.build_request("POST", "/v1/chat/completions", json=body, headers=headers), stream=True
                 )
             except httpx.ConnectError as why:
-                error: ClientError = Unconnected(f"not reached: {why}")
+                error: ClientError = Unconnected(f"could not connect to the gateway: {why}")
             except httpx.TransportError as why:
-                error = Unconnected(f"broken off: {why}", may_have_run=True)
+                error = Unconnected(f"no response from the gateway: {why}", may_have_run=True)
             else:
                 if response.status_code == 200:
                     try:
@@ -138,16 +139,16 @@
                     return
                 response.read()
                 response.close()
-                error = failure(response)
-                pause = error.retry_after_ms if error.retry_after_ms is not None else pause
-            harmless = isinstance(error, Rejected) or (isinstance(error, Unconnected) and not error.may_have_run)
+                error = error_from_response(response)
+                delay_ms = error.retry_after_ms if error.retry_after_ms is not None else delay_ms
+            safe_to_repeat = isinstance(error, Rejected) or (isinstance(error, Unconnected) and not error.may_have_run)
             if (
                 attempt == self.retries
-                or pause > self.max_retry_after_ms
-                or not (harmless or (idempotent and error.may_have_run))
+                or delay_ms > self.max_retry_after_ms
+                or not (safe_to_repeat or (idempotent and error.may_have_run))
             ):
                 raise error
-            time.sleep(pause * (1 + BACKOFF_JITTER * random.random()) / 1000)
+            time.sleep(delay_ms * (1 + BACKOFF_JITTER * random.random()) / 1000)
 
     def stream(
         self,
@@ -156,9 +157,9 @@
         idempotent: bool = False,
         request_timeout_ms: float | None = None,
     ) -> Iterator[str]:
-        """The text, piece by piece. Leaving the loop and closing the iterator ends the request at the gateway."""
+        """The text, piece by piece. Closing the iterator cancels the request at the gateway."""
         begun = done = False
-        with self.answer(request, True, key, idempotent, request_timeout_ms) as response:
+        with self.open_response(request, True, key, idempotent, request_timeout_ms) as response:
             try:
                 for line in response.iter_lines():
                     if not line.startswith("data:"):
@@ -167,18 +168,18 @@
                     if data == "[DONE]":
                         done = True
                         continue
-                    said = json.loads(data)
-                    if "error" in said:
-                        raise Failed(said["error"]["message"], may_have_run=True, begun=begun)
-                    for choice in said["choices"]:
+                    event = json.loads(data)
+                    if "error" in event:
+                        raise Failed(event["error"]["message"], may_have_run=True, begun=begun)
+                    for choice in event["choices"]:
                         text = choice["delta"].get("content")
                         if text:
                             begun = True
                             yield text
             except httpx.TransportError as why:
-                raise Unconnected(f"the stream broke off: {why}", may_have_run=True, begun=begun) from why
+                raise Unconnected(f"stream interrupted: {why}", may_have_run=True, begun=begun) from why
         if not done:
-            raise Unconnected("the stream ended before its end", may_have_run=True, begun=begun)
+            raise Unconnected("stream ended before [DONE]", may_have_run=True, begun=begun)
 
     def complete(
         self,
@@ -187,15 +188,15 @@
         idempotent: bool = False,
         request_timeout_ms: float | None = None,
     ) -> dict[str, Any]:
-        """The whole answer: text, finish, usage."""
-        with self.answer(request, False, key, idempotent, request_timeout_ms) as response:
-            said = json.loads(response.read())
-        choice = said["choices"][0]
-        return {"text": choice["message"]["content"], "finish": choice["finish_reason"], "usage": said["usage"]}
+        """The complete answer: text, finish reason, usage."""
+        with self.open_response(request, False, key, idempotent, request_timeout_ms) as response:
+            completion = json.loads(response.read())
+        choice = completion["choices"][0]
+        return {"text": choice["message"]["content"], "finish": choice["finish_reason"], "usage": completion["usage"]}
 
     def models(self) -> list[str]:
-        """The names under which the gateway offers models."""
+        """The names of the models that the gateway offers."""
         response = self.http.get("/v1/models")
         if response.status_code != 200:
-            raise failure(response)
+            raise error_from_response(response)
         return [m["id"] for m in response.json()["data"]]
--- a/ternlane/embed/__init__.py
+++ b/ternlane/embed/__init__.py
@@ -1,4 +1,4 @@
-"""Routing inside a program: no HTTP server, no daemon, and with a transport of the caller's no socket either."""
+"""Routing inside a program, without an HTTP server or a daemon; with the caller's own transport without sockets."""
 
 from ternlane.embed.blocking import Blocking, Bridged
 from ternlane.embed.routing import FailedError, RejectedError, Routing, Stream, open_routing
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -1,4 +1,4 @@
-"""The router for plain threads and for asyncio: its loop runs in a thread of its own, which ends with the block."""
+"""The router for threads and for asyncio; its event loop runs in its own thread, which ends with the block."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from ternlane.embed.routing import Routing, open_routing
 from ternlane.engine import Transport
 
-END = object()  # after the last piece
-MAX_PIECES_AHEAD = 64  # that wait for a slow caller; beyond that the decode server waits
-FULL_QUEUE_POLL_S = 0.002  # while a slow caller's queue is full
-ROUTER_CHECK_S = 0.5  # between two looks whether the router's thread still runs
+END_OF_PIECES = object()  # marks the end in a queue of pieces
+MAX_QUEUED_PIECES = 64  # for a slow caller; if they are reached, the decode server waits
+FULL_QUEUE_POLL_S = 0.002
+ROUTER_POLL_S = 0.5  # between checks that the router's thread still runs
 
 
 def cancel_from_thread(scope: trio.CancelScope, token: trio.lowlevel.TrioToken) -> None:
-    """Cancels a scope of the router's thread; nothing where that has ended."""
+    """Cancels a scope in the router's thread; does nothing if that has ended."""
     with suppress(trio.RunFinishedError):
         trio.from_thread.run_sync(scope.cancel, trio_token=token)
 
 
-class BlockingCall:
-    """One request between a thread that asks and the router's thread."""
+class RequestBridge:
+    """Passes one request from a calling thread to the router's thread, and the pieces back."""
 
     def __init__(self, request: dict[str, Any], request_timeout_ms: float | None) -> None:
         self.request = request
         self.request_timeout_ms = request_timeout_ms
-        self.pieces: queue.Queue[Any] = queue.Queue(maxsize=MAX_PIECES_AHEAD)
+        self.pieces: queue.Queue[Any] = queue.Queue(maxsize=MAX_QUEUED_PIECES)
         self.scope = trio.CancelScope()
-        self.caller_gone = threading.Event()
+        self.caller_closed = threading.Event()
 
     async def route(self, routing: Routing) -> None:
-        """Runs in the router's thread; what ends the request comes last."""
-        end: Any = END
+        """Routes the request, in the router's thread; the last item queued is END_OF_PIECES or the exception."""
+        end: Any = END_OF_PIECES
         try:
             with self.scope:
                 async with routing.request(self.request, self.request_timeout_ms) as stream:
@@ -54,8 +54,8 @@
                 await self._put(end)
 
     async def _put(self, piece: Any) -> None:
-        """Waits for a slow caller without holding the loop."""
-        while not self.caller_gone.is_set():
+        """Queues a piece; waits for a slow caller without blocking the event loop."""
+        while not self.caller_closed.is_set():
             try:
                 self.pieces.put_nowait(piece)
                 return
@@ -66,8 +66,8 @@
 class Blocking(RenamedMethods):
     """`with Blocking(config, make_transport) as routing: for text in routing.request({...}): ...`
 
-    `make_transport` is called in the router's thread. Any thread may call `request`; breaking off its loop, or
-    closing it, is a client's leaving. Exceptions of the router's thread come out of the `with` block.
+    `make_transport` is called in the router's thread. Any thread may call `request`; leaving its loop early or closing
+    the iterator counts as a client's disconnect. Exceptions of the router's thread are raised from the `with` block.
     """
 
     _RENAMED_METHODS = {"generation": "request"}
@@ -108,31 +108,32 @@
                 await trio.sleep_forever()
 
     def request(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> Iterator[str]:
-        """The text as it comes. Raises InvalidRequestError before anything is sent, RejectedError or FailedError at the
-        end."""
+        """The text, piece by piece. Raises InvalidRequestError before anything is sent, RejectedError or FailedError at
+        the end, RuntimeError if the router has stopped."""
         token = self.token
         if token is None:
-            raise RuntimeError("the router has ended")
-        call = BlockingCall(request, request_timeout_ms)
+            raise RuntimeError("the router has stopped")
+        bridge = RequestBridge(request, request_timeout_ms)
         assert self.routing is not None
-        trio.from_thread.run_sync(trio.lowlevel.spawn_system_task, call.route, self.routing, trio_token=token)
+        trio.from_thread.run_sync(trio.lowlevel.spawn_system_task, bridge.route, self.routing, trio_token=token)
         try:
-            yield from self._pieces_of(call)
+            yield from self._receive_pieces(bridge)
         finally:
-            call.caller_gone.set()
+            bridge.caller_closed.set()
             if self.token is not None:
-                cancel_from_thread(call.scope, token)
+                cancel_from_thread(bridge.scope, token)
 
-    def _pieces_of(self, call: BlockingCall) -> Iterator[str]:
-        """The pieces of a call until its end. Raises what ended it, and RuntimeError once the router has ended."""
+    def _receive_pieces(self, bridge: RequestBridge) -> Iterator[str]:
+        """The pieces until the end. Raises the exception that ended the request, RuntimeError if the router has
+        stopped."""
         while True:
             try:
-                piece = call.pieces.get(timeout=ROUTER_CHECK_S)
+                piece = bridge.pieces.get(timeout=ROUTER_POLL_S)
             except queue.Empty:
                 if self.token is None:
-                    raise RuntimeError("the router has ended") from self.failed
+                    raise RuntimeError("the router has stopped") from self.failed
                 continue
-            if piece is END:
+            if piece is END_OF_PIECES:
                 return
             if isinstance(piece, BaseException):
                 raise piece
@@ -150,24 +151,24 @@
 
 
 class Bridged(Blocking):
-    """The same for asyncio callers: `async for text in routing.agenerate({...})`. Each wait takes a thread of the
-    loop's pool for as long as it lasts, so the pool's size bounds how many may be asked at once."""
+    """The same for asyncio callers: `async for text in routing.agenerate({...})`. Each wait occupies a thread of the
+    event loop's pool, so the size of the pool limits the number of concurrent requests."""
 
     async def agenerate(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
-        """`request` for an asyncio task. Cancelling the task is a client's leaving."""
+        """`request` for an asyncio task; cancelling the task counts as a client's disconnect."""
         loop = asyncio.get_running_loop()
         pieces = self.request(request, request_timeout_ms)
         pending: asyncio.Future[Any] | None = None
         try:
             while True:
-                pending = loop.run_in_executor(None, next, pieces, END)
+                pending = loop.run_in_executor(None, next, pieces, END_OF_PIECES)
                 piece = await asyncio.shield(pending)
                 pending = None
-                if piece is END:
+                if piece is END_OF_PIECES:
                     return
                 yield piece
         finally:
-            if pending is not None and not pending.done():  # cancelled while a thread waits within the iterator
+            if pending is not None and not pending.done():  # cancelled while a thread of the pool waits in the iterator
                 pending.add_done_callback(lambda _: pieces.close())  # type: ignore[attr-defined]
             else:
                 pieces.close()  # type: ignore[attr-defined]
--- a/ternlane/embed/renamed_methods.py
+++ b/ternlane/embed/renamed_methods.py
@@ -1,4 +1,4 @@
-"""Old names of public methods: using one fails with an error that tells the new one."""
+"""Old names of public methods: using one raises an error that names the new one."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
     _RENAMED_METHODS: ClassVar[dict[str, str]] = {}
 
-    if not TYPE_CHECKING:  # a type checker must go on refusing every name that the class does not have
+    if not TYPE_CHECKING:  # type checkers must still report names that the class lacks
 
         def __getattr__(self, name: str) -> NoReturn:
             owner = type(self).__name__
             new_name = self._RENAMED_METHODS.get(name)
             if new_name is not None:
-                raise AttributeError(f"{owner}.{name} is called {owner}.{new_name} now (docs/migration.md)")
+                raise AttributeError(f"{owner}.{name} was renamed to {owner}.{new_name} (docs/migration.md)")
             raise AttributeError(f"{owner!r} object has no attribute {name!r}")
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -1,12 +1,12 @@
-"""`open_routing` gives a router that owns its tasks; `request` routes one request and gives its text as it comes.
+"""Routing as a library: `open_routing` opens a router, `Routing.request` routes one request and streams its text.
 
     async with open_routing(config, transport) as routing:
         async with routing.request({"model": "summary", "messages": [...]}) as stream:
             async for text in stream:
                 ...
 
-When the outer block ends nothing is left: no task, timer, descriptor or module state. Leaving the inner block early is
-what a client's leaving is to a gateway: the attempts are cancelled and everything held is released.
+When the outer block ends no task, timer, file descriptor or module state is left. Leaving the inner block early counts
+as a client's disconnect: the attempts are cancelled, and reservations and states are released.
 """
 
 from __future__ import annotations
@@ -37,40 +37,42 @@
 
 
 class RejectedError(Exception):
-    """Nothing ran, or a new try does no harm; best after `pause_ms`."""
+    """The request did not run, or may safely be repeated; preferably after `pause_ms`."""
 
     def __init__(self, pause_ms: float) -> None:
-        super().__init__(f"throttled; come back in {pause_ms:.0f} ms")
+        super().__init__(f"request rejected; retry after {pause_ms:.0f} ms")
         self.pause_ms = pause_ms
 
 
 class FailedError(Exception):
-    """Given up; it may have run. `begun`: part of the text had come."""
+    """The request was given up and may have run. `begun`: a part of the text was received."""
 
     def __init__(self, why: str, begun: bool) -> None:
-        super().__init__(why or "no server could finish it")
+        super().__init__(why or "no server could complete the request")
         self.begun = begun
 
 
 class Stream(ResponseWriter):
-    """The text of one request, piece by piece. `usage` and `finish` are there once it has ended."""
+    """The text of one request, piece by piece. `usage` and `finish` are set once it has ended."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.sends, self.gets = trio.open_memory_channel[str](0)  # the decode server waits for a slow caller
+        self.sends, self.gets = trio.open_memory_channel[str](
+            0
+        )  # unbuffered, so that the decode server waits for a slow caller
         self.active_request: ActiveRequest | None = None
         self.usage: dict[str, Any] = {}
         self.finish = ""
 
     async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
-        """The runtime's side: waits until the reader has taken it."""
+        """Called by the runtime; waits until the reader has taken the piece."""
         await self.sends.send(text)
 
     def __aiter__(self) -> AsyncIterator[str]:
         return self.pieces()
 
     async def pieces(self) -> AsyncIterator[str]:
-        """Raises RejectedError or FailedError where it ends so."""
+        """The text as it arrives. Raises RejectedError or FailedError at the end."""
         async for text in self.gets:
             if text:
                 yield text
@@ -84,12 +86,12 @@
                 raise FailedError(why, self.active_request.begun)
 
     async def text(self) -> str:
-        """The whole text, once it is there. Raises RejectedError or FailedError."""
+        """Waits for the complete text. Raises RejectedError or FailedError."""
         return "".join([piece async for piece in self])
 
 
 class Routing(RenamedMethods):
-    """A router without a server, in its owner's nursery. Open one by `open_routing`."""
+    """A router without a server, in its owner's nursery; opened by `open_routing`."""
 
     _RENAMED_METHODS = {"generation": "request"}
 
@@ -120,12 +122,13 @@
         )
 
     def nodes(self, lines: list[NodeLine]) -> None:
-        """The whole list of model servers, now and whenever it changes."""
+        """Sets the complete list of model servers; to be called whenever it changes."""
         self.runtime.endpoints_changed(self.registry.update(lines, time.time(), now_ms()))
 
     def alter(self, config: GatewayConfig) -> None:
-        """Takes over request classes, `fleet`, `gateways`, `zone` and inline nodes of another config, and back by the
-        same call; what was taken in keeps its request class. Raises ConfigError, and then nothing has changed."""
+        """Takes over request classes, `fleet`, `gateways`, `zone` and inline nodes of another config; requests in
+        flight keep their request classes. The former config is restored by the same call. Raises ConfigError, and then
+        nothing has changed."""
         self.config = checked(config)
         self.configured = configure_models(self.config, self.configured.request_classes)
         self.router_config = self.configured.router_config
@@ -137,8 +140,9 @@
     async def request(
         self, request: dict[str, Any] | ChatRequest, request_timeout_ms: float | None = None, key: str | None = None
     ) -> AsyncIterator[Stream]:
-        """`request` as the chat API has it; `request_timeout_ms` at most the deadline of its request class; `key` under
-        which engines drop repeats. Raises InvalidRequestError, which names the field, before anything is sent."""
+        """Routes one request in the format of the chat API. `request_timeout_ms` is limited to the deadline of its
+        request class; by `key` engines drop repeats. Raises InvalidRequestError, which names the field, before anything
+        is sent."""
         chat_request = request
         if not isinstance(chat_request, ChatRequest):
             chat_request = parse_chat_request(msgspec.json.encode(chat_request))
@@ -146,7 +150,7 @@
         deadline_ms = request_class.deadline_ms if request_class is not None else 0.0
         client_timeout_ms = deadline_ms if request_timeout_ms is None else min(deadline_ms, request_timeout_ms)
         record = self.intake.take(chat_request, client_timeout_ms)
-        record.request.whole = False  # the caller sees the text as it comes
+        record.request.whole = False  # the caller gets the text as a stream
         ident = f"{self.config.name}-{next(self.count)}"
         join = self.runtime.join_for(chat_request.raw, record.request)
         stream = Stream()
@@ -169,8 +173,8 @@
     chooser: Callable[[RouterConfig], RouterProtocol] = Router,
     log: Any = None,
 ) -> AsyncIterator[Routing]:
-    """A router without a server. Inline nodes of the config are listed at once; others by `Routing.nodes`. Raises
-    ConfigError for settings that no document could hold."""
+    """Opens a router without a server. Inline nodes of the config are listed at once, others by `Routing.nodes`. Raises
+    ConfigError for settings that the checks of a configuration document would reject."""
     config = checked(config)
     async with trio.open_nursery() as nursery:
         routing = Routing(config, transport, nursery, chooser, log or library_log())
--- a/ternlane/log_output.py
+++ b/ternlane/log_output.py
@@ -1,4 +1,4 @@
-"""Where a daemon's log lines go: a descriptor that may be full, slow or closed, which must not end the daemon."""
+"""The output of a daemon's log lines, which may be full, slow or closed without stopping the daemon."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import select
 from typing import TextIO, cast
 
-# So much can be written without waiting once a pipe is writable.
+# A writable pipe takes this many bytes without blocking.
 PIPE_BYTES = select.PIPE_BUF
 
 
 class LogOutput:
-    """A file to write log lines to. A line that can't be written at once is dropped and counted: neither a full disk, a
-    closed pipe nor a reader that stands still stops or ends the program."""
+    """A file for log lines. A line that cannot be written at once is dropped and counted, so that a full disk, a closed
+    pipe or a stalled reader neither blocks nor ends the program."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Writes a line, or drops what can't be written at once. Never raises OSError; returns the text's length."""
+        """Writes a line, or drops what cannot be written at once. Returns the text's length; never raises OSError."""
         rest = text.encode("utf-8", "replace")
         try:
             while rest:
@@ -32,7 +32,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is kept back."""
+        """Does nothing, as nothing is buffered."""
 
     def _writable(self) -> bool:
         poll = select.poll()
@@ -41,7 +41,7 @@
 
 
 def log_file(stream: TextIO) -> TextIO:
-    """The same place as `stream`, as a LogOutput where it is a descriptor."""
+    """A LogOutput on the file descriptor of `stream`, or `stream` itself if it has none."""
     try:
         return cast(TextIO, LogOutput(stream.fileno()))
     except (OSError, ValueError):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,5 +1,4 @@
-"""The clients against a gateway: they stream, abort, come back when told, and never repeat what may have run. And the
-examples, each run to its end."""
+"""The JavaScript and Python clients against a gateway, and the examples."""
 
 from __future__ import annotations
 
@@ -20,11 +19,11 @@
 
 JS = Path(__file__).parent.parent / "clients" / "js"
 NODE = shutil.which("node")
-needs_node = pytest.mark.skipif(NODE is None, reason="no node here")
+needs_node = pytest.mark.skipif(NODE is None, reason="Node.js is not installed")
 ROOT = Path(__file__).parent.parent
 
 
-async def node(cluster: GatewayCluster, script: str, *args: str) -> str:
+async def run_node(cluster: GatewayCluster, script: str, *args: str) -> str:
     done = await trio.run_process(
         [str(NODE), str(JS / script), f"http://{cluster.gateway.address}", *args],
         capture_stdout=True,
@@ -52,21 +51,21 @@
         if scene == "lost":
             for ident in ("w0", "w0b"):
                 cluster.engines[ident].fault.lost_answer_share = 1.0
-        said = await node(cluster, "test/against.mjs", scene)
-        assert json.loads(said.splitlines()[-1]) == {"scene": scene, "passed": True}
+        output = await run_node(cluster, "test/against.mjs", scene)
+        assert json.loads(output.splitlines()[-1]) == {"scene": scene, "passed": True}
         assert len(cluster.traffic_events("effect")) == effects
         await cluster.wait_until_idle()
 
 
 @needs_node
-async def test_the_example_runs() -> None:
+async def test_the_javascript_example() -> None:
     async with gateway_cluster() as cluster:
-        lines = (await node(cluster, "examples/stream.mjs", "summary")).splitlines()
+        lines = (await run_node(cluster, "examples/stream.mjs", "summary")).splitlines()
         assert len(lines) == 2 and lines[0] == lines[1] and len(lines[0].split()) == 6
 
 
 @needs_node
-def test_the_package_has_no_needs_at_run_time() -> None:
+def test_the_javascript_package_has_no_dependencies() -> None:
     package = json.loads((JS / "package.json").read_text())
     assert "dependencies" not in package
     assert subprocess.run([str(NODE), "--check", str(JS / "src" / "index.js")], timeout=30).returncode == 0
@@ -75,24 +74,27 @@
 REQUEST: dict[str, Any] = {"model": "note", "messages": [{"role": "user", "content": "hello"}]}
 
 
-async def test_the_python_client_streams_comes_back_and_leaves() -> None:
+async def test_the_python_client_streams_retries_and_cancels() -> None:
     async with gateway_cluster(("r0", "w0"), profile=replace(ENGINE_PROFILE, token_ms=10.0)) as cluster:
 
-        def talk() -> None:
+        def use_client() -> None:
             with Client(f"http://{cluster.gateway.address}") as client:
                 pieces = list(client.stream(REQUEST))
-                whole = client.complete(REQUEST, key="folder-9")
-                assert "".join(pieces) == whole["text"] and whole["usage"]["completion_tokens"] == len(pieces) == 6
-                assert client.complete(REQUEST, key="folder-9") == whole
+                completion = client.complete(REQUEST, key="folder-9")
+                assert (
+                    "".join(pieces) == completion["text"]
+                    and completion["usage"]["completion_tokens"] == len(pieces) == 6
+                )
+                assert client.complete(REQUEST, key="folder-9") == completion
                 assert client.models() == ["summary", "note", "form"]
-                with pytest.raises(RequestError) as bad:
+                with pytest.raises(RequestError) as invalid:
                     client.complete(REQUEST | {"model": "nobody"})
-                assert bad.value.param == "model"
-                left = client.stream(REQUEST)
-                next(left)
-                left.close()  # type: ignore[attr-defined]
+                assert invalid.value.param == "model"
+                abandoned = client.stream(REQUEST)
+                next(abandoned)
+                abandoned.close()  # type: ignore[attr-defined]
 
-        await trio.to_thread.run_sync(talk)
+        await trio.to_thread.run_sync(use_client)
         await cluster.wait_until_idle()
         assert len(cluster.traffic_events("effect")) == 3 and cluster.traffic_events("leg_end")[-1]["how"] == "dropped"
         cluster.gateway.found([])
@@ -103,30 +105,30 @@
 
         cluster.nursery.start_soon(fill)
 
-        def back() -> None:
+        def retry() -> None:
             with Client(f"http://{cluster.gateway.address}", retries=5) as client:
                 assert client.complete(REQUEST)["text"]
-            with Client(f"http://{cluster.gateway.address}", retries=0) as client, pytest.raises(Rejected) as no:
+            with Client(f"http://{cluster.gateway.address}", retries=0) as client, pytest.raises(Rejected) as rejected:
                 client.complete(REQUEST, request_timeout_ms=1)
-            assert no.value.retry_after_ms is not None
+            assert rejected.value.retry_after_ms is not None
 
-        await trio.to_thread.run_sync(back)
+        await trio.to_thread.run_sync(retry)
 
 
-async def test_the_python_client_repeats_only_what_can_not_have_run() -> None:
+async def test_the_python_client_repeats_only_requests_that_cannot_have_run() -> None:
     async with gateway_cluster(("r0", "w0", "w0b")) as cluster:
         for ident in ("w0", "w0b"):
             cluster.engines[ident].fault.lost_answer_share = 1.0
 
-        def lost() -> None:
-            with Client(f"http://{cluster.gateway.address}", retries=3) as client, pytest.raises(Failed) as why:
+        def lose_answers() -> None:
+            with Client(f"http://{cluster.gateway.address}", retries=3) as client, pytest.raises(Failed) as failed:
                 client.complete(REQUEST)
-            assert why.value.may_have_run
-            with Client("http://127.0.0.1:9", retries=1) as nobody, pytest.raises(Unconnected) as refused:
-                nobody.complete(REQUEST)
+            assert failed.value.may_have_run
+            with Client("http://127.0.0.1:9", retries=1) as unreachable, pytest.raises(Unconnected) as refused:
+                unreachable.complete(REQUEST)
             assert not refused.value.may_have_run
 
-        await trio.to_thread.run_sync(lost)
+        await trio.to_thread.run_sync(lose_answers)
         assert len(cluster.traffic_events("effect")) == 1
         broken = Scripted(
             [
@@ -137,17 +139,17 @@
         )
         await broken.run(cluster.nursery)
 
-        def torn() -> None:
-            with Client(f"http://{broken.address}", retries=3) as client, pytest.raises(Unconnected) as why:
+        def break_stream() -> None:
+            with Client(f"http://{broken.address}", retries=3) as client, pytest.raises(Unconnected) as interrupted:
                 list(client.stream(REQUEST, idempotent=True))
-            assert why.value.begun and why.value.may_have_run
+            assert interrupted.value.begun and interrupted.value.may_have_run
 
-        await trio.to_thread.run_sync(torn)
+        await trio.to_thread.run_sync(break_stream)
         assert broken.asked == 1
 
 
 @pytest.mark.parametrize("name", sorted(p.name for p in (ROOT / "examples").glob("*.py")))
-def test_examples_run_to_their_end(name: str) -> None:
+def test_the_python_examples(name: str) -> None:
     done = subprocess.run(
         [sys.executable, str(ROOT / "examples" / name)],
         capture_output=True,
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The public face: what importing costs, use from plain threads, and a daemon whose sockets are handed over."""
+"""The public interface: imports, use from threads and asyncio, and the life of a daemon."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 ROOT = Path(__file__).parent.parent
 
 
-def python(code: str) -> str:
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
-    assert done.returncode == 0, done.stderr
-    return done.stdout
+def run_python(code: str) -> str:
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
+    assert process.returncode == 0, process.stderr
+    return process.stdout
 
 
-def test_decisions_alone_bring_no_http_stack_and_all_names_are_there() -> None:
+def test_the_router_imports_no_http_stack_and_all_public_names_exist() -> None:
     heavy = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
-    output = python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
+    output = run_python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
     assert not heavy & set(output.split())
     for name in ternlane.__all__:
         assert getattr(ternlane, name) is not None
@@ -41,7 +41,7 @@
         ternlane.nothing  # noqa: B018
 
 
-def test_all_that_is_public_says_what_it_is_for() -> None:
+def test_all_public_names_have_doc_comments() -> None:
     from ternlane.reference import page, undocumented_names
 
     assert undocumented_names() == []
@@ -54,7 +54,7 @@
     return engine_map, LocalTransport(dict(engine_map))  # type: ignore[arg-type]
 
 
-def test_plain_threads_share_one_router_and_it_ends_with_its_block() -> None:
+def test_threads_share_one_router_that_ends_with_its_block() -> None:
     engine_map, transport = engines()
     got: list[str] = []
     before = threading.active_count()
@@ -64,16 +64,16 @@
             thread.start()
         for thread in threads:
             thread.join(5)
-        early = routing.request(REQUEST)
-        assert next(early) == "0 "
-        early.close()  # type: ignore[attr-defined]
+        abandoned = routing.request(REQUEST)
+        assert next(abandoned) == "0 "
+        abandoned.close()  # type: ignore[attr-defined]
         with pytest.raises(ternlane.InvalidRequestError):
             list(routing.request(REQUEST | {"model": "x"}))
         engine_map["w0"].fault = "broken"
         with pytest.raises(ternlane.FailedError):
             list(routing.request(REQUEST))
     assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
-    with pytest.raises(RuntimeError, match="has ended"):
+    with pytest.raises(RuntimeError, match="has stopped"):
         list(routing.request(REQUEST))
 
 
@@ -103,7 +103,7 @@
     assert engine_map["w0"].closed == 5
 
 
-def test_a_router_that_can_not_start_says_so_where_it_is_made() -> None:
+def test_a_router_that_cannot_start_raises_when_it_is_opened() -> None:
     def make() -> LocalTransport:
         raise OSError("no such engines")
 
@@ -111,13 +111,13 @@
         pass
 
 
-def test_an_interpreter_that_ends_with_a_router_open_ends() -> None:
+def test_an_interpreter_exits_with_a_router_open() -> None:
     code = (
         "from tests.test_library import *\n_, t = engines()\n"
         "r = ternlane.Blocking(gateway_config('r0', 'w0'), lambda: t).__enter__()\n"
         "print(''.join(r.request(REQUEST)).strip()[-1])"
     )
-    assert python(code).split()[-1] == "5"
+    assert run_python(code).split()[-1] == "5"
 
 
 def serve(tmp_path: Path, port: int, notify: str, sock: socket.socket | None = None) -> subprocess.Popen[bytes]:
@@ -136,7 +136,7 @@
     args = [sys.executable, "-m", "ternlane", "serve", str(path), "--log", "error", "--pid-file", str(tmp_path / "pid")]
     if sock is None:
         return subprocess.Popen(args, env=env)
-    # a service manager puts the socket at 3 and names how many there are
+    # A service manager passes sockets from descriptor 3 on, and their number in LISTEN_FDS.
     code = (
         f"import os, sys; os.dup2({sock.fileno()}, 3); os.environ['LISTEN_PID'] = str(os.getpid()); "
         f"os.environ['LISTEN_FDS'] = '1'; os.execv(sys.executable, {args!r})"
@@ -144,14 +144,14 @@
     return subprocess.Popen([sys.executable, "-c", code], env=env, pass_fds=[sock.fileno(), 3])
 
 
-def test_a_restart_with_sockets_handed_over_drops_no_connection(tmp_path: Path) -> None:
+def test_a_restart_with_inherited_sockets_drops_no_connection(tmp_path: Path) -> None:
     manager = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     manager.bind(str(tmp_path / "notify"))
     manager.settimeout(10)
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
     port, results, stop = listener.getsockname()[1], list[int](), threading.Event()
 
-    def keep_asking() -> None:
+    def send_requests() -> None:
         while not stop.is_set():
             results.append(httpx.get(f"http://127.0.0.1:{port}/v1/models", timeout=5).status_code)
 
@@ -159,18 +159,19 @@
     second = None
     try:
         assert b"READY=1" in manager.recv(4096)
-        client = threading.Thread(target=keep_asking)
+        client = threading.Thread(target=send_requests)
         client.start()
         time.sleep(0.2)
         second = serve(tmp_path, port, str(tmp_path / "notify"), listener)
         assert b"READY=1" in manager.recv(4096)
         first.send_signal(signal.SIGTERM)
         assert b"STOPPING=1" in manager.recv(4096) and first.wait(10) == 0
-        assert (tmp_path / "pid").read_text() == f"{second.pid}\n"  # the one that ended left the other's number
+        # The first process did not remove the pid file of the second.
+        assert (tmp_path / "pid").read_text() == f"{second.pid}\n"
         time.sleep(0.3)
-        until = time.monotonic() + 10
-        while len(results) <= 20 and client.is_alive() and time.monotonic() < until:
-            time.sleep(0.02)  # a busy machine starts processes slowly
+        deadline = time.monotonic() + 10
+        while len(results) <= 20 and client.is_alive() and time.monotonic() < deadline:
+            time.sleep(0.02)  # processes start slowly on a busy machine
         stop.set()
         client.join(10)
         assert len(results) > 20 and set(results) == {200}, results
@@ -186,9 +187,9 @@
         listener.close()
 
 
-def test_a_fork_after_import_can_route_in_both(tmp_path: Path) -> None:
-    """Nothing is started by importing, so a child has all that its parent has."""
-    output = python(
+def test_parent_and_child_can_route_after_a_fork(tmp_path: Path) -> None:
+    """Importing starts nothing, so a child process can route like its parent."""
+    output = run_python(
         "import os\nfrom tests.test_library import *\nternlane.Blocking, ternlane.open_gateway\n"
         "pid = os.fork()\n_, t = engines()\n"
         "with ternlane.Blocking(gateway_config('r0', 'w0'), lambda: t) as r:\n"
@@ -200,7 +201,7 @@
 
 
 @pytest.mark.parametrize("after_ms", [0, 60, 150, 250, 400])
-def test_a_daemon_told_to_end_during_its_start_ends(tmp_path: Path, after_ms: float) -> None:
+def test_a_daemon_ends_on_sigterm_during_its_start(tmp_path: Path, after_ms: float) -> None:
     with socket.create_server(("127.0.0.1", 0)) as probe:
         port = probe.getsockname()[1]
     process = serve(tmp_path, port, "")
@@ -209,7 +210,7 @@
     assert process.wait(5) in (0, -signal.SIGTERM) and not (tmp_path / "pid").exists()
 
 
-def test_a_daemon_told_twice_ends_at_once_and_one_told_within_a_reload_drains(tmp_path: Path) -> None:
+def test_a_second_sigterm_ends_a_daemon_and_sigterm_during_a_reload_drains(tmp_path: Path) -> None:
     manager = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     manager.bind(str(tmp_path / "notify"))
     manager.settimeout(10)
@@ -239,7 +240,7 @@
     manager.close()
 
 
-async def test_two_routers_in_one_process_do_not_know_each_other() -> None:
+async def test_two_routers_in_one_process_are_independent() -> None:
     (one, first), (two, second) = engines(), engines()
     async with (
         ternlane.open_routing(gateway_config("r0", "w0"), first) as a,
@@ -256,8 +257,9 @@
             assert await stream.text()
 
 
-async def test_cancelled_at_every_checkpoint_it_leaves_nothing() -> None:
-    """The n-th step of a generation is cancelled, for every n: nothing is held, no effect twice, no task stays."""
+async def test_cancellation_at_any_checkpoint_leaves_nothing() -> None:
+    """A request is cancelled at its n-th step, for every n: nothing stays held, no effect happens twice, no task is
+    left."""
 
     async def once(n: int) -> bool:
         engine_map, transport = engines()
@@ -297,8 +299,8 @@
 
 
 @pytest.mark.parametrize("owner", [ternlane.Routing, ternlane.Blocking, ternlane.Bridged])
-def test_an_old_method_tells_the_new_one(owner: Any) -> None:
-    with pytest.raises(AttributeError, match=f"{owner.__name__}.request now"):
+def test_an_old_method_name_raises_an_error_with_the_new_one(owner: Any) -> None:
+    with pytest.raises(AttributeError, match=f"{owner.__name__}.generation was renamed to {owner.__name__}.request "):
         object.__new__(owner).generation  # noqa: B018
 
 
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -50,8 +50,8 @@
 
 
 def usage_of(reply: Reply) -> dict[str, Any]:
-    said = [json.loads(e) for e in reply.events if e != "[DONE]"]
-    return next(s["usage"] for s in said if s.get("usage"))
+    events = [json.loads(e) for e in reply.events if e != "[DONE]"]
+    return next(s["usage"] for s in events if s.get("usage"))
 
 
 async def complete_reply(model: str = "summary", **more: Any) -> Reply:
@@ -82,14 +82,14 @@
 @pytest.mark.parametrize("at", [1, 2, 3, 5, 6])
 async def test_a_stream_is_resumed_on_another_decode_server(at: int) -> None:
     """The decode server of a stream dies after `at` pieces, when the client has a part of the text."""
-    whole = await complete_reply()
+    complete = await complete_reply()
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, at)
         cluster.nursery.start_soon(set_script_of_others, cluster)
         reply = await cluster.ask(stream_options={"include_usage": True})
-        assert reply.done == 1 and reply.error is None and reply.text == whole.text
+        assert reply.done == 1 and reply.error is None and reply.text == complete.text
         ids = {json.loads(e)["id"] for e in reply.events if e != "[DONE]"}
-        assert len(ids) == 1 and usage_of(reply) == usage_of(whole)
+        assert len(ids) == 1 and usage_of(reply) == usage_of(complete)
         decode_servers = attempted_servers(cluster)
         assert len(decode_servers) == 2 and decode_servers[0] != decode_servers[1]
         await cluster.wait_until_idle()
@@ -97,33 +97,33 @@
 
 async def test_an_unstreamed_answer_is_resumed_without_the_client_noticing() -> None:
     async with gateway_cluster(("r0", "w0")) as cluster:
-        whole = json.loads((await cluster.ask(stream=False)).body)
+        complete = json.loads((await cluster.ask(stream=False)).body)
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 4)
         reply = await cluster.ask(stream=False)
-        said = json.loads(reply.body)
-        assert reply.status == 200 and said["choices"] == whole["choices"] and said["usage"] == whole["usage"]
+        body = json.loads(reply.body)
+        assert reply.status == 200 and body["choices"] == complete["choices"] and body["usage"] == complete["usage"]
 
 
 async def test_a_stream_is_resumed_until_its_attempts_are_used_up() -> None:
     """Each decode server that resumes the stream dies too, until the limit on attempts ends it."""
-    whole = await complete_reply()
+    complete = await complete_reply()
     async with gateway_cluster(("r0", "w0", "w0b", "w1", "w1b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 2)
         reply = await cluster.ask(stream_options={"include_usage": True})
-        assert reply.text == whole.text and reply.done == 1  # 2 + 2 + 2 pieces, then only the end of the stream
+        assert reply.text == complete.text and reply.done == 1  # 2 + 2 + 2 pieces, then only the end of the stream
         assert usage_of(reply)["completion_tokens"] == 6 and len(set(attempted_servers(cluster))) >= 3
         await cluster.wait_until_idle()
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 1)
         reply = await cluster.ask()
-        assert reply.done == 0 and reply.error is not None and whole.text.startswith(reply.text) and reply.text
+        assert reply.done == 0 and reply.error is not None and complete.text.startswith(reply.text) and reply.text
         await cluster.wait_until_idle()
 
 
 async def test_a_resume_survives_the_loss_of_its_prefill_server() -> None:
     """A stream breaks, and the prefill server of its resume dies too."""
-    whole = await complete_reply()
+    complete = await complete_reply()
     async with gateway_cluster(("r0", "r0b", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 4)
 
@@ -134,13 +134,13 @@
 
         cluster.nursery.start_soon(kill)
         reply = await cluster.ask()
-        assert reply.text == whole.text and reply.done == 1
+        assert reply.text == complete.text and reply.done == 1
 
 
 @pytest.mark.parametrize("model", ["note", "form"])
 async def test_side_effecting_and_deduplicated_requests_do_not_run_twice(model: str) -> None:
     """A side-effecting request ends. A deduplicated one is replayed unchanged within its cell, compared and joined."""
-    whole = await complete_reply(model)
+    complete = await complete_reply(model)
     async with gateway_cluster(("r0", "w0", "w0b", "r1", "w1", "w1b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 3)
         cluster.nursery.start_soon(set_script_of_others, cluster)
@@ -149,7 +149,7 @@
             assert len(cluster.traffic_events("effect")) == 1 and reply.done == 0 and reply.error is not None
             assert len(attempted_servers(cluster)) == 1
         else:
-            assert reply.text == whole.text and reply.done == 1
+            assert reply.text == complete.text and reply.done == 1
             assert (
                 len({v["key"] for v in cluster.traffic_events("effect")}) == 1
                 and len({i[1] for i in attempted_servers(cluster)}) == 1
@@ -181,28 +181,28 @@
     ],
 )
 async def test_each_kind_of_request_is_resumed_or_ended(more: dict[str, Any], joined: bool) -> None:
-    whole = await complete_reply(**more)
+    complete = await complete_reply(**more)
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 3)
         cluster.nursery.start_soon(set_script_of_others, cluster)
         reply = await cluster.ask(stream_options={"include_usage": True}, **more)
         assert (
             reply.done == joined
-            and (reply.text == whole.text) == joined
+            and (reply.text == complete.text) == joined
             and len(attempted_servers(cluster)) == 1 + joined
         )
-        assert not joined or usage_of(reply) == usage_of(whole)
+        assert not joined or usage_of(reply) == usage_of(complete)
         await cluster.wait_until_idle()
 
 
 async def test_prefill_servers_that_cannot_continue_a_text_are_detected() -> None:
-    whole = await complete_reply()
+    complete = await complete_reply()
     async with gateway_cluster(("r0", "r0b", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 4)
         for ident in ("r0", "r0b"):
             cluster.engines[ident].fault.script = "deaf"
         reply = await cluster.ask()
-        assert reply.done == 0 and whole.text.startswith(reply.text) and len(reply.text.split()) == 4
+        assert reply.done == 0 and complete.text.startswith(reply.text) and len(reply.text.split()) == 4
         await cluster.wait_until_idle()
 
 
@@ -245,7 +245,7 @@
 
 async def test_drain_waits_for_resumes() -> None:
     """A gateway begins to drain while a broken stream is being resumed."""
-    whole = await complete_reply()
+    complete = await complete_reply()
     async with gateway_cluster(
         ("r0", "w0", "w0b"), profile=replace(ENGINE_PROFILE, token_ms=20.0), fleet=fleet_config()
     ) as cluster:
@@ -258,7 +258,7 @@
 
         cluster.nursery.start_soon(drain)
         reply = await cluster.ask()
-        assert reply.text == whole.text and reply.done == 1
+        assert reply.text == complete.text and reply.done == 1
 
 
 async def test_a_stream_that_exceeds_the_replay_buffer_ends_with_an_error() -> None:
@@ -330,12 +330,12 @@
     strategy = data.draw(st.sampled_from([ResumeStrategy.CONTINUE, ResumeStrategy.REPLAY]))
     stream_join, seen = join(strategy=strategy), ""
     for _ in range(4):
-        said = words[stream_join.tokens :] if strategy is ResumeStrategy.CONTINUE else words
-        upto = data.draw(st.integers(1, max(1, len(said))))
-        for piece in said[:upto]:
+        attempt_words = words[stream_join.tokens :] if strategy is ResumeStrategy.CONTINUE else words
+        break_at = data.draw(st.integers(1, max(1, len(attempt_words))))
+        for piece in attempt_words[:break_at]:
             seen += stream_join.take(piece)
         assert "".join(words).startswith(seen) and stream_join.text == seen
-        if upto >= len(said):
+        if break_at >= len(attempt_words):
             break
         assert stream_join.attempt_failed(None) is not None
     else:
@@ -424,9 +424,9 @@
     stream_join = join("a |b")
     assert stream_join.request(raw) is raw
     stream_join.attempt_failed(None)
-    said = stream_join.request(raw)
-    assert said["messages"] == [*raw["messages"], {"role": "assistant", "content": "a b"}]
-    assert said["continue_final_message"] and not said["add_generation_prompt"] and len(raw["messages"]) == 1
+    body = stream_join.request(raw)
+    assert body["messages"] == [*raw["messages"], {"role": "assistant", "content": "a b"}]
+    assert body["continue_final_message"] and not body["add_generation_prompt"] and len(raw["messages"]) == 1
     begun = {
         "messages": [{"role": "assistant", "content": [{"type": "text", "text": "z "}]}],
         "continue_final_message": True,
@@ -577,14 +577,14 @@
 async def test_tool_calls_and_logprobs_are_passed_on_and_replayed() -> None:
     async with gateway_cluster(("r0", "w0")) as cluster:
         streamed = await cluster.ask(tools=TOOLS)
-        said = [json.loads(e)["choices"][0] for e in streamed.events if e != "[DONE]" and json.loads(e)["choices"]]
-        calls = [c["delta"]["tool_calls"][0] for c in said if c["delta"].get("tool_calls")]
+        choices = [json.loads(e)["choices"][0] for e in streamed.events if e != "[DONE]" and json.loads(e)["choices"]]
+        calls = [c["delta"]["tool_calls"][0] for c in choices if c["delta"].get("tool_calls")]
         arguments = "".join(c["function"]["arguments"] for c in calls)
         assert calls[0]["id"] == "call_1" and calls[0]["function"]["name"] == "look_up" and len(arguments.split()) == 6
-        assert said[0]["delta"]["role"] == "assistant" and said[-1]["finish_reason"] == "tool_calls"
+        assert choices[0]["delta"]["role"] == "assistant" and choices[-1]["finish_reason"] == "tool_calls"
         for _ in range(2):  # when it runs, and as the answer to a repeat
-            whole = json.loads((await cluster.ask(stream=False, tools=TOOLS, headers={"Idempotency-Key": "k"})).body)
-            message = whole["choices"][0]["message"]
+            complete = json.loads((await cluster.ask(stream=False, tools=TOOLS, headers={"Idempotency-Key": "k"})).body)
+            message = complete["choices"][0]["message"]
             assert message["content"] is None and message["tool_calls"] == [
                 {"id": "call_1", "type": "function", "function": {"name": "look_up", "arguments": arguments}}
             ]
@@ -608,27 +608,27 @@
 
 async def test_last_event_id_resumes_a_stream() -> None:
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config(), streams=StreamConfig(ids=True)) as cluster:
-        whole = await cluster.ask(temperature=0)
-        ids = [int(line[4:]) for line in whole.body.decode().splitlines() if line.startswith("id: ")]
-        assert ids[-1] == len(whole.text) and ids == sorted(ids) and len(set(ids)) == 6
+        complete = await cluster.ask(temperature=0)
+        ids = [int(line[4:]) for line in complete.body.decode().splitlines() if line.startswith("id: ")]
+        assert ids[-1] == len(complete.text) and ids == sorted(ids) and len(set(ids)) == 6
         for at in (ids[0], ids[2], ids[2] - 1, ids[-1]):
             rest = await cluster.ask(temperature=0, headers={"Last-Event-ID": str(at)})
-            assert rest.text == whole.text[at:] and rest.done == 1
-            assert f"id: {len(whole.text)}\n" in rest.body.decode() or not rest.text
+            assert rest.text == complete.text[at:] and rest.done == 1
+            assert f"id: {len(complete.text)}\n" in rest.body.decode() or not rest.text
         break_decode_servers(cluster, 4)
         rest = await cluster.ask(temperature=0, headers={"Last-Event-ID": str(ids[1])})
-        assert rest.text == whole.text[ids[1] :] and rest.done == 1
+        assert rest.text == complete.text[ids[1] :] and rest.done == 1
         for engine in cluster.engines.values():
             engine.fault.script = ""
-        beyond = await cluster.ask(temperature=0, headers={"Last-Event-ID": str(len(whole.text) + 5)})
+        beyond = await cluster.ask(temperature=0, headers={"Last-Event-ID": str(len(complete.text) + 5)})
         assert beyond.done == 0 and beyond.error is not None
 
 
 async def test_last_event_id_of_a_request_that_must_not_rerun_needs_a_stored_answer() -> None:
     async with gateway_cluster(("r0", "w0"), streams=StreamConfig(ids=True)) as cluster:
-        whole = await cluster.ask("note", headers={"Idempotency-Key": "k"})
+        complete = await cluster.ask("note", headers={"Idempotency-Key": "k"})
         rest = await cluster.ask("note", headers={"Idempotency-Key": "k", "Last-Event-ID": "5"})
-        assert rest.text == whole.text[5:] and rest.done == 1 and len(cluster.traffic_events("effect")) == 1
+        assert rest.text == complete.text[5:] and rest.done == 1 and len(cluster.traffic_events("effect")) == 1
         for model, more in (("note", {}), ("summary", {}), ("form", {"temperature": 0})):
             reply = await cluster.ask(model, headers={"Last-Event-ID": "5"}, **more)
             assert reply.status == 409 and reply.error["code"] == "resume_not_possible"  # type: ignore[index]
@@ -678,7 +678,7 @@
 async def test_a_stalled_decode_server_that_recovers_adds_nothing_to_a_resumed_stream() -> None:
     """A stalled decode server recovers after its stream was resumed elsewhere, and continues to write."""
     build = replace(ENGINE_PROFILE, token_ms=8.0, answer_tokens=(30, 30))
-    whole = await complete_reply()
+    complete = await complete_reply()
     async with gateway_cluster(("r0", "w0", "w0b"), profile=build, fleet=fleet_config()) as cluster:
         stall_detector, rng = cluster.gateway.runtime.stream_recovery.stall_detector, random.Random(2)
         for _ in range(4000):
@@ -701,7 +701,7 @@
 
         cluster.nursery.start_soon(stall_and_recover)
         reply = await cluster.ask()
-        assert reply.done == 1 and len(reply.text.split()) == 30 and reply.text.startswith(whole.text)
+        assert reply.done == 1 and len(reply.text.split()) == 30 and reply.text.startswith(complete.text)
         assert len(attempted_servers(cluster)) == 2 and check(cluster.traffic.lines, RULES).violations == []
 
 
@@ -730,8 +730,10 @@
 
 def test_a_resumed_stream_is_billed_like_an_unbroken_one() -> None:
     usages = [TokenUsage(100, 0, 0), TokenUsage(0, 0, 3), TokenUsage(103, 80, 0), TokenUsage(0, 0, 5)]
-    whole = bill_for(usages, True, True, 8, 100, broke_at=2, answered=8)
-    assert whole.billed == TokenUsage(100, 0, 8) and whole.unbilled == TokenUsage(103, 80, 0) and not whole.note
+    complete = bill_for(usages, True, True, 8, 100, broke_at=2, answered=8)
+    assert (
+        complete.billed == TokenUsage(100, 0, 8) and complete.unbilled == TokenUsage(103, 80, 0) and not complete.note
+    )
     unfinished = bill_for(usages[:3], True, False, 3, 100, broke_at=2)  # broke again, or its client disconnected
     assert unfinished.billed == TokenUsage(100, 0, 3) and unfinished.unbilled == TokenUsage(103, 80, 0)
 
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -1,4 +1,4 @@
-"""Every transport passes the same suite; the router alone routes by direct calls and leaves nothing behind."""
+"""Tests that every transport passes, the library with local engines, and servers of the plain chat protocol."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class FakeLocalEngine:
-    """A model server in this process, with the troubles that a test gives it."""
+    """A model server in this process, with faults set by a test."""
 
     def __init__(self) -> None:
         self.states: set[str] = set()
@@ -78,7 +78,7 @@
 
 
 class TransportTestBed:
-    """A transport with one reader and one writer behind it, and the means to trouble them."""
+    """A transport with a prefill server r0 and a decode server w0, and faults to inject into them."""
 
     def __init__(self, kind: str, nursery: trio.Nursery) -> None:
         self.kind, self.gateway_cluster = kind, GatewayCluster(nursery)
@@ -100,12 +100,12 @@
             server, address, stage, ident, 0, "k", raw, state, 6, AttemptPlan(address, [], b"", timeout, 60)
         )
 
-    def fault(self, server: str, what: str) -> None:
-        self.local[server].fault = what
+    def inject_fault(self, server: str, fault: str) -> None:
+        self.local[server].fault = fault
         if self.kind == "sockets":
             engine = self.gateway_cluster.engines[server]
-            engine.fault.hung = what == "hung"
-            engine.draining = what == "full"
+            engine.fault.hung = fault == "hung"
+            engine.draining = fault == "full"
 
     def states_held(self) -> int:
         return len(self.local["r0"].states) if self.kind == "local" else len(self.gateway_cluster.engines["r0"].states)
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("kind", ["local", "sockets"])
-async def test_the_suite_of_every_transport(kind: str) -> None:
+async def test_every_transport(kind: str) -> None:
     async with trio.open_nursery() as nursery:
         test_bed = TransportTestBed(kind, nursery)
         transport = await test_bed.open()
@@ -137,37 +137,37 @@
         assert wrote.outcome is AttemptOutcome.STREAMED and wrote.begun and len(got) == 6
         assert wrote.usage is not None and wrote.usage.completion_tokens == 6
         if kind == "local":
-            test_bed.local["r0"].states.clear()  # a local engine hands its state on as it likes
+            test_bed.local["r0"].states.clear()  # the local fake keeps its state after a decode
         again = await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="h"))
         assert test_bed.states_held() == 1 and await transport.release(
             "r0", test_bed.ask("r0", Stage.PREFILL).address, "h", 200
         )
         assert test_bed.states_held() == 0 and again.outcome is AttemptOutcome.PREFILLED
 
-        lost, _ = await collect(
+        without_state, _ = await collect(
             transport,
             test_bed.ask("w0", Stage.DECODE, {"of": "?", "remote_host": "127.0.0.1", "remote_port": 9}, ident="i"),
         )
-        assert (lost.outcome, lost.state_lost) == (AttemptOutcome.OVERLOADED, True)
-        test_bed.fault("r0", "full")
+        assert (without_state.outcome, without_state.state_lost) == (AttemptOutcome.OVERLOADED, True)
+        test_bed.inject_fault("r0", "full")
         assert (await transport.read(test_bed.ask("r0", Stage.PREFILL))).outcome is AttemptOutcome.OVERLOADED
-        test_bed.fault("r0", "hung")
+        test_bed.inject_fault("r0", "hung")
         assert (await transport.read(test_bed.ask("r0", Stage.PREFILL, timeout=50))).outcome is AttemptOutcome.TIMED_OUT
-        test_bed.fault("r0", "")
+        test_bed.inject_fault("r0", "")
 
         called = test_bed.ask("r0", Stage.PREFILL)
-        test_bed.fault("r0", "hung")
+        test_bed.inject_fault("r0", "hung")
         nursery.start_soon(cancel_soon, called)
         assert (await transport.read(called)).outcome is AttemptOutcome.CANCELLED
-        test_bed.fault("r0", "")
+        test_bed.inject_fault("r0", "")
 
         state = (await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="j"))).state
 
-        async def gone(text: str, first: bool) -> None:
+        async def disconnect(text: str, first: bool) -> None:
             raise ClientGone
 
         with pytest.raises(ClientGone):
-            await transport.stream(test_bed.ask("w0", Stage.DECODE, state, ident="j"), gone)
+            await transport.stream(test_bed.ask("w0", Stage.DECODE, state, ident="j"), disconnect)
         assert kind == "sockets" or test_bed.local["w0"].closed == test_bed.local["w0"].effects
         transport.close()
         nursery.cancel_scope.cancel()
@@ -195,7 +195,7 @@
 REQUEST = {"model": "note", "messages": [{"role": "user", "content": "hello"}]}
 
 
-async def test_the_router_alone_routes_by_direct_calls() -> None:
+async def test_the_library_routes_by_direct_calls() -> None:
     engines = {i: FakeLocalEngine() for i in ("r0", "w0")}
     async with open_routing(gateway_config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
@@ -207,15 +207,15 @@
         assert not routing.runtime.active_requests and engines["w0"].effects == 1
 
 
-async def test_an_engine_that_raises_is_never_asked_twice_for_a_side_effect() -> None:
+async def test_a_side_effecting_request_is_not_retried_after_an_exception_of_an_engine() -> None:
     engines = {i: FakeLocalEngine() for i in ("r0", "w0", "w1")}
     async with open_routing(gateway_config("r0", "w0", "w1"), LocalTransport(dict(engines))) as routing:  # type: ignore
         for local in ("w0", "w1"):
             engines[local].fault = "broken"
-        with pytest.raises(FailedError, match="out of memory") as bad:
+        with pytest.raises(FailedError, match="out of memory") as failed:
             async with routing.request(REQUEST) as stream:
                 await stream.text()
-        assert not bad.value.begun
+        assert not failed.value.begun
         await until(lambda: not engines["r0"].states, 1)  # released in the background
         engines["r0"].fault = "full"
         with pytest.raises(RejectedError):
@@ -223,7 +223,7 @@
                 await stream.text()
 
 
-async def test_leaving_early_cancels_and_releases() -> None:
+async def test_leaving_the_block_early_cancels_and_releases() -> None:
     engines = {i: FakeLocalEngine() for i in ("r0", "w0")}
     async with open_routing(gateway_config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore[arg-type]
         async with routing.request(REQUEST) as stream:
@@ -232,11 +232,11 @@
         await until(lambda: not (routing.runtime.active_requests or engines["w0"].closed < 1), 1)
         with pytest.raises(KeyError):
             async with routing.request(REQUEST):
-                raise KeyError("the caller's own")
+                raise KeyError("raised by the caller")
         await until(lambda: not (routing.runtime.active_requests or "lib-2" in engines["r0"].states), 1)
 
 
-async def test_routers_made_and_discarded_leave_nothing() -> None:
+async def test_closed_routers_leave_no_tasks_descriptors_or_objects() -> None:
     async def round_trip() -> None:
         engines = {i: FakeLocalEngine() for i in ("r0", "w0")}
         async with open_routing(gateway_config("r0", "w0"), LocalTransport(dict(engines))) as routing:  # type: ignore  # noqa: SIM117
@@ -255,17 +255,17 @@
     assert count() == before and len(gc.get_objects()) < objects + 200
 
 
-def test_an_unreachable_engine_is_no_rejection() -> None:
+def test_an_unreachable_engine_is_not_a_rejection() -> None:
     assert not issubclass(EngineUnreachableError, AttemptRejectedError)
 
 
 class PublicApiEngine(FakeEngine):
-    """A server of the public chat API that knows nothing of ours, and says so."""
+    """A server of the public chat API that answers 400 to every extension of ternlane's."""
 
     async def handle(self, exchange: Exchange) -> None:
         body = msgspec.json.decode(exchange.body) if exchange.body else {}
-        unexpected_paths = {"kv_transfer_params", "prompt_cache_key"} & set(body)
-        if unexpected_paths or exchange.path != "/v1/chat/completions" or exchange.header(b"idempotency-key"):
+        extensions = {"kv_transfer_params", "prompt_cache_key"} & set(body)
+        if extensions or exchange.path != "/v1/chat/completions" or exchange.header(b"idempotency-key"):
             self.unexpected_paths.append(exchange.path)
             await exchange.answer(400, [], b'{"error": {"message": "unknown"}}')
         elif self.down:
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
-async def test_plain_chat_servers_stand_beside_the_others(model: str) -> None:
+async def test_plain_chat_servers_and_ternlane_engines_in_one_fleet(model: str) -> None:
     async with gateway_cluster(("m0",)) as cluster:
         engines = []
         for i in range(2):
@@ -298,7 +298,7 @@
         assert reply.done == 1 and not engines[0].unexpected_paths and not engines[1].unexpected_paths
         for engine in engines:
             engine.down = True
-        down = await cluster.ask(model)  # a 503 of a stranger proves nothing
+        down = await cluster.ask(model)  # a 503 without NOT_RUN_HEADER does not prove that nothing ran
         asked = len(cluster.traffic_events("leg"))
         assert down.status == (502 if model == "note" else 429) and asked == 1
         for engine in engines:
@@ -311,7 +311,7 @@
         read_text('{id: "a", address: "h:1", duty: "read", mem_toks: 1, protocol: "chat"}', NodeLine)
 
 
-async def test_typed_settings_meet_the_checks_of_a_document() -> None:
+async def test_typed_settings_pass_the_same_checks_as_a_document() -> None:
     good = gateway_config("r0", "w0")
     assert ternlane.checked(good) == good
     for changes, field in (
