--- a/ternlane/ledger/__init__.py
+++ b/ternlane/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The durable ledger: every settled request once, over crashes, full disks and failing syncs."""
+"""The durable ledger: holds every settled request exactly once, despite crashes, full disks and failing syncs."""
 
 from ternlane.ledger.billing_ledger import BillingLedger, UsageTotals
 from ternlane.ledger.disk import Disk
--- a/ternlane/ledger/billing_ledger.py
+++ b/ternlane/ledger/billing_ledger.py
@@ -1,4 +1,4 @@
-"""The bills of one gateway as a durable log, and what they add up to by tenant, request class and period."""
+"""The durable log of one gateway's billing entries, and their totals by tenant, request class and period."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class UsageTotal(msgspec.Struct, array_like=True):
-    """Sums of ledger entries: how many, tokens billed and unbilled, and the amount in micro-units of money."""
+    """Sums of ledger entries: their count, tokens billed and unbilled, and the amount in micro-units of money."""
 
     count: int = 0
     billed: TokenUsage = TokenUsage()
@@ -39,7 +39,7 @@
 
 
 class TotalsDump(msgspec.Struct):
-    """The form of a snapshot on disk."""
+    """The format of a snapshot on disk."""
 
     seq: int
     sums: list[tuple[str, str, str, UsageTotal]]
@@ -47,12 +47,12 @@
 
 @dataclass
 class UsageTotals:
-    """All sums of one ledger."""
+    """All totals of one ledger."""
 
     sums: dict[TotalKey, UsageTotal] = field(default_factory=dict)
 
     def add(self, entry: LedgerEntry) -> None:
-        """Adds one entry to the sums of its tenant, request class and period."""
+        """Adds one entry to the total of its tenant, request class and period."""
         key = (entry.tenant, entry.request_class, entry.period)
         total = self.sums.get(key)
         if total is None:
@@ -64,7 +64,7 @@
         return msgspec.msgpack.encode(TotalsDump(seq, [(*key, total) for key, total in self.sums.items()]))
 
     def load(self, raw: bytes) -> int:
-        """Takes over a snapshot; returns its sequence number."""
+        """Replaces the totals by a snapshot; returns its sequence number."""
         dump = msgspec.msgpack.decode(raw, type=TotalsDump)
         self.sums = {(tenant, request_class, period): total for tenant, request_class, period, total in dump.sums}
         return dump.seq
@@ -79,7 +79,7 @@
 
 
 class BillingLedger(SegmentedLog[LedgerEntry, UsageTotals]):
-    """The durable log of one gateway's bills."""
+    """The durable log of one gateway's billing entries."""
 
     def __init__(self, disk: Disk, segment_bytes: int = SEGMENT_BYTES, keep_segments: int = KEEP_ALL_SEGMENTS) -> None:
         super().__init__(BILLS_FORMAT, disk, segment_bytes, keep_segments)
--- a/ternlane/ledger/billing_report.py
+++ b/ternlane/ledger/billing_report.py
@@ -1,4 +1,4 @@
-"""Bills out of ledgers, as rows and as text."""
+"""Bills computed from ledgers, as rows and as text."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from ternlane.ledger.disk import Disk
 from ternlane.tenants.billing import LedgerEntry
 
-MICROS = 10**6  # micro-units in a unit of money
+MICROS_PER_UNIT = 10**6
 
 
 class BillRow(TypedDict):
-    """One line of a bill. The keys are those of the command's JSON and CSV; counts are of tokens."""
+    """One line of a bill. The keys are those of the JSON and CSV output; all counts but `generations` are tokens."""
 
     tenant: str
     product: str
@@ -33,14 +33,15 @@
 
 
 def read_entries(folders: Iterable[Path]) -> Iterator[LedgerEntry]:
-    """Every entry that the segments of these ledgers still hold. Raises CorruptLedgerError, OSError."""
+    """All entries in the segments of these ledgers; dropped segments are missing. Raises CorruptLedgerError,
+    OSError."""
     for folder in folders:
         yield from BillingLedger(Disk(folder)).entries()
 
 
 def bill_rows(folders: Iterable[Path], tenant: str | None, period: str | None) -> list[BillRow]:
-    """A row for each tenant, request class and period (None: all), summed over these ledgers, also of segments that
-    have been dropped. Raises CorruptLedgerError, OSError."""
+    """A row for each tenant, request class and period, summed over these ledgers; `tenant` and `period` select rows,
+    None selects all. Dropped segments are included, as snapshots cover them. Raises CorruptLedgerError, OSError."""
     totals: defaultdict[TotalKey, UsageTotal] = defaultdict(UsageTotal)
     for folder in folders:
         for key, total in BillingLedger(Disk(folder)).read_totals().sums.items():
@@ -69,15 +70,15 @@
 
 
 def format_amount(micros: int) -> str:
-    """An amount of money with all six places."""
-    return f"{micros // MICROS}.{micros % MICROS:06d}"
+    """An amount of money with six decimal places."""
+    return f"{micros // MICROS_PER_UNIT}.{micros % MICROS_PER_UNIT:06d}"
 
 
-def format_rows(rows: list[BillRow], form: str) -> str:
+def format_rows(rows: list[BillRow], output_format: str) -> str:
     """The rows as "json", "csv" or "table"."""
-    if form == "json":
+    if output_format == "json":
         return json.dumps(rows, indent=1)
-    return _csv(rows) if form == "csv" else _table(rows)
+    return _csv(rows) if output_format == "csv" else _table(rows)
 
 
 def _csv(rows: list[BillRow]) -> str:
--- a/ternlane/ledger/disk.py
+++ b/ternlane/ledger/disk.py
@@ -1,4 +1,4 @@
-"""The file-system calls that a ledger makes, in one place, so that tests can make each of them fail."""
+"""All file-system calls of a ledger, in one class, so that tests can make each of them fail."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import os
 from pathlib import Path
 
-FILE_MODE = 0o640  # bills are for the gateway's user and group
+FILE_MODE = 0o640  # bills are readable by the gateway's user and group only
 
 
 class Disk:
-    """One folder, made if it is not there. Methods raise OSError as the system does."""
+    """One folder, created if missing. Methods raise OSError."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -19,8 +19,8 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def lock(self) -> bool:
-        """Locks the folder for this process; false while another has it. The lock ends with the process, however that
-        ends."""
+        """Locks the folder for this process; false if another process holds the lock. The operating system releases the
+        lock when the process ends, also after a crash."""
         if self._lock_handle is not None:
             return True
         handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, FILE_MODE)
@@ -33,7 +33,7 @@
         return True
 
     def unlock(self) -> None:
-        """Gives the folder free, if it was locked."""
+        """Releases the lock, if it is held."""
         if self._lock_handle is not None:
             os.close(self._lock_handle)
             self._lock_handle = None
@@ -47,19 +47,19 @@
         return (self.folder / name).read_bytes()
 
     def open(self, name: str) -> int:
-        """A handle for appending to the file, which is made if it is not there."""
+        """Opens a file for appending, created if missing; returns its handle."""
         return os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND, FILE_MODE)
 
     def write(self, handle: int, data: bytes) -> int:
-        """Appends a beginning of the data; returns how many bytes, which may be fewer than were given."""
+        """Appends data; returns the number of bytes written, which may be fewer than given."""
         return os.write(handle, data)
 
     def sync(self, handle: int) -> None:
-        """Waits until the file's data is on the disk."""
+        """Waits until the data of the file is durable."""
         os.fdatasync(handle)
 
     def truncate(self, handle: int, length: int) -> None:
-        """Cuts the file to this length in bytes."""
+        """Truncates the file to a length in bytes."""
         os.ftruncate(handle, length)
 
     def close(self, handle: int) -> None:
@@ -67,7 +67,7 @@
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, and replaces one that has the new name."""
+        """Renames a file; an existing file of the new name is replaced."""
         os.replace(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
@@ -75,7 +75,7 @@
         os.unlink(self.folder / name)
 
     def sync_folder(self) -> None:
-        """Waits until new, renamed and removed names are on the disk."""
+        """Waits until created, renamed and removed names are durable."""
         handle = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(handle)
@@ -84,10 +84,10 @@
 
 
 def write_all(disk: Disk, handle: int, data: bytes) -> None:
-    """Appends all of the data. Raises OSError; then any beginning of it may be in the file."""
+    """Appends all of the data. If it raises OSError, a part of the data may have been written."""
     written = 0
     while written < len(data):
         count = disk.write(handle, data[written:])
         if count <= 0:
-            raise OSError(errno.ENOSPC, "nothing could be written")
+            raise OSError(errno.ENOSPC, "write returned 0 bytes")
         written += count
--- a/ternlane/ledger/errors.py
+++ b/ternlane/ledger/errors.py
@@ -1,15 +1,15 @@
-"""What can be wrong with files that a gateway keeps."""
+"""Errors in the files of ledgers."""
 
 from __future__ import annotations
 
 
 class LedgerError(Exception):
-    """The base of this package's own errors. What the file system refuses stays an OSError."""
+    """Base class of this package's errors. Errors of the file system are raised as OSError."""
 
 
 class CorruptLedgerError(LedgerError):
-    """A ledger in a state that no crash leaves. The message names the file and the byte; it must be restored."""
+    """A ledger is in a state that no crash can cause, and must be restored. The message names the file and the byte."""
 
 
 class QuotaLeaseFileError(LedgerError, OSError):
-    """The file of quota leases can't be read. An OSError, as callers treat it like a file that can't be reached."""
+    """The file of quota leases is malformed. An OSError, as callers treat it like an unreachable file."""
--- a/ternlane/ledger/quota_lease_file.py
+++ b/ternlane/ledger/quota_lease_file.py
@@ -1,4 +1,4 @@
-"""The table of quota leases in a file that gateways of one machine, or of a shared folder, change under a lock."""
+"""The table of quota leases in a file, which gateways of one machine or a shared folder change under a lock."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 @contextmanager
 def open_quota_leases(path: Path, gateways: int, interval_s: float) -> Iterator[QuotaLeases]:
-    """The leases while the lock is held; the table is written back as a whole on a regular end, else not at all.
+    """Gives access to the leases while it holds the lock. The table is replaced as a whole at the end, or not at all if
+    the block raises.
 
-    `gateways` share the budgets, and each comes every `interval_s` seconds. Raises OSError where another process holds
-    the lock, QuotaLeaseFileError (an OSError) where the table can't be read: the caller goes on with the part of the
+    `gateways` share the budgets, and each of them asks every `interval_s` seconds. Raises OSError if another process
+    holds the lock, QuotaLeaseFileError (an OSError) if the table is malformed: the caller then uses the part of the
     budget that is always its own, and tries again later.
     """
     path.parent.mkdir(parents=True, exist_ok=True)
--- a/ternlane/ledger/reconciliation.py
+++ b/ternlane/ledger/reconciliation.py
@@ -1,4 +1,4 @@
-"""Ledgers held against what model servers counted."""
+"""Reconciles ledgers with the token counts of model servers."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass
 class Reconciliation:
-    """What servers counted against what ledgers hold, in prompt and answer tokens."""
+    """The result of comparing the servers' counts with ledgers, in prompt and answer tokens."""
 
     counted: TokenUsage = TokenUsage()
     billed: TokenUsage = TokenUsage()
     unbilled: TokenUsage = TokenUsage()
     duplicates: list[str] = field(default_factory=list)  # requests with more than one entry
-    # Servers worked, but there is no entry: the request died with its gateway.
+    # Requests that servers counted but that have no entry, as their gateway crashed.
     unsettled: dict[str, TokenUsage] = field(default_factory=dict)
-    # Request -> what servers made, what the ledgers hold.
+    # Request -> what servers counted, what the ledgers hold.
     differing: dict[str, tuple[TokenUsage, TokenUsage]] = field(default_factory=dict)
 
     @property
     def unexplained_share(self) -> float:
-        """Part of the servers' tokens that the ledgers do not explain, those of unsettled requests aside."""
+        """The share of the servers' tokens that the ledgers do not account for, without unsettled requests."""
         counted = _tokens(self.counted)
         unsettled = sum(_tokens(usage) for usage in self.unsettled.values())
         explained = _tokens(self.billed) + _tokens(self.unbilled)
@@ -37,11 +37,11 @@
 
 
 def reconcile(entries: Iterable[LedgerEntry], counts: Iterable[Mapping[str, Any]]) -> Reconciliation:
-    """Compares ledger entries with the servers' counts, of which a request may have any number: JSON objects with the
-    request's name as "gen", and tokens as "prompt", "kept" and "answer"."""
+    """Compares ledger entries with the servers' counts: JSON objects with the request's id as "gen" and tokens as
+    "prompt", "kept" (cached) and "answer". A request may have several of them."""
     result = Reconciliation()
-    settled = _settled(entries, result)
-    counted = _made(counts)
+    settled = _settled_usage(entries, result)
+    counted = _counted_usage(counts)
     for request, usage in counted.items():
         result.counted = result.counted.plus(usage)
         if request not in settled:
@@ -58,8 +58,8 @@
     return bool(usage.prompt or usage.answer)
 
 
-def _settled(entries: Iterable[LedgerEntry], result: Reconciliation) -> dict[str, TokenUsage]:
-    """What the ledgers hold by request; sums and duplicates go to the result."""
+def _settled_usage(entries: Iterable[LedgerEntry], result: Reconciliation) -> dict[str, TokenUsage]:
+    """The usage that the ledgers hold, by request; adds sums and duplicates to the result."""
     settled: dict[str, TokenUsage] = {}
     for entry in entries:
         if entry.request in settled:
@@ -70,7 +70,7 @@
     return settled
 
 
-def _made(counts: Iterable[Mapping[str, Any]]) -> dict[str, TokenUsage]:
+def _counted_usage(counts: Iterable[Mapping[str, Any]]) -> dict[str, TokenUsage]:
     counted: defaultdict[str, TokenUsage] = defaultdict(TokenUsage)
     for line in counts:
         counted[line["gen"]] = counted[line["gen"]].plus(TokenUsage(line["prompt"], line["kept"], line["answer"]))
--- a/ternlane/ledger/record.py
+++ b/ternlane/ledger/record.py
@@ -1,4 +1,4 @@
-"""The format of one record on disk: a header with length, CRC-32 and sequence number, then the entry in MessagePack."""
+"""The format of a record on disk: a header with length, CRC-32 and sequence number, then the entry in MessagePack."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import msgspec
 
 HEADER = struct.Struct("<IIQ")  # body length in bytes, CRC-32, sequence number
-# Entries take some hundred bytes. A length beyond this comes from damage, and must not be read as gigabytes of body.
+# Entries take some hundred bytes. A larger length is corrupt, and must not be read as gigabytes of body.
 MAX_BODY_BYTES = 1 << 20
 
 _encode_entry = msgspec.msgpack.Encoder().encode
 
 
 def checksum(body: bytes, sequence: int) -> int:
-    """CRC-32 of the body that starts from the sequence number, so that a body under a wrong number does not match."""
+    """CRC-32 of the body, seeded with the sequence number, so that a body with a wrong number does not match."""
     return crc32(body, sequence & 0xFFFFFFFF)
 
 
@@ -26,7 +26,8 @@
 
 
 def record_at(raw: bytes, offset: int) -> tuple[int, bytes] | None:
-    """Sequence number and body of the record at this offset; None where no whole record with its checksum stands."""
+    """Sequence number and body of the record at this offset; None if there is no complete record with a valid
+    checksum."""
     if len(raw) - offset < HEADER.size:
         return None
     length, crc, sequence = HEADER.unpack_from(raw, offset)
--- a/ternlane/ledger/segment.py
+++ b/ternlane/ledger/segment.py
@@ -1,4 +1,4 @@
-"""Segments: the files of a log, each with a magic number and then records in the order of their sequence numbers."""
+"""Segments: the files of a log, each a magic number followed by records in the order of their sequence numbers."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ternlane.ledger.record import HEADER, record_at
 
 SUFFIX = ".seg"
-# A write that a crash tore is no longer than one group of entries, so whole records behind it, which show that it was
-# not torn but damaged, are looked for at the end of the file only.
+# Complete records after an invalid one prove corruption, as a write that a crash interrupted has none after it. Such a
+# write is no longer than one group of entries, so only the end of the file is searched for them.
 TAIL_SCAN_BYTES = 64 << 10
 
 EntryT = TypeVar("EntryT")
@@ -20,21 +20,21 @@
 
 
 class Aggregate(Protocol[AddedT]):
-    """What the entries of a log add up to. A snapshot of it replaces the segments that it covers."""
+    """The state that the entries of a log add up to. A snapshot of it replaces the segments that it covers."""
 
     def add(self, entry: AddedT) -> None:
-        """Takes in the next entry."""
+        """Applies the next entry."""
 
     def dump(self, seq: int) -> bytes:
-        """Its state after the entry of this sequence number."""
+        """The encoded state after the entry of this sequence number."""
 
     def load(self, raw: bytes) -> int:
-        """Replaces its state by a dump; returns the dump's sequence number."""
+        """Replaces the state by a dump; returns the dump's sequence number."""
 
 
 @dataclass(frozen=True)
 class LogFormat(Generic[EntryT, AggregateT]):
-    """One kind of log: the prefix of its file names, its magic number, its entries and their aggregate."""
+    """The format of one kind of log: its file name prefix, magic number, entries and aggregate."""
 
     prefix: str
     magic: bytes
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True)
 class SegmentContents(Generic[EntryT]):
-    """The records of a segment. Bytes beyond `valid_bytes` are a torn tail."""
+    """The records of a segment. Bytes beyond `valid_bytes` are a torn tail, left by an interrupted write."""
 
     records: list[Record[EntryT]]
     valid_bytes: int
 
 
 def segment_names(names: list[str]) -> list[str]:
-    """Those of the sorted file names that are segments, oldest first."""
+    """The segments among the sorted file names, oldest first."""
     return [name for name in names if name.endswith(SUFFIX)]
 
 
@@ -72,20 +72,20 @@
 
 
 def read_segment(raw: bytes, name: str, log_format: LogFormat[EntryT, AggregateT]) -> SegmentContents[EntryT]:
-    """Decodes a segment up to a torn tail. Raises CorruptLedgerError for what a crash in a write can't have left."""
+    """Decodes a segment up to a torn tail. Raises CorruptLedgerError for damage that no interrupted write can cause."""
     magic = log_format.magic
     start = raw[: len(magic)]
     if start != magic:
         if magic.startswith(start):
             return SegmentContents([], 0)
-        raise CorruptLedgerError(f"{name}: not a ledger segment")
+        raise CorruptLedgerError(f"{name}: wrong magic number, not a segment of this log")
     records: list[Record[EntryT]] = []
     offset = len(magic)
     while offset < len(raw):
         found = record_at(raw, offset)
         if found is None:
             if _record_follows(raw, offset + 1):
-                raise CorruptLedgerError(f"{name}: damaged at byte {offset}, and it goes on behind")
+                raise CorruptLedgerError(f"{name}: corrupt record at byte {offset}, followed by valid records")
             break
         sequence, body = found
         records.append(Record(sequence, log_format.decode(body)))
@@ -94,8 +94,8 @@
 
 
 def _record_follows(raw: bytes, offset: int) -> bool:
-    """Whether a whole record stands behind a broken one: a torn write leaves none. Empty bodies don't count, as a run
-    of zero bytes looks like one."""
+    """Whether a complete record follows an invalid one, which an interrupted write cannot leave. Records with an empty
+    body do not count, as a run of zero bytes looks like one."""
     first = max(offset, len(raw) - TAIL_SCAN_BYTES)
     for candidate in range(first, len(raw) - HEADER.size):
         found = record_at(raw, candidate)
--- a/ternlane/ledger/segmented_log.py
+++ b/ternlane/ledger/segmented_log.py
@@ -1,14 +1,14 @@
-"""A durable log: segments of checksummed records, snapshots of what they add up to, recovery.
+"""A durable log: segments of checksummed records, snapshots of their aggregate, and recovery.
 
-`commit` writes what was appended and syncs it; only then do these entries count as kept. What goes wrong, and what is
-done:
+`commit` writes and syncs the appended entries; only then do they count as durable. Faults and their handling:
 
-- a crash within a write leaves a torn tail: recovery cuts it off. Nothing after it was ever reported as kept;
-- a short write or a full disk: the segment is cut back, the entries stay in memory and are tried again;
-- a sync that fails leaves unknown what is on disk, and a second sync may report success for pages that were dropped:
-  the segment is never written again; its unsynced entries go, with the same numbers, into a new one. Recovery skips
-  numbers that it has met;
-- damage within a segment, not at its end: no crash leaves this. Recovery refuses it, and names the place.
+- A crash during a write leaves a torn tail, which recovery truncates. No entry in it was reported as durable.
+- After a short write or on a full disk the segment is truncated, and the entries stay in memory for the next commit.
+- After a failed sync the content on disk is unknown, and a second sync may report success for pages that were dropped.
+  The segment is therefore never written again; its unsynced entries go into a new one with the same sequence numbers.
+  Recovery skips sequence numbers that it has already seen.
+- Corruption within a segment, other than at its end, cannot come from a crash. Recovery raises CorruptLedgerError with
+  its position.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 )
 from ternlane.ledger.snapshot import read_newest_snapshot, remove_old_snapshots, write_snapshot
 
-SEGMENT_BYTES = 16 << 20  # what recovery reads at most beside a snapshot: about half a second
+SEGMENT_BYTES = 16 << 20  # recovery reads at most this much besides a snapshot: about half a second
 KEEP_ALL_SEGMENTS = 1 << 30
-MAX_GROUP_ENTRIES = 4096  # of one write and sync: bounds its memory and what a failure sends into the next segment
+MAX_GROUP_ENTRIES = 4096  # per write and sync: limits the memory and the entries that a failed sync repeats
 
 
 class SegmentedLog(Generic[EntryT, AggregateT]):
-    """Synchronous; GroupCommitWriter calls it from threads. Only the process that has the folder's lock may recover
-    and write; `entries` and `read_totals` only read."""
+    """Synchronous; GroupCommitWriter calls it from worker threads. Only the process that holds the folder's lock may
+    recover and write; `entries` and `read_totals` only read."""
 
     def __init__(
         self,
@@ -49,26 +49,27 @@
         segment_bytes: int = SEGMENT_BYTES,
         keep_segments: int = KEEP_ALL_SEGMENTS,
     ) -> None:
-        """A segment is closed once it has `segment_bytes`; of segments that a snapshot covers, `keep_segments` stay."""
+        """A segment is closed at `segment_bytes`. Segments that a snapshot covers are removed, beyond
+        `keep_segments`."""
         self.log_format = log_format
         self.disk = disk
         self.segment_bytes = segment_bytes
         self.keep_segments = keep_segments
         self.totals: AggregateT = log_format.new_aggregate()
-        self.sequence = 0  # the last number that an entry was given
-        self.durable_sequence = 0  # the last number whose entry is on the disk
-        self.pending: list[Record[EntryT]] = []  # appended, not kept yet
-        self.torn_bytes = 0  # bytes of torn tails that recovery dropped
+        self.sequence = 0  # of the last appended entry
+        self.durable_sequence = 0  # of the last durable entry
+        self.pending: list[Record[EntryT]] = []  # appended, not durable yet
+        self.torn_bytes = 0  # that recovery truncated
         self._snapshot_sequence = 0
-        self._handle: int | None = None  # of the segment that is being written
-        self._length = 0  # its bytes that are known to be on the disk
+        self._handle: int | None = None  # of the current segment
+        self._durable_bytes = 0  # of the current segment
 
     # -- recovery
 
     def recover(self, on_entry: Callable[[int, EntryT], None] | None = None) -> None:
-        """Restores the totals from the last snapshot and the segments that it does not cover, so that the time is that
-        of one or two segments, however long the log. With `on_entry`, which gets every entry that segments still hold,
-        all are read. Raises CorruptLedgerError, OSError."""
+        """Restores the totals from the last snapshot and the segments that it does not cover, which are one or two
+        however long the log is. `on_entry` is called with every entry in the segments, all of which are then read.
+        Raises CorruptLedgerError, OSError."""
         self._load_snapshot()
         names = segment_names(self.disk.names())
         for name, next_name in zip_longest(names, names[1:]):
@@ -77,29 +78,31 @@
                 continue
             for record in self._recover_segment(name, next_name):
                 if record.sequence > self.sequence:
-                    self._take_recovered(record)
+                    self._apply_recovered(record)
                     if on_entry is not None:
                         on_entry(record.sequence, record.entry)
         self.sequence = max(self.sequence, self._snapshot_sequence)
         self.durable_sequence = self.sequence
 
-    def _take_recovered(self, record: Record[EntryT]) -> None:
+    def _apply_recovered(self, record: Record[EntryT]) -> None:
         self.sequence = record.sequence
         if record.sequence > self._snapshot_sequence:
             self.totals.add(record.entry)
 
     def _recover_segment(self, name: str, next_name: str | None) -> list[Record[EntryT]]:
-        """The segment's records; its torn tail is cut off."""
+        """The records of a segment, whose torn tail is truncated."""
         raw = self.disk.read(name)
         contents = read_segment(raw, name, self.log_format)
         if contents.valid_bytes < len(raw):
             if next_name is not None and not _continued_by(next_name, contents):
-                raise CorruptLedgerError(f"{name}: torn at byte {contents.valid_bytes}, but not the last")
+                raise CorruptLedgerError(
+                    f"{name}: incomplete record at byte {contents.valid_bytes}, but this is not the last segment"
+                )
             self.torn_bytes += len(raw) - contents.valid_bytes
-            self._cut_torn_tail(name, contents.valid_bytes)
+            self._truncate_torn_tail(name, contents.valid_bytes)
         return contents.records
 
-    def _cut_torn_tail(self, name: str, valid_bytes: int) -> None:
+    def _truncate_torn_tail(self, name: str, valid_bytes: int) -> None:
         handle = self.disk.open(name)
         try:
             self.disk.truncate(handle, valid_bytes)
@@ -119,13 +122,13 @@
     # -- writing
 
     def append(self, entry: EntryT) -> int:
-        """Gives the entry its sequence number, which is returned. It is kept only once `commit` has returned."""
+        """Appends an entry; returns its sequence number. The entry is durable only after the next `commit`."""
         self.sequence += 1
         self.pending.append(Record(self.sequence, entry))
         return self.sequence
 
     def commit(self) -> None:
-        """Keeps all that was appended. Raises OSError; then what was not kept stays pending for the next try."""
+        """Makes all appended entries durable. If it raises OSError, the others stay pending for the next commit."""
         while self.pending:
             group = self.pending[:MAX_GROUP_ENTRIES]
             self._write_group(group)
@@ -133,46 +136,46 @@
             for record in group:
                 self.totals.add(record.entry)
             del self.pending[: len(group)]
-            if self._length >= self.segment_bytes:
+            if self._durable_bytes >= self.segment_bytes:
                 self._close_segment()
                 self.snapshot()
 
     def _write_group(self, group: list[Record[EntryT]]) -> None:
-        """Writes and syncs a group. After a failed write the segment ends where it did; after a failed sync it is left
-        for good, as what the disk holds of it is unknown."""
-        handle = self._begin_segment(group[0].sequence) if self._handle is None else self._handle
+        """Writes and syncs a group. After a failed write the segment is truncated to its former end; after a failed
+        sync it is abandoned, as its content on disk is unknown."""
+        handle = self._open_segment(group[0].sequence) if self._handle is None else self._handle
         data = b"".join(encode_record(sequence, entry) for sequence, entry in group)
         try:
             write_all(self.disk, handle, data)
         except OSError:
-            self._cut_back(handle)
+            self._truncate_to_durable(handle)
             raise
         try:
             self.disk.sync(handle)
         except OSError:
             self._close_segment()
             raise
-        self._length += len(data)
+        self._durable_bytes += len(data)
 
-    def _cut_back(self, handle: int) -> None:
+    def _truncate_to_durable(self, handle: int) -> None:
         try:
-            self.disk.truncate(handle, self._length)
+            self.disk.truncate(handle, self._durable_bytes)
         except OSError:
-            self._close_segment()  # its tail may be torn, which recovery cuts off
+            self._close_segment()  # recovery truncates the torn tail
 
     def _close_segment(self) -> None:
         if self._handle is not None:
-            with contextlib.suppress(OSError):  # all that counts as kept has been synced
+            with contextlib.suppress(OSError):  # all durable entries have been synced
                 self.disk.close(self._handle)
         self._handle = None
 
-    def _begin_segment(self, sequence: int) -> int:
+    def _open_segment(self, sequence: int) -> int:
         name = self.log_format.segment_name(sequence)
-        if name in self.disk.names():  # left by a failed sync before anything of it was kept
+        if name in self.disk.names():  # left by a failed sync; none of its entries is durable
             self.disk.remove(name)
         handle = self.disk.open(name)
         self._handle = handle
-        self._length = 0
+        self._durable_bytes = 0
         try:
             write_all(self.disk, handle, self.log_format.magic)
             self.disk.sync(handle)
@@ -180,12 +183,12 @@
         except OSError:
             self._close_segment()
             raise
-        self._length = len(self.log_format.magic)
+        self._durable_bytes = len(self.log_format.magic)
         return handle
 
     def snapshot(self) -> None:
-        """Writes the totals, then removes older snapshots and segments that are covered. What fails here costs only
-        time at the next recovery, so errors of the disk are passed over."""
+        """Writes the totals, then removes old snapshots and covered segments. Errors of the disk are ignored, as they
+        only make the next recovery slower."""
         dump = self.totals.dump(self.durable_sequence)
         with contextlib.suppress(OSError):
             write_snapshot(self.disk, self.durable_sequence, dump)
@@ -201,20 +204,20 @@
                 surplus -= 1
 
     def close(self) -> None:
-        """Ends writing, and gives the folder free."""
+        """Closes the current segment and releases the lock of the folder."""
         self._close_segment()
         self.disk.unlock()
 
     # -- reading
 
     def entries(self) -> Iterator[EntryT]:
-        """All that segments still hold, in order, each once. Reads only. Raises CorruptLedgerError, OSError."""
+        """All entries in the segments, in order and without duplicates; reads only. Raises CorruptLedgerError,
+        OSError."""
         for record in self._records_after(0):
             yield record.entry
 
     def read_totals(self) -> AggregateT:
-        """The totals as they stand on the disk. Reads only, as another process may be writing. Raises
-        CorruptLedgerError, OSError."""
+        """The totals on disk; reads only, as another process may be writing. Raises CorruptLedgerError, OSError."""
         self._load_snapshot()
         for record in self._records_after(self._snapshot_sequence):
             self.totals.add(record.entry)
@@ -229,8 +232,7 @@
 
 
 def _continued_by(next_name: str, contents: SegmentContents[EntryT]) -> bool:
-    """Whether a torn segment may have one behind it: after a failed sync the next segment repeats what was not synced,
-    from the first number that may be torn."""
+    """Whether the next segment repeats the entries of the torn tail, as it does after a failed sync."""
     first = first_sequence(next_name)
     last_valid = contents.records[-1].sequence if contents.records else first
     return first <= last_valid + 1
--- a/ternlane/ledger/snapshot.py
+++ b/ternlane/ledger/snapshot.py
@@ -1,7 +1,7 @@
-"""Snapshots: the dumped aggregate of a log in a file of its own, so that recovery need not read all segments.
+"""Snapshots: the dumped aggregate of a log in a separate file, so that recovery need not read all segments.
 
-A snapshot only saves time. One that was torn while it was written is skipped, as an older one and the segments come to
-the same, and one that can't be written is left out.
+A snapshot only saves time. An incomplete one is skipped, as an older one and the segments give the same result, and one
+that cannot be written is left out.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 SUFFIX = ".sums"
 CHECKSUM = struct.Struct("<I")  # CRC-32 of all that follows
-KEPT_SNAPSHOTS = 2  # the newest, and the one before in case the newest can't be read
+KEPT_SNAPSHOTS = 2  # the newest, and the one before in case the newest is incomplete
 
 
 def snapshot_name(sequence: int) -> str:
-    """The file name of the snapshot that covers entries up to this number; names sort by age."""
+    """The file name of the snapshot that covers entries up to this sequence number; names sort by age."""
     return f"sums-{sequence:016d}{SUFFIX}"
 
 
 def snapshot_names(names: list[str]) -> list[str]:
-    """Those of the sorted file names that are snapshots, oldest first."""
+    """The snapshots among the sorted file names, oldest first."""
     return [name for name in names if name.endswith(SUFFIX)]
 
 
 def read_newest_snapshot(disk: Disk) -> bytes | None:
-    """The dump in the newest snapshot that is whole; None without one. Raises OSError."""
+    """The dump in the newest complete snapshot; None if there is none. Raises OSError."""
     for name in reversed(snapshot_names(disk.names())):
         raw = disk.read(name)
         dump = raw[CHECKSUM.size :]
@@ -37,7 +37,7 @@
 
 
 def write_snapshot(disk: Disk, sequence: int, dump: bytes) -> None:
-    """Writes a snapshot beside the others: synced under another name first, then renamed. Raises OSError."""
+    """Writes a snapshot: syncs it under a temporary name, then renames it. Raises OSError."""
     name = snapshot_name(sequence)
     temporary_name = name + ".new"
     handle = disk.open(temporary_name)
--- a/tests/fake_disk.py
+++ b/tests/fake_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory, whose calls can be made to fail."""
+"""An in-memory disk with injected failures."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 
 
 class CrashError(Exception):
-    """The process ends here."""
+    """Stands for the end of the process at this call."""
 
 
 class FakeDisk(Disk):
-    """A disk in memory that fails at the n-th call: torn, short, full or at a sync; a crash loses unsynced bytes."""
+    """An in-memory disk whose call number `fail_at` fails. `failure` is "crash" (during the call), "short" (a short
+    write), "full" or "sync" (a failed sync); a crash may lose unsynced bytes."""
 
-    def __init__(self, fail_at: int = -1, how: str = "") -> None:
+    def __init__(self, fail_at: int = -1, failure: str = "") -> None:
         self.files: dict[str, bytearray] = {}
         self.synced: dict[str, int] = {}
         self.handles: dict[int, str] = {}
         self.fail_at = fail_at
-        self.how = how
+        self.failure = failure
         self.calls = 0
         self.next_handle = 1
 
-    def failing(self) -> bool:
-        """Counts a call that may fail; true for the one that does."""
+    def next_call_fails(self) -> bool:
+        """Counts a call; true for the one that fails."""
         self.calls += 1
         return self.calls == self.fail_at
 
@@ -41,7 +42,7 @@
         return bytes(self.files[name])
 
     def open(self, name: str) -> int:
-        if self.failing() and self.how == "full":
+        if self.next_call_fails() and self.failure == "full":
             raise OSError(28, "full")
         self.files.setdefault(name, bytearray())
         self.synced.setdefault(name, 0)
@@ -51,23 +52,23 @@
 
     def write(self, handle: int, data: bytes) -> int:
         name = self.handles[handle]
-        fails = self.failing()
-        if fails and self.how == "full":
+        fails = self.next_call_fails()
+        if fails and self.failure == "full":
             self.files[name] += data[: len(data) // 2]
             raise OSError(28, "full")
-        if fails and self.how == "crash":
+        if fails and self.failure == "crash":
             self.files[name] += data[: len(data) // 2]
             raise CrashError
-        part = data[: max(1, len(data) // 2)] if fails and self.how == "short" else data
+        part = data[: max(1, len(data) // 2)] if fails and self.failure == "short" else data
         self.files[name] += part
         return len(part)
 
     def sync(self, handle: int) -> None:
         name = self.handles[handle]
-        fails = self.failing()
-        if fails and self.how == "crash":
+        fails = self.next_call_fails()
+        if fails and self.failure == "crash":
             raise CrashError
-        if fails and self.how in ("sync", "full"):
+        if fails and self.failure in ("sync", "full"):
             del self.files[name][self.synced[name] + (len(self.files[name]) - self.synced[name]) // 3 :]
             raise OSError(5, "sync")
         self.synced[name] = len(self.files[name])
@@ -81,7 +82,7 @@
         self.handles.pop(handle, None)
 
     def rename(self, old: str, new: str) -> None:
-        if self.failing() and self.how == "crash":
+        if self.next_call_fails() and self.failure == "crash":
             raise CrashError
         self.files[new] = self.files.pop(old)
         self.synced[new] = self.synced.pop(old)
@@ -90,11 +91,11 @@
         del self.files[name], self.synced[name]
 
     def sync_folder(self) -> None:
-        if self.failing() and self.how == "crash":
+        if self.next_call_fails() and self.failure == "crash":
             raise CrashError
 
     def after_crash(self, rng: random.Random) -> FakeDisk:
-        """What a restart finds: what was synced, and any beginning of the rest."""
+        """The disk after a crash: the synced bytes, and a random part of the rest."""
         disk = FakeDisk()
         for name, data in self.files.items():
             keep = self.synced[name] + rng.randint(0, len(data) - self.synced[name])
