--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -124,8 +124,7 @@
                 cancel_from_thread(bridge.scope, token)
 
     def _receive_pieces(self, bridge: RequestBridge) -> Iterator[str]:
-        """The pieces until the end. Raises the exception that ended the request, RuntimeError if the router has
-        stopped."""
+        """The pieces, until the end. Raises what ended the request, or RuntimeError if the router has stopped."""
         while True:
             try:
                 piece = bridge.pieces.get(timeout=ROUTER_POLL_S)
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -67,8 +67,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended. `begun`: its first token had arrived; `state`: from a prefill server, for the decode
-    server."""
+    """How an attempt ended. `begun`: its first token had arrived; `state`: of a prefill, for the decode server."""
 
     outcome: AttemptOutcome
     begun: bool = False
--- a/ternlane/engine/http_constants.py
+++ b/ternlane/engine/http_constants.py
@@ -7,4 +7,4 @@
 NOT_RUN_HEADER = b"x-ternlane-not-run"  # the engine states that nothing ran, and the reason
 LOAD_HEADER = b"endpoint-load-metrics"  # ORCA (xDS custom load reports)
 
-MAX_RESPONSE_BYTES = 4 * 2**20  # of an engine's unstreamed answer
+MAX_RESPONSE_BYTES = 4 * 2**20  # of an unstreamed answer; a larger one violates the protocol
--- a/ternlane/engine/local_engine.py
+++ b/ternlane/engine/local_engine.py
@@ -21,8 +21,7 @@
 
 
 class LocalEngine(Protocol):
-    """A model server in the same process. An exception other than this package's means that the attempt may have
-    run."""
+    """A model server in the same process. After an exception that is not this package's the attempt may have run."""
 
     async def read(self, ask: AttemptRequest) -> PrefillResult:
         """Prefills the prompt of `ask.raw` and keeps the state until it is used by `write` or released. If
--- a/ternlane/engine/messages.py
+++ b/ternlane/engine/messages.py
@@ -68,8 +68,7 @@
     logprobs: dict[str, Any] | None = None
 
     def extras(self) -> dict[str, Any] | None:
-        """Its fields other than text, in the form that `ternlane.chat.message_extras` combines; None if there are
-        none."""
+        """Its fields other than text, in the form of `ternlane.chat.message_extras`; None if there are none."""
         extras: dict[str, Any] = {}
         if self.delta is not None:
             fields = {name: value for name in EXTRA_FIELDS if (value := getattr(self.delta, name))}
--- a/ternlane/engine/socket_transport.py
+++ b/ternlane/engine/socket_transport.py
@@ -23,8 +23,7 @@
         self._headers = [("User-Agent", agent)]  # of calls other than attempts
 
     def _fill_plan(self, ask: AttemptRequest) -> AttemptPlan:
-        """The plan with headers and body filled in. Raises UnsupportedAttemptError if the protocol does not support
-        it."""
+        """The plan with headers and body. Raises UnsupportedAttemptError if the protocol does not support it."""
         protocol = PROTOCOLS[ask.protocol]
         if ask.goes_on and not protocol.goes_on:
             raise UnsupportedAttemptError("it can't go on with a text")
@@ -34,15 +33,14 @@
         return ask.plan
 
     async def read(self, ask: AttemptRequest) -> AttemptResult:
-        """Has a prompt prefilled; OVERLOADED if the server's protocol does not support the attempt."""
+        """Has a prompt prefilled; OVERLOADED if the server's protocol does not support it."""
         try:
             return await prefill_attempt(self.pool, self._fill_plan(ask))
         except UnsupportedAttemptError as error:
             return AttemptResult(AttemptOutcome.OVERLOADED, why=str(error))
 
     async def stream(self, ask: AttemptRequest, pass_on: TextSink) -> AttemptResult:
-        """Has an answer generated; OVERLOADED if the server's protocol does not support the attempt. Raises
-        ClientGone."""
+        """Has an answer generated; OVERLOADED if the server's protocol does not support it. Raises ClientGone."""
         try:
             return await stream_attempt(self.pool, self._fill_plan(ask), pass_on)
         except UnsupportedAttemptError as error:
--- a/ternlane/engine/stream_attempt.py
+++ b/ternlane/engine/stream_attempt.py
@@ -11,7 +11,7 @@
 from ternlane.http1 import ClientConnection, ConnectionPool, EventReader, extend_deadline
 from ternlane.policy.messages import AttemptOutcome
 
-MAX_ERROR_TEXT = 200  # characters of an engine's error message
+MAX_ERROR_TEXT = 200  # characters of an engine's error message that are logged
 
 
 async def stream_attempt(pool: ConnectionPool, plan: AttemptPlan, pass_on: TextSink) -> AttemptResult:
--- a/ternlane/ledger/billing_report.py
+++ b/ternlane/ledger/billing_report.py
@@ -33,15 +33,14 @@
 
 
 def read_entries(folders: Iterable[Path]) -> Iterator[LedgerEntry]:
-    """All entries in the segments of these ledgers; dropped segments are missing. Raises CorruptLedgerError,
-    OSError."""
+    """All entries in the remaining segments of these ledgers. Raises CorruptLedgerError, OSError."""
     for folder in folders:
         yield from BillingLedger(Disk(folder)).entries()
 
 
 def bill_rows(folders: Iterable[Path], tenant: str | None, period: str | None) -> list[BillRow]:
     """A row for each tenant, request class and period, summed over these ledgers; `tenant` and `period` select rows,
-    None selects all. Dropped segments are included, as snapshots cover them. Raises CorruptLedgerError, OSError."""
+    None selects all. Removed segments are included, as snapshots cover them. Raises CorruptLedgerError, OSError."""
     totals: defaultdict[TotalKey, UsageTotal] = defaultdict(UsageTotal)
     for folder in folders:
         for key, total in BillingLedger(Disk(folder)).read_totals().sums.items():
--- a/ternlane/ledger/group_commit.py
+++ b/ternlane/ledger/group_commit.py
@@ -22,7 +22,8 @@
     after a restart with inherited sockets the previous process may still be settling its requests.
 
     Every failed commit is logged and repeated. Once `max_waiting` entries wait, `has_capacity` is false and new
-    requests must be rejected, as a request must not run if its bill cannot be stored."""
+    requests must be rejected, as a request must not run if its bill cannot be stored.
+    """
 
     def __init__(
         self,
--- a/ternlane/ledger/record.py
+++ b/ternlane/ledger/record.py
@@ -26,8 +26,7 @@
 
 
 def record_at(raw: bytes, offset: int) -> tuple[int, bytes] | None:
-    """Sequence number and body of the record at this offset; None if there is no complete record with a valid
-    checksum."""
+    """Sequence number and body of the record at this offset; None if it is incomplete or its checksum is wrong."""
     if len(raw) - offset < HEADER.size:
         return None
     length, crc, sequence = HEADER.unpack_from(raw, offset)
--- a/ternlane/ledger/segmented_log.py
+++ b/ternlane/ledger/segmented_log.py
@@ -49,8 +49,7 @@
         segment_bytes: int = SEGMENT_BYTES,
         keep_segments: int = KEEP_ALL_SEGMENTS,
     ) -> None:
-        """A segment is closed at `segment_bytes`. Segments that a snapshot covers are removed, beyond
-        `keep_segments`."""
+        """A segment is closed at `segment_bytes`; of those that a snapshot covers `keep_segments` are kept."""
         self.log_format = log_format
         self.disk = disk
         self.segment_bytes = segment_bytes
@@ -211,8 +210,7 @@
     # -- reading
 
     def entries(self) -> Iterator[EntryT]:
-        """All entries in the segments, in order and without duplicates; reads only. Raises CorruptLedgerError,
-        OSError."""
+        """All entries in the segments, in order and each once; reads only. Raises CorruptLedgerError, OSError."""
         for record in self._records_after(0):
             yield record.entry
 
--- a/ternlane/recovery/stream_join.py
+++ b/ternlane/recovery/stream_join.py
@@ -57,8 +57,7 @@
         return self.max_tokens - self.tokens if self.strategy is ResumeStrategy.CONTINUE else self.max_tokens
 
     def take(self, piece: str) -> str:
-        """Takes a piece of the present attempt; returns the part that is new to the client. Raises
-        ReplayMismatchError."""
+        """Takes a piece of the present attempt; returns what is new to the client. Raises ReplayMismatchError."""
         if self.mismatched:
             raise ReplayMismatchError
         if self.stopped:
@@ -89,8 +88,7 @@
         return piece[delivered:]
 
     def drop_after_stop(self, piece: str) -> str:
-        """Ends the text at a stop string that began in an earlier attempt, which the present engine cannot
-        recognize."""
+        """Ends the text at a stop string that began in an earlier attempt, which the engine cannot recognize."""
         overlap = max(map(len, self.stop_strings)) - 1
         tail = ""
         for earlier_piece in reversed(self.pieces):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -87,8 +87,7 @@
 
 
 def test_a_segment_truncated_anywhere_is_recovered() -> None:
-    """A crash may leave any prefix of a write. Complete records count, and a truncated one is not taken for
-    corruption."""
+    """A crash may leave any prefix of a write: complete records count, a truncated one is not corruption."""
     disk = FakeDisk()
     append_and_commit(BillingLedger(disk), [1] * 6)
     raw = disk.read(BILLS_FORMAT.segment_name(1))
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -258,8 +258,7 @@
 
 
 async def test_cancellation_at_any_checkpoint_leaves_nothing() -> None:
-    """A request is cancelled at its n-th step, for every n: nothing stays held, no effect happens twice, no task is
-    left."""
+    """A request is cancelled at its n-th step, for every n: no state, task or second effect may be left."""
 
     async def once(n: int) -> bool:
         engine_map, transport = engines()
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -500,8 +500,7 @@
 
 
 def test_stalls_are_distinguished_from_usual_pauses() -> None:
-    """The timeout is a few intervals if decode servers are steady, and adapts to longer ones if they sometimes
-    pause."""
+    """The timeout is a few intervals if decode servers are steady, and longer if they sometimes pause."""
     timeout_ms = {}
     for pauses in (0.0, 0.01):
         rng, detector = random.Random(5), StallDetector(1e-3)
