--- a/ternlane/client.py
+++ b/ternlane/client.py
@@ -57,11 +57,11 @@
 
 
 class Failed(ClientError):
-    """The gateway gave the request up, or its stream broke; it may have run."""
+    """The gateway terminated the request, or its stream broke; it may have run."""
 
 
 class Unconnected(ClientError):
-    """No gateway could be reached, or the connection broke."""
+    """The gateway could not be reached, or the connection broke."""
 
 
 def error_from_response(response: httpx.Response) -> ClientError:
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -80,22 +80,22 @@
         self.token: trio.lowlevel.TrioToken | None = None
         self.routing: Routing | None = None
         self.scope: trio.CancelScope | None = None
-        self.failed: BaseException | None = None
+        self.failure: BaseException | None = None
         self.thread: threading.Thread | None = None
 
     def __enter__(self) -> Blocking:
         self.thread = threading.Thread(target=self._run, name="ternlane", daemon=True)
         self.thread.start()
         self.ready.wait()
-        if self.failed is not None:
-            raise self.failed
+        if self.failure is not None:
+            raise self.failure
         return self
 
     def _run(self) -> None:
         try:
             trio.run(self._main)
         except BaseException as why:
-            self.failed = why
+            self.failure = why
         finally:
             self.token = None
             self.ready.set()
@@ -130,7 +130,7 @@
                 piece = bridge.pieces.get(timeout=ROUTER_POLL_S)
             except queue.Empty:
                 if self.token is None:
-                    raise RuntimeError("the router has stopped") from self.failed
+                    raise RuntimeError("the router has stopped") from self.failure
                 continue
             if piece is END_OF_PIECES:
                 return
@@ -145,8 +145,8 @@
             cancel_from_thread(scope, token)
         if self.thread is not None:
             self.thread.join()
-        if self.failed is not None and kind is None:
-            raise self.failed
+        if self.failure is not None and kind is None:
+            raise self.failure
 
 
 class Bridged(Blocking):
--- a/ternlane/embed/routing.py
+++ b/ternlane/embed/routing.py
@@ -45,7 +45,7 @@
 
 
 class FailedError(Exception):
-    """The request was given up and may have run. `begun`: a part of the text was received."""
+    """The request failed and may have run. `begun`: a part of the text was received."""
 
     def __init__(self, why: str, begun: bool) -> None:
         super().__init__(why or "no server could complete the request")
@@ -57,23 +57,22 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.sends, self.gets = trio.open_memory_channel[str](
-            0
-        )  # unbuffered, so that the decode server waits for a slow caller
+        # Unbuffered, so that the decode server waits for a slow caller.
+        self.send_channel, self.receive_channel = trio.open_memory_channel[str](0)
         self.active_request: ActiveRequest | None = None
         self.usage: dict[str, Any] = {}
         self.finish = ""
 
     async def piece(self, text: str, first: bool, more: Extras | None = None) -> None:
         """Called by the runtime; waits until the reader has taken the piece."""
-        await self.sends.send(text)
+        await self.send_channel.send(text)
 
     def __aiter__(self) -> AsyncIterator[str]:
         return self.pieces()
 
     async def pieces(self) -> AsyncIterator[str]:
         """The text as it arrives. Raises RejectedError or FailedError at the end."""
-        async for text in self.gets:
+        async for text in self.receive_channel:
             if text:
                 yield text
         assert self.active_request is not None
@@ -104,7 +103,7 @@
         log: Any,
     ) -> None:
         self.config = config
-        self.count = count(1)
+        self.request_numbers = count(1)
         self.configured = configure_models(config)
         self.registry = EndpointRegistry()
         self.router_config = self.configured.router_config
@@ -151,17 +150,17 @@
         client_timeout_ms = deadline_ms if request_timeout_ms is None else min(deadline_ms, request_timeout_ms)
         record = self.intake.take(chat_request, client_timeout_ms)
         record.request.whole = False  # the caller gets the text as a stream
-        ident = f"{self.config.name}-{next(self.count)}"
+        ident = f"{self.config.name}-{next(self.request_numbers)}"
         join = self.runtime.join_for(chat_request.raw, record.request)
         stream = Stream()
         active_request = ActiveRequest(ident, chat_request, record, stream, now_ms(), key or ident, join)
         stream.active_request = active_request
-        active_request.on_finished = stream.sends.close
+        active_request.on_finished = stream.send_channel.close
         try:
             self.runtime.arrived(active_request)
             yield stream
         finally:
-            stream.gets.close()
+            stream.receive_channel.close()
             if active_request.final is None:
                 self.runtime.client_disconnected(active_request)
 
--- a/ternlane/engine/attempt.py
+++ b/ternlane/engine/attempt.py
@@ -28,7 +28,7 @@
     """The address, headers, body and time limits (ms) of an attempt.
 
     `timeout_ms` limits the time until the answer begins, `idle_timeout_ms` the time between two events of a stream that
-    has begun, `total_timeout_ms` the time from sending to the end. `barred` is asked right before the attempt is sent.
+    has begun, `total_timeout_ms` the time from sending to the end. `barred` is called right before the attempt is sent.
     """
 
     address: str
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class AttemptRequest:
-    """One attempt: its server, its stage, the client's request, and the limits in `plan`."""
+    """An attempt to be sent: its server, its stage, the client's request, and the limits in `plan`."""
 
     server: str  # id of the server
     address: str
--- a/ternlane/engine/control_calls.py
+++ b/ternlane/engine/control_calls.py
@@ -21,8 +21,8 @@
 async def release(pool: ConnectionPool, address: str, ident: str, headers: Headers, within_ms: float) -> bool:
     """Releases everything that an engine holds for a request; true if the engine confirms it within the time limit.
 
-    An engine that holds nothing (404) is asked again while time remains, as an abandoned prefill may still be running
-    and leave a state when it ends. After a single call that state would stay until its lease expires.
+    After a 404 (the engine holds nothing) the call is repeated while time remains, as an abandoned prefill may still be
+    running and leave a state when it ends. After a single call that state would stay until its lease expires.
     """
     body = msgspec.json.encode({"request_id": ident})
     not_found = False
@@ -37,7 +37,7 @@
 
 
 async def release_once(pool: ConnectionPool, address: str, headers: Headers, body: bytes) -> int | None:
-    """Asks an engine once; returns the status of its answer, None if there was none."""
+    """Makes one release call; returns the status of the answer, None if there was none."""
     connection: ClientConnection | None = None
     try:
         connection = await pool.take(address)
--- a/ternlane/engine/http_attempt.py
+++ b/ternlane/engine/http_attempt.py
@@ -20,7 +20,7 @@
 
 
 async def take_connection(pool: ConnectionPool, plan: AttemptPlan) -> ClientConnection:
-    """Takes a connection for the attempt. `plan.barred` is asked after the wait for the connection, as the client may
+    """Takes a connection for the attempt. `plan.barred` is called after the wait for the connection, as the client may
     have disconnected or the server may drain meanwhile. Raises AttemptNotStartedError and ConnectError."""
     connection = await pool.take(plan.address)
     outcome = plan.barred()
--- a/ternlane/engine/load_report.py
+++ b/ternlane/engine/load_report.py
@@ -16,9 +16,8 @@
 def load_from_metrics(text: str) -> Report | None:
     """The load in an engine's metrics (Prometheus text), under any prefix such as `vllm:`."""
     values: dict[str, float] = {}
-    lines = [
-        line for line in text.splitlines() if LOAD_METRIC_LINE.match(line)
-    ]  # parsing all lines is slow, as there can be thousands
+    # Only the needed lines are parsed, as a page can have thousands.
+    lines = [line for line in text.splitlines() if LOAD_METRIC_LINE.match(line)]
     try:
         for family in text_string_to_metric_families("\n".join(lines) + "\n"):
             for sample in family.samples:
--- a/ternlane/engine/local_transport.py
+++ b/ternlane/engine/local_transport.py
@@ -108,7 +108,7 @@
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """True if the engine's `release` returned within the time limit."""
+        """Calls the engine's `release`; true if it returned within the time limit."""
         engine = self.engines.get(server)
         if engine is None:
             return False
--- a/ternlane/engine/messages.py
+++ b/ternlane/engine/messages.py
@@ -68,7 +68,7 @@
     logprobs: dict[str, Any] | None = None
 
     def extras(self) -> dict[str, Any] | None:
-        """Its fields other than text, in the form of `ternlane.chat.message_extras`; None if there are none."""
+        """The fields other than text, in the form of `ternlane.chat.message_extras`; None if there are none."""
         extras: dict[str, Any] = {}
         if self.delta is not None:
             fields = {name: value for name in EXTRA_FIELDS if (value := getattr(self.delta, name))}
@@ -80,7 +80,7 @@
 
 
 class StreamChunk(msgspec.Struct):
-    """One event of a decode server's stream."""
+    """An event of a decode server's stream."""
 
     choices: list[StreamChoice] = []
     usage: Usage | None = None
--- a/ternlane/engine/protocols/base.py
+++ b/ternlane/engine/protocols/base.py
@@ -16,4 +16,5 @@
     goes_on: bool  # engines can continue the last message (continue_final_message)
 
     def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
-        """Headers and body of POST /v1/chat/completions. Raises ValueError for a stage that it does not support."""
+        """Encodes an attempt as headers and body of POST /v1/chat/completions. Raises ValueError for unsupported
+        stages."""
--- a/ternlane/engine/stream_attempt.py
+++ b/ternlane/engine/stream_attempt.py
@@ -22,7 +22,7 @@
 
 
 class StreamAttempt:
-    """One streamed attempt. `read_to_end`: the answer was read completely, so the connection can be reused."""
+    """Runs one streamed attempt. `read_to_end`: the answer was read completely, so the connection can be reused."""
 
     def __init__(self, pool: ConnectionPool, plan: AttemptPlan, pass_on: TextSink) -> None:
         self.pool = pool
--- a/ternlane/ledger/billing_report.py
+++ b/ternlane/ledger/billing_report.py
@@ -18,7 +18,7 @@
 
 
 class BillRow(TypedDict):
-    """One line of a bill. The keys are those of the JSON and CSV output; all counts but `generations` are tokens."""
+    """A line of a bill. The keys are those of the JSON and CSV output; all counts but `generations` are tokens."""
 
     tenant: str
     product: str
--- a/ternlane/ledger/disk.py
+++ b/ternlane/ledger/disk.py
@@ -11,7 +11,7 @@
 
 
 class Disk:
-    """One folder, created if missing. Methods raise OSError."""
+    """The folder of a log, created if missing. Methods raise OSError."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -43,7 +43,7 @@
         return sorted(os.listdir(self.folder))
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file."""
+        """Reads a file completely."""
         return (self.folder / name).read_bytes()
 
     def open(self, name: str) -> int:
--- a/ternlane/ledger/group_commit.py
+++ b/ternlane/ledger/group_commit.py
@@ -11,7 +11,7 @@
 from ternlane.ledger.segment import AggregateT, EntryT
 from ternlane.ledger.segmented_log import SegmentedLog
 
-COMMIT_RETRY_S = 0.5  # each failed commit is logged
+COMMIT_RETRY_S = 0.5  # short enough for bills, long enough for the log line of each failure
 LOCK_POLL_S = 0.05
 FLUSH_POLL_S = 0.01
 MAX_WAITING_ENTRIES = 100_000  # some tens of MB, and many minutes of bills
--- a/ternlane/ledger/quota_lease_file.py
+++ b/ternlane/ledger/quota_lease_file.py
@@ -17,13 +17,12 @@
 
 @contextmanager
 def open_quota_leases(path: Path, gateways: int, interval_s: float) -> Iterator[QuotaLeases]:
-    """Gives access to the leases while it holds the lock. The table is replaced as a whole at the end, or not at all if
-    the block raises.
+    """Gives access to the leases while it holds the lock. The table is replaced atomically at the end; if the block
+    raises, it stays unchanged.
 
-    `gateways` share the budgets, and each of them asks every `interval_s` seconds. Raises OSError if another process
-    holds the lock, QuotaLeaseFileError (an OSError) if the table is malformed: the caller then uses the part of the
-    budget that is always its own, and tries again later.
-    """
+    `gateways` share the budgets, and each of them requests tokens every `interval_s` seconds. Raises OSError if another
+    process holds the lock, QuotaLeaseFileError (an OSError) if the table is malformed: the caller then uses the part of
+    the budget that is always its own, and tries again later."""
     path.parent.mkdir(parents=True, exist_ok=True)
     lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, FILE_MODE)
     try:
--- a/ternlane/ledger/segmented_log.py
+++ b/ternlane/ledger/segmented_log.py
@@ -2,14 +2,12 @@
 
 `commit` writes and syncs the appended entries; only then do they count as durable. Faults and their handling:
 
-- A crash during a write leaves a torn tail, which recovery truncates. No entry in it was reported as durable.
-- After a short write or on a full disk the segment is truncated, and the entries stay in memory for the next commit.
-- After a failed sync the content on disk is unknown, and a second sync may report success for pages that were dropped.
-  The segment is therefore never written again; its unsynced entries go into a new one with the same sequence numbers.
-  Recovery skips sequence numbers that it has already seen.
-- Corruption within a segment, other than at its end, cannot come from a crash. Recovery raises CorruptLedgerError with
-  its position.
-"""
+- A crash during a write leaves a torn tail, which recovery truncates. No entry in it was reported as durable. - After a
+short write or on a full disk the segment is truncated, and the entries stay in memory for the next commit. - After a
+failed sync the content on disk is unknown, and a second sync may report success for pages that were dropped. The
+segment is therefore never written again; its unsynced entries go into a new one with the same sequence numbers.
+Recovery skips sequence numbers that it has already seen. - Corruption within a segment, other than at its end, cannot
+be the result of a crash. Recovery raises CorruptLedgerError with its position."""
 
 from __future__ import annotations
 
--- a/ternlane/recovery/__init__.py
+++ b/ternlane/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""Recovery of broken streams: whether one may be resumed, how its text is joined, when its turn comes. No I/O."""
+"""Recovery of broken streams: resume strategies, joining of texts, stall detection and rate limits. No I/O."""
 
 from ternlane.recovery.errors import RecoveryError, ReplayMismatchError
 from ternlane.recovery.replay_buffer import ReplayBuffer
--- a/ternlane/recovery/errors.py
+++ b/ternlane/recovery/errors.py
@@ -8,4 +8,4 @@
 
 
 class ReplayMismatchError(RecoveryError):
-    """A replayed request produced a text other than the one that the client has received."""
+    """The text of a replayed request differs from the text that the client has received."""
--- a/ternlane/recovery/inflight.py
+++ b/ternlane/recovery/inflight.py
@@ -20,8 +20,8 @@
 
 class RequestAdmitted(msgspec.Struct, array_like=True, tag="t"):
     """A request was admitted. `ident`: its id in the journal; `name`: its id at engines; `key`: its Idempotency-Key
-    with the key's owner, "" if none; `at`: when it came; `expires_ms`: until when repeats are recognized. Times are ms
-    of the wall clock."""
+    with the key's owner, "" if none; `at`: time of admission; `expires_ms`: until when repeats are recognized. Times
+    are ms of the wall clock."""
 
     ident: str
     name: str
@@ -33,8 +33,8 @@
 
 
 class AttemptSent(msgspec.Struct, array_like=True, tag="s"):
-    """An attempt is about to be sent. `prefills`: the server may hold a state from now on; `decodes`: the request may
-    run from now on. For requests without a key only prefills are recorded, so that their states can be released."""
+    """An attempt is about to be sent. `prefills`: it may leave a state at the server; `decodes`: it may run the
+    request. For requests without a key only prefills are recorded, so that their states can be released."""
 
     ident: str
     name: str
@@ -46,7 +46,7 @@
 
 
 class StateReleased(msgspec.Struct, array_like=True, tag="f"):
-    """No server holds a state for the request any more."""
+    """All states held for a request were released."""
 
     ident: str
 
@@ -164,8 +164,8 @@
     # -- after a crash
 
     def answers(self, now: float) -> list[RecoveredAnswer]:
-        """What repeats get from now on: the stored answers, and for requests that may have run without an answer, the
-        notice that they may have. A request that cannot have run, or may safely run again, is not among them."""
+        """The answers for repeats after a crash: the stored ones, and for requests that may have run but have no
+        answer, a termination that says so. Requests that cannot have run or may safely run again are not included."""
         answers = [answer for answer in self.known.values() if answer.taken.expires_ms > now]
         for in_flight in self.opened.values():
             if (
--- a/ternlane/recovery/resume_limiter.py
+++ b/ternlane/recovery/resume_limiter.py
@@ -4,8 +4,8 @@
 ahead of new requests, the load would bring down the rest of the fleet. They are therefore resumed in turn, from a token
 bucket that refills at `share` of the prefill capacity. The capacity is the larger of two figures: the best rate seen
 within a recent window, and one prompt after another on each server at the recent prefill rate, divided among the
-gateways. Queues at prefill servers lower that rate, so a congested fleet gets less. One stream may always be resumed
-when none is, as otherwise no rate would ever be measured.
+gateways. Queues at prefill servers lower that rate, so a congested fleet gets less. While no
+resume is running one may always start, as otherwise there would be no prefills to take the rate from.
 """
 
 from __future__ import annotations
--- a/ternlane/recovery/resume_strategy.py
+++ b/ternlane/recovery/resume_strategy.py
@@ -12,7 +12,7 @@
 
 class ResumeStrategy(Enum):
     """CONTINUE sends the prompt with the text that the client has, to be continued from there. REPLAY sends the same
-    request again; the text that the client has is compared and skipped. END tells the client that the stream broke."""
+    request again; the text that the client has is compared and skipped. END ends the stream with an error."""
 
     CONTINUE = auto()
     REPLAY = auto()
--- a/ternlane/recovery/stall_detector.py
+++ b/ternlane/recovery/stall_detector.py
@@ -1,10 +1,10 @@
 """Decides when a silent stream has stalled, from how unlikely the silence is among all streams of the fleet.
 
-Each server has a running median of the intervals between its pieces. How far an interval may exceed that median is
-learnt from all servers together, in a decaying histogram of ratios. Pauses that healthy decode servers make (a large
-prompt joins the batch, a garbage collection, a preemption) are part of it and raise no alarm. Beyond the largest ratios
-seen, the tail is extrapolated as a power law with Hill's estimator. Abandoning a stream costs a resume, so none is
-abandoned before it has been silent for as long as a resume takes; the total is then at most twice the optimum.
+Each server has a running median of the intervals between its pieces. How far intervals exceed that median is tracked
+for all servers together, in a decaying histogram of ratios. Pauses that healthy decode servers make (a large prompt
+joins the batch, a garbage collection, a preemption) are part of it and raise no alarm. Beyond the largest ratios seen,
+the tail is extrapolated as a power law with Hill's estimator. Abandoning a stream costs a resume, so none is abandoned
+before it has been silent for as long as a resume takes; the total is then at most twice the optimum.
 
 An abandoned stream does not show how long its silence would have lasted, so the histogram would lose the pauses that
 the timeout cuts off. One stream in `EXPLORATION_PERIOD` therefore keeps the router's idle timeout, and its long
--- a/ternlane/recovery/stream_join.py
+++ b/ternlane/recovery/stream_join.py
@@ -12,7 +12,7 @@
 
 
 class StreamJoin:
-    """One request's text over its attempts. Tokens are those that the engine reports, otherwise one per piece.
+    """The text of a request over all its attempts. Tokens are those that the engine reports, otherwise one per piece.
 
     `strategy` changes to END if the text exceeds the replay buffer or a replay differs. The present attempt then goes
     on, but its failure ends the client's stream.
@@ -121,7 +121,7 @@
         self.disable("a repeat gave another answer")
 
     def disable(self, why: str) -> None:
-        """From now on a failed attempt ends the stream; `why` can reach the client."""
+        """Disables resuming: a failed attempt then ends the stream. `why` can reach the client."""
         self.strategy = ResumeStrategy.END
         self.why = why
 
@@ -167,7 +167,7 @@
         self.buffered_bytes = 0
 
     def request(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """The request body of the next attempt, which continues the client's text if the strategy says so."""
+        """The request body of the next attempt, extended by the client's text if the attempt continues it."""
         if not self.continues:
             return raw
         messages = list(raw["messages"])
@@ -179,9 +179,9 @@
         return {**raw, "messages": messages, "continue_final_message": True, "add_generation_prompt": False}
 
     def usage(self, prompt_tokens: int, cached: int, reported: dict[str, Any]) -> dict[str, Any]:
-        """The usage of the whole request, from that `reported` for the last attempt. `prompt_tokens` and the `cached`
-        ones among them come from the first prefill, as a decode server that fetched a state does not know them; the
-        tokens of the answer are those of all attempts."""
+        """The usage of the complete request, from that `reported` for the last attempt. `prompt_tokens` and the
+        `cached` ones among them are those of the first prefill, as a decode server that fetched a state does not know
+        them; the tokens of the answer are those of all attempts."""
         answer_tokens = reported["completion_tokens"] + (self.tokens if self.strategy is ResumeStrategy.CONTINUE else 0)
         if not prompt_tokens:
             return {
--- a/ternlane/recovery/stream_recovery.py
+++ b/ternlane/recovery/stream_recovery.py
@@ -18,14 +18,14 @@
 from ternlane.recovery.stall_detector import StallDetector
 from ternlane.recovery.stream_join import StreamJoin
 
-SAME_READ_MS = 0.2  # closer pieces came in one read of the socket and tell nothing of the engine
+SAME_READ_MS = 0.2  # closer pieces were read from the socket together, so their interval is not the engine's
 WINDOW_DEADLINE_SHARE = 1 / 4  # of the longest deadline
 DEFAULT_DEADLINE_MS = 1000.0  # if no request class is configured
 T = TypeVar("T", bound=Hashable)
 
 
 class RecoveryOutcome(Enum):
-    """What happens to a stream whose attempt failed."""
+    """The result of a failed attempt for its stream."""
 
     RESUMES = auto()  # queued to be resumed
     COMPLETE = auto()  # the client has all of the text; only the end of the stream is missing
--- a/tests/fake_disk.py
+++ b/tests/fake_disk.py
@@ -25,7 +25,7 @@
         self.next_handle = 1
 
     def next_call_fails(self) -> bool:
-        """Counts a call; true for the one that fails."""
+        """Counts a call; true for call number `fail_at`."""
         self.calls += 1
         return self.calls == self.fail_at
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -70,7 +70,7 @@
 def test_no_settled_bill_is_lost_or_duplicated_whichever_disk_call_fails(
     fail_at: int, failure: str, groups: list[int], seed: int
 ) -> None:
-    """One disk call fails, or the process crashes there; the crash loses a random part of the unsynced data. The next
+    """A disk call fails, or the process crashes there; the crash loses a random part of the unsynced data. The next
     process must find every entry reported as durable exactly once, and be able to continue; so must the one after."""
     disk = FakeDisk(fail_at, failure)
     durable = append_and_commit(BillingLedger(disk, segment_bytes=600), groups)
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("at", [1, 2, 3, 5, 6])
 async def test_a_stream_is_resumed_on_another_decode_server(at: int) -> None:
-    """The decode server of a stream dies after `at` pieces, when the client has a part of the text."""
+    """The decode server of a stream fails after `at` pieces, when the client has a part of the text."""
     complete = await complete_reply()
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, at)
@@ -106,7 +106,7 @@
 
 
 async def test_a_stream_is_resumed_until_its_attempts_are_used_up() -> None:
-    """Each decode server that resumes the stream dies too, until the limit on attempts ends it."""
+    """Each decode server that resumes the stream fails too, until the limit on attempts is reached."""
     complete = await complete_reply()
     async with gateway_cluster(("r0", "w0", "w0b", "w1", "w1b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 2)
@@ -122,7 +122,7 @@
 
 
 async def test_a_resume_survives_the_loss_of_its_prefill_server() -> None:
-    """A stream breaks, and the prefill server of its resume dies too."""
+    """A stream breaks, and the prefill server of its resume fails too."""
     complete = await complete_reply()
     async with gateway_cluster(("r0", "r0b", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 4)
@@ -282,7 +282,7 @@
 
 
 async def test_all_streams_survive_the_loss_of_half_the_decode_servers() -> None:
-    """Half the decode servers die at once with open streams, which are all resumed on the other half."""
+    """Half the decode servers fail at once with open streams, which are all resumed on the other half."""
     async with gateway_cluster(
         ("r0", "r0b", "w0", "w0b", "w1", "w1b"),
         profile=replace(ENGINE_PROFILE, token_ms=25.0, answer_tokens=(20, 20)),
@@ -356,9 +356,8 @@
     stream_join = join("ab|cd", ResumeStrategy.REPLAY)
     stream_join.attempt_failed(None)
     stream_join.take("ab")
-    assert (
-        not stream_join.attempt_completed() and stream_join.strategy is ResumeStrategy.END
-    )  # it is shorter than the client's text
+    # The replay is shorter than the client's text.
+    assert not stream_join.attempt_completed() and stream_join.strategy is ResumeStrategy.END
     stream_join = join("ab|cd", ResumeStrategy.REPLAY)
     stream_join.attempt_failed(None)
     with pytest.raises(ReplayMismatchError):
@@ -387,9 +386,8 @@
     stream_join = join("a|b|c", max_tokens=3)
     assert stream_join.attempt_failed(None) == 3 and stream_join.remaining_tokens() == 0
     stream_join = join("a|b|c", max_tokens=9)
-    assert (
-        stream_join.attempt_failed(5) == 5 and stream_join.remaining_tokens() == 4
-    )  # the engine reports two tokens for two of the pieces
+    # The engine reports two tokens for two of the pieces.
+    assert stream_join.attempt_failed(5) == 5 and stream_join.remaining_tokens() == 4
 
 
 @pytest.mark.parametrize(
@@ -537,7 +535,7 @@
     assert detector.idle_timeout_ms("w0") == 300.0
     detector.resume_ms = 1.0
     before = detector.idle_timeout_ms("w0") or 0.0
-    for _ in range(60):  # all decode servers are four times slower from now on
+    for _ in range(60):  # all decode servers become four times slower
         detector.record_piece_interval("w0", draw_interval_ms(rng, 40.0, 0.0))
     assert (detector.idle_timeout_ms("w0") or 0.0) > 3 * before
     detector.remove_server("w0")
@@ -563,9 +561,8 @@
         since = trio.current_time()
         reply = await cluster.ask()
         assert reply.done == 1 and len(reply.text.split()) == 30 and trio.current_time() - since < 0.8
-        assert (
-            cluster.gateway.runtime.router_config.request_classes[0].deadline_ms / 2 == 1000
-        )  # the router's idle timeout
+        # The router's own idle timeout is longer.
+        assert cluster.gateway.runtime.router_config.request_classes[0].deadline_ms / 2 == 1000
 
 
 # -- tool calls and log probabilities
@@ -593,7 +590,7 @@
 
 
 async def test_a_stream_that_breaks_within_a_tool_call_ends_with_an_error() -> None:
-    """A decode server dies within a tool call, which no other server can continue."""
+    """A decode server fails within a tool call, which no other server can continue."""
     async with gateway_cluster(("r0", "w0", "w0b"), fleet=fleet_config()) as cluster:
         break_decode_servers(cluster, 3)
         reply = await cluster.ask(tools=TOOLS, temperature=0)
@@ -706,7 +703,7 @@
 
 @pytest.mark.parametrize("script", ["midway", "silent", "stall"])
 async def test_a_decode_server_that_breaks_its_answers_is_avoided_by_outcomes_alone(script: str) -> None:
-    """Its endpoint list entry and its TCP connections are healthy; only its answers break."""
+    """The endpoint list entry and the TCP connections of the decode server are healthy; only its answers break."""
     async with gateway_cluster(("r0", "w0", "w0b", "w1"), fleet=fleet_config()) as cluster:
         cluster.engines["w0"].fault.script, cluster.engines["w0"].fault.break_after_events = script, 2
         replies: list[Reply] = []
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("model", ["summary", "note"])
-async def test_plain_chat_servers_and_ternlane_engines_in_one_fleet(model: str) -> None:
+async def test_plain_chat_servers_get_no_extensions_and_their_503_is_no_rejection(model: str) -> None:
     async with gateway_cluster(("m0",)) as cluster:
         engines = []
         for i in range(2):
