--- a/ternlane/platform/__init__.py
+++ b/ternlane/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The platform's protocol, as one more way in and out: clients, model servers and discovery over HTTP/1.1.
+"""The platform gateway: serves clients, model servers and discovery of the users' platform over HTTP/1.1.
 
-`python -m ternlane.platform` is the gateway that deploy/balancer.toml runs; docs/platform.md says what maps to what.
+`python -m ternlane.platform` is the gateway that deploy/balancer.toml runs; docs/platform.md maps the platform's
+protocol to the router's terms.
 """
--- a/ternlane/platform/acceptor.py
+++ b/ternlane/platform/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, and goes on doing so where the system refuses some."""
+"""Accepts clients' connections, and keeps accepting after `accept` has failed."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 from ternlane.platform.chat_server import ChatServer
 
-# Errors of accept that tell of too few descriptors or too little memory on this machine.
+# Errors of `accept` for too few file descriptors or too little memory on this machine.
 SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS)
-# A pause of the accept loop where the kernel says that a connection has gone already.
+# Pause of the accept loop after a connection was reset while it was queued.
 ABORTED_PAUSE_MS = 10.0
-# And where descriptors or memory are short: what closes meanwhile makes room.
+# Pause while descriptors or memory are short: connections that close meanwhile free some.
 SHORTAGE_PAUSE_MS = 50.0
-# No connection for so long: the listener's queue is empty.
+# The listener's queue counts as empty once no connection has come for this long.
 QUEUE_EMPTY_MS = 10.0
-# The part of the idle connections that is closed where descriptors are short: attempts need some too.
+# Share of the idle connections that is closed when descriptors are short: attempts need descriptors as well.
 IDLE_CLOSED_SHARE = 1 / 8
 
 
 class Acceptor:
-    """Takes connections off a listener for a server."""
+    """Accepts connections from a listener and hands them to a server."""
 
     def __init__(self, server: ChatServer, log: Any) -> None:
         self.server = server
         self.log = log
 
     async def accept(self, listener: trio.SocketListener, nursery: trio.Nursery) -> None:
-        """Takes connections until the listener is closed."""
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 stream = await listener.accept()
@@ -46,10 +46,9 @@
                 stream.socket.close()
 
     async def accept_queued(self, listener: trio.SocketListener, nursery: trio.Nursery, within_ms: float) -> None:
-        """Takes what waits in the listener's queue. Never raises.
+        """Accepts the connections that wait in the listener's queue. Never raises.
 
-        Returns once the queue is empty, or after `within_ms`, as where descriptors stay short or connections go on
-        coming.
+        Returns once the queue is empty, or after `within_ms` where descriptors stay short or connections keep coming.
         """
         by_s = trio.current_time() + within_ms / 1000
         while True:
@@ -69,14 +68,14 @@
                 await self.recover(error)
 
     async def recover(self, error: Exception) -> None:
-        """Makes room where descriptors are short, and else waits for a moment.
+        """Closes idle connections if descriptors are short, and otherwise pauses.
 
-        No failure to take one connection may end the others, and none is for ever while the listener is open.
+        An error of `accept` must not end the accept loop: it concerns one connection or a shortage that passes.
         """
         counts = self.server.runtime.reporter.counts
         number = error.errno if isinstance(error, OSError) else None
         counts[f"accept {errno.errorcode.get(number or 0, type(error).__name__)}"] += 1
-        if number == errno.ECONNABORTED:  # it was reset while it waited to be taken
+        if number == errno.ECONNABORTED:  # the connection was reset while it was queued
             await trio.sleep(ABORTED_PAUSE_MS / 1000)
             return
         if number not in SHORTAGE_ERRORS:
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -1,4 +1,4 @@
-"""A request at this gateway from its receipt to its final answer: its client's side, and the attempt that is out."""
+"""The state of a request at this gateway from its receipt to its final answer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ternlane.event_loop import Failed, Rejected, now_ms
 from ternlane.http1 import Exchange
 from ternlane.platform.attempt import Attempt
-from ternlane.platform.open_requests import Phase
+from ternlane.platform.open_requests import OpenRequestPhase
 from ternlane.platform.request_history import RequestHistory
 from ternlane.policy import messages
 from ternlane.policy.messages import Request
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True)
 class Streamed:
-    """The answer was streamed. `whole`: with its last chunk; else the client's connection is to end without it."""
+    """The answer was streamed. Where it is not complete, the client's connection is closed without the last chunk."""
 
-    recorded_as: ClassVar[str] = "streamed"  # the word on the wire, in the ledger and in the journal
+    recorded_as: ClassVar[str] = "streamed"  # the outcome's name on the wire, in the ledger and in the journal
 
-    whole: bool
+    is_complete: bool
 
 
 Final = Rejected | Failed | Streamed
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request at this gateway. `final` is set once; the client's connection, which waits for it, is then woken."""
+    """A request at this gateway. `final` is set once, which ends the wait of the client's connection for it."""
 
     request_id: str
     request: Request
@@ -41,58 +41,58 @@
     received_ms: float
     final: Final | None = None
     client_gone: bool = False
-    streaming: bool = False  # its client has the first event of the present attempt
-    attempt: Attempt | None = None  # that is out
-    server_name: str = ""  # of the newest attempt
+    streaming: bool = False  # the first event of the current attempt has been sent to the client
+    attempt: Attempt | None = None  # in flight
+    server_name: str = ""  # of the latest attempt
     attempts: int = 0
-    why: str = ""  # the newest attempt's failure
+    why: str = ""  # why the latest attempt failed
     attempt_log: list[str] = field(default_factory=list)  # one line for each attempt that has ended
-    released: trio.Event | None = None  # set once what was held before is released
-    client_watch: trio.CancelScope = field(default_factory=trio.CancelScope)  # ends when `final` is set
+    released: trio.Event | None = None  # set once the state of earlier attempts is released
+    client_watch: trio.CancelScope = field(default_factory=trio.CancelScope)  # cancelled when `final` is set
     history: RequestHistory = field(init=False)
 
     def __post_init__(self) -> None:
         self.history = RequestHistory(self.received_ms)
 
     def record(self, event: str) -> None:
-        """Adds a transition to its history, for the operators."""
+        """Adds a transition to the request's history."""
         self.history.record(now_ms(), event)
 
     @property
     def over(self) -> bool:
-        """Is nothing owed to its client any more?"""
+        """Whether the request has its final answer, or its client has disconnected."""
         return self.final is not None or self.client_gone
 
     @property
     def unanswered(self) -> bool:
-        """Is its client there, and has nothing of its answer yet?"""
+        """Whether the client is connected and has received nothing of its answer."""
         return not self.over and not self.streaming
 
     @property
     def last_outcome(self) -> str:
-        """How its last attempt ended, as its log line says; "" before one has."""
+        """The outcome of the last attempt that has ended, as its log line names it; "" for none."""
         return self.attempt_log[-1].split()[2] if self.attempt_log else ""
 
     @property
     def deadline_ms(self) -> float:
-        """By when its answer has to begin (ms, the loop's clock)."""
+        """By when the answer must begin (ms, the event loop's clock)."""
         return self.received_ms + self.request.client_timeout_ms
 
     @property
-    def phase(self) -> Phase:
-        """How far it has come."""
+    def phase(self) -> OpenRequestPhase:
+        """How far the request has come."""
         if self.streaming:
-            return Phase.STREAMING
+            return OpenRequestPhase.STREAMING
         if self.attempt is None:
-            return Phase.QUEUED
+            return OpenRequestPhase.QUEUED
         if not self.attempt.written:
-            return Phase.CONNECTING
-        return Phase.PREFILL if self.attempt.role is messages.Role.PREFILL else Phase.DECODE
+            return OpenRequestPhase.CONNECTING
+        return OpenRequestPhase.PREFILL if self.attempt.role is messages.Role.PREFILL else OpenRequestPhase.DECODE
 
     async def first(self, data: bytes) -> None:
-        """Writes the answer's head and first events. Raises trio.BrokenResourceError once the client has gone."""
+        """Writes the answer's head and first events. Raises trio.BrokenResourceError if the client has disconnected."""
         await self.exchange.begin(200, STREAM_HEAD, data)
 
     async def more(self, data: bytes) -> None:
-        """Writes further events. Raises trio.BrokenResourceError once the client has gone."""
+        """Writes further events. Raises trio.BrokenResourceError if the client has disconnected."""
         await self.exchange.chunk(data)
--- a/ternlane/platform/answer_order.py
+++ b/ternlane/platform/answer_order.py
@@ -1,4 +1,4 @@
-"""Which model servers answered last: the order in which a release asks them. Free of I/O."""
+"""Orders model servers by their last answer, for the order in which a release calls them. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,37 +8,38 @@
 
 
 class AnswerOrder:
-    """Addresses by when each last answered (s, monotonic clock), the latest at the end.
+    """Server addresses with the time of their last answer (s, monotonic clock), the latest at the end.
 
-    Those that owe a release its answer stand first, whenever they answered, so that they are asked last.
+    Servers that have not answered a pending release come first, whenever they last answered, so that they are called
+    last.
     """
 
     def __init__(self) -> None:
-        self.answered_at: OrderedDict[str, float] = OrderedDict()
+        self.answered_at_s: OrderedDict[str, float] = OrderedDict()
 
     def record_answer(self, address: str, now_s: float) -> None:
-        """This server has just answered."""
-        self.answered_at[address] = now_s
-        self.answered_at.move_to_end(address)
+        """Records an answer of this server."""
+        self.answered_at_s[address] = now_s
+        self.answered_at_s.move_to_end(address)
 
     def has_answered_since(self, address: str, since_s: float) -> bool:
-        """Has it answered after that moment?"""
-        return self.answered_at.get(address, 0.0) > since_s
+        """Whether the server has answered after that time."""
+        return self.answered_at_s.get(address, 0.0) > since_s
 
     def demote_silent(self, asked: Iterable[str], since_s: float) -> None:
-        """Puts last the servers that have answered nothing since they were asked, for all later releases."""
+        """Makes the servers that have not answered since they were called the last ones for all later releases."""
         for address in asked:
-            if self.answered_at.get(address, since_s) < since_s:
-                self.answered_at.move_to_end(address, last=False)
+            if self.answered_at_s.get(address, since_s) < since_s:
+                self.answered_at_s.move_to_end(address, last=False)
 
     def latest_first(self, addresses: Iterable[str], most: int) -> list[str]:
-        """At most so many addresses: first those that have answered, the latest first, then any others."""
-        order = list(islice(reversed(self.answered_at), most))
+        """At most `most` addresses: those that have answered, the latest first, then others."""
+        order = list(islice(reversed(self.answered_at_s), most))
         if len(order) < most:
-            others = (address for address in addresses if address not in self.answered_at)
+            others = (address for address in addresses if address not in self.answered_at_s)
             order += islice(others, most - len(order))
         return order
 
     def forget(self, address: str) -> None:
-        """It could not be reached, or is no longer listed."""
-        self.answered_at.pop(address, None)
+        """Removes a server that could not be reached or is no longer listed."""
+        self.answered_at_s.pop(address, None)
--- a/ternlane/platform/attempt.py
+++ b/ternlane/platform/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a model server: what is sent, its limits, and how it ended."""
+"""One attempt at a model server: its request, its time limits and its result."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt that is out: the request as the client sent it, to which address, for how long."""
+    """An attempt in flight: the request as the client sent it, the server's address and the time limits."""
 
     address: str
     role: Role  # of the server
@@ -22,21 +22,21 @@
     target: str
     request_id: str
     body: bytes
-    last_by: float  # s, trio's clock: a prefill's answer, or a first token, that comes later is not waited for
-    idle_timeout_ms: float  # the longest silence within the stream
+    answer_by_s: float  # trio's clock: deadline for a prefill's answer or a decode's first token
+    idle_timeout_ms: float  # the longest time between two events of the stream
     start_check: StartCheck = always_allowed
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    release_wait: trio.CancelScope = field(default_factory=trio.CancelScope)  # for an earlier attempt's release
+    release_wait: trio.CancelScope = field(default_factory=trio.CancelScope)  # of the wait for an earlier release
     cancelled: bool = False
-    written_at: float | None = None  # s, trio's clock: when its last byte was; from then on it may run
+    written_at_s: float | None = None  # trio's clock: when its last byte was written; from then on it may run
 
     @property
     def written(self) -> bool:
-        """Has its last byte been written, so that it may run?"""
-        return self.written_at is not None
+        """Whether the last byte has been written, from which on the attempt may run."""
+        return self.written_at_s is not None
 
     def cancel(self) -> None:
-        """Ends the attempt, or the wait before it."""
+        """Cancels the attempt, or the wait for a release before it."""
         self.cancelled = True
         self.release_wait.cancel()
         self.scope.cancel()
@@ -47,15 +47,15 @@
     """How an attempt ended."""
 
     outcome: AttemptOutcome = AttemptOutcome.TIMED_OUT
-    begun: bool = False  # the client has its first event
-    cached_tokens: float = 0.0  # of the prompt, found in the server's prefix cache
-    state_lost: bool = False  # the prefill's state is gone
+    begun: bool = False  # the client has been sent the first event
+    cached_tokens: float = 0.0  # prompt tokens found in the server's prefix cache
+    state_lost: bool = False  # the prefill server no longer holds the state
     report: Report | None = None
     why: str = ""
 
 
 class ResponseWriter(Protocol):
-    """Where a stream's bytes go. Both raise trio.BrokenResourceError once the client has gone."""
+    """Receives the bytes of a stream. Both methods raise trio.BrokenResourceError if the client has disconnected."""
 
     def first(self, data: bytes) -> Awaitable[None]:
         """Writes the answer's head and first events."""
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -1,4 +1,4 @@
-"""The clients' side: reads requests, hands them to the runtime, and gives the answers."""
+"""Serves clients' connections: reads requests, hands them to the runtime, and writes the answers."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
 from ternlane.platform.active_request import ActiveRequest, Streamed
 from ternlane.platform.errors import InvalidRequestError
-from ternlane.platform.protocol import BODY_BYTES, CHAT_PATH, READY_PATH, ParsedRequest, parse_request
+from ternlane.platform.protocol import CHAT_PATH, MAX_BODY_BYTES, READY_PATH, ParsedRequest, parse_request
 from ternlane.platform.runtime import PlatformRuntime
 from ternlane.policy.messages import Request
 
-# Of a request's head.
-HEAD_BYTES = 16384
-# For a request's head, again for its body, and from a connection's start to its first request. Who connects and sends
-# no request is owed an end within 3 s of connecting (users' page); the rest is for the way. A slow client that goes on
-# writing gets all of that time, on each of its connections and for each of its requests.
+# Size limit of a request's head.
+MAX_HEAD_BYTES = 16384
+# For a request's head, for its body, and from a connection's start to its first request. A client that connects and
+# sends no request must be disconnected within 3 s (users' page); the difference is for the network. A slow client has
+# this time on each connection and for each request.
 REQUEST_TIMEOUT_MS = 2700.0
-# The users' page lets a connection without an open request go after 2 s.
+# The users' page allows closing a connection without an open request after 2 s.
 IDLE_TIMEOUT_MS = 2300.0
-# A client that takes nothing for so long has left.
+# A client that accepts no bytes for this long counts as disconnected.
 SEND_TIMEOUT_MS = 3000.0
 
 
 class ChatServer:
-    """Serves clients' connections. The three limits are set by the gateway, again with each reload.
+    """Serves clients' connections. The gateway sets the three limits at the start and on each reload.
 
-    With `connection_limit` connections open a new one takes the place of the one that has been idle for longest. Beyond
+    With `connection_limit` connections open a new one replaces the one that has been idle for longest. Beyond
     `request_limit` active requests, or `body_bytes_limit` bytes of their bodies, requests are rejected at once.
     """
 
@@ -40,7 +40,7 @@
     body_bytes_limit: int
 
     def __init__(self, runtime: PlatformRuntime, unseen_ms: Callable[[], float], log: Any) -> None:
-        """`unseen_ms`: for how long what has just been read may have lain unread."""
+        """`unseen_ms` returns for how long bytes that have just been read may have been waiting in the socket."""
         self.runtime = runtime
         self.unseen_ms = unseen_ms
         self.log = log
@@ -50,12 +50,12 @@
         self.draining = False
         self.reading_stopped = False
         self.limits = ServerLimits(
-            BODY_BYTES,
+            MAX_BODY_BYTES,
             head_ms=REQUEST_TIMEOUT_MS,
             body_ms=REQUEST_TIMEOUT_MS,
             idle_ms=IDLE_TIMEOUT_MS,
             send_ms=SEND_TIMEOUT_MS,
-            head_bytes=HEAD_BYTES,
+            head_bytes=MAX_HEAD_BYTES,
             first_ms=REQUEST_TIMEOUT_MS,
         )
 
@@ -63,11 +63,11 @@
 
     @property
     def connections(self) -> int:
-        """How many clients' connections are open."""
+        """The number of open client connections."""
         return len(self.open)
 
     def has_room(self) -> bool:
-        """May a further connection be taken? Closes the longest idle one for it, where that is needed."""
+        """Whether another connection may be accepted. Closes the longest idle one if that is needed."""
         return self.connections < self.connection_limit or self.close_longest_idle()
 
     def take(self, stream: trio.SocketStream, nursery: trio.Nursery) -> None:
@@ -87,17 +87,17 @@
         nursery.start_soon(self._serve, connection)
 
     def close_longest_idle(self) -> bool:
-        """Closes the connection that has been idle for longest. False: none is idle, or all have bytes waiting."""
+        """Closes the connection that has been idle for longest. False if none is idle or all have unread bytes."""
         return any(connection.close_if_idle() for connection in list(self.idle))
 
     def close_idle(self, served_only: bool = False) -> None:
-        """Closes the idle connections on which nothing has arrived; the others are answered, and end with that."""
+        """Closes the idle connections without unread bytes; the others are answered first and then closed."""
         for connection in list(self.idle):
             if connection.served or not served_only:
                 connection.close_if_idle(CloseReason.DRAINING)
 
     def stop_reading(self) -> None:
-        """Refuses what is not a whole request yet, from here on."""
+        """Refuses, from now on, requests that have not been received completely."""
         self.reading_stopped = True
         for connection in list(self.open):
             connection.stop_reading()
@@ -105,7 +105,7 @@
     async def _serve(self, connection: ServerConnection) -> None:
         try:
             await connection.serve()
-        except Exception:  # a fault of this program must not end the other connections
+        except Exception:  # a programming error must not end the other connections
             self.log.exception("connection")
         finally:
             self.open.discard(connection)
@@ -122,7 +122,7 @@
     # -- requests
 
     async def _handle(self, exchange: Exchange) -> None:
-        """Serves one request. Raises BadRequest for what can't be read or is not served."""
+        """Serves one request. Raises BadRequest if it is invalid or its path is not served."""
         route = (exchange.method, exchange.path)
         try:
             if route == ("POST", CHAT_PATH):
@@ -165,10 +165,10 @@
         return len(active_requests) < self.request_limit and has_memory
 
     def _request(self, parsed: ParsedRequest) -> Request:
-        """The request as the router knows it.
+        """The request in the router's terms.
 
-        Its time counts from its last byte (users' page): a slow client's time has only begun, and one that came while
-        this loop was busy has lost some of it already.
+        Its timeout counts from its last byte (users' page): the time that a slow client took to send it does not count,
+        but the time for which it waited unread while this loop was busy does.
         """
         deployment = self.runtime.deployment
         request_class = deployment.request_classes[parsed.request_class]
@@ -186,7 +186,7 @@
         )
 
     async def _answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
-        """Waits for the final answer, and writes it where it was not streamed."""
+        """Waits for the final answer, and writes it unless it was streamed."""
         try:
             if not active_request.over:
                 with active_request.client_watch:  # cancelled when the answer is final
@@ -203,7 +203,7 @@
             case Failed(why):
                 await exchange.answer(502, [], error_body(Failed.recorded_as, why or "no server could finish it"))
             case Streamed() | None:
-                pass  # written already; where it is not whole, or the client has left, the connection just ends
+                pass  # already written; if incomplete, or the client has disconnected, the connection just ends
 
     def _error_body(self, _: Exchange | None, error: BadRequest) -> tuple[bytes, str]:
         self.runtime.reporter.counts[f"refused {error.code}"] += 1
@@ -211,7 +211,7 @@
 
 
 def _headers(exchange: Exchange) -> dict[bytes, str]:
-    """Raises InvalidRequestError where a header of the protocol is given twice: either could be meant."""
+    """The request's headers. Raises InvalidRequestError if a header of the protocol is repeated: it is ambiguous."""
     headers: dict[bytes, str] = {}
     for name, value in exchange.request.headers:
         if name in headers and name.startswith((b"request-", b"affinity-")):
@@ -221,7 +221,7 @@
 
 
 def _header_text(value: bytes) -> str:
-    """A header's value: UTF-8 where it is that, as names in the settings are, else the letters of ISO 8859-1."""
+    """A header's value, decoded as UTF-8, as names in the settings are, or else as ISO 8859-1."""
     try:
         return value.decode()
     except UnicodeDecodeError:
--- a/ternlane/platform/discovery_watch.py
+++ b/ternlane/platform/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows discovery: one long-lived watch that says what changed, opened anew where it broke or fell silent."""
+"""Follows discovery: one long-lived watch that delivers changes, reopened when it breaks or goes silent."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from ternlane.platform.endpoint_registry import MAX_STALENESS_MS
 
 WATCH_PATH = "/registry/instances?stream=1&index={}"
-# A heartbeat, an empty line, comes at the latest this often (users' page).
+# The longest interval between heartbeats, which are empty lines (users' page).
 HEARTBEAT_MS = 2000.0
-# What discovery has and could be asked for counts as told then, whatever call failed (users' page).
+# Changes must be applied within this time while discovery is reachable, whichever calls fail (users' page).
 PROPAGATION_MS = MAX_STALENESS_MS
-# What a new address has to tell counts as told so long after the reload (users' page).
+# The endpoints at a new address must be applied within this time after the reload (users' page).
 MOVE_PROPAGATION_MS = 4000.0
-# A watch without a line for so long has broken.
+# A watch without a line for this long counts as broken.
 WATCH_TIMEOUT_MS = 1.25 * HEARTBEAT_MS
 CONNECT_TIMEOUT_MS = HEARTBEAT_MS / 4
-# For the head of an answer, which an agent gives at once.
+# For the head of an answer, which an agent sends at once.
 HEAD_TIMEOUT_MS = HEARTBEAT_MS / 2
 # Backoff after a watch that worked: its agent, on this machine, answers at once.
 FIRST_BACKOFF_MS = HEARTBEAT_MS / 100
-# Backoff after calls that came to nothing, doubled each time up to the second.
+# Backoff after failed calls, doubled each time up to MAX_BACKOFF_MS.
 BACKOFF_MS = HEARTBEAT_MS / 8
 MAX_BACKOFF_MS = 0.4 * HEARTBEAT_MS
-# Jitter, as factors of a backoff: not all gateways ask at once.
+# Jitter, as factors of a backoff: gateways must not all call at once.
 JITTER = 0.5, 1.5
-# From a call that hangs to the next answer, at worst.
+# Worst case from the start of a call that hangs to the next answer.
 WORST_CASE_MS = WATCH_TIMEOUT_MS + JITTER[1] * MAX_BACKOFF_MS + CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
-# From a move of discovery to its first list, at worst: the first call for it hangs.
+# Worst case from a change of discovery's address to the first list: the first call to it hangs.
 MOVE_WORST_CASE_MS = (
     CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS + JITTER[1] * BACKOFF_MS + CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
 )
-# Within which an agent that is up has said what it has.
+# Within which an agent that is up has sent its list.
 FIRST_LIST_MS = CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
-BROKEN = (
+WATCH_ERRORS = (
     ConnectError,
     OSError,
     trio.BrokenResourceError,
@@ -53,10 +53,11 @@
 
 
 class DiscoveryWatch:
-    """Calls `on_list` with each list and `on_failure` with why a watch ended; `opened` is set once any has spoken.
+    """Calls `on_list` with each list and `on_failure` with the reason why a watch ended.
 
-    `index` gives the newest list's index, from which a watch is opened. Where discovery moves to another address, the
-    old watch lasts until the new one has spoken.
+    `opened` is set once any watch has received a list or a heartbeat. `index` returns the newest list's index, from
+    which a watch is opened. When discovery moves to another address, the old watch lasts until the new one has
+    received something.
     """
 
     def __init__(
@@ -81,18 +82,18 @@
         self._pauses = 0
 
     def start(self) -> None:
-        """Begins to follow `address`."""
+        """Starts to watch `address`."""
         scope = trio.CancelScope()
         self.following.append(scope)
         self.nursery.start_soon(self._follow, self.address, scope)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Follows another address from now on."""
+        """Watches another address from now on."""
         self.address = address
         self.start()
 
-    async def _pause(self, usual_ms: float) -> None:
-        await trio.sleep(usual_ms * self._jitter() / 1000)
+    async def _pause(self, base_ms: float) -> None:
+        await trio.sleep(base_ms * self._jitter() / 1000)
 
     def _jitter(self) -> float:
         self._pauses += 1
@@ -101,7 +102,7 @@
         return low + (high - low) * fraction
 
     async def _follow(self, address: tuple[str, int], scope: trio.CancelScope) -> None:
-        """Watches one address until another one has taken its place."""
+        """Watches one address until another one has replaced it."""
         pool = ConnectionPool(CONNECT_TIMEOUT_MS, inf)
         backoff_ms = 0.0
         try:
@@ -110,7 +111,7 @@
                     since = trio.current_time()
                     why = await self._watch_until_broken(pool, f"{address[0]}:{address[1]}", scope)
                     if scope is not self.following[-1]:
-                        return  # an old address whose watch has ended is not asked again
+                        return  # the watch of a replaced address is not reopened
                     self.on_failure(why)
                     has_worked = trio.current_time() - since > WATCH_TIMEOUT_MS / 1000
                     backoff_ms = (
@@ -118,41 +119,41 @@
                     )
                     await self._pause(backoff_ms)
                     if scope is not self.following[-1]:
-                        return  # and neither if it has become an old one during the pause
+                        return  # nor if it was replaced during the pause
         finally:
             pool.close()
             if scope in self.following[:-1]:
                 self.following.remove(scope)
 
     async def _watch_until_broken(self, pool: ConnectionPool, peer: str, scope: trio.CancelScope) -> str:
-        """Opens a watch and reads it to its end; returns why it ended."""
+        """Opens a watch and reads it until it ends; returns why it ended."""
         try:
             connection = await pool.connect(peer)
             try:
                 await self._read_watch(connection, scope)
             finally:
                 connection.close_now()
-        except BROKEN as error:
+        except WATCH_ERRORS as error:
             return repr(error)
-        return "the watch ended"
+        return "discovery closed the watch"
 
     async def _read_watch(self, connection: ClientConnection, scope: trio.CancelScope) -> None:
-        with trio.fail_after(HEAD_TIMEOUT_MS / 1000) as silence:
+        with trio.fail_after(HEAD_TIMEOUT_MS / 1000) as timeout:
             head = await connection.ask("GET", WATCH_PATH.format(self.index()), [])
             if head.status_code != 200:
                 raise ValueError(f"status {head.status_code}")
-            silence.deadline = trio.current_time() + WATCH_TIMEOUT_MS / 1000
+            timeout.deadline = trio.current_time() + WATCH_TIMEOUT_MS / 1000
             parser = EndpointListParser()
             async for piece in connection.chunks():
-                silence.deadline = trio.current_time() + WATCH_TIMEOUT_MS / 1000
+                timeout.deadline = trio.current_time() + WATCH_TIMEOUT_MS / 1000
                 self._cancel_older(scope)
                 lists = parser.feed(piece)
                 for raw in lists:
                     self.on_list(parse_endpoint_list(raw))
-                if lists or not parser.unfinished:  # a list, or a heartbeat: there is nothing to tell
+                if lists or not parser.has_partial_list:  # a list, or a heartbeat, which says that nothing changed
                     self.opened.set()
 
     def _cancel_older(self, scope: trio.CancelScope) -> None:
-        """This watch works: those that it takes the place of may end."""
+        """Ends the watches that this one replaces, now that it works."""
         for older in self.following[: self.following.index(scope)]:
             older.cancel()
--- a/ternlane/platform/end_signal.py
+++ b/ternlane/platform/end_signal.py
@@ -1,6 +1,6 @@
-"""The signal to end, noted in the moment in which it comes.
+"""Records when SIGTERM or SIGINT arrives.
 
-The time until a kill runs from there, whatever this process is doing meanwhile."""
+The time until SIGKILL runs from that moment, even if the event loop handles the signal later."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 
 
 class EndSignal:
-    """`received` is set once this process has been told to end. To be made within trio's run; `earlier`: when it was
-    told before, by the monotonic clock."""
+    """`received` is set once a termination signal has arrived. Must be created inside trio's run.
 
-    def __init__(self, earlier: list[float]) -> None:
+    `earlier_s`: when such signals arrived before, by the monotonic clock.
+    """
+
+    def __init__(self, earlier_s: list[float]) -> None:
         self.received = trio.Event()
-        self._at = earlier
+        self._times_s = earlier_s
         self._token = trio.lowlevel.current_trio_token()
         for number in END_SIGNALS:
             signal.signal(number, self._note)
-        if earlier:
+        if earlier_s:
             self.received.set()
 
     def _note(self, *_: object) -> None:
-        self._at.append(time.monotonic())
-        with suppress(trio.RunFinishedError):  # it comes again as this process ends
+        self._times_s.append(time.monotonic())
+        with suppress(trio.RunFinishedError):  # a further signal while this process exits
             self._token.run_sync_soon(self.received.set, idempotent=True)
 
     def since_ms(self) -> float:
-        """How long ago it first came; 0 where it has not."""
-        return (time.monotonic() - self._at[0]) * 1000 if self._at else 0.0
+        """How long ago the first signal arrived; 0 if none has."""
+        return (time.monotonic() - self._times_s[0]) * 1000 if self._times_s else 0.0
--- a/ternlane/platform/endpoint_list.py
+++ b/ternlane/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's lists of model servers, as they come over a watch. Free of I/O."""
+"""Parses discovery's lists of model servers from the bytes of a watch. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from ternlane.policy.messages import EndpointStatus
 
-# The words on the wire for an endpoint's status.
+# Values of an endpoint's status on the wire.
 STATUSES = {"SERVING": EndpointStatus.READY, "DRAINING": EndpointStatus.DRAINING, "DELETED": EndpointStatus.REMOVED}
-# Of one list: thousands of servers fit in it, and an endless one must not fill the memory.
-LIST_BYTES = 4 * 2**20
-# A JSON string, which never goes on beyond its line.
-TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
+# Size limit of one list: fits thousands of servers, and keeps an endless one from filling the memory.
+MAX_LIST_BYTES = 4 * 2**20
+# A JSON string, which never extends beyond its line.
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class EndpointEntry(msgspec.Struct, frozen=True):
-    """One server of a list, by its names on the wire."""
+    """One server of a list, with the field names of the wire."""
 
     name: str
     address: str
@@ -26,11 +26,11 @@
     group: int = 0
     status: str = "SERVING"
     weight: float = 1.0
-    since_ms: float = 0.0  # when it started, by its wall clock; 0: long ago
+    since_ms: float = 0.0  # when it started, by its wall clock; 0 means long ago
 
 
 class EndpointList(msgspec.Struct):
-    """A list, or what has changed since the one before. `snapshot`: it names all servers."""
+    """A list of servers. `snapshot`: it names all servers; otherwise those that have changed since the last list."""
 
     index: int
     endpoints: list[EndpointEntry]
@@ -41,21 +41,21 @@
 
 
 class EndpointListParser:
-    """Splits the bytes of a watch into its lists. Each stands on a line, or is indented over several; an empty line
-    between two lists is a heartbeat."""
+    """Splits the bytes of a watch into lists. Each list is one line, or is indented over several; an empty line between
+    two lists is a heartbeat."""
 
     def __init__(self) -> None:
         self._rest = b""
         self._lines: list[bytes] = []
-        self._depth = 0  # of braces that are open
+        self._depth = 0  # number of open braces
 
     @property
-    def unfinished(self) -> bool:
-        """Has a list begun whose end is still to come?"""
+    def has_partial_list(self) -> bool:
+        """Whether a list has begun that is not complete yet."""
         return bool(self._rest.strip() or self._lines)
 
     def feed(self, more: bytes) -> list[bytes]:
-        """The lists that have ended with these bytes. Raises ValueError for what can be no list."""
+        """The lists that these bytes complete. Raises ValueError if the bytes cannot be part of a list."""
         complete: list[bytes] = []
         *lines, self._rest = (self._rest + more).split(b"\n")
         for line in lines:
@@ -63,31 +63,31 @@
             if self._lines and not self._depth:
                 complete.append(b"\n".join(self._lines))
                 self._lines = []
-        if len(self._rest) + sum(map(len, self._lines)) > LIST_BYTES:
-            raise ValueError("a list without end")
+        if len(self._rest) + sum(map(len, self._lines)) > MAX_LIST_BYTES:
+            raise ValueError("endpoint list is too long")
         return complete
 
     def _add_line(self, line: bytes) -> None:
-        without_text = TEXT.sub(b"", line)
+        without_text = JSON_STRING.sub(b"", line)
         self._depth += without_text.count(b"{") - without_text.count(b"}")
         if line.strip():
             self._lines.append(line)
         elif self._lines:
-            raise ValueError("a beat within a list of servers")  # its end is not to come
+            raise ValueError("heartbeat within an endpoint list")  # the rest of the list will not come
         begins_with_brace = not self._lines or self._lines[0].lstrip().startswith(b"{")
         if self._depth < 0 or not begins_with_brace:
-            raise ValueError("no list of servers")
+            raise ValueError("not an endpoint list")
 
 
 def parse_endpoint_list(raw: bytes | msgspec.Raw) -> EndpointList:
-    """Raises ValueError for what is no list: it is used whole or not at all."""
+    """Decodes a list. Raises ValueError if any part of it is invalid: a list is applied completely or not at all."""
     try:
         endpoint_list = _list_decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ValueError(f"list of servers: {error}") from None
+        raise ValueError(f"endpoint list: {error}") from None
     for entry in endpoint_list.endpoints:
         if not _is_usable(entry):
-            raise ValueError(f"list of servers: entry {entry.name!r} can't be used")
+            raise ValueError(f"endpoint list: entry {entry.name!r} is invalid")
     return endpoint_list
 
 
@@ -95,6 +95,6 @@
     if entry.status not in STATUSES or not entry.name:
         return False
     if STATUSES[entry.status] is EndpointStatus.REMOVED:
-        return True  # its address is of no use any more
+        return True  # the address of a removed server is not used
     host, _, port = entry.address.rpartition(":")
     return bool(host) and port.isdecimal() and int(port) <= 65535
--- a/ternlane/platform/endpoint_registry.py
+++ b/ternlane/platform/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The model servers that discovery has named, as the Server objects that the router shares. Free of I/O."""
+"""The model servers that discovery has listed, as the Server objects that the router uses. Free of I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ternlane.platform.wall_clock import WallClock
 from ternlane.policy.messages import EndpointStatus, EndpointsUpdated, Server
 
-# What discovery has to tell has been told by then (users' page). An agent is never behind for longer.
+# The longest time by which an agent's list may be out of date (users' page).
 MAX_STALENESS_MS = 6000.0
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """A server's name and address, for the sockets and the log alone."""
+    """A server's name and address, which only the sockets and the log use."""
 
     name: str
     address: str
@@ -24,7 +24,7 @@
 
 
 class EndpointRegistry:
-    """The servers by name. A name is an identity; an address may change. What is removed is forgotten."""
+    """The servers by name. The name identifies a server, whose address may change. Removed servers are dropped."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -32,21 +32,21 @@
         self.clock = WallClock()
         self.servers: dict[str, Server] = {}
         self.endpoints: dict[Server, Endpoint] = {}
-        self._behind_since_ms = inf  # since when lists have been older than the newest
+        self._outdated_since_ms = inf  # since when the lists have been older than the newest one
 
-    def take(self, endpoint_list: EndpointList, wall_ms: float, now_ms: float) -> EndpointsUpdated:
-        """Applies a list; returns what is new.
+    def apply_list(self, endpoint_list: EndpointList, wall_ms: float, now_ms: float) -> EndpointsUpdated:
+        """Applies a list; returns the servers that have changed.
 
-        `wall_ms` and `now_ms` are one moment by the wall clock and the monotonic clock. A server's start time is turned
-        from one into the other once, as it would seem to move otherwise, and by what is known of the wall clock's
-        steps. Raises ValueError where the index has begun anew, and the whole list must be asked for.
+        `wall_ms` and `now_ms` are the same moment by the wall clock and the monotonic clock. A server's start time is
+        converted between the two once, as it would seem to move otherwise, and with the steps of the wall clock that
+        have been observed. Raises ValueError if discovery's index has restarted; the full list must then be requested.
         """
         self.clock.observe(wall_ms, now_ms)
         if self._is_outdated(endpoint_list, now_ms):
             return EndpointsUpdated(())
         changed: list[Server] = []
         for entry in endpoint_list.endpoints:
-            server = self._apply(entry, now_ms)
+            server = self._apply_entry(entry, now_ms)
             if server is not None:
                 changed.append(server)
         if endpoint_list.snapshot:
@@ -58,29 +58,29 @@
         return EndpointsUpdated(tuple(changed))
 
     def apply_settings(self, deployment: Deployment) -> None:
-        """Other settings: kinds of servers may have other memory."""
+        """Applies new settings: the KV capacity of a server type may have changed."""
         self.deployment = deployment
         for server, endpoint in self.endpoints.items():
             server.kv_capacity_tokens = deployment.kv_capacity_tokens.get(endpoint.entry.type, 0.0)
 
     def _is_outdated(self, endpoint_list: EndpointList, now_ms: float) -> bool:
-        """A list older than the newest, as an agent that is behind may give, must undo nothing.
+        """Whether a list is older than the newest one, as from an agent that lags behind; such a list is ignored.
 
-        Where that goes on for longer than an agent may be behind, discovery itself counts anew; ignoring its lists for
-        ever would hide every later change. Raises ValueError then.
+        If that lasts longer than an agent may lag behind, discovery's index has restarted, and ignoring its lists would
+        hide every later change. Raises ValueError then.
         """
         if endpoint_list.index >= self.index:
-            self._behind_since_ms = inf
+            self._outdated_since_ms = inf
             return False
-        self._behind_since_ms = min(self._behind_since_ms, now_ms)
-        if now_ms < self._behind_since_ms + MAX_STALENESS_MS:
+        self._outdated_since_ms = min(self._outdated_since_ms, now_ms)
+        if now_ms < self._outdated_since_ms + MAX_STALENESS_MS:
             return True
         self.index = 0
-        self._behind_since_ms = inf
-        raise ValueError(f"lists have begun to count anew, at {endpoint_list.index}")
+        self._outdated_since_ms = inf
+        raise ValueError(f"the index of endpoint lists has restarted at {endpoint_list.index}")
 
-    def _apply(self, entry: EndpointEntry, now_ms: float) -> Server | None:
-        """Applies one entry. Returns its server, or None where nothing has changed."""
+    def _apply_entry(self, entry: EndpointEntry, now_ms: float) -> Server | None:
+        """Applies one entry. Returns its server, or None if nothing has changed."""
         server = self.servers.get(entry.name)
         if server is not None and self.endpoints[server].entry == entry:
             return None
@@ -112,5 +112,5 @@
         return removed
 
     def _started_ms(self, entry: EndpointEntry, now_ms: float) -> float:
-        """When it started by the monotonic clock; 0 for long ago."""
-        return self.clock.began_ms(entry.since_ms, now_ms) if entry.since_ms > 0 else 0.0
+        """When the server started, by the monotonic clock; 0 for long ago."""
+        return self.clock.to_monotonic_ms(entry.since_ms, now_ms) if entry.since_ms > 0 else 0.0
--- a/ternlane/platform/errors.py
+++ b/ternlane/platform/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the platform gateway. All are kinds of `PlatformError`."""
+"""Errors of the platform gateway. All are subclasses of `PlatformError`."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class PlatformError(Exception):
-    """Any error of the platform gateway that has a meaning of its own."""
+    """Base class of the platform gateway's errors."""
 
 
 class ConfigurationError(PlatformError, ValueError):
-    """The configuration can't be used; the message says in one line why."""
+    """The configuration is invalid; the message says why in one line."""
 
 
 class InvalidRequestError(PlatformError):
-    """A client's request that can't be read: nothing has run, and nothing was forwarded.
+    """A client's request is invalid: nothing has run, and nothing was forwarded.
 
     `status` is the HTTP status of its answer, `code` the error's name in the answer's body.
     """
@@ -32,11 +32,11 @@
 
 
 class ClientDisconnectedError(PlatformError):
-    """The client's connection broke while the answer was forwarded; says nothing of the model server."""
+    """The client's connection broke while the answer was forwarded; the model server is not at fault."""
 
 
 class AttemptNotStartedError(PlatformError):
-    """The attempt must not start any more; nothing of it was sent. `outcome`: CLIENT_GONE or NOT_STARTED."""
+    """The attempt must no longer start; nothing of it was sent. `outcome`: CLIENT_GONE or NOT_STARTED."""
 
     def __init__(self, outcome: AttemptOutcome) -> None:
         super().__init__(NOT_STARTED_REASONS[outcome])
--- a/ternlane/platform/event_stream.py
+++ b/ternlane/platform/event_stream.py
@@ -1,4 +1,4 @@
-"""A decode server's event stream: whole events, checked and unchanged. Free of I/O."""
+"""Splits a decode server's event stream into complete events and checks them, unchanged. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 import msgspec
 
-# Of one event, or of the comments ahead of the first: noise, or an event without an end, must not fill the memory.
-EVENT_BYTES = 65536
+# Size limit of one event, or of the comments before the first: invalid bytes or an endless event must not fill the
+# memory.
+MAX_EVENT_BYTES = 65536
 
 LOAD_COMMENT = b": Server-Load: "
 DATA_FIELD = b"data: "
@@ -15,19 +16,19 @@
 
 
 class PromptTokensDetails(msgspec.Struct):
-    """Part of `Usage`, by its names on the wire."""
+    """Part of `Usage`, with the field names of the wire."""
 
     cached_tokens: float = 0.0
 
 
 class Usage(msgspec.Struct):
-    """What an event says of tokens, by its names on the wire."""
+    """The token counts in an event, with the field names of the wire."""
 
     prompt_tokens_details: PromptTokensDetails = msgspec.field(default_factory=PromptTokensDetails)
 
 
 class StreamEvent(msgspec.Struct):
-    """What is read of an event's data."""
+    """The parsed part of an event's data."""
 
     choices: list[dict[str, Any]]
     usage: Usage | None = None
@@ -37,10 +38,10 @@
 
 
 class EventStreamParser:
-    """Splits a stream into whole events and checks each of them.
+    """Splits a stream into complete events and checks each of them.
 
-    Raises ValueError on what is no event, or longer than one may be: neither reaches the client. `begun` is set by the
-    first event, `done` by the last; `cached_tokens` and `load` are what the stream has said of them so far.
+    Raises ValueError on bytes that are no event and on an event that is too long: neither reaches the client. `begun`
+    is set by the first event, `done` by the last; `cached_tokens` and `load` are the latest values in the stream.
     """
 
     def __init__(self) -> None:
@@ -51,28 +52,28 @@
         self._rest = b""
 
     def feed(self, more: bytes) -> bytes:
-        """The whole events so far that were not given before."""
+        """The events that these bytes complete."""
         text = self._rest + more if self._rest else more
         end = text.rfind(b"\n\n") + 2
         if end < 2:
             end = 0
         whole = text[:end]
         self._rest = text[end:]
-        if len(self._rest) > EVENT_BYTES:
-            raise ValueError(f"an event of more than {EVENT_BYTES} bytes")
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise ValueError(f"an event of more than {MAX_EVENT_BYTES} bytes")
         for event in whole.split(b"\n\n")[:-1]:
             self._read_event(event)
         self._check_rest()
         return whole
 
     def put_back(self, comments: bytes) -> None:
-        """Comments ahead of the first event wait for it. Raises ValueError where they have no end."""
-        if len(comments) > EVENT_BYTES:
-            raise ValueError(f"comments of more than {EVENT_BYTES} bytes ahead of the first event")
+        """Keeps comments that come before the first event until it comes. Raises ValueError if they grow too long."""
+        if len(comments) > MAX_EVENT_BYTES:
+            raise ValueError(f"comments of more than {MAX_EVENT_BYTES} bytes ahead of the first event")
         self._rest = comments + self._rest
 
     def _check_rest(self) -> None:
-        """An event that has begun to come must look like one: noise without an end is not waited for."""
+        """Raises ValueError if the incomplete rest cannot become an event: its end may never come."""
         may_be_data = DATA_FIELD.startswith(self._rest[: len(DATA_FIELD)])
         may_be_comment = self._rest.startswith((b":", b"\n"))
         if self._rest and not may_be_data and not may_be_comment:
@@ -95,7 +96,7 @@
         elif self.done:
             raise ValueError("an event behind the last")
         elif not self.begun or b'"usage"' in data:
-            event = _event_decoder.decode(data)  # the first must be understood before the client has a byte
+            event = _event_decoder.decode(data)  # the first event must be valid before the client is sent a byte
             self.begun = True
             if event.usage is not None:
                 self.cached_tokens = event.usage.prompt_tokens_details.cached_tokens
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway on the platform, put together: start, reload, graceful shutdown and the operators' report."""
+"""The platform gateway: start, reload, graceful shutdown and the regular report in the log."""
 
 from __future__ import annotations
 
@@ -23,32 +23,34 @@
 from ternlane.policy.shutdown import shutdown_times
 
 LISTEN_BACKLOG = 1024
-# Shares of the descriptors; the rest is for the watch, the log and what is being closed.
+# Shares of the file descriptors; the rest is for the watch, the log and connections that are being closed.
 CLIENT_SOCKETS_SHARE = 0.45
 SERVER_SOCKETS_SHARE = 0.45
-# Of the descriptors, requests active at once: each has one attempt in flight, and DELETE needs connections too.
+# Active requests per descriptor: each has one attempt in flight, and releases (DELETE) need connections as well.
 REQUESTS_SHARE = 0.4
-# Of the memory, for bodies of active requests.
+# Share of the memory for the bodies of active requests.
 BODIES_MEMORY_SHARE = 0.2
-# Of the servers' idle timeout: a connection that is closed well before it crosses no request of ours.
+# Share of the model servers' idle timeout after which connections are closed from here, so that no request is written
+# to a connection that its server is closing.
 IDLE_TIMEOUT_SHARE = 0.9
-# New connections still arrive for so long after SIGTERM (users' page).
+# New connections still arrive for this long after SIGTERM (users' page).
 LATE_CONNECTIONS_MS = 450.0
-# SIGKILL comes no earlier than the longest deadline, cut to the first, plus the second (users' page).
+# SIGKILL comes no earlier than the longest deadline, at most LONGEST_DEADLINE_MS, plus KILL_GRACE_MS after SIGTERM
+# (users' page).
 LONGEST_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
-# Before SIGKILL, when what the router has not answered is failed: an answer needs its way.
+# Time before SIGKILL at which requests without an answer are failed, so that the answer still reaches the client.
 LAST_ANSWER_MS = 250.0
-# Before SIGKILL, when what is still active is logged.
+# Time before SIGKILL at which requests that are still open are logged.
 UNFINISHED_REPORT_MS = 100.0
-# Between two looks at whether all has ended.
+# Interval at which a drain checks whether all requests and connections have ended.
 END_POLL_MS = 20.0
-# Between two report lines.
+# Interval between two report lines.
 REPORT_INTERVAL_MS = 10e3
 
 
 class Gateway:
-    """One gateway. `start` returns once it serves; `drain` once all has ended."""
+    """One gateway. `start` returns once it serves; `drain` once all requests and connections have ended."""
 
     def __init__(self, configuration: GatewayConfiguration, nursery: trio.Nursery, log: Any) -> None:
         deployment = configuration.deployment
@@ -59,8 +61,8 @@
         self.pool = ConnectionPool(router_config.connect_ms, router_config.idle_ms)
         model_servers = ModelServerClient(self.pool, deployment)
         self.runtime = PlatformRuntime(Router(router_config), deployment, model_servers, nursery, log)
-        self.polls = PollTimes()
-        self.chat_server = ChatServer(self.runtime, self.polls.unseen_ms, log)
+        self.poll_times = PollTimes()
+        self.chat_server = ChatServer(self.runtime, self.poll_times.unseen_ms, log)
         self.acceptor = Acceptor(self.chat_server, log)
         self.watch = DiscoveryWatch(
             configuration.discovery,
@@ -76,7 +78,7 @@
         self.apply_limits(configuration)
 
     def apply_limits(self, configuration: GatewayConfiguration) -> None:
-        """What connections and bodies may take, by the settings in force."""
+        """Sets the limits of connections and bodies according to the configuration."""
         router_config = configuration.deployment.router_config
         limits = configuration.limits
         idle_ms = IDLE_TIMEOUT_SHARE * router_config.idle_ms
@@ -92,16 +94,16 @@
     # -- start and reload
 
     async def start(self) -> None:
-        """Begins to serve. Raises OSError where its address can't be listened at."""
+        """Starts to serve. Raises OSError if its address can't be bound."""
         host, port = self.configuration.listen
         listeners = await trio.open_tcp_listeners(port, host=host, backlog=LISTEN_BACKLOG)
         self.listener = listeners[0]
-        trio.lowlevel.add_instrument(self.polls)
+        trio.lowlevel.add_instrument(self.poll_times)
         self.runtime.endpoint_registry.index = self.configuration.known.index
         self.runtime.update_endpoints(self.configuration.known)
         self.nursery.start_soon(self.runtime.run_timers)
         self.watch.start()
-        with trio.move_on_after(FIRST_LIST_MS / 1000):  # what discovery has counts as told from the first request on
+        with trio.move_on_after(FIRST_LIST_MS / 1000):  # the first request must already be routed by discovery's list
             await self.watch.opened.wait()
         self.nursery.start_soon(self._accept)
         self.nursery.start_soon(self._report_regularly)
@@ -114,10 +116,12 @@
             await self.acceptor.accept(self.listener, self.nursery)
 
     def reload(self) -> None:
-        """Reads the file again; one that can't be used changes nothing. Classes whose terms stay the same keep what was
-        learnt of them."""
+        """Reads the configuration file again; an invalid one changes nothing.
+
+        Request classes whose settings stay the same keep their learnt statistics.
+        """
         try:
-            configuration = read_configuration(before=self.configuration.deployment, file_first=True)
+            configuration = read_configuration(previous=self.configuration.deployment, file_first=True)
         except ConfigurationError as error:
             self.log.error("reload refused", why=str(error))
             return
@@ -134,10 +138,10 @@
     # -- shutdown
 
     def begin_drain(self, since_signal_ms: float = 0.0) -> None:
-        """From here on each connection ends with its next answer.
+        """Makes each connection end with its next answer.
 
-        Those that have been served and are idle close at once: a request that came later might be cut off without an
-        answer. `since_signal_ms`: how long ago the signal came.
+        Idle connections that have served a request close at once: a request that came later on them might be cut off
+        without an answer. `since_signal_ms`: how long ago the signal arrived.
         """
         deployment = self.runtime.deployment
         now = now_ms()
@@ -157,14 +161,14 @@
             may_be_killed_in_ms=round(times.ends_ms),
         )
         self.runtime.dispatch(messages.ShutdownStarted(times))
-        self.nursery.start_soon(self._end_reading, times.answers_ms)
+        self.nursery.start_soon(self._stop_reading, times.answers_ms)
         self.nursery.start_soon(self._report_unfinished, times.ends_ms)
         self.chat_server.close_idle(served_only=True)
 
     async def drain(self, since_signal_ms: float = 0.0) -> None:
-        """Takes what still arrives, answers everything, releases what is held, and returns once all has ended.
+        """Serves the connections that still arrive, answers all requests, releases held states, and then returns.
 
-        New connections close only when all that was sent to them must have come.
+        The listener is closed only when no new connection can arrive any more (LATE_CONNECTIONS_MS).
         """
         self.begin_drain(since_signal_ms)
         await trio.sleep(max(0.0, LATE_CONNECTIONS_MS - since_signal_ms) / 1000)
@@ -173,24 +177,24 @@
         self.listener.socket.close()
         await trio.sleep(LATE_CONNECTIONS_MS / 4000)
         while self.runtime.active_requests or self.runtime.releasing or self.chat_server.connections:
-            self.chat_server.close_idle()  # also those that were still to be read at the look before
+            self.chat_server.close_idle()  # also those that had unread bytes at the last check
             await trio.sleep(END_POLL_MS / 1000)
 
-    async def _end_reading(self, within_ms: float) -> None:
-        """What is not a whole request by then is refused: a later last byte would leave no time for an answer."""
+    async def _stop_reading(self, within_ms: float) -> None:
+        """Refuses incomplete requests after `within_ms`: one that is completed later leaves no time for an answer."""
         await trio.sleep(max(0.0, within_ms) / 1000)
         self.chat_server.stop_reading()
 
     async def _report_unfinished(self, within_ms: float) -> None:
-        """Names what is open shortly before this process may be killed: afterwards nothing can."""
+        """Logs the requests that are open shortly before the process may be killed; later it can log nothing."""
         await trio.sleep(max(0.0, within_ms - UNFINISHED_REPORT_MS) / 1000)
         for request in self.runtime.open_requests():
             self.log.warning("unfinished before the end", **request.as_fields())
 
-    # -- what operators see
+    # -- reports for operators
 
     async def _report_regularly(self) -> None:
-        """What an operator needs, one line every ten seconds."""
+        """Logs the figures that operators need every ten seconds."""
         before: dict[str, int] = {}
         while True:
             await trio.sleep(REPORT_INTERVAL_MS / 1000)
@@ -222,7 +226,7 @@
         held_states.longest_ms = 0.0
 
     def log_histories(self) -> None:
-        """Every attempt and transition of the open requests and of the latest others, one line each by id."""
+        """Logs the attempts and transitions of the open and the latest finished requests, one line per request."""
         records = [
             RequestRecord(request.request_id, "open", request.attempt_log, request.history)
             for request in self.runtime.active_requests.values()
--- a/ternlane/platform/held_states.py
+++ b/ternlane/platform/held_states.py
@@ -1,5 +1,7 @@
-"""Which requests have a state held at a prefill server, and for how long: the operators' view of the rule that held
-state is taken or released in time. It measures and decides nothing. Free of I/O."""
+"""Measures for how long prefill servers hold the states of requests. Free of I/O.
+
+Operators see with it whether each held state is taken or released in time; it decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 
 @dataclass(slots=True)
 class HeldState:
-    """A state as far as this gateway knows. `reported`: it has been named as overdue."""
+    """A state that a server holds, as far as this gateway knows. `reported`: it has been reported as overdue."""
 
     server: str
     since_ms: float
@@ -17,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    """A state that was neither seen taken nor heard released within its release time."""
+    """A state that was neither taken nor confirmed as released within its release time."""
 
     request_id: str
     server: str
@@ -25,33 +27,33 @@
 
 
 class HeldStateMonitor:
-    """States by request id, the one held for longest first. Times are milliseconds of one monotonic clock."""
+    """Held states by request id, the oldest first. Times are milliseconds of one monotonic clock."""
 
     def __init__(self) -> None:
         self._held: dict[str, HeldState] = {}
-        self.longest_ms = 0.0  # of those that have ended since whoever reads it set it back
+        self.longest_ms = 0.0  # the longest time held, of the states removed since the reader last reset it
 
     def __len__(self) -> int:
         return len(self._held)
 
-    def held(self, request_id: str, server: str, now_ms: float) -> None:
-        """A prefill has ended, and its state waits at this server."""
+    def add(self, request_id: str, server: str, now_ms: float) -> None:
+        """A prefill has ended, and this server holds its state."""
         self._held.pop(request_id, None)
         self._held[request_id] = HeldState(server, now_ms)
 
-    def ended(self, request_id: str, now_ms: float) -> None:
-        """A decode server has shown that it took the state, or a release was heard."""
+    def remove(self, request_id: str, now_ms: float) -> None:
+        """A decode server has taken the state, or a release has been confirmed."""
         state = self._held.pop(request_id, None)
         if state is not None:
             self.longest_ms = max(self.longest_ms, now_ms - state.since_ms)
 
     def oldest_ms(self, now_ms: float) -> float:
-        """For how long the oldest one that is still held has been."""
+        """For how long the oldest state has been held; 0 for none."""
         oldest = next(iter(self._held.values()), None)
         return 0.0 if oldest is None else now_ms - oldest.since_ms
 
     def newly_overdue(self, now_ms: float, deadline_ms: float) -> list[Overdue]:
-        """Those held for more than the limit, each of them once."""
+        """The states held for more than `deadline_ms`, each of them reported once."""
         overdue: list[Overdue] = []
         for request_id, state in self._held.items():
             held_ms = now_ms - state.since_ms
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -1,6 +1,6 @@
 """Calls to model servers: attempts, releases, reservations and load probes.
 
-It decides nothing: where to, for how long and what then come from the router by way of the runtime.
+The choice of servers, the timeouts and the retries come from the router by way of the runtime.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.platform.protocol import (
     LEASE_PATH,
-    LOAD,
-    NOT_STARTED,
+    LOAD_HEADER,
+    NOT_STARTED_HEADER,
     STATS_PATH,
     classify_response,
     parse_cached_tokens,
@@ -30,25 +30,26 @@
 )
 from ternlane.policy.messages import AttemptOutcome, Report
 
-BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
-# Rounds of servers asked within one release time, and the most asked in one round: a silent server holds a release up
-# for an eighth of its time.
+CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
+# Rounds of calls within one release time, and the most calls in one round: a server that does not answer delays a
+# release by an eighth of that time.
 RELEASE_ROUNDS = 8
-# Servers asked by one release at most.
+# The most servers that one release calls.
 MAX_RELEASE_SERVERS = 48
-# Release calls in flight, beyond which a release asks one server only, or such as answer: no storm of them.
+# With this many release calls in flight, a release calls only one server and those that are answering, so that releases
+# do not overload the servers.
 MAX_RELEASE_CALLS = 64
-# Of an answer that is no stream.
-PLAIN_BYTES = 65536
-# A corrupt answer may be followed by another some milliseconds later (users' page). On a connection that is used again
-# sooner, that one would be taken for the answer to the next request; within this time it is seen, and the connection
-# closed. Long against a network's delays, short against the time between two requests to one server.
+# Size limit of an answer that is no stream.
+MAX_BODY_BYTES = 65536
+# A corrupt answer may be followed by a second one some milliseconds later (users' page). On a connection that is reused
+# sooner, the second one would be taken for the answer to the next request; within this time it is noticed, and the
+# connection closed. Long compared with network delays, short compared with the time between requests to one server.
 REST_MS = 50.0
 
 
 @dataclass(slots=True, frozen=True)
 class CallResult:
-    """How a small call ended; `status` 0 where no answer came. `load` is the header with the load report, if any."""
+    """How a control call ended; `status` 0 if no answer came. `load` is the header with the load report, if any."""
 
     outcome: AttemptOutcome
     status: int = 0
@@ -65,24 +66,24 @@
         self.answer_order = AnswerOrder()
         self.release_calls = 0  # in flight
 
-    def has_answered(self, address: str) -> None:
-        """This server has just answered a call."""
+    def record_answer(self, address: str) -> None:
+        """Records that this server has just answered a call."""
         self.answer_order.record_answer(address, trio.current_time())
 
-    def forget_all_but(self, addresses: Iterable[str]) -> None:
-        """Drops idle connections and answer times of servers that are no longer listed."""
-        for address in (self.answer_order.answered_at.keys() | self.pool.idle.keys()) - set(addresses):
+    def forget_unlisted(self, addresses: Iterable[str]) -> None:
+        """Drops idle connections and answer times of servers at other than these addresses."""
+        for address in (self.answer_order.answered_at_s.keys() | self.pool.idle.keys()) - set(addresses):
             self.pool.forget(address)
             self.answer_order.forget(address)
 
     # -- attempts
 
     async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
-        """Runs an attempt to its end. Raises ClientDisconnectedError and outer cancellations, nothing else."""
+        """Runs an attempt to its end. Raises only ClientDisconnectedError and cancellations from outside."""
         result = AttemptResult()
         connection: ClientConnection | None = None
-        complete = False  # the connection can serve another request
-        attempt.scope.deadline = min(attempt.scope.deadline, attempt.last_by)
+        complete = False  # the connection can be reused
+        attempt.scope.deadline = min(attempt.scope.deadline, attempt.answer_by_s)
         try:
             with attempt.scope:
                 connection = await self.pool.take(attempt.address, REST_MS)
@@ -90,7 +91,7 @@
                 complete = await self._read_response(attempt, connection, response_writer, result)
         except ClientDisconnectedError:
             raise
-        except AttemptNotStartedError as error:  # the connection, on which nothing was asked, serves the next one
+        except AttemptNotStartedError as error:  # nothing was sent, so the connection can be reused
             complete = True
             result.outcome = error.outcome
             result.why = str(error)
@@ -106,36 +107,36 @@
         return result
 
     async def _start(self, attempt: Attempt, connection: ClientConnection) -> None:
-        """Writes the request. Attempts start here and nowhere else, after every wait for a connection or a release.
+        """Writes the request. Every attempt starts here, after its waits for a connection and a release.
 
-        Raises AttemptNotStartedError, or ConnectError where the connection breaks before all is written.
+        Raises AttemptNotStartedError, or ConnectError if the connection breaks before the request is written.
         """
         forbidden = attempt.start_check()
         if forbidden is not None:
             raise AttemptNotStartedError(forbidden)
-        left_s = max(0.0, attempt.last_by - trio.current_time())
+        left_s = max(0.0, attempt.answer_by_s - trio.current_time())
         headers = [
             ("Request-Id", attempt.request_id),
             ("Request-Timeout", f"{left_s:.3f}"),
             ("Content-Type", "application/json"),
         ]
         await connection.send_request(attempt.method, attempt.target, headers, attempt.body)
-        attempt.written_at = trio.current_time()
-        attempt.scope.deadline = inf  # from here on reads end by themselves, not without what has arrived by then
-        connection.expect_by(attempt.last_by)
+        attempt.written_at_s = trio.current_time()
+        attempt.scope.deadline = inf  # reads have their own deadline, at which bytes that have arrived are still read
+        connection.expect_by(attempt.answer_by_s)
 
     async def _read_response(
         self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
     ) -> bool:
-        """Reads the answer into `result`. True once it has come to its last byte."""
+        """Reads the answer into `result`. Returns True once its last byte has been read."""
         head = await connection.read_head()
-        self.has_answered(attempt.address)
+        self.record_answer(attempt.address)
         headers = {name: value.decode("latin-1") for name, value in head.headers}
-        result.report = parse_load_report(headers.get(LOAD), self.deployment)
-        response = classify_response(head.status_code, headers.get(NOT_STARTED) == "1", attempt.role)
+        result.report = parse_load_report(headers.get(LOAD_HEADER), self.deployment)
+        response = classify_response(head.status_code, headers.get(NOT_STARTED_HEADER) == "1", attempt.role)
         if response.outcome is None:
             return await self.forward_stream(attempt, connection, response_writer, result)
-        body = await connection.body(PLAIN_BYTES)
+        body = await connection.body(MAX_BODY_BYTES)
         result.outcome = response.outcome
         result.state_lost = response.state_lost
         if response.outcome is AttemptOutcome.PREFILLED:
@@ -147,9 +148,9 @@
     async def forward_stream(
         self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
     ) -> bool:
-        """Forwards a decode server's events as they come. True once the last chunk has come.
+        """Forwards a decode server's events as they arrive. Returns True once the last chunk has been read.
 
-        Raises ReadTimeout, ClientDisconnectedError, and ValueError for what is no stream of events.
+        Raises ReadTimeout, ClientDisconnectedError, and ValueError if the answer is not a valid stream of events.
         """
         parser = EventStreamParser()
         async for piece in connection.chunks():
@@ -159,25 +160,25 @@
                 continue
             if not events:
                 continue
-            await keep_open(attempt.scope, inf)  # cancelled in this very moment: the client is given nothing
+            await keep_open(attempt.scope, inf)  # an attempt that is cancelled by now must not send the client anything
             is_first = not result.begun
             result.begun = True
             try:
                 await (response_writer.first(events) if is_first else response_writer.more(events))
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 raise ClientDisconnectedError from None
-            # Counted from here: a client that takes its bytes slowly is not the server's silence.
+            # Counted from here, as the time for which a slow client delays the write is not the server's.
             connection.expect_by(trio.current_time() + attempt.idle_timeout_ms / 1000)
         if not parser.done:
             raise ValueError("the stream ended before its last event")
         result.outcome = AttemptOutcome.STREAMED
         result.cached_tokens = parser.cached_tokens
         result.report = parse_load_report(parser.load, self.deployment) or result.report
-        self.has_answered(attempt.address)
+        self.record_answer(attempt.address)
         return True
 
     def _record_failure(self, attempt: Attempt, result: AttemptResult, error: Exception) -> None:
-        """What an exception says of the attempt. Raises it again where it is a fault of this program."""
+        """Sets the outcome for an exception. Reraises one that is a programming error."""
         match error:
             case ReadTimeout():
                 result.outcome = AttemptOutcome.TIMED_OUT
@@ -189,7 +190,7 @@
             case trio.BrokenResourceError() | trio.ClosedResourceError() | OSError():
                 result.outcome = AttemptOutcome.RESET
                 result.why = repr(error)
-            case h11.RemoteProtocolError():  # a torn answer is a broken connection, a corrupt one an error
+            case h11.RemoteProtocolError():  # a truncated answer is a broken connection, a corrupt one an error
                 is_torn = "closed" in str(error)
                 result.outcome = AttemptOutcome.RESET if is_torn else AttemptOutcome.ERROR
                 result.why = f"spoilt: {str(error)[:200]}"
@@ -200,50 +201,51 @@
                 raise error
 
     def _record_cancellation(self, attempt: Attempt, result: AttemptResult) -> None:
-        """How an attempt ended whose scope was cancelled: by its timeout before it was written, or by the router."""
+        """Sets the outcome of an attempt whose scope was cancelled: by its timeout while it was written, or by the
+        router."""
         if attempt.written:
             result.outcome = AttemptOutcome.CANCELLED if attempt.cancelled else AttemptOutcome.TIMED_OUT
             return
         forbidden = attempt.start_check()
-        if forbidden is not None:  # no fault of the server's
+        if forbidden is not None:  # the server is not at fault
             result.outcome = forbidden
             result.why = NOT_STARTED_REASONS[forbidden]
-        else:  # its last byte never left: nothing can have run
+        else:  # the request was never complete, so nothing can have run
             result.outcome = AttemptOutcome.CONNECT_FAILED
             result.why = "given up before all was written"
 
-    # -- small calls
+    # -- control calls
 
     async def call(self, address: str, method: str, target: str, within_ms: float) -> CallResult:
-        """A call without a body; never raises for what the server does. STREAMED: an answer came, of any status."""
+        """Makes a call without a body. Server errors are outcomes, not exceptions; STREAMED means any answer came."""
         connection: ClientConnection | None = None
         try:
             with trio.move_on_after(within_ms / 1000):
                 connection = await self.pool.take(address)
                 head = await connection.ask(method, target, [])
-                body = await connection.body(PLAIN_BYTES)
-                load = next((value.decode("latin-1") for name, value in head.headers if name == LOAD), None)
-                self.has_answered(address)
+                body = await connection.body(MAX_BODY_BYTES)
+                load = next((value.decode("latin-1") for name, value in head.headers if name == LOAD_HEADER), None)
+                self.record_answer(address)
                 self.pool.give_back(connection)
                 connection = None
                 return CallResult(AttemptOutcome.STREAMED, head.status_code, load, body)
         except ConnectError:
             self.answer_order.forget(address)
             return CallResult(AttemptOutcome.CONNECT_FAILED)
-        except (h11.RemoteProtocolError, *BROKEN):
+        except (h11.RemoteProtocolError, *CONNECTION_ERRORS):
             return CallResult(AttemptOutcome.RESET)
         finally:
-            if connection is not None:  # also when cancelled, as another server has confirmed the release
+            if connection is not None:  # also when cancelled because another server has confirmed the release
                 connection.close_now()
         return CallResult(AttemptOutcome.TIMED_OUT)
 
     async def reserve(self, address: str, request_id: str, within_ms: float) -> bool:
-        """Reserves capacity for a request. True once the server has confirmed it."""
+        """Reserves capacity for a request. Returns whether the server has confirmed it."""
         result = await self.call(address, "POST", LEASE_PATH + request_id, within_ms)
         return result.status == 200
 
-    async def load(self, address: str, within_ms: float) -> tuple[AttemptOutcome, Report | None]:
-        """Probes a server's load: how the call went, and the report where one could be read."""
+    async def probe_load(self, address: str, within_ms: float) -> tuple[AttemptOutcome, Report | None]:
+        """Probes a server's load: the outcome of the call, and the load report if it is valid."""
         result = await self.call(address, "GET", STATS_PATH, within_ms)
         outcome = result.outcome
         if outcome is AttemptOutcome.STREAMED and result.status != 200:
@@ -255,17 +257,17 @@
     # -- releases
 
     async def release(self, request_id: str, addresses: Iterable[str], within_ms: float) -> str | None:
-        """Releases all that is held for a request, at whatever server: any running one passes the release on.
+        """Releases all state held for a request, at whichever server: any running server forwards the release.
 
-        Returns the address of the server that confirmed it, if any. The server that answered last is asked first, then
-        in each round twice as many of the next ones: neither one that is silent, busy or gives corrupt answers, nor
-        most of a fleet, must delay the release.
+        Returns the address of the server that confirmed it, if any. The server that answered last is called first, then
+        in each round twice as many of the next ones: servers that are silent, busy or give corrupt answers must not
+        delay the release, even if they are most of the fleet.
         """
         began = trio.current_time()
         asked: dict[str, None] = {}
         confirmed_by: list[str] = []
         servers = list(islice(addresses, MAX_RELEASE_SERVERS))
-        rounds = RELEASE_ROUNDS if servers or self.answer_order.answered_at else 0
+        rounds = RELEASE_ROUNDS if servers or self.answer_order.answered_at_s else 0
         with trio.move_on_after(within_ms / 1000):
             async with trio.open_nursery() as nursery:
 
@@ -293,7 +295,7 @@
         return result.status == 204
 
     def _next_to_ask(self, asked: dict[str, None], servers: list[str], most: int) -> list[str]:
-        """The next servers to ask, the one that answered last first; all over again once each has been asked."""
+        """The next servers to call, the one that answered last first; starts over once all have been called."""
         order = self.answer_order.latest_first(servers, MAX_RELEASE_SERVERS)
         fresh = [address for address in order if address not in asked]
         return (fresh or order)[:most]
--- a/ternlane/platform/open_requests.py
+++ b/ternlane/platform/open_requests.py
@@ -1,4 +1,4 @@
-"""What is open at a gateway, for the operators: each request by its id, with how far it has come. Free of I/O."""
+"""The open requests of a gateway as operators see them: by id, with their phase. Free of I/O."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from typing import Any
 
 
-class Phase(Enum):
-    """How far a request without its whole answer has come."""
+class OpenRequestPhase(Enum):
+    """How far a request without its complete answer has come."""
 
-    QUEUED = "queued"  # no attempt is out
-    CONNECTING = "connecting"  # an attempt waits for a connection, or for what was held before to be released
+    QUEUED = "queued"  # no attempt is in flight
+    CONNECTING = "connecting"  # an attempt waits for a connection, or for the release of an earlier attempt's state
     PREFILL = "prefill"  # written to a prefill server
-    DECODE = "decode"  # written to a decode server, whose first event has not come
-    STREAMING = "streaming"  # its client has the first event
+    DECODE = "decode"  # written to a decode server, which has not sent its first event
+    STREAMING = "streaming"  # the client has been sent the first event
 
 
 @dataclass(slots=True, frozen=True)
 class OpenRequest:
-    """One request that has no whole answer yet. Times are milliseconds."""
+    """One request that has no complete answer yet. Times are milliseconds."""
 
     request_id: str
-    phase: Phase
+    phase: OpenRequestPhase
     age_ms: float  # since it was received
     left_ms: float  # until its client's deadline
     attempts: int
-    server: str  # of the attempt that is out, "" for none
-    after_sigterm_ms: float | None  # when it was received; None: before
+    server: str  # of the attempt in flight, "" for none
+    after_sigterm_ms: float | None  # when it was received; None if before SIGTERM
 
     def as_fields(self) -> dict[str, Any]:
-        """For a line of the log."""
+        """The fields of its log line."""
         return asdict(self) | {"phase": self.phase.value}
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -1,4 +1,4 @@
-"""The process around one gateway on the platform: logging, signals, an orderly end."""
+"""The process of one platform gateway: logging, signals and exit status."""
 
 from __future__ import annotations
 
@@ -20,21 +20,20 @@
 from ternlane.platform.gateway import Gateway
 from ternlane.platform.settings import GatewayConfiguration, read_configuration
 
-# Exit statuses, by sysexits.h: EX_DATAERR for a configuration that can't be used, EX_UNAVAILABLE for an address that is
-# in use.
+# Exit statuses of sysexits.h: EX_DATAERR for an invalid configuration, EX_UNAVAILABLE for an address that is in use.
 EXIT_BAD_CONFIGURATION = 65
 EXIT_ADDRESS_UNAVAILABLE = 69
 
 
-async def run(configuration: GatewayConfiguration, log: Any, end_signals_at: list[float]) -> None:
-    """Serves until this process is told to end, and then drains. `end_signals_at`: see `main`."""
-    end = EndSignal(end_signals_at)
+async def run(configuration: GatewayConfiguration, log: Any, end_signal_times_s: list[float]) -> None:
+    """Serves until a termination signal arrives, and then drains. `end_signal_times_s`: see `main`."""
+    end = EndSignal(end_signal_times_s)
     with trio.open_signal_receiver(signal.SIGHUP, signal.SIGUSR1) as signals:
         async with trio.open_nursery() as nursery:
             gateway = Gateway(configuration, nursery, log)
             await gateway.start()
             gc.collect()
-            gc.freeze()  # what has been read in stays: the collector need not look at it again
+            gc.freeze()  # imported modules stay, so the collector need not traverse them again
             nursery.start_soon(handle_signals, gateway, signals)
             await end.received.wait()
             await gateway.drain(end.since_ms())
@@ -43,7 +42,7 @@
 
 
 async def handle_signals(gateway: Gateway, signals: AsyncIterator[int]) -> None:
-    """SIGHUP reloads, but not during a shutdown; SIGUSR1 logs what is open, then too."""
+    """SIGHUP reloads the configuration unless the gateway drains; SIGUSR1 logs the request histories at any time."""
     async for number in signals:
         if number == signal.SIGUSR1:
             gateway.log_histories()
@@ -52,7 +51,7 @@
 
 
 def configure_logging() -> None:
-    """JSON lines on standard error; TERNLANE_LOG=debug adds a line for each attempt, release and end of a request."""
+    """Logs JSON lines to standard error; TERNLANE_LOG=debug adds one for each attempt, release and finished request."""
     level = logging.DEBUG if os.environ.get("TERNLANE_LOG") == "debug" else logging.INFO
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(level),
@@ -67,10 +66,10 @@
     )
 
 
-def main(end_signals_at: list[float]) -> int:
+def main(end_signal_times_s: list[float]) -> int:
     """Runs one gateway; returns the exit status.
 
-    `end_signals_at`: when this process was told to end while the program was being read in (s, monotonic clock).
+    `end_signal_times_s`: when termination signals arrived during the imports (s, monotonic clock).
     """
     configure_logging()
     try:
@@ -80,7 +79,7 @@
         return EXIT_BAD_CONFIGURATION
     status = 0
     try:
-        trio.run(partial(run, configuration, structlog.get_logger(gateway=configuration.name), end_signals_at))
+        trio.run(partial(run, configuration, structlog.get_logger(gateway=configuration.name), end_signal_times_s))
     except* OSError as group:
         print(f"ternlane: {group.exceptions[0]}", file=sys.stderr)
         status = EXIT_ADDRESS_UNAVAILABLE
--- a/ternlane/platform/process_usage.py
+++ b/ternlane/platform/process_usage.py
@@ -1,4 +1,4 @@
-"""What this process uses of the machine, for the operators' report."""
+"""File descriptors and memory that this process uses, for the regular report."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def open_descriptors() -> int:
-    """How many are open; -1 where that can't be told, as where none is left to look with."""
+    """The number of open file descriptors; -1 if it can't be read, for example because no descriptor is left."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -15,7 +15,7 @@
 
 
 def memory_mb() -> float:
-    """Resident memory in MiB; the largest so far where the present one can't be told."""
+    """Resident memory in MiB; the peak so far if the current value can't be read."""
     try:
         with open("/proc/self/statm") as pages:
             return int(pages.read().split()[1]) * resource.getpagesize() / 2**20
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -1,6 +1,6 @@
-"""The users' protocol on the sockets, mapped to the router's terms: statuses, load reports, clients' heads.
+"""Maps the platform's protocol to the router's terms: statuses, load reports and clients' headers. Free of I/O.
 
-Free of I/O. Names that stand on the wire keep their form here, and only here.
+Names of the wire are used only here and in the parsers of lists and event streams.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 LEASE_PATH = "/kv/leases/"
 STATS_PATH = "/stats"
 READY_PATH = "/health/ready"
-# A client's body holds at most so much (users' page).
-BODY_BYTES = 256 * 1024
-# Of a load report; a longer one counts as unreadable.
-LOAD_REPORT_CHARS = 1024
-# Of a session's or a prefix's name; a longer one is replaced by its digest.
+# Size limit of a client's body (users' page).
+MAX_BODY_BYTES = 256 * 1024
+# Size limit of a load report; a longer one counts as invalid.
+MAX_LOAD_REPORT_CHARS = 1024
+# Size limit of a session's or a prefix's name; a longer one is replaced by its digest.
 NAME_CHARS = 64
-# Numbers of a client's head are below this, so that no sum of them exceeds what can be counted.
+# Numbers in a client's headers must be below this, so that sums of them stay exact.
 NUMBER_LIMIT = 1e9
-# The share of KV memory in use that a load report may state; a larger one is absurd. A report is believed, so it must
-# be possible.
+# The largest share of KV memory in use that a load report may state. The router relies on reports, so one with an
+# impossible value is ignored.
 MEMORY_SHARE_LIMIT = 1.5
 REQUEST_ID = re.compile(r"[0-9a-f]{16}")
-NOT_STARTED = b"not-started"  # header of an answer: the attempt has not run
-LOAD = b"server-load"  # header of an answer: the load report
-# Figures of a load report, by their names on the sockets, with the names that the settings give them.
-FIGURES = {
+NOT_STARTED_HEADER = b"not-started"  # of an answer: the attempt has not run
+LOAD_HEADER = b"server-load"  # of an answer: the load report
+# Names of a load report's values on the wire, with their names in the settings.
+LOAD_REPORT_NAMES = {
     "inflight": "outstanding",
     "queue": "backlog",
     "util": "utilization",
@@ -48,19 +48,19 @@
 _body_decoder = msgspec.json.Decoder(dict[str, msgspec.Raw])
 
 
-# -- what model servers say
+# -- answers of model servers
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseClass:
-    """What the head of an answer proves. `outcome` None: a stream follows."""
+    """What the head of an answer proves about the attempt. `outcome` is None if a stream follows."""
 
     outcome: AttemptOutcome | None
     state_lost: bool = False
 
 
 class PrefillResult(msgspec.Struct):
-    """The body of a prefill's answer, by its names on the wire."""
+    """The body of a prefill's answer, with the field names of the wire."""
 
     cached_tokens: float = 0.0
 
@@ -69,7 +69,7 @@
 
 
 def classify_response(status: int, not_started: bool, role: Role) -> ResponseClass:
-    """What the status of an answer proves of the attempt. ERROR where it vouches for nothing: it may have run."""
+    """Classifies the status of an answer. ERROR if it does not prove that the attempt has not run."""
     if status == 200 and role is not Role.PREFILL:
         return ResponseClass(None)
     if status == 202 and role is not Role.DECODE:
@@ -82,8 +82,8 @@
 
 
 def parse_load_report(text: str | None, deployment: Deployment) -> Report | None:
-    """A load report; None where it can't be read: it never spoils the answer that carries it."""
-    if not text or len(text) > LOAD_REPORT_CHARS:
+    """Parses a load report. None if it is invalid, which does not make the answer that carries it invalid."""
+    if not text or len(text) > MAX_LOAD_REPORT_CHARS:
         return None
     figures: dict[str, float] = {}
     for part in text.split(","):
@@ -94,26 +94,26 @@
             return None
         if not isfinite(value) or value < 0:
             return None
-        figures[FIGURES.get(name.strip(), name.strip())] = value
+        figures[LOAD_REPORT_NAMES.get(name.strip(), name.strip())] = value
     if figures.get("x0", 0.0) > MEMORY_SHARE_LIMIT:
         return None
     return deployment.report(figures)
 
 
 def parse_cached_tokens(body: bytes) -> float:
-    """Tokens of the prompt that a prefill found cached; 0 where its answer can't be read."""
+    """The prompt tokens that a prefill found cached; 0 if its answer is invalid."""
     try:
         return max(0.0, _prefill_decoder.decode(body).cached_tokens)
     except msgspec.DecodeError:
         return 0.0
 
 
-# -- what clients ask for
+# -- requests of clients
 
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """What a client's head asks for. `client_timeout_ms` None: it has not said."""
+    """A client's request as stated in its headers. `client_timeout_ms` is None if it states no timeout."""
 
     request_id: str
     request_class: str
@@ -127,7 +127,7 @@
 
 
 def parse_request(headers: Mapping[bytes, str], body: bytes, deployment: Deployment) -> ParsedRequest:
-    """Raises InvalidRequestError for what can't be read. No answer here says that a retry does no harm."""
+    """Parses a request. Raises InvalidRequestError if it is invalid; that answer does not invite a retry."""
     request_id = headers.get(b"request-id", "")
     if not REQUEST_ID.fullmatch(request_id):
         raise InvalidRequestError(400, "bad_id", "Request-Id must be sixteen hex digits")
@@ -137,7 +137,7 @@
     client_timeout_ms = _parse_timeout_ms(headers.get(b"request-timeout"))
     info = _parse_info(headers.get(b"request-info", ""))
     _check_body(body)
-    # A head that says nothing of the prompt's length: about four bytes of text are one token.
+    # Without a stated prompt length: about four bytes of text are one token.
     prompt_tokens = _parse_number(info["prompt_len"], "prompt_len") if "prompt_len" in info else len(body) / 4
     prefix_tokens = _parse_number(info.get("prefix_len", "0"), "prefix_len")
     return ParsedRequest(
@@ -164,7 +164,7 @@
 
 
 def _parse_info(text: str) -> dict[str, str]:
-    """Request-Info is a list of name=value."""
+    """Request-Info is a comma-separated list of name=value."""
     info: dict[str, str] = {}
     for part in text.split(","):
         if not part.strip():
@@ -184,9 +184,9 @@
 
 
 def _shorten(name: str | None) -> str | None:
-    """Names are kept long after their request: one of a head's length in each of thousands would fill the memory.
+    """Replaces a long name by its digest, which is the same at every gateway.
 
-    The digest is the same at every gateway.
+    Names are kept long after their request, and thousands as long as a request's head would fill the memory.
     """
     if name and len(name) > NAME_CHARS:
         return blake2b(name.encode(), digest_size=NAME_CHARS // 2).hexdigest()
--- a/ternlane/platform/request_history.py
+++ b/ternlane/platform/request_history.py
@@ -1,4 +1,4 @@
-"""What happened to each request and when, for the operators: state transitions by request id. Free of I/O."""
+"""The state transitions of a request with their times, for operators. Free of I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Transition:
-    """One step in a request's life, `at_ms` after it was received."""
+    """A state transition of a request, `at_ms` after it was received."""
 
     at_ms: float
     event: str
@@ -18,23 +18,23 @@
 
 @dataclass(slots=True)
 class RequestHistory:
-    """The transitions of one request in their order. Times are milliseconds of any monotonic clock."""
+    """The transitions of one request in order. Times are milliseconds of any monotonic clock."""
 
     received_ms: float
     transitions: list[Transition] = field(default_factory=list)
 
     def record(self, now_ms: float, event: str) -> None:
-        """Adds a transition that happens now."""
+        """Adds a transition at this time."""
         self.transitions.append(Transition(now_ms - self.received_ms, event))
 
     def lines(self) -> list[str]:
-        """The transitions as they stand in the log."""
+        """The transitions as text for the log."""
         return [str(transition) for transition in self.transitions]
 
 
 @dataclass(slots=True, frozen=True)
 class RequestRecord:
-    """What is kept of a request for who asks. `outcome`: "open" while it has none."""
+    """What a gateway keeps of a request for operators. `outcome` is "open" while the request is."""
 
     request_id: str
     outcome: str
--- a/ternlane/platform/request_reporter.py
+++ b/ternlane/platform/request_reporter.py
@@ -1,4 +1,4 @@
-"""What operators are told of requests: counters, log lines, and the history of each request. It decides nothing."""
+"""Reports requests to operators: counters, log lines and request histories."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from ternlane.policy import messages
 from ternlane.policy.messages import AttemptOutcome, Role
 
-# Requests that have ended whose attempts and transitions are kept for who asks.
+# Number of finished requests whose attempts and transitions are kept.
 KEPT_RECORDS = 512
 
 
 class RequestReporter:
-    """`counts` are since the start; the report line says by how much each has grown."""
+    """`counts` are totals since the start; the report line logs by how much each has grown."""
 
     def __init__(self, log: Any) -> None:
         self.log = log
         self.counts: Counter[str] = Counter()
         self.records: deque[RequestRecord] = deque(maxlen=KEPT_RECORDS)
         self.held_states = HeldStateMonitor()
-        self.sigterm_ms: float | None = None  # when this gateway was told to end
+        self.sigterm_ms: float | None = None  # when this gateway received SIGTERM
 
     # -- requests
 
     def received(self, active_request: ActiveRequest) -> None:
-        """A request was admitted."""
+        """A request was received."""
         self.counts["received"] += 1
         after_ms = self.after_sigterm_ms(active_request)
         after = "" if after_ms is None else f", {after_ms:.0f} ms after SIGTERM"
         active_request.record(f"received, {active_request.request.client_timeout_ms:.0f} ms left{after}")
 
     def after_sigterm_ms(self, active_request: ActiveRequest) -> float | None:
-        """How long after SIGTERM the request was received; None where it was before, or there was none."""
+        """How long after SIGTERM the request was received; None if it was received before, or there was no SIGTERM."""
         if self.sigterm_ms is None or active_request.received_ms < self.sigterm_ms:
             return None
         return round(active_request.received_ms - self.sigterm_ms, 1)
@@ -56,7 +56,7 @@
     def closed(self, active_request: ActiveRequest, outcome: str) -> None:
         """A request has ended. `outcome`: streamed, broken, rejected, failed or client_gone."""
         self.counts[outcome] += 1
-        # While it shuts down each end of a request is logged: who asks later finds no process to ask.
+        # During a shutdown each finished request is logged, as the process can't be asked for it afterwards.
         log = self.log.debug if self.sigterm_ms is None else self.log.info
         log(
             "closed",
@@ -75,7 +75,7 @@
         )
 
     def describe_open(self, active_request: ActiveRequest) -> OpenRequest:
-        """A request that has no whole answer yet."""
+        """Describes a request that has no complete answer yet."""
         now = now_ms()
         return OpenRequest(
             request_id=active_request.request_id,
@@ -95,24 +95,24 @@
         if last_outcome and last_outcome != AttemptOutcome.PREFILLED.name:
             self.counts[f"retry after {last_outcome}"] += 1
         active_request.record(
-            f"attempt {active_request.attempts} to {active_request.server_name} decided, {timeout_ms:.0f} ms for it"
+            f"attempt {active_request.attempts} to {active_request.server_name} decided, timeout {timeout_ms:.0f} ms"
         )
 
     def attempt_ended(
         self, active_request: ActiveRequest, role: Role, result: AttemptResult, took_ms: float, written: bool
     ) -> None:
-        """An attempt has ended; its line goes to the request's attempt log."""
+        """An attempt has ended. Adds its line to the request's attempt log."""
         role_name = "prefill" if role is Role.PREFILL else "decode"
         outcome = result.outcome.name
         server = active_request.server_name
         active_request.attempt_log.append(f"{server} {role_name} {outcome} {took_ms:.0f} ms {result.why}".rstrip())
-        said = "written" if written else "not written"
-        ended = f"attempt {active_request.attempts} ended: {role_name} {outcome}, {said}: {result.why}"
+        written_text = "written" if written else "not written"
+        ended = f"attempt {active_request.attempts} ended: {role_name} {outcome}, {written_text}: {result.why}"
         active_request.record(ended.rstrip(": "))
         if result.outcome is AttemptOutcome.PREFILLED:
-            self.held_states.held(active_request.request_id, server, now_ms())
+            self.held_states.add(active_request.request_id, server, now_ms())
         elif result.outcome is AttemptOutcome.STREAMED or result.state_lost:
-            self.held_states.ended(active_request.request_id, now_ms())
+            self.held_states.remove(active_request.request_id, now_ms())
         self.counts[f"{role_name} {outcome}"] += 1
         self.log.debug(
             "attempt",
@@ -128,14 +128,14 @@
         )
 
     def first_event(self, active_request: ActiveRequest) -> None:
-        """The client is about to get its first event: the decode server has taken the state."""
+        """The client is about to be sent its first event, which shows that the decode server has taken the state."""
         active_request.record("first event")
-        self.held_states.ended(active_request.request_id, now_ms())
+        self.held_states.remove(active_request.request_id, now_ms())
 
     # -- held states
 
     def release_begins(self, active_request: ActiveRequest, reason: messages.ReleaseReason) -> None:
-        """The router has released what is held for the request."""
+        """The router has requested the release of the state held for the request."""
         self.counts[f"release {reason.name}"] += 1
         active_request.record(f"release begins: {reason.name}")
 
@@ -148,7 +148,7 @@
     def release_confirmed(self, active_request: ActiveRequest, confirmed_by: str, took_ms: float) -> None:
         """A server has confirmed the release."""
         self.counts["release confirmed"] += 1
-        self.held_states.ended(active_request.request_id, now_ms())
+        self.held_states.remove(active_request.request_id, now_ms())
         active_request.record(f"release confirmed by {confirmed_by}")
         self.log.debug(
             "release confirmed",
@@ -158,7 +158,7 @@
         )
 
     def warn_of_overdue_states(self, release_ms: float) -> None:
-        """Logs each state once that is held for longer than the release time."""
+        """Logs each state that is held for longer than the release time, once."""
         for overdue in self.held_states.newly_overdue(now_ms(), release_ms):
             self.counts["held overdue"] += 1
             self.log.warning(
@@ -170,11 +170,11 @@
 
 
 def _outcome_name(final: Final) -> str:
-    """The log's word for a final answer; the wire has words of its own (`recorded_as`)."""
+    """The name of a final answer in the log; the wire has names of its own (`recorded_as`)."""
     match final:
         case Rejected():
             return "rejected"
         case Failed():
             return "failed"
-        case Streamed(whole):
-            return "streamed" if whole else "broken"
+        case Streamed(is_complete):
+            return "streamed" if is_complete else "broken"
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -1,4 +1,4 @@
-"""One gateway between its sockets and the router: requests, their attempts, and what is held for them."""
+"""Connects the router of a platform gateway to its sockets: requests, attempts and releases of held states."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Server
 from ternlane.wire_names import OUTCOME_NAMES
 
-# Tries of a release that no server has confirmed, each given twice the time of the one before: states outlast a silence
-# of a few seconds, and a shutdown does not wait for ever.
-RELEASE_TRIES = 4
+# Tries of a release that no server confirms, each with twice the time of the one before: enough to outlast a few
+# seconds without answers, and bounded so that a shutdown ends.
+MAX_RELEASE_TRIES = 4
 
 
 class PlatformRuntime(EventLoop[ActiveRequest]):
-    """Tells the router what happens on the sockets, and executes its actions on them."""
+    """Feeds the router with events from the sockets, and executes its actions on them."""
 
     def __init__(
         self,
@@ -47,20 +47,20 @@
         self.endpoint_registry = EndpointRegistry(deployment)
         self.reporter = RequestReporter(log)
         self.requests_by_id: dict[str, ActiveRequest] = {}
-        self.ended: list[ActiveRequest] = []  # to be forgotten once the batch of events is over
+        self.ended_requests: list[ActiveRequest] = []  # dropped once the batch of events has been processed
         self.releasing = 0  # releases in flight
 
-    # -- the loop's side
+    # -- event loop
 
     def process_events(self) -> None:
-        """Also forgets the requests that have ended: only then does no action of the batch name them any more."""
+        """Also drops the requests that have ended: actions of the batch may refer to them until here."""
         super().process_events()
-        for active_request in self.ended:
+        for active_request in self.ended_requests:
             self._forget(active_request)
-        self.ended.clear()
+        self.ended_requests.clear()
 
     def execute_host_action(self, action: messages.Action) -> None:
-        """Executes a release, a reservation, a probe or a line of the log."""
+        """Executes a release, a reservation, a probe or a log action."""
         match action:
             case messages.Release(request, again, reason):
                 active_request = self.active_requests.get(request)
@@ -76,26 +76,26 @@
                 self.log.info("server", server=self._server_name(server), text=text)
 
     def on_timers_fired(self) -> None:
-        """The regular look at clocks, idle connections and held states."""
+        """Regularly checks the clocks, idle connections and held states."""
         self.endpoint_registry.clock.observe(time.time() * 1000, now_ms())
         self.model_servers.pool.sweep()
         self.reporter.warn_of_overdue_states(self.deployment.router_config.release_ms)
 
     def on_fault(self, fault: Exception) -> None:
-        """Logs a fault of this program; the requests concerned are failed in time by `fail_overdue_requests`."""
+        """Logs a programming error; `fail_overdue_requests` fails the affected requests in time."""
         self.reporter.counts["fault"] += 1
         self.log.error("fault", exc_info=fault)
 
     def update_endpoints(self, endpoint_list: EndpointList) -> None:
-        """Applies a list of discovery. Raises ValueError where the whole list must be asked for."""
-        update = self.endpoint_registry.take(endpoint_list, time.time() * 1000, now_ms())
+        """Applies a list of discovery. Raises ValueError if the full list must be requested."""
+        update = self.endpoint_registry.apply_list(endpoint_list, time.time() * 1000, now_ms())
         endpoints = self.endpoint_registry.endpoints.values()
-        self.model_servers.forget_all_but([endpoint.address for endpoint in endpoints])
+        self.model_servers.forget_unlisted([endpoint.address for endpoint in endpoints])
         if update.servers:
             self.dispatch(update)
 
     def apply_settings(self, deployment: Deployment) -> None:
-        """Other settings from now on. A request that is active keeps the terms it came with."""
+        """Applies new settings. Active requests keep the request class with which they arrived."""
         self.deployment = deployment
         self.model_servers.deployment = deployment
         self.endpoint_registry.apply_settings(deployment)
@@ -104,19 +104,19 @@
     # -- requests
 
     def receive_request(self, active_request: ActiveRequest) -> None:
-        """Admits a request that has been read whole."""
+        """Hands a request that has been read completely to the router."""
         self.requests_by_id[active_request.request_id] = active_request
         self.reporter.received(active_request)
         self.add_request(active_request)
 
     def open_requests(self) -> list[OpenRequest]:
-        """Those without their whole answer, the oldest first."""
+        """The requests without a complete answer, the oldest first."""
         active_requests = self.active_requests.values()
         return [self.reporter.describe_open(request) for request in active_requests if not request.over]
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
-        """Nothing is owed to the client any more. A stream that nobody reads is cancelled, and so is an attempt that
-        has not been written: it has not started."""
+        """The client has disconnected. Cancels an attempt that streams to it, or that has not been written and so has
+        not started."""
         if active_request.over:
             return
         active_request.client_gone = True
@@ -124,25 +124,25 @@
         if attempt is not None and (active_request.streaming or not attempt.written):
             attempt.cancel()
         self.reporter.closed(active_request, "client_gone")
-        self.ended.append(active_request)
+        self.ended_requests.append(active_request)
         self.dispatch(messages.ClientDisconnected(active_request.request))
 
     def abort_request(self, active_request: ActiveRequest, why: str) -> None:
-        """As in the base class, and counted: each is a fault."""
+        """As in the base class, and counted: each is due to a programming error."""
         self.reporter.counts["overdue"] += 1
         super().abort_request(active_request, why)
 
     def finish_request(self, active_request: ActiveRequest, final: Final) -> None:
-        """Gives the one final answer; a second one is ignored."""
+        """Sets the one final answer; a second one is ignored."""
         if active_request.over:
             return
         active_request.final = final
         active_request.client_watch.cancel()
         self.reporter.finished(active_request, final)
-        self.ended.append(active_request)
+        self.ended_requests.append(active_request)
 
     def _forget(self, active_request: ActiveRequest) -> None:
-        """A request stays until its answer is final and its last attempt has ended."""
+        """Drops a request once it is finished and its last attempt has ended."""
         if active_request.attempt is None and active_request.over:
             self.active_requests.pop(active_request.request, None)
             if self.requests_by_id.get(active_request.request_id) is active_request:
@@ -151,8 +151,8 @@
     # -- attempts
 
     def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
-        """Begins an attempt; it is sent once there is a connection and an earlier one's release is confirmed, or the
-        connect timeout has passed."""
+        """Starts an attempt. It is sent once there is a connection and the release of an earlier attempt's state is
+        confirmed, or the connect timeout has passed."""
         endpoint = self.endpoint_registry.endpoints.get(server)
         exchange = active_request.exchange
         attempt = Attempt(
@@ -162,7 +162,7 @@
             target=exchange.request.target.decode("latin-1"),
             request_id=active_request.request_id,
             body=active_request.body,
-            last_by=trio.current_time() + times.timeout_ms / 1000,
+            answer_by_s=trio.current_time() + times.timeout_ms / 1000,
             idle_timeout_ms=times.idle_timeout_ms,
             start_check=make_start_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed),
         )
@@ -181,12 +181,14 @@
         if result.outcome is AttemptOutcome.STREAMED and not active_request.over:
             await self._end_stream(active_request)
         elif result.begun:
-            self.finish_request(active_request, Streamed(whole=False))
+            self.finish_request(active_request, Streamed(is_complete=False))
         self._attempt_ended(active_request, server, result, now_ms() - since_ms)
 
     async def _wait_for_release(self, active_request: ActiveRequest, attempt: Attempt) -> None:
-        """Waits until what an earlier attempt left behind is released, lest a late DELETE release what this one has
-        prefilled: both go by the request's id. Bounded by the connect timeout."""
+        """Waits until the state of an earlier attempt is released, for at most the connect timeout.
+
+        Releases go by the request's id, so a late DELETE would release the state that this attempt has prefilled.
+        """
         if active_request.released is None:
             return
         connect_s = self.deployment.router_config.connect_ms / 1000
@@ -205,7 +207,7 @@
         except ClientDisconnectedError:
             self.client_disconnected(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
-        except Exception as fault:  # a fault of this program must not end the other requests
+        except Exception as fault:  # a programming error must not end the other requests
             self.log.exception("attempt fault")
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
 
@@ -214,7 +216,7 @@
             await active_request.exchange.end()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             self.client_disconnected(active_request)
-        self.finish_request(active_request, Streamed(whole=True))
+        self.finish_request(active_request, Streamed(is_complete=True))
 
     def _attempt_ended(
         self, active_request: ActiveRequest, server: Server, result: AttemptResult, took_ms: float
@@ -242,18 +244,18 @@
         self._forget(active_request)
 
     def oldest_unanswered_ms(self) -> float:
-        """For how long the attempt has waited that was written first of those without an answer's first event."""
+        """For how long the oldest written attempt has waited for its first event; 0 for none."""
         oldest_s = 0.0
         for active_request in self.active_requests.values():
             attempt = active_request.attempt
-            if attempt is not None and attempt.written_at is not None and not active_request.streaming:
-                oldest_s = max(oldest_s, trio.current_time() - attempt.written_at)
+            if attempt is not None and attempt.written_at_s is not None and not active_request.streaming:
+                oldest_s = max(oldest_s, trio.current_time() - attempt.written_at_s)
         return oldest_s * 1000
 
-    # -- what is held at model servers
+    # -- states held at model servers
 
     def addresses(self) -> Iterator[str]:
-        """Addresses of all servers that are listed, one after the other as they are asked for."""
+        """The addresses of all listed servers."""
         for server, endpoint in self.endpoint_registry.endpoints.items():
             if server.status is not EndpointStatus.REMOVED:
                 yield endpoint.address
@@ -265,7 +267,7 @@
         self.nursery.start_soon(self._release, active_request, active_request.released, again)
 
     async def _release(self, active_request: ActiveRequest, released: trio.Event, again: bool) -> None:
-        """`again`: a prefill may have ended unheard well after the first release, so it is said once more."""
+        """`again`: release a second time, as a prefill may have ended unnoticed well after the first release."""
         release_ms = self.deployment.router_config.release_ms
         try:
             await self._release_until_confirmed(active_request, release_ms)
@@ -280,13 +282,13 @@
             released.set()
 
     async def _release_until_confirmed(self, active_request: ActiveRequest, within_ms: float) -> None:
-        """Asks servers to release what is held for the request until one has confirmed it.
+        """Calls servers to release the state held for the request until one has confirmed it.
 
-        What nobody has confirmed within the release time is owed all the same: it is tried again, a bounded number of
-        times, ever more slowly, since servers that are too busy to confirm it must not get busier by it.
+        A release that no server has confirmed within the release time is tried again, a bounded number of times and
+        with growing timeouts, so that it adds little load to servers that are too busy to confirm it.
         """
         since_ms = now_ms()
-        for nth in range(RELEASE_TRIES):
+        for nth in range(MAX_RELEASE_TRIES):
             confirmed_by = await self.model_servers.release(
                 active_request.request_id, self.addresses(), within_ms * 2**nth
             )
@@ -312,7 +314,7 @@
             self.dispatch(messages.ProbeResult(server, AttemptOutcome.CONNECT_FAILED, None))
             return
         connect_ms = self.deployment.router_config.connect_ms
-        outcome, report = await self.model_servers.load(endpoint.address, connect_ms)
+        outcome, report = await self.model_servers.probe_load(endpoint.address, connect_ms)
         self.dispatch(messages.ProbeResult(server, outcome, report))
 
     def _server_name(self, server: Server) -> str:
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -1,6 +1,6 @@
-"""The configuration file of a gateway, read and checked.
+"""Reads and checks the configuration file of a gateway.
 
-`ConfigurationFile` and `Limits` have the users' names of its fields; `deployment.py` maps what stands under `settings`.
+`ConfigurationFile` and `Limits` use the users' names of the file's fields; `deployment.py` maps the field `settings`.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from ternlane.platform.endpoint_list import EndpointList, parse_endpoint_list
 from ternlane.platform.errors import ConfigurationError
 
-# Fewer descriptors are not enough for the listener, the watch, the log and a connection on each side.
-LEAST_SOCKETS = 64
+# Fewer file descriptors are not enough for the listener, the watch, the log and a connection on each side.
+MIN_SOCKETS = 64
 
 
 class Limits(msgspec.Struct):
-    """What the gateway's process may use."""
+    """Resource limits of the gateway's process."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
-    sockets: int = 1024  # open descriptors
+    sockets: int = 1024  # open file descriptors
 
 
 class ConfigurationFile(msgspec.Struct):
-    """The file as it stands."""
+    """The contents of the file."""
 
     settings: dict[str, Any]
     name: str = ""
@@ -43,38 +43,38 @@
 
 @dataclass(slots=True)
 class GatewayConfiguration:
-    """One gateway's configuration: where it listens, where discovery is, what it may use, and what it serves."""
+    """One gateway's configuration: its address, discovery's address, resource limits, and the deployment it serves."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     limits: Limits
-    known: EndpointList  # served by until discovery has spoken
+    known: EndpointList  # used until discovery has sent a list
     deployment: Deployment
 
 
 def read_configuration(
-    env: Mapping[str, str] = os.environ, before: Deployment | None = None, file_first: bool = False
+    env: Mapping[str, str] = os.environ, previous: Deployment | None = None, file_first: bool = False
 ) -> GatewayConfiguration:
     """Reads the file that NODE_CONFIG names. Raises ConfigurationError.
 
-    The environment's variables go before the file at the start. With `file_first`, as on a reload, the file's discovery
-    does: the variables are those of the start. `before`: the deployment that this one replaces.
+    Environment variables take precedence over the file. With `file_first`, as on a reload, the file's discovery address
+    takes precedence: the variables are those of the start. `previous`: the deployment that this one replaces.
     """
     path = env.get("NODE_CONFIG", "")
     if not path:
-        raise ConfigurationError("NODE_CONFIG names no file")
+        raise ConfigurationError("environment variable NODE_CONFIG is not set")
     file = _read_file(path)
     try:
         seed = int(file.seed, 16) if isinstance(file.seed, str) else file.seed
-        deployment = Deployment(seed, file.settings, before)
+        deployment = Deployment(seed, file.settings, previous)
         known = parse_endpoint_list(file.known)
     except ValueError as error:
         raise ConfigurationError(f"{path}: {error}") from None
     if not deployment.request_classes:
-        raise ConfigurationError(f"{path}: settings: no profiles")
-    if not (file.limits.sockets >= LEAST_SOCKETS and file.limits.memory_mb > 0):
-        raise ConfigurationError(f"{path}: limits: no gateway can run with these")
+        raise ConfigurationError(f"{path}: settings: profiles is missing or empty")
+    if not (file.limits.sockets >= MIN_SOCKETS and file.limits.memory_mb > 0):
+        raise ConfigurationError(f"{path}: limits: too few sockets, or memory_mb is not positive")
     discovery = [env.get("NODE_DISCOVERY", ""), file.discovery]
     if file_first:
         discovery.reverse()
@@ -98,7 +98,7 @@
 
 
 def parse_address(text: str, name: str) -> tuple[str, int]:
-    """Host and port of "host:port". Raises ConfigurationError, which calls the field by `name`."""
+    """Parses "host:port". Raises ConfigurationError, which names the field `name`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
         raise ConfigurationError(f"{name} must be host:port, not {text!r}")
--- a/ternlane/platform/stream_forwarder.py
+++ b/ternlane/platform/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards a decode server's stream to the client of its request."""
+"""Forwards a decode server's stream to the client."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class StreamForwarder:
-    """A `ResponseWriter` of one attempt; the router hears of its first token.
+    """The `ResponseWriter` of one attempt; also reports the first token to the router.
 
-    Both methods raise ClientDisconnectedError where the request is over: it has been answered otherwise, and two
-    answers on one connection would be read as one.
+    Both methods raise ClientDisconnectedError if the request is finished: it may have been answered otherwise, and a
+    client would read two answers on one connection as one.
     """
 
     active_request: ActiveRequest
     server: Server
-    since_ms: float  # when the attempt began
+    since_ms: float  # when the attempt started
     on_first_event: Callable[[ActiveRequest], None]
     dispatch: Callable[[messages.Event], None]
 
@@ -32,7 +32,7 @@
         if active_request.over:
             raise ClientDisconnectedError
         active_request.streaming = True
-        active_request.body = b""  # no other attempt will be sent
+        active_request.body = b""  # no further attempt will be sent
         self.on_first_event(active_request)
         self.dispatch(messages.FirstToken(active_request.request, self.server, now_ms() - self.since_ms))
         await active_request.first(data)
--- a/ternlane/wire_names.py
+++ b/ternlane/wire_names.py
@@ -1,6 +1,6 @@
-"""The words for outcomes that leave this program: in bodies of answers, metrics, logs and stored records.
+"""Names of attempt outcomes outside this program: in bodies of answers, metrics, logs and stored records.
 
-Users' programs and dashboards know them, so they keep their form whatever the code calls an outcome.
+Users' programs and dashboards depend on them, so they are independent of the names in the code.
 """
 
 from __future__ import annotations
--- a/ternlane/wirehost/__init__.py
+++ b/ternlane/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The router on the simulator's wire: text in, text out, one router for each gateway."""
+"""Adapter between the router and the simulator's text protocol, with one router for each simulated gateway."""
--- a/ternlane/wirehost/__main__.py
+++ b/ternlane/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input until it ends, and answers each on standard output."""
+"""Reads batches of the simulator from standard input until it ends, and writes the answers to standard output."""
 
 import gc
 import sys
--- a/ternlane/wirehost/codec.py
+++ b/ternlane/wirehost/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's lines, mapped to the router's terms. Free of I/O.
+"""Maps lines of the simulator's protocol to the router's terms. Free of I/O.
 
-A line is words set apart by single spaces; "-" stands for "none". Names of the wire keep their form here, and only
-here. What is malformed raises ValueError or IndexError.
+A line consists of words separated by single spaces; "-" stands for "none". Names of the wire are used only here and in
+`instance.py` and `host.py`. Malformed lines raise ValueError or IndexError.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, TimerKind
 
-# Words for how an attempt or a probe ended; any other counts as ERROR.
+# Outcomes of an attempt or a probe on the wire; any other counts as ERROR.
 OUTCOMES = {
     "S": AttemptOutcome.STREAMED,
     "E": AttemptOutcome.ERROR,
@@ -23,43 +23,43 @@
     "N": AttemptOutcome.CLIENT_GONE,
     "prefilled": AttemptOutcome.PREFILLED,
 }
-# Words for an endpoint's status; any other counts as removed.
+# An endpoint's status on the wire; any other counts as removed.
 STATUSES = {
     "healthy": EndpointStatus.READY,
     "cordoned": EndpointStatus.DRAINING,
     "deregistered": EndpointStatus.REMOVED,
 }
-# Numbers of the router's two timers; any other number counts as its deadline.
+# Numbers of the router's two timers; any other number counts as DEADLINE.
 TIMER_NUMBERS = {TimerKind.TICK: 0, TimerKind.DEADLINE: 1}
 TIMER_KINDS = {number: kind for kind, number in TIMER_NUMBERS.items()}
-# The end of an answer.
-END = "YIELD"
+# The last line of an answer.
+END_OF_ANSWER = "YIELD"
 
 
 class ListKind(Enum):
-    """What a list of servers says, by its word."""
+    """The kind of a list of servers, as named on the wire; any other kind names all servers."""
 
-    ERROR = "Error"  # it could not be had
-    PARTIAL = "Partial"  # it names what has changed
+    ERROR = "Error"  # discovery could not deliver a list
+    PARTIAL = "Partial"  # names the servers that have changed
 
 
 def parse_number(text: str, default: float = 0.0) -> float:
-    """A number, or the default for none."""
+    """Parses a number; the default for none."""
     return default if text in ("-", "") else float(text)
 
 
 def parse_name(text: str) -> str | None:
-    """A name; "0", too, stands for none."""
+    """Parses a name; "0" also stands for none."""
     return None if text in ("-", "", "0") else text
 
 
 def parse_outcome(word: str) -> AttemptOutcome:
-    """How an attempt or a probe ended."""
+    """Parses the outcome of an attempt or a probe."""
     return OUTCOMES.get(word, AttemptOutcome.ERROR)
 
 
 def format_ms(value: float) -> str:
-    """A time in milliseconds."""
+    """Formats a time in milliseconds."""
     return f"{value:.3f}"
 
 
@@ -123,41 +123,41 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEndedLine:
-    """An attempt that has ended, behind its request, number and server."""
+    """The fields of an attempt that has ended which follow its request, number and server."""
 
     outcome: AttemptOutcome
     took_ms: float
     request_over: bool
     cached_tokens: float
     state_lost: bool
-    report: str  # the load report's figures, "-" for none
+    report: str  # the values of the load report, "-" for none
 
 
 def parse_attempt_ended_line(parts: list[str]) -> AttemptEndedLine:
     """REPORT_BACK gateway request attempt server outcome took over [note [report]]
 
-    The note is the tokens that were found cached, or whether the state was lost.
+    The note is the number of tokens found cached, or 1 if the state was lost.
     """
     outcome = parse_outcome(parts[5])
     note = parse_number(parts[8]) if len(parts) > 8 else 0.0
-    tells_cached = outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.STREAMED)
+    has_cached_tokens = outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.STREAMED)
     return AttemptEndedLine(
         outcome=outcome,
         took_ms=parse_number(parts[6]),
         request_over=parts[7] == "1",
-        cached_tokens=note if tells_cached else 0.0,
+        cached_tokens=note if has_cached_tokens else 0.0,
         state_lost=outcome is AttemptOutcome.OVERLOADED and note == 1,
         report=parts[9] if len(parts) > 9 else "-",
     )
 
 
 def malformed_line(parts: list[str], error: Exception) -> list[str]:
-    """The answer to a batch with a line that can't be read."""
+    """The answer to a batch with a malformed line."""
     gateway = parts[1] if len(parts) > 1 and parts[1].isdigit() else 0
     line = " ".join(parts)[:200]
-    return ["", f"BUG {gateway} malformed line: {line!r} ({type(error).__name__}: {error})", END]
+    return ["", f"BUG {gateway} malformed line: {line!r} ({type(error).__name__}: {error})", END_OF_ANSWER]
 
 
 def fault_line(gateway: str, error: Exception, events: object) -> str:
-    """A fault of the router, said aloud: it is never turned into some action."""
+    """The line that reports a programming error in the router, in place of actions."""
     return f"BUG {gateway} {type(error).__name__}: {error} in {events!r}"[:500].replace("\n", " ")
--- a/ternlane/wirehost/host.py
+++ b/ternlane/wirehost/host.py
@@ -1,27 +1,27 @@
-"""Answers the simulator's batches: the lines of each go to the gateways that they name, and their actions come back."""
+"""Answers the simulator's batches: passes their lines to the gateways named in them, and returns the actions."""
 
 from __future__ import annotations
 
 import json
 
 from ternlane.policy.messages import Event
-from ternlane.wirehost.codec import END, fault_line, malformed_line
+from ternlane.wirehost.codec import END_OF_ANSWER, fault_line, malformed_line
 from ternlane.wirehost.instance import GatewayInstance
 
 
 class BatchReader:
-    """Reads one batch: what time it is, and what each gateway hears."""
+    """Reads the time and the events of each gateway from one batch."""
 
     def __init__(self, instances: dict[str, GatewayInstance], batch: list[str]) -> None:
         self.instances = instances
         self.batch = batch
         self.now_ms = 0.0
-        self.events: dict[str, list[Event]] = {}  # by gateway, in the order in which they are first named
-        self.parts: list[str] = [""]  # of the line that is being read
+        self.events: dict[str, list[Event]] = {}  # by gateway, in the order of their first lines
+        self.parts: list[str] = [""]  # the words of the current line
         self._next = 0
 
     def read(self) -> None:
-        """Reads all lines. Raises for a malformed one; `parts` is that line's."""
+        """Reads all lines. Raises for a malformed one, whose words are then in `parts`."""
         while self._next < len(self.batch):
             line = self.batch[self._next]
             self._next += 1
@@ -63,7 +63,7 @@
         self.instances: dict[str, GatewayInstance] = {}
 
     def answer(self, batch: list[str]) -> list[str]:
-        """The lines that answer a batch. A fault of one gateway is a line, and keeps no other from its answer."""
+        """The answer to a batch. A programming error in one gateway becomes a line and does not affect the others."""
         reader = BatchReader(self.instances, batch)
         try:
             reader.read()
@@ -76,5 +76,5 @@
                 lines.extend(instance.encode(gateway, instance.router.take(reader.now_ms, events)))
             except Exception as error:
                 lines.append(fault_line(gateway, error, events))
-        lines.append(END)
+        lines.append(END_OF_ANSWER)
         return lines
--- a/ternlane/wirehost/instance.py
+++ b/ternlane/wirehost/instance.py
@@ -1,4 +1,4 @@
-"""One simulated gateway: its router, and the ids that the router's objects go by on the wire."""
+"""One simulated gateway: its router, and the ids of the router's objects on the wire."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class GatewayInstance:
-    """Lines become events for the router, and its actions become lines. It decides nothing."""
+    """Decodes lines to events for the router, and encodes its actions as lines."""
 
     def __init__(self, seed: int, settings: dict[str, Any]) -> None:
         self.deployment = Deployment(seed, settings)
@@ -47,13 +47,13 @@
         self.attempts: dict[Request, int] = {}
         self.attempts_ended: dict[Request, int] = {}
         self.closed: set[Request] = set()
-        # Here any outcome begins the release time anew, also that of a connection that did not come up.
+        # In the simulator any outcome restarts the release time, also that of a failed connect.
         self.router = Router(replace(self.deployment.router_config, holds_expire_unless_arrived=False))
 
     # -- lines in
 
     def decode_list(self, kind: str, rows: list[str]) -> Event:
-        """A list of servers. `kind`: a word of `ListKind`; any other list names all servers."""
+        """Decodes a list of servers. `kind`: a value of `ListKind`, or any other for a list that names all servers."""
         if kind == ListKind.ERROR.value:
             return messages.EndpointListFailed()
         changed = [self._apply_row(row) for row in rows]
@@ -82,7 +82,7 @@
         return removed
 
     def decode_event(self, parts: list[str]) -> Event | None:
-        """One line; None for what is of no concern to the router."""
+        """Decodes one line; None if it does not concern the router."""
         match parts[0]:
             case "WORK_ITEM":
                 return self._request_arrived(parts)
@@ -113,7 +113,8 @@
         return messages.RequestArrived(request)
 
     def _request_class(self, name: str, client_timeout_ms: float) -> RequestClass:
-        """A class that the settings don't list is promised nothing, so none of its requests may be repeated."""
+        """The request class of this name. One that the settings don't list makes no guarantees, so its requests may not
+        be retried after they may have run."""
         if name not in self.request_classes:
             self.request_classes[name] = RequestClass(
                 effect=Effect.SIDE_EFFECTING,
@@ -168,16 +169,16 @@
         )
 
     def decode_report(self, text: str) -> Report | None:
-        """A load report: its figures in the order of the settings' columns."""
+        """Decodes a load report: its values in the order of the settings' columns."""
         if text in ("-", ""):
             return None
-        figures = [parse_number(figure) for figure in text.split(",")]
-        return self.deployment.report(dict(zip(self.deployment.columns, figures, strict=False)))
+        values = [parse_number(value) for value in text.split(",")]
+        return self.deployment.report(dict(zip(self.deployment.columns, values, strict=False)))
 
     # -- lines out
 
     def encode(self, gateway: str, actions: list[Action]) -> Iterator[str]:
-        """The lines for these actions; `gateway` is this one's number on the wire."""
+        """Encodes these actions as lines; `gateway` is this gateway's number on the wire."""
         for action in actions:
             line = self._encode_action(gateway, action)
             if line is not None:
@@ -214,7 +215,7 @@
         return None
 
     def _forget(self, request: Request) -> None:
-        """Drops the ids of a request that is over and whose attempts have all ended."""
+        """Drops the ids of a finished request once all its attempts have ended."""
         if self.attempts_ended.get(request, 0) < self.attempts.get(request, 0):
             return
         self.requests.pop(self.request_numbers.pop(request, -1), None)
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -148,23 +148,25 @@
     """An agent that is behind gives an older list, which is ignored. Where that goes on, discovery has begun to
     count anew, and the whole list is asked for."""
     endpoint_registry = EndpointRegistry(Deployment(1, TOLD))
-    endpoint_registry.take(parse_endpoint_list(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
-    endpoint_registry.take(parse_endpoint_list(listing(43, False, w0="DRAINING")), 0.0, 10.0)
+    endpoint_registry.apply_list(parse_endpoint_list(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
+    endpoint_registry.apply_list(parse_endpoint_list(listing(43, False, w0="DRAINING")), 0.0, 10.0)
     old = parse_endpoint_list(listing(42, True, w0="SERVING", w2="SERVING"))
-    assert not endpoint_registry.take(old, 0.0, 20.0).servers
+    assert not endpoint_registry.apply_list(old, 0.0, 20.0).servers
     assert (
         endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING
         and set(endpoint_registry.servers) == {"w0", "w1"}
         and endpoint_registry.index == 43
     )
-    assert endpoint_registry.take(
+    assert endpoint_registry.apply_list(
         parse_endpoint_list(listing(44, False, w0="SERVING")), 0.0, 30.0
     ).servers  # newer: it holds
-    assert not endpoint_registry.take(parse_endpoint_list(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
+    assert not endpoint_registry.apply_list(parse_endpoint_list(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
     with pytest.raises(ValueError):  # for longer than an agent may be behind
-        endpoint_registry.take(parse_endpoint_list(listing(6, False, w0="DRAINING")), 0.0, 41.0 + MAX_STALENESS_MS)
+        endpoint_registry.apply_list(
+            parse_endpoint_list(listing(6, False, w0="DRAINING")), 0.0, 41.0 + MAX_STALENESS_MS
+        )
     assert endpoint_registry.index == 0  # so all is asked for
-    endpoint_registry.take(parse_endpoint_list(listing(6, True, w0="DRAINING")), 0.0, 50.0 + MAX_STALENESS_MS)
+    endpoint_registry.apply_list(parse_endpoint_list(listing(6, True, w0="DRAINING")), 0.0, 50.0 + MAX_STALENESS_MS)
     assert endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING and set(endpoint_registry.servers) == {
         "w0"
     }
@@ -294,7 +296,7 @@
     servers = [ModelServer(f"w{n}", "write", fleet) for n in range(20)]
     for server in reversed(servers):
         await server.start()
-        client.has_answered(server.address)  # the silent ones were heard last
+        client.record_answer(server.address)  # the silent ones were heard last
         server.accepts_only = server in servers[:16]
     fleet.states["ab"] = "w19"
     with trio.move_on_after(deployment.router_config.release_ms / 1000):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -49,7 +49,7 @@
             }
         ).encode()
     )
-    endpoint_registry.take(listing, 10_000.0, 5_000.0)
+    endpoint_registry.apply_list(listing, 10_000.0, 5_000.0)
     wire.decode_list("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
     mine, theirs = endpoint_registry.servers["s1"], wire.servers["s1"]
     for name in ("zone", "cell", "role", "kv_capacity_tokens", "size", "started_ms", "status", "hash_key"):
@@ -196,7 +196,7 @@
             await p.gateway.runtime.model_servers.pool.connect(p.servers[name].address)
         p.fleet.states["00000000000000aa"] = "r0"
         for name in ("r1", "r0"):
-            p.gateway.runtime.model_servers.has_answered(p.servers[name].address)
+            p.gateway.runtime.model_servers.record_answer(p.servers[name].address)
         assert await p.gateway.runtime.model_servers.release("00000000000000aa", p.gateway.runtime.addresses(), 400.0)
         assert not p.fleet.states
 
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -73,7 +73,7 @@
         assert (
             not runtime.active_requests
             and not runtime.requests_by_id
-            and not runtime.ended
+            and not runtime.ended_requests
             and not runtime.releasing
             and not scheduler.rules.queue
         )
@@ -82,7 +82,7 @@
             and sum(scheduler.rules.affinity.prefix_popularity.values()) <= 2 * MAX_COUNTED_PREFIXES
         )
         assert (
-            len(runtime.model_servers.answer_order.answered_at)
+            len(runtime.model_servers.answer_order.answered_at_s)
             <= len(runtime.endpoint_registry.endpoints)
             == len(runtime.endpoint_registry.servers)
             == 3
@@ -92,7 +92,7 @@
         for name in list(p.servers):
             p.discovery.put(name, "", "writer", "DELETED")
         with trio.fail_after(3):
-            while scheduler.rules.endpoints or pool.open or runtime.model_servers.answer_order.answered_at:
+            while scheduler.rules.endpoints or pool.open or runtime.model_servers.answer_order.answered_at_s:
                 await trio.sleep(0.02)
 
 
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -8,12 +8,12 @@
 
 def test_a_state_is_named_once_when_it_is_overdue() -> None:
     monitor = HeldStateMonitor()
-    monitor.held("a", "p0", 0.0)
-    monitor.held("b", "p1", 300.0)
+    monitor.add("a", "p0", 0.0)
+    monitor.add("b", "p1", 300.0)
     assert monitor.newly_overdue(500.0, 500.0) == []
     assert monitor.newly_overdue(501.0, 500.0) == [Overdue("a", "p0", 501.0)]
     assert monitor.newly_overdue(700.0, 500.0) == [] and monitor.oldest_ms(700.0) == 700.0
-    monitor.ended("a", 800.0)
+    monitor.remove("a", 800.0)
     assert monitor.newly_overdue(801.0, 500.0) == [Overdue("b", "p1", 501.0)]
     assert len(monitor) == 1 and monitor.longest_ms == 800.0
 
