--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -1,4 +1,4 @@
-"""What operators are told of a request: its transitions, why it was refused, and what is held for how long."""
+"""What operators see of a request: its transitions, why it failed, and for how long its state is held."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.platform_world import always, platform
 
 
-def test_a_state_is_named_once_when_it_is_overdue() -> None:
+def test_overdue_state_is_reported_once() -> None:
     monitor = HeldStateMonitor()
     monitor.add("a", "p0", 0.0)
     monitor.add("b", "p1", 300.0)
@@ -18,7 +18,7 @@
     assert len(monitor) == 1 and monitor.longest_ms == 800.0
 
 
-async def test_a_refused_request_says_when_and_why_it_was_retried_released_and_closed() -> None:
+async def test_history_of_failed_request_has_its_attempts_and_release() -> None:
     async with platform("r0", "w0", w0=always("status_500")) as p:
         assert (await p.ask(Request_Class="note")).status == 502
         await p.settled()
@@ -33,7 +33,7 @@
         assert not len(runtime.reporter.held_states) and not runtime.reporter.counts["held overdue"]
 
 
-async def test_a_retry_is_counted_by_what_it_follows() -> None:
+async def test_retries_are_counted_by_previous_outcome() -> None:
     async with platform("r0", "r1", "w0", r0=always("full_503"), r1=always("full_503")) as p:
         assert (await p.ask()).status == 503
         counts = p.gateway.runtime.reporter.counts
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""What deploy/balancer.toml calls `run` and `sim` start, as the operators start them."""
+"""The commands `run` and `sim` of deploy/balancer.toml, started as operators start them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 }
 
 
-async def test_run_serves_reloads_and_ends_in_one_process(tmp_path: Path) -> None:
+async def test_run_serves_reloads_and_exits_in_one_process(tmp_path: Path) -> None:
     async with trio.open_nursery() as nursery:
         fleet, discovery, pool = Fleet(nursery), Discovery(nursery), ConnectionPool(1000, 1000)
         await discovery.start()
@@ -44,9 +44,9 @@
             server = ModelServer(name, role, fleet)
             await server.start()
             discovery.put(name, server.address, kind)
-        spare = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        address = "%s:%d" % spare[0].socket.getsockname()[:2]
-        spare[0].socket.close()
+        reserved = await trio.open_tcp_listeners(0, host="127.0.0.1")
+        address = "%s:%d" % reserved[0].socket.getsockname()[:2]
+        reserved[0].socket.close()
         config = tmp_path / "config.json"
         config.write_text(
             json.dumps(
@@ -72,18 +72,20 @@
             with trio.fail_after(30):
                 while True:
                     try:
-                        caller = await pool.connect(address)
-                        head = await caller.ask("GET", "/health/ready", [])
-                        caller.close_now()
+                        connection = await pool.connect(address)
+                        head = await connection.ask("GET", "/health/ready", [])
+                        connection.close_now()
                         assert head.status_code == 200, head
                         break
                     except ConnectError:
                         await trio.sleep(0.05)
                 assert not Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
-                assert b"ternlane.platform" in Path(f"/proc/{process.pid}/cmdline").read_bytes()  # no shell is left
+                assert (
+                    b"ternlane.platform" in Path(f"/proc/{process.pid}/cmdline").read_bytes()
+                )  # the shell has replaced itself
                 for turn in range(2):
-                    caller = await pool.connect(address)
-                    head = await caller.ask(
+                    connection = await pool.connect(address)
+                    head = await connection.ask(
                         "POST",
                         "/v1/chat/completions",
                         [
@@ -94,8 +96,8 @@
                         ],
                         b'{"model":"chat"}',
                     )
-                    body = await caller.body(65536)
-                    caller.close_now()
+                    body = await connection.body(65536)
+                    connection.close_now()
                     assert head.status_code == 200 and b"[DONE]" in body, (head, body)
                     process.send_signal(signal.SIGHUP)
                 assert fleet.count("read") == fleet.count("write") == 2 and not fleet.states
@@ -106,8 +108,9 @@
         nursery.cancel_scope.cancel()
 
 
-def test_run_reads_in_only_what_it_uses() -> None:
-    """Restarted gateways have part of a core to be ready in: other fronts, tenants and tools are not imported."""
+def test_run_imports_only_what_it_uses() -> None:
+    """A restarted gateway has only part of a core until it must be ready, so it must not import the chat gateway,
+    tenants or tools."""
     loaded = subprocess.run(
         [sys.executable, "-c", "import sys, ternlane.platform.process; print(*sys.modules)"],
         cwd=ROOT,
@@ -128,11 +131,11 @@
     } & set(loaded)
 
 
-def test_sim_answers_the_simulator_and_reads_in_no_network() -> None:
-    done = subprocess.run(
+def test_sim_answers_the_simulator_and_imports_no_network_modules() -> None:
+    completed = subprocess.run(
         ["/bin/sh", "-c", DEPLOY["sim"]], cwd=ROOT, input="MARK 1.0\nEOB\n", capture_output=True, text=True, check=True
     )
-    assert done.stdout.strip() == "YIELD"
+    assert completed.stdout.strip() == "YIELD"
     subprocess.run(
         [
             sys.executable,
--- a/tests/test_wire_pins.py
+++ b/tests/test_wire_pins.py
@@ -1,8 +1,9 @@
-"""Pins, byte for byte, what the gateways and the simulator's adapter write, and the names in their logs and metrics.
+"""Compares, byte for byte, what the gateways and the simulator's adapter write with recorded data, as well as the names
+in their logs and metrics.
 
-Everything runs through the process entry points, before scripted peers on loopback sockets, so that no name of the
-package is needed here. What differs between runs (addresses, times, versions) is masked by `masked`. The pinned data is
-in `tests/data/wire/`; it is written anew only where TERNLANE_WRITE_PINS=1 is set.
+The processes are started by their entry points and talk to scripted peers on loopback sockets, so that these tests use
+no name of the package. `masked` replaces what differs between runs (addresses, times, versions). The recorded data is
+in `tests/data/wire/`; it is rewritten only if TERNLANE_WRITE_PINS=1 is set.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
 ROOT = Path(__file__).parent.parent
 PINS = Path(__file__).parent / "data" / "wire"
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-# The entry points, which stay what they are.
+# The public entry points.
 PLATFORM_GATEWAY = ["/bin/sh", "-c", DEPLOY["run"]]
 SIMULATOR_ADAPTER = ["/bin/sh", "-c", DEPLOY["sim"]]
 CHAT_GATEWAY = [sys.executable, "-m", "ternlane", "serve", "--log", "debug"]
 
-WITHIN_S = 30.0  # for any one scene's step: only a hung gateway takes so long
+WITHIN_S = 30.0  # time limit for one step of a test: only a hung gateway exceeds it
 CHAT_PATH = "/v1/chat/completions"
 MASKS = (
     (r"127\.0\.0\.1:\d+", "<address>"),
@@ -49,7 +50,7 @@
 
 
 def masked(message: bytes) -> str:
-    """A message as text, with what differs between runs replaced by fixed tokens."""
+    """A message as text, with fixed tokens in place of what differs between runs."""
     text = message.decode("latin-1")
     for pattern, token in MASKS:
         text = re.sub(pattern, token, text)
@@ -57,7 +58,7 @@
 
 
 def pin(name: str, seen: Any) -> None:
-    """Compares what a scene has seen with its file, or writes that file where it is told to."""
+    """Compares what a test has recorded with its file, or writes the file if TERNLANE_WRITE_PINS=1 is set."""
     path = PINS / f"{name}.json"
     if os.environ.get("TERNLANE_WRITE_PINS") == "1":
         path.write_text(json.dumps(seen, indent=1, sort_keys=True) + "\n")
@@ -65,7 +66,7 @@
 
 
 def names_in_log(path: Path) -> dict[str, list[str]]:
-    """The events of a log, each with the names of the fields that it had in any line."""
+    """The events of a log, each with the names of all fields that any of its lines has."""
     fields: dict[str, set[str]] = {}
     for line in path.read_text().splitlines():
         entry = json.loads(line)
@@ -75,18 +76,18 @@
 
 # -- scripted peers
 
-CLOSE = "close"  # a part of an answer: the connection ends here
-UNTIL_CLOSED = "until closed"  # waits until the gateway closes, which is recorded
-BEATS = "beats"  # the same, with an empty line now and then
-BEAT_S = 0.4
+CLOSE = "close"  # the peer closes the connection
+UNTIL_CLOSED = "until closed"  # the peer waits until the gateway closes the connection, and records that
+HEARTBEATS = "beats"  # the same, with an empty line from time to time
+HEARTBEAT_S = 0.4
 Part = bytes | trio.Event | str
 Answer = tuple[Part, ...]
 
 
 @dataclass
 class Peer:
-    """A server that records each message byte for byte and gives the scripted answers for its path, the last of them
-    for ever."""
+    """A server that records each message byte for byte and sends the scripted answers for its path in order, repeating
+    the last one."""
 
     nursery: trio.Nursery
     answers: dict[str, list[Answer]]
@@ -105,7 +106,7 @@
         return sum(message.startswith(begin) for message in self.messages)
 
     async def until(self, begin: str, count: int = 1) -> None:
-        """Waits until so many such messages have come."""
+        """Waits until `count` messages that begin so have been received."""
         with trio.fail_after(WITHIN_S):
             while self.count(begin) < count:
                 await trio.sleep(0.005)
@@ -136,7 +137,7 @@
         return answers.pop(0) if len(answers) > 1 else answers[0]
 
     async def _answer(self, stream: trio.SocketStream, answer: Answer) -> bool:
-        """False where the connection has ended with it."""
+        """Sends an answer. Returns False if the connection ends with it."""
         for part in answer:
             if isinstance(part, bytes):
                 await stream.send_all(part)
@@ -145,27 +146,27 @@
             elif part == CLOSE:
                 return False
             else:
-                await until_closed(stream, beats=part == BEATS)
+                await wait_until_closed(stream, heartbeats=part == HEARTBEATS)
                 self.messages.append("<closed by the gateway>")
                 return False
         return True
 
 
-async def until_closed(stream: trio.SocketStream, beats: bool) -> None:
-    """Waits until the other side has closed; sends empty lines meanwhile where it is told to."""
+async def wait_until_closed(stream: trio.SocketStream, heartbeats: bool) -> None:
+    """Waits until the other side has closed the connection, sending empty lines meanwhile if `heartbeats`."""
     try:
         while True:
-            with trio.move_on_after(BEAT_S if beats else WITHIN_S):
+            with trio.move_on_after(HEARTBEAT_S if heartbeats else WITHIN_S):
                 if not await stream.receive_some():
                     return
-            if beats:
-                await stream.send_all(BEAT)
+            if heartbeats:
+                await stream.send_all(HEARTBEAT)
     except trio.BrokenResourceError:
         pass
 
 
 async def read_message(stream: trio.SocketStream, rest: bytes) -> tuple[bytes, bytes]:
-    """One whole request, and what came after it; empty where the connection ended first."""
+    """Reads one request; returns it and the bytes after it, both empty if the connection ended first."""
     while True:
         head, end, body = rest.partition(b"\r\n\r\n")
         if end:
@@ -180,7 +181,7 @@
 
 
 def plain(status: str, body: bytes = b"", *headers: str) -> bytes:
-    """A whole answer of a peer."""
+    """A complete answer of a peer."""
     lines = [f"HTTP/1.1 {status}", *headers, f"Content-Length: {len(body)}"]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
@@ -189,23 +190,23 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def event(**said: Any) -> bytes:
-    return chunk(b"data: " + json.dumps(said).encode() + b"\n\n")
+def event(**fields: Any) -> bytes:
+    return chunk(b"data: " + json.dumps(fields).encode() + b"\n\n")
 
 
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-LAST = chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+STREAM_END = chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
 
 
-def word(text: str, finish: str | None = None) -> bytes:
+def text_event(text: str, finish: str | None = None) -> bytes:
     return event(choices=[{"index": 0, "delta": {"content": text}, "finish_reason": finish}])
 
 
 USAGE = event(choices=[], usage={"prompt_tokens": 20, "completion_tokens": 2, "total_tokens": 22})
-STREAM = STREAM_HEAD + word("one ") + word("two", "stop") + USAGE + LAST
-READ_ON_PLATFORM = plain("202 Accepted", b'{"cached_tokens":4}', "Server-Load: inflight=1,x0=0.1")
-FULL = plain("503 Service Unavailable", b"", "Not-Started: 1")
-RELEASED = plain("204 No Content")
+STREAM = STREAM_HEAD + text_event("one ") + text_event("two", "stop") + USAGE + STREAM_END
+PREFILL_ANSWER = plain("202 Accepted", b'{"cached_tokens":4}', "Server-Load: inflight=1,x0=0.1")
+NOT_STARTED_ANSWER = plain("503 Service Unavailable", b"", "Not-Started: 1")
+RELEASE_ANSWER = plain("204 No Content")
 
 
 # -- clients
@@ -222,7 +223,7 @@
 
 
 async def receive_all(stream: trio.SocketStream, begun: trio.Event | None = None, begins: bytes = b"data: ") -> str:
-    """All that comes until the gateway closes. `begun` is set once `begins` has come."""
+    """All bytes until the gateway closes the connection. `begun` is set once `begins` has been received."""
     out = b""
     with trio.fail_after(WITHIN_S):
         try:
@@ -236,7 +237,7 @@
 
 
 async def ask(address: str, message: bytes, begun: trio.Event | None = None) -> str:
-    """Sends a message on a connection of its own; gives all that comes back."""
+    """Sends a message on a new connection; returns all bytes that come back."""
     async with connected(address) as stream:
         await stream.send_all(message)
         return await receive_all(stream, begun)
@@ -256,70 +257,73 @@
 
 
 def reserved_address() -> tuple[socket.socket, str]:
-    """An address for a process to listen at: its port stays bound, so no other connection takes it meanwhile."""
-    kept = socket.socket()
-    kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    kept.bind(("127.0.0.1", 0))
-    return kept, "127.0.0.1:%d" % kept.getsockname()[1]
+    """An address for a process to listen at. The returned socket keeps the port bound, so that no other connection can
+    take it first."""
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    return reserved, "127.0.0.1:%d" % reserved.getsockname()[1]
 
 
-def logged(log: Path, name: str) -> int:
-    """How many lines of this event are in the log."""
+def count_logged(log: Path, name: str) -> int:
+    """The number of lines of this event in the log."""
     return log.read_text().count(f'"event": "{name}"')
 
 
-async def until_logged(log: Path, name: str, count: int = 1) -> None:
-    """Waits until so many lines of this event are in the log."""
+async def wait_until_logged(log: Path, name: str, count: int = 1) -> None:
+    """Waits until the log has `count` lines of this event."""
     with trio.fail_after(WITHIN_S):
-        while logged(log, name) < count:
+        while count_logged(log, name) < count:
             await trio.sleep(0.01)
 
 
 @asynccontextmanager
 async def running(command: list[str], log: Path, environment: dict[str, str]) -> AsyncIterator[trio.Process]:
-    """A gateway process that serves, and is no more when the block ends."""
+    """A gateway process that serves, and is killed at the end of the block."""
     with log.open("w") as errors:
         process = await trio.lowlevel.open_process(command, env=os.environ | environment, cwd=ROOT, stderr=errors)
     try:
-        await until_logged(log, "serving")
+        await wait_until_logged(log, "serving")
         yield process
     finally:
         process.kill()
         await process.wait()
 
 
-async def until_quiet(peers: dict[str, Peer]) -> None:
-    """Waits until nothing more has been written to any of these for a while."""
-    before, still = -1, 0
-    while still < 30:
+async def wait_until_quiet(peers: dict[str, Peer]) -> None:
+    """Waits until these peers have received nothing for a while."""
+    before, quiet_rounds = -1, 0
+    while quiet_rounds < 30:
         now = sum(len(peer.messages) for peer in peers.values())
-        before, still = now, still + 1 if now == before else 0
+        before, quiet_rounds = now, quiet_rounds + 1 if now == before else 0
         await trio.sleep(0.02)
 
 
-def by_duty(peers: dict[str, Peer]) -> dict[str, list[str]]:
-    """What was written to peers of each duty since the last look, sorted: calls on two connections may overtake."""
-    duties = {"r": "prefill", "w": "decode", "m": "both"}
-    told: dict[str, list[str]] = {}
+def messages_by_role(peers: dict[str, Peer]) -> dict[str, list[str]]:
+    """The messages to peers of each role since the last call, sorted, as calls on two connections may overtake each
+    other."""
+    roles = {"r": "prefill", "w": "decode", "m": "both"}
+    recorded: dict[str, list[str]] = {}
     for name, peer in peers.items():
-        told.setdefault(duties[name[0]], []).extend(peer.take_messages())
-    return {duty: sorted(messages) for duty, messages in told.items()}
+        recorded.setdefault(roles[name[0]], []).extend(peer.take_messages())
+    return {role: sorted(messages) for role, messages in recorded.items()}
 
 
-def share_answers(peers: dict[str, Peer], first: str, path: str, *answers: Answer) -> None:
-    """Whichever of these peers is called first gives the first answer."""
+def share_answers(peers: dict[str, Peer], initial: str, path: str, *answers: Answer) -> None:
+    """Makes the peers whose names begin with `initial` share these answers: the one that is called first sends the
+    first."""
     shared = list(answers)
     for name, peer in peers.items():
-        if name[0] == first:
+        if name[0] == initial:
             peer.answers[path] = shared
 
 
-async def ended(process: trio.Process) -> int:
+async def wait_for_exit(process: trio.Process) -> int:
     with trio.fail_after(WITHIN_S):
         return await process.wait()
 
 
-# -- the platform's gateway
+# -- the platform gateway
 
 SETTINGS: dict[str, Any] = {
     "discovery": "push",
@@ -357,7 +361,7 @@
     "step": 1.0,
 }
 BODY = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"hello"}]}'
-BEAT = chunk(b"\n")
+HEARTBEAT = chunk(b"\n")
 DISCOVERY_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -381,7 +385,7 @@
 
 @dataclass
 class Platform:
-    """A gateway process before scripted model servers and discovery."""
+    """A gateway process with scripted model servers and discovery."""
 
     address: str
     config: Path
@@ -389,15 +393,15 @@
     process: trio.Process
     discovery: Peer
     servers: dict[str, Peer]
-    told: dict[str, Any]
-    asked: int = 0
+    configuration: dict[str, Any]
+    request_count: int = 0
 
-    def message(self, product: str = "summary", body: bytes = BODY, **changes: str) -> bytes:
-        """The next request; a header changed to "-" is left out."""
-        self.asked += 1
+    def message(self, request_class: str = "summary", body: bytes = BODY, **changes: str) -> bytes:
+        """The next request. A header whose value is "-" is left out."""
+        self.request_count += 1
         headers = {
-            "Request-Id": f"{self.asked:016x}",
-            "Request-Class": product,
+            "Request-Id": f"{self.request_count:016x}",
+            "Request-Class": request_class,
             "Affinity-Key": "c1",
             "Request-Timeout": "15",
             "Request-Info": "prefix=ab,prompt_len=20,prefix_len=8,max_out=40",
@@ -405,38 +409,39 @@
         headers |= {name.replace("_", "-"): value for name, value in changes.items()}
         return request(CHAT_PATH, {name: value for name, value in headers.items() if value != "-"}, body)
 
-    async def ask(self, product: str = "summary", begun: trio.Event | None = None, **changes: str) -> str:
-        return await ask(self.address, self.message(product, **changes), begun)
+    async def ask(self, request_class: str = "summary", begun: trio.Event | None = None, **changes: str) -> str:
+        return await ask(self.address, self.message(request_class, **changes), begun)
 
     def reconfigure(self, **changes: Any) -> None:
-        """Writes the configuration file anew and has it read."""
-        self.config.write_text(json.dumps(self.told | changes))
+        """Rewrites the configuration file and makes the gateway reload it."""
+        self.config.write_text(json.dumps(self.configuration | changes))
         self.process.send_signal(signal.SIGHUP)
 
-    def seen(self, **clients: Any) -> dict[str, Any]:
-        """What each peer was told since the last look, in its order, and what clients were told."""
-        return by_duty(self.servers) | {"discovery": self.discovery.take_messages(), "clients": clients}
+    def take_recorded(self, **clients: Any) -> dict[str, Any]:
+        """The messages to each peer since the last call, and the given answers to clients."""
+        return messages_by_role(self.servers) | {"discovery": self.discovery.take_messages(), "clients": clients}
 
-    async def settled(self) -> None:
-        """Waits until each request's end is in the log and nothing more is written to any server for a while."""
-        await until_logged(self.log, "closed", self.asked)
-        await until_quiet(self.servers)
+    async def wait_until_idle(self) -> None:
+        """Waits until the log has the end of each request and the servers have received nothing for a while."""
+        await wait_until_logged(self.log, "closed", self.request_count)
+        await wait_until_quiet(self.servers)
 
 
 @asynccontextmanager
 async def platform(folder: Path, *names: str, **settings: Any) -> AsyncIterator[Platform]:
-    """A platform of these servers, whose first letter tells prefill (r) from decode (w); `settings` differ."""
-    kept, address = reserved_address()
+    """A gateway with these servers: names beginning with r are prefill servers, with w decode servers. `settings` are
+    changes to SETTINGS."""
+    reserved, address = reserved_address()
     async with trio.open_nursery() as nursery:
-        discovery = Peer(nursery, {"GET /registry/": [(DISCOVERY_HEAD + BEAT, BEATS)]})
+        discovery = Peer(nursery, {"GET /registry/": [(DISCOVERY_HEAD + HEARTBEAT, HEARTBEATS)]})
         servers = {name: Peer(nursery, {}) for name in names}
         for peer in (discovery, *servers.values()):
             await peer.start()
         for name, peer in servers.items():
-            peer.script(f"POST {CHAT_PATH}", (READ_ON_PLATFORM if name[0] == "r" else STREAM,))
-            peer.script("DELETE ", (RELEASED,))
+            peer.script(f"POST {CHAT_PATH}", (PREFILL_ANSWER if name[0] == "r" else STREAM,))
+            peer.script("DELETE ", (RELEASE_ANSWER,))
             peer.script("GET /stats", (plain("200 OK", b"inflight=1,x0=0.1"),))
-        told = {
+        configuration = {
             "name": "n0",
             "listen": address,
             "discovery": discovery.address,
@@ -446,26 +451,26 @@
             "settings": SETTINGS | settings,
         }
         config, log = folder / "config.json", folder / "log"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(configuration))
         environment = {"NODE_CONFIG": str(config), "TERNLANE_LOG": "debug"}
         async with running(PLATFORM_GATEWAY, log, environment) as process:
-            yield Platform(address, config, log, process, discovery, servers, told)
+            yield Platform(address, config, log, process, discovery, servers, configuration)
         nursery.cancel_scope.cancel()
-    kept.close()
+    reserved.close()
 
 
 async def test_platform_streams(tmp_path: Path) -> None:
-    """A stream in two steps: the first event is passed on before the second is there."""
+    """A stream in two steps: the first event is forwarded before the second one exists."""
     async with platform(tmp_path, "r0", "w0") as p:
         begun = trio.Event()
-        rest = word("two", "stop") + USAGE + chunk(b": Server-Load: inflight=2,x0=0.2\n\n") + LAST
-        p.servers["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), begun, rest))
+        rest = text_event("two", "stop") + USAGE + chunk(b": Server-Load: inflight=2,x0=0.2\n\n") + STREAM_END
+        p.servers["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + text_event("one "), begun, rest))
         streamed = await p.ask(begun=begun)
-        pin("platform_streams", p.seen(streamed=streamed))
+        pin("platform_streams", p.take_recorded(streamed=streamed))
 
 
 async def test_platform_answers_at_one_connection(tmp_path: Path) -> None:
-    """Two requests on one kept connection, the second with little in its head."""
+    """Two requests on one connection, the second with only the required headers."""
     async with platform(tmp_path, "r0", "w0") as p:
         first = p.message().replace(b"Connection: close\r\n", b"")
         second = p.message(Affinity_Key="-", Request_Timeout="-", Request_Info="-")
@@ -481,13 +486,13 @@
                 nursery.start_soon(receive)
                 await begun.wait()
                 await stream.send_all(second)
-        pin("platform_kept_connection", p.seen(both=answers))
+        pin("platform_kept_connection", p.take_recorded(both=answers))
 
 
 RETRIES: dict[str, tuple[str, Answer]] = {
-    "prefill_full": ("r", (FULL,)),
+    "prefill_full": ("r", (NOT_STARTED_ANSWER,)),
     "prefill_failed": ("r", (plain("500 No"),)),
-    "decode_full": ("w", (FULL,)),
+    "decode_full": ("w", (NOT_STARTED_ANSWER,)),
     "decode_failed": ("w", (plain("500 No"),)),
     "state_lost": ("w", (plain("410 Gone", b"", "Not-Started: 1"),)),
 }
@@ -495,50 +500,50 @@
 
 @pytest.mark.parametrize("scene", RETRIES)
 async def test_platform_retries(tmp_path: Path, scene: str) -> None:
-    """Prefill and decode attempts that were turned away, lost their state or failed, and the attempts after them."""
+    """Prefill and decode attempts that were rejected, lost their state or failed, and the retries."""
     async with platform(tmp_path, "r0", "r1", "w0", "w1") as p:
-        duty, first = RETRIES[scene]
-        then = READ_ON_PLATFORM if duty == "r" else STREAM
-        share_answers(p.servers, duty, f"POST {CHAT_PATH}", first, (then,))
+        initial, first = RETRIES[scene]
+        then = PREFILL_ANSWER if initial == "r" else STREAM
+        share_answers(p.servers, initial, f"POST {CHAT_PATH}", first, (then,))
         answer = await p.ask()
-        await p.settled()
-        pin(f"platform_retries_{scene}", p.seen(answer=answer))
+        await p.wait_until_idle()
+        pin(f"platform_retries_{scene}", p.take_recorded(answer=answer))
 
 
 @pytest.mark.parametrize("scene", ["reset", "cut", "spoilt", "status"])
 async def test_platform_fails(tmp_path: Path, scene: str) -> None:
-    """A request that may run once only, and whose decode attempt broke."""
+    """A request that may run only once, whose decode attempt broke."""
     answers: dict[str, Answer] = {
         "reset": (CLOSE,),
-        "cut": (STREAM_HEAD + word("one "), CLOSE),
+        "cut": (STREAM_HEAD + text_event("one "), CLOSE),
         "spoilt": (STREAM_HEAD + chunk(b"noise\n\n"), UNTIL_CLOSED),
         "status": (plain("500 No"),),
     }
     async with platform(tmp_path, "r0", "w0") as p:
         p.servers["w0"].script(f"POST {CHAT_PATH}", answers[scene])
         failed = await p.ask("note")
-        await p.settled()
-        pin(f"platform_fails_{scene}", p.seen(failed=failed))
+        await p.wait_until_idle()
+        pin(f"platform_fails_{scene}", p.take_recorded(failed=failed))
 
 
 async def test_platform_rejects(tmp_path: Path) -> None:
-    """No decode server: rejected, with a time to come back."""
+    """Without a decode server the request is rejected with Retry-After."""
     async with platform(tmp_path, "r0") as p:
         rejected = await p.ask()
-        pin("platform_rejects", p.seen(rejected=rejected))
+        pin("platform_rejects", p.take_recorded(rejected=rejected))
 
 
 LEAVES: dict[str, tuple[str, Answer, int]] = {
-    # the server that works for it then, what that answers, and how many calls for a release follow
-    "in_prefill": ("r0", (UNTIL_CLOSED,), 2),  # the second half the release time later
+    # the server with the attempt, its answer, and the number of release calls that follow
+    "in_prefill": ("r0", (UNTIL_CLOSED,), 2),  # the second one follows after half the release time
     "before_decode_begins": ("w0", (UNTIL_CLOSED,), 1),
-    "within_the_stream": ("w0", (STREAM_HEAD + word("one "), UNTIL_CLOSED), 0),
+    "within_the_stream": ("w0", (STREAM_HEAD + text_event("one "), UNTIL_CLOSED), 0),
 }
 
 
 @pytest.mark.parametrize("scene", LEAVES)
 async def test_platform_client_leaves(tmp_path: Path, scene: str) -> None:
-    """A client that leaves while prefill runs, while decode has not begun, and within the stream."""
+    """A client that disconnects during prefill, before decode begins, and within the stream."""
     async with platform(tmp_path, "r0", "w0") as p:
         name, answer, releases = LEAVES[scene]
         p.servers[name].script(f"POST {CHAT_PATH}", answer)
@@ -550,8 +555,8 @@
         with trio.fail_after(WITHIN_S):
             while sum(server.count("DELETE") for server in p.servers.values()) < releases:
                 await trio.sleep(0.01)
-        await p.settled()
-        pin(f"platform_client_leaves_{scene}", p.seen())
+        await p.wait_until_idle()
+        pin(f"platform_client_leaves_{scene}", p.take_recorded())
 
 
 BAD_HEADS = {
@@ -575,36 +580,36 @@
 
 
 async def test_platform_refuses(tmp_path: Path) -> None:
-    """Requests that can't be read or served, and the endpoint that tells whether it is ready."""
+    """Invalid requests, and the readiness endpoint."""
     async with platform(tmp_path, "r0", "w0") as p:
-        said = {name: await ask(p.address, message) for name, message in BAD_HEADS.items()}
+        answers = {name: await ask(p.address, message) for name, message in BAD_HEADS.items()}
         for name, changes in BAD_HEADERS.items():
-            said[name] = await p.ask(**changes)
+            answers[name] = await p.ask(**changes)
         for name, body in (("no body", b""), ("no object", b"[]"), ("torn body", b"{")):
-            said[name] = await ask(p.address, p.message(body=body))
-        said["no path"] = await ask(p.address, get("/v1/else"))
-        said["wrong method"] = await ask(p.address, get(CHAT_PATH))
-        said["ready"] = await ask(p.address, get("/health/ready"))
-        said["ready, wrong method"] = await ask(p.address, request("/health/ready", {}, b""))
+            answers[name] = await ask(p.address, p.message(body=body))
+        answers["no path"] = await ask(p.address, get("/v1/else"))
+        answers["wrong method"] = await ask(p.address, get(CHAT_PATH))
+        answers["ready"] = await ask(p.address, get("/health/ready"))
+        answers["ready, wrong method"] = await ask(p.address, request("/health/ready", {}, b""))
         hold = trio.Event()
-        p.servers["r0"].script(f"POST {CHAT_PATH}", (hold, READ_ON_PLATFORM))
+        p.servers["r0"].script(f"POST {CHAT_PATH}", (hold, PREFILL_ANSWER))
         async with connected(p.address) as stream:
             await stream.send_all(p.message(Request_Id="00000000000000ff"))
             await p.servers["r0"].until("POST")
-            said["id in use"] = await p.ask(Request_Id="00000000000000ff")
+            answers["id in use"] = await p.ask(Request_Id="00000000000000ff")
             hold.set()
             await receive_all(stream)
-        pin("platform_refuses", p.seen(**said))
+        pin("platform_refuses", p.take_recorded(**answers))
 
 
 async def test_platform_discovery(tmp_path: Path) -> None:
-    """The watch: from the known index, anew from the newest one where it broke, and at a new address."""
+    """The watch starts at the known index, restarts from the newest one after it broke, and moves to a new address."""
     async with platform(tmp_path, "r0", "w0") as p:
         await p.discovery.until("GET")
         update, broken = trio.Event(), trio.Event()
         news = json.dumps(listing(9, endpoint("w0", p.servers["w0"].address, "DRAINING"), snapshot=False)).encode()
         p.discovery.script("GET /registry/", (DISCOVERY_HEAD + chunk(news + b"\n"), broken, CLOSE))
-        moved = Peer(p.discovery.nursery, {"GET /registry/": [(DISCOVERY_HEAD + BEAT, BEATS)]})
+        moved = Peer(p.discovery.nursery, {"GET /registry/": [(DISCOVERY_HEAD + HEARTBEAT, HEARTBEATS)]})
         await moved.start()
         update.set()
         p.reconfigure(discovery=moved.address)
@@ -614,7 +619,7 @@
 
 
 async def test_platform_watch_that_breaks(tmp_path: Path) -> None:
-    """A watch that breaks after a change is opened anew from that change on."""
+    """A watch that breaks after a change is reopened from that change's index."""
     async with platform(tmp_path, "r0", "w0") as p:
         await p.discovery.until("GET")
         again = Peer(p.discovery.nursery, {})
@@ -622,7 +627,7 @@
         again.script(
             "GET /registry/",
             (DISCOVERY_HEAD + chunk(news + b"\n"), CLOSE),
-            (DISCOVERY_HEAD + BEAT, BEATS),
+            (DISCOVERY_HEAD + HEARTBEAT, HEARTBEATS),
         )
         await again.start()
         p.reconfigure(discovery=again.address)
@@ -631,24 +636,26 @@
 
 
 async def test_platform_probes(tmp_path: Path) -> None:
-    """Servers that tell their load only when asked: a probe, whose number depends on timing."""
+    """Servers that report their load only on probes. The number of probes depends on timing."""
     report = {"columns": ["outstanding", "x0"], "how": "on_probe"}
     async with platform(tmp_path, "r0", "w0", report=report) as p:
         answer = await p.ask()
-        seen = p.seen(answer=answer)
-        seen |= {duty: sorted(set(seen[duty])) for duty in ("prefill", "decode")}
+        seen = p.take_recorded(answer=answer)
+        seen |= {role: sorted(set(seen[role])) for role in ("prefill", "decode")}
         pin("platform_probes", seen)
 
 
 async def test_platform_shuts_down(tmp_path: Path) -> None:
-    """A stream that goes on, a request that is whole only late, and the ready endpoint, during a shutdown."""
+    """During a shutdown: a stream that continues, a request completed late, and the readiness endpoint."""
     async with platform(tmp_path, "r0", "w0") as p:
         begun, late = trio.Event(), trio.Event()
-        p.servers["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), late, word("two") + USAGE + LAST))
-        said: dict[str, str] = {}
+        p.servers["w0"].script(
+            f"POST {CHAT_PATH}", (STREAM_HEAD + text_event("one "), late, text_event("two") + USAGE + STREAM_END)
+        )
+        answers: dict[str, str] = {}
 
         async def open_stream() -> None:
-            said["open stream"] = await p.ask(begun=begun)
+            answers["open stream"] = await p.ask(begun=begun)
 
         async with trio.open_nursery() as nursery, connected(p.address) as half, connected(p.address) as other:
             nursery.start_soon(open_stream)
@@ -658,79 +665,81 @@
             await other.send_all(ready[:-2])
             await trio.sleep(0.1)  # both have been read
             p.process.send_signal(signal.SIGTERM)
-            await until_logged(p.log, "draining")
+            await wait_until_logged(p.log, "draining")
             await trio.sleep(0.8)
             await other.send_all(ready[-2:])
-            said["ready"] = await receive_all(other)
+            answers["ready"] = await receive_all(other)
             await half.send_all(message[-5:])
-            said["late request"] = await receive_all(half)
+            answers["late request"] = await receive_all(half)
             late.set()
-        assert await ended(p.process) == 0
-        pin("platform_shuts_down", p.seen(**said))
+        assert await wait_for_exit(p.process) == 0
+        pin("platform_shuts_down", p.take_recorded(**answers))
 
 
 async def test_platform_log_names(tmp_path: Path) -> None:
-    """The events of the log with their fields, and what the line every ten seconds counts."""
+    """The log's events with their fields, and the counters of the report line."""
     specifics = SETTINGS["specifics"] | {"release": 800.0}
     async with platform(tmp_path, "r0", "r1", "w0", "w1", specifics=specifics) as p:
         await p.ask()
-        share_answers(p.servers, "w", f"POST {CHAT_PATH}", (FULL,), (STREAM,))
+        share_answers(p.servers, "w", f"POST {CHAT_PATH}", (NOT_STARTED_ANSWER,), (STREAM,))
         await p.ask()
         await p.ask(Request_Class="none")
-        await release_unheard(p)
+        await run_unconfirmed_release(p)
         p.config.write_text("{")
         p.process.send_signal(signal.SIGHUP)
-        await until_logged(p.log, "reload refused")
+        await wait_until_logged(p.log, "reload refused")
         p.reconfigure()
-        await until_logged(p.log, "reloaded")
+        await wait_until_logged(p.log, "reloaded")
         p.process.send_signal(signal.SIGUSR1)
-        await until_logged(p.log, "request history", 3)
-        await until_logged(p.log, "report", logged(p.log, "report") + 1)
+        await wait_until_logged(p.log, "request history", 3)
+        await wait_until_logged(p.log, "report", count_logged(p.log, "report") + 1)
         await end_with_an_open_stream(p)
         pin("platform_log_names", names_in_log(p.log))
 
 
-async def release_unheard(p: Platform) -> None:
-    """A request fails for good, and no server takes its release until that is in the log."""
+async def run_unconfirmed_release(p: Platform) -> None:
+    """A request fails, and no server confirms its release until the log has said so."""
     for server in p.servers.values():
         server.script("DELETE ", (plain("500 No"),))
     share_answers(p.servers, "w", f"POST {CHAT_PATH}", (CLOSE,), (STREAM,))
     await p.ask("note")
-    await until_logged(p.log, "release unconfirmed")
-    await until_logged(p.log, "state held past its release time")
-    heard = logged(p.log, "release confirmed")
+    await wait_until_logged(p.log, "release unconfirmed")
+    await wait_until_logged(p.log, "state held past its release time")
+    heard = count_logged(p.log, "release confirmed")
     for server in p.servers.values():
-        server.script("DELETE ", (RELEASED,))
-    await until_logged(p.log, "release confirmed", heard + 1)
+        server.script("DELETE ", (RELEASE_ANSWER,))
+    await wait_until_logged(p.log, "release confirmed", heard + 1)
 
 
 async def end_with_an_open_stream(p: Platform) -> None:
-    """Ends the gateway while a stream goes on until it is named as unfinished."""
+    """Ends the gateway while a stream continues until the log names it as unfinished."""
     begun, late = trio.Event(), trio.Event()
-    share_answers(p.servers, "w", f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), late, LAST))
+    share_answers(p.servers, "w", f"POST {CHAT_PATH}", (STREAM_HEAD + text_event("one "), late, STREAM_END))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(p.ask, "summary", begun)
         await begun.wait()
         p.process.send_signal(signal.SIGTERM)
-        await until_logged(p.log, "unfinished before the end")
+        await wait_until_logged(p.log, "unfinished before the end")
         late.set()
-    assert await ended(p.process) == 0
+    assert await wait_for_exit(p.process) == 0
 
 
 # -- the chat gateway
 
 CHAT_BODY = {"model": "summary", "messages": [{"role": "user", "content": "hello"}]}
-STATE = {"remote_engine_id": "e1", "remote_block_ids": [1, 2], "remote_host": "h", "remote_port": 5}
-READ_AT_ENGINE = plain(
+KV_TRANSFER_PARAMS = {"remote_engine_id": "e1", "remote_block_ids": [1, 2], "remote_host": "h", "remote_port": 5}
+ENGINE_PREFILL_ANSWER = plain(
     "200 OK",
-    json.dumps({"kv_transfer_params": STATE, "usage": {"prompt_tokens": 20, "completion_tokens": 1}}).encode(),
+    json.dumps(
+        {"kv_transfer_params": KV_TRANSFER_PARAMS, "usage": {"prompt_tokens": 20, "completion_tokens": 1}}
+    ).encode(),
     "endpoint-load-metrics: TEXT named_metrics.num_requests_running=1, named_metrics.kv_cache_usage_perc=0.1",
 )
 
 
 @dataclass
 class Chat:
-    """A chat gateway process before scripted engines."""
+    """A chat gateway process with scripted engines."""
 
     address: str
     metrics: str
@@ -738,39 +747,39 @@
     log: Path
     process: trio.Process
     engines: dict[str, Peer]
-    told: dict[str, Any]
-    asked: int = 0
+    configuration: dict[str, Any]
+    request_count: int = 0
 
     def message(self, headers: dict[str, str] | None = None, **changes: Any) -> bytes:
-        self.asked += 1
-        named = {"Content-Type": "application/json", "X-Request-Id": f"request-{self.asked}"}
+        self.request_count += 1
+        named = {"Content-Type": "application/json", "X-Request-Id": f"request-{self.request_count}"}
         return request(CHAT_PATH, named | (headers or {}), json.dumps(CHAT_BODY | changes).encode())
 
     async def ask(self, begun: trio.Event | None = None, headers: dict[str, str] | None = None, **changes: Any) -> str:
         return await ask(self.address, self.message(headers, **changes), begun)
 
-    def seen(self, **clients: Any) -> dict[str, Any]:
-        return by_duty(self.engines) | {"clients": clients}
+    def take_recorded(self, **clients: Any) -> dict[str, Any]:
+        return messages_by_role(self.engines) | {"clients": clients}
 
-    async def settled(self, generations: int) -> None:
-        """Waits until so many requests have ended and nothing more is written to any engine for a while."""
-        await until_logged(self.log, "generation", generations)
-        await until_quiet(self.engines)
+    async def wait_until_idle(self, generations: int) -> None:
+        """Waits until `generations` requests have ended and the engines have received nothing for a while."""
+        await wait_until_logged(self.log, "generation", generations)
+        await wait_until_quiet(self.engines)
 
 
 @asynccontextmanager
 async def chat(folder: Path, *names: str, **changes: Any) -> AsyncIterator[Chat]:
-    """A chat gateway before these engines, whose first letter tells prefill (r), decode (w) and both (m)."""
-    (kept, address), (kept_too, metrics) = reserved_address(), reserved_address()
+    """A chat gateway with these engines: names beginning with r prefill, with w decode, with m do both."""
+    (reserved, address), (metrics_reserved, metrics) = reserved_address(), reserved_address()
     async with trio.open_nursery() as nursery:
         engines = {name: Peer(nursery, {}) for name in names}
         for name, peer in engines.items():
             await peer.start()
-            peer.script(f"POST {CHAT_PATH}", (READ_AT_ENGINE if name[0] == "r" else STREAM,))
-            peer.script("POST /ternlane/v1/release", (RELEASED,))
+            peer.script(f"POST {CHAT_PATH}", (ENGINE_PREFILL_ANSWER if name[0] == "r" else STREAM,))
+            peer.script("POST /ternlane/v1/release", (RELEASE_ANSWER,))
             peer.script("GET /metrics", (plain("200 OK", b"vllm:num_requests_running 1\n"),))
-        duty = {"r": "read", "w": "write", "m": "both"}
-        told = {
+        roles = {"r": "read", "w": "write", "m": "both"}
+        configuration = {
             "name": "g1",
             "listen": address,
             "metrics": metrics,
@@ -787,7 +796,7 @@
                         "address": peer.address,
                         "zone": "hall",
                         "cell": 0,
-                        "duty": duty[name[0]],
+                        "duty": roles[name[0]],
                         "mem_toks": 200000,
                         "state": "up",
                     }
@@ -796,16 +805,16 @@
             },
         } | changes
         document, log = folder / "gateway.json5", folder / "log"
-        document.write_text(json.dumps(told))
+        document.write_text(json.dumps(configuration))
         async with running([*CHAT_GATEWAY, str(document)], log, {}) as process:
-            yield Chat(address, metrics, document, log, process, engines, told)
+            yield Chat(address, metrics, document, log, process, engines, configuration)
         nursery.cancel_scope.cancel()
-    kept.close()
-    kept_too.close()
+    reserved.close()
+    metrics_reserved.close()
 
 
 async def test_chat_answers(tmp_path: Path) -> None:
-    """Streamed with and without usage, and whole."""
+    """Answers that are streamed with and without usage, and not streamed."""
     async with chat(tmp_path, "r0", "w0") as c:
         seen = {}
         for name, changes in (
@@ -814,49 +823,51 @@
             ("whole", {"max_completion_tokens": 9, "temperature": 0.5}),
         ):
             answer = await c.ask(**changes)
-            seen[name] = c.seen(answer=answer)
+            seen[name] = c.take_recorded(answer=answer)
         pin("chat_answers", seen)
 
 
 async def test_chat_of_one_engine_for_both(tmp_path: Path) -> None:
     """Prefill and decode in one attempt."""
     async with chat(tmp_path, "m0") as c:
-        pin("chat_both", c.seen(streamed=await c.ask(stream=True)))
+        pin("chat_both", c.take_recorded(streamed=await c.ask(stream=True)))
 
 
-NOT_RUN = plain("503 No", b"", "x-ternlane-not-run: full")
+ENGINE_NOT_RUN_ANSWER = plain("503 No", b"", "x-ternlane-not-run: full")
 CHAT_RETRIES: dict[str, tuple[str, str, Answer]] = {
-    "prefill_full": ("summary", "r", (NOT_RUN,)),
-    "decode_full": ("summary", "w", (NOT_RUN,)),
+    "prefill_full": ("summary", "r", (ENGINE_NOT_RUN_ANSWER,)),
+    "decode_full": ("summary", "w", (ENGINE_NOT_RUN_ANSWER,)),
     "decode_failed": ("summary", "w", (plain("500 No"),)),
     "state_lost": ("summary", "w", (plain("503 No", b"", "x-ternlane-not-run: no-state"),)),
     "decode_may_have_run": ("note", "w", (plain("500 No"),)),
-    "stream_cut": ("note", "w", (STREAM_HEAD + word("one "), CLOSE)),
+    "stream_cut": ("note", "w", (STREAM_HEAD + text_event("one "), CLOSE)),
 }
 
 
 @pytest.mark.parametrize("scene", CHAT_RETRIES)
 async def test_chat_retries_and_fails(tmp_path: Path, scene: str) -> None:
-    """Attempts that were turned away or failed and what came after them, and failures for good."""
+    """Attempts that were rejected or failed, the retries, and final failures."""
     async with chat(tmp_path, "r0", "r1", "w0", "w1") as c:
-        model, duty, first = CHAT_RETRIES[scene]
-        then = READ_AT_ENGINE if duty == "r" else STREAM
-        share_answers(c.engines, duty, f"POST {CHAT_PATH}", first, (then,))
+        model, initial, first = CHAT_RETRIES[scene]
+        then = ENGINE_PREFILL_ANSWER if initial == "r" else STREAM
+        share_answers(c.engines, initial, f"POST {CHAT_PATH}", first, (then,))
         answer = await c.ask(stream=True, model=model)
-        await c.settled(1)
+        await c.wait_until_idle(1)
         answer = re.sub(r"Terminated: w\d: ", "Terminated: <server>: ", answer)
-        pin(f"chat_retries_{scene}", c.seen(answer=answer))
+        pin(f"chat_retries_{scene}", c.take_recorded(answer=answer))
 
 
 async def test_chat_shuts_down(tmp_path: Path) -> None:
-    """A stream that goes on, and a request that is whole only late, during a shutdown."""
+    """During a shutdown: a stream that continues, and a request completed late."""
     async with chat(tmp_path, "r0", "w0") as c:
         begun, late = trio.Event(), trio.Event()
-        c.engines["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), late, word("two") + USAGE + LAST))
-        said: dict[str, str] = {}
+        c.engines["w0"].script(
+            f"POST {CHAT_PATH}", (STREAM_HEAD + text_event("one "), late, text_event("two") + USAGE + STREAM_END)
+        )
+        answers: dict[str, str] = {}
 
         async def open_stream() -> None:
-            said["open stream"] = await c.ask(begun, stream=True)
+            answers["open stream"] = await c.ask(begun, stream=True)
 
         async with trio.open_nursery() as nursery, connected(c.address) as half:
             nursery.start_soon(open_stream)
@@ -865,28 +876,28 @@
             await half.send_all(message[:-5])
             await trio.sleep(0.1)  # it has been read
             c.process.send_signal(signal.SIGTERM)
-            await until_logged(c.log, "draining")
+            await wait_until_logged(c.log, "draining")
             await trio.sleep(0.5)
             await half.send_all(message[-5:])
-            said["late request"] = await receive_all(half)
+            answers["late request"] = await receive_all(half)
             late.set()
-        assert await ended(c.process) == 0
-        pin("chat_shuts_down", c.seen(**said))
+        assert await wait_for_exit(c.process) == 0
+        pin("chat_shuts_down", c.take_recorded(**answers))
 
 
 async def test_chat_rejects(tmp_path: Path) -> None:
-    """No decode engine: rejected, with a time to come back."""
+    """Without a decode engine the request is rejected with a retry time."""
     async with chat(tmp_path, "r0") as c:
-        pin("chat_rejects", c.seen(rejected=await c.ask(stream=True)))
+        pin("chat_rejects", c.take_recorded(rejected=await c.ask(stream=True)))
 
 
 async def test_chat_client_leaves(tmp_path: Path) -> None:
-    """A client that leaves before decode has begun, and within the stream."""
+    """A client that disconnects before decode begins, and within the stream."""
     async with chat(tmp_path, "r0", "w0") as c:
         seen = {}
         for name, answer in (
             ("before decode begins", (UNTIL_CLOSED,)),
-            ("within the stream", (STREAM_HEAD + word("one "), UNTIL_CLOSED)),
+            ("within the stream", (STREAM_HEAD + text_event("one "), UNTIL_CLOSED)),
         ):
             c.engines["w0"].script(f"POST {CHAT_PATH}", answer)
             async with connected(c.address) as stream:
@@ -894,15 +905,15 @@
                 await c.engines["w0"].until("POST")
                 if name == "within the stream":
                     await stream.receive_some()
-            await c.settled(c.asked)
-            seen[name] = c.seen()
+            await c.wait_until_idle(c.request_count)
+            seen[name] = c.take_recorded()
         pin("chat_client_leaves", seen)
 
 
 async def test_chat_refuses(tmp_path: Path) -> None:
-    """Requests that can't be read or served."""
+    """Invalid requests."""
     async with chat(tmp_path, "r0", "w0", door={"body_bytes": 2000, "head_ms": 500, "body_ms": 500}) as c:
-        said = {name: await ask(c.address, message) for name, message in BAD_HEADS.items()}
+        answers = {name: await ask(c.address, message) for name, message in BAD_HEADS.items()}
         for name, changes in (
             ("no messages", {"messages": []}),
             ("bad role", {"messages": [{"role": "robot", "content": "a"}]}),
@@ -911,15 +922,15 @@
             ("no such model", {"model": "nobody"}),
             ("too large", {"messages": [{"role": "user", "content": "x" * 3000}]}),
         ):
-            said[name] = await c.ask(**changes)
+            answers[name] = await c.ask(**changes)
         for path in ("/v1/else", CHAT_PATH, "/v1/models", "/health", "/health/ready", "/healthz", "/readyz"):
-            said[f"GET {path}"] = await ask(c.address, get(path))
-        said["bad time limit"] = await c.ask(headers={"X-Ternlane-Time-Limit-Ms": "soon"})
-        pin("chat_refuses", c.seen(**said))
+            answers[f"GET {path}"] = await ask(c.address, get(path))
+        answers["bad time limit"] = await c.ask(headers={"X-Ternlane-Time-Limit-Ms": "soon"})
+        pin("chat_refuses", c.take_recorded(**answers))
 
 
 def metric_names(text: str) -> list[str]:
-    """What each metric is, and each sample's name with the names of its labels."""
+    """The metrics' comment lines, and the samples' names with their label names."""
     names = set()
     for line in text.partition("\r\n\r\n")[2].splitlines():
         if line.startswith("#"):
@@ -938,21 +949,21 @@
             engine.script("POST /ternlane/v1/release", (plain("500 No"),))
         c.engines["w0"].script(f"POST {CHAT_PATH}", (plain("500 No"),))
         await c.ask(stream=True, model="note")
-        await until_logged(c.log, "release unheard")
-        c.engines["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + word("one "), CLOSE))
+        await wait_until_logged(c.log, "release unheard")
+        c.engines["w0"].script(f"POST {CHAT_PATH}", (STREAM_HEAD + text_event("one "), CLOSE))
         await c.ask(stream=True, model="note")
         await c.ask(n=3)
-        await c.settled(3)
+        await c.wait_until_idle(3)
         metrics = await ask(c.metrics, get("/metrics"))
         nowhere = await ask(c.metrics, get("/else"))
         c.document.write_text("{")
         c.process.send_signal(signal.SIGHUP)
-        await until_logged(c.log, "reload refused")
-        c.document.write_text(json.dumps(c.told))
+        await wait_until_logged(c.log, "reload refused")
+        c.document.write_text(json.dumps(c.configuration))
         c.process.send_signal(signal.SIGHUP)
-        await until_logged(c.log, "reloaded")
+        await wait_until_logged(c.log, "reloaded")
         c.process.send_signal(signal.SIGTERM)
-        assert await ended(c.process) == 0
+        assert await wait_for_exit(c.process) == 0
         head = metrics.partition("\r\n\r\n")[0]
         head = re.sub(r"(?i)(content-length): \d+", r"\1: <masked>", head)
         pin("chat_metric_names", {"head": head, "names": metric_names(metrics), "elsewhere": nowhere})
@@ -963,7 +974,7 @@
 
 
 class Adapter:
-    """The adapter's process, and all that was written to it and by it."""
+    """The adapter's process, and all lines to and from it."""
 
     def __init__(self) -> None:
         self.process = subprocess.Popen(
@@ -972,7 +983,7 @@
         self.lines: list[str] = []
 
     def batch(self, *lines: str) -> list[str]:
-        """Writes a batch and gives the answer to it, without its last line."""
+        """Writes a batch and returns the answer without its last line."""
         assert self.process.stdin is not None and self.process.stdout is not None
         self.process.stdin.write("\n".join([*lines, "EOB"]) + "\n")
         self.process.stdin.flush()
@@ -1019,7 +1030,7 @@
 
 
 def enlist(variant: str) -> str:
-    """The line that begins a gateway with these settings."""
+    """The line that creates a gateway with these settings."""
     return f"ENLIST 1 7 {json.dumps(SIMULATED | VARIANTS[variant])}"
 
 
@@ -1027,34 +1038,34 @@
     f"ROW {name} hall {'reader' if name[0] == 'r' else 'writer'} {name[1]} healthy 1.0 0.0"
     for name in ("r0", "w0", "r1", "w1")
 ]
-WORK = "WORK_ITEM 1 {} 8 - ab summary 20 1500 0 c1 40 -"
+WORK_ITEM = "WORK_ITEM 1 {} 8 - ab summary 20 1500 0 c1 40 -"
 
 
 def test_adapter_script(adapter: Adapter) -> None:
-    """Each kind of line, in a fixed order, among them ones that can't be read."""
+    """Each kind of line in a fixed order, including malformed ones."""
     for lines in (
         ["MARK 1.0"],
         ["MARK 2.0", enlist("simple")],
         ["MARK 3.0", "ANNOUNCE 1 Complete 1 4", *ROWS],
-        ["MARK 4.0", WORK.format(1)],
+        ["MARK 4.0", WORK_ITEM.format(1)],
         ["MARK 9.0", "REPORT_BACK 1 1 0 r0 prefilled 5.0 0 4 1,0.1"],
         ["MARK 9.5", "REPORT_BACK 1 1 0 r1 prefilled 5.0 0 4 1,0.1"],
         ["MARK 12.0", "FLOWING 1 1 1 w0 3.0", "NOTE 1 1 0 w0 1"],
         ["MARK 15.0", "REPORT_BACK 1 1 1 w0 S 6.0 1 8 1,0.1", "REPORT_BACK 1 1 1 w1 S 6.0 1 8 1,0.1"],
-        ["MARK 20.0", WORK.format(2), WORK.format(3).replace("summary", "note")],
+        ["MARK 20.0", WORK_ITEM.format(2), WORK_ITEM.format(3).replace("summary", "note")],
         ["MARK 21.0", "EXPIRED 1 2", "DEADLINE_HIT 1 0", "DEADLINE_HIT 1 1"],
         ["MARK 22.0", "CHECK_RESULT 1 0 w0 S 1,0.2", "CHECK_RESULT 1 0 nobody S 1,0.2", "WHISPER 1 2 text"],
         ["MARK 23.0", "ANNOUNCE 1 Partial 2 1", "ROW w1 hall writer 1 cordoned 1.0 0.0"],
         ["MARK 24.0", "ANNOUNCE 1 Error 3 0"],
         ["MARK 25.0", "ANNOUNCE 1 Complete 4 1", ROWS[0]],
-        ["MARK 26.0", WORK.format(4)],
+        ["MARK 26.0", WORK_ITEM.format(4)],
         ["MARK 27.0", "REPORT_BACK 1 99 0 r0 S 1 1 0 -"],
         ["MARK soon"],
         ["MARK 28.0", "WORK_ITEM 1 5 8"],
         ["MARK 28.0", "DEADLINE_HIT 1"],
         ["MARK 29.0", "NONSENSE 1 2 3"],
         ["MARK 30.0", "SHUTDOWN 1"],
-        ["MARK 31.0", WORK.format(6)],
+        ["MARK 31.0", WORK_ITEM.format(6)],
     ):
         adapter.batch(*lines)
     adapter.end()
@@ -1062,10 +1073,10 @@
 
 
 class Simulation:
-    """A tiny simulator: each attempt ends as its number says, timers go off, and a server is lost and comes again."""
+    """A small simulator: the outcome of an attempt follows from its request, number and server, and timers fire."""
 
-    READS = ("prefilled",) * 12 + ("F", "E", "C", "R")
-    WRITES = ("S",) * 12 + ("F", "E", "C", "R", "T")
+    PREFILL_OUTCOMES = ("prefilled",) * 12 + ("F", "E", "C", "R")
+    DECODE_OUTCOMES = ("S",) * 12 + ("F", "E", "C", "R", "T")
 
     def __init__(self, adapter: Adapter) -> None:
         self.adapter = adapter
@@ -1081,20 +1092,20 @@
     def run(self, until: float) -> None:
         while self.due and self.due[0][0] <= until:
             now, _, lines = heappop(self.due)
-            if self.stale(lines):
+            if self.is_stale(lines):
                 continue
             for line in self.adapter.batch(f"MARK {now}", *lines):
-                self.carry_out(now, line.split(" "))
+                self.execute(now, line.split(" "))
 
-    def stale(self, lines: list[str]) -> bool:
-        """An outcome of an attempt that was called off meanwhile."""
+    def is_stale(self, lines: list[str]) -> bool:
+        """Whether these lines report an attempt that has been cancelled meanwhile."""
         part = lines[0].split(" ")
         if part[0] not in ("FLOWING", "REPORT_BACK"):
             return False
         key = part[2], int(part[3])
         return key not in self.open or (part[0] == "REPORT_BACK" and not self.open.pop(key))
 
-    def carry_out(self, now: float, part: list[str]) -> None:
+    def execute(self, now: float, part: list[str]) -> None:
         match part:
             case ["ARM", gateway, kind, when]:
                 self.at(max(now, float(when)), f"DEADLINE_HIT {gateway} {kind}")
@@ -1114,34 +1125,35 @@
     def forward(self, now: float, gateway: str, request_number: str, timeout: float, server: str) -> None:
         attempt = self.attempts[request_number] = self.attempts.get(request_number, -1) + 1
         self.open[request_number, attempt] = server
-        drawn = crc32(f"{request_number} {attempt} {server}".encode())
-        outcomes = self.READS if server[0] == "r" else self.WRITES
-        outcome = outcomes[drawn % len(outcomes)]
-        took = timeout if outcome == "T" else min(timeout, 5.0 + drawn // 64 % 200)
+        draw = crc32(f"{request_number} {attempt} {server}".encode())
+        outcomes = self.PREFILL_OUTCOMES if server[0] == "r" else self.DECODE_OUTCOMES
+        outcome = outcomes[draw % len(outcomes)]
+        took = timeout if outcome == "T" else min(timeout, 5.0 + draw // 64 % 200)
         head = f"{gateway} {request_number} {attempt} {server}"
         if outcome == "S":
             self.at(now + took / 2, f"FLOWING {head} {took / 2}")
         over = int(outcome == "S")
-        self.at(now + took, f"REPORT_BACK {head} {outcome} {took} {over} 4 {drawn % 7},0.2")
+        self.at(now + took, f"REPORT_BACK {head} {outcome} {took} {over} 4 {draw % 7},0.2")
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
 def test_adapter_simulation(adapter: Adapter, variant: str) -> None:
-    """Requests of two classes with outcomes of every kind, for three seconds, a lost server among them."""
-    play = Simulation(adapter)
-    play.at(1.0, enlist(variant))
-    play.at(2.0, "ANNOUNCE 1 Complete 1 4", *ROWS)
+    """Requests of two classes with every kind of outcome for three seconds, in which a server is lost and returns."""
+    simulation = Simulation(adapter)
+    simulation.at(1.0, enlist(variant))
+    simulation.at(2.0, "ANNOUNCE 1 Complete 1 4", *ROWS)
     for number in range(80):
-        product = "note" if number % 3 == 0 else "summary"
+        request_class = "note" if number % 3 == 0 else "summary"
         line = (
-            f"WORK_ITEM 1 {number} {number % 4 * 100} - o{number % 4} {product} {200 + number * 7} 1500 0 c{number % 9}"
+            f"WORK_ITEM 1 {number} {number % 4 * 100} - o{number % 4} {request_class} "
+            f"{200 + number * 7} 1500 0 c{number % 9}"
         )
-        play.at(10.0 + 25.0 * number, f"{line} 40 -")
+        simulation.at(10.0 + 25.0 * number, f"{line} 40 -")
         if number % 11 == 5:
-            play.at(60.0 + 25.0 * number, f"EXPIRED 1 {number}")
-    play.at(1000.0, "ANNOUNCE 1 Partial 2 1", ROWS[3].replace("healthy", "deregistered"))
-    play.at(1500.0, "ANNOUNCE 1 Error 3 0")
-    play.at(2000.0, "ANNOUNCE 1 Complete 4 4", *ROWS)
-    play.run(3000.0)
+            simulation.at(60.0 + 25.0 * number, f"EXPIRED 1 {number}")
+    simulation.at(1000.0, "ANNOUNCE 1 Partial 2 1", ROWS[3].replace("healthy", "deregistered"))
+    simulation.at(1500.0, "ANNOUNCE 1 Error 3 0")
+    simulation.at(2000.0, "ANNOUNCE 1 Complete 4 4", *ROWS)
+    simulation.run(3000.0)
     adapter.end()
     pin(f"adapter_simulation_{variant}", adapter.lines)
