--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -9,7 +9,7 @@
 
 from ternlane.event_loop import Failed, Rejected, now_ms
 from ternlane.http1 import Exchange
-from ternlane.platform.attempt import Attempt
+from ternlane.platform.attempt import ModelServerAttempt
 from ternlane.platform.open_requests import OpenRequestPhase
 from ternlane.platform.request_history import RequestHistory
 from ternlane.policy import messages
@@ -27,7 +27,7 @@
     is_complete: bool
 
 
-Final = Rejected | Failed | Streamed
+FinalAnswer = Rejected | Failed | Streamed
 
 
 @dataclass(slots=True, eq=False)
@@ -39,10 +39,10 @@
     exchange: Exchange
     body: bytes
     received_ms: float
-    final: Final | None = None
+    final: FinalAnswer | None = None
     client_gone: bool = False
     streaming: bool = False  # the first event of the current attempt has been sent to the client
-    attempt: Attempt | None = None  # in flight
+    attempt: ModelServerAttempt | None = None  # in flight
     server_name: str = ""  # of the latest attempt
     attempts: int = 0
     why: str = ""  # why the latest attempt failed
@@ -59,14 +59,14 @@
         self.history.record(now_ms(), event)
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the request has its final answer, or its client has disconnected."""
         return self.final is not None or self.client_gone
 
     @property
     def unanswered(self) -> bool:
         """Whether the client is connected and has received nothing of its answer."""
-        return not self.over and not self.streaming
+        return not self.is_finished and not self.streaming
 
     @property
     def last_outcome(self) -> str:
@@ -89,10 +89,10 @@
             return OpenRequestPhase.CONNECTING
         return OpenRequestPhase.PREFILL if self.attempt.role is messages.Role.PREFILL else OpenRequestPhase.DECODE
 
-    async def first(self, data: bytes) -> None:
+    async def write_first_events(self, data: bytes) -> None:
         """Writes the answer's head and first events. Raises trio.BrokenResourceError if the client has disconnected."""
         await self.exchange.begin(200, STREAM_HEAD, data)
 
-    async def more(self, data: bytes) -> None:
+    async def write_events(self, data: bytes) -> None:
         """Writes further events. Raises trio.BrokenResourceError if the client has disconnected."""
         await self.exchange.chunk(data)
--- a/ternlane/platform/attempt.py
+++ b/ternlane/platform/attempt.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class ModelServerAttempt:
     """An attempt in flight: the request as the client sent it, the server's address and the time limits."""
 
     address: str
@@ -57,8 +57,8 @@
 class ResponseWriter(Protocol):
     """Receives the bytes of a stream. Both methods raise trio.BrokenResourceError if the client has disconnected."""
 
-    def first(self, data: bytes) -> Awaitable[None]:
+    def write_first_events(self, data: bytes) -> Awaitable[None]:
         """Writes the answer's head and first events."""
 
-    def more(self, data: bytes) -> Awaitable[None]:
+    def write_events(self, data: bytes) -> Awaitable[None]:
         """Writes further events."""
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -9,7 +9,7 @@
 import trio
 
 from ternlane.event_loop import Failed, Rejected, now_ms
-from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ServerLimits
+from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ConnectionLimits
 from ternlane.platform.active_request import ActiveRequest, Streamed
 from ternlane.platform.errors import InvalidRequestError
 from ternlane.platform.protocol import CHAT_PATH, MAX_BODY_BYTES, READY_PATH, ParsedRequest, parse_request
@@ -39,17 +39,17 @@
     request_limit: int
     body_bytes_limit: int
 
-    def __init__(self, runtime: PlatformRuntime, unseen_ms: Callable[[], float], log: Any) -> None:
-        """`unseen_ms` returns for how long bytes that have just been read may have been waiting in the socket."""
+    def __init__(self, runtime: PlatformRuntime, max_unread_ms: Callable[[], float], log: Any) -> None:
+        """`max_unread_ms` returns for how long bytes that have just been read may have been waiting in the socket."""
         self.runtime = runtime
-        self.unseen_ms = unseen_ms
+        self.max_unread_ms = max_unread_ms
         self.log = log
         self.open: set[ServerConnection] = set()
         self.idle: dict[ServerConnection, None] = {}  # the longest idle first
         self.ready = False
         self.draining = False
         self.reading_stopped = False
-        self.limits = ServerLimits(
+        self.limits = ConnectionLimits(
             MAX_BODY_BYTES,
             head_ms=REQUEST_TIMEOUT_MS,
             body_ms=REQUEST_TIMEOUT_MS,
@@ -78,7 +78,7 @@
             self.limits,
             error_body=self._error_body,
             draining=lambda: self.draining,
-            on_idle=self._idle_changed,
+            on_idle_changed=self._idle_changed,
             on_close=self._closed,
         )
         if self.reading_stopped:
@@ -93,7 +93,7 @@
     def close_idle(self, served_only: bool = False) -> None:
         """Closes the idle connections without unread bytes; the others are answered first and then closed."""
         for connection in list(self.idle):
-            if connection.served or not served_only:
+            if connection.has_received_request or not served_only:
                 connection.close_if_idle(CloseReason.DRAINING)
 
     def stop_reading(self) -> None:
@@ -173,7 +173,7 @@
         deployment = self.runtime.deployment
         request_class = deployment.request_classes[parsed.request_class]
         timeout_ms = parsed.client_timeout_ms or request_class.deadline_ms
-        left_ms = timeout_ms - self.unseen_ms() - self.runtime.expected_lateness_ms()
+        left_ms = timeout_ms - self.max_unread_ms() - self.runtime.expected_lateness_ms()
         return deployment.request(
             request_class,
             parsed.session,
@@ -188,12 +188,12 @@
     async def _answer(self, exchange: Exchange, active_request: ActiveRequest) -> None:
         """Waits for the final answer, and writes it unless it was streamed."""
         try:
-            if not active_request.over:
+            if not active_request.is_finished:
                 with active_request.client_watch:  # cancelled when the answer is final
-                    await exchange.until_left()
+                    await exchange.wait_until_disconnected()
                     self.runtime.client_disconnected(active_request)
         finally:
-            if not active_request.over:  # this task was cancelled from outside
+            if not active_request.is_finished:  # this task was cancelled from outside
                 self.runtime.client_disconnected(active_request)
         match active_request.final:
             case Rejected(pause_ms):
--- a/ternlane/platform/discovery_watch.py
+++ b/ternlane/platform/discovery_watch.py
@@ -20,7 +20,7 @@
 # Changes must be applied within this time while discovery is reachable, whichever calls fail (users' page).
 PROPAGATION_MS = MAX_STALENESS_MS
 # The endpoints at a new address must be applied within this time after the reload (users' page).
-MOVE_PROPAGATION_MS = 4000.0
+ADDRESS_CHANGE_PROPAGATION_MS = 4000.0
 # A watch without a line for this long counts as broken.
 WATCH_TIMEOUT_MS = 1.25 * HEARTBEAT_MS
 CONNECT_TIMEOUT_MS = HEARTBEAT_MS / 4
@@ -36,7 +36,7 @@
 # Worst case from the start of a call that hangs to the next answer.
 WORST_CASE_MS = WATCH_TIMEOUT_MS + JITTER[1] * MAX_BACKOFF_MS + CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
 # Worst case from a change of discovery's address to the first list: the first call to it hangs.
-MOVE_WORST_CASE_MS = (
+ADDRESS_CHANGE_WORST_CASE_MS = (
     CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS + JITTER[1] * BACKOFF_MS + CONNECT_TIMEOUT_MS + HEAD_TIMEOUT_MS
 )
 # Within which an agent that is up has sent its list.
@@ -78,16 +78,16 @@
         self.nursery = nursery
         self.log = log
         self.opened = trio.Event()
-        self.following: list[trio.CancelScope] = []  # of each watch, the newest last
+        self.watch_scopes: list[trio.CancelScope] = []  # of each watch, the newest last
         self._pauses = 0
 
     def start(self) -> None:
         """Starts to watch `address`."""
         scope = trio.CancelScope()
-        self.following.append(scope)
+        self.watch_scopes.append(scope)
         self.nursery.start_soon(self._follow, self.address, scope)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Watches another address from now on."""
         self.address = address
         self.start()
@@ -110,7 +110,7 @@
                 while True:
                     since = trio.current_time()
                     why = await self._watch_until_broken(pool, f"{address[0]}:{address[1]}", scope)
-                    if scope is not self.following[-1]:
+                    if scope is not self.watch_scopes[-1]:
                         return  # the watch of a replaced address is not reopened
                     self.on_failure(why)
                     has_worked = trio.current_time() - since > WATCH_TIMEOUT_MS / 1000
@@ -118,12 +118,12 @@
                         FIRST_BACKOFF_MS if has_worked else min(max(BACKOFF_MS, 2 * backoff_ms), MAX_BACKOFF_MS)
                     )
                     await self._pause(backoff_ms)
-                    if scope is not self.following[-1]:
+                    if scope is not self.watch_scopes[-1]:
                         return  # nor if it was replaced during the pause
         finally:
             pool.close()
-            if scope in self.following[:-1]:
-                self.following.remove(scope)
+            if scope in self.watch_scopes[:-1]:
+                self.watch_scopes.remove(scope)
 
     async def _watch_until_broken(self, pool: ConnectionPool, peer: str, scope: trio.CancelScope) -> str:
         """Opens a watch and reads it until it ends; returns why it ended."""
@@ -155,5 +155,5 @@
 
     def _cancel_older(self, scope: trio.CancelScope) -> None:
         """Ends the watches that this one replaces, now that it works."""
-        for older in self.following[: self.following.index(scope)]:
+        for older in self.watch_scopes[: self.watch_scopes.index(scope)]:
             older.cancel()
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -62,7 +62,7 @@
         model_servers = ModelServerClient(self.pool, deployment)
         self.runtime = PlatformRuntime(Router(router_config), deployment, model_servers, nursery, log)
         self.poll_times = PollTimes()
-        self.chat_server = ChatServer(self.runtime, self.poll_times.unseen_ms, log)
+        self.chat_server = ChatServer(self.runtime, self.poll_times.max_unread_ms, log)
         self.acceptor = Acceptor(self.chat_server, log)
         self.watch = DiscoveryWatch(
             configuration.discovery,
@@ -74,7 +74,7 @@
             log,
         )
         self.listener: trio.SocketListener
-        self.accepting = trio.CancelScope()
+        self.accept_scope = trio.CancelScope()
         self.apply_limits(configuration)
 
     def apply_limits(self, configuration: GatewayConfiguration) -> None:
@@ -112,7 +112,7 @@
         self.log.info("serving", listen=f"{host}:{port}", servers=servers)
 
     async def _accept(self) -> None:
-        with self.accepting:
+        with self.accept_scope:
             await self.acceptor.accept(self.listener, self.nursery)
 
     def reload(self) -> None:
@@ -132,7 +132,7 @@
         if settings_changed:
             self.runtime.apply_settings(configuration.deployment)
         if discovery_moved:
-            self.watch.move(configuration.discovery)
+            self.watch.change_address(configuration.discovery)
         self.log.info("reloaded", discovery_moved=discovery_moved, settings_changed=settings_changed)
 
     # -- shutdown
@@ -172,11 +172,11 @@
         """
         self.begin_drain(since_signal_ms)
         await trio.sleep(max(0.0, LATE_CONNECTIONS_MS - since_signal_ms) / 1000)
-        self.accepting.cancel()
+        self.accept_scope.cancel()
         await self.acceptor.accept_queued(self.listener, self.nursery, LATE_CONNECTIONS_MS)
         self.listener.socket.close()
         await trio.sleep(LATE_CONNECTIONS_MS / 4000)
-        while self.runtime.active_requests or self.runtime.releasing or self.chat_server.connections:
+        while self.runtime.active_requests or self.runtime.releases_in_flight or self.chat_server.connections:
             self.chat_server.close_idle()  # also those that had unread bytes at the last check
             await trio.sleep(END_POLL_MS / 1000)
 
@@ -215,7 +215,7 @@
             oldest_unanswered_ms=round(runtime.oldest_unanswered_ms(), 1),
             connections=self.chat_server.connections,
             server_connections=len(self.pool.open),
-            connect_shortages=self.pool.shortages,
+            connect_shortages=self.pool.local_shortages,
             descriptors=open_descriptors(),
             memory_mb=round(memory_mb(), 1),
             loop_late_ms=round(runtime.max_lateness_ms, 1),
@@ -230,7 +230,7 @@
         records = [
             RequestRecord(request.request_id, "open", request.attempt_log, request.history)
             for request in self.runtime.active_requests.values()
-            if not request.over
+            if not request.is_finished
         ]
         for record in [*records, *self.runtime.reporter.records]:
             self.log.info(
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -14,9 +14,9 @@
 import trio
 
 from ternlane.deployment import Deployment
-from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, keep_open
+from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, extend_deadline
 from ternlane.platform.answer_order import AnswerOrder
-from ternlane.platform.attempt import Attempt, AttemptResult, ResponseWriter
+from ternlane.platform.attempt import ModelServerAttempt, AttemptResult, ResponseWriter
 from ternlane.platform.errors import NOT_STARTED_REASONS, AttemptNotStartedError, ClientDisconnectedError
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.platform.protocol import (
@@ -44,7 +44,7 @@
 # A corrupt answer may be followed by a second one some milliseconds later (users' page). On a connection that is reused
 # sooner, the second one would be taken for the answer to the next request; within this time it is noticed, and the
 # connection closed. Long compared with network delays, short compared with the time between requests to one server.
-REST_MS = 50.0
+REUSE_DELAY_MS = 50.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,7 +78,7 @@
 
     # -- attempts
 
-    async def run(self, attempt: Attempt, response_writer: ResponseWriter) -> AttemptResult:
+    async def run(self, attempt: ModelServerAttempt, response_writer: ResponseWriter) -> AttemptResult:
         """Runs an attempt to its end. Raises only ClientDisconnectedError and cancellations from outside."""
         result = AttemptResult()
         connection: ClientConnection | None = None
@@ -86,7 +86,7 @@
         attempt.scope.deadline = min(attempt.scope.deadline, attempt.answer_by_s)
         try:
             with attempt.scope:
-                connection = await self.pool.take(attempt.address, REST_MS)
+                connection = await self.pool.take(attempt.address, REUSE_DELAY_MS)
                 await self._start(attempt, connection)
                 complete = await self._read_response(attempt, connection, response_writer, result)
         except ClientDisconnectedError:
@@ -106,7 +106,7 @@
             self._record_cancellation(attempt, result)
         return result
 
-    async def _start(self, attempt: Attempt, connection: ClientConnection) -> None:
+    async def _start(self, attempt: ModelServerAttempt, connection: ClientConnection) -> None:
         """Writes the request. Every attempt starts here, after its waits for a connection and a release.
 
         Raises AttemptNotStartedError, or ConnectError if the connection breaks before the request is written.
@@ -123,10 +123,14 @@
         await connection.send_request(attempt.method, attempt.target, headers, attempt.body)
         attempt.written_at_s = trio.current_time()
         attempt.scope.deadline = inf  # reads have their own deadline, at which bytes that have arrived are still read
-        connection.expect_by(attempt.answer_by_s)
+        connection.set_read_deadline(attempt.answer_by_s)
 
     async def _read_response(
-        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+        self,
+        attempt: ModelServerAttempt,
+        connection: ClientConnection,
+        response_writer: ResponseWriter,
+        result: AttemptResult,
     ) -> bool:
         """Reads the answer into `result`. Returns True once its last byte has been read."""
         head = await connection.read_head()
@@ -146,7 +150,11 @@
         return True
 
     async def forward_stream(
-        self, attempt: Attempt, connection: ClientConnection, response_writer: ResponseWriter, result: AttemptResult
+        self,
+        attempt: ModelServerAttempt,
+        connection: ClientConnection,
+        response_writer: ResponseWriter,
+        result: AttemptResult,
     ) -> bool:
         """Forwards a decode server's events as they arrive. Returns True once the last chunk has been read.
 
@@ -160,15 +168,17 @@
                 continue
             if not events:
                 continue
-            await keep_open(attempt.scope, inf)  # an attempt that is cancelled by now must not send the client anything
+            await extend_deadline(
+                attempt.scope, inf
+            )  # an attempt that is cancelled by now must not send the client anything
             is_first = not result.begun
             result.begun = True
             try:
-                await (response_writer.first(events) if is_first else response_writer.more(events))
+                await (response_writer.write_first_events(events) if is_first else response_writer.write_events(events))
             except CONNECTION_ERRORS:
                 raise ClientDisconnectedError from None
             # Counted from here, as the time for which a slow client delays the write is not the server's.
-            connection.expect_by(trio.current_time() + attempt.idle_timeout_ms / 1000)
+            connection.set_read_deadline(trio.current_time() + attempt.idle_timeout_ms / 1000)
         if not parser.done:
             raise ValueError("the stream ended before its last event")
         result.outcome = AttemptOutcome.STREAMED
@@ -177,7 +187,7 @@
         self.record_answer(attempt.address)
         return True
 
-    def _record_failure(self, attempt: Attempt, result: AttemptResult, error: Exception) -> None:
+    def _record_failure(self, attempt: ModelServerAttempt, result: AttemptResult, error: Exception) -> None:
         """Sets the outcome for an exception. Reraises one that is a programming error."""
         match error:
             case ReadTimeout():
@@ -200,7 +210,7 @@
             case _:
                 raise error
 
-    def _record_cancellation(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _record_cancellation(self, attempt: ModelServerAttempt, result: AttemptResult) -> None:
         """Sets the outcome of an attempt whose scope was cancelled: by its timeout while it was written, or by the
         router."""
         if attempt.written:
--- a/ternlane/platform/request_reporter.py
+++ b/ternlane/platform/request_reporter.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ternlane.event_loop import Failed, Rejected, now_ms
-from ternlane.platform.active_request import ActiveRequest, Final, Streamed
+from ternlane.platform.active_request import ActiveRequest, FinalAnswer, Streamed
 from ternlane.platform.attempt import AttemptResult
 from ternlane.platform.held_states import HeldStateMonitor
 from ternlane.platform.open_requests import OpenRequest
@@ -43,7 +43,7 @@
             return None
         return round(active_request.received_ms - self.sigterm_ms, 1)
 
-    def finished(self, active_request: ActiveRequest, final: Final) -> None:
+    def finished(self, active_request: ActiveRequest, final: FinalAnswer) -> None:
         """A request has its final answer."""
         outcome = _outcome_name(final)
         if not isinstance(final, Streamed):
@@ -169,7 +169,7 @@
             )
 
 
-def _outcome_name(final: Final) -> str:
+def _outcome_name(final: FinalAnswer) -> str:
     """The name of a final answer in the log; the wire has names of its own (`recorded_as`)."""
     match final:
         case Rejected():
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -10,8 +10,8 @@
 
 from ternlane.deployment import Deployment
 from ternlane.event_loop import EventLoop, RouterProtocol, make_start_check, now_ms
-from ternlane.platform.active_request import ActiveRequest, Final, Streamed
-from ternlane.platform.attempt import Attempt, AttemptResult
+from ternlane.platform.active_request import ActiveRequest, FinalAnswer, Streamed
+from ternlane.platform.attempt import ModelServerAttempt, AttemptResult
 from ternlane.platform.endpoint_list import EndpointList
 from ternlane.platform.endpoint_registry import EndpointRegistry
 from ternlane.platform.errors import ClientDisconnectedError
@@ -48,7 +48,7 @@
         self.reporter = RequestReporter(log)
         self.requests_by_id: dict[str, ActiveRequest] = {}
         self.ended_requests: list[ActiveRequest] = []  # dropped once the batch of events has been processed
-        self.releasing = 0  # releases in flight
+        self.releases_in_flight = 0  # releases in flight
 
     # -- event loop
 
@@ -112,12 +112,12 @@
     def open_requests(self) -> list[OpenRequest]:
         """The requests without a complete answer, the oldest first."""
         active_requests = self.active_requests.values()
-        return [self.reporter.describe_open(request) for request in active_requests if not request.over]
+        return [self.reporter.describe_open(request) for request in active_requests if not request.is_finished]
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
         """The client has disconnected. Cancels an attempt that streams to it, or that has not been written and so has
         not started."""
-        if active_request.over:
+        if active_request.is_finished:
             return
         active_request.client_gone = True
         attempt = active_request.attempt
@@ -132,9 +132,9 @@
         self.reporter.counts["overdue"] += 1
         super().abort_request(active_request, why)
 
-    def finish_request(self, active_request: ActiveRequest, final: Final) -> None:
+    def finish_request(self, active_request: ActiveRequest, final: FinalAnswer) -> None:
         """Sets the one final answer; a second one is ignored."""
-        if active_request.over:
+        if active_request.is_finished:
             return
         active_request.final = final
         active_request.client_watch.cancel()
@@ -143,7 +143,7 @@
 
     def _forget(self, active_request: ActiveRequest) -> None:
         """Drops a request once it is finished and its last attempt has ended."""
-        if active_request.attempt is None and active_request.over:
+        if active_request.attempt is None and active_request.is_finished:
             self.active_requests.pop(active_request.request, None)
             if self.requests_by_id.get(active_request.request_id) is active_request:
                 del self.requests_by_id[active_request.request_id]
@@ -155,7 +155,7 @@
         confirmed, or the connect timeout has passed."""
         endpoint = self.endpoint_registry.endpoints.get(server)
         exchange = active_request.exchange
-        attempt = Attempt(
+        attempt = ModelServerAttempt(
             address=endpoint.address if endpoint is not None else "",
             role=server.role,
             method=exchange.method,
@@ -164,7 +164,9 @@
             body=active_request.body,
             answer_by_s=trio.current_time() + times.timeout_ms / 1000,
             idle_timeout_ms=times.idle_timeout_ms,
-            start_check=make_start_check(server, times.start_within_ms, lambda: active_request.over or exchange.closed),
+            start_check=make_start_check(
+                server, times.start_within_ms, lambda: active_request.is_finished or exchange.closed
+            ),
         )
         active_request.attempt = attempt
         active_request.server_name = self._server_name(server)
@@ -172,19 +174,19 @@
         self.reporter.attempt_decided(active_request, times.timeout_ms)
         self.nursery.start_soon(self._run_attempt, active_request, server, attempt)
 
-    async def _run_attempt(self, active_request: ActiveRequest, server: Server, attempt: Attempt) -> None:
+    async def _run_attempt(self, active_request: ActiveRequest, server: Server, attempt: ModelServerAttempt) -> None:
         since_ms = now_ms()
         await self._wait_for_release(active_request, attempt)
         result = await self._run_at_server(active_request, server, attempt, since_ms)
         if result.outcome is AttemptOutcome.CLIENT_GONE:
             self.client_disconnected(active_request)
-        if result.outcome is AttemptOutcome.STREAMED and not active_request.over:
+        if result.outcome is AttemptOutcome.STREAMED and not active_request.is_finished:
             await self._end_stream(active_request)
         elif result.begun:
             self.finish_request(active_request, Streamed(is_complete=False))
         self._attempt_ended(active_request, server, result, now_ms() - since_ms)
 
-    async def _wait_for_release(self, active_request: ActiveRequest, attempt: Attempt) -> None:
+    async def _wait_for_release(self, active_request: ActiveRequest, attempt: ModelServerAttempt) -> None:
         """Waits until the state of an earlier attempt is released, for at most the connect timeout.
 
         Releases go by the request's id, so a late DELETE would release the state that this attempt has prefilled.
@@ -197,7 +199,7 @@
             await active_request.released.wait()
 
     async def _run_at_server(
-        self, active_request: ActiveRequest, server: Server, attempt: Attempt, since_ms: float
+        self, active_request: ActiveRequest, server: Server, attempt: ModelServerAttempt, since_ms: float
     ) -> AttemptResult:
         forwarder = StreamForwarder(
             active_request, server, since_ms, on_first_event=self.reporter.first_event, dispatch=self.dispatch
@@ -235,7 +237,7 @@
                 server,
                 result.outcome,
                 took_ms,
-                active_request.over,
+                active_request.is_finished,
                 result.cached_tokens,
                 result.state_lost,
                 result.report,
@@ -261,7 +263,7 @@
                 yield endpoint.address
 
     def _begin_release(self, active_request: ActiveRequest, reason: messages.ReleaseReason, again: bool) -> None:
-        self.releasing += 1
+        self.releases_in_flight += 1
         self.reporter.release_begins(active_request, reason)
         active_request.released = trio.Event()
         self.nursery.start_soon(self._release, active_request, active_request.released, again)
@@ -278,7 +280,7 @@
         except Exception:
             self.log.exception("release")
         finally:
-            self.releasing -= 1
+            self.releases_in_flight -= 1
             released.set()
 
     async def _release_until_confirmed(self, active_request: ActiveRequest, within_ms: float) -> None:
@@ -297,7 +299,7 @@
                 self.reporter.release_unconfirmed(active_request, took_ms)
                 continue
             self.reporter.release_confirmed(active_request, confirmed_by, took_ms)
-            if not active_request.over:
+            if not active_request.is_finished:
                 self.dispatch(messages.ReleaseConfirmed(active_request.request))
             return
 
@@ -305,7 +307,7 @@
         address = self.endpoint_registry.endpoints[server].address
         release_ms = self.deployment.router_config.release_ms
         reserved = await self.model_servers.reserve(address, active_request.request_id, release_ms)
-        if not active_request.over:
+        if not active_request.is_finished:
             self.dispatch(messages.ReservationResult(active_request.request, reserved))
 
     async def _probe(self, server: Server) -> None:
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -1,6 +1,6 @@
 """Reads and checks the configuration file of a gateway.
 
-`ConfigurationFile` and `Limits` use the users' names of the file's fields; `deployment.py` maps the field `settings`.
+`ConfigurationFile` and `ProcessLimits` use the users' names of the file's fields; `deployment.py` maps the field `settings`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 MIN_SOCKETS = 64
 
 
-class Limits(msgspec.Struct):
+class ProcessLimits(msgspec.Struct):
     """Resource limits of the gateway's process."""
 
     cores: float = 1.0
@@ -37,7 +37,7 @@
     listen: str = ""
     discovery: str = ""
     seed: str | int = 0
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     known: msgspec.Raw = msgspec.Raw(b'{"index":0,"snapshot":true,"endpoints":[]}')
 
 
@@ -48,7 +48,7 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    limits: Limits
+    limits: ProcessLimits
     known: EndpointList  # used until discovery has sent a list
     deployment: Deployment
 
--- a/ternlane/platform/stream_forwarder.py
+++ b/ternlane/platform/stream_forwarder.py
@@ -26,19 +26,19 @@
     on_first_event: Callable[[ActiveRequest], None]
     dispatch: Callable[[messages.Event], None]
 
-    async def first(self, data: bytes) -> None:
+    async def write_first_events(self, data: bytes) -> None:
         """Writes the answer's head and first events."""
         active_request = self.active_request
-        if active_request.over:
+        if active_request.is_finished:
             raise ClientDisconnectedError
         active_request.streaming = True
         active_request.body = b""  # no further attempt will be sent
         self.on_first_event(active_request)
         self.dispatch(messages.FirstToken(active_request.request, self.server, now_ms() - self.since_ms))
-        await active_request.first(data)
+        await active_request.write_first_events(data)
 
-    async def more(self, data: bytes) -> None:
+    async def write_events(self, data: bytes) -> None:
         """Writes further events."""
-        if self.active_request.over:
+        if self.active_request.is_finished:
             raise ClientDisconnectedError
-        await self.active_request.more(data)
+        await self.active_request.write_events(data)
--- a/tests/platform_world.py
+++ b/tests/platform_gateway.py
@@ -14,12 +14,12 @@
 from ternlane.http1 import ClientConnection, ConnectionPool
 from ternlane.platform.endpoint_list import parse_endpoint_list
 from ternlane.platform.gateway import Gateway
-from ternlane.platform.settings import GatewayConfiguration, Limits
-from ternlane.testing.platform import Discovery, Fleet, ModelServer
+from ternlane.platform.settings import GatewayConfiguration, ProcessLimits
+from ternlane.testing.platform import FakeDiscovery, FakeFleet, FakeModelServer
 from ternlane.testing.proxy import StallingProxy
-from tests.world import Reply, heard
+from tests.gateway_cluster import Reply, send_request
 
-TOLD: dict[str, Any] = {
+PLATFORM_SETTINGS: dict[str, Any] = {
     "discovery": "push",
     "invariants": {
         "cold": 2000.0,
@@ -67,24 +67,24 @@
 
 
 class Platform:
-    def __init__(self, nursery: trio.Nursery, told: dict[str, Any], limits: Limits) -> None:
-        self.nursery, self.told, self.limits, self.log = nursery, told, limits, Log()
-        self.fleet, self.discovery = Fleet(nursery), Discovery(nursery, 100.0)
-        self.servers: dict[str, ModelServer] = {}
+    def __init__(self, nursery: trio.Nursery, platform_settings: dict[str, Any], limits: ProcessLimits) -> None:
+        self.nursery, self.platform_settings, self.limits, self.log = nursery, platform_settings, limits, Log()
+        self.fleet, self.discovery = FakeFleet(nursery), FakeDiscovery(nursery, 100.0)
+        self.servers: dict[str, FakeModelServer] = {}
         self.count = 0
         self.pool = ConnectionPool(1000, 1000)
         self.reserved: list[socket.socket] = []
         self.gateway: Gateway
 
-    async def add(self, name: str, script: Callable[[str], str] = lambda _: "", **more: Any) -> ModelServer:
-        server = self.servers[name] = ModelServer(
+    async def add(self, name: str, script: Callable[[str], str] = lambda _: "", **more: Any) -> FakeModelServer:
+        server = self.servers[name] = FakeModelServer(
             name, "read" if name[0] == "r" else "write", self.fleet, script, **more
         )
         await server.start()
         self.list(server, server.address)
         return server
 
-    def list(self, server: ModelServer, address: str) -> None:
+    def list(self, server: FakeModelServer, address: str) -> None:
         """Puts it on the list of servers at this address, its own or that of a proxy before it."""
         self.discovery.put(server.name, address, "reader" if server.role == "read" else "writer")
 
@@ -100,7 +100,7 @@
         host, _, number = self.discovery.address.partition(":")
         known = parse_endpoint_list(json.dumps(self.discovery.listing()).encode())
         post = GatewayConfiguration(
-            "n0", ("127.0.0.1", 0), (host, int(number)), self.limits, known, Deployment(1, self.told)
+            "n0", ("127.0.0.1", 0), (host, int(number)), self.limits, known, Deployment(1, self.platform_settings)
         )
         self.gateway = Gateway(post, self.nursery, self.log)
         await self.gateway.start()
@@ -118,16 +118,16 @@
 
     def configuration(self, **more: Any) -> str:
         """The configuration file of a gateway that is a process of its own, at `address`."""
-        told = {
+        platform_settings = {
             "name": "n0",
             "listen": self.address,
             "discovery": self.discovery.address,
             "seed": "ff",
             "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 256},
             "known": self.discovery.listing(),
-            "settings": TOLD,
+            "settings": PLATFORM_SETTINGS,
         }
-        return json.dumps(told | more)
+        return json.dumps(platform_settings | more)
 
     def headers(self, **more: str) -> dict[str, str]:
         self.count += 1
@@ -145,11 +145,11 @@
     ) -> Reply:
         caller = await self.pool.connect(self.address)
         try:
-            return await heard(caller, body, self.headers(**more), path, method)
+            return await send_request(caller, body, self.headers(**more), path, method)
         finally:
             caller.close_now()
 
-    async def raw(self, data: bytes, ends: bool = False, within: float = 3.0) -> bytes:
+    async def send_raw(self, data: bytes, ends: bool = False, within: float = 3.0) -> bytes:
         """Whatever comes back until the gateway closes; fails when it does not."""
         host, _, number = self.address.partition(":")
         stream, out = await trio.open_tcp_stream(host, int(number)), b""
@@ -165,7 +165,7 @@
         await stream.aclose()
         return out
 
-    async def settled(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Waits until nothing is open at the gateway and nothing is held at any server."""
         runtime = self.gateway.runtime
 
@@ -178,7 +178,7 @@
             all_of_it = {
                 "open": open_here,
                 "ids": list(runtime.requests_by_id),
-                "releasing": runtime.releasing,
+                "releasing": runtime.releases_in_flight,
                 "held": held,
                 "at servers": dict(+self.fleet.open),
             }
@@ -198,10 +198,13 @@
 
 @asynccontextmanager
 async def platform(
-    *names: str, told: dict[str, Any] = TOLD, limits: Limits | None = None, **scripts: Callable[[str], str]
+    *names: str,
+    platform_settings: dict[str, Any] = PLATFORM_SETTINGS,
+    limits: ProcessLimits | None = None,
+    **scripts: Callable[[str], str],
 ) -> AsyncIterator[Platform]:
     async with trio.open_nursery() as nursery:
-        made = Platform(nursery, told, limits or Limits())
+        made = Platform(nursery, platform_settings, limits or ProcessLimits())
         await made.discovery.start()
         for name in names or ("r0", "w0", "r1", "w1"):
             await made.add(name, scripts.get(name, lambda _: ""))
@@ -214,17 +217,17 @@
         nursery.cancel_scope.cancel()
 
 
-def once(way: str) -> Callable[[str], str]:
+def fault_once(way: str) -> Callable[[str], str]:
     """Goes wrong the first time only."""
     ways = [way]
     return lambda _: ways.pop() if ways else ""
 
 
-def always(way: str) -> Callable[[str], str]:
+def fault_always(way: str) -> Callable[[str], str]:
     return lambda _: way
 
 
-async def until_ready(p: Platform) -> None:
+async def wait_until_ready(p: Platform) -> None:
     with trio.fail_after(10):
         while True:
             try:
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -23,14 +23,23 @@
 from ternlane.platform.request_reporter import KEPT_RECORDS
 from ternlane.policy.placement import MAX_HOMES
 from ternlane.policy.prefix_affinity import MAX_COUNTED_PREFIXES
-from tests.platform_world import BODY, HEAD, TOLD, Platform, always, once, platform, until_ready
-from tests.world import Reply
+from tests.platform_gateway import (
+    BODY,
+    HEAD,
+    PLATFORM_SETTINGS,
+    Platform,
+    fault_always,
+    fault_once,
+    platform,
+    wait_until_ready,
+)
+from tests.gateway_cluster import Reply
 
 BAD = HEAD + b"Content-Length: -5\r\n\r\n"
 
 
-def told(**limits: Any) -> dict[str, Any]:
-    return TOLD | {"limits": TOLD["limits"] | limits}
+def platform_settings(**limits: Any) -> dict[str, Any]:
+    return PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | limits}
 
 
 # -- what must not grow
@@ -57,7 +66,7 @@
                 for nth in range(each):
                     nursery.start_soon(client, turn * each + nth)
         assert outcomes.count(200) > rounds * each / 2
-        await p.settled()
+        await p.wait_until_idle()
         scheduler.rules.placement.homes.update(
             {
                 f"old{n}": scheduler.rules.placement.homes[next(iter(scheduler.rules.placement.homes))]
@@ -74,7 +83,7 @@
             not runtime.active_requests
             and not runtime.requests_by_id
             and not runtime.ended_requests
-            and not runtime.releasing
+            and not runtime.releases_in_flight
             and not scheduler.rules.queue
         )
         assert (
@@ -105,11 +114,11 @@
                 async with trio.open_nursery() as nursery:
                     for _ in range(40):
                         nursery.start_soon(p.ask)
-            await p.settled()
+            await p.wait_until_idle()
             # A request stays scheduled for its release until that time has come, over or not.
             await trio.sleep(p.gateway.runtime.deployment.router_config.release_ms / 1000)
             p.fleet.seen.clear()
-            p.fleet.ran.clear()
+            p.fleet.run_counts.clear()
             homes.clear()  # bounded by number and age, see above
             gc.collect()
             return sum(str(type(it).__module__).startswith("ternlane.") for it in gc.get_objects())
@@ -137,18 +146,18 @@
     async with platform("r0", "w0") as p:
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         for turn in range(1, 6):
-            profiles = [profile | {"aim": 500.0 + turn} for profile in TOLD["profiles"]]
-            reload(p, tmp_path, monkeypatch, TOLD | {"profiles": profiles})
+            profiles = [profile | {"aim": 500.0 + turn} for profile in PLATFORM_SETTINGS["profiles"]]
+            reload(p, tmp_path, monkeypatch, PLATFORM_SETTINGS | {"profiles": profiles})
             for name in ("summary", "note"):
                 assert (await p.ask(Request_Class=name)).status == 200
         assert (
             len(scheduler.rules.latency.mean_prompt_tokens)
-            == len(scheduler.rules.latency.learnt_at)
+            == len(scheduler.rules.latency.last_sample_at)
             == len(scheduler.rules.affinity.cached_share)
             == 2
             and len(scheduler.rules.latency.usual) <= 6
         )
-        await p.settled()
+        await p.wait_until_idle()
 
 
 # -- configuration
@@ -187,11 +196,16 @@
         p.nursery.start_soon(one)
         await trio.sleep(0.1)
         assert (await p.ask(Request_Class="brief")).status == 400
-        brief = TOLD["profiles"][0] | {"name": "brief", "deadline": 300.0}
-        reload(p, tmp_path, monkeypatch, told(retry_after=False) | {"profiles": [TOLD["profiles"][1], brief]})
+        brief = PLATFORM_SETTINGS["profiles"][0] | {"name": "brief", "deadline": 300.0}
+        reload(
+            p,
+            tmp_path,
+            monkeypatch,
+            platform_settings(retry_after=False) | {"profiles": [PLATFORM_SETTINGS["profiles"][1], brief]},
+        )
         assert (await p.ask(Request_Class="summary")).status == 400
         assert (await p.ask(Request_Class="brief")).status == 200
-        p.servers["r0"].script = always("silent")
+        p.servers["r0"].script = fault_always("silent")
         since = trio.current_time()
         reply = await p.ask(Request_Class="brief", Request_Timeout="-")  # its class's time limit, as it is now
         assert reply.status == 503 and trio.current_time() - since < 0.35 and "retry-after" not in reply.headers
@@ -257,7 +271,7 @@
 
 
 async def test_more_generations_and_bodies_than_may_be_held_are_turned_away_unheard() -> None:
-    async with platform("r0", "w0", w0=always("silent")) as p:
+    async with platform("r0", "w0", w0=fault_always("silent")) as p:
         chat_server, runtime = p.gateway.chat_server, p.gateway.runtime
         chat_server.request_limit, chat_server.body_bytes_limit = 2, 1000
         async with trio.open_nursery() as nursery:
@@ -271,13 +285,13 @@
             assert (await p.ask(body=BODY[:-1] + b" " * 900 + b"}")).status == 503
             assert runtime.reporter.counts["refused room"] == 2 and runtime.reporter.counts["received"] == 2
             nursery.cancel_scope.cancel()
-        await p.settled()
-        p.servers["w0"].script = always("")
+        await p.wait_until_idle()
+        p.servers["w0"].script = fault_always("")
         assert (await p.ask()).status == 200
 
 
 async def test_connections_near_their_idle_limit_are_closed_from_here() -> None:
-    async with platform("r0", "w0", told=told(conn_idle=400.0)) as p:
+    async with platform("r0", "w0", platform_settings=platform_settings(conn_idle=400.0)) as p:
         assert (await p.ask()).status == 200
         assert len(p.gateway.runtime.model_servers.pool.idle_of_all) == 2
         with trio.fail_after(0.39):
@@ -292,7 +306,7 @@
     """The loop stands still for a quarter of a second. It expects to be late again and gives up sooner, and the
     report says by how much it was late."""
     monkeypatch.setattr(gateway_module, "REPORT_INTERVAL_MS", 50.0)
-    async with platform("r0", "w0", r0=always("silent")) as p:
+    async with platform("r0", "w0", r0=fault_always("silent")) as p:
         runtime = p.gateway.runtime
         time.sleep(0.25)  # noqa: ASYNC251 - the loop stands still
         await trio.sleep(0.02)
@@ -310,19 +324,19 @@
 
 
 async def test_an_answer_that_is_late_in_spite_of_all_is_counted() -> None:
-    async with platform("r0", "w0", r0=always("silent")) as p:
+    async with platform("r0", "w0", r0=fault_always("silent")) as p:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(partial(p.ask, Request_Class="note", Request_Timeout="0.4"))
             await trio.sleep(0.2)
             time.sleep(0.4)  # noqa: ASYNC251 - the loop stands still
         assert p.gateway.runtime.reporter.counts["late"] == 1
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_drain_takes_what_waits_at_the_door_when_it_stops_accepting() -> None:
     """Clients wait in the listener's queue as a drain stops accepting. They are taken and answered."""
     async with platform("r0", "w0") as p:
-        p.gateway.accepting.cancel()  # what comes from here on is left to the listener's queue
+        p.gateway.accept_scope.cancel()  # what comes from here on is left to the listener's queue
         await trio.sleep(0.01)
         replies: list[Reply] = []
 
@@ -342,37 +356,37 @@
 async def test_a_server_that_garbles_or_is_too_busy_does_not_keep_a_state_from_being_released(way: str) -> None:
     """The server that is asked to release a state gives corrupt answers, or is too busy. Another one confirms the
     release."""
-    async with platform("r0", "w0", "w1", w0=always("status_500"), w1=always("status_500")) as p:
+    async with platform("r0", "w0", "w1", w0=fault_always("status_500"), w1=fault_always("status_500")) as p:
         for name in ("r0", "w0"):
-            p.servers[name].lease_fault = way
+            p.servers[name].lease_call_fault = way
         assert (await p.ask(Request_Class="note")).status == 502
-        await p.settled()
+        await p.wait_until_idle()
         assert not p.gateway.runtime.reporter.counts["release unconfirmed"] and p.fleet.count("DELETE") >= 1
 
 
 async def test_one_server_that_spoils_its_first_answer_is_told_again() -> None:
     """The only server gives a corrupt answer to a release. It is asked again, and confirms it."""
-    async with platform("r0", "w0", w0=always("status_500")) as p:
-        p.servers["r0"].lease_fault = p.servers["w0"].lease_fault = "noise"
+    async with platform("r0", "w0", w0=fault_always("status_500")) as p:
+        p.servers["r0"].lease_call_fault = p.servers["w0"].lease_call_fault = "noise"
         assert (await p.ask(Request_Class="note")).status == 502
         with trio.fail_after(1):
             while p.fleet.count("DELETE") < 3:
                 await trio.sleep(0.002)
-        p.servers["r0"].lease_fault = ""
-        await p.settled()
+        p.servers["r0"].lease_call_fault = ""
+        await p.wait_until_idle()
         assert not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
 async def test_a_state_that_comes_after_its_read_was_called_off_is_released_too() -> None:
     """A prefill is cancelled, its state released, and the prefill ends after that all the same. Its state is
     released once more."""
-    async with platform("r0", "w0", r0=once("late_state")) as p:
+    async with platform("r0", "w0", r0=fault_once("late_state")) as p:
         with trio.move_on_after(0.1):
             await p.ask()
         with trio.fail_after(0.5):
             while not p.fleet.states:
                 await trio.sleep(0.002)
-        await p.settled()
+        await p.wait_until_idle()
         assert p.gateway.runtime.reporter.counts["release confirmed"] == 2  # however many servers were asked for each
 
 
@@ -411,7 +425,7 @@
                         await trio.sleep(0.001)
                 agreed += await quiet()
         assert agreed == 8
-        await p.settled()
+        await p.wait_until_idle()
         assert await quiet() and all(not e.attempts and not e.reservations for e in endpoints)
 
 
@@ -437,7 +451,7 @@
 async def test_a_door_without_descriptors_stays_up_and_serves_once_there_are_some(tmp_path: Path) -> None:
     """The process runs out of descriptors. It stays up, and serves once there are some."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, log):
-        await until_ready(p)
+        await wait_until_ready(p)
         held = len(os.listdir(f"/proc/{process.pid}/fd"))
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (held + 8, held + 8))
         async with trio.open_nursery() as nursery:
@@ -452,9 +466,9 @@
 
 
 async def test_every_leg_of_a_generation_is_said_on_request_by_id(tmp_path: Path) -> None:
-    first = once("full_503")
+    first = fault_once("full_503")
     async with platform("r0", "r1", "w0", r0=first, r1=first) as p, running(p, tmp_path) as (process, log):
-        await until_ready(p)
+        await wait_until_ready(p)
         assert (await p.ask(Request_Id="00000000000000aa")).status == 200
         process.send_signal(signal.SIGUSR1)
         with trio.fail_after(3):
@@ -470,8 +484,8 @@
 
 
 async def test_nothing_is_held_when_the_process_has_ended(tmp_path: Path) -> None:
-    async with platform("r0", "w0", w0=always("silent")) as p, running(p, tmp_path) as (process, _):
-        await until_ready(p)
+    async with platform("r0", "w0", w0=fault_always("silent")) as p, running(p, tmp_path) as (process, _):
+        await wait_until_ready(p)
         statuses: list[int] = []
 
         async def one() -> None:
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -6,8 +6,8 @@
 import trio
 
 from ternlane.policy.messages import EndpointStatus
-from ternlane.testing.platform import Discovery
-from tests.platform_world import platform
+from ternlane.testing.platform import FakeDiscovery
+from tests.platform_gateway import platform
 
 
 async def test_changes_whole_lists_and_garbage() -> None:
@@ -62,7 +62,7 @@
     """Discovery refuses connections. The gateway asks again with backoff, and serves by the list that it has."""
     async with platform("r0", "w0") as p:
         p.discovery.listener.socket.close()
-        p.gateway.watch.move(("127.0.0.1", int(p.discovery.address.rpartition(":")[2])))
+        p.gateway.watch.change_address(("127.0.0.1", int(p.discovery.address.rpartition(":")[2])))
         await trio.sleep(1.5)
         assert 2 <= p.gateway.runtime.reporter.counts["watch broke"] <= 8 and (await p.ask()).status == 200
 
@@ -70,12 +70,12 @@
 async def test_a_new_discovery_is_followed_with_the_index_kept_and_the_old_one_closed() -> None:
     """A reload names another discovery. It is asked from the index at hand, and the old watch ends."""
     async with platform("r0", "w0") as p:
-        other = Discovery(p.nursery, 100.0)
+        other = FakeDiscovery(p.nursery, 100.0)
         await other.start()
         other.index, other.log, other.entries = p.discovery.index, p.discovery.log, p.discovery.entries
         host, _, number = other.address.partition(":")
         await trio.sleep(0.05)
-        p.gateway.watch.move((host, int(number)))
+        p.gateway.watch.change_address((host, int(number)))
         with trio.fail_after(2):
             while p.discovery.watching or not other.watching:
                 await trio.sleep(0.01)
--- a/tests/test_fleet_trial.py
+++ b/tests/test_platform_faults.py
@@ -15,14 +15,14 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import ConnectionPool
 from ternlane.platform import discovery_watch
-from ternlane.platform.attempt import Attempt, AttemptResult
+from ternlane.platform.attempt import ModelServerAttempt, AttemptResult
 from ternlane.platform.endpoint_list import EndpointList, EndpointListParser, parse_endpoint_list
 from ternlane.platform.endpoint_registry import MAX_STALENESS_MS, EndpointRegistry
 from ternlane.platform.model_server_client import ModelServerClient
-from ternlane.platform.settings import Limits
+from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Role
-from ternlane.testing.platform import DONE, EVENT, USAGE, Discovery, Fleet, Gate, ModelServer
-from tests.platform_world import BODY, TOLD, Platform, platform
+from ternlane.testing.platform import DONE, EVENT, USAGE, FakeDiscovery, FakeFleet, Gate, FakeModelServer
+from tests.platform_gateway import BODY, PLATFORM_SETTINGS, Platform, platform
 
 # -- lists in time
 
@@ -59,7 +59,7 @@
     took: list[float] = []
 
     async def one(nth: int, nursery: trio.Nursery) -> None:
-        discovery = Discovery(nursery, discovery_watch.HEARTBEAT_MS)
+        discovery = FakeDiscovery(nursery, discovery_watch.HEARTBEAT_MS)
         await discovery.start()
         host, _, number = discovery.address.partition(":")
         heard, index = trio.Event(), [discovery.index]
@@ -74,9 +74,9 @@
         )
         watch.start()
         await trio.sleep(0.1)
-        discovery.break_off(silent=how == "silent", listening=how == "silent")
+        discovery.start_outage(silent=how == "silent", listening=how == "silent")
         await trio.sleep(0.3 + 0.05 * nth)
-        await discovery.restore()
+        await discovery.end_outage()
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
         await heard.wait()
@@ -147,7 +147,7 @@
 def test_a_list_that_comes_late_undoes_nothing_and_a_count_that_begins_anew_is_followed() -> None:
     """An agent that is behind gives an older list, which is ignored. Where that goes on, discovery has begun to
     count anew, and the whole list is asked for."""
-    endpoint_registry = EndpointRegistry(Deployment(1, TOLD))
+    endpoint_registry = EndpointRegistry(Deployment(1, PLATFORM_SETTINGS))
     endpoint_registry.apply_list(parse_endpoint_list(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
     endpoint_registry.apply_list(parse_endpoint_list(listing(43, False, w0="DRAINING")), 0.0, 10.0)
     old = parse_endpoint_list(listing(42, True, w0="SERVING", w2="SERVING"))
@@ -217,7 +217,7 @@
             while not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.002)
         read.open()  # only now the prompt is read
-        await p.settled()
+        await p.wait_until_idle()
         await trio.sleep(0.2)
         assert p.fleet.count("read") == 1 and p.fleet.count("write") == 0
         assert p.gateway.runtime.reporter.counts["client_gone"] == 1
@@ -246,7 +246,7 @@
             p.gateway.runtime.endpoint_registry.servers["r0"].router_state
         ].ejected  # it did nothing wrong
         assert (await p.ask()).status == 200 and opened.count(p.servers["r0"].address) == 1
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_a_client_that_is_gone_before_it_is_read_is_not_sent_on() -> None:
@@ -259,7 +259,7 @@
                 await trio.sleep(0.01)
         await trio.sleep(0.1)
         assert p.fleet.count("read") == 0
-        await p.settled()
+        await p.wait_until_idle()
 
 
 async def test_an_answer_given_during_a_drain_is_not_reset_by_what_its_client_sent_meanwhile() -> None:
@@ -291,13 +291,13 @@
 ) -> None:
     """Sixteen of twenty servers answer nothing, and they answered last. The state is released within the release
     time."""
-    fleet, deployment = Fleet(nursery), Deployment(1, TOLD)
+    fleet, deployment = FakeFleet(nursery), Deployment(1, PLATFORM_SETTINGS)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), deployment)
-    servers = [ModelServer(f"w{n}", "write", fleet) for n in range(20)]
+    servers = [FakeModelServer(f"w{n}", "write", fleet) for n in range(20)]
     for server in reversed(servers):
         await server.start()
         client.record_answer(server.address)  # the silent ones were heard last
-        server.accepts_only = server in servers[:16]
+        server.never_reads = server in servers[:16]
     fleet.states["ab"] = "w19"
     with trio.move_on_after(deployment.router_config.release_ms / 1000):
         nursery.start_soon(client.release, "ab", [s.address for s in servers], deployment.router_config.release_ms)
@@ -308,9 +308,9 @@
 
 async def test_a_server_that_could_not_be_reached_is_asked_last_to_release(nursery: trio.Nursery) -> None:
     """A server that had answered can no longer be reached. It is asked last."""
-    fleet = Fleet(nursery)
-    client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, TOLD))
-    well, away = ModelServer("w0", "write", fleet), ModelServer("w1", "write", fleet)
+    fleet = FakeFleet(nursery)
+    client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, PLATFORM_SETTINGS))
+    well, away = FakeModelServer("w0", "write", fleet), FakeModelServer("w1", "write", fleet)
     for server in (well, away):
         await server.start()
         assert (await client.call(server.address, "GET", "/stats", 500.0)).outcome is AttemptOutcome.STREAMED
@@ -322,7 +322,7 @@
 
 
 async def test_a_connection_on_which_nothing_was_asked_is_kept(nursery: trio.Nursery) -> None:
-    server = ModelServer("w0", "write", Fleet(nursery))
+    server = FakeModelServer("w0", "write", FakeFleet(nursery))
     await server.start()
     pool = ConnectionPool(500.0, 1000.0)
     caller = await pool.take(server.address)
@@ -346,10 +346,13 @@
 @pytest.mark.parametrize("struck", [False, True])
 async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
     """The time-out strikes while the event is already there, so it does not keep the task from going on."""
-    attempt, response_writer = Attempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0), ResponseWriter()
+    attempt, response_writer = (
+        ModelServerAttempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0),
+        ResponseWriter(),
+    )
 
     class Stub:
-        def expect_by(self, when: float) -> None:
+        def set_read_deadline(self, when: float) -> None:
             pass
 
         async def chunks(self) -> AsyncIterator[bytes]:
@@ -361,7 +364,7 @@
 
     end = AttemptResult()
     with attempt.scope:
-        await ModelServerClient(ConnectionPool(1.0, 1.0), Deployment(1, TOLD)).forward_stream(
+        await ModelServerClient(ConnectionPool(1.0, 1.0), Deployment(1, PLATFORM_SETTINGS)).forward_stream(
             attempt, Stub(), response_writer, end
         )  # type: ignore[arg-type]
     assert (end.begun, len(response_writer.got)) == ((False, 0) if struck else (True, 2))
@@ -373,10 +376,13 @@
 async def test_a_conversation_cut_at_any_byte_is_the_same_as_whole() -> None:
     """The request is cut at each of its bytes in turn, its answer at a dozen places of its own. None is rejected for
     waiting longer than its class's target, which a slow machine takes for 24 at once."""
-    patient = [profile | {"aim": 10e3, "deadline": 20e3} for profile in TOLD["profiles"]]
+    patient = [profile | {"aim": 10e3, "deadline": 20e3} for profile in PLATFORM_SETTINGS["profiles"]]
     # No read is called off where others overtake it.
-    told = TOLD | {"limits": TOLD["limits"] | {"most_tries": 2}, "profiles": patient}
-    async with platform("r0", "w0", told=told, w0=lambda _: "pieces") as p:
+    platform_settings = PLATFORM_SETTINGS | {
+        "limits": PLATFORM_SETTINGS["limits"] | {"most_tries": 2},
+        "profiles": patient,
+    }
+    async with platform("r0", "w0", platform_settings=platform_settings, w0=lambda _: "pieces") as p:
         replies: list[bytes] = []
         room = trio.CapacityLimiter(24)
 
@@ -407,7 +413,7 @@
         assert len(replies) > 300 and all(r.startswith(b"HTTP/1.1 200 ") for r in replies)
         bodies = {unchunked(reply) for reply in replies}
         assert bodies == {EVENT * 2 + USAGE + DONE}
-        await p.settled()
+        await p.wait_until_idle()
 
 
 def unchunked(reply: bytes) -> bytes:
@@ -427,8 +433,8 @@
 async def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out() -> None:
     """Idle clients take all connections while discovery is down. A new client is served, and a drain is heard once
     discovery is back."""
-    async with platform("r0", "w0", limits=Limits(sockets=100)) as p:
-        p.discovery.break_off(silent=False, listening=False)
+    async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
+        p.discovery.start_outage(silent=False, listening=False)
         host, _, number = p.address.partition(":")
         idle = [await trio.open_tcp_stream(host, int(number)) for _ in range(120)]
         with trio.fail_after(2):
@@ -436,7 +442,7 @@
                 await trio.sleep(0.01)
         assert p.gateway.chat_server.connections <= p.gateway.chat_server.connection_limit == 45
         assert (await p.ask()).status == 200  # a new one takes an idle one's place, at once
-        await p.discovery.restore()
+        await p.discovery.end_outage()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(discovery_watch.PROPAGATION_MS / 1000):
             while p.gateway.runtime.endpoint_registry.servers["w0"].status is not EndpointStatus.DRAINING:
@@ -447,7 +453,7 @@
 
 async def test_as_many_attempts_as_may_be_out_leave_connections_for_releases() -> None:
     """As many attempts are out as may be. A release still finds a connection."""
-    async with platform("r0", "w0", "w1", limits=Limits(sockets=100)) as p:
+    async with platform("r0", "w0", "w1", limits=ProcessLimits(sockets=100)) as p:
         runtime, chat_server = p.gateway.runtime, p.gateway.chat_server
         out = [
             await runtime.model_servers.pool.connect(p.servers["r0"].address) for _ in range(chat_server.request_limit)
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -7,9 +7,9 @@
 import pytest
 import trio
 
-from ternlane.platform.settings import Limits
-from tests.platform_world import BODY, HEAD, platform
-from tests.world import Reply, heard
+from ternlane.platform.settings import ProcessLimits
+from tests.platform_gateway import BODY, HEAD, platform
+from tests.gateway_cluster import Reply, send_request
 
 GIVEN = (
     b"Request-Id: 00000000000000ff\r\nRequest-Class: summary\r\nRequest-Timeout: 1\r\nRequest-Info: prompt_len=5\r\n"
@@ -47,7 +47,7 @@
     """A client sends what is no HTTP, or not what is served. It has an error, the connection ends, and usual clients
     are served."""
     async with platform() as p:
-        said = await p.raw(data)
+        said = await p.send_raw(data)
         assert said.startswith(b"HTTP/1.1 %d " % status), said[:100]
         assert not p.fleet.seen and (await p.ask()).status == 200
 
@@ -86,10 +86,10 @@
 async def test_half_a_request_and_silence_are_ended_in_time() -> None:
     """A client sends half a request, or nothing, and then falls silent. Its connection ends in the users' time."""
     async with platform() as p:
-        assert await p.raw(HEAD + GIVEN + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
-        assert await p.raw(b"") == b""
+        assert await p.send_raw(HEAD + GIVEN + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
+        assert await p.send_raw(b"") == b""
         caller = await p.pool.connect(p.address)
-        assert (await heard(caller, BODY, p.headers(), "/v1/chat/completions")).done == 1
+        assert (await send_request(caller, BODY, p.headers(), "/v1/chat/completions")).done == 1
         await caller.stream.send_all(HEAD)  # of a second request, that does not go on
         with trio.fail_after(3):
             assert (await caller.stream.receive_some()).startswith(b"HTTP/1.1 408 ")
@@ -101,7 +101,7 @@
             await slow.send_all(HEAD)
             while await slow.receive_some():
                 pass
-        await p.settled()
+        await p.wait_until_idle()
         with trio.fail_after(0.5):
             while p.gateway.chat_server.connections:
                 await trio.sleep(0.01)
@@ -127,14 +127,14 @@
     """A client sends a second request before the first is answered. The first is answered, the second refused."""
     async with platform() as p:
         one = HEAD + GIVEN + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
-        said = await p.raw(one + one.replace(b"ff\r", b"fe\r"))
+        said = await p.send_raw(one + one.replace(b"ff\r", b"fe\r"))
         assert said.count(b"HTTP/1.1 200 ") == 1 and said.count(b"HTTP/1.1 400 ") == 1
         assert p.fleet.count("write") == 1
 
 
 async def test_connections_that_say_nothing_do_not_block_the_door() -> None:
     """As many clients as may connect say nothing. The next client is served: the longest idle connection makes room."""
-    async with platform(limits=Limits(sockets=64)) as p:
+    async with platform(limits=ProcessLimits(sockets=64)) as p:
         host, _, number = p.address.partition(":")
         mute = [await trio.open_tcp_stream(host, int(number)) for _ in range(60)]
         assert (await p.ask()).status == 200
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -17,8 +17,8 @@
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.policy import messages
 from ternlane.testing.platform import DONE, EVENT
-from tests.platform_world import BODY, platform, until_ready
-from tests.world import Reply, heard
+from tests.platform_gateway import BODY, platform, wait_until_ready
+from tests.gateway_cluster import Reply, heard
 
 # -- the loop
 
@@ -90,7 +90,7 @@
                 [sys.executable, "-m", "ternlane.platform"], env=env, stderr=subprocess.DEVNULL
             )
             try:
-                await until_ready(p)
+                await wait_until_ready(p)
                 replies: list[Reply] = []
 
                 async def one(into: list[Reply]) -> None:
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ternlane.platform.held_states import HeldStateMonitor, Overdue
-from tests.platform_world import always, platform
+from tests.platform_gateway import fault_always, platform
 
 
 def test_overdue_state_is_reported_once() -> None:
@@ -19,9 +19,9 @@
 
 
 async def test_history_of_failed_request_has_its_attempts_and_release() -> None:
-    async with platform("r0", "w0", w0=always("status_500")) as p:
+    async with platform("r0", "w0", w0=fault_always("status_500")) as p:
         assert (await p.ask(Request_Class="note")).status == 502
-        await p.settled()
+        await p.wait_until_idle()
         runtime = p.gateway.runtime
         record = runtime.reporter.records[-1]
         events = [transition.event for transition in record.history.transitions]
@@ -34,7 +34,7 @@
 
 
 async def test_retries_are_counted_by_previous_outcome() -> None:
-    async with platform("r0", "r1", "w0", r0=always("full_503"), r1=always("full_503")) as p:
+    async with platform("r0", "r1", "w0", r0=fault_always("full_503"), r1=fault_always("full_503")) as p:
         assert (await p.ask()).status == 503
         counts = p.gateway.runtime.reporter.counts
         assert counts["retry after OVERLOADED"] == 1 and counts["rejected NO_SERVER"] == 1
--- a/tests/test_terms.py
+++ b/tests/test_request_timeouts.py
@@ -1,6 +1,6 @@
 """Terms of the users' acceptance that have no free case: clients that have left, and the time told to a server.
 
-The slow-start budget is held by `tests/test_cold.py`, the final answer beside faults by `tests/test_final_answers.py`.
+The slow-start budget is held by `tests/test_slow_start.py`, the final answer beside faults by `tests/test_final_answers.py`.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 import trio
 
 from ternlane.testing.platform import Gate
-from tests.crossing import Client, client_request, until
-from tests.platform_world import TOLD, Platform, once, platform
-from tests.test_crossings_servers import HeldConnects, told
+from tests.race_helpers import RawClient, client_request, wait_until
+from tests.platform_gateway import PLATFORM_SETTINGS, Platform, fault_once, platform
+from tests.test_races_servers import DelayedConnects, platform_settings
 
 SLACK_S = 0.15  # of the time told to a server
 LATE_S = 0.4  # for which a loop stands still: longer than the slack
@@ -37,15 +37,17 @@
     attempt: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection comes up in the same moment: nothing but the check right before the first byte knows of it."""
-    full = once("full_503")
+    full = fault_once("full_503")
     names = {"first": ["r0", "w0"], "hand-over": ["r0", "w0"], "further read": ["r0", "r1", "w0"]}
     scripts = {"further read": {"r0": full, "r1": full}, "further write": {"w0": full, "w1": full}}
     async with platform(
-        *names.get(attempt, ["r0", "w0", "w1"]), told=told(connect_timeout=1000.0), **scripts.get(attempt, {})
+        *names.get(attempt, ["r0", "w0", "w1"]),
+        platform_settings=platform_settings(connect_timeout=1000.0),
+        **scripts.get(attempt, {}),
     ) as p:
         role = "write" if attempt in ("hand-over", "further write") else "read"
-        held = HeldConnects(monkeypatch, "")
-        client = Client(p.address)
+        held = DelayedConnects(monkeypatch, "")
+        client = RawClient(p.address)
         if attempt.startswith("further"):
             held.after(p, role)
         else:
@@ -53,10 +55,10 @@
         client.send(client_request(p))
         await held.gate.reached.wait()
         before = p.fleet.count(role)
-        client.leave(how)
+        client.disconnect(how)
         held.gate.open()  # no turn of the loop lies between the two
-        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
-        await p.settled()
+        await wait_until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
+        await p.wait_until_idle()
         assert p.fleet.count(role) == before == (1 if attempt.startswith("further") else 0)
 
 
@@ -65,14 +67,14 @@
     """Its read has ended and it has left, both while the loop was busy: it hears of all at once."""
     async with platform("r0", "w0") as p:
         gate = p.servers["r0"].gates["request"] = Gate()
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
         gate.open()
-        client.leave(how)
+        client.disconnect(how)
         stand_still()
-        await until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
-        await p.settled()
+        await wait_until(lambda: p.gateway.runtime.reporter.counts["client_gone"])
+        await p.wait_until_idle()
         assert p.fleet.count("write") == 0
 
 
@@ -82,14 +84,14 @@
 def unhurried(**limits: float) -> dict[str, Any]:
     """Settings whose aims cut no attempt short: each is told all that its client has left."""
     profile = {"aim": 5000.0, "deadline": 5000.0, "name": "summary", "semantics": "idempotent"}
-    return told(**limits) | {"profiles": [profile]}
+    return platform_settings(**limits) | {"profiles": [profile]}
 
 
 async def check_told(p: Platform, sent_at: float, timeout_s: float, attempts: int, lag_s: float = 0.0) -> None:
     """Looks at each of so many attempts as it arrives: it is told at most what is left then, and not far less. A loop
     that was late by `lag_s` expects to be so again as the time ends."""
     for count in range(1, attempts + 1):
-        await until(lambda count=count: len(p.fleet.stated_timeouts_s) >= count)
+        await wait_until(lambda count=count: len(p.fleet.stated_timeouts_s) >= count)
         left_s = sent_at + timeout_s - trio.current_time()
         assert left_s - SLACK_S - lag_s <= p.fleet.stated_timeouts_s[count - 1] <= left_s + SLACK_S, (
             count,
@@ -101,9 +103,9 @@
 async def test_the_time_told_is_what_is_left_though_the_loop_stood_still_as_the_request_came() -> None:
     """The loop is busy as a request comes. The time told to servers counts from its last byte, not from when it was
     read."""
-    async with platform("r0", "w0", told=unhurried()) as p:
-        client = Client(p.address)
-        await until(lambda: p.gateway.chat_server.idle)
+    async with platform("r0", "w0", platform_settings=unhurried()) as p:
+        client = RawClient(p.address)
+        await wait_until(lambda: p.gateway.chat_server.idle)
         await trio.sleep(0.6)  # the decisions' looks have begun
         client.send(client_request(p, Request_Timeout="1.5"))
         sent_at = trio.current_time()
@@ -117,10 +119,10 @@
 async def test_the_time_told_is_what_is_left_after_a_slow_connect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection to a server comes up late. The time told to it is what is left then, not what was left at the
     decision."""
-    lasting = {"specifics": TOLD["specifics"] | {"release": 1000.0}}  # the state outlasts the slow connect
-    async with platform("r0", "w0", told=unhurried(connect_timeout=1000.0) | lasting) as p:
-        held = HeldConnects(monkeypatch, p.servers[name].address)
-        client = Client(p.address)
+    lasting = {"specifics": PLATFORM_SETTINGS["specifics"] | {"release": 1000.0}}  # the state outlasts the slow connect
+    async with platform("r0", "w0", platform_settings=unhurried(connect_timeout=1000.0) | lasting) as p:
+        held = DelayedConnects(monkeypatch, p.servers[name].address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="1.5"))
         sent_at = trio.current_time()
 
@@ -137,11 +139,11 @@
 
 async def test_the_time_told_to_each_further_attempt_is_what_is_left() -> None:
     """A model server takes its time to turn the first away."""
-    full = once("full_503")
-    async with platform("r0", "r1", "w0", told=unhurried(), r0=full, r1=full) as p:
+    full = fault_once("full_503")
+    async with platform("r0", "r1", "w0", platform_settings=unhurried(), r0=full, r1=full) as p:
         for name in ("r0", "r1"):
             p.servers[name].prefill_ms = 1000 * LATE_S
-        client = Client(p.address)
+        client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="2.0"))
         await check_told(p, trio.current_time(), 2.0, attempts=3)
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
@@ -150,8 +152,8 @@
 
 async def test_the_time_of_a_slow_client_counts_from_its_last_byte() -> None:
     """A client writes its request in two parts. Its time counts from the last byte."""
-    async with platform("r0", "w0", told=unhurried()) as p:
-        client, whole = Client(p.address), client_request(p, Request_Timeout="1.5")
+    async with platform("r0", "w0", platform_settings=unhurried()) as p:
+        client, whole = RawClient(p.address), client_request(p, Request_Timeout="1.5")
         client.send(whole[:40])
         await trio.sleep(LATE_S)
         client.send(whole[40:])
@@ -162,7 +164,7 @@
 
 async def test_the_time_told_does_not_follow_a_wall_clock_that_is_set(monkeypatch: pytest.MonkeyPatch) -> None:
     """The wall clock is set an hour back and forth. The time told to servers stays the same."""
-    async with platform("r0", "w0", told=unhurried()) as p:
+    async with platform("r0", "w0", platform_settings=unhurried()) as p:
         now = time.time
         for step in (-3600.0, 3600.0):
             monkeypatch.setattr(time, "time", lambda step=step: now() + step)
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -13,7 +13,7 @@
 import trio
 
 from ternlane.http1 import ConnectError, ConnectionPool
-from ternlane.testing.platform import Discovery, Fleet, ModelServer
+from ternlane.testing.platform import FakeDiscovery, FakeFleet, FakeModelServer
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
@@ -38,10 +38,10 @@
 
 async def test_run_serves_reloads_and_exits_in_one_process(tmp_path: Path) -> None:
     async with trio.open_nursery() as nursery:
-        fleet, discovery, pool = Fleet(nursery), Discovery(nursery), ConnectionPool(1000, 1000)
+        fleet, discovery, pool = FakeFleet(nursery), FakeDiscovery(nursery), ConnectionPool(1000, 1000)
         await discovery.start()
         for name, role, kind in (("r0", "read", "reader"), ("w0", "write", "writer")):
-            server = ModelServer(name, role, fleet)
+            server = FakeModelServer(name, role, fleet)
             await server.start()
             discovery.put(name, server.address, kind)
         reserved = await trio.open_tcp_listeners(0, host="127.0.0.1")
