--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -54,7 +54,7 @@
         kept = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
         self.store = BillingLedger(Disk(Path(config.ledger)), **kept)
         self.told: dict[tuple[str, str, str], int] = {}
-        self.remember(BillingLedger(Disk(Path(config.ledger))).read_sums())
+        self.remember(BillingLedger(Disk(Path(config.ledger))).read_totals())
         self.writer = GroupCommitWriter(self.store, log, on_recovered=self.remember)
         self.closed = False
 
@@ -150,9 +150,9 @@
             ]
         return granted, chunks
 
-    def whose(self, authorization: str | None) -> Tenant:
+    def authenticate(self, authorization: str | None) -> Tenant:
         """Raises tenants.UnknownKeyError."""
-        return self.tenants.whose(authorization, time.time())
+        return self.tenants.authenticate(authorization, time.time())
 
     def reserve(
         self, tenant: Tenant, request_class: str, prompt: float, most: int
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -155,7 +155,7 @@
             == len(scheduler.rules.latency.last_sample_at)
             == len(scheduler.rules.affinity.cached_share)
             == 2
-            and len(scheduler.rules.latency.usual) <= 6
+            and len(scheduler.rules.latency.usual_stage_ms) <= 6
         )
         await p.wait_until_idle()
 
@@ -253,7 +253,7 @@
 
         async def bad() -> None:
             for _ in range(4):  # again, the moment it was turned away
-                answers.append(await p.raw(BAD))
+                answers.append(await p.send_raw(BAD))
 
         async def usual() -> None:
             for _ in range(20):
@@ -456,7 +456,7 @@
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (held + 8, held + 8))
         async with trio.open_nursery() as nursery:
             for _ in range(40):
-                nursery.start_soon(p.raw, b"")  # each is closed in its time
+                nursery.start_soon(p.send_raw, b"")  # each is closed in its time
         with trio.fail_after(5):
             while (await p.ask()).status != 200:
                 await trio.sleep(0.05)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -35,14 +35,14 @@
 from ternlane.config import read_config as read_document
 from ternlane.config import read_text as read_document_text
 from ternlane.deployment import Deployment
-from ternlane.discovery.endpoint_cache import TornCacheError as TornFile
+from ternlane.discovery.endpoint_cache import CorruptCacheError as TornFile
 from ternlane.discovery.endpoint_cache import read_cache as read_node_list
 from ternlane.discovery.endpoint_cache import write_cache as write_node_list
 from ternlane.emulator.engine_kind import EngineKind as EmulatorDocument
 from ternlane.gateway.active_request import Failed as TerminatedAnswer
 from ternlane.gateway.active_request import Streamed as StreamedAnswer
-from ternlane.gateway.daemon import drop_pid as drop_process_id
-from ternlane.gateway.daemon import write_pid as write_process_id
+from ternlane.gateway.daemon import remove_pid_file as drop_process_id
+from ternlane.gateway.daemon import write_pid_file as write_process_id
 from ternlane.gateway.journal_writer import JOURNAL
 from ternlane.gateway.journal_writer import JournalWriter as JournalKeeper
 from ternlane.gateway.journal_writer import final_of as final_answer_of
@@ -196,7 +196,7 @@
     store = Store(Disk(folder))
     assert store.disk.lock()
     store.recover()
-    assert (store.kept, store.cut_off > 0) == (len(INPUTS["bills"]) - 1, True)
+    assert (store.durable_sequence, store.torn_bytes > 0) == (len(INPUTS["bills"]) - 1, True)
     store.close()
 
 
@@ -239,7 +239,7 @@
         "held": found.held(),
         "answers": {now: [msgspec.to_builtins(k) for k in found.answers(float(now))] for now in ("1500", "5150")},
         "finals": [final_values(final_answer_of(k)) for k in found.answers(1500.0)],
-        "cut_off": store.cut_off,
+        "cut_off": store.torn_bytes,
     }
     store.close()
     return values
@@ -279,7 +279,7 @@
     request_class = ternlane.RequestClass(effect, ternlane.Group.ALL, 3000.0, 500.0, 0.0, 60.0, 2500.0, 1.0, 0.0)
     request = SimpleNamespace(request_class=request_class)
     return SimpleNamespace(
-        request=request, ident="n1", repeat_key="key", mark=b"m", noted="", for_repeats=lambda: final
+        request=request, ident="n1", repeat_key="key", body_digest=b"m", journal_id="", answer_for_repeats=lambda: final
     )
 
 
@@ -290,10 +290,10 @@
             keeper, records = JournalKeeper(tmp_path, None), list[Any]()
             keeper.writer.add = lambda record, records=records: records.append(record) or 7  # type: ignore[method-assign]
             active_request = ticket_of(effect, final)
-            keeper.took(active_request)
-            waits = keeper.sends(active_request, "w1", "127.0.0.1:1", "chat", False, True)
-            keeper.freed(active_request)
-            keeper.ended(active_request, "left")
+            keeper.record_request(active_request)
+            waits = keeper.record_attempt(active_request, "w1", "127.0.0.1:1", "chat", False, True)
+            keeper.record_state_released(active_request)
+            keeper.record_end(active_request, "left")
             plain_records = [msgspec.to_builtins(r) for r in records]
             first = plain_records[0]
             assert first[7] - first[6] == 3000.0  # how long a repeat is known
@@ -371,7 +371,7 @@
     assert written == stored
     document = read_document(STORED / "tenants.json5", TenantsDocument)
     must_be_pinned("tenants-values", msgspec.to_builtins(document))
-    owner = Tenants(document).whose(f"Bearer tl-{KEY_NAME}-{SECRET}", 0.0)
+    owner = Tenants(document).authenticate(f"Bearer tl-{KEY_NAME}-{SECRET}", 0.0)
     assert owner.name == "noto"
     must_be_pinned("tenants-show", run("tenant", "show", "--file", str(STORED / "tenants.json5")).stdout)
 
