--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -9,7 +9,7 @@
 import trio
 
 from ternlane.event_loop import Failed, Rejected, now_ms
-from ternlane.http1 import BadRequest, CloseReason, Exchange, ServerConnection, ConnectionLimits
+from ternlane.http1 import BadRequest, CloseReason, ConnectionLimits, Exchange, ServerConnection
 from ternlane.platform.active_request import ActiveRequest, Streamed
 from ternlane.platform.errors import InvalidRequestError
 from ternlane.platform.protocol import CHAT_PATH, MAX_BODY_BYTES, READY_PATH, ParsedRequest, parse_request
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -16,7 +16,7 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import ClientConnection, ConnectError, ConnectionPool, ReadTimeout, extend_deadline
 from ternlane.platform.answer_order import AnswerOrder
-from ternlane.platform.attempt import ModelServerAttempt, AttemptResult, ResponseWriter
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt, ResponseWriter
 from ternlane.platform.errors import NOT_STARTED_REASONS, AttemptNotStartedError, ClientDisconnectedError
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.platform.protocol import (
@@ -168,9 +168,8 @@
                 continue
             if not events:
                 continue
-            await extend_deadline(
-                attempt.scope, inf
-            )  # an attempt that is cancelled by now must not send the client anything
+            # An attempt that is cancelled by now must not send the client anything.
+            await extend_deadline(attempt.scope, inf)
             is_first = not result.begun
             result.begun = True
             try:
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -11,7 +11,7 @@
 from ternlane.deployment import Deployment
 from ternlane.event_loop import EventLoop, RouterProtocol, make_start_check, now_ms
 from ternlane.platform.active_request import ActiveRequest, FinalAnswer, Streamed
-from ternlane.platform.attempt import ModelServerAttempt, AttemptResult
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt
 from ternlane.platform.endpoint_list import EndpointList
 from ternlane.platform.endpoint_registry import EndpointRegistry
 from ternlane.platform.errors import ClientDisconnectedError
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -1,6 +1,7 @@
 """Reads and checks the configuration file of a gateway.
 
-`ConfigurationFile` and `ProcessLimits` use the users' names of the file's fields; `deployment.py` maps the field `settings`.
+`ConfigurationFile` and `ProcessLimits` use the users' names of the file's fields; `deployment.py` maps the field
+`settings`.
 """
 
 from __future__ import annotations
--- a/tests/platform_gateway.py
+++ b/tests/platform_gateway.py
@@ -1,4 +1,4 @@
-"""A small platform in one trio run: the gateway before stand-in model servers and discovery, over loopback sockets."""
+"""Test bed of the platform gateway: a gateway with fake model servers and discovery in one trio run, over loopback."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         self.servers: dict[str, FakeModelServer] = {}
         self.count = 0
         self.pool = ConnectionPool(1000, 1000)
-        self.reserved: list[socket.socket] = []
+        self.reserved_sockets: list[socket.socket] = []
         self.gateway: Gateway
 
     async def add(self, name: str, script: Callable[[str], str] = lambda _: "", **more: Any) -> FakeModelServer:
@@ -85,11 +85,11 @@
         return server
 
     def list(self, server: FakeModelServer, address: str) -> None:
-        """Puts it on the list of servers at this address, its own or that of a proxy before it."""
+        """Lists the server in discovery at this address: its own, or that of a proxy in front of it."""
         self.discovery.put(server.name, address, "reader" if server.role == "read" else "writer")
 
     async def add_behind_proxy(self, name: str, **more: Any) -> StallingProxy:
-        """Adds a server that is reached by way of a proxy alone."""
+        """Adds a server that is reached only through a proxy."""
         server = await self.add(name, **more)
         proxy = StallingProxy(self.nursery, server.address)
         await proxy.start()
@@ -108,16 +108,19 @@
         self.address = f"{name[0]}:{name[1]}"
 
     def reserve_address(self) -> None:
-        """Makes `address` one for a process to listen at. Its port is bound until the end, though nobody listens by
-        that: else an outgoing connection of another test could take it before the process has it."""
-        kept = socket.socket()
-        kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        kept.bind(("127.0.0.1", 0))
-        self.reserved.append(kept)
-        self.address = "127.0.0.1:%d" % kept.getsockname()[1]
+        """Sets `address` to a free address for a process to listen at.
+
+        Its port stays bound until the end of the test, though without a listener: an outgoing connection of another
+        test could otherwise take it before the process does.
+        """
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind(("127.0.0.1", 0))
+        self.reserved_sockets.append(reserved)
+        self.address = "127.0.0.1:%d" % reserved.getsockname()[1]
 
     def configuration(self, **more: Any) -> str:
-        """The configuration file of a gateway that is a process of its own, at `address`."""
+        """The configuration file of a gateway process at `address`."""
         platform_settings = {
             "name": "n0",
             "listen": self.address,
@@ -150,7 +153,7 @@
             caller.close_now()
 
     async def send_raw(self, data: bytes, ends: bool = False, within: float = 3.0) -> bytes:
-        """Whatever comes back until the gateway closes; fails when it does not."""
+        """Sends bytes and returns all that comes back until the gateway closes; fails if it does not close in time."""
         host, _, number = self.address.partition(":")
         stream, out = await trio.open_tcp_stream(host, int(number)), b""
         with trio.fail_after(within):
@@ -166,7 +169,7 @@
         return out
 
     async def wait_until_idle(self) -> None:
-        """Waits until nothing is open at the gateway and nothing is held at any server."""
+        """Waits until no request is open at the gateway and no server holds a state."""
         runtime = self.gateway.runtime
 
         def left() -> dict[str, Any]:
@@ -212,19 +215,19 @@
         try:
             yield made
         finally:
-            for kept in made.reserved:
-                kept.close()
+            for reserved in made.reserved_sockets:
+                reserved.close()
         nursery.cancel_scope.cancel()
 
 
-def fault_once(way: str) -> Callable[[str], str]:
-    """Goes wrong the first time only."""
-    ways = [way]
-    return lambda _: ways.pop() if ways else ""
+def fault_once(fault: str) -> Callable[[str], str]:
+    """A model server's script: this fault for the first request, none afterwards."""
+    faults = [fault]
+    return lambda _: faults.pop() if faults else ""
 
 
-def fault_always(way: str) -> Callable[[str], str]:
-    return lambda _: way
+def fault_always(fault: str) -> Callable[[str], str]:
+    return lambda _: fault
 
 
 async def wait_until_ready(p: Platform) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What the platform's gateway does with requests, answers and held states."""
+"""Requests, answers and held states at the platform gateway."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 from ternlane.wirehost.instance import GatewayInstance
 from tests.platform_gateway import PLATFORM_SETTINGS, fault_always, fault_once, platform
 
-# -- one settings object, request and list by both ways
+# -- the same settings, request and list through the simulator's adapter and the platform
 
 
-def test_simulator_and_platform_tell_the_decisions_equal_facts() -> None:
-    wire, told = GatewayInstance(7, PLATFORM_SETTINGS), Deployment(7, PLATFORM_SETTINGS)
-    assert [astuple(p) for p in wire.deployment.router_config.request_classes] == [
-        astuple(p) for p in told.router_config.request_classes
+def test_simulator_and_platform_give_the_router_equal_input() -> None:
+    simulated, deployment = GatewayInstance(7, PLATFORM_SETTINGS), Deployment(7, PLATFORM_SETTINGS)
+    assert [astuple(p) for p in simulated.deployment.router_config.request_classes] == [
+        astuple(p) for p in deployment.router_config.request_classes
     ]
-    assert replace(wire.deployment.router_config, request_classes=()) == replace(told.router_config, request_classes=())
+    assert replace(simulated.deployment.router_config, request_classes=()) == replace(
+        deployment.router_config, request_classes=()
+    )
     endpoint_registry = EndpointRegistry(Deployment(7, PLATFORM_SETTINGS))
     listing = parse_endpoint_list(
         json.dumps(
@@ -50,28 +52,30 @@
         ).encode()
     )
     endpoint_registry.apply_list(listing, 10_000.0, 5_000.0)
-    wire.decode_list("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
-    mine, theirs = endpoint_registry.servers["s1"], wire.servers["s1"]
+    simulated.decode_list("Complete", ["ROW s1 hall writer 2 cordoned 1.5 4000.0"])
+    platform_server, simulated_server = endpoint_registry.servers["s1"], simulated.servers["s1"]
     for name in ("zone", "cell", "role", "kv_capacity_tokens", "size", "started_ms", "status", "hash_key"):
-        assert getattr(mine, name) == getattr(theirs, name), name
-    by_wire = wire.decode_event(["WORK_ITEM", "1", "9", "8", "-", "ab", "summary", "20", "1500", "0", "c1", "40", "-"])
+        assert getattr(platform_server, name) == getattr(simulated_server, name), name
+    by_wire = simulated.decode_event(
+        ["WORK_ITEM", "1", "9", "8", "-", "ab", "summary", "20", "1500", "0", "c1", "40", "-"]
+    )
     assert isinstance(by_wire, messages.RequestArrived)
-    by_socket = told.request(told.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
+    by_socket = deployment.request(deployment.request_classes["summary"], "c1", "ab", 8.0, 20.0, 40.0, 1500.0)
     for name in ("session", "prefix", "prefix_tokens", "prompt_tokens", "max_tokens", "client_timeout_ms", "tenant"):
         assert getattr(by_wire.request, name) == getattr(by_socket, name), name
     assert (
         parse_load_report("inflight=7,x0=0.5", Deployment(7, PLATFORM_SETTINGS))
-        == wire.decode_report("7,0.5")
+        == simulated.decode_report("7,0.5")
         == messages.Report(7.0, 0.5)
     )
     assert WireHost().answer(["MARK 1.0"]) == ["YIELD"]
 
 
-# -- outcomes, a row each
+# -- outcomes
 
 
 @pytest.mark.parametrize(
-    "status, vouched, role, outcome, lost",
+    "status, not_started, role, outcome, state_lost",
     [
         (200, False, Role.DECODE, None, False),
         (202, False, Role.PREFILL, AttemptOutcome.PREFILLED, False),
@@ -89,16 +93,19 @@
         (404, False, Role.PREFILL, AttemptOutcome.ERROR, False),
     ],
 )
-def test_what_a_status_proves(
-    status: int, vouched: bool, role: Role, outcome: AttemptOutcome | None, lost: bool
+def test_classification_of_statuses(
+    status: int, not_started: bool, role: Role, outcome: AttemptOutcome | None, state_lost: bool
 ) -> None:
-    assert (classify_response(status, vouched, role).outcome, classify_response(status, vouched, role).state_lost) == (
+    assert (
+        classify_response(status, not_started, role).outcome,
+        classify_response(status, not_started, role).state_lost,
+    ) == (
         outcome,
-        lost,
+        state_lost,
     )
 
 
-async def test_a_generation_is_read_written_and_passed_on_unchanged() -> None:
+async def test_request_is_prefilled_decoded_and_forwarded_unchanged() -> None:
     async with platform() as p:
         reply = await p.ask()
         assert reply.status == 200 and reply.done == 1 and not reply.broke and reply.body.startswith(EVENT * 2)
@@ -107,7 +114,7 @@
         await p.wait_until_idle()
 
 
-SPOILT_FIRST = [
+CORRUPT_BEFORE_FIRST_EVENT = [
     "noise",
     "odd_status",
     "endless_head",
@@ -120,24 +127,26 @@
 ]
 
 
-@pytest.mark.parametrize("way", [*SPOILT_FIRST, "full_503", "full_504", "gone_410"])
-async def test_what_is_spoilt_before_the_first_event_is_repeated_where_that_is_harmless(way: str) -> None:
-    """A decode server's answer is corrupt before its first event. The client has nothing of it: idempotent requests
-    are retried, others fail."""
-    shared = fault_once(way)
-    async with platform("r0", "w0", "w1", w0=shared, w1=shared) as p:
+@pytest.mark.parametrize("fault", [*CORRUPT_BEFORE_FIRST_EVENT, "full_503", "full_504", "gone_410"])
+async def test_corrupt_answer_before_the_first_event_is_retried_if_harmless(fault: str) -> None:
+    """A decode server's answer is corrupt before its first event. As the client has received nothing, idempotent
+    requests are retried; others fail, or are retried if the attempt has not run."""
+    script = fault_once(fault)
+    async with platform("r0", "w0", "w1", w0=script, w1=script) as p:
         reply = await p.ask()
         assert reply.status == 200 and reply.done == 1 and reply.body.startswith(EVENT)
         await p.wait_until_idle()
-    async with platform("r0", "w0", w0=fault_once(way)) as p:
+    async with platform("r0", "w0", w0=fault_once(fault)) as p:
         reply = await p.ask(Request_Class="note")
-        assert reply.status == (502 if way in SPOILT_FIRST else 503 if way.startswith("full") else 200), way
-        assert sum(p.fleet.run_counts.values()) <= 1  # no effect twice
+        assert reply.status == (
+            502 if fault in CORRUPT_BEFORE_FIRST_EVENT else 503 if fault.startswith("full") else 200
+        ), fault
+        assert sum(p.fleet.run_counts.values()) <= 1  # it has not run twice
         await p.wait_until_idle()
 
 
 @pytest.mark.parametrize(
-    "way",
+    "fault",
     [
         "later_chunk_bad",
         "later_chunk_misfit",
@@ -150,31 +159,35 @@
         "later_silent",
     ],
 )
-async def test_what_is_spoilt_later_ends_the_client_without_the_last_chunk(way: str) -> None:
-    """A stream is corrupt, cut or silent after its first event. The client's connection ends without the last chunk,
-    so that it can tell."""
-    async with platform("r0", "w0", "w1", w0=fault_always(way), w1=fault_always(way)) as p:
-        with trio.fail_after(2 if way == "later_silent" else 0.8):  # what can be seen at once is not waited for
+async def test_corrupt_stream_ends_without_the_last_chunk(fault: str) -> None:
+    """A stream is corrupt, cut or silent after its first event. The client's connection ends without the last chunk, by
+    which the client can tell that the answer is incomplete."""
+    async with platform("r0", "w0", "w1", w0=fault_always(fault), w1=fault_always(fault)) as p:
+        with trio.fail_after(2 if fault == "later_silent" else 0.8):  # only silence takes a timeout to detect
             reply = await p.ask()
-        assert p.fleet.count("write") == 1  # from its first event on nothing more goes out for it
+        assert p.fleet.count("write") == 1  # not retried after the first event
         assert reply.status == 200 and reply.broke and reply.body in (EVENT, EVENT[:-9])
         assert b"noise" not in reply.body and b"zz" not in reply.body
         await p.wait_until_idle()
 
 
-@pytest.mark.parametrize("way", ["interim", "second_answer", "odd_load"])
-async def test_good_streams_that_bring_more_are_good(way: str) -> None:
-    async with platform("r0", "w0", w0=fault_always(way)) as p:
+@pytest.mark.parametrize("fault", ["interim", "second_answer", "odd_load"])
+async def test_unusual_but_valid_streams_are_forwarded(fault: str) -> None:
+    async with platform("r0", "w0", w0=fault_always(fault)) as p:
         for _ in range(2):
             reply = await p.ask()
             assert reply.status == 200 and reply.done == 1 and not reply.broke
         await p.wait_until_idle()
-        assert way != "second_answer" or not p.gateway.runtime.model_servers.pool.idle.get(p.servers["w0"].address)
+        assert fault != "second_answer" or not p.gateway.runtime.model_servers.pool.idle.get(p.servers["w0"].address)
+
 
+async def test_late_release_does_not_release_the_state_of_a_new_prefill() -> None:
+    """A decode server has lost the state, and the prompt is prefilled again while the DELETE for the first state is
+    still on its way. The DELETE must not release the new state.
 
-async def test_a_new_read_does_not_lose_its_state_to_the_release_of_the_old() -> None:
-    """The DELETE for what a failed writer left was still under way when the prompt had been read anew. One server alone
-    takes it: of two that are asked at once, a slow machine lets the other's come behind the read."""
+    Only one server answers releases: with two of them, the second DELETE could arrive after the new prefill on a slow
+    machine.
+    """
     async with platform("r0", "w0", "w1", w0=fault_once("gone_410"), w1=fault_once("gone_410")) as p:
         p.fleet.release_delay_ms = 20.0
         p.servers["w1"].lease_call_fault = "silent"
@@ -183,11 +196,11 @@
         await p.wait_until_idle()
 
 
-# -- what is held
+# -- held states
 
 
-async def test_a_state_is_released_though_its_holder_is_silent() -> None:
-    """The server that holds a state answers nothing. Another one is asked to release it."""
+async def test_state_is_released_although_its_server_is_silent() -> None:
+    """The server that holds a state does not answer. Another one is called to release it."""
     async with platform("r0", "r1", "w0", w0=fault_always("status_500")) as p:
         assert (await p.ask(Request_Class="note")).status == 502
         await p.wait_until_idle()
@@ -201,8 +214,8 @@
         assert not p.fleet.states
 
 
-async def test_a_client_that_leaves_has_its_leg_called_off_and_its_state_released() -> None:
-    """A client leaves while its request is decoded. The attempt is cancelled and the state released."""
+async def test_disconnect_cancels_the_attempt_and_releases_its_state() -> None:
+    """A client disconnects before its request's first event. The attempt is cancelled and the state released."""
     async with platform("r0", "w0", w0=fault_always("silent")) as p:
         with trio.move_on_after(0.3):
             await p.ask(Request_Class="note")
@@ -213,8 +226,8 @@
         )
 
 
-async def test_a_client_that_leaves_within_its_stream_has_it_ended_at_the_server() -> None:
-    """A client leaves within its stream. The server's connection is closed, so that it stops decoding."""
+async def test_disconnect_within_the_stream_ends_it_at_the_server() -> None:
+    """A client disconnects within its stream. The connection to the server is closed, so that it stops decoding."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].events, p.servers["w0"].event_ms = 500, 10.0
         with trio.move_on_after(0.3):
@@ -225,8 +238,8 @@
         await p.wait_until_idle()
 
 
-async def test_a_generation_without_an_answer_hears_so_in_its_time() -> None:
-    """No server answers. The client has its final answer by its deadline."""
+async def test_request_without_an_answer_fails_by_its_deadline() -> None:
+    """No decode server answers. The client receives its final answer by its deadline."""
     async with platform("r0", "w0", w0=fault_always("silent")) as p:
         since = trio.current_time()
         assert (await p.ask(Request_Class="note", Request_Timeout="0.4")).status == 502
@@ -234,10 +247,10 @@
         await p.wait_until_idle()
 
 
-# -- what the decisions believe
+# -- the router's view of the servers
 
 
-async def test_open_legs_and_connections_are_what_the_servers_count() -> None:
+async def test_open_attempts_and_connections_match_the_servers_counts() -> None:
     async with platform("r0", "w0", "w1") as p:
         for server in p.servers.values():
             server.events, server.event_ms = 30, 10.0
@@ -247,8 +260,8 @@
             await trio.sleep(0.2)
             endpoints = p.gateway.runtime.router.scheduler.rules.endpoints  # type: ignore[attr-defined]
             names = {s: endpoint.name for s, endpoint in p.gateway.runtime.endpoint_registry.endpoints.items()}
-            believed = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
-            assert believed == dict(+p.fleet.open) and sum(believed.values()) >= 8
+            router_counts = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
+            assert router_counts == dict(+p.fleet.open) and sum(router_counts.values()) >= 8
             pool = p.gateway.runtime.model_servers.pool
             assert len(pool.open) == sum(p.fleet.conns.values())
         await p.wait_until_idle()
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -1,4 +1,4 @@
-"""Stories of the platform's gateway at its limits: floods, shortages, lateness, reloads, and what must not grow."""
+"""The platform gateway at its limits: floods, shortages, a late event loop, reloads, and state that must not grow."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 from ternlane.platform.request_reporter import KEPT_RECORDS
 from ternlane.policy.placement import MAX_HOMES
 from ternlane.policy.prefix_affinity import MAX_COUNTED_PREFIXES
+from tests.gateway_cluster import Reply
 from tests.platform_gateway import (
     BODY,
     HEAD,
@@ -33,20 +34,20 @@
     platform,
     wait_until_ready,
 )
-from tests.gateway_cluster import Reply
 
-BAD = HEAD + b"Content-Length: -5\r\n\r\n"
+BAD_REQUEST = HEAD + b"Content-Length: -5\r\n\r\n"
 
 
 def platform_settings(**limits: Any) -> dict[str, Any]:
     return PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | limits}
 
 
-# -- what must not grow
+# -- state that must not grow
 
 
-async def test_thousands_of_new_clients_ids_and_sessions_leave_nothing_behind() -> None:
-    """Servers are replaced meanwhile, some clients leave early, some streams are spoilt."""
+async def test_many_clients_and_sessions_leave_no_state_behind() -> None:
+    """Many clients with new ids, sessions and prefixes, while servers are replaced, some clients disconnect early and
+    some streams are corrupt. The gateway's tables must not grow with them."""
     async with platform("r0", "w0", "w1", w1=lambda ident: "later_noise" if ident.endswith("7") else "") as p:
         runtime, scheduler = p.gateway.runtime, p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         outcomes: list[int] = []
@@ -58,7 +59,7 @@
 
         rounds, each = 30, 60
         for turn in range(rounds):
-            if turn % 5 == 4:  # a server goes, another comes
+            if turn % 5 == 4:  # replaces a server
                 p.servers.pop(f"w{turn // 5}").stop()
                 p.discovery.put(f"w{turn // 5}", "", "writer", "DELETED")
                 await p.add(f"w{turn // 5 + 2}")
@@ -73,7 +74,7 @@
                 for n in range(3 * MAX_COUNTED_PREFIXES)
             }
         )
-        with trio.fail_after(3):  # at the module's next looks
+        with trio.fail_after(3):  # until the router's next regular cleanup
             while len(scheduler.rules.placement.homes) > MAX_HOMES or len(scheduler.rules.endpoints) > len(
                 runtime.endpoint_registry.servers
             ):
@@ -105,30 +106,30 @@
                 await trio.sleep(0.02)
 
 
-async def test_what_is_in_memory_does_not_follow_the_number_of_clients() -> None:
+async def test_number_of_objects_does_not_grow_with_clients() -> None:
     async with platform("r0", "w0") as p:
         homes = p.gateway.runtime.router.scheduler.rules.placement.homes  # type: ignore[attr-defined]
 
-        async def some(count: int) -> int:
+        async def run_clients(count: int) -> int:
             for _ in range(count // 40):
                 async with trio.open_nursery() as nursery:
                     for _ in range(40):
                         nursery.start_soon(p.ask)
             await p.wait_until_idle()
-            # A request stays scheduled for its release until that time has come, over or not.
+            # A request stays scheduled for its release until that time, even if it is finished.
             await trio.sleep(p.gateway.runtime.deployment.router_config.release_ms / 1000)
             p.fleet.seen.clear()
             p.fleet.run_counts.clear()
-            homes.clear()  # bounded by number and age, see above
+            homes.clear()  # bounded by number and age, which the test above checks
             gc.collect()
             return sum(str(type(it).__module__).startswith("ternlane.") for it in gc.get_objects())
 
-        await some(KEPT_RECORDS + 120)  # until the bounded tables are full
-        before = await some(200)
-        assert await some(1000) - before < 100  # a tenth of an object of this program's for each client
+        await run_clients(KEPT_RECORDS + 120)  # until the bounded tables are full
+        before = await run_clients(200)
+        assert await run_clients(1000) - before < 100  # less than one object of this package per ten clients
 
 
-async def test_names_of_sessions_and_openings_are_kept_short_and_still_told_apart() -> None:
+async def test_long_session_and_prefix_names_are_shortened_and_stay_distinct() -> None:
     async with platform("r0", "w0") as p:
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         for last in "aab":
@@ -140,7 +141,7 @@
         )
 
 
-async def test_what_was_learnt_of_products_that_a_reload_took_away_is_forgotten(
+async def test_statistics_of_removed_request_classes_are_dropped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
@@ -164,7 +165,7 @@
 
 
 def reload(p: Platform, folder: Path, monkeypatch: pytest.MonkeyPatch, settings: dict[str, Any], **more: Any) -> None:
-    """The gateway is given other settings, and `more` beside them, by its configuration file."""
+    """Reloads the gateway with these settings, and with the fields `more`, from a configuration file."""
     path = folder / "config.json"
     path.write_text(
         json.dumps(
@@ -183,7 +184,7 @@
     p.gateway.reload()
 
 
-async def test_settings_that_a_reload_changes_hold_at_once_and_open_generations_do_not_notice(
+async def test_reload_applies_at_once_and_leaves_active_requests_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with platform("r0", "w0") as p:
@@ -207,7 +208,7 @@
         assert (await p.ask(Request_Class="brief")).status == 200
         p.servers["r0"].script = fault_always("silent")
         since = trio.current_time()
-        reply = await p.ask(Request_Class="brief", Request_Timeout="-")  # its class's time limit, as it is now
+        reply = await p.ask(Request_Class="brief", Request_Timeout="-")  # the new deadline of its class applies
         assert reply.status == 503 and trio.current_time() - since < 0.35 and "retry-after" not in reply.headers
         with trio.fail_after(3):
             while not replies:
@@ -219,11 +220,11 @@
         assert p.log.lines[-1][0] == "error reload refused" and (await p.ask(Request_Class="note")).status != 400
 
 
-async def test_whole_lists_that_leave_servers_out_and_servers_that_move() -> None:
+async def test_full_lists_remove_servers_and_servers_change_address() -> None:
     async with platform("r0", "w0", "w1") as p:
         runtime, server = p.gateway.runtime, p.gateway.runtime.endpoint_registry.servers["w1"]
         p.discovery.entries.pop("w0")
-        p.discovery.index += 3  # the watch that begins anew finds no such version: it is given the whole list
+        p.discovery.index += 3  # the restarted watch finds no such version and gets the full list
         p.discovery.log = [{}] * p.discovery.index
         p.discovery.garbage = json.dumps(p.discovery.listing()).encode()
         p.discovery.changed.set()
@@ -235,7 +236,7 @@
         assert {n for n, k, _ in p.fleet.seen if k == "write"} == {"w1"}
         p.servers["w1"].stop()
         p.servers["w1"].address = ""
-        moved = await p.add("w1")  # the same name elsewhere is the same server
+        moved = await p.add("w1")  # the same name at another address is the same server
         with trio.fail_after(2):
             while runtime.endpoint_registry.endpoints[server].address != moved.address:
                 await trio.sleep(0.01)
@@ -245,17 +246,17 @@
 # -- floods and shortages
 
 
-async def test_a_flood_of_the_same_bad_request_leaves_usual_clients_their_share() -> None:
-    """Some clients repeat a bad request without pause. Usual clients are served."""
+async def test_flood_of_bad_requests_does_not_starve_other_clients() -> None:
+    """Some clients repeat a bad request without pause. Other clients must be served."""
     async with platform("r0", "w0") as p:
         answers: list[bytes] = []
         took: list[float] = []
 
-        async def bad() -> None:
-            for _ in range(4):  # again, the moment it was turned away
-                answers.append(await p.send_raw(BAD))
+        async def bad_client() -> None:
+            for _ in range(4):  # at once after the rejection
+                answers.append(await p.send_raw(BAD_REQUEST))
 
-        async def usual() -> None:
+        async def normal_client() -> None:
             for _ in range(20):
                 since = trio.current_time()
                 assert (await p.ask()).status == 200
@@ -263,14 +264,14 @@
 
         async with trio.open_nursery() as nursery:
             for _ in range(150):
-                nursery.start_soon(bad)
-            nursery.start_soon(usual)
+                nursery.start_soon(bad_client)
+            nursery.start_soon(normal_client)
         assert len(answers) == 600 and all(a.startswith(b"HTTP/1.1 400") for a in answers)
         assert sorted(took)[len(took) // 2] < 0.5 and p.gateway.runtime.reporter.counts["refused bad_http"] == 600
         assert p.gateway.runtime.reporter.counts["received"] == 20
 
 
-async def test_more_generations_and_bodies_than_may_be_held_are_turned_away_unheard() -> None:
+async def test_requests_and_bodies_beyond_the_limits_are_rejected() -> None:
     async with platform("r0", "w0", w0=fault_always("silent")) as p:
         chat_server, runtime = p.gateway.chat_server, p.gateway.runtime
         chat_server.request_limit, chat_server.body_bytes_limit = 2, 1000
@@ -290,7 +291,7 @@
         assert (await p.ask()).status == 200
 
 
-async def test_connections_near_their_idle_limit_are_closed_from_here() -> None:
+async def test_idle_connections_are_closed_before_the_server_closes_them() -> None:
     async with platform("r0", "w0", platform_settings=platform_settings(conn_idle=400.0)) as p:
         assert (await p.ask()).status == 200
         assert len(p.gateway.runtime.model_servers.pool.idle_of_all) == 2
@@ -299,16 +300,16 @@
                 await trio.sleep(0.005)
 
 
-# -- time
+# -- lateness
 
 
-async def test_a_late_loop_gives_up_sooner_and_says_by_how_much_it_was_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop stands still for a quarter of a second. It expects to be late again and gives up sooner, and the
-    report says by how much it was late."""
+async def test_late_event_loop_shortens_timeouts_and_reports_its_lateness(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The event loop is blocked for a quarter of a second. It expects to be late again and shortens timeouts, and the
+    report line says by how much it was late."""
     monkeypatch.setattr(gateway_module, "REPORT_INTERVAL_MS", 50.0)
     async with platform("r0", "w0", r0=fault_always("silent")) as p:
         runtime = p.gateway.runtime
-        time.sleep(0.25)  # noqa: ASYNC251 - the loop stands still
+        time.sleep(0.25)  # noqa: ASYNC251 - blocks the event loop
         await trio.sleep(0.02)
         assert 150 < runtime.expected_lateness_ms() < 260
         since = trio.current_time()
@@ -323,20 +324,20 @@
         assert runtime.expected_lateness_ms() < 1
 
 
-async def test_an_answer_that_is_late_in_spite_of_all_is_counted() -> None:
+async def test_late_answers_are_counted() -> None:
     async with platform("r0", "w0", r0=fault_always("silent")) as p:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(partial(p.ask, Request_Class="note", Request_Timeout="0.4"))
             await trio.sleep(0.2)
-            time.sleep(0.4)  # noqa: ASYNC251 - the loop stands still
+            time.sleep(0.4)  # noqa: ASYNC251 - blocks the event loop
         assert p.gateway.runtime.reporter.counts["late"] == 1
         await p.wait_until_idle()
 
 
-async def test_a_drain_takes_what_waits_at_the_door_when_it_stops_accepting() -> None:
-    """Clients wait in the listener's queue as a drain stops accepting. They are taken and answered."""
+async def test_drain_serves_connections_queued_at_the_listener() -> None:
+    """Connections wait in the listener's queue when a drain stops accepting. They are accepted and answered."""
     async with platform("r0", "w0") as p:
-        p.gateway.accept_scope.cancel()  # what comes from here on is left to the listener's queue
+        p.gateway.accept_scope.cancel()  # later connections stay in the listener's queue
         await trio.sleep(0.01)
         replies: list[Reply] = []
 
@@ -349,23 +350,23 @@
         assert [r.status for r in replies] in ([200], [503])
 
 
-# -- what is held
+# -- held states
 
 
-@pytest.mark.parametrize("way", ["silent", "noise", "status_503", "opening_cut"])
-async def test_a_server_that_garbles_or_is_too_busy_does_not_keep_a_state_from_being_released(way: str) -> None:
-    """The server that is asked to release a state gives corrupt answers, or is too busy. Another one confirms the
-    release."""
+@pytest.mark.parametrize("fault", ["silent", "noise", "status_503", "opening_cut"])
+async def test_state_is_released_although_a_server_is_faulty_or_busy(fault: str) -> None:
+    """The server that is called to release a state is silent, gives corrupt answers or is too busy. Another one
+    confirms the release."""
     async with platform("r0", "w0", "w1", w0=fault_always("status_500"), w1=fault_always("status_500")) as p:
         for name in ("r0", "w0"):
-            p.servers[name].lease_call_fault = way
+            p.servers[name].lease_call_fault = fault
         assert (await p.ask(Request_Class="note")).status == 502
         await p.wait_until_idle()
         assert not p.gateway.runtime.reporter.counts["release unconfirmed"] and p.fleet.count("DELETE") >= 1
 
 
-async def test_one_server_that_spoils_its_first_answer_is_told_again() -> None:
-    """The only server gives a corrupt answer to a release. It is asked again, and confirms it."""
+async def test_release_is_retried_after_corrupt_answers() -> None:
+    """All servers give corrupt answers to a release. They are called again until one confirms it."""
     async with platform("r0", "w0", w0=fault_always("status_500")) as p:
         p.servers["r0"].lease_call_fault = p.servers["w0"].lease_call_fault = "noise"
         assert (await p.ask(Request_Class="note")).status == 502
@@ -377,9 +378,9 @@
         assert not p.gateway.runtime.reporter.counts["release unconfirmed"]
 
 
-async def test_a_state_that_comes_after_its_read_was_called_off_is_released_too() -> None:
-    """A prefill is cancelled, its state released, and the prefill ends after that all the same. Its state is
-    released once more."""
+async def test_state_of_a_cancelled_prefill_that_ends_late_is_released() -> None:
+    """A prefill is cancelled and its state released, but the prefill ends after that. Its state is released once
+    more."""
     async with platform("r0", "w0", r0=fault_once("late_state")) as p:
         with trio.move_on_after(0.1):
             await p.ask()
@@ -387,13 +388,13 @@
             while not p.fleet.states:
                 await trio.sleep(0.002)
         await p.wait_until_idle()
-        assert p.gateway.runtime.reporter.counts["release confirmed"] == 2  # however many servers were asked for each
+        assert p.gateway.runtime.reporter.counts["release confirmed"] == 2  # one for each of the two releases
 
 
-# -- what the decisions believe
+# -- the router's view of the servers
 
 
-async def test_on_a_rough_day_open_legs_and_connections_are_what_the_servers_count() -> None:
+async def test_open_attempts_and_connections_match_despite_faults() -> None:
     async with platform(
         "r0",
         "r1",
@@ -407,12 +408,12 @@
         endpoints = runtime.router.scheduler.rules.endpoints  # type: ignore[attr-defined]
         for server in p.servers.values():
             server.events, server.event_ms = 20, 10.0
-        agreed = 0
+        matches = 0
 
-        async def quiet() -> bool:
+        async def counts_match() -> bool:
             names = {s: endpoint.name for s, endpoint in runtime.endpoint_registry.endpoints.items()}
-            believed = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
-            return believed == dict(+p.fleet.open) and len(runtime.model_servers.pool.open) == sum(
+            router_counts = {names[e.server]: len(e.attempts) for e in endpoints if e.attempts}
+            return router_counts == dict(+p.fleet.open) and len(runtime.model_servers.pool.open) == sum(
                 p.fleet.conns.values()
             )
 
@@ -420,13 +421,13 @@
             for _ in range(8):
                 for _ in range(6):
                     nursery.start_soon(p.ask)
-                with trio.move_on_after(0.5):  # what is just under way between the two settles in a moment
-                    while not await quiet():
+                with trio.move_on_after(0.5):  # messages on their way arrive in a moment
+                    while not await counts_match():
                         await trio.sleep(0.001)
-                agreed += await quiet()
-        assert agreed == 8
+                matches += await counts_match()
+        assert matches == 8
         await p.wait_until_idle()
-        assert await quiet() and all(not e.attempts and not e.reservations for e in endpoints)
+        assert await counts_match() and all(not e.attempts and not e.reservations for e in endpoints)
 
 
 # -- the process
@@ -448,15 +449,15 @@
             await process.wait()
 
 
-async def test_a_door_without_descriptors_stays_up_and_serves_once_there_are_some(tmp_path: Path) -> None:
-    """The process runs out of descriptors. It stays up, and serves once there are some."""
+async def test_process_survives_a_shortage_of_descriptors(tmp_path: Path) -> None:
+    """The process runs out of file descriptors. It stays up, and serves again once some are free."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, log):
         await wait_until_ready(p)
         held = len(os.listdir(f"/proc/{process.pid}/fd"))
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (held + 8, held + 8))
         async with trio.open_nursery() as nursery:
             for _ in range(40):
-                nursery.start_soon(p.send_raw, b"")  # each is closed in its time
+                nursery.start_soon(p.send_raw, b"")  # each is closed by its timeout
         with trio.fail_after(5):
             while (await p.ask()).status != 200:
                 await trio.sleep(0.05)
@@ -465,7 +466,7 @@
             assert await process.wait() == 0
 
 
-async def test_every_leg_of_a_generation_is_said_on_request_by_id(tmp_path: Path) -> None:
+async def test_request_history_is_logged_on_sigusr1(tmp_path: Path) -> None:
     first = fault_once("full_503")
     async with platform("r0", "r1", "w0", r0=first, r1=first) as p, running(p, tmp_path) as (process, log):
         await wait_until_ready(p)
@@ -483,7 +484,7 @@
         ]
 
 
-async def test_nothing_is_held_when_the_process_has_ended(tmp_path: Path) -> None:
+async def test_no_state_is_held_after_the_process_has_exited(tmp_path: Path) -> None:
     async with platform("r0", "w0", w0=fault_always("silent")) as p, running(p, tmp_path) as (process, _):
         await wait_until_ready(p)
         statuses: list[int] = []
@@ -502,19 +503,19 @@
         assert statuses == [502] and set(p.fleet.states) == {"00000000000000bb"}
 
 
-def caught(pid: int) -> int:
-    """The signals that a process has handlers for, a bit each."""
+def handled_signals(pid: int) -> int:
+    """The signals for which a process has handlers, as a bit mask."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line.split()[1] for line in lines if line.startswith("SigCgt")), 16)
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.2, 0.4])
-async def test_signals_during_the_start_do_no_harm(after_s: float, tmp_path: Path) -> None:
-    """SIGHUP or SIGTERM comes while the program is read in. The first is ignored, the second ends the process in
-    order."""
+async def test_signals_during_the_start(after_s: float, tmp_path: Path) -> None:
+    """SIGHUP and SIGTERM arrive while the process imports its modules. SIGHUP is ignored; SIGTERM ends the process with
+    status 0."""
     async with platform("r0", "w0") as p, running(p, tmp_path) as (process, _):
-        with trio.fail_after(5):  # Python itself has started
-            while not caught(process.pid) & 1 << signal.SIGTERM - 1:
+        with trio.fail_after(5):  # until Python has started and the handlers are installed
+            while not handled_signals(process.pid) & 1 << signal.SIGTERM - 1:
                 await trio.sleep(0.002)
         await trio.sleep(after_s)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -1,4 +1,4 @@
-"""What the platform's gateway makes of discovery's lists and watches."""
+"""Discovery's lists and watches at the platform gateway."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.platform_gateway import platform
 
 
-async def test_changes_whole_lists_and_garbage() -> None:
-    """Discovery sends changes, whole lists and what is no list. The last is not used, and costs no request."""
+async def test_changes_full_lists_and_invalid_data() -> None:
+    """Discovery sends changes, full lists and invalid data. The invalid data is ignored, and no request fails."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
 
@@ -20,7 +20,7 @@
                 while set(runtime.endpoint_registry.servers) != names:
                     await trio.sleep(0.01)
 
-        late = await p.add("w1")
+        added = await p.add("w1")
         await until({"r0", "w0", "w1"})
         p.discovery.garbage = b'{"index":9,"endpoints":[{"name":'
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
@@ -36,13 +36,13 @@
         p.discovery.put("w0", "", "writer", "DELETED")
         await until({"r0", "w1"})
         assert p.servers["w0"].address not in runtime.model_servers.pool.idle
-        late.stop()
-        await late.start()
+        added.stop()
+        await added.start()
         assert (await p.ask()).status == 200
 
 
-async def test_a_silent_watch_is_asked_for_anew_and_not_in_a_tight_loop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch goes silent without ending. It is opened anew after its time, at a bounded rate."""
+async def test_silent_watch_is_reopened_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A watch goes silent without ending. It is reopened after its timeout, at a bounded rate."""
     from ternlane.platform import discovery_watch
 
     monkeypatch.setattr(discovery_watch, "WATCH_TIMEOUT_MS", 200.0)
@@ -58,8 +58,8 @@
                 await trio.sleep(0.01)
 
 
-async def test_a_discovery_that_is_down_is_asked_for_with_growing_waits() -> None:
-    """Discovery refuses connections. The gateway asks again with backoff, and serves by the list that it has."""
+async def test_unreachable_discovery_is_retried_with_backoff() -> None:
+    """Discovery refuses connections. The gateway retries with backoff, and serves with the list that it has."""
     async with platform("r0", "w0") as p:
         p.discovery.listener.socket.close()
         p.gateway.watch.change_address(("127.0.0.1", int(p.discovery.address.rpartition(":")[2])))
@@ -67,8 +67,8 @@
         assert 2 <= p.gateway.runtime.reporter.counts["watch broke"] <= 8 and (await p.ask()).status == 200
 
 
-async def test_a_new_discovery_is_followed_with_the_index_kept_and_the_old_one_closed() -> None:
-    """A reload names another discovery. It is asked from the index at hand, and the old watch ends."""
+async def test_new_discovery_address_is_watched_from_the_current_index() -> None:
+    """Discovery moves to another address. The new watch starts at the current index, and the old watch ends."""
     async with platform("r0", "w0") as p:
         other = FakeDiscovery(p.nursery, 100.0)
         await other.start()
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -1,4 +1,4 @@
-"""Stories of the fleet trial's further terms: lists in time, clients that leave, what is released under silence."""
+"""The platform gateway under faults: outages of discovery, disconnected clients, silent servers, short descriptors."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from ternlane.deployment import Deployment
 from ternlane.http1 import ConnectionPool
 from ternlane.platform import discovery_watch
-from ternlane.platform.attempt import ModelServerAttempt, AttemptResult
+from ternlane.platform.attempt import AttemptResult, ModelServerAttempt
 from ternlane.platform.endpoint_list import EndpointList, EndpointListParser, parse_endpoint_list
 from ternlane.platform.endpoint_registry import MAX_STALENESS_MS, EndpointRegistry
 from ternlane.platform.model_server_client import ModelServerClient
 from ternlane.platform.settings import ProcessLimits
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Role
-from ternlane.testing.platform import DONE, EVENT, USAGE, FakeDiscovery, FakeFleet, Gate, FakeModelServer
+from ternlane.testing.platform import DONE, EVENT, USAGE, FakeDiscovery, FakeFleet, FakeModelServer, Gate
 from tests.platform_gateway import BODY, PLATFORM_SETTINGS, Platform, platform
 
-# -- lists in time
+# -- discovery
 
 
-def test_the_worst_case_of_a_change_that_could_be_had_is_within_the_limit() -> None:
-    """A call that hangs from the moment at which discovery could be reached again, then the longest wait."""
+def test_worst_case_delay_of_a_change_is_within_the_limit() -> None:
+    """The worst case: a call hangs from the moment when discovery is reachable again, and the longest backoff
+    follows."""
     worst = (
         discovery_watch.WATCH_TIMEOUT_MS
         + discovery_watch.JITTER[1] * discovery_watch.MAX_BACKOFF_MS
@@ -43,10 +44,10 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "shut"])
-async def test_a_change_is_heard_in_time_after_discovery_can_be_reached_again(
+async def test_change_is_applied_in_time_after_an_outage_of_discovery(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Outages that end at any moment of the calls and waits, at a tenth of the real times."""
+    """Outages of discovery that end at different moments of the calls and backoffs, with all times divided by ten."""
     for name in (
         "HEARTBEAT_MS",
         "WATCH_TIMEOUT_MS",
@@ -62,15 +63,15 @@
         discovery = FakeDiscovery(nursery, discovery_watch.HEARTBEAT_MS)
         await discovery.start()
         host, _, number = discovery.address.partition(":")
-        heard, index = trio.Event(), [discovery.index]
+        applied, index = trio.Event(), [discovery.index]
 
-        def hear(listing: EndpointList) -> None:
+        def apply_list_of_watch(listing: EndpointList) -> None:
             index[0] = listing.index
             if any(e.status == "DRAINING" for e in listing.endpoints):
-                heard.set()
+                applied.set()
 
         watch = discovery_watch.DiscoveryWatch(
-            (host, int(number)), lambda: index[0], hear, lambda _: None, nth, nursery, None
+            (host, int(number)), lambda: index[0], apply_list_of_watch, lambda _: None, nth, nursery, None
         )
         watch.start()
         await trio.sleep(0.1)
@@ -79,7 +80,7 @@
         await discovery.end_outage()
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
-        await heard.wait()
+        await applied.wait()
         took.append((trio.current_time() - since) * 1000)
 
     async with trio.open_nursery() as nursery:
@@ -113,7 +114,7 @@
 
 
 @given(st.data())
-def test_lists_in_any_form_and_pieces_are_the_same_lists(data: st.DataObject) -> None:
+def test_lists_in_any_form_and_pieces_parse_equally(data: st.DataObject) -> None:
     lists = [json.loads(listing(n, n == 1, **{f"w{k}": "SERVING" for k in range(n)})) for n in range(1, 4)]
     text = b""
     for one in lists:
@@ -121,20 +122,20 @@
         end = data.draw(st.sampled_from([b"\n", b"\r\n", b"\n\n \n"]))
         text += json.dumps(one, indent=indent).encode() + end
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
-    prefill_server, out = EndpointListParser(), list[bytes]()
+    parser, out = EndpointListParser(), list[bytes]()
     for begin, end_at in zip([0, *cuts], [*cuts, len(text)], strict=False):
-        out += prefill_server.feed(text[begin:end_at])
+        out += parser.feed(text[begin:end_at])
     assert [json.loads(raw) for raw in out] == lists
     assert [parse_endpoint_list(raw).index for raw in out] == [1, 2, 3]
 
 
 @pytest.mark.parametrize("noise", [b"what is this\n", b"}\n", b"[1]\n", b'{"index":\n\n', b"{" + b"x" * 5_000_000])
-def test_what_can_be_no_list_is_refused(noise: bytes) -> None:
+def test_invalid_lists_are_refused(noise: bytes) -> None:
     with pytest.raises(ValueError):
         EndpointListParser().feed(noise)
 
 
-async def test_an_indented_list_reaches_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_indented_list_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
     async with platform("r0", "w0", "w1") as p:
         p.discovery.indent = 2
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
@@ -144,9 +145,9 @@
         assert p.gateway.runtime.reporter.counts["watch broke"] == 0
 
 
-def test_a_list_that_comes_late_undoes_nothing_and_a_count_that_begins_anew_is_followed() -> None:
-    """An agent that is behind gives an older list, which is ignored. Where that goes on, discovery has begun to
-    count anew, and the whole list is asked for."""
+def test_outdated_lists_are_ignored_and_a_restarted_index_is_followed() -> None:
+    """An agent that lags behind sends an older list, which is ignored. If that lasts, discovery's index has restarted,
+    and the full list is requested."""
     endpoint_registry = EndpointRegistry(Deployment(1, PLATFORM_SETTINGS))
     endpoint_registry.apply_list(parse_endpoint_list(listing(41, True, w0="SERVING", w1="SERVING")), 0.0, 0.0)
     endpoint_registry.apply_list(parse_endpoint_list(listing(43, False, w0="DRAINING")), 0.0, 10.0)
@@ -159,30 +160,30 @@
     )
     assert endpoint_registry.apply_list(
         parse_endpoint_list(listing(44, False, w0="SERVING")), 0.0, 30.0
-    ).servers  # newer: it holds
+    ).servers  # newer, so it is applied
     assert not endpoint_registry.apply_list(parse_endpoint_list(listing(5, True, w0="DRAINING")), 0.0, 40.0).servers
-    with pytest.raises(ValueError):  # for longer than an agent may be behind
+    with pytest.raises(ValueError):  # for longer than an agent may lag behind
         endpoint_registry.apply_list(
             parse_endpoint_list(listing(6, False, w0="DRAINING")), 0.0, 41.0 + MAX_STALENESS_MS
         )
-    assert endpoint_registry.index == 0  # so all is asked for
+    assert endpoint_registry.index == 0  # so the full list is requested
     endpoint_registry.apply_list(parse_endpoint_list(listing(6, True, w0="DRAINING")), 0.0, 50.0 + MAX_STALENESS_MS)
     assert endpoint_registry.servers["w0"].status is EndpointStatus.DRAINING and set(endpoint_registry.servers) == {
         "w0"
     }
 
 
-# -- clients that leave
+# -- disconnected clients
 
 
-async def gone(p: Platform, how: str, ahead: bytes = b"") -> trio.SocketStream:
+async def send_and_leave(p: Platform, how: str, extra_bytes: bytes = b"") -> trio.SocketStream:
     host, _, number = p.address.partition(":")
     stream = await trio.open_tcp_stream(host, int(number))
     head = "".join(f"{k}: {v}\r\n" for k, v in p.headers().items())
     await stream.send_all(
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: {len(BODY)}\r\n{head}\r\n".encode()
         + BODY
-        + ahead
+        + extra_bytes
     )
     if how == "closed at once":
         stream.socket.close()
@@ -190,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    "how, ahead",
+    "how, extra_bytes",
     [
         ("closed", b""),
         ("half-closed", b""),
@@ -199,13 +200,13 @@
         ("closed", b"x" * 300_000),
     ],
 )
-async def test_nothing_is_begun_for_a_client_that_has_left(how: str, ahead: bytes) -> None:
-    """It leaves while its read is out; also behind more than is kept of what it sends ahead."""
+async def test_no_attempt_starts_for_a_disconnected_client(how: str, extra_bytes: bytes) -> None:
+    """A client disconnects during its prefill, in some cases after sending more unread bytes than the gateway keeps."""
     async with platform("r0", "w0") as p:
-        read = p.servers["r0"].gates["request"] = Gate()
-        stream = await gone(p, how, ahead)
+        prefill_gate = p.servers["r0"].gates["request"] = Gate()
+        stream = await send_and_leave(p, how, extra_bytes)
         with trio.fail_after(2):
-            await read.reached.wait()
+            await prefill_gate.reached.wait()
         if how == "half-closed":
             await stream.send_eof()
         elif how == "reset":
@@ -213,47 +214,48 @@
             stream.socket.close()
         else:
             stream.socket.close()
-        with trio.fail_after(0.1):  # nothing may begin later than that after a client's close
+        with trio.fail_after(0.1):  # no attempt may start more than 0.1 s after the client's close
             while not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.002)
-        read.open()  # only now the prompt is read
+        prefill_gate.open()  # lets the prefill run
         await p.wait_until_idle()
         await trio.sleep(0.2)
         assert p.fleet.count("read") == 1 and p.fleet.count("write") == 0
         assert p.gateway.runtime.reporter.counts["client_gone"] == 1
 
 
-async def test_an_attempt_does_not_begin_where_its_client_left_during_the_connect() -> None:
-    """Asked at the one place where attempts begin; the connection, unused, serves the next."""
+async def test_attempt_does_not_start_if_its_client_left_during_the_connect() -> None:
+    """A client disconnects while the connection for its attempt is being made. The check before the first byte prevents
+    the attempt, and the next one uses the connection."""
     async with platform("r0", "w0") as p:
         pool = p.gateway.runtime.model_servers.pool
         connect, opened = pool.connect, list[str]()
 
         async def slow(peer: str) -> Any:
             opened.append(peer)
-            caller = await connect(peer)
-            with trio.CancelScope(shield=True):  # so that only the check can keep it back
+            connection = await connect(peer)
+            with trio.CancelScope(shield=True):  # so that only the check can prevent the attempt
                 await trio.sleep(0.2)
-            return caller
+            return connection
 
         pool.connect = slow  # type: ignore[method-assign]
-        stream = await gone(p, "stays")
+        stream = await send_and_leave(p, "stays")
         await trio.sleep(0.1)
         stream.socket.close()
         await trio.sleep(0.3)
         assert p.fleet.count("read") == 0 and p.gateway.runtime.reporter.counts["prefill CLIENT_GONE"] == 1
         assert not p.gateway.runtime.router.scheduler.rules.endpoints[  # type: ignore[attr-defined]
             p.gateway.runtime.endpoint_registry.servers["r0"].router_state
-        ].ejected  # it did nothing wrong
+        ].ejected  # the server is not at fault
         assert (await p.ask()).status == 200 and opened.count(p.servers["r0"].address) == 1
         await p.wait_until_idle()
 
 
-async def test_a_client_that_is_gone_before_it_is_read_is_not_sent_on() -> None:
-    """Many at once: by the time they are read, they have closed."""
+async def test_request_of_a_client_that_left_before_it_was_read_is_not_forwarded() -> None:
+    """Many clients disconnect right after they have sent their requests, before the gateway reads these."""
     async with platform("r0", "w0") as p:
         for _ in range(20):
-            await gone(p, "closed at once")
+            await send_and_leave(p, "closed at once")
         with trio.fail_after(2):
             while p.gateway.chat_server.connections or not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.01)
@@ -262,12 +264,12 @@
         await p.wait_until_idle()
 
 
-async def test_an_answer_given_during_a_drain_is_not_reset_by_what_its_client_sent_meanwhile() -> None:
-    """A client writes on while it is answered during a drain. A close over these bytes would reset its answer; it is
-    read whole."""
+async def test_unread_bytes_do_not_reset_an_answer_during_a_drain() -> None:
+    """A client keeps sending while it is answered during a drain. Closing the connection with unread bytes would reset
+    it and lose the answer; the client must receive the complete answer."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].event_ms = 100.0
-        stream = await gone(p, "stays")
+        stream = await send_and_leave(p, "stays")
         with trio.fail_after(2):
             while not p.fleet.count("write"):
                 await trio.sleep(0.005)
@@ -283,20 +285,20 @@
         assert out.endswith(b"0\r\n\r\n")
 
 
-# -- what is released
+# -- releases
 
 
-async def test_a_state_is_released_in_time_though_four_servers_in_five_have_fallen_silent(
+async def test_state_is_released_in_time_although_most_servers_are_silent(
     nursery: trio.Nursery,
 ) -> None:
-    """Sixteen of twenty servers answer nothing, and they answered last. The state is released within the release
+    """Sixteen of twenty servers have gone silent, and they answered last. The state is released within the release
     time."""
     fleet, deployment = FakeFleet(nursery), Deployment(1, PLATFORM_SETTINGS)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), deployment)
     servers = [FakeModelServer(f"w{n}", "write", fleet) for n in range(20)]
     for server in reversed(servers):
         await server.start()
-        client.record_answer(server.address)  # the silent ones were heard last
+        client.record_answer(server.address)  # the silent ones answered last
         server.never_reads = server in servers[:16]
     fleet.states["ab"] = "w19"
     with trio.move_on_after(deployment.router_config.release_ms / 1000):
@@ -306,28 +308,31 @@
     assert "ab" not in fleet.states
 
 
-async def test_a_server_that_could_not_be_reached_is_asked_last_to_release(nursery: trio.Nursery) -> None:
-    """A server that had answered can no longer be reached. It is asked last."""
+async def test_unreachable_server_is_called_last_for_a_release(nursery: trio.Nursery) -> None:
+    """A server that has answered before can no longer be reached. It is called last."""
     fleet = FakeFleet(nursery)
     client = ModelServerClient(ConnectionPool(150.0, 1000.0), Deployment(1, PLATFORM_SETTINGS))
-    well, away = FakeModelServer("w0", "write", fleet), FakeModelServer("w1", "write", fleet)
-    for server in (well, away):
+    reachable, unreachable = FakeModelServer("w0", "write", fleet), FakeModelServer("w1", "write", fleet)
+    for server in (reachable, unreachable):
         await server.start()
         assert (await client.call(server.address, "GET", "/stats", 500.0)).outcome is AttemptOutcome.STREAMED
-    away.stop()
-    client.pool.forget(away.address)
-    assert (await client.call(away.address, "GET", "/stats", 500.0)).outcome is AttemptOutcome.CONNECT_FAILED
-    assert client.answer_order.latest_first([away.address, well.address], 2) == [well.address, away.address]
-    assert client.answer_order.latest_first([away.address, well.address], 1) == [well.address]
+    unreachable.stop()
+    client.pool.forget(unreachable.address)
+    assert (await client.call(unreachable.address, "GET", "/stats", 500.0)).outcome is AttemptOutcome.CONNECT_FAILED
+    assert client.answer_order.latest_first([unreachable.address, reachable.address], 2) == [
+        reachable.address,
+        unreachable.address,
+    ]
+    assert client.answer_order.latest_first([unreachable.address, reachable.address], 1) == [reachable.address]
 
 
-async def test_a_connection_on_which_nothing_was_asked_is_kept(nursery: trio.Nursery) -> None:
+async def test_unused_connection_is_kept(nursery: trio.Nursery) -> None:
     server = FakeModelServer("w0", "write", FakeFleet(nursery))
     await server.start()
     pool = ConnectionPool(500.0, 1000.0)
-    caller = await pool.take(server.address)
-    pool.give_back(caller)
-    assert caller.conn.our_state is h11.IDLE and await pool.take(server.address) is caller and pool.made == 1
+    connection = await pool.take(server.address)
+    pool.give_back(connection)
+    assert connection.conn.our_state is h11.IDLE and await pool.take(server.address) is connection and pool.made == 1
 
 
 # -- streams
@@ -343,9 +348,9 @@
     write_events = write_first_events
 
 
-@pytest.mark.parametrize("struck", [False, True])
-async def test_a_first_event_in_the_moment_of_its_time_out_begins_no_stream_that_is_then_cut(struck: bool) -> None:
-    """The time-out strikes while the event is already there, so it does not keep the task from going on."""
+@pytest.mark.parametrize("timed_out", [False, True])
+async def test_first_event_at_the_moment_of_the_timeout_starts_no_stream(timed_out: bool) -> None:
+    """The timeout expires when the first event has already been read, which does not interrupt the task."""
     attempt, response_writer = (
         ModelServerAttempt("a:1", Role.DECODE, "POST", "/", "ab", b"", 1000.0, 1000.0),
         ResponseWriter(),
@@ -356,7 +361,7 @@
             pass
 
         async def chunks(self) -> AsyncIterator[bytes]:
-            if struck:
+            if timed_out:
                 attempt.scope.cancel()
             yield EVENT
             await trio.lowlevel.checkpoint()
@@ -367,24 +372,24 @@
         await ModelServerClient(ConnectionPool(1.0, 1.0), Deployment(1, PLATFORM_SETTINGS)).forward_stream(
             attempt, Stub(), response_writer, end
         )  # type: ignore[arg-type]
-    assert (end.begun, len(response_writer.got)) == ((False, 0) if struck else (True, 2))
+    assert (end.begun, len(response_writer.got)) == ((False, 0) if timed_out else (True, 2))
 
 
-# -- in pieces
+# -- requests and answers in pieces
 
 
-async def test_a_conversation_cut_at_any_byte_is_the_same_as_whole() -> None:
-    """The request is cut at each of its bytes in turn, its answer at a dozen places of its own. None is rejected for
-    waiting longer than its class's target, which a slow machine takes for 24 at once."""
-    patient = [profile | {"aim": 10e3, "deadline": 20e3} for profile in PLATFORM_SETTINGS["profiles"]]
-    # No read is called off where others overtake it.
+async def test_request_and_answer_in_any_pieces() -> None:
+    """The request is sent in two pieces, split at each of its bytes in turn; its answer arrives in a dozen pieces. The
+    latency objective is long, as a slow machine would otherwise reject some of the 24 requests at once for waiting."""
+    long_deadlines = [profile | {"aim": 10e3, "deadline": 20e3} for profile in PLATFORM_SETTINGS["profiles"]]
+    # Few attempts, so that no prefill is cancelled when other requests overtake it.
     platform_settings = PLATFORM_SETTINGS | {
         "limits": PLATFORM_SETTINGS["limits"] | {"most_tries": 2},
-        "profiles": patient,
+        "profiles": long_deadlines,
     }
     async with platform("r0", "w0", platform_settings=platform_settings, w0=lambda _: "pieces") as p:
         replies: list[bytes] = []
-        room = trio.CapacityLimiter(24)
+        limiter = trio.CapacityLimiter(24)
 
         def request() -> bytes:
             head = "".join(f"{k}: {v}\r\n" for k, v in p.headers(Request_Timeout="20").items())
@@ -394,7 +399,7 @@
             ).encode() + BODY
 
         async def one(at: int) -> None:
-            async with room:
+            async with limiter:
                 whole, out = request(), b""
                 host, _, number = p.address.partition(":")
                 stream = await trio.open_tcp_stream(host, int(number))
@@ -427,12 +432,12 @@
     raise AssertionError("no last chunk")
 
 
-# -- descriptors
+# -- file descriptors
 
 
-async def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out() -> None:
-    """Idle clients take all connections while discovery is down. A new client is served, and a drain is heard once
-    discovery is back."""
+async def test_idle_clients_do_not_keep_new_ones_out_while_discovery_is_down() -> None:
+    """Idle clients use all connections while discovery is down. A new client is served, and a server's drain is applied
+    once discovery is back."""
     async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
         p.discovery.start_outage(silent=False, listening=False)
         host, _, number = p.address.partition(":")
@@ -441,7 +446,7 @@
             while p.gateway.chat_server.connections < p.gateway.chat_server.connection_limit:
                 await trio.sleep(0.01)
         assert p.gateway.chat_server.connections <= p.gateway.chat_server.connection_limit == 45
-        assert (await p.ask()).status == 200  # a new one takes an idle one's place, at once
+        assert (await p.ask()).status == 200  # an idle connection is closed for it at once
         await p.discovery.end_outage()
         p.discovery.put("w0", p.servers["w0"].address, "writer", "DRAINING")
         with trio.fail_after(discovery_watch.PROPAGATION_MS / 1000):
@@ -451,8 +456,8 @@
             stream.socket.close()
 
 
-async def test_as_many_attempts_as_may_be_out_leave_connections_for_releases() -> None:
-    """As many attempts are out as may be. A release still finds a connection."""
+async def test_maximum_of_attempts_leaves_connections_for_releases() -> None:
+    """The maximum number of attempts is in flight. A release still gets a connection."""
     async with platform("r0", "w0", "w1", limits=ProcessLimits(sockets=100)) as p:
         runtime, chat_server = p.gateway.runtime, p.gateway.chat_server
         out = [
@@ -462,5 +467,5 @@
         assert await runtime.model_servers.release(
             "ab", runtime.addresses(), runtime.deployment.router_config.release_ms
         )
-        for caller in out:
-            caller.close_now()
+        for connection in out:
+            connection.close_now()
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -1,4 +1,4 @@
-"""Requests that the platform's gateway can't serve get their error, or a close, in time."""
+"""Requests that the platform gateway can't serve get an error, or their connection is closed, in time."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import trio
 
 from ternlane.platform.settings import ProcessLimits
-from tests.platform_gateway import BODY, HEAD, platform
 from tests.gateway_cluster import Reply, send_request
+from tests.platform_gateway import BODY, HEAD, platform
 
-GIVEN = (
+VALID_HEADERS = (
     b"Request-Id: 00000000000000ff\r\nRequest-Class: summary\r\nRequest-Timeout: 1\r\nRequest-Info: prompt_len=5\r\n"
 )
 
@@ -24,14 +24,14 @@
         (HEAD + b"Content-Length: -5\r\n\r\n", 400),
         (HEAD + b"Content-Length: 5x\r\n\r\n", 400),
         (HEAD + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\n", 400),
-        (HEAD + GIVEN + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", 400),
-        (HEAD + GIVEN + GIVEN + b"Content-Length: 2\r\n\r\n{}", 400),
+        (HEAD + VALID_HEADERS + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", 400),
+        (HEAD + VALID_HEADERS + VALID_HEADERS + b"Content-Length: 2\r\n\r\n{}", 400),
         (HEAD + b"X: " + b"y" * 20000 + b"\r\n\r\n", 431),
-        (HEAD + GIVEN + b"Content-Length: 262145\r\n\r\n{", 413),
-        (HEAD + GIVEN + b"Content-Length: 99999999999999999999999\r\n\r\n{", 400),
+        (HEAD + VALID_HEADERS + b"Content-Length: 262145\r\n\r\n{", 413),
+        (HEAD + VALID_HEADERS + b"Content-Length: 99999999999999999999999\r\n\r\n{", 400),
         (
             HEAD
-            + GIVEN
+            + VALID_HEADERS
             + b"Transfer-Encoding: chunked\r\n\r\n"
             + b"ffff\r\n"
             + b"x" * 65535
@@ -39,16 +39,16 @@
             + (b"ffff\r\n" + b"x" * 65535 + b"\r\n") * 5,
             413,
         ),
-        (HEAD + GIVEN + b"Content-Length: 9\r\n\r\n{", 408),
+        (HEAD + VALID_HEADERS + b"Content-Length: 9\r\n\r\n{", 408),
         (HEAD + b"X: y\r\n", 408),
     ],
 )
-async def test_what_is_not_http_gets_its_error_and_a_close(data: bytes, status: int) -> None:
-    """A client sends what is no HTTP, or not what is served. It has an error, the connection ends, and usual clients
-    are served."""
+async def test_invalid_http_gets_an_error_and_a_close(data: bytes, status: int) -> None:
+    """A client sends invalid HTTP or exceeds a limit. It gets an error, its connection is closed, and other clients are
+    served."""
     async with platform() as p:
-        said = await p.send_raw(data)
-        assert said.startswith(b"HTTP/1.1 %d " % status), said[:100]
+        answer = await p.send_raw(data)
+        assert answer.startswith(b"HTTP/1.1 %d " % status), answer[:100]
         assert not p.fleet.seen and (await p.ask()).status == 200
 
 
@@ -75,28 +75,29 @@
         ({"body": b"\xff\xfe"}, 400),
     ],
 )
-async def test_what_can_not_be_served_is_never_taken(more: dict[str, Any], status: int) -> None:
-    """A request's head or body can't be read. It has an error, and nothing reaches a model server."""
+async def test_invalid_requests_never_reach_a_model_server(more: dict[str, Any], status: int) -> None:
+    """A request's headers or body are invalid. It gets an error, and nothing reaches a model server."""
     async with platform() as p:
         reply = await p.ask(**more)
         assert reply.status == status and not p.fleet.seen and not p.gateway.runtime.reporter.counts["received"]
         assert p.gateway.chat_server.connections <= 1
 
 
-async def test_half_a_request_and_silence_are_ended_in_time() -> None:
-    """A client sends half a request, or nothing, and then falls silent. Its connection ends in the users' time."""
+async def test_incomplete_requests_and_silent_connections_time_out() -> None:
+    """A client sends part of a request, or nothing, and then goes silent. Its connection is closed within the time on
+    the users' page."""
     async with platform() as p:
-        assert await p.send_raw(HEAD + GIVEN + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
+        assert await p.send_raw(HEAD + VALID_HEADERS + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
         assert await p.send_raw(b"") == b""
         caller = await p.pool.connect(p.address)
         assert (await send_request(caller, BODY, p.headers(), "/v1/chat/completions")).done == 1
-        await caller.stream.send_all(HEAD)  # of a second request, that does not go on
+        await caller.stream.send_all(HEAD)  # of a second request, which stays incomplete
         with trio.fail_after(3):
             assert (await caller.stream.receive_some()).startswith(b"HTTP/1.1 408 ")
             caller.close_now()
         host, _, number = p.address.partition(":")
         slow = await trio.open_tcp_stream(host, int(number))
-        with trio.fail_after(3):  # from its connecting on, however it spends it
+        with trio.fail_after(3):  # counted from the connect, whenever it sends something
             await trio.sleep(2.0)
             await slow.send_all(HEAD)
             while await slow.receive_some():
@@ -107,8 +108,8 @@
                 await trio.sleep(0.01)
 
 
-async def test_the_id_of_an_open_generation_is_refused_and_the_open_one_untouched() -> None:
-    """A client uses the id of a request that is active. The second is refused, and the first goes on."""
+async def test_id_of_an_active_request_is_refused() -> None:
+    """A client uses the id of an active request. The second request is refused, and the first one continues."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].events, p.servers["w0"].event_ms = 10, 20.0
         replies: list[Reply] = []
@@ -123,22 +124,22 @@
         assert replies[0].done == 1 and p.fleet.count("write") == 1
 
 
-async def test_a_second_request_before_the_first_is_answered_is_not_served() -> None:
-    """A client sends a second request before the first is answered. The first is answered, the second refused."""
+async def test_pipelined_request_is_refused() -> None:
+    """A client sends a second request before the first is answered. The first is answered, the second one refused."""
     async with platform() as p:
-        one = HEAD + GIVEN + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
-        said = await p.send_raw(one + one.replace(b"ff\r", b"fe\r"))
-        assert said.count(b"HTTP/1.1 200 ") == 1 and said.count(b"HTTP/1.1 400 ") == 1
+        one = HEAD + VALID_HEADERS + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
+        answer = await p.send_raw(one + one.replace(b"ff\r", b"fe\r"))
+        assert answer.count(b"HTTP/1.1 200 ") == 1 and answer.count(b"HTTP/1.1 400 ") == 1
         assert p.fleet.count("write") == 1
 
 
-async def test_connections_that_say_nothing_do_not_block_the_door() -> None:
-    """As many clients as may connect say nothing. The next client is served: the longest idle connection makes room."""
+async def test_silent_connections_make_room_for_new_ones() -> None:
+    """Silent clients use all connections. The next client is served, as the longest idle connection is closed."""
     async with platform(limits=ProcessLimits(sockets=64)) as p:
         host, _, number = p.address.partition(":")
-        mute = [await trio.open_tcp_stream(host, int(number)) for _ in range(60)]
+        silent_streams = [await trio.open_tcp_stream(host, int(number)) for _ in range(60)]
         assert (await p.ask()).status == 200
         assert p.gateway.chat_server.connections <= p.gateway.chat_server.connection_limit
         with trio.fail_after(3):
-            for stream in mute:
+            for stream in silent_streams:
                 assert await stream.receive_some() == b""
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The gateway's loop and its process: start, reload, drain and restart."""
+"""The event loop's timers, the stream parser, and the gateway process: start, reload, drain and restart."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from ternlane.platform.event_stream import EventStreamParser
 from ternlane.policy import messages
 from ternlane.testing.platform import DONE, EVENT
+from tests.gateway_cluster import Reply, send_request
 from tests.platform_gateway import BODY, platform, wait_until_ready
-from tests.gateway_cluster import Reply, heard
 
-# -- the loop
+# -- event loop and stream parser
 
 
-class Beats:
-    """A router that asks for one timer after the other."""
+class RepeatingTimerRouter:
+    """A router that sets the next timer whenever one fires."""
 
     def __init__(self) -> None:
-        self.heard = 0
+        self.timers_fired = 0
 
     def take(self, now: float, events: list[messages.Event]) -> list[messages.Action]:
-        self.heard += sum(isinstance(e, messages.TimerFired) for e in events)
+        self.timers_fired += sum(isinstance(e, messages.TimerFired) for e in events)
         return [messages.StartTimer(now + 5, messages.TimerKind.TICK)]
 
 
-class Quiet(EventLoop[Any]):
+class TimerEventLoop(EventLoop[Any]):
     def execute_host_action(self, action: messages.Action) -> None:
         raise AssertionError(action)
 
@@ -48,19 +48,19 @@
         pass
 
 
-async def test_beats_go_on_reaching_the_decisions(nursery: trio.Nursery) -> None:
-    """The router sets each timer as the one before fires. They go on."""
-    router = Beats()
-    loop = Quiet(router)
+async def test_timers_keep_firing(nursery: trio.Nursery) -> None:
+    """The router sets each timer when the one before fires. All of them fire."""
+    router = RepeatingTimerRouter()
+    loop = TimerEventLoop(router)
     nursery.start_soon(loop.run_timers)
     loop.dispatch(messages.EndpointListFailed())
     with trio.fail_after(2):
-        while router.heard < 5:
+        while router.timers_fired < 5:
             await trio.sleep(0.005)
     assert loop.timers[0][0] > now_ms() - 1000
 
 
-def test_a_stream_in_any_pieces_gives_its_events_whole() -> None:
+def test_stream_in_any_pieces_yields_complete_events() -> None:
     text = EVENT + b": a comment\n\n" + EVENT + DONE
     for size in range(1, 40):
         events, out = EventStreamParser(), b""
@@ -73,7 +73,7 @@
 
 
 async def test_start_reload_drain_and_restart_of_the_process(tmp_path: Path) -> None:
-    """A gateway is started, reloaded twice, told to end twice while it streams, and restarted at its address. No
+    """A gateway is started, reloaded twice, sent SIGTERM twice while it streams, and restarted at its address. No
     request is lost."""
     async with platform("r0", "w0") as p:
         p.reserve_address()
@@ -99,7 +99,7 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(one, replies)
                     await trio.sleep(0.2)
-                    config.write_text("{")  # bad content keeps the old
+                    config.write_text("{")  # an invalid file changes nothing
                     process.send_signal(signal.SIGHUP)
                     await trio.sleep(0.1)
                     write()
@@ -108,7 +108,7 @@
                     process.send_signal(signal.SIGTERM)
                     process.send_signal(signal.SIGTERM)
                     await trio.sleep(0.1)
-                    nursery.start_soon(one, replies)  # still arrives on a new connection
+                    nursery.start_soon(one, replies)  # arrives on a new connection during the drain
                 assert [r.status for r in replies] in ([200, 200], [503, 200]) and replies[-1].done == 1
                 with trio.fail_after(5):
                     assert await process.wait() == 0
@@ -116,9 +116,9 @@
                 process.kill()
 
 
-async def test_a_drain_leaves_no_connection_on_which_a_late_request_could_be_cut_off() -> None:
-    """Clients hold connections as the gateway is told to end. Each connection ends with its next answer or at once,
-    so that no late request is cut off."""
+async def test_drain_closes_idle_connections_and_answers_late_requests() -> None:
+    """Clients hold connections when the gateway starts to drain. Each connection ends with its next answer, or at once
+    if it has served a request, so that no late request is cut off."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].events, p.servers["w0"].event_ms = 30, 40.0
         replies: list[Reply] = []
@@ -126,16 +126,16 @@
         async def one() -> None:
             replies.append(await p.ask())
 
-        kept = await p.pool.connect(p.address)
-        assert (await send_request(kept, BODY, p.headers(), "/v1/chat/completions")).done == 1
+        served = await p.pool.connect(p.address)
+        assert (await send_request(served, BODY, p.headers(), "/v1/chat/completions")).done == 1
         fresh = await p.pool.connect(p.address)
         p.nursery.start_soon(one)
         await trio.sleep(0.2)
         since = trio.current_time()
         p.nursery.start_soon(p.gateway.drain)
         with trio.fail_after(0.2):
-            assert await kept.stream.receive_some() == b""  # has been served: may ask elsewhere
-        reply = await send_request(fresh, BODY, p.headers(), "/v1/chat/completions")  # new ones still hear an answer
+            assert await served.stream.receive_some() == b""  # it has served a request, so it is closed
+        reply = await send_request(fresh, BODY, p.headers(), "/v1/chat/completions")  # a new one still gets an answer
         assert reply.status == 503 and reply.headers["connection"] == "close" and "retry-after" in reply.headers
         silent = await p.pool.connect(p.address)
         with trio.fail_after(1):
@@ -161,9 +161,9 @@
         '{"settings":{"profiles":7},"discovery":"x"}',
     ],
 )
-def test_a_start_without_a_usable_configuration_ends_with_one_clear_line(tmp_path: Path, text: str | None) -> None:
-    """The configuration is missing or can't be read. The process ends with the status for that and one line that
-    says why."""
+def test_invalid_configuration_exits_with_one_line(tmp_path: Path, text: str | None) -> None:
+    """The configuration is missing or invalid. The process exits with the status for that and one line that says
+    why."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
