--- a/ternlane/platform/acceptor.py
+++ b/ternlane/platform/acceptor.py
@@ -15,7 +15,7 @@
 ABORTED_PAUSE_MS = 10.0
 # Pause while descriptors or memory are short: connections that close meanwhile free some.
 SHORTAGE_PAUSE_MS = 50.0
-# The listener's queue counts as empty once no connection has come for this long.
+# The listener's queue counts as empty after this time without a connection.
 QUEUE_EMPTY_MS = 10.0
 # Share of the idle connections that is closed when descriptors are short: attempts need descriptors as well.
 IDLE_CLOSED_SHARE = 1 / 8
@@ -40,7 +40,7 @@
                 await self.recover(error)
                 continue
             if self.server.has_room():
-                self.server.take(stream, nursery)
+                self.server.serve_connection(stream, nursery)
             else:
                 self.server.runtime.reporter.counts["refused conn_limit"] += 1
                 stream.socket.close()
@@ -60,7 +60,7 @@
                 except (OSError, trio.ClosedResourceError) as raised:
                     error = raised
             if stream is not None:
-                self.server.take(stream, nursery)
+                self.server.serve_connection(stream, nursery)
             is_empty = stream is None and error is None
             if is_empty or trio.current_time() >= by_s:
                 return
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -80,7 +80,7 @@
 
     @property
     def phase(self) -> OpenRequestPhase:
-        """How far the request has come."""
+        """The request's current phase."""
         if self.streaming:
             return OpenRequestPhase.STREAMING
         if self.attempt is None:
@@ -94,5 +94,5 @@
         await self.exchange.begin(200, STREAM_HEAD, data)
 
     async def write_events(self, data: bytes) -> None:
-        """Writes further events. Raises trio.BrokenResourceError if the client has disconnected."""
+        """Writes more events. Raises trio.BrokenResourceError if the client has disconnected."""
         await self.exchange.chunk(data)
--- a/ternlane/platform/answer_order.py
+++ b/ternlane/platform/answer_order.py
@@ -10,8 +10,7 @@
 class AnswerOrder:
     """Server addresses with the time of their last answer (s, monotonic clock), the latest at the end.
 
-    Servers that have not answered a pending release come first, whenever they last answered, so that they are called
-    last.
+    Servers that have not answered a pending release are moved to the front, so that later releases call them last.
     """
 
     def __init__(self) -> None:
@@ -26,14 +25,14 @@
         """Whether the server has answered after that time."""
         return self.answered_at_s.get(address, 0.0) > since_s
 
-    def demote_silent(self, asked: Iterable[str], since_s: float) -> None:
+    def demote_silent(self, called: Iterable[str], since_s: float) -> None:
         """Makes the servers that have not answered since they were called the last ones for all later releases."""
-        for address in asked:
+        for address in called:
             if self.answered_at_s.get(address, since_s) < since_s:
                 self.answered_at_s.move_to_end(address, last=False)
 
     def latest_first(self, addresses: Iterable[str], most: int) -> list[str]:
-        """At most `most` addresses: those that have answered, the latest first, then others."""
+        """Returns at most `most` addresses: servers that have answered, the latest first, then the others."""
         order = list(islice(reversed(self.answered_at_s), most))
         if len(order) < most:
             others = (address for address in addresses if address not in self.answered_at_s)
--- a/ternlane/platform/attempt.py
+++ b/ternlane/platform/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a model server: its request, its time limits and its result."""
+"""An attempt at a model server: its request, its time limits and its result."""
 
 from __future__ import annotations
 
@@ -61,4 +61,4 @@
         """Writes the answer's head and first events."""
 
     def write_events(self, data: bytes) -> Awaitable[None]:
-        """Writes further events."""
+        """Writes more events."""
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -18,11 +18,11 @@
 
 # Size limit of a request's head.
 MAX_HEAD_BYTES = 16384
-# For a request's head, for its body, and from a connection's start to its first request. A client that connects and
-# sends no request must be disconnected within 3 s (users' page); the difference is for the network. A slow client has
-# this time on each connection and for each request.
+# For a request's head, for its body, and from a connection's start to its first request. The platform protocol requires
+# that a client without a request is disconnected within 3 s of connecting; the difference is for the network. A slow
+# client has this time on each connection and for each request.
 REQUEST_TIMEOUT_MS = 2700.0
-# The users' page allows closing a connection without an open request after 2 s.
+# The platform protocol allows closing a connection without an open request after 2 s.
 IDLE_TIMEOUT_MS = 2300.0
 # A client that accepts no bytes for this long counts as disconnected.
 SEND_TIMEOUT_MS = 3000.0
@@ -31,7 +31,7 @@
 class ChatServer:
     """Serves clients' connections. The gateway sets the three limits at the start and on each reload.
 
-    With `connection_limit` connections open a new one replaces the one that has been idle for longest. Beyond
+    With `connection_limit` connections open a new one replaces the longest idle connection. Beyond
     `request_limit` active requests, or `body_bytes_limit` bytes of their bodies, requests are rejected at once.
     """
 
@@ -70,7 +70,7 @@
         """Whether another connection may be accepted. Closes the longest idle one if that is needed."""
         return self.connections < self.connection_limit or self.close_longest_idle()
 
-    def take(self, stream: trio.SocketStream, nursery: trio.Nursery) -> None:
+    def serve_connection(self, stream: trio.SocketStream, nursery: trio.Nursery) -> None:
         """Serves a connection in a task of its own."""
         connection = ServerConnection(
             stream,
@@ -97,7 +97,7 @@
                 connection.close_if_idle(CloseReason.DRAINING)
 
     def stop_reading(self) -> None:
-        """Refuses, from now on, requests that have not been received completely."""
+        """Stops reading requests: those that are incomplete are refused."""
         self.reading_stopped = True
         for connection in list(self.open):
             connection.stop_reading()
@@ -167,8 +167,8 @@
     def _request(self, parsed: ParsedRequest) -> Request:
         """The request in the router's terms.
 
-        Its timeout counts from its last byte (users' page): the time that a slow client took to send it does not count,
-        but the time for which it waited unread while this loop was busy does.
+        The platform protocol counts the timeout from the request's last byte: the time that a slow client took to send
+        it does not count, but the time for which it waited unread while this event loop was busy does.
         """
         deployment = self.runtime.deployment
         request_class = deployment.request_classes[parsed.request_class]
--- a/ternlane/platform/discovery_watch.py
+++ b/ternlane/platform/discovery_watch.py
@@ -15,11 +15,11 @@
 from ternlane.platform.endpoint_registry import MAX_STALENESS_MS
 
 WATCH_PATH = "/registry/instances?stream=1&index={}"
-# The longest interval between heartbeats, which are empty lines (users' page).
+# The longest interval between heartbeats, which are empty lines, in the platform protocol.
 HEARTBEAT_MS = 2000.0
-# Changes must be applied within this time while discovery is reachable, whichever calls fail (users' page).
+# The platform requires that changes are applied within this time while discovery is reachable, whichever calls fail.
 PROPAGATION_MS = MAX_STALENESS_MS
-# The endpoints at a new address must be applied within this time after the reload (users' page).
+# The platform requires that the list at a new discovery address is applied within this time after the reload.
 ADDRESS_CHANGE_PROPAGATION_MS = 4000.0
 # A watch without a line for this long counts as broken.
 WATCH_TIMEOUT_MS = 1.25 * HEARTBEAT_MS
@@ -85,10 +85,10 @@
         """Starts to watch `address`."""
         scope = trio.CancelScope()
         self.watch_scopes.append(scope)
-        self.nursery.start_soon(self._follow, self.address, scope)
+        self.nursery.start_soon(self._watch_address, self.address, scope)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Watches another address from now on."""
+        """Switches to another address."""
         self.address = address
         self.start()
 
@@ -101,7 +101,7 @@
         fraction = crc32(b"%d watch %d" % (self.seed, self._pauses)) / 2**32
         return low + (high - low) * fraction
 
-    async def _follow(self, address: tuple[str, int], scope: trio.CancelScope) -> None:
+    async def _watch_address(self, address: tuple[str, int], scope: trio.CancelScope) -> None:
         """Watches one address until another one has replaced it."""
         pool = ConnectionPool(CONNECT_TIMEOUT_MS, inf)
         backoff_ms = 0.0
@@ -150,7 +150,7 @@
                 lists = parser.feed(piece)
                 for raw in lists:
                     self.on_list(parse_endpoint_list(raw))
-                if lists or not parser.has_partial_list:  # a list, or a heartbeat, which says that nothing changed
+                if lists or not parser.has_partial_list:  # a list, or a heartbeat without changes
                     self.opened.set()
 
     def _cancel_older(self, scope: trio.CancelScope) -> None:
--- a/ternlane/platform/end_signal.py
+++ b/ternlane/platform/end_signal.py
@@ -30,7 +30,7 @@
 
     def _note(self, *_: object) -> None:
         self._times_s.append(time.monotonic())
-        with suppress(trio.RunFinishedError):  # a further signal while this process exits
+        with suppress(trio.RunFinishedError):  # another signal while this process exits
             self._token.run_sync_soon(self.received.set, idempotent=True)
 
     def since_ms(self) -> float:
--- a/ternlane/platform/endpoint_list.py
+++ b/ternlane/platform/endpoint_list.py
@@ -17,7 +17,7 @@
 
 
 class EndpointEntry(msgspec.Struct, frozen=True):
-    """One server of a list, with the field names of the wire."""
+    """An entry of a list, with the field names of the wire."""
 
     name: str
     address: str
@@ -68,12 +68,12 @@
         return complete
 
     def _add_line(self, line: bytes) -> None:
-        without_text = JSON_STRING.sub(b"", line)
-        self._depth += without_text.count(b"{") - without_text.count(b"}")
+        without_strings = JSON_STRING.sub(b"", line)
+        self._depth += without_strings.count(b"{") - without_strings.count(b"}")
         if line.strip():
             self._lines.append(line)
         elif self._lines:
-            raise ValueError("heartbeat within an endpoint list")  # the rest of the list will not come
+            raise ValueError("heartbeat within an endpoint list")  # the rest of the list will not arrive
         begins_with_brace = not self._lines or self._lines[0].lstrip().startswith(b"{")
         if self._depth < 0 or not begins_with_brace:
             raise ValueError("not an endpoint list")
--- a/ternlane/platform/endpoint_registry.py
+++ b/ternlane/platform/endpoint_registry.py
@@ -10,7 +10,7 @@
 from ternlane.platform.wall_clock import WallClock
 from ternlane.policy.messages import EndpointStatus, EndpointsUpdated, Server
 
-# The longest time by which an agent's list may be out of date (users' page).
+# The longest time by which the platform allows an agent's list to be out of date.
 MAX_STALENESS_MS = 6000.0
 
 
@@ -50,7 +50,7 @@
             if server is not None:
                 changed.append(server)
         if endpoint_list.snapshot:
-            changed += self._remove_unnamed({entry.name for entry in endpoint_list.endpoints})
+            changed += self._remove_unlisted({entry.name for entry in endpoint_list.endpoints})
         for server in changed:
             if server.status is EndpointStatus.REMOVED:
                 del self.servers[self.endpoints.pop(server).name]
@@ -105,8 +105,8 @@
         self.endpoints[server] = Endpoint(entry.name, entry.address, entry)
         return server
 
-    def _remove_unnamed(self, named: set[str]) -> list[Server]:
-        removed = [server for name, server in self.servers.items() if name not in named]
+    def _remove_unlisted(self, listed: set[str]) -> list[Server]:
+        removed = [server for name, server in self.servers.items() if name not in listed]
         for server in removed:
             server.status = EndpointStatus.REMOVED
         return removed
--- a/ternlane/platform/errors.py
+++ b/ternlane/platform/errors.py
@@ -15,7 +15,7 @@
 
 
 class ConfigurationError(PlatformError, ValueError):
-    """The configuration is invalid; the message says why in one line."""
+    """The configuration is invalid; the message is one line with the reason."""
 
 
 class InvalidRequestError(PlatformError):
--- a/ternlane/platform/event_stream.py
+++ b/ternlane/platform/event_stream.py
@@ -67,13 +67,13 @@
         return whole
 
     def put_back(self, comments: bytes) -> None:
-        """Keeps comments that come before the first event until it comes. Raises ValueError if they grow too long."""
+        """Holds back comments before the first event until that arrives. Raises ValueError if they grow too long."""
         if len(comments) > MAX_EVENT_BYTES:
             raise ValueError(f"comments of more than {MAX_EVENT_BYTES} bytes ahead of the first event")
         self._rest = comments + self._rest
 
     def _check_rest(self) -> None:
-        """Raises ValueError if the incomplete rest cannot become an event: its end may never come."""
+        """Raises ValueError if the incomplete rest cannot become an event: its end may never arrive."""
         may_be_data = DATA_FIELD.startswith(self._rest[: len(DATA_FIELD)])
         may_be_comment = self._rest.startswith((b":", b"\n"))
         if self._rest and not may_be_data and not may_be_comment:
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -33,10 +33,10 @@
 # Share of the model servers' idle timeout after which connections are closed from here, so that no request is written
 # to a connection that its server is closing.
 IDLE_TIMEOUT_SHARE = 0.9
-# New connections still arrive for this long after SIGTERM (users' page).
+# In the platform new connections still arrive for this long after SIGTERM.
 LATE_CONNECTIONS_MS = 450.0
-# SIGKILL comes no earlier than the longest deadline, at most LONGEST_DEADLINE_MS, plus KILL_GRACE_MS after SIGTERM
-# (users' page).
+# The platform sends SIGKILL no earlier after SIGTERM than the longest deadline, at most LONGEST_DEADLINE_MS, plus
+# KILL_GRACE_MS.
 LONGEST_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
 # Time before SIGKILL at which requests without an answer are failed, so that the answer still reaches the client.
@@ -50,7 +50,7 @@
 
 
 class Gateway:
-    """One gateway. `start` returns once it serves; `drain` once all requests and connections have ended."""
+    """The gateway. `start` returns once it serves; `drain` once all requests and connections have ended."""
 
     def __init__(self, configuration: GatewayConfiguration, nursery: trio.Nursery, log: Any) -> None:
         deployment = configuration.deployment
@@ -118,7 +118,7 @@
     def reload(self) -> None:
         """Reads the configuration file again; an invalid one changes nothing.
 
-        Request classes whose settings stay the same keep their learnt statistics.
+        Request classes whose settings stay the same keep their statistics.
         """
         try:
             configuration = read_configuration(previous=self.configuration.deployment, file_first=True)
@@ -140,8 +140,8 @@
     def begin_drain(self, since_signal_ms: float = 0.0) -> None:
         """Makes each connection end with its next answer.
 
-        Idle connections that have served a request close at once: a request that came later on them might be cut off
-        without an answer. `since_signal_ms`: how long ago the signal arrived.
+        Idle connections that have served a request close at once: a later request on them might be cut off without an
+        answer. `since_signal_ms`: how long ago the signal arrived.
         """
         deployment = self.runtime.deployment
         now = now_ms()
--- a/ternlane/platform/held_states.py
+++ b/ternlane/platform/held_states.py
@@ -48,7 +48,7 @@
             self.longest_ms = max(self.longest_ms, now_ms - state.since_ms)
 
     def oldest_ms(self, now_ms: float) -> float:
-        """For how long the oldest state has been held; 0 for none."""
+        """Returns for how long the oldest state has been held; 0 for none."""
         oldest = next(iter(self._held.values()), None)
         return 0.0 if oldest is None else now_ms - oldest.since_ms
 
--- a/ternlane/platform/model_server_client.py
+++ b/ternlane/platform/model_server_client.py
@@ -1,6 +1,6 @@
 """Calls to model servers: attempts, releases, reservations and load probes.
 
-The choice of servers, the timeouts and the retries come from the router by way of the runtime.
+The router decides on servers, timeouts and retries; the runtime passes its decisions to this client.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 MAX_RELEASE_CALLS = 64
 # Size limit of an answer that is no stream.
 MAX_BODY_BYTES = 65536
-# A corrupt answer may be followed by a second one some milliseconds later (users' page). On a connection that is reused
-# sooner, the second one would be taken for the answer to the next request; within this time it is noticed, and the
-# connection closed. Long compared with network delays, short compared with the time between requests to one server.
+# A corrupt answer of a model server may be followed by a second one some milliseconds later. On a connection that is
+# reused sooner, the second one would be taken for the answer to the next request; within this time it is noticed, and
+# the connection closed. Long compared with network delays, short compared with the time between requests to one server.
 REUSE_DELAY_MS = 50.0
 
 
 @dataclass(slots=True, frozen=True)
 class CallResult:
-    """How a control call ended; `status` 0 if no answer came. `load` is the header with the load report, if any."""
+    """How a control call ended; `status` 0 if no answer arrived. `load` is the header with the load report, if any."""
 
     outcome: AttemptOutcome
     status: int = 0
@@ -200,8 +200,8 @@
                 result.outcome = AttemptOutcome.RESET
                 result.why = repr(error)
             case h11.RemoteProtocolError():  # a truncated answer is a broken connection, a corrupt one an error
-                is_torn = "closed" in str(error)
-                result.outcome = AttemptOutcome.RESET if is_torn else AttemptOutcome.ERROR
+                is_truncated = "closed" in str(error)
+                result.outcome = AttemptOutcome.RESET if is_truncated else AttemptOutcome.ERROR
                 result.why = f"spoilt: {str(error)[:200]}"
             case ValueError():
                 result.outcome = AttemptOutcome.ERROR
@@ -226,7 +226,7 @@
     # -- control calls
 
     async def call(self, address: str, method: str, target: str, within_ms: float) -> CallResult:
-        """Makes a call without a body. Server errors are outcomes, not exceptions; STREAMED means any answer came."""
+        """Makes a call without a body. Server errors are outcomes, not exceptions; STREAMED means any answer."""
         connection: ClientConnection | None = None
         try:
             with trio.move_on_after(within_ms / 1000):
@@ -269,11 +269,11 @@
         """Releases all state held for a request, at whichever server: any running server forwards the release.
 
         Returns the address of the server that confirmed it, if any. The server that answered last is called first, then
-        in each round twice as many of the next ones: servers that are silent, busy or give corrupt answers must not
-        delay the release, even if they are most of the fleet.
+        each round calls twice as many of the next servers: silent, busy or faulty servers must not delay the release,
+        even if they are most of the fleet.
         """
         began = trio.current_time()
-        asked: dict[str, None] = {}
+        called: dict[str, None] = {}
         confirmed_by: list[str] = []
         servers = list(islice(addresses, MAX_RELEASE_SERVERS))
         rounds = RELEASE_ROUNDS if servers or self.answer_order.answered_at_s else 0
@@ -286,11 +286,11 @@
                         nursery.cancel_scope.cancel()
 
                 for nth in range(rounds):
-                    self.answer_order.demote_silent(asked, began)
-                    for address in self._next_to_ask(asked, servers, min(2**nth, RELEASE_ROUNDS)):
+                    self.answer_order.demote_silent(called, began)
+                    for address in self._next_to_call(called, servers, min(2**nth, RELEASE_ROUNDS)):
                         is_responsive = self.answer_order.has_answered_since(address, began)
                         if nth == 0 or self.release_calls < MAX_RELEASE_CALLS or is_responsive:
-                            asked[address] = None
+                            called[address] = None
                             nursery.start_soon(ask, address)
                     await trio.sleep(within_ms / RELEASE_ROUNDS / 1000)
         return confirmed_by[-1] if confirmed_by else None
@@ -303,8 +303,8 @@
             self.release_calls -= 1
         return result.status == 204
 
-    def _next_to_ask(self, asked: dict[str, None], servers: list[str], most: int) -> list[str]:
-        """The next servers to call, the one that answered last first; starts over once all have been called."""
+    def _next_to_call(self, called: dict[str, None], servers: list[str], most: int) -> list[str]:
+        """Returns the next servers to call, the latest to answer first; starts over once all have been called."""
         order = self.answer_order.latest_first(servers, MAX_RELEASE_SERVERS)
-        fresh = [address for address in order if address not in asked]
-        return (fresh or order)[:most]
+        not_called = [address for address in order if address not in called]
+        return (not_called or order)[:most]
--- a/ternlane/platform/open_requests.py
+++ b/ternlane/platform/open_requests.py
@@ -8,7 +8,7 @@
 
 
 class OpenRequestPhase(Enum):
-    """How far a request without its complete answer has come."""
+    """The phases of a request without its complete answer."""
 
     QUEUED = "queued"  # no attempt is in flight
     CONNECTING = "connecting"  # an attempt waits for a connection, or for the release of an earlier attempt's state
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenRequest:
-    """One request that has no complete answer yet. Times are milliseconds."""
+    """A request that has no complete answer yet. Times are milliseconds."""
 
     request_id: str
     phase: OpenRequestPhase
--- a/ternlane/platform/protocol.py
+++ b/ternlane/platform/protocol.py
@@ -21,7 +21,7 @@
 LEASE_PATH = "/kv/leases/"
 STATS_PATH = "/stats"
 READY_PATH = "/health/ready"
-# Size limit of a client's body (users' page).
+# Size limit of a client's body in the platform protocol.
 MAX_BODY_BYTES = 256 * 1024
 # Size limit of a load report; a longer one counts as invalid.
 MAX_LOAD_REPORT_CHARS = 1024
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseClass:
-    """What the head of an answer proves about the attempt. `outcome` is None if a stream follows."""
+    """The outcome that the head of an answer proves; None if a stream follows."""
 
     outcome: AttemptOutcome | None
     state_lost: bool = False
@@ -85,7 +85,7 @@
     """Parses a load report. None if it is invalid, which does not make the answer that carries it invalid."""
     if not text or len(text) > MAX_LOAD_REPORT_CHARS:
         return None
-    figures: dict[str, float] = {}
+    values: dict[str, float] = {}
     for part in text.split(","):
         name, _, number = part.partition("=")
         try:
@@ -94,10 +94,10 @@
             return None
         if not isfinite(value) or value < 0:
             return None
-        figures[LOAD_REPORT_NAMES.get(name.strip(), name.strip())] = value
-    if figures.get("x0", 0.0) > MEMORY_SHARE_LIMIT:
+        values[LOAD_REPORT_NAMES.get(name.strip(), name.strip())] = value
+    if values.get("x0", 0.0) > MEMORY_SHARE_LIMIT:
         return None
-    return deployment.report(figures)
+    return deployment.report(values)
 
 
 def parse_cached_tokens(body: bytes) -> float:
--- a/ternlane/platform/request_history.py
+++ b/ternlane/platform/request_history.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestRecord:
-    """What a gateway keeps of a request for operators. `outcome` is "open" while the request is."""
+    """The record of a request that a gateway keeps for operators. `outcome` is "open" while the request is."""
 
     request_id: str
     outcome: str
--- a/ternlane/platform/request_reporter.py
+++ b/ternlane/platform/request_reporter.py
@@ -56,7 +56,7 @@
     def closed(self, active_request: ActiveRequest, outcome: str) -> None:
         """A request has ended. `outcome`: streamed, broken, rejected, failed or client_gone."""
         self.counts[outcome] += 1
-        # During a shutdown each finished request is logged, as the process can't be asked for it afterwards.
+        # During a shutdown each finished request is logged, as its history is lost when the process exits.
         log = self.log.debug if self.sigterm_ms is None else self.log.info
         log(
             "closed",
@@ -90,7 +90,7 @@
     # -- attempts
 
     def attempt_decided(self, active_request: ActiveRequest, timeout_ms: float) -> None:
-        """The router has chosen a server for a further attempt."""
+        """The router has decided on an attempt at a server."""
         last_outcome = active_request.last_outcome
         if last_outcome and last_outcome != AttemptOutcome.PREFILLED.name:
             self.counts[f"retry after {last_outcome}"] += 1
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -48,7 +48,7 @@
         self.reporter = RequestReporter(log)
         self.requests_by_id: dict[str, ActiveRequest] = {}
         self.ended_requests: list[ActiveRequest] = []  # dropped once the batch of events has been processed
-        self.releases_in_flight = 0  # releases in flight
+        self.releases_in_flight = 0
 
     # -- event loop
 
@@ -128,7 +128,7 @@
         self.dispatch(messages.ClientDisconnected(active_request.request))
 
     def abort_request(self, active_request: ActiveRequest, why: str) -> None:
-        """As in the base class, and counted: each is due to a programming error."""
+        """Counts the request as overdue, which is due to a programming error, and aborts it."""
         self.reporter.counts["overdue"] += 1
         super().abort_request(active_request, why)
 
@@ -246,7 +246,7 @@
         self._forget(active_request)
 
     def oldest_unanswered_ms(self) -> float:
-        """For how long the oldest written attempt has waited for its first event; 0 for none."""
+        """Returns for how long the oldest written attempt has waited for its first event; 0 for none."""
         oldest_s = 0.0
         for active_request in self.active_requests.values():
             attempt = active_request.attempt
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class GatewayConfiguration:
-    """One gateway's configuration: its address, discovery's address, resource limits, and the deployment it serves."""
+    """A gateway's configuration: its address, discovery's address, resource limits and the deployment it serves."""
 
     name: str
     listen: tuple[str, int]
--- a/ternlane/platform/stream_forwarder.py
+++ b/ternlane/platform/stream_forwarder.py
@@ -32,13 +32,13 @@
         if active_request.is_finished:
             raise ClientDisconnectedError
         active_request.streaming = True
-        active_request.body = b""  # no further attempt will be sent
+        active_request.body = b""  # no other attempt will be sent
         self.on_first_event(active_request)
         self.dispatch(messages.FirstToken(active_request.request, self.server, now_ms() - self.since_ms))
         await active_request.write_first_events(data)
 
     async def write_events(self, data: bytes) -> None:
-        """Writes further events."""
+        """Writes more events."""
         if self.active_request.is_finished:
             raise ClientDisconnectedError
         await self.active_request.write_events(data)
--- a/ternlane/wirehost/codec.py
+++ b/ternlane/wirehost/codec.py
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRow:
-    """One server of a list."""
+    """A server of a list."""
 
     server_id: str
     zone: str
@@ -107,7 +107,7 @@
 
 def parse_request_line(parts: list[str]) -> RequestLine:
     """WORK_ITEM gateway number prefix_tokens - prefix class prompt_tokens timeout - session max_tokens [tenant]"""
-    _, _, number, prefix_tokens, _, prefix, request_class, prompt, timeout, _, session, longest, *rest = parts
+    _, _, number, prefix_tokens, _, prefix, request_class, prompt, timeout, _, session, max_tokens, *rest = parts
     return RequestLine(
         number=int(number),
         request_class=request_class,
@@ -115,7 +115,7 @@
         prefix=parse_name(prefix),
         prefix_tokens=parse_number(prefix_tokens),
         prompt_tokens=parse_number(prompt),
-        max_tokens=parse_number(longest),
+        max_tokens=parse_number(max_tokens),
         client_timeout_ms=parse_number(timeout),
         tenant=rest[0] if rest else "",
     )
--- a/ternlane/wirehost/instance.py
+++ b/ternlane/wirehost/instance.py
@@ -1,4 +1,4 @@
-"""One simulated gateway: its router, and the ids of the router's objects on the wire."""
+"""A simulated gateway: its router, and the ids of the router's objects on the wire."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
             return messages.EndpointListFailed()
         changed = [self._apply_row(row) for row in rows]
         if kind != ListKind.PARTIAL.value:
-            changed += self._remove_unnamed(set(changed))
+            changed += self._remove_unlisted(set(changed))
         return messages.EndpointsUpdated(tuple(changed))
 
     def _apply_row(self, text: str) -> Server:
@@ -73,10 +73,10 @@
         server.status = row.status
         return server
 
-    def _remove_unnamed(self, named: set[Server]) -> list[Server]:
+    def _remove_unlisted(self, listed: set[Server]) -> list[Server]:
         removed: list[Server] = []
         for server in self.servers.values():
-            if server not in named and server.status is not EndpointStatus.REMOVED:
+            if server not in listed and server.status is not EndpointStatus.REMOVED:
                 server.status = EndpointStatus.REMOVED
                 removed.append(server)
         return removed
--- a/tests/platform_gateway.py
+++ b/tests/platform_gateway.py
@@ -58,7 +58,7 @@
 BODY = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"hello"}]}'
 
 
-class Log:
+class RecordingLog:
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
@@ -67,11 +67,14 @@
 
 
 class Platform:
+    """A platform gateway with fake model servers and discovery. Names of prefill servers begin with r, those of decode
+    servers with w."""
+
     def __init__(self, nursery: trio.Nursery, platform_settings: dict[str, Any], limits: ProcessLimits) -> None:
-        self.nursery, self.platform_settings, self.limits, self.log = nursery, platform_settings, limits, Log()
+        self.nursery, self.platform_settings, self.limits, self.log = nursery, platform_settings, limits, RecordingLog()
         self.fleet, self.discovery = FakeFleet(nursery), FakeDiscovery(nursery, 100.0)
         self.servers: dict[str, FakeModelServer] = {}
-        self.count = 0
+        self.request_count = 0
         self.pool = ConnectionPool(1000, 1000)
         self.reserved_sockets: list[socket.socket] = []
         self.gateway: Gateway
@@ -99,10 +102,10 @@
     async def open(self) -> None:
         host, _, number = self.discovery.address.partition(":")
         known = parse_endpoint_list(json.dumps(self.discovery.listing()).encode())
-        post = GatewayConfiguration(
+        configuration = GatewayConfiguration(
             "n0", ("127.0.0.1", 0), (host, int(number)), self.limits, known, Deployment(1, self.platform_settings)
         )
-        self.gateway = Gateway(post, self.nursery, self.log)
+        self.gateway = Gateway(configuration, self.nursery, self.log)
         await self.gateway.start()
         name = self.gateway.listener.socket.getsockname()
         self.address = f"{name[0]}:{name[1]}"
@@ -121,7 +124,7 @@
 
     def configuration(self, **more: Any) -> str:
         """The configuration file of a gateway process at `address`."""
-        platform_settings = {
+        document = {
             "name": "n0",
             "listen": self.address,
             "discovery": self.discovery.address,
@@ -130,14 +133,14 @@
             "known": self.discovery.listing(),
             "settings": PLATFORM_SETTINGS,
         }
-        return json.dumps(platform_settings | more)
+        return json.dumps(document | more)
 
     def headers(self, **more: str) -> dict[str, str]:
-        self.count += 1
+        self.request_count += 1
         out = {
-            "Request-Id": f"{self.count:016x}",
+            "Request-Id": f"{self.request_count:016x}",
             "Request-Class": "summary",
-            "Affinity-Key": f"c{self.count}",
+            "Affinity-Key": f"c{self.request_count}",
             "Request-Timeout": "1.5",
             "Request-Info": "prefix=ab,prompt_len=20,prefix_len=8,max_out=40",
         }
@@ -146,14 +149,17 @@
     async def ask(
         self, body: bytes = BODY, path: str = "/v1/chat/completions", method: str = "POST", **more: str
     ) -> Reply:
-        caller = await self.pool.connect(self.address)
+        connection = await self.pool.connect(self.address)
         try:
-            return await send_request(caller, body, self.headers(**more), path, method)
+            return await send_request(connection, body, self.headers(**more), path, method)
         finally:
-            caller.close_now()
+            connection.close_now()
 
     async def send_raw(self, data: bytes, ends: bool = False, within: float = 3.0) -> bytes:
-        """Sends bytes and returns all that comes back until the gateway closes; fails if it does not close in time."""
+        """Sends bytes and returns all bytes received until the gateway closes the connection.
+
+        `ends`: the client sends nothing more. Fails if the gateway does not close within `within` seconds.
+        """
         host, _, number = self.address.partition(":")
         stream, out = await trio.open_tcp_stream(host, int(number)), b""
         with trio.fail_after(within):
@@ -172,25 +178,25 @@
         """Waits until no request is open at the gateway and no server holds a state."""
         runtime = self.gateway.runtime
 
-        def left() -> dict[str, Any]:
-            open_here = {
+        def find_open_items() -> dict[str, Any]:
+            active_requests_by_id = {
                 active_request.request_id: active_request.history.lines()
                 for active_request in runtime.active_requests.values()
             }
             held = {ident: self.history_of(ident) for ident in self.fleet.states}
-            all_of_it = {
-                "open": open_here,
+            open_items = {
+                "open": active_requests_by_id,
                 "ids": list(runtime.requests_by_id),
                 "releasing": runtime.releases_in_flight,
                 "held": held,
                 "at servers": dict(+self.fleet.open),
             }
-            return {what: which for what, which in all_of_it.items() if which}
+            return {label: value for label, value in open_items.items() if value}
 
         with trio.move_on_after(3):
-            while left():
+            while find_open_items():
                 await trio.sleep(0.01)
-        remaining = left()
+        remaining = find_open_items()
         assert not remaining, remaining
 
     def history_of(self, ident: str) -> list[str]:
@@ -206,16 +212,17 @@
     limits: ProcessLimits | None = None,
     **scripts: Callable[[str], str],
 ) -> AsyncIterator[Platform]:
+    """A running gateway with these servers, by default two of each role. `scripts`: the faults of servers by name."""
     async with trio.open_nursery() as nursery:
-        made = Platform(nursery, platform_settings, limits or ProcessLimits())
-        await made.discovery.start()
+        test_bed = Platform(nursery, platform_settings, limits or ProcessLimits())
+        await test_bed.discovery.start()
         for name in names or ("r0", "w0", "r1", "w1"):
-            await made.add(name, scripts.get(name, lambda _: ""))
-        await made.open()
+            await test_bed.add(name, scripts.get(name, lambda _: ""))
+        await test_bed.open()
         try:
-            yield made
+            yield test_bed
         finally:
-            for reserved in made.reserved_sockets:
+            for reserved in test_bed.reserved_sockets:
                 reserved.close()
         nursery.cancel_scope.cancel()
 
@@ -227,6 +234,7 @@
 
 
 def fault_always(fault: str) -> Callable[[str], str]:
+    """A model server's script: this fault for each request; "" for none."""
     return lambda _: fault
 
 
@@ -234,9 +242,9 @@
     with trio.fail_after(10):
         while True:
             try:
-                caller: ClientConnection = await p.pool.connect(p.address)
-                if (await caller.ask("GET", "/health/ready", [])).status_code == 200:
-                    return caller.close_now()
+                connection: ClientConnection = await p.pool.connect(p.address)
+                if (await connection.ask("GET", "/health/ready", [])).status_code == 200:
+                    return connection.close_now()
             except Exception:
                 pass
             await trio.sleep(0.05)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -160,8 +160,8 @@
     ],
 )
 async def test_corrupt_stream_ends_without_the_last_chunk(fault: str) -> None:
-    """A stream is corrupt, cut or silent after its first event. The client's connection ends without the last chunk, by
-    which the client can tell that the answer is incomplete."""
+    """A stream is corrupt, cut or silent after its first event. The client's connection ends without the last
+    chunk, which shows the client that the answer is incomplete."""
     async with platform("r0", "w0", "w1", w0=fault_always(fault), w1=fault_always(fault)) as p:
         with trio.fail_after(2 if fault == "later_silent" else 0.8):  # only silence takes a timeout to detect
             reply = await p.ask()
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -305,7 +305,7 @@
 
 async def test_late_event_loop_shortens_timeouts_and_reports_its_lateness(monkeypatch: pytest.MonkeyPatch) -> None:
     """The event loop is blocked for a quarter of a second. It expects to be late again and shortens timeouts, and the
-    report line says by how much it was late."""
+    report line contains its lateness."""
     monkeypatch.setattr(gateway_module, "REPORT_INTERVAL_MS", 50.0)
     async with platform("r0", "w0", r0=fault_always("silent")) as p:
         runtime = p.gateway.runtime
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -84,17 +84,17 @@
 
 
 async def test_incomplete_requests_and_silent_connections_time_out() -> None:
-    """A client sends part of a request, or nothing, and then goes silent. Its connection is closed within the time on
-    the users' page."""
+    """A client sends part of a request, or nothing, and then goes silent. Its connection is closed within 3 s, as the
+    platform protocol requires."""
     async with platform() as p:
         assert await p.send_raw(HEAD + VALID_HEADERS + b"Content-Length: 9\r\n\r\n{", ends=True) is not None
         assert await p.send_raw(b"") == b""
-        caller = await p.pool.connect(p.address)
-        assert (await send_request(caller, BODY, p.headers(), "/v1/chat/completions")).done == 1
-        await caller.stream.send_all(HEAD)  # of a second request, which stays incomplete
+        connection = await p.pool.connect(p.address)
+        assert (await send_request(connection, BODY, p.headers(), "/v1/chat/completions")).done == 1
+        await connection.stream.send_all(HEAD)  # of a second request, which stays incomplete
         with trio.fail_after(3):
-            assert (await caller.stream.receive_some()).startswith(b"HTTP/1.1 408 ")
-            caller.close_now()
+            assert (await connection.stream.receive_some()).startswith(b"HTTP/1.1 408 ")
+            connection.close_now()
         host, _, number = p.address.partition(":")
         slow = await trio.open_tcp_stream(host, int(number))
         with trio.fail_after(3):  # counted from the connect, whenever it sends something
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -162,8 +162,8 @@
     ],
 )
 def test_invalid_configuration_exits_with_one_line(tmp_path: Path, text: str | None) -> None:
-    """The configuration is missing or invalid. The process exits with the status for that and one line that says
-    why."""
+    """The configuration is missing or invalid. The process exits with the status for that and one line with the
+    reason."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -1,4 +1,4 @@
-"""What operators see of a request: its transitions, why it failed, and for how long its state is held."""
+"""Reports to operators: a request's transitions, why it failed, and for how long its state is held."""
 
 from __future__ import annotations
 
--- a/tests/test_request_timeouts.py
+++ b/tests/test_request_timeouts.py
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("name", ["r0", "w0"])
 async def test_stated_timeout_counts_a_slow_connect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection to a server takes long. The timeout stated to it is the time left then, not the time left when the
-    server was chosen."""
+    router decided."""
     long_release = {
         "specifics": PLATFORM_SETTINGS["specifics"] | {"release": 1000.0}
     }  # the state outlasts the slow connect
--- a/tests/test_wire_pins.py
+++ b/tests/test_wire_pins.py
@@ -237,7 +237,7 @@
 
 
 async def ask(address: str, message: bytes, begun: trio.Event | None = None) -> str:
-    """Sends a message on a new connection; returns all bytes that come back."""
+    """Sends a message on a new connection; returns all bytes received."""
     async with connected(address) as stream:
         await stream.send_all(message)
         return await receive_all(stream, begun)
@@ -310,8 +310,7 @@
 
 
 def share_answers(peers: dict[str, Peer], initial: str, path: str, *answers: Answer) -> None:
-    """Makes the peers whose names begin with `initial` share these answers: the one that is called first sends the
-    first."""
+    """Makes the peers whose names begin with `initial` share these answers: the first call gets the first answer."""
     shared = list(answers)
     for name, peer in peers.items():
         if name[0] == initial:
@@ -698,7 +697,7 @@
 
 
 async def run_unconfirmed_release(p: Platform) -> None:
-    """A request fails, and no server confirms its release until the log has said so."""
+    """Runs a request that fails, whose release no server confirms until the log has reported that."""
     for server in p.servers.values():
         server.script("DELETE ", (plain("500 No"),))
     share_answers(p.servers, "w", f"POST {CHAT_PATH}", (CLOSE,), (STREAM,))
