--- a/ternlane/discovery/watch.py
+++ b/ternlane/discovery/watch.py
@@ -1,7 +1,7 @@
 """Watches the endpoint list at its source and reports each complete list.
 
-A source that fails, restarts or returns invalid data changes nothing: the old list stays in use, `failed` is called,
-and the source is queried again after a backoff.
+A source that fails, restarts or returns invalid data changes nothing: the old list stays in use, `on_failure` is
+called, and the source is queried again after a backoff.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     return lines
 
 
-async def watch_file(source: FileSource, found: OnList, failed: OnFailure) -> None:
+async def watch_file(source: FileSource, on_list: OnList, on_failure: OnFailure) -> None:
     """Polls the file's inode, size and modification time, and reads the file when they have changed."""
     path = Path(source.path)
     last = None
@@ -54,14 +54,14 @@
             stat = os.stat(path)
             identity = stat.st_ino, stat.st_size, stat.st_mtime_ns
             if identity != last:
-                found(read_nodes(path.read_text(encoding="utf-8"), str(path)))
+                on_list(read_nodes(path.read_text(encoding="utf-8"), str(path)))
                 last = identity
         except (OSError, UnicodeDecodeError, ConfigError) as why:
-            failed(str(why))
+            on_failure(str(why))
         await trio.sleep(source.look_ms / 1000)
 
 
-async def watch_consul(source: ConsulSource, found: OnList, failed: OnFailure, agent: str) -> None:
+async def watch_consul(source: ConsulSource, on_list: OnList, on_failure: OnFailure, agent: str) -> None:
     """Watches with blocking queries. If the index goes back or to 0 it starts over, as Consul's API docs require."""
     pool = ConnectionPool(CONNECT_TIMEOUT_MS, 2 * source.wait_ms)
     index = 0
@@ -70,9 +70,9 @@
         while True:
             try:
                 with trio.fail_after((source.wait_ms * WAIT_JITTER + RESPONSE_TIMEOUT_MS) / 1000):
-                    index, lines = await query_consul(pool, source, index, agent, failed)
+                    index, lines = await query_consul(pool, source, index, agent, on_failure)
                 if lines is not None:
-                    found(lines)
+                    on_list(lines)
                 pause_ms = source.retry_ms
             except (
                 ConnectError,
@@ -83,7 +83,7 @@
                 h11.RemoteProtocolError,
                 ValueError,
             ) as why:
-                failed(f"{source.address}: {why!r}")
+                on_failure(f"{source.address}: {why!r}")
                 index = 0  # the agent may have restarted with other indexes
                 await trio.sleep(pause_ms / 1000)
                 pause_ms = min(2 * pause_ms, MAX_BACKOFF * source.retry_ms)
@@ -92,7 +92,7 @@
 
 
 async def query_consul(
-    pool: ConnectionPool, source: ConsulSource, index: int, agent: str, failed: OnFailure
+    pool: ConnectionPool, source: ConsulSource, index: int, agent: str, on_failure: OnFailure
 ) -> tuple[int, list[NodeLine] | None]:
     """Makes one blocking query. Returns the next index, and the list or None if it has not changed.
 
@@ -114,5 +114,5 @@
         return index, None
     lines, invalid = nodes_from_health(body)
     if invalid:
-        failed("invalid entries ignored: " + "; ".join(invalid[:5]))
+        on_failure("invalid entries ignored: " + "; ".join(invalid[:5]))
     return (0 if new_index < index else new_index), lines
--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -33,7 +33,7 @@
 
 
 class ClientConnection:
-    """One connection. `ask` sends a request and returns the response head; `chunks` or `body` read the rest."""
+    """An HTTP/1.1 connection. `ask` sends a request and returns the response head; `chunks` or `body` read the rest."""
 
     def __init__(self, stream: trio.SocketStream, peer: str, local: tuple[str, int]) -> None:
         self.stream = stream
@@ -68,7 +68,7 @@
         return is_done and not self.conn.trailing_data[0]
 
     @property
-    def dead(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether the peer has closed, or sent unsolicited bytes, while the connection was idle."""
         return is_readable(self.stream)
 
@@ -119,7 +119,7 @@
     def set_read_deadline(self, when_s: float) -> None:
         """Sets the time (trio's clock) from which reads raise ReadTimeout.
 
-        Data that is already in the kernel's buffer at that time is still returned by one further read.
+        Data that is already in the kernel's buffer at that time is still returned by one more read.
         """
         self._read_deadline_s = when_s
         self._drained_after_deadline = False
@@ -154,12 +154,12 @@
         try:
             data = await self._receive_in_time()
         except trio.BrokenResourceError:
-            self._note_end()
+            self._record_end()
             raise
         if data:
             self.state = CallState.ANSWERED
         else:
-            self._note_end()
+            self._record_end()
         return data
 
     async def _receive_in_time(self) -> bytes:
@@ -173,6 +173,6 @@
             raise ReadTimeout(f"{self.peer}: nothing came in time")
         return data
 
-    def _note_end(self) -> None:
+    def _record_end(self) -> None:
         if self.state is not CallState.ANSWERED:
             self.state = CallState.BROKE_UNANSWERED
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -11,8 +11,8 @@
 import trio
 
 from ternlane.http1.client_connection import ClientConnection
-from ternlane.http1.connection_age import ConnectionAge
 from ternlane.http1.errors import ConnectError
+from ternlane.http1.idle_reuse import IdleReuseStats
 
 # Idle connections kept per peer.
 MAX_IDLE_PER_PEER = 64
@@ -42,7 +42,7 @@
         self.connecting = 0  # connection attempts in progress
         self.made = 0  # connections opened since the start
         self.local_shortages = 0  # connection attempts that failed for lack of a resource on this machine
-        self.age = ConnectionAge(idle_ms)
+        self.reuse_stats = IdleReuseStats(idle_ms)
 
     def set_limits(self, connect_ms: float, idle_ms: float, limit: float) -> None:
         """Replaces the limits, also for open connections; idle connections beyond `limit` are closed."""
@@ -50,7 +50,7 @@
         self.limit = limit
         if idle_ms != self.idle_ms:
             self.idle_ms = idle_ms
-            self.age = ConnectionAge(idle_ms)
+            self.reuse_stats = IdleReuseStats(idle_ms)
         while self.idle_of_all and len(self.open) + self.connecting > limit:
             self._close_longest_idle()
         self.sweep()
@@ -66,7 +66,7 @@
             idled_ms = (now_s - connection.idle_since) * 1000
             if connection.has_served and idled_ms < reuse_delay_ms:
                 continue
-            if idled_ms >= self.idle_ms or connection.dead or self.age.is_unsafe(idled_ms, now_s * 1000):
+            if idled_ms >= self.idle_ms or connection.is_stale or self.reuse_stats.is_unsafe(idled_ms, now_s * 1000):
                 connection.close_now()
                 continue
             self._remove_idle(connection)
@@ -92,7 +92,7 @@
         self.made += 1
         local = stream.socket.getsockname()
         connection = ClientConnection(stream, peer, (local[0], local[1]))
-        connection.on_close = self._closed
+        connection.on_close = self._on_closed
         self.open.add(connection)
         return connection
 
@@ -153,12 +153,12 @@
         if connection not in self.idle_of_all:
             return
         del self.idle_of_all[connection]
-        of_peer = self.idle[connection.peer]
-        del of_peer[connection]
-        if not of_peer:
+        peer_connections = self.idle[connection.peer]
+        del peer_connections[connection]
+        if not peer_connections:
             del self.idle[connection.peer]
 
-    def _closed(self, connection: ClientConnection) -> None:
+    def _on_closed(self, connection: ClientConnection) -> None:
         if connection in self.open and connection.broke:
             self._record_reuse(connection)
         self.open.discard(connection)
@@ -167,7 +167,7 @@
     def _record_reuse(self, connection: ClientConnection) -> None:
         """Records whether a pooled connection still worked when it was reused."""
         if connection.idled_ms is not None:
-            self.age.record(connection.idled_ms, connection.broke, trio.current_time() * 1000)
+            self.reuse_stats.record(connection.idled_ms, connection.broke, trio.current_time() * 1000)
 
 
 async def open_stream(host: str, port: int, source: str | None) -> trio.SocketStream:
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -12,11 +12,11 @@
 # Largest single read.
 RECEIVE_BYTES = 65536
 # Bytes buffered of what a client sends before its response is complete; the size of one read.
-EARLY_BYTES = 65536
+MAX_EARLY_BYTES = 65536
 
 
 class Exchange:
-    """One request and its response, which is written with `answer`, or with `begin`, `chunk` and `end`."""
+    """A request and its response, which is written with `answer`, or with `begin`, `chunk` and `end`."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         closing: Callable[[], bool] = lambda: False,
     ) -> None:
         """`send_ms` is the send time-out and `arrived` when the request's first byte was received (s, trio's clock).
-        `closing`, called when the response head is written, says whether the connection closes after this response."""
+        `closing`, called when the response head is written, returns whether the connection closes after it."""
         self.stream = stream
         self.conn = conn
         self.request = request
@@ -36,8 +36,8 @@
         self.closing = closing
         self.body = b""
         self.begun = False
-        self.early = 0  # bytes received after the request while it was handled
-        self.overrun = False  # they exceed the buffer
+        self.early_bytes = 0  # bytes received after the request while it was handled
+        self.early_overflow = False  # they exceed the buffer
         self.pipelined = False  # bytes of a further request arrived before this response was complete
         self.finishing = False  # the last bytes of the response are being written, or have been
         self.arrived = trio.current_time() if arrived is None else arrived
@@ -113,7 +113,7 @@
         await self.send(out)
 
     def _finish(self) -> None:
-        """From here on the client may have the complete response, so what it sends is its next request."""
+        """Marks the point after which bytes from the client belong to its next request, as it may have the response."""
         self.finishing = True
         self.pipelined = bool(self.conn.trailing_data[0])
 
@@ -124,8 +124,8 @@
     async def wait_until_disconnected(self) -> None:
         """Returns when the client has closed its side.
 
-        Bytes received meanwhile are buffered for the next request, up to a limit. Reading goes on beyond the limit,
-        since the disconnect could not be detected otherwise.
+        Bytes received meanwhile are buffered for the next request, up to a limit. Reading continues beyond the
+        limit, since the disconnect could not be detected otherwise.
         """
         while True:
             try:
@@ -137,9 +137,9 @@
             if self.finishing:  # the response's last bytes are still being written: this is the next request
                 self.conn.receive_data(data)
                 await trio.sleep_forever()
-            self.early += len(data)
-            self.overrun = self.overrun or self.early > EARLY_BYTES
-            if not self.overrun:
+            self.early_bytes += len(data)
+            self.early_overflow = self.early_overflow or self.early_bytes > MAX_EARLY_BYTES
+            if not self.early_overflow:
                 self.conn.receive_data(data)
 
     @property
--- a/ternlane/http1/connection_age.py
+++ b/ternlane/http1/idle_reuse.py
@@ -25,7 +25,7 @@
     at_ms: float
 
 
-class ConnectionAge:
+class IdleReuseStats:
     """Outcomes of reuse by idle time.
 
     Counts decay with the time constant `span_ms`, so that idle times once found unsafe are tried again.
--- a/ternlane/http1/nonblocking.py
+++ b/ternlane/http1/nonblocking.py
@@ -60,12 +60,12 @@
         await stream.send_all(memoryview(data)[sent:])
 
 
-async def extend_deadline(scope: trio.CancelScope, until: float) -> None:
+async def extend_deadline(scope: trio.CancelScope, deadline: float) -> None:
     """Moves the deadline of `scope` (trio's clock) when an event has arrived.
 
     If the previous deadline has just expired, trio.Cancelled is raised at once: the scope would cancel the next wait
     anyway, and a response begun now would be truncated.
     """
-    scope.deadline = until
+    scope.deadline = deadline
     if scope.cancel_called:
         await trio.lowlevel.checkpoint()  # raises trio.Cancelled
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -18,7 +18,7 @@
 from ternlane.http1.close_reason import CloseReason
 from ternlane.http1.connection_limits import ConnectionLimits
 from ternlane.http1.errors import BadRequest
-from ternlane.http1.exchange import EARLY_BYTES, RECEIVE_BYTES, Exchange
+from ternlane.http1.exchange import MAX_EARLY_BYTES, RECEIVE_BYTES, Exchange
 from ternlane.http1.nonblocking import is_readable, receive_now
 
 # How long bytes are read and discarded before a connection is closed; longer than any round trip.
@@ -29,9 +29,9 @@
 ErrorBody = Callable[[Exchange | None, BadRequest], tuple[bytes, str]]
 
 
-def plain_text_error(_: Exchange | None, bad: BadRequest) -> tuple[bytes, str]:
+def plain_text_error(_: Exchange | None, refusal: BadRequest) -> tuple[bytes, str]:
     """Body and content type of the response to a bad request: the reason as plain text."""
-    return bad.why.encode(), "text/plain"
+    return refusal.why.encode(), "text/plain"
 
 
 class ConnectionState(Enum):
@@ -44,7 +44,7 @@
 
 
 class ServerConnection:
-    """One client's connection. `has_received_request` is set once a request has been received.
+    """A client's connection. `has_received_request` is set once a request has been received.
 
     `on_idle_changed` is called each time `idle` changes and `on_close` once, with the reason. A request that arrives
     before the previous one is answered is refused, or with `allow_pipelining` served in turn. While `draining()` is
@@ -100,28 +100,28 @@
             self.on_close(self.close_reason)
 
     async def _serve_requests(self) -> None:
-        first_by = trio.current_time() + self.limits.first_ms / 1000
+        first_request_deadline = trio.current_time() + self.limits.first_ms / 1000
         exchange: Exchange | None = None
         try:
             while True:
                 exchange = None
-                exchange = await self._next_request(first_by)
+                exchange = await self._next_request(first_request_deadline)
                 if exchange is None:
                     return
-                first_by = inf
+                first_request_deadline = inf
                 self.has_received_request = True
                 self._set_state(ConnectionState.HANDLING)
                 await self.handler(exchange)
-                if not await self._may_go_on(exchange):
+                if not await self._can_continue(exchange):
                     return
                 self._set_state(ConnectionState.READING)
                 answered = exchange
                 exchange = None
                 self.conn.start_next_cycle()
-                self._check_sent_ahead(answered)
-        except BadRequest as bad:
+                self._check_early_bytes(answered)
+        except BadRequest as refusal:
             self.close_reason = CloseReason.REFUSED
-            await self._refuse(exchange, bad)
+            await self._refuse(exchange, refusal)
         except (*BROKEN, h11.LocalProtocolError):
             raise
         except Exception:
@@ -129,10 +129,10 @@
             await self._refuse(exchange, BadRequest(500, "a fault of this server", "fault"))
             raise
 
-    def _check_sent_ahead(self, exchange: Exchange) -> None:
+    def _check_early_bytes(self, exchange: Exchange) -> None:
         """Raises BadRequest if the client sent more during the previous request than is accepted."""
-        if exchange.overrun:
-            raise BadRequest(413, f"more than {EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
+        if exchange.early_overflow:
+            raise BadRequest(413, f"more than {MAX_EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
         if exchange.pipelined and not self.allow_pipelining:
             raise BadRequest(400, "a second request came before the first was answered (pipelining)", "pipelined")
 
@@ -160,7 +160,7 @@
         if self.idle != was_idle:
             self.on_idle_changed(self)
 
-    async def _may_go_on(self, exchange: Exchange) -> bool:
+    async def _can_continue(self, exchange: Exchange) -> bool:
         """After a response, returns whether a further request may follow; otherwise the connection has been ended."""
         complete = self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE
         if complete and not self.draining():
@@ -178,13 +178,13 @@
         await linger(self.stream)
         return False
 
-    async def _refuse(self, exchange: Exchange | None, bad: BadRequest) -> None:
+    async def _refuse(self, exchange: Exchange | None, refusal: BadRequest) -> None:
         """Sends the error response, unless a response has begun, and ends the connection."""
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        body, content = self.error_body(exchange, bad)
+        body, content = self.error_body(exchange, refusal)
         head = [("Content-Type", content), ("Content-Length", str(len(body))), ("Connection", "close")]
-        out = self.conn.send(h11.Response(status_code=bad.status, headers=head)) or b""
+        out = self.conn.send(h11.Response(status_code=refusal.status, headers=head)) or b""
         out += self.conn.send(h11.Data(data=body)) or b""
         out += self.conn.send(h11.EndOfMessage()) or b""
         with trio.move_on_after(self.limits.send_ms / 1000):
@@ -194,18 +194,18 @@
                 return
             await linger(self.stream)
 
-    async def _next_request(self, by: float) -> Exchange | None:
+    async def _next_request(self, deadline: float) -> Exchange | None:
         """Returns the next complete request, or None if the connection is to end without one. Raises BadRequest."""
         arrived = trio.current_time()
         if not self.conn.trailing_data[0]:
-            first = await self._first_bytes(by)
+            first = await self._read_first_bytes(deadline)
             if not first:
                 self.close_reason = CloseReason.IDLE if first is None else CloseReason.CLIENT_ENDED
                 return None
             arrived = trio.current_time()
             self.conn.receive_data(first)
         try:
-            request = await self._head(min(by, arrived + self.limits.head_ms / 1000))
+            request = await self._read_head(min(deadline, arrived + self.limits.head_ms / 1000))
             if request is None:
                 self.close_reason = CloseReason.CLIENT_ENDED
                 return None
@@ -213,7 +213,7 @@
             self._check_head(exchange)
             if self.conn.they_are_waiting_for_100_continue:
                 await exchange.send(self.conn.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
-            body = await self._body(min(by, trio.current_time() + self.limits.body_ms / 1000))
+            body = await self._read_body(min(deadline, trio.current_time() + self.limits.body_ms / 1000))
         except h11.RemoteProtocolError as why:
             raise BadRequest(why.error_status_hint or 400, f"not HTTP/1.1: {why}", "bad_http") from None
         if body is None:
@@ -222,22 +222,22 @@
         exchange.body = body
         return exchange
 
-    async def _first_bytes(self, by: float) -> bytes | None:
+    async def _read_first_bytes(self, deadline: float) -> bytes | None:
         """Returns the first bytes of the next request, b"" if the client has closed, or None after the idle time-out.
 
         Bytes that arrive just as the time-out expires count as a request."""
         self._set_state(ConnectionState.IDLE)
         data: bytes | None = None
-        with trio.CancelScope(deadline=min(by, trio.current_time() + self.limits.idle_ms / 1000)) as wait:
+        with trio.CancelScope(deadline=min(deadline, trio.current_time() + self.limits.idle_ms / 1000)) as wait:
             data = await self.stream.receive_some(RECEIVE_BYTES)
         if wait.cancelled_caught:
             data = receive_now(self.stream, RECEIVE_BYTES)
         self._set_state(ConnectionState.READING)
         return data
 
-    async def _head(self, by: float) -> h11.Request | None:
+    async def _read_head(self, deadline: float) -> h11.Request | None:
         event = self.conn.next_event()
-        with self._reading_until(by) as limit:
+        with self._reading_until(deadline) as limit:
             while event is h11.NEED_DATA:
                 self.conn.receive_data(await self.stream.receive_some(RECEIVE_BYTES))
                 event = self.conn.next_event()
@@ -246,8 +246,8 @@
         return event if isinstance(event, h11.Request) else None
 
     @contextmanager
-    def _reading_until(self, by: float) -> Iterator[trio.CancelScope]:
-        with trio.CancelScope(deadline=by) as self._reading:
+    def _reading_until(self, deadline: float) -> Iterator[trio.CancelScope]:
+        with trio.CancelScope(deadline=deadline) as self._reading:
             if self._reading_stopped:
                 self._reading.cancel()
             try:
@@ -273,11 +273,11 @@
         if int(stated) > limits.body_bytes:
             raise BadRequest(413, f"the body is longer than {limits.body_bytes} bytes", "body_too_large")
 
-    async def _body(self, by: float) -> bytes | None:
+    async def _read_body(self, deadline: float) -> bytes | None:
         """Returns the request body, or None if the client disconnected within it."""
         parts: list[bytes] = []
         length = 0
-        with self._reading_until(by):
+        with self._reading_until(deadline):
             while True:
                 event = self.conn.next_event()
                 if event is h11.NEED_DATA:
--- a/ternlane/rules/draining.py
+++ b/ternlane/rules/draining.py
@@ -43,16 +43,16 @@
     changes: Changes = {}
     for gateway, notices in _notices(run).items():
         _add_changes(changes, gateway, notices)
-    counts["drains told"] = sum(not change.ready for of_server in changes.values() for change in of_server)
+    counts["drains told"] = sum(not change.ready for server_changes in changes.values() for change in server_changes)
     grace_ms = limits["drain_grace_ms"] + CLOCK_TOLERANCE_MS
     for attempts in run.attempts.values():
         for attempt in attempts:
-            of_server = changes.get((attempt.gateway, attempt.server), [])
-            index = bisect_right([change.at_ms for change in of_server], attempt.begin_ms)
-            if not index or of_server[index - 1].ready:
+            server_changes = changes.get((attempt.gateway, attempt.server), [])
+            index = bisect_right([change.at_ms for change in server_changes], attempt.begin_ms)
+            if not index or server_changes[index - 1].ready:
                 continue
-            since_ms = attempt.begin_ms - of_server[index - 1].at_ms
-            if attempt.begin_ms > of_server[index - 1].at_ms + grace_ms:
+            since_ms = attempt.begin_ms - server_changes[index - 1].at_ms
+            if attempt.begin_ms > server_changes[index - 1].at_ms + grace_ms:
                 why = f"sent {since_ms:.0f} ms after the gateway was notified that {attempt.server} is draining or gone"
                 yield Violation(RULE, attempt.request, why, [attempt.as_line()])
 
@@ -65,8 +65,8 @@
     for line in run.by_kind["gateway"]:
         if line["what"] == "start":
             notices[line["gw"]].append(Notice(line["t"], None))
-    for of_gateway in notices.values():
-        of_gateway.sort(key=lambda notice: notice.at_ms)
+    for gateway_notices in notices.values():
+        gateway_notices.sort(key=lambda notice: notice.at_ms)
     return notices
 
 
--- a/ternlane/rules/final_answers.py
+++ b/ternlane/rules/final_answers.py
@@ -1,6 +1,6 @@
 """Rule 1: each request has exactly one final answer before its deadline, and nothing after it.
 
-Exceptions: clients that disconnected, and requests that a killed gateway held or that arrived while it was down.
+Exceptions: clients that disconnected, and requests that were open at a killed gateway or arrived while it was down.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 def check_final_answers(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Checks each request that a client sent."""
-    finals = run.of_requests("final")
+    finals = run.by_request("final")
     first_tokens = {line["gen"]: line for line in run.by_kind["first"]}
     for request_line in run.by_kind["ask"]:
         request = request_line["gen"]
--- a/ternlane/rules/run_log.py
+++ b/ternlane/rules/run_log.py
@@ -65,7 +65,7 @@
             groups[line[key]].append(line)
         return groups
 
-    def of_requests(self, kind: str) -> defaultdict[str, list[LogLine]]:
+    def by_request(self, kind: str) -> defaultdict[str, list[LogLine]]:
         """Returns the lines of one kind, by request."""
         return self._grouped(kind, "gen")
 
@@ -83,8 +83,8 @@
                     line["gen"], line["n"], line["stage"], line["id"], line["gw"], line["t"], end["t"], end["how"]
                 )
             )
-        for of_request in attempts.values():
-            of_request.sort(key=lambda attempt: attempt.begin_ms)
+        for request_attempts in attempts.values():
+            request_attempts.sort(key=lambda attempt: attempt.begin_ms)
         return attempts
 
     def next_stop_ms(self, server: str, since_ms: float) -> float:
@@ -110,7 +110,7 @@
     def gateway_was_down(self, gateway: str | None, begin_ms: float, end_ms: float) -> bool:
         """Whether the gateway was killed between begin and end, or was down at begin.
 
-        A gateway that was asked to stop still has to answer what it had accepted by then.
+        A gateway that received a stop signal still has to answer what it had accepted before.
         """
         stopped_ms: float | None = None
         for line in self._gateway_lines.get(gateway or "", []):
--- a/ternlane/rules/stream_text.py
+++ b/ternlane/rules/stream_text.py
@@ -1,8 +1,7 @@
 """Rule 6: a client receives what servers produced, in order and once, over any number of attempts.
 
-Checked by the servers' own lines, which tell where they continued and what they produced. A complete answer must be the
-one that an unbroken attempt would have given. Answers from a gateway's idempotency cache have no attempt and are not
-checked.
+Checked by the servers' own lines, which record where they continued and what they produced. A complete answer must
+equal that of an unbroken attempt. Answers from a gateway's idempotency cache have no attempt and are not checked.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 def check_stream_text(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Checks each final answer to which attempts contributed text."""
-    produced = run.of_requests("said")
+    produced = run.by_request("said")
     for final in run.by_kind["final"]:
         attempts = sorted(produced[final["gen"]], key=lambda line: line["n"])
         if not attempts or final["outcome"] not in FINAL_OUTCOMES:
--- a/ternlane/testing/platform/model_server.py
+++ b/ternlane/testing/platform/model_server.py
@@ -122,7 +122,7 @@
     async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
         if fault == "silent":
             await exchange.wait_until_disconnected()
-        elif fault == "late_state":  # the prefill goes on for a while after its client has disconnected
+        elif fault == "late_state":  # the prefill continues for a while after its client has disconnected
             await exchange.wait_until_disconnected()
             await trio.sleep(LATE_STATE_S)
             self.fleet.hold(ident, self.name)
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.http1 import ConnectError, ConnectionPool
-from ternlane.http1.connection_age import BREAK_SHARE_LIMIT, ConnectionAge
+from ternlane.http1.idle_reuse import BREAK_SHARE_LIMIT, IdleReuseStats
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
@@ -70,12 +70,12 @@
 def test_occasional_breaks_are_tolerated_and_avoided_idle_times_are_tried_again(
     broke_every: int, avoided: bool
 ) -> None:
-    age = ConnectionAge(1000.0)
+    reuse_stats = IdleReuseStats(1000.0)
     for i in range(100):
-        age.record(200.0, i % broke_every == 0, 0.0)
-    assert age.is_unsafe(200.0, 0.0) is avoided and age.is_unsafe(250.0, 0.0) is avoided
-    assert not age.is_unsafe(20.0, 0.0) and not age.is_unsafe(2000.0, 0.0)
-    assert not age.is_unsafe(200.0, 5000.0)
+        reuse_stats.record(200.0, i % broke_every == 0, 0.0)
+    assert reuse_stats.is_unsafe(200.0, 0.0) is avoided and reuse_stats.is_unsafe(250.0, 0.0) is avoided
+    assert not reuse_stats.is_unsafe(20.0, 0.0) and not reuse_stats.is_unsafe(2000.0, 0.0)
+    assert not reuse_stats.is_unsafe(200.0, 5000.0)
 
 
 @pytest.mark.parametrize("reads_all", [False, True])
--- a/tests/test_races_servers.py
+++ b/tests/test_races_servers.py
@@ -113,10 +113,10 @@
 
 
 @pytest.mark.parametrize("name, other", [("r0", "r1"), ("w0", "w1")])
-async def test_the_chat_gateway_too_sends_nothing_to_a_server_that_began_to_drain_during_the_connect(
+async def test_the_chat_gateway_sends_nothing_to_a_server_that_began_to_drain_during_the_connect(
     name: str, other: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As above: a server begins to drain during a connect, here in the chat gateway."""
+    """A server begins to drain during a connect, here in the chat gateway."""
     async with gateway_cluster(("r0", "w0"), fleet=msgspec.structs.replace(FLEET_CONFIG, connect_ms=1000)) as w:
         engine = w.engines[name]
         held = DelayedConnects(monkeypatch, f"{engine.host}:{engine.port}")
@@ -335,8 +335,8 @@
 async def test_an_idle_connection_that_its_server_closes_as_it_is_reused_counts_as_a_reset(
     request_class: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection passes the check before reuse and is then closed before the request is written. The request may
-    have run, as far as the gateway can tell."""
+    """The connection passes the check before reuse and is then closed before the request is written. The gateway
+    has to assume that the request may have run."""
     monkeypatch.setattr(client_module, "REUSE_DELAY_MS", 0.0)
     # Neither time-outs nor the release timer may expire: finding the server's side of the connection blocks the loop.
     profiles = [one | {"aim": 5000.0, "deadline": 20e3} for one in PLATFORM_SETTINGS["profiles"]]
@@ -347,17 +347,17 @@
     async with platform("r0", "w0", "w1", platform_settings=platform_settings) as p:
         for _ in range(4):
             assert (await p.ask(Request_Timeout="15")).status == 200
-        dead, closing = ClientConnection.dead.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
+        is_stale, closing = ClientConnection.is_stale.fget, [p.servers[n].address for n in ("w0", "w1")]  # type: ignore[attr-defined]
 
         def dead_then_closed(self: ClientConnection) -> bool:
-            was_dead: bool = dead(self)
+            was_dead: bool = is_stale(self)
             if not was_dead and self.peer in closing:
                 closing.clear()
                 self.stream.socket.shutdown(trio.socket.SHUT_RD)  # no answer is read
                 _reset_by_peer(p, self)
             return was_dead
 
-        monkeypatch.setattr(ClientConnection, "dead", property(dead_then_closed))
+        monkeypatch.setattr(ClientConnection, "is_stale", property(dead_then_closed))
         before = p.fleet.count("write")
         reply = await p.ask(Request_Class=request_class, Request_Timeout="15")
         assert reply.status == status and not closing
