--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -59,13 +59,13 @@
             while end(self.received) < 0:
                 await trio.lowlevel.wait_readable(self.sock)
                 try:
-                    piece = self.sock.recv(65536)
+                    chunk = self.sock.recv(65536)
                 except ConnectionResetError:
                     self.reset = True
                     break
-                if not piece:
+                if not chunk:
                     break
-                self.received += piece
+                self.received += chunk
         at = end(self.received)
         out, self.received = (self.received, b"") if at < 0 else (self.received[:at], self.received[at:])
         return out
--- a/tests/shutdown_scenario.py
+++ b/tests/shutdown_scenario.py
@@ -285,10 +285,10 @@
             return False
         try:
             while answer_end(sent.answer) < 0:
-                piece = await stream.receive_some(65536)
-                if not piece:
+                chunk = await stream.receive_some(65536)
+                if not chunk:
                     return False
-                sent.answer += piece
+                sent.answer += chunk
         finally:
             sent.ended_at = trio.current_time()
         if sent.status == "503":
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -35,14 +35,14 @@
 
 
 async def ask(pool: ConnectionPool, peer: str) -> bool:
-    caller = await pool.take(peer)
+    connection = await pool.take(peer)
     try:
-        assert (await caller.ask("GET", "/", [])).status_code == 200
-        await caller.body(10)
+        assert (await connection.ask("GET", "/", [])).status_code == 200
+        await connection.body(10)
     except trio.BrokenResourceError:
-        caller.close_now()
+        connection.close_now()
         return False
-    pool.give_back(caller)
+    pool.give_back(connection)
     return True
 
 
@@ -80,23 +80,23 @@
 
 @pytest.mark.parametrize("reads_all", [False, True])
 async def test_a_request_may_have_run_only_if_its_last_byte_was_written_before_the_break(reads_all: bool) -> None:
-    body, got = b"x" * 8_000_000, 0
+    body, received = b"x" * 8_000_000, 0
 
     async def serve(stream: trio.SocketStream) -> None:
-        nonlocal got
-        while got < (len(body) if reads_all else 1000):
-            got += len(await stream.receive_some(65536))
+        nonlocal received
+        while received < (len(body) if reads_all else 1000):
+            received += len(await stream.receive_some(65536))
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.socket.close()
 
     async with trio.open_nursery() as nursery:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         nursery.start_soon(trio.serve_listeners, serve, [listener])
-        caller = await ConnectionPool(1000, 1000).take(f"127.0.0.1:{listener.socket.getsockname()[1]}")
+        connection = await ConnectionPool(1000, 1000).take(f"127.0.0.1:{listener.socket.getsockname()[1]}")
         with pytest.raises(trio.BrokenResourceError if reads_all else ConnectError):
-            await caller.ask("POST", "/", [], body)
-        assert caller.written is reads_all
-        caller.close_now()
+            await connection.ask("POST", "/", [], body)
+        assert connection.written is reads_all
+        connection.close_now()
         nursery.cancel_scope.cancel()
 
 
@@ -118,9 +118,9 @@
         pool = ConnectionPool(1000, 1000)
         peer = f"127.0.0.1:{listener.socket.getsockname()[1]}"
         for turn in range(3):
-            caller = await pool.take(peer)
-            await caller.ask("GET", "/", [])
-            assert await caller.body(10) == b"ok" and made == turn + 1
-            pool.give_back(caller)
+            connection = await pool.take(peer)
+            await connection.ask("GET", "/", [])
+            assert await connection.body(10) == b"ok" and made == turn + 1
+            pool.give_back(connection)
             await trio.sleep(0.05)
         nursery.cancel_scope.cancel()
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -89,8 +89,8 @@
             client = RawClient(p.address)
             client.send(client_request(p))
             client.send(b"GET /behind")  # unread bytes must not cause a reset that loses the answer
-            said = await client.rest()
-        assert said.startswith(b"HTTP/1.1 500 ") and not client.reset
+            response = await client.rest()
+        assert response.startswith(b"HTTP/1.1 500 ") and not client.reset
         assert (await p.ask()).status == 200
         await p.wait_until_idle()
 
@@ -106,8 +106,8 @@
         await gate.reached.wait()
         await trio.sleep(0.3 + OVERDUE_GRACE_MS / 1000 + 0.2)
         gate.open()
-        said = await client.answer()
-        assert said.startswith(b"HTTP/1.1 200 ") and b"[DONE]" in said
+        response = await client.answer()
+        assert response.startswith(b"HTTP/1.1 200 ") and b"[DONE]" in response
         assert not p.gateway.runtime.reporter.counts["overdue"]
 
 
@@ -125,10 +125,10 @@
             patched.setattr(StreamForwarder, "write_first_events", late_first)
             client = RawClient(p.address)
             client.send(client_request(p))
-            said = await client.answer()
+            response = await client.answer()
         assert (
-            said.startswith(b"HTTP/1.1 502 ")
-            and said.count(b"HTTP/1.1 ") == 1
+            response.startswith(b"HTTP/1.1 502 ")
+            and response.count(b"HTTP/1.1 ") == 1
             and runtime.reporter.counts["overdue"] == 1
         )
         assert (await p.ask()).status == 200
@@ -158,19 +158,19 @@
     nevertheless."""
     async with platform("r0", "w0") as p:
         runtime = p.gateway.runtime
-        settle, refused = runtime.finish_request, list[Any]()
+        finish_request, refused = runtime.finish_request, list[Any]()
 
-        def settle_second(active_request: Any, final: Any) -> None:
+        def fail_first_then_finish(active_request: Any, final: Any) -> None:
             refused.append(active_request)
             if len(refused) == 1:
                 raise OSError("a fault in this program")
-            settle(active_request, final)
+            finish_request(active_request, final)
 
         replace_decisions(
             p,
             lambda events: [messages.Reject(e.request, 0.0) for e in events if isinstance(e, messages.RequestArrived)],
         )
-        runtime.finish_request = settle_second  # type: ignore[method-assign]
+        runtime.finish_request = fail_first_then_finish  # type: ignore[method-assign]
         statuses: list[int] = []
 
         async def client() -> None:
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -67,15 +67,15 @@
     async with platform("r0", "w0", limits=ProcessLimits(sockets=100)) as p:
         client = RawClient(p.address)
         await wait_until(lambda: p.gateway.chat_server.idle)
-        whole = client_request(p)
-        side = gateway_stream(p, client)
-        client.send(whole[:part])
-        block_until_readable(side)
+        data = client_request(p)
+        stream = gateway_stream(p, client)
+        client.send(data[:part])
+        block_until_readable(stream)
         assert not p.gateway.chat_server.close_longest_idle()  # before the gateway has read it
         if part is not None:
             await wait_until(lambda: not p.gateway.chat_server.idle)
             assert not p.gateway.chat_server.close_longest_idle()  # and afterwards
-            client.send(whole[part:])
+            client.send(data[part:])
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
         await p.wait_until_idle()
@@ -93,10 +93,10 @@
 ) -> None:
     """The client has the complete answer and sends its next request before the gateway's last write has returned."""
     async with platform("r0", "w0") as p:
-        written, gate = exchange_module.Exchange.send, Gate()
+        send_all, gate = exchange_module.Exchange.send, Gate()
 
         async def slow_end(self: Exchange, data: bytes) -> None:
-            await written(self, data)
+            await send_all(self, data)
             if data.endswith(b"0\r\n\r\n") and not gate.opened.is_set():
                 await gate.hold()
 
@@ -137,14 +137,14 @@
     async with platform("r0", "w0") as p:
         p.servers["w0"].script = lambda _: "later_cut"
         runtime, client = p.gateway.runtime, RawClient(p.address)
-        settle = runtime.finish_request
+        finish_request = runtime.finish_request
 
-        def at_the_end(active_request: Any, final: Any) -> None:
+        def send_then_finish(active_request: Any, final: Any) -> None:
             client.send(b"x" * 100)  # still unread when the connection is ended, without a scheduler cycle in between
             block_until_readable(active_request.exchange.stream)
-            settle(active_request, final)
+            finish_request(active_request, final)
 
-        runtime.finish_request = at_the_end  # type: ignore[method-assign]
+        runtime.finish_request = send_then_finish  # type: ignore[method-assign]
         client.send(client_request(p))
         out = await client.rest()
         assert EVENT in out and not out.endswith(b"0\r\n\r\n") and not client.reset
@@ -175,10 +175,10 @@
 async def test_a_body_whose_last_byte_comes_late_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a too short body time-out: bodies that took longer than 1.2 s were refused with 408."""
     async with platform("r0", "w0") as p:
-        client, whole = RawClient(p.address), client_request(p)
-        client.send(whole[:-1])
+        client, data = RawClient(p.address), client_request(p)
+        client.send(data[:-1])
         await trio.sleep(1.6)
-        client.send(whole[-1:])
+        client.send(data[-1:])
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
 
@@ -197,18 +197,18 @@
             client.send(client_request(p))
             assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         await wait_until(lambda: p.gateway.chat_server.idle)
-        whole, side = client_request(p), gateway_stream(p, client)
-        part = {"nothing": 0, "unread": len(whole), "half a head": 30, "half a body": len(whole) - 9}[sent]
+        data, stream = client_request(p), gateway_stream(p, client)
+        part = {"nothing": 0, "unread": len(data), "half a head": 30, "half a body": len(data) - 9}[sent]
         if part:
-            client.send(whole[:part])
-            block_until_readable(side)
+            client.send(data[:part])
+            block_until_readable(stream)
         if sent.startswith("half"):
             await wait_until(lambda: not p.gateway.chat_server.idle)  # it has been read
         p.gateway.begin_drain()  # without a scheduler cycle: no task has read meanwhile
         p.nursery.start_soon(p.gateway.drain)
         if part:
-            if part < len(whole):
-                client.send(whole[part:])
+            if part < len(data):
+                client.send(data[part:])
             answer = await client.rest()
             assert answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) and b"onnection: close" in answer
         else:
@@ -224,10 +224,10 @@
     another request at once."""
     async with platform("r0", "w0") as p:
         gate = p.servers["w0"].gates["end"] = Gate()
-        client, written = RawClient(p.address), Exchange.send
+        client, send_all = RawClient(p.address), Exchange.send
 
         async def send(self: Exchange, data: bytes) -> None:
-            await written(self, data)
+            await send_all(self, data)
             if data.endswith(b"0\r\n\r\n") and self.stream.socket.getpeername() == client.sock.getsockname():
                 client.send(client_request(p))  # arrives while this answer's last bytes are written
                 block_until_readable(self.stream)
@@ -239,7 +239,7 @@
         await wait_until(lambda: p.gateway.chat_server.draining)
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
-        monkeypatch.setattr(Exchange, "send", written)
+        monkeypatch.setattr(Exchange, "send", send_all)
         answer = await client.rest()
         assert answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) and b"onnection: close" in answer
         assert not client.reset
@@ -374,8 +374,8 @@
 
 async def test_an_incomplete_request_is_refused_within_three_seconds() -> None:
     async with platform("r0", "w0") as p:
-        said = await p.send_raw(HEAD + b"Content-Length: 9\r\n\r\n{", within=3.0)
-        assert said.startswith(b"HTTP/1.1 408 ")
+        response = await p.send_raw(HEAD + b"Content-Length: 9\r\n\r\n{", within=3.0)
+        assert response.startswith(b"HTTP/1.1 408 ")
 
 
 # -- events are forwarded at once
@@ -402,7 +402,7 @@
         streams = [gateway_stream(p, client)]
         client.send(client_request(p))
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
-        streams += [caller.stream for caller in p.gateway.pool.open]
+        streams += [connection.stream for connection in p.gateway.pool.open]
         assert len(streams) == 3
         for stream in streams:
             assert stream.getsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY) == 1
--- a/tests/test_races_discovery.py
+++ b/tests/test_races_discovery.py
@@ -292,8 +292,8 @@
         for server in p.servers.values():
             pool.give_back(await pool.connect(server.address))
         assert len(pool.idle_of_all) == 2
-        for caller in pool.idle_of_all:
-            caller.idle_since -= 0.5
+        for connection in pool.idle_of_all:
+            connection.idle_since -= 0.5
         pool.set_limits(100.0, 1000.0, 10)
         assert len(pool.idle_of_all) == 2
         pool.set_limits(100.0, 400.0, 10)
--- a/tests/test_races_servers.py
+++ b/tests/test_races_servers.py
@@ -47,21 +47,21 @@
     """Simulates a slow handshake: connections are established at once, but reported only when `gate` opens."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str) -> None:
-        self.gate, self.address, reach = Gate(), address, connection_pool_module.open_stream
-        self.holds: Callable[[str], bool] = lambda address: address == self.address
+        self.gate, self.address, open_stream = Gate(), address, connection_pool_module.open_stream
+        self.delays: Callable[[str], bool] = lambda address: address == self.address
 
-        async def slow(host: str, number: int, source: str | None) -> trio.SocketStream:
-            stream = await reach(host, number, source)
-            if self.holds(f"{host}:{number}"):
+        async def delayed_open_stream(host: str, number: int, source: str | None) -> trio.SocketStream:
+            stream = await open_stream(host, number, source)
+            if self.delays(f"{host}:{number}"):
                 await self.gate.hold()
             return stream
 
-        monkeypatch.setattr(connection_pool_module, "open_stream", slow)
+        monkeypatch.setattr(connection_pool_module, "open_stream", delayed_open_stream)
 
     def after(self, p: Platform, role: str) -> None:
         """Delays connections to servers of this role once one of them has received a request."""
         addresses = {server.address for server in p.servers.values() if server.role == role}
-        self.holds = lambda address: address in addresses and p.fleet.count(role) > 0
+        self.delays = lambda address: address in addresses and p.fleet.count(role) > 0
 
 
 # -- draining servers
@@ -132,8 +132,8 @@
         held.gate.open()
         await wait_until(lambda: replies)
         assert replies[0].status == 200 and replies[0].done == 1
-        asked_of = {line["id"] for line in w.traffic_events("leg")}
-        assert name not in asked_of and other in asked_of
+        servers_reached = {line["id"] for line in w.traffic_events("leg")}
+        assert name not in servers_reached and other in servers_reached
         await w.wait_until_idle()
 
 
@@ -144,10 +144,10 @@
     request, attempt = host.start_decode(Effect.SIDE_EFFECTING)
     second = started_attempt(host.end_attempt(request, attempt.server, AttemptOutcome.NOT_STARTED, after=200.0))
     assert second.server is not attempt.server and second.server.role is messages.Role.DECODE
-    said = host.end_attempt(
+    actions = host.end_attempt(
         request, second.server, AttemptOutcome.NOT_STARTED, after=200.0
     )  # 400 of 500 ms, and 250 to connect
-    assert messages.Release in action_types(said) and started_attempt(said).server.role is messages.Role.PREFILL
+    assert messages.Release in action_types(actions) and started_attempt(actions).server.role is messages.Role.PREFILL
     assert not host.router.scheduler.rules.endpoints[attempt.server.router_state].ejected
 
 
@@ -186,29 +186,29 @@
                 block_until_readable(self.inner)
             raise AssertionError
 
-    caller = ClientConnection(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
-    await caller.send_request("DELETE", "/kv/leases/ab", [])
-    caller.set_read_deadline(trio.current_time() + 0.05)
-    assert (await caller.read_head()).status_code == 204
-    caller.close_now()
+    connection = ClientConnection(Late(stream), "a:1", ("", 0))  # type: ignore[arg-type]
+    await connection.send_request("DELETE", "/kv/leases/ab", [])
+    connection.set_read_deadline(trio.current_time() + 0.05)
+    assert (await connection.read_head()).status_code == 204
+    connection.close_now()
 
 
 async def test_a_peer_that_never_stops_sending_is_read_only_once_after_the_deadline() -> None:
     """A server keeps sending after its read deadline. It is read once more, not for ever."""
     stream, peer = await connected_pair()
-    caller = ClientConnection(stream, "a:1", ("", 0))
-    await caller.send_request("GET", "/", [])
+    connection = ClientConnection(stream, "a:1", ("", 0))
+    await connection.send_request("GET", "/", [])
     peer.send(RESPONSE_HEAD + encode_chunk(EVENT))
-    assert (await caller.read_head()).status_code == 200
-    caller.set_read_deadline(trio.current_time() - 1)
-    got: list[bytes] = []
+    assert (await connection.read_head()).status_code == 200
+    connection.set_read_deadline(trio.current_time() - 1)
+    received: list[bytes] = []
     with pytest.raises(ReadTimeout):
-        async for piece in caller.chunks():
-            got.append(piece)
+        async for chunk in connection.chunks():
+            received.append(chunk)
             peer.send(encode_chunk(b": comment\n\n"))  # there are always unread bytes
             block_until_readable(stream)
-    assert got[0] == EVENT and len(got) <= 2
-    caller.close_now()
+    assert received[0] == EVENT and len(received) <= 2
+    connection.close_now()
 
 
 async def test_an_event_that_arrives_as_the_idle_time_out_expires_is_forwarded_with_the_rest(
@@ -365,16 +365,16 @@
         await p.wait_until_idle()
 
 
-def _reset_by_peer(p: Platform, caller: ClientConnection) -> None:
+def _reset_by_peer(p: Platform, connection: ClientConnection) -> None:
     """Closes the server's side of this connection."""
     import gc
 
-    ours = caller.stream.socket.getsockname()
-    for it in gc.get_objects():
-        if isinstance(it, trio.SocketStream) and it.socket.fileno() >= 0 and it is not caller.stream:
+    local_address = connection.stream.socket.getsockname()
+    for stream in gc.get_objects():
+        if isinstance(stream, trio.SocketStream) and stream.socket.fileno() >= 0 and stream is not connection.stream:
             try:
-                if it.socket.getpeername() == ours:
-                    it.socket.close()
+                if stream.socket.getpeername() == local_address:
+                    stream.socket.close()
             except OSError:
                 pass
 
@@ -386,13 +386,13 @@
     async with platform("r0", "w0", platform_settings=platform_settings(cancel=False)) as p:
         gate, send = Gate(), connection_module.send
 
-        async def half(stream: trio.SocketStream, data: bytes) -> None:
+        async def send_in_two_parts(stream: trio.SocketStream, data: bytes) -> None:
             if data.startswith(b"POST /v1/"):
                 send_now(stream, data[:-3])
                 await gate.hold()
             await send(stream, data[-3:] if data.startswith(b"POST /v1/") else data)
 
-        monkeypatch.setattr(connection_module, "send", half)
+        monkeypatch.setattr(connection_module, "send", send_in_two_parts)
         client = RawClient(p.address)
         client.send(client_request(p))
         await gate.reached.wait()
@@ -463,21 +463,21 @@
             server.gates["lease"] = gate
         assert (await p.ask(Request_Class="note")).status == 502
         await gate.reached.wait()
-        done, looked, close_idle = trio.Event(), trio.Event(), p.gateway.chat_server.close_idle
+        done, last_call, close_idle = trio.Event(), trio.Event(), p.gateway.chat_server.close_idle
 
-        def look(served_only: bool = False) -> None:
+        def record_last_call(served_only: bool = False) -> None:
             close_idle(served_only)
             if not served_only:
-                looked.set()  # called by the last loop of the drain: only the release is left to wait for
+                last_call.set()  # called by the last loop of the drain: only the release is left to wait for
 
-        p.gateway.chat_server.close_idle = look  # type: ignore[method-assign]
+        p.gateway.chat_server.close_idle = record_last_call  # type: ignore[method-assign]
 
         async def drain() -> None:
             await p.gateway.drain()
             done.set()
 
         p.nursery.start_soon(drain)
-        await wait_until(lambda: looked.is_set() or done.is_set())
+        await wait_until(lambda: last_call.is_set() or done.is_set())
         assert p.gateway.runtime.releases_in_flight and not done.is_set()
         gate.open()
         await wait_until(done.is_set)
@@ -521,17 +521,17 @@
 async def test_the_pool_does_not_reuse_a_connection_within_the_reuse_delay() -> None:
     stream, peer = await connected_pair()
     pool = ConnectionPool(100.0, 10_000.0)
-    caller = ClientConnection(stream, "127.0.0.1:9", ("", 0))
-    pool.open.add(caller)
+    connection = ClientConnection(stream, "127.0.0.1:9", ("", 0))
+    pool.open.add(connection)
     peer.send(b"HTTP/1.1 204 \r\n\r\n")
-    assert (await caller.ask("DELETE", "/", [])).status_code == 204
-    assert await caller.body(10) == b""
-    pool.give_back(caller)
-    assert caller.conn.our_state is h11.IDLE
+    assert (await connection.ask("DELETE", "/", [])).status_code == 204
+    assert await connection.body(10) == b""
+    pool.give_back(connection)
+    assert connection.conn.our_state is h11.IDLE
     refused: Callable[[], Any] = partial(pool.take, "127.0.0.1:9", 60e3)
     with pytest.raises(
         connection_module.ConnectError
     ):  # a new connection is refused there, and the idle one is not used
         await refused()
-    assert await pool.take("127.0.0.1:9") is caller
-    caller.close_now()
+    assert await pool.take("127.0.0.1:9") is connection
+    connection.close_now()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -124,14 +124,14 @@
     async with platform() as p:
         servers = {server.address for server in p.servers.values()}
         failed: list[str] = []
-        reach = connection_pool_module.open_stream
+        open_stream = connection_pool_module.open_stream
 
         async def failing(host: str, port: int, source: str | None) -> trio.SocketStream:
             address = f"{host}:{port}"
             if address in servers and len(failed) < times:
                 failed.append(address)
                 raise OSError(number, os.strerror(number))
-            return await reach(host, port, source)
+            return await open_stream(host, port, source)
 
         monkeypatch.setattr(connection_pool_module, "open_stream", failing)
         assert await request_status(p) == 200 and len(failed) == times
