--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -24,14 +24,14 @@
 
 
 async def run_node(cluster: GatewayCluster, script: str, *args: str) -> str:
-    done = await trio.run_process(
+    process = await trio.run_process(
         [str(NODE), str(JS / script), f"http://{cluster.gateway.address}", *args],
         capture_stdout=True,
         capture_stderr=True,
         check=False,
     )
-    assert done.returncode == 0, done.stderr.decode()[-2000:]
-    return done.stdout.decode()
+    assert process.returncode == 0, process.stderr.decode()[-2000:]
+    return process.stdout.decode()
 
 
 @needs_node
@@ -43,11 +43,11 @@
         if scene == "throttled":
             cluster.gateway.found([])
 
-            async def fill() -> None:
+            async def publish_later() -> None:
                 await trio.sleep(0.4)
                 cluster.publish_endpoints()
 
-            cluster.nursery.start_soon(fill)
+            cluster.nursery.start_soon(publish_later)
         if scene == "lost":
             for ident in ("w0", "w0b"):
                 cluster.engines[ident].fault.lost_answer_share = 1.0
@@ -99,11 +99,11 @@
         assert len(cluster.traffic_events("effect")) == 3 and cluster.traffic_events("leg_end")[-1]["how"] == "dropped"
         cluster.gateway.found([])
 
-        async def fill() -> None:
+        async def publish_later() -> None:
             await trio.sleep(0.2)
             cluster.publish_endpoints()
 
-        cluster.nursery.start_soon(fill)
+        cluster.nursery.start_soon(publish_later)
 
         def retry() -> None:
             with Client(f"http://{cluster.gateway.address}", retries=5) as client:
@@ -150,11 +150,11 @@
 
 @pytest.mark.parametrize("name", sorted(p.name for p in (ROOT / "examples").glob("*.py")))
 def test_the_python_examples(name: str) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, str(ROOT / "examples" / name)],
         capture_output=True,
         text=True,
         timeout=60,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
-    assert done.returncode == 0, done.stderr[-2000:]
+    assert process.returncode == 0, process.stderr[-2000:]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -32,9 +32,9 @@
 
 
 def test_the_router_imports_no_http_stack_and_all_public_names_exist() -> None:
-    heavy = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
+    http_stack = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
     output = run_python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
-    assert not heavy & set(output.split())
+    assert not http_stack & set(output.split())
     for name in ternlane.__all__:
         assert getattr(ternlane, name) is not None
     with pytest.raises(AttributeError, match="no attribute 'nothing'"):
@@ -56,10 +56,10 @@
 
 def test_threads_share_one_router_that_ends_with_its_block() -> None:
     engine_map, transport = engines()
-    got: list[str] = []
+    texts: list[str] = []
     before = threading.active_count()
     with ternlane.Blocking(gateway_config("r0", "w0"), lambda: transport) as routing:
-        threads = [threading.Thread(target=lambda: got.append("".join(routing.request(REQUEST)))) for _ in range(8)]
+        threads = [threading.Thread(target=lambda: texts.append("".join(routing.request(REQUEST)))) for _ in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -72,7 +72,7 @@
         engine_map["w0"].fault = "broken"
         with pytest.raises(ternlane.FailedError):
             list(routing.request(REQUEST))
-    assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
+    assert texts == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
     with pytest.raises(RuntimeError, match="has stopped"):
         list(routing.request(REQUEST))
 
@@ -86,7 +86,7 @@
             async def one() -> str:
                 return "".join([text async for text in routing.agenerate(REQUEST)])
 
-            got = list(await asyncio.gather(*[one() for _ in range(4)]))
+            texts = list(await asyncio.gather(*[one() for _ in range(4)]))
             engine_map["w0"].fault = "stalls"
             task = asyncio.create_task(one())
             await asyncio.sleep(0.1)
@@ -97,17 +97,17 @@
                 if engine_map["w0"].closed == 5:
                     break
                 await asyncio.sleep(0.01)
-            return got
+            return texts
 
     assert asyncio.run(main()) == ["0 1 2 3 4 5 "] * 4
     assert engine_map["w0"].closed == 5
 
 
 def test_a_router_that_cannot_start_raises_when_it_is_opened() -> None:
-    def make() -> LocalTransport:
+    def make_transport() -> LocalTransport:
         raise OSError("no such engines")
 
-    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(gateway_config("r0"), make):
+    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(gateway_config("r0"), make_transport):
         pass
 
 
--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -112,13 +112,13 @@
 
 
 async def collect(transport: Transport, ask: AttemptRequest) -> tuple[Any, list[str]]:
-    got: list[str] = []
+    pieces: list[str] = []
 
     async def pass_on(text: str, first: bool) -> None:
-        assert first is (not got)
-        got.append(text)
+        assert first is (not pieces)
+        pieces.append(text)
 
-    return await transport.stream(ask, pass_on), got
+    return await transport.stream(ask, pass_on), pieces
 
 
 @pytest.mark.parametrize("kind", ["local", "sockets"])
@@ -126,23 +126,23 @@
     async with trio.open_nursery() as nursery:
         test_bed = TransportTestBed(kind, nursery)
         transport = await test_bed.open()
-        end = await transport.read(test_bed.ask("r0", Stage.PREFILL))
+        prefill_result = await transport.read(test_bed.ask("r0", Stage.PREFILL))
         assert (
-            end.outcome is AttemptOutcome.PREFILLED
-            and end.state is not None
-            and end.usage is not None
+            prefill_result.outcome is AttemptOutcome.PREFILLED
+            and prefill_result.state is not None
+            and prefill_result.usage is not None
             and test_bed.states_held() == 1
         )
-        wrote, got = await collect(transport, test_bed.ask("w0", Stage.DECODE, end.state))
-        assert wrote.outcome is AttemptOutcome.STREAMED and wrote.begun and len(got) == 6
-        assert wrote.usage is not None and wrote.usage.completion_tokens == 6
+        decode_result, pieces = await collect(transport, test_bed.ask("w0", Stage.DECODE, prefill_result.state))
+        assert decode_result.outcome is AttemptOutcome.STREAMED and decode_result.begun and len(pieces) == 6
+        assert decode_result.usage is not None and decode_result.usage.completion_tokens == 6
         if kind == "local":
             test_bed.local["r0"].states.clear()  # the local fake keeps its state after a decode
-        again = await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="h"))
+        second_prefill = await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="h"))
         assert test_bed.states_held() == 1 and await transport.release(
             "r0", test_bed.ask("r0", Stage.PREFILL).address, "h", 200
         )
-        assert test_bed.states_held() == 0 and again.outcome is AttemptOutcome.PREFILLED
+        assert test_bed.states_held() == 0 and second_prefill.outcome is AttemptOutcome.PREFILLED
 
         without_state, _ = await collect(
             transport,
@@ -155,10 +155,10 @@
         assert (await transport.read(test_bed.ask("r0", Stage.PREFILL, timeout=50))).outcome is AttemptOutcome.TIMED_OUT
         test_bed.inject_fault("r0", "")
 
-        called = test_bed.ask("r0", Stage.PREFILL)
+        cancelled_request = test_bed.ask("r0", Stage.PREFILL)
         test_bed.inject_fault("r0", "hung")
-        nursery.start_soon(cancel_soon, called)
-        assert (await transport.read(called)).outcome is AttemptOutcome.CANCELLED
+        nursery.start_soon(cancel_soon, cancelled_request)
+        assert (await transport.read(cancelled_request)).outcome is AttemptOutcome.CANCELLED
         test_bed.inject_fault("r0", "")
 
         state = (await transport.read(test_bed.ask("r0", Stage.PREFILL, ident="j"))).state
