--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The public face: what importing costs, use from plain threads, and a daemon whose sockets are handed over."""
+"""The public interface: imports, use from threads and asyncio, and the life of a daemon."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 import ternlane
 from ternlane.engine import LocalTransport
-from tests.test_transports import REQUEST, Local, config
+from tests.test_transports import REQUEST, FakeLocalEngine, gateway_config
 
 ROOT = Path(__file__).parent.parent
 
 
-def python(code: str) -> str:
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
-    assert done.returncode == 0, done.stderr
-    return done.stdout
+def run_python(code: str) -> str:
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
+    assert process.returncode == 0, process.stderr
+    return process.stdout
 
 
-def test_decisions_alone_bring_no_http_stack_and_all_names_are_there() -> None:
-    heavy = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
-    said = python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
-    assert not heavy & set(said.split())
+def test_the_router_imports_no_http_stack_and_all_public_names_exist() -> None:
+    http_stack = {"trio", "h11", "msgspec", "json5", "structlog", "prometheus_client", "xxhash"}
+    output = run_python("import sys, ternlane\nternlane.Router, ternlane.RouterConfig\nprint(*sys.modules)")
+    assert not http_stack & set(output.split())
     for name in ternlane.__all__:
         assert getattr(ternlane, name) is not None
     with pytest.raises(AttributeError, match="no attribute 'nothing'"):
         ternlane.nothing  # noqa: B018
 
 
-def test_all_that_is_public_says_what_it_is_for() -> None:
+def test_all_public_names_have_doc_comments() -> None:
     from ternlane.reference import page, undocumented_names
 
     assert undocumented_names() == []
@@ -49,75 +49,75 @@
     assert all(f"### `{name}" in text for name in ternlane.__all__[1:]) and "`.take(now: float," in text
 
 
-def engines() -> tuple[dict[str, Local], LocalTransport]:
-    made = {i: Local() for i in ("r0", "w0")}
-    return made, LocalTransport(dict(made))  # type: ignore[arg-type]
+def engines() -> tuple[dict[str, FakeLocalEngine], LocalTransport]:
+    engine_map = {i: FakeLocalEngine() for i in ("r0", "w0")}
+    return engine_map, LocalTransport(dict(engine_map))  # type: ignore[arg-type]
 
 
-def test_plain_threads_share_one_router_and_it_ends_with_its_block() -> None:
-    made, transport = engines()
-    got: list[str] = []
+def test_threads_share_one_router_that_ends_with_its_block() -> None:
+    engine_map, transport = engines()
+    texts: list[str] = []
     before = threading.active_count()
-    with ternlane.Blocking(config("r0", "w0"), lambda: transport) as routing:
-        threads = [threading.Thread(target=lambda: got.append("".join(routing.request(REQUEST)))) for _ in range(8)]
+    with ternlane.Blocking(gateway_config("r0", "w0"), lambda: transport) as routing:
+        threads = [threading.Thread(target=lambda: texts.append("".join(routing.request(REQUEST)))) for _ in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(5)
-        early = routing.request(REQUEST)
-        assert next(early) == "0 "
-        early.close()  # type: ignore[attr-defined]
+        abandoned = routing.request(REQUEST)
+        assert next(abandoned) == "0 "
+        abandoned.close()  # type: ignore[attr-defined]
         with pytest.raises(ternlane.InvalidRequestError):
             list(routing.request(REQUEST | {"model": "x"}))
-        made["w0"].trouble = "broken"
+        engine_map["w0"].fault = "broken"
         with pytest.raises(ternlane.FailedError):
             list(routing.request(REQUEST))
-    assert got == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
-    with pytest.raises(RuntimeError, match="has ended"):
+    assert texts == ["0 1 2 3 4 5 "] * 8 and threading.active_count() == before
+    with pytest.raises(RuntimeError, match="has stopped"):
         list(routing.request(REQUEST))
 
 
 def test_asyncio_callers_are_served_and_may_cancel() -> None:
-    made, transport = engines()
+    engine_map, transport = engines()
 
     async def main() -> list[str]:
-        with ternlane.Bridged(config("r0", "w0"), lambda: transport) as routing:
+        with ternlane.Bridged(gateway_config("r0", "w0"), lambda: transport) as routing:
 
             async def one() -> str:
                 return "".join([text async for text in routing.agenerate(REQUEST)])
 
-            got = list(await asyncio.gather(*[one() for _ in range(4)]))
-            made["w0"].trouble = "stalls"
+            texts = list(await asyncio.gather(*[one() for _ in range(4)]))
+            engine_map["w0"].fault = "stalls"
             task = asyncio.create_task(one())
             await asyncio.sleep(0.1)
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
             for _ in range(200):
-                if made["w0"].closed == 5:
+                if engine_map["w0"].closed == 5:
                     break
                 await asyncio.sleep(0.01)
-            return got
+            return texts
 
     assert asyncio.run(main()) == ["0 1 2 3 4 5 "] * 4
-    assert made["w0"].closed == 5
+    assert engine_map["w0"].closed == 5
 
 
-def test_a_router_that_can_not_start_says_so_where_it_is_made() -> None:
-    def make() -> LocalTransport:
+def test_a_router_that_cannot_start_raises_when_it_is_opened() -> None:
+    def make_transport() -> LocalTransport:
         raise OSError("no such engines")
 
-    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(config("r0"), make):
+    with pytest.raises(OSError, match="no such engines"), ternlane.Blocking(gateway_config("r0"), make_transport):
         pass
 
 
-def test_an_interpreter_that_ends_with_a_router_open_ends() -> None:
+def test_an_interpreter_exits_with_a_router_open() -> None:
     code = (
         "from tests.test_library import *\n_, t = engines()\n"
-        "r = ternlane.Blocking(config('r0', 'w0'), lambda: t).__enter__()\n"
+        "r = ternlane.Blocking(gateway_config('r0', 'w0'), lambda: t).__enter__()\n"
         "print(''.join(r.request(REQUEST)).strip()[-1])"
     )
-    assert python(code).split()[-1] == "5"
+    assert run_python(code).split()[-1] == "5"
 
 
 def serve(tmp_path: Path, port: int, notify: str, sock: socket.socket | None = None) -> subprocess.Popen[bytes]:
@@ -136,7 +136,7 @@
     args = [sys.executable, "-m", "ternlane", "serve", str(path), "--log", "error", "--pid-file", str(tmp_path / "pid")]
     if sock is None:
         return subprocess.Popen(args, env=env)
-    # a service manager puts the socket at 3 and names how many there are
+    # A service manager passes sockets from descriptor 3 on, and their number in LISTEN_FDS.
     code = (
         f"import os, sys; os.dup2({sock.fileno()}, 3); os.environ['LISTEN_PID'] = str(os.getpid()); "
         f"os.environ['LISTEN_FDS'] = '1'; os.execv(sys.executable, {args!r})"
@@ -144,33 +144,34 @@
     return subprocess.Popen([sys.executable, "-c", code], env=env, pass_fds=[sock.fileno(), 3])
 
 
-def test_a_restart_with_sockets_handed_over_drops_no_connection(tmp_path: Path) -> None:
+def test_a_restart_with_inherited_sockets_drops_no_connection(tmp_path: Path) -> None:
     manager = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     manager.bind(str(tmp_path / "notify"))
     manager.settimeout(10)
-    door = socket.create_server(("127.0.0.1", 0), backlog=256)
-    port, results, stop = door.getsockname()[1], list[int](), threading.Event()
+    listener = socket.create_server(("127.0.0.1", 0), backlog=256)
+    port, results, stop = listener.getsockname()[1], list[int](), threading.Event()
 
-    def keep_asking() -> None:
+    def send_requests() -> None:
         while not stop.is_set():
             results.append(httpx.get(f"http://127.0.0.1:{port}/v1/models", timeout=5).status_code)
 
-    first = serve(tmp_path, port, str(tmp_path / "notify"), door)
+    first = serve(tmp_path, port, str(tmp_path / "notify"), listener)
     second = None
     try:
         assert b"READY=1" in manager.recv(4096)
-        client = threading.Thread(target=keep_asking)
+        client = threading.Thread(target=send_requests)
         client.start()
         time.sleep(0.2)
-        second = serve(tmp_path, port, str(tmp_path / "notify"), door)
+        second = serve(tmp_path, port, str(tmp_path / "notify"), listener)
         assert b"READY=1" in manager.recv(4096)
         first.send_signal(signal.SIGTERM)
         assert b"STOPPING=1" in manager.recv(4096) and first.wait(10) == 0
-        assert (tmp_path / "pid").read_text() == f"{second.pid}\n"  # the one that ended left the other's number
+        # The first process did not remove the pid file of the second.
+        assert (tmp_path / "pid").read_text() == f"{second.pid}\n"
         time.sleep(0.3)
-        until = time.monotonic() + 10
-        while len(results) <= 20 and client.is_alive() and time.monotonic() < until:
-            time.sleep(0.02)  # a busy machine starts processes slowly
+        deadline = time.monotonic() + 10
+        while len(results) <= 20 and client.is_alive() and time.monotonic() < deadline:
+            time.sleep(0.02)  # processes start slowly on a busy machine
         stop.set()
         client.join(10)
         assert len(results) > 20 and set(results) == {200}, results
@@ -183,24 +184,24 @@
                 process.kill()
                 process.wait()
         manager.close()
-        door.close()
+        listener.close()
 
 
-def test_a_fork_after_import_can_route_in_both(tmp_path: Path) -> None:
-    """Nothing is started by importing, so a child has all that its parent has."""
-    said = python(
+def test_parent_and_child_can_route_after_a_fork(tmp_path: Path) -> None:
+    """Importing starts nothing, so a child process can route like its parent."""
+    output = run_python(
         "import os\nfrom tests.test_library import *\nternlane.Blocking, ternlane.open_gateway\n"
         "pid = os.fork()\n_, t = engines()\n"
-        "with ternlane.Blocking(config('r0', 'w0'), lambda: t) as r:\n"
+        "with ternlane.Blocking(gateway_config('r0', 'w0'), lambda: t) as r:\n"
         "    text = ''.join(r.request(REQUEST)).strip()\n"
         "os.write(1, (text[-1] + chr(10)).encode())\n"
         "pid and os.waitpid(pid, 0)\n"
     )
-    assert said.split() == ["5", "5"]
+    assert output.split() == ["5", "5"]
 
 
 @pytest.mark.parametrize("after_ms", [0, 60, 150, 250, 400])
-def test_a_daemon_told_to_end_during_its_start_ends(tmp_path: Path, after_ms: float) -> None:
+def test_a_daemon_ends_on_sigterm_during_its_start(tmp_path: Path, after_ms: float) -> None:
     with socket.create_server(("127.0.0.1", 0)) as probe:
         port = probe.getsockname()[1]
     process = serve(tmp_path, port, "")
@@ -209,7 +210,7 @@
     assert process.wait(5) in (0, -signal.SIGTERM) and not (tmp_path / "pid").exists()
 
 
-def test_a_daemon_told_twice_ends_at_once_and_one_told_within_a_reload_drains(tmp_path: Path) -> None:
+def test_a_second_sigterm_ends_a_daemon_and_sigterm_during_a_reload_drains(tmp_path: Path) -> None:
     manager = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     manager.bind(str(tmp_path / "notify"))
     manager.settimeout(10)
@@ -223,15 +224,15 @@
                 process.send_signal(number)
                 time.sleep(0.01 if ready else 0.0)
             assert process.wait(5) == 0
-            told = []
+            notifications = []
             manager.setblocking(False)
             while True:
                 try:
-                    told.append(manager.recv(4096))
+                    notifications.append(manager.recv(4096))
                 except BlockingIOError:
                     break
             manager.settimeout(10)
-            assert told[-1] == b"STOPPING=1" and (b"RELOADING=1" in told) is bool(ready)
+            assert notifications[-1] == b"STOPPING=1" and (b"RELOADING=1" in notifications) is bool(ready)
         finally:
             if process.poll() is None:
                 process.kill()
@@ -239,16 +240,16 @@
     manager.close()
 
 
-async def test_two_routers_in_one_process_do_not_know_each_other() -> None:
+async def test_two_routers_in_one_process_are_independent() -> None:
     (one, first), (two, second) = engines(), engines()
     async with (
-        ternlane.open_routing(config("r0", "w0"), first) as a,
-        ternlane.open_routing(config("r0", "w0", seed=9), second) as b,
+        ternlane.open_routing(gateway_config("r0", "w0"), first) as a,
+        ternlane.open_routing(gateway_config("r0", "w0", seed=9), second) as b,
     ):
         async with a.request(REQUEST) as stream:
             assert await stream.text()
         assert one["w0"].effects == 1 and two["w0"].effects == 0 and not b.runtime.active_requests
-        two["r0"].trouble = "hung"
+        two["r0"].fault = "hung"
         with trio.move_on_after(0.05):
             async with b.request(REQUEST) as stream:
                 await stream.text()
@@ -256,13 +257,13 @@
             assert await stream.text()
 
 
-async def test_cancelled_at_every_checkpoint_it_leaves_nothing() -> None:
-    """The n-th step of a generation is cancelled, for every n: nothing is held, no effect twice, no task stays."""
+async def test_cancellation_at_any_checkpoint_leaves_nothing() -> None:
+    """A request is cancelled at its n-th step, for every n: no state, task or second effect may be left."""
 
     async def once(n: int) -> bool:
-        made, transport = engines()
+        engine_map, transport = engines()
         steps, done = 0, False
-        async with ternlane.open_routing(config("r0", "w0"), transport) as routing:
+        async with ternlane.open_routing(gateway_config("r0", "w0"), transport) as routing:
             with trio.CancelScope() as scope:
 
                 class Count(trio.abc.Instrument):
@@ -283,8 +284,8 @@
             with trio.fail_after(1):
                 while routing.runtime.active_requests or routing.runtime.server_calls.releases_in_flight:
                     await trio.sleep(0.002)
-            assert made["w0"].effects <= 1 and made["w0"].closed == made["w0"].effects
-            assert made["w0"].effects or not made["r0"].states
+            assert engine_map["w0"].effects <= 1 and engine_map["w0"].closed == engine_map["w0"].effects
+            assert engine_map["w0"].effects or not engine_map["r0"].states
         return done
 
     before = trio.lowlevel.current_statistics().tasks_living
@@ -297,8 +298,8 @@
 
 
 @pytest.mark.parametrize("owner", [ternlane.Routing, ternlane.Blocking, ternlane.Bridged])
-def test_an_old_method_tells_the_new_one(owner: Any) -> None:
-    with pytest.raises(AttributeError, match=f"{owner.__name__}.request now"):
+def test_an_old_method_name_raises_an_error_with_the_new_one(owner: Any) -> None:
+    with pytest.raises(AttributeError, match=f"{owner.__name__}.generation was renamed to {owner.__name__}.request "):
         object.__new__(owner).generation  # noqa: B018
 
 
