--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -250,7 +250,7 @@
     """Some clients repeat a bad request without pause. Other clients must be served."""
     async with platform("r0", "w0") as p:
         answers: list[bytes] = []
-        took: list[float] = []
+        durations_s: list[float] = []
 
         async def bad_client() -> None:
             for _ in range(4):  # at once after the rejection
@@ -260,14 +260,17 @@
             for _ in range(20):
                 since = trio.current_time()
                 assert (await p.ask()).status == 200
-                took.append(trio.current_time() - since)
+                durations_s.append(trio.current_time() - since)
 
         async with trio.open_nursery() as nursery:
             for _ in range(150):
                 nursery.start_soon(bad_client)
             nursery.start_soon(normal_client)
         assert len(answers) == 600 and all(a.startswith(b"HTTP/1.1 400") for a in answers)
-        assert sorted(took)[len(took) // 2] < 0.5 and p.gateway.runtime.reporter.counts["refused bad_http"] == 600
+        assert (
+            sorted(durations_s)[len(durations_s) // 2] < 0.5
+            and p.gateway.runtime.reporter.counts["refused bad_http"] == 600
+        )
         assert p.gateway.runtime.reporter.counts["received"] == 20
 
 
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -57,7 +57,7 @@
         "MAX_BACKOFF_MS",
     ):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
-    took: list[float] = []
+    delays_ms: list[float] = []
 
     async def one(nth: int, nursery: trio.Nursery) -> None:
         discovery = FakeDiscovery(nursery, discovery_watch.HEARTBEAT_MS)
@@ -81,14 +81,14 @@
         discovery.put("w0", "127.0.0.1:1", "writer", "DRAINING")
         since = trio.current_time()
         await applied.wait()
-        took.append((trio.current_time() - since) * 1000)
+        delays_ms.append((trio.current_time() - since) * 1000)
 
     async with trio.open_nursery() as nursery:
         async with trio.open_nursery() as inner:
             for nth in range(24):
                 inner.start_soon(one, nth, nursery)
         nursery.cancel_scope.cancel()
-    assert max(took) < discovery_watch.PROPAGATION_MS / 10
+    assert max(delays_ms) < discovery_watch.PROPAGATION_MS / 10
 
 
 def listing(index: int, snapshot: bool = False, **statuses: str) -> bytes:
@@ -176,7 +176,7 @@
 # -- disconnected clients
 
 
-async def send_and_leave(p: Platform, how: str, extra_bytes: bytes = b"") -> trio.SocketStream:
+async def send_chat_request(p: Platform, how: str, extra_bytes: bytes = b"") -> trio.SocketStream:
     host, _, number = p.address.partition(":")
     stream = await trio.open_tcp_stream(host, int(number))
     head = "".join(f"{k}: {v}\r\n" for k, v in p.headers().items())
@@ -204,7 +204,7 @@
     """A client disconnects during its prefill, in some cases after sending more unread bytes than the gateway keeps."""
     async with platform("r0", "w0") as p:
         prefill_gate = p.servers["r0"].gates["request"] = Gate()
-        stream = await send_and_leave(p, how, extra_bytes)
+        stream = await send_chat_request(p, how, extra_bytes)
         with trio.fail_after(2):
             await prefill_gate.reached.wait()
         if how == "half-closed":
@@ -239,7 +239,7 @@
             return connection
 
         pool.connect = slow  # type: ignore[method-assign]
-        stream = await send_and_leave(p, "stays")
+        stream = await send_chat_request(p, "stays")
         await trio.sleep(0.1)
         stream.socket.close()
         await trio.sleep(0.3)
@@ -255,7 +255,7 @@
     """Many clients disconnect right after they have sent their requests, before the gateway reads these."""
     async with platform("r0", "w0") as p:
         for _ in range(20):
-            await send_and_leave(p, "closed at once")
+            await send_chat_request(p, "closed at once")
         with trio.fail_after(2):
             while p.gateway.chat_server.connections or not p.gateway.runtime.reporter.counts["client_gone"]:
                 await trio.sleep(0.01)
@@ -269,7 +269,7 @@
     it and lose the answer; the client must receive the complete answer."""
     async with platform("r0", "w0") as p:
         p.servers["w0"].event_ms = 100.0
-        stream = await send_and_leave(p, "stays")
+        stream = await send_chat_request(p, "stays")
         with trio.fail_after(2):
             while not p.fleet.count("write"):
                 await trio.sleep(0.005)
@@ -340,10 +340,10 @@
 
 class ResponseWriter:
     def __init__(self) -> None:
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
 
     async def write_first_events(self, data: bytes) -> None:
-        self.got.append(data)
+        self.received.append(data)
 
     write_events = write_first_events
 
@@ -372,7 +372,7 @@
         await ModelServerClient(ConnectionPool(1.0, 1.0), Deployment(1, PLATFORM_SETTINGS)).forward_stream(
             attempt, Stub(), response_writer, end
         )  # type: ignore[arg-type]
-    assert (end.begun, len(response_writer.got)) == ((False, 0) if timed_out else (True, 2))
+    assert (end.begun, len(response_writer.received)) == ((False, 0) if timed_out else (True, 2))
 
 
 # -- requests and answers in pieces
