--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -1,4 +1,4 @@
-"""Keeps the journal of what is in flight, and takes it up after a loss."""
+"""Writes the journal of requests in flight, and recovers from it after a crash."""
 
 from __future__ import annotations
 
@@ -27,41 +27,47 @@
 JOURNAL: LogFormat[JournalRecord, InFlightRequests] = LogFormat(
     "takes", b"TLTAKES1", decode_journal_record, InFlightRequests
 )
-SEGMENT_BYTES = 4 << 20  # a start reads the last one: some tens of ms
-COMMIT_DELAY_MS = 20.0  # what nobody waits for may share a sync
+SEGMENT_BYTES = 4 << 20  # the last segment is read at start, which takes some tens of ms
+COMMIT_DELAY_MS = 20.0  # records that no attempt waits for are synced in groups of this interval
 
 
 class JournalWriter:
-    """`wait_durable` is waited for where an effect must not be doubled: such an attempt goes out only once the disk
-    has it."""
+    """Journals requests with an Idempotency-Key, and prefills, which leave state at servers.
+
+    Where an effect must not happen twice, the caller waits with `writer.wait_durable` until the attempt's record is on
+    disk before it sends the attempt."""
 
     def __init__(self, folder: Path, log: Any) -> None:
         self.log = log
         self.store = SegmentedLog(JOURNAL, Disk(folder), SEGMENT_BYTES, keep_segments=1)
         self.writer: GroupCommitWriter[JournalRecord, InFlightRequests] = GroupCommitWriter(
-            self.store, log, on_recovered=self.taken_up, entries_label="journal", commit_delay_ms=COMMIT_DELAY_MS
+            self.store,
+            log,
+            on_recovered=self.on_lock_acquired,
+            entries_label="journal",
+            commit_delay_ms=COMMIT_DELAY_MS,
         )
-        self.lost: InFlightRequests | None = None  # what the process before had open
-        self.folder_is_ours = trio.Event()
-        self.ready = False  # repeats know what they hear
-        self.birth = f"{time.time_ns():x}"
-        self.count = count(1)
+        self.previous_requests: InFlightRequests | None = None  # what the previous process had open
+        self.lock_acquired = trio.Event()
+        self.ready = False  # recovery is complete: repeats can be answered
+        self.id_prefix = f"{time.time_ns():x}"
+        self.id_counter = count(1)
 
-    def taken_up(self, found: InFlightRequests) -> None:
-        """The folder is this process's; `found` is what the one before had open."""
-        self.lost = InFlightRequests(dict(found.opened), dict(found.known), found.at)
-        self.folder_is_ours.set()
+    def on_lock_acquired(self, found: InFlightRequests) -> None:
+        """Called once this process holds the lock of the folder; `found` is what the previous one had open."""
+        self.previous_requests = InFlightRequests(dict(found.opened), dict(found.known), found.at)
+        self.lock_acquired.set()
 
-    # -- what happens
+    # -- records of requests and attempts
 
     def record_request(self, active_request: ActiveRequest) -> None:
-        """A request was taken."""
+        """Records that a request was admitted, where it has an Idempotency-Key."""
         request_class = active_request.request.request_class
-        now = time.time() * 1000
-        if not active_request.repeat_key:  # nobody can ask for it again: only what it holds need be known
+        now_wall_ms = time.time() * 1000
+        if not active_request.repeat_key:  # can't be repeated: only its prefills are recorded
             active_request.journal_id = ""
             return
-        active_request.journal_id = f"{self.birth}.{next(self.count)}"
+        active_request.journal_id = f"{self.id_prefix}.{next(self.id_counter)}"
         self.writer.add(
             RequestAdmitted(
                 active_request.journal_id,
@@ -69,18 +75,18 @@
                 active_request.repeat_key,
                 active_request.body_digest,
                 request_class.effect.name,
-                now,
-                now + max(request_class.window_ms, request_class.deadline_ms),
+                now_wall_ms,
+                now_wall_ms + max(request_class.window_ms, request_class.deadline_ms),
             )
         )
 
     def record_attempt(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
-        """Gives the number to wait for, where the attempt must not go out before it is kept."""
+        """Records an attempt. Returns the record's number where the attempt must wait until the record is on disk."""
         if not active_request.repeat_key and not prefills:
             return None
-        active_request.journal_id = active_request.journal_id or f"{self.birth}.{next(self.count)}"
+        active_request.journal_id = active_request.journal_id or f"{self.id_prefix}.{next(self.id_counter)}"
         number = self.writer.add(
             AttemptSent(active_request.journal_id, active_request.ident, server, address, protocol, prefills, decodes)
         )
@@ -92,18 +98,18 @@
         return number if needed else None
 
     def record_state_released(self, active_request: ActiveRequest) -> None:
-        """No server holds anything for it any more."""
+        """Records that no server holds state for the request any more."""
         if active_request.journal_id:
             self.writer.add(StateReleased(active_request.journal_id))
 
     def record_end(self, active_request: ActiveRequest, outcome: str) -> None:
-        """It has its final answer, or its client has left."""
+        """Records that the request has its final answer, or that its client has disconnected."""
         if not active_request.repeat_key:
             return
-        kept = RequestEnded(active_request.journal_id, outcome)
+        record = RequestEnded(active_request.journal_id, outcome)
         match active_request.answer_for_repeats():
             case Streamed(text, finish, usage, more):
-                kept = RequestEnded(
+                record = RequestEnded(
                     active_request.journal_id,
                     outcome,
                     True,
@@ -113,47 +119,48 @@
                     more=more or {},
                 )
             case Failed(why):
-                kept = RequestEnded(active_request.journal_id, "terminated", True, why=why)
-        self.writer.add(kept)
+                record = RequestEnded(active_request.journal_id, "terminated", True, why=why)
+        self.writer.add(record)
 
-    # -- after a loss
+    # -- recovery
 
-    async def take_up(self, transport: Transport, within_ms: float) -> list[RecoveredAnswer]:
-        """Waits until the folder is this process's; releases what servers hold still. Gives what repeats hear."""
-        await self.folder_is_ours.wait()
-        lost = self.lost or InFlightRequests()
-        self.lost = None
-        answers = lost.answers(time.time() * 1000)  # before the ends below come to the same objects
+    async def recover(self, transport: Transport, within_ms: float) -> list[RecoveredAnswer]:
+        """Waits for the lock of the folder, and releases what servers still hold. Returns the answers for repeats."""
+        await self.lock_acquired.wait()
+        previous = self.previous_requests or InFlightRequests()
+        self.previous_requests = None
+        answers = previous.answers(time.time() * 1000)  # before the records added below change the same objects
         async with trio.open_nursery() as nursery:
-            for ident, held in lost.held():
+            for ident, held in previous.held():
                 nursery.start_soon(self.release, transport, ident, held, within_ms)
-        for ident, it in lost.opened.items():
-            if not it.ended:
-                self.writer.add(it.outcome_after_crash())
+        for ident, open_request in previous.opened.items():
+            if not open_request.ended:
+                self.writer.add(open_request.outcome_after_crash())
             self.writer.add(StateReleased(ident))
-        if lost.opened:
-            self.log.warning("generations were open when the process before was lost", open=len(lost.opened))
+        if previous.opened:
+            self.log.warning("requests were in flight when the previous process was lost", open=len(previous.opened))
         return answers
 
     async def release(
         self, transport: Transport, ident: str, held: list[tuple[str, str, str]], within_ms: float
     ) -> None:
-        """Releases what servers hold still for a request of the process before."""
+        """Releases what servers still hold for a request of the previous process."""
         for server, address, protocol in held:
             if not await transport.release(server, address, ident, within_ms, protocol):
                 self.log.warning("release unheard", gen=ident, server=server)
 
     async def close(self, within_s: float = 2.0) -> None:
-        """Keeps what waits. A disk that fails to the end keeps its lock on the folder."""
+        """Writes pending records and closes the journal. Where the disk fails until the time limit, the folder stays
+        locked."""
         if self.writer.owns_log and not await self.writer.flush(within_s):
-            self.log.error("journal not kept at the end", waiting=self.writer.waiting)
+            self.log.error("journal not written at shutdown", waiting=self.writer.waiting)
             return
         self.store.close()
 
 
 def final_of(known: RecoveredAnswer) -> FinalAnswer:
-    """The answer that a repeat of this request hears."""
-    it = known.ended
-    if it.outcome != "streamed":
-        return Failed(it.why)
-    return Streamed(it.text, it.finish, dict(it.usage), it.more or None)
+    """The answer for repeats of this request."""
+    ended = known.ended
+    if ended.outcome != "streamed":
+        return Failed(ended.why)
+    return Streamed(ended.text, ended.finish, dict(ended.usage), ended.more or None)
--- a/ternlane/gateway/router_config.py
+++ b/ternlane/gateway/router_config.py
@@ -1,4 +1,4 @@
-"""From the operator's document to what the decisions are told at start."""
+"""Builds the router's configuration from the gateway's configuration file."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ternlane.config import GatewayConfig, RequestClassConfig
 from ternlane.policy.messages import RequestClass, RouterConfig
 
-STEP_MS = 1.0  # the runtime hands events over as they come
+STEP_MS = 1.0  # the runtime dispatches events as they arrive
 
 
 @dataclass(slots=True, frozen=True)
 class ConfiguredModels:
-    """What a document comes to: request classes by their names and by all model names, the longest answer of each (in
-    tokens), and what the decisions are told."""
+    """The configured request classes by name and by model name, the maximum answer tokens of each, and the router's
+    configuration."""
 
     request_classes: dict[str, RequestClass]
     models: dict[str, RequestClass]
@@ -22,11 +22,11 @@
     router_config: RouterConfig
 
 
-def configure_models(config: GatewayConfig, held: dict[str, RequestClass] | None = None) -> ConfiguredModels:
-    """A request class of `held` whose terms are the same stays the object that it is, with all that was learnt of it; a
-    changed one is another, and what was taken before keeps its own."""
+def configure_models(config: GatewayConfig, previous: dict[str, RequestClass] | None = None) -> ConfiguredModels:
+    """Builds the request classes. One that is unchanged from `previous` stays the same object, and so keeps its learned
+    statistics; a changed one is a new object, and requests admitted before keep the old one."""
     request_classes = {
-        line.name: request_class_of(line, (held or {}).get(line.name)) for line in config.request_classes
+        line.name: build_request_class(line, (previous or {}).get(line.name)) for line in config.request_classes
     }
     models: dict[str, RequestClass] = {}
     max_tokens: dict[RequestClass, int] = {}
@@ -38,8 +38,8 @@
     return ConfiguredModels(request_classes, models, max_tokens, build_router_config(config, request_classes))
 
 
-def request_class_of(line: RequestClassConfig, held: RequestClass | None) -> RequestClass:
-    """The terms of one line of the document, or `held` where they are its own."""
+def build_request_class(line: RequestClassConfig, previous: RequestClass | None) -> RequestClass:
+    """The request class of one configuration entry; `previous` itself where the two are equal."""
     new = RequestClass(
         EFFECTS[line.effect],
         GROUPS[line.group],
@@ -51,11 +51,11 @@
         line.priority_weight,
         line.late_value_share,
     )
-    return held if held is not None and astuple(held) == astuple(new) else new
+    return previous if previous is not None and astuple(previous) == astuple(new) else new
 
 
 def build_router_config(config: GatewayConfig, request_classes: dict[str, RequestClass]) -> RouterConfig:
-    """What the decisions are told of the fleet."""
+    """The configuration of the router."""
     fleet = config.fleet
     return RouterConfig(
         seed=config.seed,
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -1,9 +1,9 @@
-"""The gateway's runtime: tells the decisions what happens and carries out what they decide. It decides nothing.
+"""The gateway's runtime: dispatches events to the router and executes the router's actions. It decides nothing itself.
 
-One loop owns the router: `tell` puts an event in, and whoever finds the loop idle empties it. Sockets, timers and the
-endpoint list all come through here. Its parts: `attempts` (what is sent), `stream_forwarder` (text to the client),
-`attempt_recorder` (what an attempt's end tells), `stream_resumer` (streams that broke), `server_calls` (releases,
-reservations, probes).
+The event loop owns the router. Sockets, timers and the endpoint list reach the router only through this module. Its
+parts: `attempts` (builds requests to servers), `stream_forwarder` (sends text to the client), `attempt_recorder`
+(records results of attempts), `stream_resumer` (resumes broken streams), `server_calls` (releases, reservations,
+probes).
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from ternlane.event_loop import EventLoop, RouterProtocol, now_ms
 from ternlane.gateway.active_request import ActiveRequest, Failed, Rejected, Streamed
 from ternlane.gateway.attempt_recorder import AttemptRecorder
-from ternlane.gateway.attempts import NOTHING_RAN, build_attempt, plan_attempt, stage_at
+from ternlane.gateway.attempts import NOT_RUN_OUTCOMES, build_attempt, plan_attempt, select_stage
 from ternlane.gateway.journal_writer import JournalWriter
 from ternlane.gateway.metrics import GatewayMetrics
 from ternlane.gateway.router_config import ConfiguredModels
@@ -43,8 +43,9 @@
 
 
 class GatewayRuntime(EventLoop[ActiveRequest]):
-    """One gateway's requests in flight. `on_done` is called with each request that has ended and holds nothing,
-    `affords` before each piece of text, `on_follow` when the decisions want the endpoint list watched."""
+    """The requests in flight of one gateway. `on_done` is called with each request that has ended and holds nothing
+    more, `within_budget` before each piece of text, `on_watch_endpoints` when the router requests that the endpoint
+    list be watched."""
 
     def __init__(
         self,
@@ -73,33 +74,33 @@
         self.idents: set[str] = set()
         self.journal_writer: JournalWriter | None = None
         self.on_done: Callable[[ActiveRequest], None] = lambda _: None
-        self.affords: Callable[[ActiveRequest], bool] = lambda _: True
-        self.on_follow: Callable[[], None] = lambda: None
+        self.within_budget: Callable[[ActiveRequest], bool] = lambda _: True
+        self.on_watch_endpoints: Callable[[], None] = lambda: None
 
-    # -- the loop
+    # -- the event loop
 
     def endpoints_changed(self, change: messages.EndpointsUpdated) -> None:
-        """The endpoint list has changed."""
+        """Dispatches a change of the endpoint list."""
         for server in change.servers:
             if server.status is EndpointStatus.REMOVED:
                 self.stream_recovery.server_removed(server)
         self.dispatch(change)
 
     def alter(self, configured: ConfiguredModels) -> None:
-        """Other settings from now on. Attempts that are out end as they began; homes and what was learnt stay."""
+        """Applies a changed configuration. Running attempts keep theirs; home pairs and learned statistics are kept."""
         self.router_config = configured.router_config
-        self.server_calls.silent.clear()
+        self.server_calls.servers_without_load.clear()
         self.intake.configure(configured.models, configured.max_tokens)
         self.stream_recovery.alter(configured.router_config)
         self.dispatch(messages.ConfigChanged(configured.router_config))
 
     def execute_host_action(self, action: messages.Action) -> None:
-        """Carries out what only this gateway's transport can."""
+        """Executes the actions that this gateway's transport carries out."""
         match action:
             case messages.Release(request):
                 self.release_all(self.active_requests.get(request))
             case messages.WatchEndpoints():
-                self.on_follow()
+                self.on_watch_endpoints()
             case messages.Log(server, text):
                 self.log.info("server", server=self.registry.endpoints[server].ident, text=text)
             case messages.Reserve(request, server):
@@ -110,22 +111,22 @@
                 self.server_calls.probe(server)
 
     def on_timers_fired(self) -> None:
-        """Time to close what lay idle."""
+        """Closes idle connections."""
         self.transport.sweep()
 
     def on_fault(self, fault: Exception) -> None:
-        """A fault of this program: logged, and the other requests go on."""
+        """Logs a defect in this program; other requests continue."""
         self.log.error("fault", exc_info=fault)
 
     # -- requests
 
     def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
-        """The text of a new request, over all its attempts."""
+        """Creates the join of a new request's text over all its attempts."""
         return self.stream_recovery.join(raw, request)
 
     def arrived(self, active_request: ActiveRequest) -> None:
-        """A request was admitted by the chat API: the decisions hear of it."""
-        active_request.taken = now_ms()
+        """Hands an admitted request to the router."""
+        active_request.admitted_ms = now_ms()
         self.idents.add(active_request.ident)
         if self.journal_writer is not None:
             self.journal_writer.record_request(active_request)
@@ -133,32 +134,38 @@
         self.metrics.open.set(len(self.active_requests))
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
-        """The client has gone: nothing is owed any more, and everything held for it is released."""
+        """Ends a request whose client has disconnected, and releases everything held for it."""
         if active_request.is_finished:
             return
-        active_request.left = True
+        active_request.client_gone = True
         if active_request.attempt is not None and active_request.streaming:
-            active_request.attempt.cancel()  # a stream that nobody reads
+            active_request.attempt.cancel()  # the rest of the stream has no reader
         self.dispatch(messages.ClientDisconnected(active_request.request))
         self.close(active_request, "left")
 
     def finish_request(self, active_request: ActiveRequest, final: Rejected | Failed | Streamed) -> None:
-        """Gives the one final answer; a second one is ignored."""
-        if active_request.begun and isinstance(final, Rejected):  # its client has a part: nothing to come back for
+        """Sets the final answer; a second one is ignored."""
+        if active_request.begun and isinstance(
+            final, Rejected
+        ):  # part of the answer was sent, so the client can't retry
             final = Failed(active_request.why or "nobody could go on with it")
         if active_request.settle(final):
             self.close(active_request, final.recorded_as)
 
     def settle_streamed(self, active_request: ActiveRequest, finish: str, usage: Usage | None) -> None:
-        """Gives the whole answer; `usage` is the last attempt's."""
+        """Sets the complete answer as the final one; `usage` is that of the last attempt."""
         join = active_request.join
         extras = active_request.extras
-        self.intake.answered(active_request.intake_record, extras.echoed(join.text))
-        told = join.usage(active_request.prompt_said, active_request.kept_said, (usage or Usage()).told())
-        self.finish_request(active_request, Streamed(join.text, finish, told, extras.combined() if extras else None))
+        self.intake.learn_answer(active_request.intake_record, extras.next_turn_message(join.text))
+        total_usage = join.usage(
+            active_request.reported_prompt_tokens, active_request.reported_cached_tokens, (usage or Usage()).told()
+        )
+        self.finish_request(
+            active_request, Streamed(join.text, finish, total_usage, extras.merged() if extras else None)
+        )
 
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
-        """Writes down how the request ended."""
+        """Records the request's outcome in the journal, the metrics and the log."""
         if self.journal_writer is not None:
             self.journal_writer.record_end(active_request, outcome)
         self.metrics.outcomes.labels(active_request.chat_request.model, outcome).inc()
@@ -169,43 +176,43 @@
             session=active_request.intake_record.session,
             outcome=outcome,
             legs=active_request.attempt_log,
-            took_ms=round(now_ms() - active_request.since, 1),
+            took_ms=round(now_ms() - active_request.received_ms, 1),
             why=active_request.why,
         )
         self.forget(active_request)
 
     def forget(self, active_request: ActiveRequest) -> None:
-        """A request stays until its answer is settled, its last attempt has ended and what it held is released."""
+        """Drops a request once its final answer is set, its last attempt has ended and its state is released."""
         if active_request.attempt is not None or not active_request.is_finished or active_request.holders:
             return
         if self.active_requests.pop(active_request.request, None) is not None:
             complete = isinstance(active_request.final, Streamed)
             self.stream_recovery.ended(active_request, active_request.join, complete)
-            if self.stream_resumer.due_ms < inf:  # others wait, perhaps for its place
+            if self.stream_resumer.due_ms < inf:  # other streams wait to be resumed, perhaps for this slot
                 self.resume_streams()
             self.idents.discard(active_request.ident)
             self.on_done(active_request)
         self.metrics.open.set(len(self.active_requests))
 
     def release_all(self, active_request: ActiveRequest | None) -> None:
-        """Releases what servers hold for a request."""
+        """Releases what servers hold for the request."""
         if active_request is not None:
             self.server_calls.release(active_request)
             self.forget(active_request)
 
     def resume_streams(self) -> None:
-        """Lets broken streams go on whose turn it is."""
+        """Resumes the broken streams that are due."""
         self.stream_resumer.resume()
 
     # -- attempts
 
     def start_attempt(self, active_request: ActiveRequest, server: Server, times: messages.StartAttempt) -> None:
-        """Starts an attempt as a task of the nursery."""
+        """Starts an attempt as a task in the nursery."""
         endpoint = self.registry.endpoints[server]
         number = active_request.attempts
         active_request.attempts += 1
-        stage = stage_at(server, active_request)
-        if stage is Stage.PREFILL:  # from now on: a prefill whose end is not heard may have left its state
+        stage = select_stage(server, active_request)
+        if stage is Stage.PREFILL:  # a prefill whose result is lost may have left state
             active_request.holders[server] = None
         plan = plan_attempt(active_request, server, endpoint, times)
         active_request.attempt = plan
@@ -219,26 +226,28 @@
         self.nursery.start_soon(self.run_attempt, active_request, server, journal_number, attempt_request)
 
     async def run_attempt(
-        self, active_request: ActiveRequest, server: Server, journal_number: int | None, ask: AttemptRequest
+        self, active_request: ActiveRequest, server: Server, journal_number: int | None, attempt_request: AttemptRequest
     ) -> None:
-        """One attempt from its start to its end."""
+        """Runs one attempt."""
         started_ms = now_ms()
-        forwarder = StreamForwarder(self, active_request, server, ask.plan)
-        if journal_number is not None and not await self.journalled(journal_number, ask.plan):
-            outcome = AttemptOutcome.CANCELLED if ask.plan.cancelled else AttemptOutcome.OVERLOADED
+        forwarder = StreamForwarder(self, active_request, server, attempt_request.plan)
+        if journal_number is not None and not await self.wait_for_journal(journal_number, attempt_request.plan):
+            outcome = AttemptOutcome.CANCELLED if attempt_request.plan.cancelled else AttemptOutcome.OVERLOADED
             result = AttemptResult(outcome, why="the journal can't be kept")
         else:
-            result = await self.exchange(active_request, ask, forwarder)
-        self.attempt_ended(active_request, server, ask.stage, result, now_ms() - started_ms, ask.plan)
+            result = await self.exchange(active_request, attempt_request, forwarder)
+        self.attempt_ended(
+            active_request, server, attempt_request.stage, result, now_ms() - started_ms, attempt_request.plan
+        )
 
     async def exchange(
-        self, active_request: ActiveRequest, ask: AttemptRequest, forwarder: StreamForwarder
+        self, active_request: ActiveRequest, attempt_request: AttemptRequest, forwarder: StreamForwarder
     ) -> AttemptResult:
-        """Has the transport carry the attempt; whatever happens there comes to a result."""
+        """Sends the attempt over the transport; any exception there becomes a result."""
         try:
-            if ask.stage is Stage.PREFILL:
-                return await self.transport.read(ask)
-            return await self.transport.stream(ask, forwarder.forward)
+            if attempt_request.stage is Stage.PREFILL:
+                return await self.transport.read(attempt_request)
+            return await self.transport.stream(attempt_request, forwarder.forward)
         except ClientGone:
             self.client_disconnected(active_request)
             return AttemptResult(AttemptOutcome.CANCELLED, begun=True, why="the client left")
@@ -246,19 +255,21 @@
             self.on_fault(fault)
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
 
-    async def journalled(self, number: int, plan: AttemptPlan) -> bool:
-        """Waits until the disk has it that this attempt goes out; where it hasn't in time, the attempt is not sent.
+    async def wait_for_journal(self, number: int, plan: AttemptPlan) -> bool:
+        """Waits until the record of this attempt is on disk; returns False where it is not in time, or the attempt was
+        cancelled.
 
-        Without the wait a gateway that is killed could send an effect and not know of it after its restart. During the
-        wait a scope of its own stands in the plan, so that a cancellation ends it."""
+        Without the wait, a gateway that is killed could have sent an attempt with an effect and not know of it after
+        its restart. During the wait the plan holds a scope of its own, so that a cancellation ends the wait.
+        """
         assert self.journal_writer is not None
         attempt_scope = plan.scope
         plan.scope = trio.CancelScope(deadline=trio.current_time() + self.router_config.connect_ms / 1000)
         with plan.scope:
             await self.journal_writer.writer.wait_durable(number)
-        kept = not plan.scope.cancelled_caught
+        is_durable = not plan.scope.cancelled_caught
         plan.scope = attempt_scope
-        return kept and not plan.cancelled
+        return is_durable and not plan.cancelled
 
     def attempt_ended(
         self,
@@ -269,13 +280,13 @@
         took_ms: float,
         plan: AttemptPlan,
     ) -> None:
-        """Learns from an attempt's end, settles the request where it is its end, and tells the decisions."""
+        """Records an attempt's result, settles the request where it ends with it, and dispatches it to the router."""
         active_request.attempt = None
         active_request.streaming = False
         self.attempt_recorder.record(active_request, server, stage, result, took_ms)
         broken = self.settle_attempt(active_request, result, plan)
-        if result.outcome in NOTHING_RAN and server.role is Role.PREFILL:
-            active_request.holders.pop(server, None)  # it ran nothing, so it left nothing
+        if result.outcome in NOT_RUN_OUTCOMES and server.role is Role.PREFILL:
+            active_request.holders.pop(server, None)  # nothing ran, so no state is left
         prompt_tokens_cached = float(cached_tokens(result.usage)) if result.usage is not None else 0.0
         self.dispatch(
             messages.AttemptEnded(
@@ -295,17 +306,17 @@
             self.resume_streams()
 
     def settle_attempt(self, active_request: ActiveRequest, result: AttemptResult, plan: AttemptPlan) -> bool:
-        """Settles the request where its attempt's end is its own; true where its stream waits to be resumed."""
+        """Settles the request where it ends with this attempt; returns True where its stream waits to be resumed."""
         join = active_request.join
         if result.outcome is AttemptOutcome.STREAMED and not join.attempt_completed():
             self.finish_request(active_request, Failed(join.why))
         elif result.outcome is AttemptOutcome.STREAMED or join.stopped:
             self.settle_streamed(active_request, "stop" if join.stopped else result.finish, result.usage)
         elif result.begun:
-            may_resume = not plan.cancelled and not active_request.left
+            may_resume = not plan.cancelled and not active_request.client_gone
             if may_resume and self.stream_resumer.attempt_failed(active_request, result):
                 return True
-            # Its client has part of the answer, and hears that there is no more.
+            # The client has received part of the answer, so the stream ends with an error event.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
             self.finish_request(active_request, Failed(why))
         return False
--- a/ternlane/policy/outcome_recorder.py
+++ b/ternlane/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the router learns from the end of an attempt, and from a first token."""
+"""Updates the models of the router at the first token and at the end of an attempt."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OutcomeRecorder:
-    """Passes outcomes to the models that learn from them."""
+    """Passes outcomes to the models for latency, congestion, failures and prefix caches."""
 
     def __init__(
         self,
@@ -32,36 +32,36 @@
         self._affinity = affinity
 
     def first_token(self, endpoint: EndpointState, request: Request, took_ms: float) -> None:
-        """An answer has begun: as good a sign as a prefill that has ended."""
-        self._latency.learn(request.request_class, Stage.FIRST_TOKEN, took_ms, self._context.now)
+        """Handles the start of an answer, which counts as a success like a completed prefill."""
+        self._latency.record_stage(request.request_class, Stage.FIRST_TOKEN, took_ms, self._context.now)
         self._record(endpoint, request, AttemptOutcome.PREFILLED, took_ms)
 
     def attempt_ended(
         self, endpoint: EndpointState, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded
     ) -> None:
-        """An attempt has ended, in whatever way."""
+        """Handles the end of an attempt, with any outcome."""
         outcome = ended.outcome
         conclusive = health_sign(outcome) is not None
         if not ended.state_lost:
-            # That an overtaken prefill was cancelled hides that its answer never came.
+            # The cause of cancelling an overtaken prefill is its missing answer, so it is recorded as timed out.
             recorded = AttemptOutcome.TIMED_OUT if attempt.overtaken and not conclusive else outcome
             self._record(endpoint, state.request, recorded, ended.took_ms - attempt.prefill_work_ms)
         if attempt.needs_connection and conclusive:
             self._failures.record_connection(outcome is AttemptOutcome.CONNECT_FAILED)
-        self._learn_times(state, attempt, ended)
+        self._record_times(state, attempt, ended)
 
     def _record(self, endpoint: EndpointState, request: Request, outcome: AttemptOutcome, waited_ms: float) -> None:
         self._congestion.record(endpoint, request, outcome, waited_ms)
         self._failures.record(endpoint, request, outcome)
 
-    def _learn_times(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
+    def _record_times(self, state: RequestState, attempt: InFlightAttempt, ended: AttemptEnded) -> None:
         now = self._context.now
         outcome = ended.outcome
         request_class = state.request.request_class
         if outcome is AttemptOutcome.STREAMED:
-            self._latency.learn(request_class, Stage.STREAM, now - attempt.stage_started_at, now)
+            self._latency.record_stage(request_class, Stage.STREAM, now - attempt.stage_started_at, now)
         if not attempt.decodes and outcome in (AttemptOutcome.PREFILLED, AttemptOutcome.TIMED_OUT):
-            self._latency.learn_prefill(attempt, ended, now)
-            self._affinity.learn_cached(state, attempt, ended)
+            self._latency.record_prefill(attempt, ended, now)
+            self._affinity.record_cached(state, attempt, ended)
         elif outcome is AttemptOutcome.TIMED_OUT:
-            self._latency.learn(request_class, Stage.FIRST_TOKEN, ended.took_ms, now)
+            self._latency.record_stage(request_class, Stage.FIRST_TOKEN, ended.took_ms, now)
--- a/tests/gateway_cluster.py
+++ b/tests/gateway_cluster.py
@@ -1,4 +1,4 @@
-"""A small world in one trio run: stand-in engines, gateways, clients, all over loopback sockets."""
+"""A chat gateway with fake engines and a client, in one trio run over loopback sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def scaled_request_classes(times: float) -> list[RequestClassConfig]:
-    """The same products with longer times, where a busy machine must not matter."""
+    """REQUEST_CLASSES with longer times, for tests that a busy machine must not fail."""
     return [
         msgspec.structs.replace(p, slo_ms=times * p.slo_ms, deadline_ms=times * p.deadline_ms) for p in REQUEST_CLASSES
     ]
@@ -64,8 +64,8 @@
 
     @property
     def text(self) -> str:
-        said = [json.loads(e) for e in self.events if e != "[DONE]"]
-        return "".join(c["delta"].get("content") or "" for s in said if "choices" in s for c in s["choices"])
+        parsed = [json.loads(e) for e in self.events if e != "[DONE]"]
+        return "".join(c["delta"].get("content") or "" for s in parsed if "choices" in s for c in s["choices"])
 
     @property
     def done(self) -> int:
@@ -74,8 +74,8 @@
     @property
     def error(self) -> dict[str, Any] | None:
         if self.events:
-            said = [json.loads(e) for e in self.events if e != "[DONE]"]
-            return next((s["error"] for s in said if "error" in s), None)
+            parsed = [json.loads(e) for e in self.events if e != "[DONE]"]
+            return next((s["error"] for s in parsed if "error" in s), None)
         return json.loads(self.body).get("error")
 
 
@@ -91,15 +91,15 @@
         role = {"r": "read", "w": "write", "m": "both"}[ident[0]]
         engine = FakeEngine(ident, role, zone, int(ident[1]), "127.0.0.1", 0, profile, self.traffic, 1)
         self.engines[ident] = engine
-        up = trio.Event()
-        self.nursery.start_soon(engine.run, self.nursery, up)
-        await up.wait()
+        listening = trio.Event()
+        self.nursery.start_soon(engine.run, self.nursery, listening)
+        await listening.wait()
         return engine
 
     async def restart_engine(self, ident: str) -> None:
-        up = trio.Event()
-        self.nursery.start_soon(self.engines[ident].run, self.nursery, up)
-        await up.wait()
+        listening = trio.Event()
+        self.nursery.start_soon(self.engines[ident].run, self.nursery, listening)
+        await listening.wait()
 
     def lines(self, **changes: str) -> list[NodeLine]:
         return [
@@ -141,27 +141,27 @@
         return [v for v in self.traffic.lines if v["k"] == kind and all(v.get(k) == x for k, x in match.items())]
 
     async def wait_until_idle(self, within: float = 1.5) -> None:
-        """Waits until nothing is open at the gateway and nothing is held at any engine."""
+        """Waits until the gateway has no open request and no engine holds state or runs a request."""
 
-        def left() -> list[Any]:
+        def unfinished() -> list[Any]:
             return [
                 *self.gateway.runtime.active_requests.values(),
                 *((e.ident, e.states, e.busy) for e in self.engines.values() if e.states or e.busy),
             ]
 
         with trio.move_on_after(within):
-            while left():
+            while unfinished():
                 await trio.sleep(0.01)
-        remains = left()
+        remains = unfinished()
         if remains:
             raise AssertionError(f"left: {remains}")
 
 
-POLL_S = 0.002  # between two looks at a condition that a test waits for
+POLL_S = 0.002  # interval between checks of a condition
 
 
 async def until(condition: Callable[[], object], within_s: float) -> None:
-    """Waits for a condition; fails the test where it does not come true in time."""
+    """Waits for a condition; fails the test where it is not met in time."""
     with trio.fail_after(within_s):
         while not condition():
             await trio.sleep(POLL_S)
@@ -197,25 +197,25 @@
     **changes: Any,
 ) -> AsyncIterator[GatewayCluster]:
     async with trio.open_nursery() as nursery:
-        made = GatewayCluster(nursery)
+        cluster = GatewayCluster(nursery)
         for ident in engines:
-            await made.add(ident, profile)
+            await cluster.add(ident, profile)
         config = GatewayConfig(
             name="g1",
             listen="127.0.0.1:0",
             request_classes=request_classes,
             fleet=fleet,
-            nodes=InlineSource(nodes=made.lines()),
+            nodes=InlineSource(nodes=cluster.lines()),
             door=changes.pop("door", ServerLimits(drain_ms=800)),
             **changes,
         )
-        async with open_gateway(config, chooser=chooser, host_type=host_type) as made.gateway:
+        async with open_gateway(config, chooser=chooser, host_type=host_type) as cluster.gateway:
             await trio.sleep(0.01)
             try:
-                yield made
+                yield cluster
             finally:
-                made.pool.close()
-                for engine in made.engines.values():
+                cluster.pool.close()
+                for engine in cluster.engines.values():
                     engine.die()
         nursery.cancel_scope.cancel()
 
