--- a/ternlane/platform/endpoint_list.py
+++ b/ternlane/platform/endpoint_list.py
@@ -54,10 +54,10 @@
         """Whether a list has begun that is not complete yet."""
         return bool(self._rest.strip() or self._lines)
 
-    def feed(self, more: bytes) -> list[bytes]:
+    def feed(self, data: bytes) -> list[bytes]:
         """The lists that these bytes complete. Raises ValueError if the bytes cannot be part of a list."""
         complete: list[bytes] = []
-        *lines, self._rest = (self._rest + more).split(b"\n")
+        *lines, self._rest = (self._rest + data).split(b"\n")
         for line in lines:
             self._add_line(line)
             if self._lines and not self._depth:
--- a/ternlane/platform/event_stream.py
+++ b/ternlane/platform/event_stream.py
@@ -51,20 +51,20 @@
         self.load: str | None = None
         self._rest = b""
 
-    def feed(self, more: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """The events that these bytes complete."""
-        text = self._rest + more if self._rest else more
+        text = self._rest + data if self._rest else data
         end = text.rfind(b"\n\n") + 2
         if end < 2:
             end = 0
-        whole = text[:end]
+        complete = text[:end]
         self._rest = text[end:]
         if len(self._rest) > MAX_EVENT_BYTES:
             raise ValueError(f"an event of more than {MAX_EVENT_BYTES} bytes")
-        for event in whole.split(b"\n\n")[:-1]:
+        for event in complete.split(b"\n\n")[:-1]:
             self._read_event(event)
         self._check_rest()
-        return whole
+        return complete
 
     def put_back(self, comments: bytes) -> None:
         """Holds back comments before the first event until that arrives. Raises ValueError if they grow too long."""
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -400,12 +400,12 @@
 
         async def one(at: int) -> None:
             async with limiter:
-                whole, out = request(), b""
+                message, out = request(), b""
                 host, _, number = p.address.partition(":")
                 stream = await trio.open_tcp_stream(host, int(number))
-                await stream.send_all(whole[:at])
+                await stream.send_all(message[:at])
                 await trio.sleep(0.002)
-                await stream.send_all(whole[at:])
+                await stream.send_all(message[at:])
                 with trio.fail_after(10):
                     while piece := await stream.receive_some():
                         out += piece
--- a/tests/test_request_timeouts.py
+++ b/tests/test_request_timeouts.py
@@ -166,10 +166,10 @@
 async def test_timeout_of_a_slow_client_counts_from_its_last_byte() -> None:
     """A client writes its request in two parts. Its timeout counts from the last byte."""
     async with platform("r0", "w0", platform_settings=long_deadline_settings()) as p:
-        client, whole = RawClient(p.address), client_request(p, Request_Timeout="1.5")
-        client.send(whole[:40])
+        client, message = RawClient(p.address), client_request(p, Request_Timeout="1.5")
+        client.send(message[:40])
         await trio.sleep(BLOCKED_S)
-        client.send(whole[40:])
+        client.send(message[40:])
         await check_stated_timeouts(p, trio.current_time(), 1.5, attempts=2)
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
         client.sock.close()
--- a/tests/test_wire_pins.py
+++ b/tests/test_wire_pins.py
@@ -704,10 +704,10 @@
     await p.ask("note")
     await wait_until_logged(p.log, "release unconfirmed")
     await wait_until_logged(p.log, "state held past its release time")
-    heard = count_logged(p.log, "release confirmed")
+    confirmed = count_logged(p.log, "release confirmed")
     for server in p.servers.values():
         server.script("DELETE ", (RELEASE_ANSWER,))
-    await wait_until_logged(p.log, "release confirmed", heard + 1)
+    await wait_until_logged(p.log, "release confirmed", confirmed + 1)
 
 
 async def end_with_an_open_stream(p: Platform) -> None:
