--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -43,7 +43,7 @@
         self.state = CallState.NOT_SENT
         self.idle_since = 0.0  # s, trio's clock; set by the pool
         self.idled_ms: float | None = None  # idle time before this request; None for a new connection
-        self.has_served = False  # has completed a request before
+        self.has_completed_request = False  # has completed a request before
         self.on_close: Callable[[ClientConnection], None] = lambda _: None
         self._read_deadline_s = inf  # see `set_read_deadline`
         self._drained_after_deadline = False
--- a/ternlane/http1/connection_pool.py
+++ b/ternlane/http1/connection_pool.py
@@ -64,7 +64,7 @@
         now_s = trio.current_time()
         for connection in list(reversed(self.idle.get(peer, ()))):
             idled_ms = (now_s - connection.idle_since) * 1000
-            if connection.has_served and idled_ms < reuse_delay_ms:
+            if connection.has_completed_request and idled_ms < reuse_delay_ms:
                 continue
             if idled_ms >= self.idle_ms or connection.is_stale or self.reuse_stats.is_unsafe(idled_ms, now_s * 1000):
                 connection.close_now()
@@ -111,7 +111,7 @@
             return
         if was_used:
             connection.conn.start_next_cycle()
-            connection.has_served = True
+            connection.has_completed_request = True
         connection.idle_since = trio.current_time()
         self.idle.setdefault(connection.peer, OrderedDict())[connection] = None
         self.idle_of_all[connection] = None
