--- a/tests/shutdown_scenario.py
+++ b/tests/shutdown_scenario.py
@@ -270,7 +270,7 @@
         limit_s = next(p["deadline"] for p in self.plan.settings["profiles"] if p["name"] == request_class) / 1000
         timeout_s = rng.choice([limit_s, limit_s, min(limit_s, 0.6)])
         data = client_request(self.p, Request_Class=request_class, Request_Timeout=f"{timeout_s:.3f}")
-        sent = SentRequest(f"{self.p.count:016x}", request_class, 0.0, timeout_s)
+        sent = SentRequest(f"{self.p.request_count:016x}", request_class, 0.0, timeout_s)
         if rng.random() < 0.25:  # a client that sends slowly
             cut = rng.randrange(1, len(data))
             await stream.send_all(data[:cut])
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -78,7 +78,7 @@
         if self.gateway_draining:
             return None
         data = client_request(self.p, Request_Class=request_class, Request_Timeout="15")
-        request = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", request_class)
+        request = ClientRequest(RawClient(self.p.address), f"{self.p.request_count:016x}", request_class)
         request.client.send(data)
         self.requests.append(request)
         return request
@@ -86,7 +86,7 @@
     async def do_send_part(self, at: int) -> None:
         if not self.gateway_draining:
             data = client_request(self.p, Request_Timeout="15")
-            request = ClientRequest(RawClient(self.p.address), f"{self.p.count:016x}", "summary", data[at:])
+            request = ClientRequest(RawClient(self.p.address), f"{self.p.request_count:016x}", "summary", data[at:])
             request.client.send(data[:at])
             self.requests.append(request)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -279,7 +279,7 @@
             client.send(client_request(p))
             assert is_complete(await client.answer())
             again = client_request(p, Request_Timeout="9")
-            ident = f"{p.count:016x}"
+            ident = f"{p.request_count:016x}"
             with suppress(OSError):
                 client.send(again)
             replies[ident] = await client.rest()
