--- a/ternlane/deployment.py
+++ b/ternlane/deployment.py
@@ -51,10 +51,10 @@
         role = self.role.get(kind, Role.BOTH)
         return Server(zone, cell, role, self.kv_capacity_tokens.get(kind, 0.0), hash_key=crc32(name.encode()))
 
-    def report(self, figures: Mapping[str, float]) -> Report | None:
+    def report(self, values: Mapping[str, float]) -> Report | None:
         """Creates a load report from values under the names of the settings; None if there are none, or if the settings
         provide no reports."""
-        return Report(figures.get("outstanding"), figures.get("x0")) if figures and self.columns else None
+        return Report(values.get("outstanding"), values.get("x0")) if values and self.columns else None
 
     def request(
         self,
@@ -177,6 +177,6 @@
 
 def _check_numbers(name: str, request_class: RequestClass) -> None:
     """Checks the numbers of a class, including those from lists in the settings. Raises ValueError."""
-    figures = astuple(request_class)[2:]  # after effect and group
-    if not all(isinstance(value, (int, float)) and 0 <= value < inf for value in figures):
+    numbers = astuple(request_class)[2:]  # after effect and group
+    if not all(isinstance(value, (int, float)) and 0 <= value < inf for value in numbers):
         raise ValueError(f"settings: class {name!r} has a value that is not a non-negative number")
--- a/tests/test_fleet_value.py
+++ b/tests/test_fleet_value.py
@@ -193,9 +193,8 @@
             after=20.0,
             over=True,
         )
-    assert messages.StartAttempt in action_types(
-        late_request(host)
-    )  # late requests are served again once prefills are in time
+    # Late requests are served again once prefills are in time.
+    assert messages.StartAttempt in action_types(late_request(host))
 
 
 def test_single_late_answer_is_no_overload_even_if_late_answers_have_no_value() -> None:
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("name, expected_ms", [("porto-atlante", 3700.0), ("vigne-alte", 3700.0)])
 async def test_shutdown_time_depends_on_the_longest_deadline(name: str, expected_ms: float) -> None:
-    """By the documentation, a deadline longer than 3 s counts as 3 s. Shorter deadlines leave less time."""
+    """A deadline longer than 3 s counts as 3 s (`docs/platform.md`). Shorter deadlines leave less time."""
     async with platform("r0", "w0", platform_settings=settings(name)) as p:
         scheduler = p.gateway.runtime.router.scheduler  # type: ignore[attr-defined]
         p.gateway.begin_drain()
@@ -197,30 +197,30 @@
         client = RawClient(p.address)
         client.send(client_request(p, Request_Class=name))
         await gate.reached.wait()
-        mine = set(runtime.deployment.request_classes.values())
-        await switch(p, other)
-        assert not mine & set(runtime.deployment.request_classes.values())
-        assert not mine & (
+        first_classes = set(runtime.deployment.request_classes.values())
+        await apply_settings(p, other)
+        assert not first_classes & set(runtime.deployment.request_classes.values())
+        assert not first_classes & (
             scheduler.rules.latency.mean_prompt_tokens.keys()
             | scheduler.rules.latency.last_sample_at.keys()
             | scheduler.rules.affinity.cached_share.keys()
         )
-        assert not mine & {request_class for request_class, _ in scheduler.rules.latency.usual_stage_ms}
+        assert not first_classes & {request_class for request_class, _ in scheduler.rules.latency.usual_stage_ms}
         gate.open()
         assert (await client.answer()).startswith(b"HTTP/1.1 200 ")  # it is completed under its original settings
         client.sock.close()
         assert (await p.ask(Request_Class=name)).status == 400
         assert (await p.ask(Request_Class=other["profiles"][0]["name"])).status == 200
-        await switch(p, first)
+        await apply_settings(p, first)
         assert (await p.ask(Request_Class=name)).status == 200
         await wait_until(lambda: not runtime.active_requests)
-        kept = set(runtime.deployment.request_classes.values())
+        current_classes = set(runtime.deployment.request_classes.values())
         await trio.testing.wait_all_tasks_blocked()
-        assert {request_class for request_class in scheduler.rules.latency.mean_prompt_tokens} <= kept
+        assert {request_class for request_class in scheduler.rules.latency.mean_prompt_tokens} <= current_classes
         await p.wait_until_idle()
 
 
-async def switch(p: Platform, platform_settings: dict[str, Any]) -> None:
+async def apply_settings(p: Platform, platform_settings: dict[str, Any]) -> None:
     p.gateway.runtime.apply_settings(Deployment(1, platform_settings, p.gateway.runtime.deployment))
 
 
