--- a/ternlane/config/gateway.py
+++ b/ternlane/config/gateway.py
@@ -13,9 +13,9 @@
 from ternlane.document_keys import document_key
 
 Positive = Annotated[float, Meta(gt=0)]
-NotNegative = Annotated[float, Meta(ge=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
-PositivePart = Annotated[float, Meta(gt=0, le=1)]
+NonNegative = Annotated[float, Meta(ge=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+PositiveFraction = Annotated[float, Meta(gt=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 Address = Annotated[str, Meta(pattern=r"^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):\d{1,5}$")]
@@ -33,13 +33,13 @@
     models: list[str] = []  # further model names that mean this class
     effect: Literal["idempotent", "deduplicated", "side-effecting"] = "side-effecting"
     group: Literal["all", "zone", "cell"] = "cell"
-    window_ms: NotNegative = 0.0
+    window_ms: NonNegative = 0.0
     slo_ms: Positive  # until the first token
-    slo_per_1000_tokens_ms: NotNegative = 0.0  # added for each thousand tokens of the prompt
+    slo_per_1000_tokens_ms: NonNegative = 0.0  # added for each thousand tokens of the prompt
     token_slo_ms: Positive = 80.0  # between two tokens of the answer
     deadline_ms: Positive
-    priority_weight: NotNegative = 1.0
-    late_value_share: Part = 0.0  # of its value that an answer later than its objective still has
+    priority_weight: NonNegative = 1.0
+    late_value_share: Fraction = 0.0  # of its value that an answer later than its objective still has
     max_tokens: Count = 1024  # of an answer whose request states no maximum
 
     def __post_init__(self) -> None:
@@ -54,12 +54,12 @@
     connect_ms: Positive = 250.0  # for a connection to a server
     idle_ms: Positive = 30e3  # of a connection, after which it is not used again
     release_ms: Positive = 500.0  # within which what a server holds for a request is released
-    drain_grace_ms: NotNegative = 250.0
-    slow_start_ms: NotNegative = 10e3
-    slow_start_share: PositivePart = 0.25  # of its speed that a server has as it starts
+    drain_grace_ms: NonNegative = 250.0
+    slow_start_ms: NonNegative = 10e3
+    slow_start_share: PositiveFraction = 0.25  # of its speed that a server has as it starts
     fall_multiple: Positive = 2.5
     fall_ms: Positive = 1000.0
-    max_retry_after_ms: NotNegative = 1000.0
+    max_retry_after_ms: NonNegative = 1000.0
     reports_mem: bool = True
     ask_load: bool = False  # servers report their load when polled (GET /metrics), and in no answer
     may_cancel: bool = True
@@ -74,7 +74,7 @@
     head_ms: Positive = 10e3  # for a request's header, once it began
     body_ms: Positive = 30e3  # for its body
     idle_ms: Positive = 60e3  # between requests on one connection
-    answer_ms: NotNegative = 50.0  # kept back from a client's deadline for the answer's way
+    answer_ms: NonNegative = 50.0  # kept back from a client's deadline for the answer's way
     send_ms: Positive = 10e3  # for a client to take what was sent
     open_limit: Count = 20000  # requests in flight
     conn_limit: Count = 20000
@@ -89,8 +89,8 @@
     resume: bool = True
     ids: bool = False  # events carry ids, and Last-Event-ID asks for the rest of an answer
     continues: bool = True  # servers know continue_final_message; else whole runs are repeated and compared
-    alarms: Part = 1e-3  # part of streams wrongly given up as stalled; 0: none are
-    share: Part = 0.25  # of the prefill work that may go to recovery
+    alarms: Fraction = 1e-3  # part of streams wrongly given up as stalled; 0: none are
+    share: Fraction = 0.25  # of the prefill work that may go to recovery
     keep_tokens: Count = 32_768  # of one answer, cached for recovery
     keep_bytes: Count = 2**18  # likewise
     keep_all_bytes: Count = 2**27  # of all answers
@@ -107,7 +107,7 @@
     kv_capacity_tokens: Positive
     size: Positive = 1.0
     state: Literal["up", "draining", "gone"] = "up"
-    started: NotNegative = 0.0
+    started: NonNegative = 0.0
     protocol: Literal["disaggregated", "chat"] = "disaggregated"  # chat: any server of the public chat API
 
     def __post_init__(self) -> None:
--- a/ternlane/load/load_config.py
+++ b/ternlane/load/load_config.py
@@ -10,7 +10,7 @@
 from ternlane.document_keys import document_key
 
 Positive = Annotated[float, Meta(gt=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Spread = tuple[Positive, float]  # median, and the spread as a part of it
 
 
@@ -21,7 +21,7 @@
     rate: Positive = 1.0
     times: Annotated[float, Meta(ge=1)] = 4.0
     part: Annotated[float, Meta(gt=0, lt=1)] = 0.1
-    swing: Part = 0.5
+    swing: Fraction = 0.5
     period_s: Positive = 60.0
     recorded_s: list[float] = []
     faster: Positive = 1.0
--- a/ternlane/scenarios/faults.py
+++ b/ternlane/scenarios/faults.py
@@ -4,13 +4,13 @@
 
 from typing import Literal
 
-from ternlane.config.gateway import ConfigDocument, Count, NotNegative, Part, Positive
+from ternlane.config.gateway import ConfigDocument, Count, Fraction, NonNegative, Positive
 
 
 class FaultConfig(ConfigDocument, frozen=True, kw_only=True):
     """What every fault has: when it begins and how long it lasts."""
 
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 10.0
 
     @property
@@ -32,7 +32,7 @@
 class EngineFaultConfig(FaultConfig, frozen=True, kw_only=True):
     """Strikes a part of the engines, or those named by number; `duty` narrows it."""
 
-    part: Part = 0.2
+    part: Fraction = 0.2
     on: list[int] | None = None
     role: Literal["any", "read", "write", "both"] = "any"
 
@@ -49,7 +49,7 @@
 class HeavyTail(FaultConfig, frozen=True, kw_only=True, tag="heavy_tail", tag_field="kind"):
     """Some prompts are many times longer."""
 
-    share: Part = 0.02
+    share: Fraction = 0.02
     times: Positive = 10.0
     request_class: str = ""
 
@@ -57,7 +57,7 @@
 class HotKey(FaultConfig, frozen=True, kw_only=True, tag="hot_key", tag_field="kind"):
     """Many new sessions begin with a long text not seen before."""
 
-    share: Part = 0.2
+    share: Fraction = 0.2
     keys: Count = 1
     tokens: Positive = 3000.0
 
@@ -65,7 +65,7 @@
 class TenantRush(FaultConfig, frozen=True, kw_only=True, tag="tenant_rush", tag_field="kind"):
     """Many new sessions are one tenant's."""
 
-    share: Part = 0.5
+    share: Fraction = 0.5
 
 
 # Faults of engines
@@ -95,7 +95,7 @@
 class NoisyNeighbour(EngineFaultConfig, frozen=True, kw_only=True, tag="neighbour", tag_field="kind"):
     """Another program takes a share of the machine, on and off every `turn_s`."""
 
-    share: Part = 0.5
+    share: Fraction = 0.5
     turn_s: Positive = 2.0
 
 
@@ -106,14 +106,14 @@
 class AnswerLost(EngineFaultConfig, frozen=True, kw_only=True, tag="answer_lost", tag_field="kind"):
     """The work runs, its answer does not come back."""
 
-    share: Part = 0.2
+    share: Fraction = 0.2
     how: Literal["silence", "reset"] = "silence"
 
 
 class StreamBroken(EngineFaultConfig, frozen=True, kw_only=True, tag="stream_broken", tag_field="kind"):
     """Answers break off after some event, the last included: the connection is reset, or nothing more comes."""
 
-    share: Part = 0.1
+    share: Fraction = 0.1
     how: Literal["reset", "stall"] = "reset"
 
 
@@ -126,7 +126,7 @@
 class MassRestart(EngineFaultConfig, frozen=True, kw_only=True, tag="mass_restart", tag_field="kind"):
     """Many engines of one role restart at once, unannounced."""
 
-    within_s: NotNegative = 0.3
+    within_s: NonNegative = 0.3
 
 
 class Preemption(EngineFaultConfig, frozen=True, kw_only=True, tag="preempt", tag_field="kind"):
@@ -139,7 +139,7 @@
 class Release(EngineFaultConfig, frozen=True, kw_only=True, tag="release", tag_field="kind"):
     """A new version rolls out: engines are drained and restarted, `batch` of those struck at a time."""
 
-    batch: Part = 0.25
+    batch: Fraction = 0.25
     drain_s: Positive = 1.0
     down_s: Positive = 0.5
 
@@ -165,15 +165,15 @@
 class GatewayCrash(FaultConfig, frozen=True, kw_only=True, tag="balancer_crash", tag_field="kind"):
     """Gateways are killed outright and come back with their cached endpoint list after `for_s`."""
 
-    part: Part = 0.3
+    part: Fraction = 0.3
 
 
 class GatewayRestart(FaultConfig, frozen=True, kw_only=True, tag="balancer_roll", tag_field="kind"):
     """Gateways are restarted in waves: SIGTERM, or killed. With `handover` the next process gets the listening socket,
     serves first, and then the old one is asked to end."""
 
-    part: Part = 1.0
-    batch: Part = 0.2
+    part: Fraction = 1.0
+    batch: Fraction = 0.2
     down_s: Positive = 0.5
     killed: bool = False
     handover: bool = False
--- a/ternlane/scenarios/scenario.py
+++ b/ternlane/scenarios/scenario.py
@@ -11,9 +11,9 @@
     ConfigDocument,
     Count,
     FleetConfig,
+    Fraction,
     Name,
-    NotNegative,
-    Part,
+    NonNegative,
     Positive,
     RequestClassConfig,
     ServerLimits,
@@ -33,7 +33,7 @@
     kv_capacity_tokens: Positive = 200e3
     prefill_tokens_per_s: Positive = 20e3
     token_ms: Positive = 10.0
-    token_growth: NotNegative = 1.0
+    token_growth: NonNegative = 1.0
     near_tokens_per_s: Positive = 300e3
     far_tokens_per_s: Positive = 100e3
     answer_tokens: tuple[int, int] = (8, 40)
@@ -58,11 +58,11 @@
     adds: Span = (100.0, 400.0)
     prefixes: Count = 8
     prefix_tokens: Span = (500.0, 2000.0)
-    prefix_share: Part = 0.8
+    prefix_share: Fraction = 0.8
     max_tokens: Count = 400
     think_ms: Positive = 300.0
-    key_part: Part = 0.5
-    plain_part: Part = 0.1
+    key_part: Fraction = 0.5
+    plain_part: Fraction = 0.1
 
 
 class ClientsConfig(ConfigDocument, frozen=True, kw_only=True):
@@ -71,16 +71,16 @@
     try_share: Span = (0.5, 1.0)
     retries: int = 2
     backoff_ms: Span = (50.0, 300.0)
-    honour: Part = 0.7
-    leave_part: Part = 0.0
+    honour: Fraction = 0.7
+    leave_part: Fraction = 0.0
     leave_ms: Span = (20.0, 600.0)
 
 
 class RegistryDelays(ConfigDocument, frozen=True, kw_only=True):
     """How late the registry learns of things."""
 
-    notice_ms: NotNegative = 300.0  # a drain, or a start
-    silent_ms: NotNegative = 1500.0  # a death that nobody announced
+    notice_ms: NonNegative = 300.0  # a drain, or a start
+    silent_ms: NonNegative = 1500.0  # a death that nobody announced
 
 
 class Scenario(ConfigDocument, frozen=True, kw_only=True):
