--- a/bench/budget_quotas.py
+++ b/bench/budget_quotas.py
@@ -55,14 +55,14 @@
 
     def _lease(self, number: int, accounting: UsageAccounting, meter: BudgetMeter, now_ms: float) -> None:
         wall_s = WALL_S + now_ms / 1000
-        wanted, target = accounting.wants(self.tenant, now_ms, wall_s)
+        wanted, target = accounting.lease_demand(self.tenant, now_ms, wall_s)
         if not wanted:
             return
         minute = self.budget.minute or 0
         burst = self.budget.burst or 0
-        leased = self.leases.ask("t", f"g{number}", wanted, minute, burst, wall_s, accounting.least("t"))
+        leased = self.leases.lease("t", f"g{number}", wanted, minute, burst, wall_s, accounting.min_useful_grant("t"))
         if leased > 0:
-            meter.draw(leased, target)
+            meter.add_leased(leased, target)
 
     def _follow(self, number: int, meter: BudgetMeter, now_ms: float) -> None:
         """By its own traffic alone: as much as it saw wanted."""
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -52,7 +52,7 @@
         self.tenants = TenantRegistry(read_config(self.path, TenantRegistryConfig))
         self.loaded_version = self.file_version()
         self.usage_accounting = UsageAccounting(config.gateways, config.name, config.lender is not None)
-        self.usage_accounting.clock(time.time())
+        self.usage_accounting.advance_wall_clock(time.time())
         ledger_options = {} if config.ledger_segments is None else {"keep_segments": config.ledger_segments}
         self.store = BillingLedger(Disk(Path(config.ledger)), **ledger_options)
         self.known_tokens: dict[tuple[str, str, str], int] = {}
@@ -65,7 +65,7 @@
         for key, row in totals.sums.items():
             tokens = row.billed.prompt + row.billed.answer
             if tokens > self.known_tokens.get(key, 0):
-                self.usage_accounting.remember(*key, tokens - self.known_tokens.get(key, 0))
+                self.usage_accounting.add_past_usage(*key, tokens - self.known_tokens.get(key, 0))
                 self.known_tokens[key] = tokens
 
     def file_version(self) -> tuple[int, int, int]:
@@ -77,7 +77,7 @@
         """Reloads the tenants file when it has changed; an invalid one changes nothing. Also sweeps idle meters."""
         while True:
             await trio.sleep(TENANTS_POLL_S)
-            self.usage_accounting.sweep(now_ms(), self.usage_accounting.clock(time.time()))
+            self.usage_accounting.sweep(now_ms(), self.usage_accounting.advance_wall_clock(time.time()))
             try:
                 if (version := self.file_version()) != self.loaded_version:
                     self.loaded_version = version
@@ -91,7 +91,7 @@
         while self.config.lender is not None:
             await trio.sleep(self.config.look_ms / 1000)
             quota_requests = self.collect_quota_requests()
-            periods = self.usage_accounting.short_of_period()
+            periods = self.usage_accounting.period_shortages()
             if not quota_requests and not periods:
                 continue
             try:
@@ -104,16 +104,16 @@
 
     def collect_quota_requests(self) -> list[QuotaRequest]:
         """The tokens that each tenant needs beyond its share, or can return."""
-        wall = self.usage_accounting.clock(time.time())
+        wall = self.usage_accounting.advance_wall_clock(time.time())
         quota_requests = []
-        for name in list(self.usage_accounting.borrowers):
+        for name in list(self.usage_accounting.demand_estimators):
             tenant = self.tenants.tenants.get(name)
             if tenant is None or not tenant.budget.minute:
                 continue
-            want, target_level = self.usage_accounting.wants(tenant, now_ms(), wall)
+            want, target_level = self.usage_accounting.lease_demand(tenant, now_ms(), wall)
             if abs(want) >= 1:
                 quota_requests.append(
-                    QuotaRequest(name, want, target_level, tenant.budget, self.usage_accounting.least(name))
+                    QuotaRequest(name, want, target_level, tenant.budget, self.usage_accounting.min_useful_grant(name))
                 )
         return quota_requests
 
@@ -122,14 +122,14 @@
         for quota_request, tokens in zip(quota_requests, granted, strict=True):
             meter = self.usage_accounting.meters.get((quota_request.tenant, ""))
             if meter is not None and tokens > 0:
-                meter.draw(tokens, quota_request.target_level)
+                meter.add_leased(tokens, quota_request.target_level)
 
     def take_period_chunks(self, periods: list[PeriodShortage], chunks: list[float]) -> None:
         """Adds the granted parts of period budgets, except where another billing period has begun meanwhile."""
         for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
             meter = self.usage_accounting.meters.get((name, request_class))
             if meter is not None and meter.period is not None and meter.period.name == period:
-                meter.allowed += chunk
+                meter.period_allowance += chunk
 
     def request_quota(
         self, quota_requests: list[QuotaRequest], periods: list[PeriodShortage]
@@ -139,19 +139,19 @@
             Path(str(self.config.lender)), self.config.gateways, self.config.look_ms / 1000
         ) as lender:
             granted = [
-                lender.ask(
+                lender.lease(
                     quota_request.tenant,
                     self.config.name,
                     quota_request.tokens,
                     quota_request.budget.minute or 0,
-                    quota_request.budget.most_saved,
+                    quota_request.budget.burst_tokens,
                     time.time(),
                     quota_request.min_balance,
                 )
                 for quota_request in quota_requests
             ]
             chunks = [
-                lender.draw(f"{name}/{request_class}", period, budget)
+                lender.lease_period_chunk(f"{name}/{request_class}", period, budget)
                 for name, request_class, period, budget in periods
             ]
         return granted, chunks
@@ -168,7 +168,7 @@
 
     def within_budget(self, active_request: ActiveRequest) -> bool:
         """False where the stream has used up the overdraft and the tenant's budget is set to cut such streams."""
-        return active_request.budget_reservation is None or not self.usage_accounting.overrun(
+        return active_request.budget_reservation is None or not self.usage_accounting.exceeds_overdraft(
             active_request.budget_reservation, len(active_request.pieces)
         )
 
@@ -207,7 +207,7 @@
             return []
         now = now_ms()
         wall = time.time()
-        left, full, meter = min((*m.left(now, wall), m) for m in found)
+        left, full, meter = min((*m.remaining(now, wall), m) for m in found)
         return [
             ("x-ratelimit-limit-tokens", f"{meter.budget.minute}"),
             ("x-ratelimit-remaining-tokens", f"{left:.0f}"),
--- a/ternlane/tenants/billing.py
+++ b/ternlane/tenants/billing.py
@@ -59,24 +59,24 @@
     streamed: bool,
     pieces: int,
     prompt: int,
-    broke_at: int | None = None,
-    answered: int = 0,
+    attempts_before_break: int | None = None,
+    answer_tokens: int = 0,
 ) -> Bill:
-    """The bill by what each attempt made, in their order. All counts but `broke_at` are tokens.
+    """The bill by what each attempt made, in their order. All counts but `attempts_before_break` are tokens.
 
     An answer that was streamed is billed once, whatever it took. One that broke, or was left by its client, midway
     (`begun`) is billed for the prompt and the `pieces` that were passed on. Where the client got nothing, nothing is
     billed. The rest is the operator's. A server that reports no usage does not make an answer free: then the reserved
-    `prompt` and the pieces count. A stream that broke after `broke_at` attempts and went on is billed as if it had not:
-    its prompt as first read, its answer of `answered` tokens over all attempts.
+    `prompt` and the pieces count. A stream that broke after `attempts_before_break` attempts and went on is billed as if it had not:
+    its prompt as first read, its answer of `answer_tokens` tokens over all attempts.
     """
     whole = TokenUsage()
     for usage in made:
         whole = whole.plus(usage)
     if not begun:
         return Bill(TokenUsage(), whole)
-    prefill = next((usage for usage in reversed(made[:broke_at]) if usage.prompt), None)
-    answer = _answer_tokens(made, streamed, pieces, broke_at, answered)
+    prefill = next((usage for usage in reversed(made[:attempts_before_break]) if usage.prompt), None)
+    answer = _answer_tokens(made, streamed, pieces, attempts_before_break, answer_tokens)
     if prefill is not None and (answer or not pieces):
         billed = TokenUsage(prefill.prompt, prefill.cached, answer)
         return Bill(billed, whole.less(billed))
@@ -85,7 +85,9 @@
     return Bill(billed, whole.less(billed), "usage missing: reserved prompt, pieces counted")
 
 
-def _answer_tokens(made: Sequence[TokenUsage], streamed: bool, pieces: int, broke_at: int | None, answered: int) -> int:
+def _answer_tokens(
+    made: Sequence[TokenUsage], streamed: bool, pieces: int, attempts_before_break: int | None, answer_tokens: int
+) -> int:
     if not streamed or not made:
         return pieces
-    return made[-1].answer if broke_at is None else answered
+    return made[-1].answer if attempts_before_break is None else answer_tokens
--- a/ternlane/tenants/budget_meter.py
+++ b/ternlane/tenants/budget_meter.py
@@ -35,7 +35,8 @@
 
 
 class BudgetMeter:
-    """`share` is this gateway's part of the rates (0 to 1), `allowed` its tokens of the period; both may change."""
+    """Meters one budget. `share` is this gateway's part of the rates (0 to 1), `period_allowance` its tokens of the
+    period; both may change."""
 
     __slots__ = (
         "budget",
@@ -47,8 +48,8 @@
         "open_requests",
         "zone",
         "period_kind",
-        "allowed",
-        "leased",
+        "period_allowance",
+        "lease_capacity",
     )
 
     def __init__(self, budget: Budget, zone: str, period_kind: str, share: float, now: float) -> None:
@@ -57,12 +58,12 @@
         self.period_kind = period_kind
         self.share = share
         self.refilled_at = now
-        self.leased = 0.0  # room for leased tokens, beside the burst
+        self.lease_capacity = 0.0  # room for leased tokens, beside the burst
         self.level = self.capacity
         self.period: BillingPeriod | None = None
         self.spent = 0  # reserved and settled tokens of the period, at this gateway
         self.open_requests = 0
-        self.allowed = inf if budget.period is None else budget.period * share
+        self.period_allowance = inf if budget.period is None else budget.period * share
 
     @property
     def rate(self) -> float:
@@ -74,7 +75,7 @@
         """The most tokens that the bucket holds."""
         if self.budget.minute is None:
             return inf
-        return self.budget.most_saved * self.share + self.leased
+        return self.budget.burst_tokens * self.share + self.lease_capacity
 
     @property
     def max_open_requests(self) -> float:
@@ -92,7 +93,7 @@
         if self.period is None or wall >= self.period.end:
             self.period = period_at(wall, self.zone, self.period_kind)
             self.spent = 0
-            self.allowed = self.budget.period * self.share
+            self.period_allowance = self.budget.period * self.share
 
     def reserve(self, tokens: int, now: float, wall: float) -> Shortfall | None:
         """Takes the tokens out for one more open request; where they don't fit, changes nothing and says why."""
@@ -115,7 +116,7 @@
             needed = min(float(tokens), self.capacity)  # more than the burst: once the bucket is full
             if self.level < needed:
                 return Shortfall(BudgetLimit.MINUTE, self._refill_ms(needed - self.level))
-        if self.budget.period is not None and self.period is not None and self.spent + tokens > self.allowed:
+        if self.budget.period is not None and self.period is not None and self.spent + tokens > self.period_allowance:
             return Shortfall(BudgetLimit.PERIOD, max(0.0, self.period.end - wall) * 1000)
         return None
 
@@ -137,23 +138,23 @@
         spare = self.level - max(target, 0.0)
         if spare <= 0:
             return spare
-        return min(spare, self.leased, max(0.0, self.level))
+        return min(spare, self.lease_capacity, max(0.0, self.level))
 
-    def draw(self, tokens: float, target: float) -> None:
+    def add_leased(self, tokens: float, target: float) -> None:
         """Puts leased tokens in, or takes given-back ones out; `target` is the room for them from now on."""
         self.level += tokens
-        self.leased = max(0.0, target, self.level - self.budget.most_saved * self.share)
+        self.lease_capacity = max(0.0, target, self.level - self.budget.burst_tokens * self.share)
 
     def change_budget(self, budget: Budget, zone: str, period_kind: str) -> None:
         """Takes over a changed budget. What is open stays open, and what was leased of the period stays allowed."""
         leased_of_period = 0.0
         if self.budget.period is not None:
-            leased_of_period = self.allowed - self.budget.period * self.share
+            leased_of_period = self.period_allowance - self.budget.period * self.share
         self.budget = budget
         self.zone = zone
         self.period_kind = period_kind
         self.level = self.capacity if self.level == inf else min(self.level, self.capacity)
-        self.allowed = inf if budget.period is None else budget.period * self.share + leased_of_period
+        self.period_allowance = inf if budget.period is None else budget.period * self.share + leased_of_period
 
     def can_cover(self, tokens: int) -> bool:
         """Whether an overrun of so many tokens stays within the overdraft."""
@@ -167,7 +168,7 @@
         full = self.budget.minute is None or self.level >= self.capacity
         return not self.open_requests and not self.spent and full
 
-    def left(self, now: float, wall: float) -> tuple[float, float]:
+    def remaining(self, now: float, wall: float) -> tuple[float, float]:
         """Tokens that could be reserved now, and ms until the bucket is full."""
         self.advance(now, wall)
         if self.budget.minute is None:
--- a/ternlane/tenants/quota_leases.py
+++ b/ternlane/tenants/quota_leases.py
@@ -38,7 +38,7 @@
 RECENT_INTERVALS = 2
 
 
-class RecentDraw(NamedTuple):
+class LeaseRequest(NamedTuple):
     """When a gateway last asked for tokens (seconds since 1970), and for how many."""
 
     at: float
@@ -50,7 +50,7 @@
 
     level: float  # tokens
     refilled_at: float  # seconds since 1970
-    recent: dict[str, RecentDraw]  # by gateway
+    recent: dict[str, LeaseRequest]  # by gateway
 
 
 class PeriodPool(msgspec.Struct, array_like=True):
@@ -76,14 +76,14 @@
     interval_s: float = 3.0
     table: LeaseTable = field(default_factory=LeaseTable)
 
-    def ask(
-        self, tenant: str, gateway: str, tokens: float, minute: int, burst: int, now: float, least: float = 0.0
+    def lease(
+        self, tenant: str, gateway: str, tokens: float, minute: int, burst: int, now: float, min_grant: float = 0.0
     ) -> float:
         """Draws tokens for a gateway; returns how many it gets. A negative number gives tokens back.
 
         Where more is wanted than there is, each gets an even part, and what others leave of theirs, but not less than
-        `least`, which admits one request: slices that admit none would lie about unused at many gateways. `now` is in
-        seconds since 1970; a clock set back refills nothing until it has caught up.
+        `min_grant`, which admits one request: slices that admit none would lie about unused at many gateways. `now` is
+        in seconds since 1970; a clock set back refills nothing until it has caught up.
         """
         capacity = burst * (1 - RESERVED_SHARE)
         bucket = self._refilled_bucket(tenant, capacity, minute * (1 - RESERVED_SHARE) / 60, now)
@@ -93,12 +93,12 @@
             bucket.level = min(capacity, bucket.level - tokens)
             return tokens
         wanted_by_others = sum(draw.tokens for draw in bucket.recent.values())
-        bucket.recent[gateway] = RecentDraw(now, tokens)
-        least = min(tokens, least, capacity)
-        if bucket.level < least:
+        bucket.recent[gateway] = LeaseRequest(now, tokens)
+        min_grant = min(tokens, min_grant, capacity)
+        if bucket.level < min_grant:
             return 0.0
         even_part = bucket.level / len(bucket.recent)
-        granted = min(tokens, max(least, even_part, bucket.level - wanted_by_others))
+        granted = min(tokens, max(min_grant, even_part, bucket.level - wanted_by_others))
         bucket.level -= granted
         return granted
 
@@ -111,7 +111,7 @@
         bucket.refilled_at = max(bucket.refilled_at, now)
         return bucket
 
-    def draw(self, tenant: str, period: str, budget: int) -> float:
+    def lease_period_chunk(self, tenant: str, period: str, budget: int) -> float:
         """Another chunk of the pool of a billing period, in tokens; 0 when it is empty or the period is over."""
         drawn = self.table.drawn.get(tenant)
         if drawn is None or drawn.period < period:  # a clock set back does not open an old period anew
@@ -125,7 +125,7 @@
 
 
 @dataclass
-class QuotaBorrower:
+class DemandEstimator:
     """One gateway's side for one tenant: what its traffic wants, by what it admitted and what it could not."""
 
     admitted: float = 0.0  # tokens reserved since the last look
@@ -153,6 +153,6 @@
             return 0.0
         return max(LOOKAHEAD_INTERVALS * self.expected, LOOKAHEAD_INTERVALS * self.request_tokens, idle_tokens)
 
-    def missing_for_one(self, level: float) -> float:
+    def missing_for_one_request(self, level: float) -> float:
         """Tokens that a meter at this level needs to admit one more request."""
         return max(0.0, LOOKAHEAD_INTERVALS * self.request_tokens - level)
--- a/ternlane/tenants/tenant_registry.py
+++ b/ternlane/tenants/tenant_registry.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from ternlane.config.gateway import ConfigDocument, Count, Name, NotNegative
+from ternlane.config.gateway import ConfigDocument, Count, Name, NonNegative
 from ternlane.tenants.api_keys import UNKNOWN_KEY_HASH, UNKNOWN_KEY_SALT, secret_matches, split_key
 from ternlane.tenants.billing import TokenUsage
 
@@ -27,7 +27,7 @@
     cut: bool = False  # end a stream whose overrun passes the overdraft
 
     @property
-    def most_saved(self) -> int:
+    def burst_tokens(self) -> int:
         """Tokens: the capacity of the bucket of the rate."""
         return (self.minute or 0) if self.burst is None else self.burst
 
@@ -53,7 +53,7 @@
     salt: str
     hash: str
     state: Literal["live", "retiring", "revoked"] = "live"
-    until: NotNegative = 0.0  # seconds since 1970; a retiring key ends then
+    until: NonNegative = 0.0  # seconds since 1970; a retiring key ends then
 
 
 class Tenant(ConfigDocument, frozen=True, kw_only=True):
--- a/ternlane/tenants/usage_accounting.py
+++ b/ternlane/tenants/usage_accounting.py
@@ -14,7 +14,7 @@
 from ternlane.tenants.billing import Bill, LedgerEntry
 from ternlane.tenants.billing_period import period_at
 from ternlane.tenants.budget_meter import BudgetLimit, BudgetMeter, Shortfall
-from ternlane.tenants.quota_leases import IDLE_BURST_SHARE, RESERVED_SHARE, QuotaBorrower
+from ternlane.tenants.quota_leases import IDLE_BURST_SHARE, RESERVED_SHARE, DemandEstimator
 from ternlane.tenants.reservation import BudgetRejection, BudgetReservation
 from ternlane.tenants.tenant_registry import Tenant
 from ternlane.tenants.usage_check import plausible_usage
@@ -56,7 +56,7 @@
     leases_quota: bool = False
     lengths: AnswerLengthEstimator = field(default_factory=AnswerLengthEstimator)
     meters: dict[tuple[str, str], BudgetMeter] = field(default_factory=dict)  # by tenant and request class
-    borrowers: dict[str, QuotaBorrower] = field(default_factory=dict)  # by tenant
+    demand_estimators: dict[str, DemandEstimator] = field(default_factory=dict)  # by tenant
     latest_wall: float = 0.0
     # Tenant, request class, period -> tokens settled before a restart, until there is a meter for them.
     past: dict[tuple[str, str, str], int] = field(default_factory=dict)
@@ -66,19 +66,19 @@
         """The part of each budget that is always this gateway's."""
         return (RESERVED_SHARE if self.leases_quota else 1.0) / self.gateways
 
-    def clock(self, wall: float) -> float:
+    def advance_wall_clock(self, wall: float) -> float:
         """The wall clock, which may be set back: periods and bills go by the furthest it has shown."""
         self.latest_wall = max(self.latest_wall, wall)
         return self.latest_wall
 
-    def remember(self, tenant: str, request_class: str, period: str, tokens: int) -> None:
+    def add_past_usage(self, tenant: str, request_class: str, period: str, tokens: int) -> None:
         """Counts what this gateway had settled before it was restarted, by its ledger; also while it serves already,
         as the process before may end later."""
         for name in (ALL_CLASSES, request_class):
             meter = self.meters.get((tenant, name))
             if meter is not None and meter.period is not None and meter.period.name == period:
                 meter.spent += tokens
-                meter.allowed = max(meter.allowed, meter.spent)
+                meter.period_allowance = max(meter.period_allowance, meter.spent)
             else:
                 key = (tenant, name, period)
                 self.past[key] = self.past.get(key, 0) + tokens
@@ -108,7 +108,7 @@
         meter.advance(now, self.latest_wall)
         if meter.period is not None:
             meter.spent = self.past.pop((*key, meter.period.name), 0)
-            meter.allowed = max(meter.allowed, meter.spent)
+            meter.period_allowance = max(meter.period_allowance, meter.spent)
 
     def sweep(self, now: float, wall: float, max_meters: int = SWEEP_METERS) -> int:
         """Drops meters that a fresh one would equal, some at a time; returns how many."""
@@ -130,7 +130,7 @@
     ) -> BudgetReservation | BudgetRejection:
         """Both the tenant's budget and that of the request class must have room for `prompt` tokens and an estimated
         answer of at most `max_answer`; the first that has none gives the reason, and nothing stays reserved."""
-        wall = self.clock(wall)
+        wall = self.advance_wall_clock(wall)
         answer = self.lengths.estimate(tenant.name, request_class, max_answer)
         tokens = prompt + answer
         both = (self.meter(tenant, ALL_CLASSES, now), self.meter(tenant, request_class, now))
@@ -142,13 +142,13 @@
                     reserved.settle(tokens, 0, reserved.period, now, wall)
                 return self._reject(tenant, tokens, shortfall)
         if self.leases_quota and tenant.budget.minute is not None:  # what the own part can't carry is drawn
-            self._borrower(tenant).record(tokens, admitted=True)
+            self._demand_estimator(tenant).record(tokens, admitted=True)
         periods = [meter.period for meter in meters]
         return BudgetReservation(tenant, request_class, prompt, answer, max_answer, meters, periods, wall)
 
     def _reject(self, tenant: Tenant, tokens: int, shortfall: Shortfall) -> BudgetRejection:
         if self.leases_quota and shortfall.limit is BudgetLimit.MINUTE:
-            self._borrower(tenant).record(tokens, admitted=False)
+            self._demand_estimator(tenant).record(tokens, admitted=False)
         return BudgetRejection.by(shortfall)
 
     def settle(
@@ -170,7 +170,7 @@
         tenant = reservation.tenant
         billed, odd = plausible_usage(reservation, bill.billed, pieces)
         used = billed.prompt + billed.answer
-        wall = self.clock(wall)
+        wall = self.advance_wall_clock(wall)
         for meter, period in zip(reservation.meters, reservation.periods, strict=True):
             meter.settle(reservation.tokens, used, period, now, wall)
         if outcome == "streamed":
@@ -190,7 +190,7 @@
             note="; ".join(filter(None, (bill.note, odd))),
         )
 
-    def overrun(self, reservation: BudgetReservation, answer: int) -> bool:
+    def exceeds_overdraft(self, reservation: BudgetReservation, answer: int) -> bool:
         """Whether a stream of so many answer tokens may be cut, and has passed what its tenant's overdraft covers."""
         excess = answer - reservation.answer
         if excess <= 0 or not reservation.tenant.budget.cut:
@@ -199,43 +199,45 @@
 
     # -- quota leases
 
-    def _borrower(self, tenant: Tenant) -> QuotaBorrower:
-        found = self.borrowers.get(tenant.name)
+    def _demand_estimator(self, tenant: Tenant) -> DemandEstimator:
+        found = self.demand_estimators.get(tenant.name)
         if found is None:
-            found = self.borrowers[tenant.name] = QuotaBorrower()
+            found = self.demand_estimators[tenant.name] = DemandEstimator()
         return found
 
-    def wants(self, tenant: Tenant, now: float, wall: float) -> LeaseDemand:
+    def lease_demand(self, tenant: Tenant, now: float, wall: float) -> LeaseDemand:
         """What the tenant's traffic demands until the next look. Tokens to give back are taken out here at once. Only
         the tenant's budget for all request classes is leased."""
-        borrower = self.borrowers.get(tenant.name)
+        borrower = self.demand_estimators.get(tenant.name)
         meter = self.meters.get((tenant.name, ALL_CLASSES))
         if borrower is None or meter is None or meter.budget.minute is None:
             return LeaseDemand(0.0, 0.0)
         meter.advance(now, wall)
-        shared_burst = (1 - RESERVED_SHARE) * meter.budget.most_saved
+        shared_burst = (1 - RESERVED_SHARE) * meter.budget.burst_tokens
         target = borrower.target(IDLE_BURST_SHARE * shared_burst / self.gateways)
         surplus = meter.surplus(target)
         if surplus > 0:
-            meter.draw(-surplus, target)
-        if not target and not meter.leased:
-            del self.borrowers[tenant.name]
+            meter.add_leased(-surplus, target)
+        if not target and not meter.lease_capacity:
+            del self.demand_estimators[tenant.name]
         return LeaseDemand(-surplus, target)
 
-    def least(self, tenant: str) -> float:
+    def min_useful_grant(self, tenant: str) -> float:
         """Tokens that let one more request of the tenant in."""
-        borrower = self.borrowers.get(tenant)
+        borrower = self.demand_estimators.get(tenant)
         meter = self.meters.get((tenant, ALL_CLASSES))
         if borrower is None or meter is None:
             return 0.0
-        return borrower.missing_for_one(meter.level)
+        return borrower.missing_for_one_request(meter.level)
 
-    def short_of_period(self) -> list[PeriodShortage]:
+    def period_shortages(self) -> list[PeriodShortage]:
         """Meters that need another chunk of their period's pool."""
         if not self.leases_quota:
             return []
         return [
             PeriodShortage(tenant, request_class, meter.period.name, meter.budget.period)
             for (tenant, request_class), meter in self.meters.items()
-            if meter.budget.period and meter.period is not None and meter.spent > DRAW_CHUNK_SHARE * meter.allowed
+            if meter.budget.period
+            and meter.period is not None
+            and meter.spent > DRAW_CHUNK_SHARE * meter.period_allowance
         ]
--- a/tests/test_gateway_maintenance.py
+++ b/tests/test_gateway_maintenance.py
@@ -125,13 +125,15 @@
     while before.meters.get(("noto", "")) is None or before.meters["noto", ""].spent < 5000:
         got = before.reserve(line, "s", 90, 10, 0.0, NOON)
         if not isinstance(got, BudgetReservation):
-            before.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)
+            before.meters["noto", ""].period_allowance += lender.lease_period_chunk("noto", "2026-12", 24_000)
     after = UsageAccounting(3, "g", leases_quota=True)
-    after.clock(NOON)
-    after.remember("noto", "s", "2026-12", before.meters["noto", ""].spent)
+    after.advance_wall_clock(NOON)
+    after.add_past_usage("noto", "s", "2026-12", before.meters["noto", ""].spent)
     assert not isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
-    assert after.short_of_period() == [("noto", "", "2026-12", 24_000)]
-    after.meters["noto", ""].allowed += lender.draw("noto", "2026-12", 24_000)  # one more chunk makes room
+    assert after.period_shortages() == [("noto", "", "2026-12", 24_000)]
+    after.meters["noto", ""].period_allowance += lender.lease_period_chunk(
+        "noto", "2026-12", 24_000
+    )  # one more chunk makes room
     assert isinstance(after.reserve(line, "s", 90, 10, 0.0, NOON), BudgetReservation)
 
 
@@ -150,10 +152,10 @@
 
     def start(self) -> None:
         self.store, self.usage_accounting, self.epoch = BillingLedger(self.disk, 500), UsageAccounting(), object()  # type: ignore[arg-type]
-        self.usage_accounting.clock(NOON + self.now / 1000)
+        self.usage_accounting.advance_wall_clock(NOON + self.now / 1000)
         self.store.recover()
         for (name, request_class, period), it in self.store.totals.sums.items():
-            self.usage_accounting.remember(name, request_class, period, it.billed.prompt + it.billed.answer)
+            self.usage_accounting.add_past_usage(name, request_class, period, it.billed.prompt + it.billed.answer)
 
     @rule(target=holds, prompt=st.integers(1, 400))
     def reserve(self, prompt: int) -> object:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -726,11 +726,13 @@
 
 def test_a_resumed_stream_is_billed_like_an_unbroken_one() -> None:
     usages = [TokenUsage(100, 0, 0), TokenUsage(0, 0, 3), TokenUsage(103, 80, 0), TokenUsage(0, 0, 5)]
-    complete = bill_for(usages, True, True, 8, 100, broke_at=2, answered=8)
+    complete = bill_for(usages, True, True, 8, 100, attempts_before_break=2, answer_tokens=8)
     assert (
         complete.billed == TokenUsage(100, 0, 8) and complete.unbilled == TokenUsage(103, 80, 0) and not complete.note
     )
-    unfinished = bill_for(usages[:3], True, False, 3, 100, broke_at=2)  # broke again, or its client disconnected
+    unfinished = bill_for(
+        usages[:3], True, False, 3, 100, attempts_before_break=2
+    )  # broke again, or its client disconnected
     assert unfinished.billed == TokenUsage(100, 0, 3) and unfinished.unbilled == TokenUsage(103, 80, 0)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -323,10 +323,10 @@
 def write_lender(path: Path) -> None:
     for ask in INPUTS["lending"]:
         with lender_file(path, 2, 10.0) as lender:
-            lender.ask(*ask)
+            lender.lease(*ask)
     for draw in INPUTS["draws"]:
         with lender_file(path, 2, 10.0) as lender:
-            lender.draw(*draw)
+            lender.lease_period_chunk(*draw)
 
 
 def test_the_lenders_file(tmp_path: Path) -> None:
@@ -334,8 +334,8 @@
     assert written == stored
     shutil.copy(STORED / "lender.json", tmp_path / "again.json")
     with lender_file(tmp_path / "again.json", 2, 10.0) as lender:
-        got = lender.ask(*INPUTS["lending_again"])
-        drawn = lender.draw(*INPUTS["draws"][0])
+        got = lender.lease(*INPUTS["lending_again"])
+        drawn = lender.lease_period_chunk(*INPUTS["draws"][0])
     must_be_pinned(
         "lender-values", {"got": got, "drawn": drawn, "table": json.loads((tmp_path / "again.json").read_text())}
     )
