--- a/ternlane/tenants/__init__.py
+++ b/ternlane/tenants/__init__.py
@@ -1,4 +1,4 @@
-"""Tenants: who asks, what they may spend, what they owe. No I/O."""
+"""Tenants: API keys, budgets, quota leases and billing. No I/O."""
 
 from ternlane.tenants.answer_length import AnswerLengthEstimator
 from ternlane.tenants.api_keys import new_key
--- a/ternlane/tenants/billing.py
+++ b/ternlane/tenants/billing.py
@@ -1,4 +1,4 @@
-"""What a request's tenant pays for, and what the operator bears. No I/O."""
+"""Splits the tokens of a request into those billed to the tenant and those paid by the operator. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TokenUsage(msgspec.Struct, array_like=True, frozen=True):
-    """Tokens of the prompt, those of them that a server had cached, and tokens of the answer."""
+    """Prompt tokens, those of them that came from a server's prefix cache, and answer tokens."""
 
     prompt: int = 0
     cached: int = 0
@@ -18,8 +18,8 @@
         """The sum."""
         return TokenUsage(self.prompt + other.prompt, self.cached + other.cached, self.answer + other.answer)
 
-    def less(self, other: TokenUsage) -> TokenUsage:
-        """The difference; none of its counts is below zero."""
+    def minus(self, other: TokenUsage) -> TokenUsage:
+        """The difference, with negative counts replaced by zero."""
         return TokenUsage(
             max(0, self.prompt - other.prompt),
             max(0, self.cached - other.cached),
@@ -28,8 +28,8 @@
 
 
 class Bill(msgspec.Struct, frozen=True):
-    """What the tenant is billed, and the rest that servers computed, which is the operator's cost. `note` says what was
-    odd; it is empty where nothing was."""
+    """Tokens billed to the tenant, and the other tokens that servers processed, which the operator pays for. `note`
+    names irregularities; usually it is empty."""
 
     billed: TokenUsage
     unbilled: TokenUsage
@@ -37,24 +37,24 @@
 
 
 class LedgerEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One settled request, as the ledger stores it: the order of the fields is the form on disk."""
+    """A settled request as the ledger stores it: an array on disk, in the order of the fields."""
 
     request: str
     tenant: str
     request_class: str
     period: str
-    wall: float  # arrival, seconds since 1970
+    wall: float  # time of arrival, in seconds since 1970
     outcome: str
     billed: TokenUsage
     unbilled: TokenUsage
-    micros: int  # the amount, in micro-units of money
+    micros: int  # the price, in millionths of the currency unit
     attempts: int
-    key: str = ""  # the client's Idempotency-Key, hashed
+    key: str = ""  # hash of the client's Idempotency-Key
     note: str = ""
 
 
 def bill_for(
-    made: Sequence[TokenUsage],
+    usage_by_attempt: Sequence[TokenUsage],
     begun: bool,
     streamed: bool,
     pieces: int,
@@ -62,32 +62,38 @@
     attempts_before_break: int | None = None,
     answer_tokens: int = 0,
 ) -> Bill:
-    """The bill by what each attempt made, in their order. All counts but `attempts_before_break` are tokens.
-
-    An answer that was streamed is billed once, whatever it took. One that broke, or was left by its client, midway
-    (`begun`) is billed for the prompt and the `pieces` that were passed on. Where the client got nothing, nothing is
-    billed. The rest is the operator's. A server that reports no usage does not make an answer free: then the reserved
-    `prompt` and the pieces count. A stream that broke after `attempts_before_break` attempts and went on is billed as if it had not:
-    its prompt as first read, its answer of `answer_tokens` tokens over all attempts.
+    """Computes the bill from the usage of each attempt, in their order. Counts are tokens, except
+    `attempts_before_break`.
+
+    A completely streamed answer is billed once, regardless of the number of attempts. An answer that failed or whose
+    client disconnected after it had `begun` is billed for the prompt and the `pieces` that were forwarded. If the
+    client received nothing, nothing is billed. The operator pays for the rest. Usage that servers did not report is
+    replaced by the reserved `prompt` and the number of pieces, so that the answer is not free. A stream that broke
+    after `attempts_before_break` attempts and was resumed is billed as if it had not broken: the prompt of its first
+    prefill, and `answer_tokens` over all attempts.
     """
-    whole = TokenUsage()
-    for usage in made:
-        whole = whole.plus(usage)
+    total = TokenUsage()
+    for usage in usage_by_attempt:
+        total = total.plus(usage)
     if not begun:
-        return Bill(TokenUsage(), whole)
-    prefill = next((usage for usage in reversed(made[:attempts_before_break]) if usage.prompt), None)
-    answer = _answer_tokens(made, streamed, pieces, attempts_before_break, answer_tokens)
+        return Bill(TokenUsage(), total)
+    prefill = next((usage for usage in reversed(usage_by_attempt[:attempts_before_break]) if usage.prompt), None)
+    answer = _answer_tokens(usage_by_attempt, streamed, pieces, attempts_before_break, answer_tokens)
     if prefill is not None and (answer or not pieces):
         billed = TokenUsage(prefill.prompt, prefill.cached, answer)
-        return Bill(billed, whole.less(billed))
-    read = prefill or TokenUsage(prompt)
-    billed = TokenUsage(read.prompt, read.cached, max(answer, pieces))
-    return Bill(billed, whole.less(billed), "usage missing: reserved prompt, pieces counted")
+        return Bill(billed, total.minus(billed))
+    prefill_usage = prefill or TokenUsage(prompt)
+    billed = TokenUsage(prefill_usage.prompt, prefill_usage.cached, max(answer, pieces))
+    return Bill(billed, total.minus(billed), "usage missing: reserved prompt, pieces counted")
 
 
 def _answer_tokens(
-    made: Sequence[TokenUsage], streamed: bool, pieces: int, attempts_before_break: int | None, answer_tokens: int
+    usage_by_attempt: Sequence[TokenUsage],
+    streamed: bool,
+    pieces: int,
+    attempts_before_break: int | None,
+    answer_tokens: int,
 ) -> int:
-    if not streamed or not made:
+    if not streamed or not usage_by_attempt:
         return pieces
-    return made[-1].answer if attempts_before_break is None else answer_tokens
+    return usage_by_attempt[-1].answer if attempts_before_break is None else answer_tokens
--- a/ternlane/tenants/tenant_registry.py
+++ b/ternlane/tenants/tenant_registry.py
@@ -1,4 +1,4 @@
-"""Tenants with their keys, budgets and prices, as the file of tenants states them, and who a key belongs to."""
+"""The tenants file: tenants with their API keys, budgets and prices; and the lookup of a tenant by API key."""
 
 from __future__ import annotations
 
@@ -17,69 +17,69 @@
 
 
 class Budget(ConfigDocument, frozen=True, kw_only=True):
-    """What may be spent; None: no limit of that kind. Tokens are prompt and answer tokens together."""
+    """Limits on a tenant's usage; None: no limit. Tokens are prompt and answer tokens together."""
 
-    minute: Tokens | None = None  # refilled continuously
-    burst: Tokens | None = None  # the most that may be saved up (a minute's worth if not stated)
-    period: Tokens | None = None  # tokens a billing period
-    at_once: Count | None = None  # requests
-    overdraft: Tokens = 0  # how far overruns may go before new requests are rejected
-    cut: bool = False  # end a stream whose overrun passes the overdraft
+    minute: Tokens | None = None  # tokens per minute, refilled continuously
+    burst: Tokens | None = None  # most tokens that may accumulate; by default those of a minute
+    period: Tokens | None = None  # tokens per billing period
+    at_once: Count | None = None  # concurrent requests
+    overdraft: Tokens = 0  # tokens that requests may use beyond the level of the bucket
+    cut: bool = False  # end streams that exceed the overdraft
 
     @property
     def burst_tokens(self) -> int:
-        """Tokens: the capacity of the bucket of the rate."""
+        """The burst in tokens, with its default."""
         return (self.minute or 0) if self.burst is None else self.burst
 
 
 class Prices(ConfigDocument, frozen=True, kw_only=True):
-    """Micro-units of money a token, for those of the prompt, cached ones of it, and the answer. Whole numbers, as all
-    money here."""
+    """Prices per token in millionths of the currency unit, for uncached and cached prompt tokens and answer tokens.
+    Amounts of money are integers throughout."""
 
     prompt: Micros = 0
     cached: Micros = 0
     answer: Micros = 0
 
     def amount(self, usage: TokenUsage) -> int:
-        """What this usage costs, in micro-units of money."""
+        """The price of this usage, in millionths of the currency unit."""
         uncached = usage.prompt - usage.cached
         return uncached * self.prompt + usage.cached * self.cached + usage.answer * self.answer
 
 
 class ApiKey(ConfigDocument, frozen=True, kw_only=True):
-    """A key of a tenant: its public name, and the salted hash of its secret."""
+    """An API key of a tenant: its public name and the salted hash of its secret."""
 
     name: Name
     salt: str
     hash: str
     state: Literal["live", "retiring", "revoked"] = "live"
-    until: NonNegative = 0.0  # seconds since 1970; a retiring key ends then
+    until: NonNegative = 0.0  # end of a retiring key, in seconds since 1970
 
 
 class Tenant(ConfigDocument, frozen=True, kw_only=True):
-    """One tenant. `request_classes` holds further budgets for single classes, beside the one for all."""
+    """A tenant. `request_classes` holds budgets for single request classes, which apply in addition to `budget`."""
 
     name: Name
     keys: list[ApiKey] = []
     budget: Budget = Budget()
     request_classes: dict[str, Budget] = {}
-    prices: dict[str, Prices] = {}  # by request class; "*" for the others
-    zone: str = "UTC"  # of the billing period's edges
+    prices: dict[str, Prices] = {}  # by request class; "*": all other classes
+    zone: str = "UTC"  # time zone of the billing periods
     period: Literal["day", "month"] = "month"
 
     def __post_init__(self) -> None:
         try:
             ZoneInfo(self.zone)
         except (ZoneInfoNotFoundError, ValueError, OSError):
-            raise ValueError(f"zone {self.zone!r} is unknown") from None
+            raise ValueError(f"unknown time zone {self.zone!r}") from None
 
     def price(self, request_class: str) -> Prices:
-        """The prices of a request class; nothing costs anything where none are stated."""
+        """The prices of a request class; zero if none are configured."""
         return self.prices.get(request_class) or self.prices.get("*") or Prices()
 
 
 class TenantRegistryConfig(ConfigDocument, frozen=True, kw_only=True):
-    """The file of tenants. No name of a tenant or of a key may stand in it twice."""
+    """The content of the tenants file. Names of tenants and of keys are unique."""
 
     tenants: list[Tenant] = []
 
@@ -88,33 +88,33 @@
         for tenant in self.tenants:
             for name in (tenant.name, *(f"key {key.name}" for key in tenant.keys)):
                 if name in seen:
-                    raise ValueError(f"{name!r} is given twice")
+                    raise ValueError(f"duplicate name {name!r}")
                 seen.add(name)
 
 
 class UnknownKeyError(Exception):
-    """No live key. It does not say what was wrong, as the caller must not learn that."""
+    """The API key is not valid. The error does not tell why: callers must not learn which part of a key is wrong."""
 
 
 class TenantRegistry:
-    """Finds the tenant of a key. A key that ends does not touch requests that are in flight."""
+    """Authenticates requests by API key. Requests in flight are not affected when their key ends."""
 
     def __init__(self, config: TenantRegistryConfig) -> None:
         self.tenants = {tenant.name: tenant for tenant in config.tenants}
         self._keys = {key.name: (key, tenant) for tenant in config.tenants for key in tenant.keys}
 
     def authenticate(self, header: str | None, now_s: float) -> Tenant:
-        """The tenant by the Authorization field; `now_s` is in seconds since 1970. Raises UnknownKeyError. Hashes
-        exactly once whatever is wrong, so that the time taken tells nothing."""
-        scheme, _, whole_key = (header or "").partition(" ")
-        name, secret = split_key(whole_key.strip())
+        """The tenant of the key in an Authorization header; `now_s` is in seconds since 1970. Raises UnknownKeyError.
+        Always computes exactly one hash, so that timing does not reveal what is wrong."""
+        scheme, _, full_key = (header or "").partition(" ")
+        name, secret = split_key(full_key.strip())
         found = self._keys.get(name)
         if found is None:
             secret_matches(secret, UNKNOWN_KEY_SALT, UNKNOWN_KEY_HASH)
             raise UnknownKeyError
         key, tenant = found
-        right = secret_matches(secret, key.salt, key.hash)
-        if not right or scheme.lower() != "bearer" or not _is_live(key, now_s):
+        secret_valid = secret_matches(secret, key.salt, key.hash)
+        if not secret_valid or scheme.lower() != "bearer" or not _is_live(key, now_s):
             raise UnknownKeyError
         return tenant
 
@@ -126,6 +126,6 @@
 
 
 def replace_tenant(config: TenantRegistryConfig, tenant: Tenant) -> TenantRegistryConfig:
-    """A copy of the file's content in which this tenant takes the place of the one of its name, at the end."""
+    """A copy of the configuration in which this tenant replaces the one with the same name, and is the last."""
     others = [other for other in config.tenants if other.name != tenant.name]
     return msgspec.structs.replace(config, tenants=[*others, tenant])
--- a/ternlane/tenants/usage_accounting.py
+++ b/ternlane/tenants/usage_accounting.py
@@ -1,8 +1,8 @@
-"""Reserves when a request arrives, settles when it ends, and says what is to be written in the ledger.
+"""Usage accounting: reserves tokens when a request arrives, and settles it into a ledger entry when it ends.
 
-Decides nothing of routing; the decisions never see tenants. No I/O: the gateway hands in the time, and the entry that
-`settle` returns goes to the ledger before or after the answer as the gateway likes. `now` is a monotonic clock in ms,
-`wall` seconds since 1970.
+It takes no part in routing, which does not depend on tenants. It does no I/O: the gateway passes the time and stores
+the entry that `settle` returns, before or after it has sent the answer. `now_ms` is the time of a monotonic clock,
+`wall_s` is in seconds since 1970.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from ternlane.tenants.billing import Bill, LedgerEntry
 from ternlane.tenants.billing_period import period_at
 from ternlane.tenants.budget_meter import BudgetLimit, BudgetMeter, Shortfall
-from ternlane.tenants.quota_leases import IDLE_BURST_SHARE, RESERVED_SHARE, DemandEstimator
+from ternlane.tenants.quota_leases import GUARANTEED_SHARE, IDLE_BURST_SHARE, DemandEstimator
 from ternlane.tenants.reservation import BudgetRejection, BudgetReservation
 from ternlane.tenants.tenant_registry import Tenant
 from ternlane.tenants.usage_check import plausible_usage
 
-# Of the period's tokens that this gateway may spend: beyond it another chunk is drawn, while the rest still admits.
-DRAW_CHUNK_SHARE = 0.75
-SWEEP_METERS = 256  # looked at in one sweep: well under a millisecond of the event loop
-# The request class in the keys of meters that stands for all classes of a tenant.
+# Spent part of a period's allowance above which another chunk is leased; the rest admits requests in the meantime.
+CHUNK_LEASE_SHARE = 0.75
+SWEEP_METERS = 256  # per sweep: blocks the event loop for well under a millisecond
+# Stands for all request classes of a tenant in the keys of meters.
 ALL_CLASSES = ""
 
 
 class SettledTwiceError(RuntimeError):
-    """A reservation was settled again, which would bill its request twice: a defect of the caller."""
+    """A reservation was settled twice, which would bill the request twice: a bug in the caller."""
 
 
 class LeaseDemand(NamedTuple):
-    """Tokens to draw from the shared bucket (negative: to give back), and how many the meter has room for then."""
+    """Tokens to lease from the shared bucket (negative: to return), and the meter's new capacity for leased tokens."""
 
     tokens: float
     target: float
 
 
 class PeriodShortage(NamedTuple):
-    """A meter that has spent most of what it may of its period, whose budget is so many tokens."""
+    """A meter that has spent most of its allowance of the period. `budget` is the period's budget in tokens."""
 
     tenant: str
     request_class: str
@@ -48,8 +48,8 @@
 
 @dataclass
 class UsageAccounting:
-    """Budgets of all tenants at one gateway, which has `gateways` in all. With `leases_quota` a shared table can be
-    asked for more than this gateway's own part."""
+    """The budgets of all tenants at one of `gateways` gateways. With `leases_quota`, the gateway can lease more than
+    its own part from a shared table."""
 
     gateways: int = 1
     gateway: str = "g"
@@ -57,23 +57,24 @@
     lengths: AnswerLengthEstimator = field(default_factory=AnswerLengthEstimator)
     meters: dict[tuple[str, str], BudgetMeter] = field(default_factory=dict)  # by tenant and request class
     demand_estimators: dict[str, DemandEstimator] = field(default_factory=dict)  # by tenant
-    latest_wall: float = 0.0
-    # Tenant, request class, period -> tokens settled before a restart, until there is a meter for them.
-    past: dict[tuple[str, str, str], int] = field(default_factory=dict)
+    latest_wall_s: float = 0.0
+    # Tenant, request class, period -> tokens settled before a restart, until a meter takes them over.
+    past_usage: dict[tuple[str, str, str], int] = field(default_factory=dict)
 
     @property
     def own_share(self) -> float:
-        """The part of each budget that is always this gateway's."""
-        return (RESERVED_SHARE if self.leases_quota else 1.0) / self.gateways
+        """The part of each budget that this gateway has without leases."""
+        return (GUARANTEED_SHARE if self.leases_quota else 1.0) / self.gateways
 
-    def advance_wall_clock(self, wall: float) -> float:
-        """The wall clock, which may be set back: periods and bills go by the furthest it has shown."""
-        self.latest_wall = max(self.latest_wall, wall)
-        return self.latest_wall
+    def advance_wall_clock(self, wall_s: float) -> float:
+        """Returns the latest time that the wall clock has shown, which periods and bills use: the clock may be set
+        back."""
+        self.latest_wall_s = max(self.latest_wall_s, wall_s)
+        return self.latest_wall_s
 
     def add_past_usage(self, tenant: str, request_class: str, period: str, tokens: int) -> None:
-        """Counts what this gateway had settled before it was restarted, by its ledger; also while it serves already,
-        as the process before may end later."""
+        """Adds tokens that this gateway's ledger shows as settled before a restart. May be called while requests are
+        served, as the previous process may end later."""
         for name in (ALL_CLASSES, request_class):
             meter = self.meters.get((tenant, name))
             if meter is not None and meter.period is not None and meter.period.name == period:
@@ -81,13 +82,13 @@
                 meter.period_allowance = max(meter.period_allowance, meter.spent)
             else:
                 key = (tenant, name, period)
-                self.past[key] = self.past.get(key, 0) + tokens
+                self.past_usage[key] = self.past_usage.get(key, 0) + tokens
 
     # -- meters
 
-    def meter(self, tenant: Tenant, request_class: str, now: float) -> BudgetMeter | None:
-        """The tenant's meter for a request class, or for all classes; None where no budget is stated. A changed budget
-        keeps what is open."""
+    def meter(self, tenant: Tenant, request_class: str, now_ms: float) -> BudgetMeter | None:
+        """The tenant's meter for a request class or for all classes; None without a budget. Open requests are kept if
+        the budget has changed."""
         budget = tenant.budget if request_class == ALL_CLASSES else tenant.request_classes.get(request_class)
         key = (tenant.name, request_class)
         if budget is None:
@@ -95,61 +96,61 @@
             return None
         meter = self.meters.get(key)
         if meter is None:
-            meter = BudgetMeter(budget, tenant.zone, tenant.period, self.own_share, now)
+            meter = BudgetMeter(budget, tenant.zone, tenant.period, self.own_share, now_ms)
             self.meters[key] = meter
-            self._recall(key, meter, now)
+            self._charge_past_usage(key, meter, now_ms)
         elif (meter.budget, meter.zone, meter.period_kind) != (budget, tenant.zone, tenant.period):
             meter.change_budget(budget, tenant.zone, tenant.period)
         return meter
 
-    def _recall(self, key: tuple[str, str], meter: BudgetMeter, now: float) -> None:
-        """Charges a new meter with what was settled in its period before a restart. What had been drawn and spent
-        before is not owed again."""
-        meter.advance(now, self.latest_wall)
+    def _charge_past_usage(self, key: tuple[str, str], meter: BudgetMeter, now_ms: float) -> None:
+        """Charges a new meter with the usage of its period from before a restart. The allowance is raised to that
+        usage, as chunks leased before the restart are already spent."""
+        meter.advance(now_ms, self.latest_wall_s)
         if meter.period is not None:
-            meter.spent = self.past.pop((*key, meter.period.name), 0)
+            meter.spent = self.past_usage.pop((*key, meter.period.name), 0)
             meter.period_allowance = max(meter.period_allowance, meter.spent)
 
-    def sweep(self, now: float, wall: float, max_meters: int = SWEEP_METERS) -> int:
-        """Drops meters that a fresh one would equal, some at a time; returns how many."""
+    def sweep(self, now_ms: float, wall_s: float, max_meters: int = SWEEP_METERS) -> int:
+        """Removes idle meters, a limited number per call; returns how many."""
         oldest = [key for key, _ in zip(self.meters, range(max_meters), strict=False)]
         dropped = 0
         for key in oldest:
             meter = self.meters.pop(key)
-            meter.advance(now, wall)
+            meter.advance(now_ms, wall_s)
             if meter.idle:
                 dropped += 1
             else:
-                self.meters[key] = meter  # to the end: the next sweep looks at others
+                self.meters[key] = meter  # moved to the end, so that the next sweep examines others
         return dropped
 
     # -- reserve and settle
 
     def reserve(
-        self, tenant: Tenant, request_class: str, prompt: int, max_answer: int, now: float, wall: float
+        self, tenant: Tenant, request_class: str, prompt: int, max_answer: int, now_ms: float, wall_s: float
     ) -> BudgetReservation | BudgetRejection:
-        """Both the tenant's budget and that of the request class must have room for `prompt` tokens and an estimated
-        answer of at most `max_answer`; the first that has none gives the reason, and nothing stays reserved."""
-        wall = self.advance_wall_clock(wall)
+        """Reserves `prompt` tokens and an estimated answer of at most `max_answer` tokens from the tenant's budget and
+        from that of the request class. If one has no room, returns the reason and reserves nothing."""
+        wall_s = self.advance_wall_clock(wall_s)
         answer = self.lengths.estimate(tenant.name, request_class, max_answer)
         tokens = prompt + answer
-        both = (self.meter(tenant, ALL_CLASSES, now), self.meter(tenant, request_class, now))
+        both = (self.meter(tenant, ALL_CLASSES, now_ms), self.meter(tenant, request_class, now_ms))
         meters = [meter for meter in both if meter is not None]
         for index, meter in enumerate(meters):
-            shortfall = meter.reserve(tokens, now, wall)
+            shortfall = meter.reserve(tokens, now_ms, wall_s)
             if shortfall is not None:
                 for reserved in meters[:index]:
-                    reserved.settle(tokens, 0, reserved.period, now, wall)
+                    reserved.settle(tokens, 0, reserved.period, now_ms, wall_s)
                 return self._reject(tenant, tokens, shortfall)
-        if self.leases_quota and tenant.budget.minute is not None:  # what the own part can't carry is drawn
+        if self.leases_quota and tenant.budget.minute is not None:  # demand beyond the own part is leased
             self._demand_estimator(tenant).record(tokens, admitted=True)
         periods = [meter.period for meter in meters]
-        return BudgetReservation(tenant, request_class, prompt, answer, max_answer, meters, periods, wall)
+        return BudgetReservation(tenant, request_class, prompt, answer, max_answer, meters, periods, wall_s)
 
     def _reject(self, tenant: Tenant, tokens: int, shortfall: Shortfall) -> BudgetRejection:
         if self.leases_quota and shortfall.limit is BudgetLimit.MINUTE:
             self._demand_estimator(tenant).record(tokens, admitted=False)
-        return BudgetRejection.by(shortfall)
+        return BudgetRejection.from_shortfall(shortfall)
 
     def settle(
         self,
@@ -158,40 +159,40 @@
         outcome: str,
         bill: Bill,
         attempts: int,
-        now: float,
-        wall: float,
+        now_ms: float,
+        wall_s: float,
         key: str = "",
         pieces: int | None = None,
     ) -> LedgerEntry:
-        """Charges the budgets with what was used; the entry is for the ledger. Raises SettledTwiceError."""
+        """Charges the budgets with the tokens used, and returns the ledger entry. Raises SettledTwiceError."""
         if reservation.settled:
             raise SettledTwiceError(request)
         reservation.settled = True
         tenant = reservation.tenant
-        billed, odd = plausible_usage(reservation, bill.billed, pieces)
+        billed, usage_note = plausible_usage(reservation, bill.billed, pieces)
         used = billed.prompt + billed.answer
-        wall = self.advance_wall_clock(wall)
+        wall_s = self.advance_wall_clock(wall_s)
         for meter, period in zip(reservation.meters, reservation.periods, strict=True):
-            meter.settle(reservation.tokens, used, period, now, wall)
+            meter.settle(reservation.tokens, used, period, now_ms, wall_s)
         if outcome == "streamed":
             self.lengths.learn(tenant.name, reservation.request_class, billed.answer)
         return LedgerEntry(
             request=request,
             tenant=tenant.name,
             request_class=reservation.request_class,
-            period=period_at(reservation.wall, tenant.zone, tenant.period).name,  # of its arrival
-            wall=reservation.wall,
+            period=period_at(reservation.arrived_s, tenant.zone, tenant.period).name,
+            wall=reservation.arrived_s,
             outcome=outcome,
             billed=billed,
             unbilled=bill.unbilled,
             micros=tenant.price(reservation.request_class).amount(billed),
             attempts=attempts,
             key=key,
-            note="; ".join(filter(None, (bill.note, odd))),
+            note="; ".join(filter(None, (bill.note, usage_note))),
         )
 
     def exceeds_overdraft(self, reservation: BudgetReservation, answer: int) -> bool:
-        """Whether a stream of so many answer tokens may be cut, and has passed what its tenant's overdraft covers."""
+        """Whether a stream with this many answer tokens exceeds its tenant's overdraft and is to be ended for it."""
         excess = answer - reservation.answer
         if excess <= 0 or not reservation.tenant.budget.cut:
             return False
@@ -200,21 +201,21 @@
     # -- quota leases
 
     def _demand_estimator(self, tenant: Tenant) -> DemandEstimator:
-        found = self.demand_estimators.get(tenant.name)
-        if found is None:
-            found = self.demand_estimators[tenant.name] = DemandEstimator()
-        return found
-
-    def lease_demand(self, tenant: Tenant, now: float, wall: float) -> LeaseDemand:
-        """What the tenant's traffic demands until the next look. Tokens to give back are taken out here at once. Only
-        the tenant's budget for all request classes is leased."""
-        borrower = self.demand_estimators.get(tenant.name)
+        estimator = self.demand_estimators.get(tenant.name)
+        if estimator is None:
+            estimator = self.demand_estimators[tenant.name] = DemandEstimator()
+        return estimator
+
+    def lease_demand(self, tenant: Tenant, now_ms: float, wall_s: float) -> LeaseDemand:
+        """The tokens that the tenant's traffic needs until the next lease. Tokens to return are removed from the meter
+        immediately. Only the tenant's budget for all request classes is leased."""
+        estimator = self.demand_estimators.get(tenant.name)
         meter = self.meters.get((tenant.name, ALL_CLASSES))
-        if borrower is None or meter is None or meter.budget.minute is None:
+        if estimator is None or meter is None or meter.budget.minute is None:
             return LeaseDemand(0.0, 0.0)
-        meter.advance(now, wall)
-        shared_burst = (1 - RESERVED_SHARE) * meter.budget.burst_tokens
-        target = borrower.target(IDLE_BURST_SHARE * shared_burst / self.gateways)
+        meter.advance(now_ms, wall_s)
+        shared_burst = (1 - GUARANTEED_SHARE) * meter.budget.burst_tokens
+        target = estimator.target(IDLE_BURST_SHARE * shared_burst / self.gateways)
         surplus = meter.surplus(target)
         if surplus > 0:
             meter.add_leased(-surplus, target)
@@ -223,15 +224,15 @@
         return LeaseDemand(-surplus, target)
 
     def min_useful_grant(self, tenant: str) -> float:
-        """Tokens that let one more request of the tenant in."""
-        borrower = self.demand_estimators.get(tenant)
+        """The tokens needed to admit one more request of the tenant; a smaller grant is of no use."""
+        estimator = self.demand_estimators.get(tenant)
         meter = self.meters.get((tenant, ALL_CLASSES))
-        if borrower is None or meter is None:
+        if estimator is None or meter is None:
             return 0.0
-        return borrower.missing_for_one_request(meter.level)
+        return estimator.missing_for_one_request(meter.level)
 
     def period_shortages(self) -> list[PeriodShortage]:
-        """Meters that need another chunk of their period's pool."""
+        """Meters that need another chunk of their period's shared tokens."""
         if not self.leases_quota:
             return []
         return [
@@ -239,5 +240,5 @@
             for (tenant, request_class), meter in self.meters.items()
             if meter.budget.period
             and meter.period is not None
-            and meter.spent > DRAW_CHUNK_SHARE * meter.period_allowance
+            and meter.spent > CHUNK_LEASE_SHARE * meter.period_allowance
         ]
--- a/ternlane/tenants/usage_check.py
+++ b/ternlane/tenants/usage_check.py
@@ -1,19 +1,19 @@
-"""Usage figures of a faulty server are not billed: those that can't be are replaced, and the ledger entry says so."""
+"""Replaces impossible usage reported by a faulty server, so that it is not billed. The ledger entry notes it."""
 
 from __future__ import annotations
 
 from ternlane.tenants.billing import TokenUsage
 from ternlane.tenants.reservation import BudgetReservation
 
-# A prompt of more than this many times what was counted at arrival is a faulty server's: tokenizers differ less.
+# Limit on reported prompt tokens, as a multiple of those counted at arrival: tokenizers differ by less.
 MAX_PROMPT_FACTOR = 16
-# Of a short prompt a server's template may be the greater part, so shorter ones are judged as if they had so many.
+# Shorter prompts are treated as having this many tokens, as most of theirs may come from the server's chat template.
 MIN_PROMPT_TOKENS = 64
 
 
 def plausible_usage(reservation: BudgetReservation, usage: TokenUsage, pieces: int | None) -> tuple[TokenUsage, str]:
-    """The usage with impossible figures replaced by the prompt that was reserved and the pieces that came (None: not
-    known), and a note that names them; it is empty where all can be."""
+    """Returns the usage, with impossible counts replaced by the reserved prompt tokens and the number of `pieces` that
+    were streamed (None: unknown), and a note that names the replaced counts; it is empty if there are none."""
     notes: list[str] = []
     prompt = usage.prompt
     if not 0 <= prompt <= MAX_PROMPT_FACTOR * max(reservation.prompt, MIN_PROMPT_TOKENS):
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -10,7 +10,7 @@
 
 from ternlane.ledger.quota_lease_file import open_quota_leases
 from ternlane.tenants import Budget, BudgetReservation, QuotaLeases, Tenant, UsageAccounting
-from ternlane.tenants.quota_leases import RESERVED_SHARE
+from ternlane.tenants.quota_leases import GUARANTEED_SHARE
 from tests.tenant_data import NOON
 
 
@@ -53,7 +53,7 @@
 
 def test_one_that_asks_alone_gets_all_and_two_get_even_shares() -> None:
     leases = QuotaLeases(2, interval_s=1.0)
-    assert leases.lease("t", "g1", 9e9, 60_000, 1000, 100.0) == pytest.approx(1000 * (1 - RESERVED_SHARE))
+    assert leases.lease("t", "g1", 9e9, 60_000, 1000, 100.0) == pytest.approx(1000 * (1 - GUARANTEED_SHARE))
     shares = {"g1": 0.0, "g2": 0.0}
     for i in range(1, 40):
         for g in shares:
@@ -71,7 +71,7 @@
 def test_chunks_of_a_period_are_never_more_than_its_pool() -> None:
     leases = QuotaLeases(3)
     got = sum(leases.lease_period_chunk("t", "2026-12", 24_000) for _ in range(100))
-    assert got == pytest.approx(24_000 * (1 - RESERVED_SHARE))
+    assert got == pytest.approx(24_000 * (1 - GUARANTEED_SHARE))
     assert (
         leases.lease_period_chunk("t", "2027-01", 24_000) > 0 and leases.lease_period_chunk("t", "2026-12", 24_000) == 0
     )
