--- a/ternlane/__main__.py
+++ b/ternlane/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ternlane`."""
+"""Runs the command line with `python -m ternlane`."""
 
 from ternlane.cli import main
 
--- a/ternlane/config/__init__.py
+++ b/ternlane/config/__init__.py
@@ -1,4 +1,4 @@
-"""Documents that people write (JSON5): read, checked, and refused with the line and the field that is wrong."""
+"""Configuration documents in JSON5: parsing and validation, with errors that name the line and the field."""
 
 from ternlane.config.gateway import (
     ConsulSource,
--- a/ternlane/config/field_lines.py
+++ b/ternlane/config/field_lines.py
@@ -1,4 +1,4 @@
-"""The line on which each field of a JSON5 text begins, for the messages of refused documents."""
+"""Finds the line on which each field of a JSON5 text begins, for error messages."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 def field_lines(text: str) -> dict[str, int]:
-    """The lines, from 1, by path (`$.a.b[0]`). The text must be well-formed; of a field that stands twice the first
-    counts."""
-    walk = _Walk()
+    """Line numbers, from 1, by path (`$.a.b[0]`). The text must be well-formed. For a duplicate field, the line of the
+    first is returned."""
+    tracker = _PathTracker()
     line = 1
     position = 0
-    for found in TOKEN.finditer(text):
-        line += text.count("\n", position, found.start())
-        position = found.start()
-        if not found.group().startswith(COMMENT):
-            walk.token(found.group(), line)
-    return walk.lines
+    for match in TOKEN.finditer(text):
+        line += text.count("\n", position, match.start())
+        position = match.start()
+        if not match.group().startswith(COMMENT):
+            tracker.add(match.group(), line)
+    return tracker.lines
 
 
 @dataclass
 class _Container:
-    """An object or array that is open."""
+    """An object or array whose end has not been reached."""
 
     path: str
     is_array: bool
-    index: int = 0  # of the next value in an array
+    index: int = 0  # of the next value, if it is an array
 
 
 @dataclass
-class _Walk:
-    """Where in the document a sequence of tokens has come to."""
+class _PathTracker:
+    """Tracks the path in the document while its tokens are added one by one."""
 
     lines: dict[str, int] = field(default_factory=lambda: {"$": 1})
     open: list[_Container] = field(default_factory=list)
-    key: str | None = None  # path of the key whose value is to come
+    key: str | None = None  # path of the key whose value comes next
 
-    def token(self, token: str, line: int) -> None:
-        """Takes in the next token, which stands on this line."""
+    def add(self, token: str, line: int) -> None:
+        """Adds the next token, which is on this line."""
         inner = self.open[-1] if self.open else None
         if token in "}]":
             self.open.pop()
--- a/ternlane/config/gateway.py
+++ b/ternlane/config/gateway.py
@@ -1,6 +1,6 @@
-"""The document of one gateway. Times are milliseconds where a name ends in `_ms`.
+"""The configuration document of a gateway. Names that end in `_ms` are times in milliseconds.
 
-Fields have the terms of the code; the keys that operators write are mapped by `ternlane.document_keys`.
+`ternlane.document_keys` maps the fields to the keys of the document.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 
 
 class ConfigDocument(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=document_key):
-    """The base of all documents. Unknown keys are refused: a misspelt limit would otherwise be no limit."""
+    """Base class of documents. Unknown keys are rejected: otherwise a misspelt limit would have no effect."""
 
 
 class RequestClassConfig(ConfigDocument, frozen=True, kw_only=True):
-    """One request class: which model names mean it, whether requests may be repeated, its latency objectives, its
-    priority weight. `window_ms` is how long repeats under one Idempotency-Key are known."""
+    """A request class: its model names, whether requests may be repeated, its latency objectives and its priority
+    weight. For `window_ms`, repeats under the same Idempotency-Key are recognised."""
 
     name: Name
-    models: list[str] = []  # further model names that mean this class
+    models: list[str] = []  # model names of this class, in addition to its own name
     effect: Literal["idempotent", "deduplicated", "side-effecting"] = "side-effecting"
     group: Literal["all", "zone", "cell"] = "cell"
     window_ms: NonNegative = 0.0
-    slo_ms: Positive  # until the first token
-    slo_per_1000_tokens_ms: NonNegative = 0.0  # added for each thousand tokens of the prompt
-    token_slo_ms: Positive = 80.0  # between two tokens of the answer
+    slo_ms: Positive  # objective for the time to the first token
+    slo_per_1000_tokens_ms: NonNegative = 0.0  # added to `slo_ms` per 1000 prompt tokens
+    token_slo_ms: Positive = 80.0  # objective for the time between tokens
     deadline_ms: Positive
     priority_weight: NonNegative = 1.0
-    late_value_share: Fraction = 0.0  # of its value that an answer later than its objective still has
-    max_tokens: Count = 1024  # of an answer whose request states no maximum
+    late_value_share: Fraction = 0.0  # of the value of an answer, if it misses its objective
+    max_tokens: Count = 1024  # of an answer, if the request sets no limit
 
     def __post_init__(self) -> None:
         if self.deadline_ms < self.slo_ms:
@@ -48,56 +48,56 @@
 
 
 class FleetConfig(ConfigDocument, frozen=True, kw_only=True):
-    """Properties of the model servers, and limits of how the router uses them."""
+    """Properties of the model servers, and limits on their use by the router."""
 
     max_attempts: Count = 5
-    connect_ms: Positive = 250.0  # for a connection to a server
-    idle_ms: Positive = 30e3  # of a connection, after which it is not used again
-    release_ms: Positive = 500.0  # within which what a server holds for a request is released
+    connect_ms: Positive = 250.0  # time limit for connecting to a server
+    idle_ms: Positive = 30e3  # after which an idle connection is not reused
+    release_ms: Positive = 500.0  # time limit for releasing what a server holds for a request
     drain_grace_ms: NonNegative = 250.0
     slow_start_ms: NonNegative = 10e3
-    slow_start_share: PositiveFraction = 0.25  # of its speed that a server has as it starts
+    slow_start_share: PositiveFraction = 0.25  # of its full speed, which a server has when it starts
     fall_multiple: Positive = 2.5
     fall_ms: Positive = 1000.0
     max_retry_after_ms: NonNegative = 1000.0
     reports_mem: bool = True
-    ask_load: bool = False  # servers report their load when polled (GET /metrics), and in no answer
+    ask_load: bool = False  # servers report their load in GET /metrics instead of their responses
     may_cancel: bool = True
     decode_servers_prefill: bool = False
-    holds: bool = False  # servers reserve capacity ahead (an extension of this project)
+    holds: bool = False  # servers support reservations of capacity, a protocol extension of this project
 
 
 class ServerLimits(ConfigDocument, frozen=True, kw_only=True):
-    """Limits on clients' connections and requests; none of them routes."""
+    """Limits on clients' connections and requests. They do not affect routing."""
 
     body_bytes: Count = 4 * 2**20
-    head_ms: Positive = 10e3  # for a request's header, once it began
-    body_ms: Positive = 30e3  # for its body
-    idle_ms: Positive = 60e3  # between requests on one connection
-    answer_ms: NonNegative = 50.0  # kept back from a client's deadline for the answer's way
-    send_ms: Positive = 10e3  # for a client to take what was sent
-    open_limit: Count = 20000  # requests in flight
-    conn_limit: Count = 20000
-    drain_ms: Positive = 15e3  # from SIGTERM to the end
-    repeat_bytes: Count = 64 * 2**20  # of answers cached for repeats under an Idempotency-Key
-    session_limit: Count = 200_000  # conversations recognised by their beginning
+    head_ms: Positive = 10e3  # time limit for a request's header, from its first byte
+    body_ms: Positive = 30e3  # time limit for a request's body
+    idle_ms: Positive = 60e3  # time limit between the requests of a connection
+    answer_ms: NonNegative = 50.0  # subtracted from the client's deadline, for the transmission of the answer
+    send_ms: Positive = 10e3  # time limit for sending to a client that reads slowly
+    open_limit: Count = 20000  # concurrent requests
+    conn_limit: Count = 20000  # concurrent connections
+    drain_ms: Positive = 15e3  # time limit for a graceful shutdown
+    repeat_bytes: Count = 64 * 2**20  # of cached answers, for repeats under an Idempotency-Key
+    session_limit: Count = 200_000  # conversations that are recognised by their beginning
 
 
 class StreamConfig(ConfigDocument, frozen=True, kw_only=True):
-    """What becomes of streams that break (docs/recovery.md)."""
+    """Recovery of broken streams."""
 
     resume: bool = True
-    ids: bool = False  # events carry ids, and Last-Event-ID asks for the rest of an answer
-    continues: bool = True  # servers know continue_final_message; else whole runs are repeated and compared
-    alarms: Fraction = 1e-3  # part of streams wrongly given up as stalled; 0: none are
-    share: Fraction = 0.25  # of the prefill work that may go to recovery
-    keep_tokens: Count = 32_768  # of one answer, cached for recovery
-    keep_bytes: Count = 2**18  # likewise
-    keep_all_bytes: Count = 2**27  # of all answers
+    ids: bool = False  # events carry ids; clients can resume an answer with Last-Event-ID
+    continues: bool = True  # servers support continue_final_message; otherwise, requests are replayed and compared
+    alarms: Fraction = 1e-3  # tolerated share of streams wrongly treated as stalled; 0: only the idle time-out applies
+    share: Fraction = 0.25  # limit on the part of the prefill work used for recovery
+    keep_tokens: Count = 32_768  # limit per answer cached for recovery
+    keep_bytes: Count = 2**18  # limit per answer cached for recovery
+    keep_all_bytes: Count = 2**27  # limit for all answers cached for recovery
 
 
 class NodeLine(ConfigDocument, frozen=True, kw_only=True):
-    """One model server on a list. `started` is in seconds since 1970, 0: long ago."""
+    """A model server in an endpoint list. `started` is in seconds since 1970, or 0 if it started long ago."""
 
     id: Name
     address: Address
@@ -108,22 +108,22 @@
     size: Positive = 1.0
     state: Literal["up", "draining", "gone"] = "up"
     started: NonNegative = 0.0
-    protocol: Literal["disaggregated", "chat"] = "disaggregated"  # chat: any server of the public chat API
+    protocol: Literal["disaggregated", "chat"] = "disaggregated"  # "chat": the public chat API
 
     def __post_init__(self) -> None:
         if self.protocol == "chat" and self.role != "both":
-            raise ValueError("a server of the plain chat protocol has duty both")
+            raise ValueError('a server with protocol "chat" must have duty "both"')
 
 
 class FileSource(ConfigDocument, frozen=True, kw_only=True, tag="file", tag_field="from"):
-    """The endpoint list is a JSON5 file, looked at every `look_ms`."""
+    """Reads the endpoint list from a JSON5 file, which is checked for changes every `look_ms`."""
 
     path: str
     look_ms: Positive = 500.0
 
 
 class ConsulSource(ConfigDocument, frozen=True, kw_only=True, tag="consul", tag_field="from"):
-    """A registry with blocking queries in the published Consul health form."""
+    """Reads the endpoint list from a registry with the health API of Consul, by blocking queries."""
 
     address: Address
     service: Name
@@ -132,40 +132,40 @@
 
 
 class InlineSource(ConfigDocument, frozen=True, kw_only=True, tag="inline", tag_field="from"):
-    """The endpoint list stands in the document, or is given later by `Routing.nodes`."""
+    """The endpoint list is part of the document. `Routing.nodes` can replace it."""
 
     nodes: list[NodeLine]
 
 
 class GatewayConfig(ConfigDocument, frozen=True, kw_only=True):
-    """The whole document of one gateway."""
+    """The configuration document of a gateway."""
 
     name: Name
     listen: Address
     metrics: Address | None = None
-    source: str | None = None  # address that connections to model servers come from
+    source: str | None = None  # local address for connections to model servers
     zone: str = "-"
-    gateways: Count = 1  # how many share the fleet
+    gateways: Count = 1  # number of gateways that share the model servers
     seed: int = 0
-    state: str | None = None  # file that keeps the last endpoint list over a restart
+    state: str | None = None  # file that stores the latest endpoint list for a restart
     request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
     nodes: FileSource | ConsulSource | InlineSource
-    tenants: str | None = None  # file of tenants; without it everybody is served
-    journal: str | None = None  # folder of what is in flight, for a restart after a crash
-    ledger: str | None = None  # folder of this gateway's bills; needed with tenants
-    ledger_segments: Count | None = None  # of 16 MB kept beside the sums; None: all, for bills in detail
-    lender: str | None = None  # file of quota leases that all gateways share
-    look_ms: Positive = 1000.0  # between two draws from it
+    tenants: str | None = None  # the tenants file; without it, clients are not authenticated
+    journal: str | None = None  # folder for the journal of requests in flight, used after a crash
+    ledger: str | None = None  # folder for this gateway's bills; required with `tenants`
+    ledger_segments: Count | None = None  # of 16 MB, kept in addition to the sums; None: all, with every bill in detail
+    lender: str | None = None  # file of the quota leases that all gateways share
+    look_ms: Positive = 1000.0  # interval between quota leases
     fleet: FleetConfig = FleetConfig()
     door: ServerLimits = ServerLimits()
     streams: StreamConfig = StreamConfig()
 
     def __post_init__(self) -> None:
         if self.tenants is not None and self.ledger is None:
-            raise ValueError("tenants need a ledger, where their bills are kept")
+            raise ValueError("tenants requires ledger, which stores the bills")
         seen: set[str] = set()
         for request_class in self.request_classes:
             for model in (request_class.name, *request_class.models):
                 if model in seen:
-                    raise ValueError(f"model name {model!r} is given twice")
+                    raise ValueError(f"duplicate model name {model!r}")
                 seen.add(model)
--- a/ternlane/config/reading.py
+++ b/ternlane/config/reading.py
@@ -1,4 +1,4 @@
-"""JSON5 in, checked structs out. Every error names the file, the line and the field."""
+"""Reads JSON5 documents into validated structs. Errors name the file, the line and the field."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 DocumentT = TypeVar("DocumentT")
 
 ROOT_FIELD = "$"
-PARSER_MESSAGE = re.compile(r"<string>:(\d+)\s*(.*)", re.S)  # json5 says: <string>:LINE what
-FIELD_IN_MESSAGE = re.compile(r" - at `([^`]*)`$")  # msgspec says: what - at `FIELD`
+PARSER_MESSAGE = re.compile(r"<string>:(\d+)\s*(.*)", re.S)  # json5: <string>:LINE message
+FIELD_IN_MESSAGE = re.compile(r" - at `([^`]*)`$")  # msgspec: message - at `FIELD`
 UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
-LAST_PART = re.compile(r"(\.[^.\[]*|\[[^\]]*\])$")  # of a field's path: .name or [0]
+LAST_PART = re.compile(r"(\.[^.\[]*|\[[^\]]*\])$")  # of a path: .name or [0]
 
 
 class ConfigError(ValueError):
-    """A document that can't be used. `where` is "file:line", `field` its path as `$.a.b[0]`; it is empty where the text
-    is no JSON5."""
+    """A document is invalid. `where` is "file:line"; `field` is the path of the field, as `$.a.b[0]`, or empty if the
+    text is not valid JSON5."""
 
     def __init__(self, where: str, field: str, why: str) -> None:
         super().__init__(f"{where}: {field}: {why}" if field else f"{where}: {why}")
@@ -32,7 +32,7 @@
 
 
 def read_config(path: Path | str, into: type[DocumentT]) -> DocumentT:
-    """The JSON5 file as `into`. Raises ConfigError with file, line and field."""
+    """Reads a JSON5 file into a struct of the type `into`. Raises ConfigError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -41,7 +41,8 @@
 
 
 def read_text(text: str, into: type[DocumentT], name: str = "<text>") -> DocumentT:
-    """Checks a JSON5 text against a struct type. Raises ConfigError."""
+    """Reads a JSON5 text into a struct of the type `into`; `name` stands for the file in errors. Raises
+    ConfigError."""
     try:
         raw = json5.loads(text, allow_duplicate_keys=False)
     except ValueError as error:
@@ -54,7 +55,7 @@
 
 
 def checked(made: DocumentT) -> DocumentT:
-    """Settings made as typed objects, put to the checks that a document goes through. Raises ConfigError."""
+    """Validates a struct that was constructed in code as if it had been read from a document. Raises ConfigError."""
     try:
         return msgspec.convert(msgspec.to_builtins(made), type(made))
     except msgspec.ValidationError as error:
@@ -62,25 +63,25 @@
 
 
 def _not_json5(message: str, name: str) -> ConfigError:
-    found = PARSER_MESSAGE.match(message)
-    if found is None:
+    match = PARSER_MESSAGE.match(message)
+    if match is None:
         return ConfigError(name, "", message)
-    return ConfigError(f"{name}:{found[1]}", "", found[2])
+    return ConfigError(f"{name}:{match[1]}", "", match[2])
 
 
 def _field_and_reason(error: msgspec.ValidationError) -> tuple[str, str]:
-    """The path of the field that an error means, and what it says of it."""
+    """The path of the invalid field, and the reason."""
     message = str(error)
-    place = FIELD_IN_MESSAGE.search(message)
-    field = place[1] if place else ROOT_FIELD
-    unknown = UNKNOWN_FIELD.search(message)
-    if unknown is not None:
-        field += f".{unknown[1]}"
+    path_match = FIELD_IN_MESSAGE.search(message)
+    field = path_match[1] if path_match else ROOT_FIELD
+    unknown_field = UNKNOWN_FIELD.search(message)
+    if unknown_field is not None:
+        field += f".{unknown_field[1]}"
     return field, FIELD_IN_MESSAGE.sub("", message)
 
 
 def _line_of(field: str, text: str) -> int:
-    """The line of the field, or of the nearest one around it: a field that is missing has no line of its own."""
+    """The line of the field, or of the innermost field that contains it: a missing field has no line."""
     lines = field_lines(text)
     while field not in lines and field != ROOT_FIELD:
         field = LAST_PART.sub("", field) or ROOT_FIELD
--- a/ternlane/document_keys.py
+++ b/ternlane/document_keys.py
@@ -1,12 +1,12 @@
-"""The keys that configuration documents use, where they differ from the names that the code uses.
+"""Maps the fields of configuration structs to the keys of configuration documents, where the two differ.
 
-Documents keep the form that operators have written; this table is the one place where their keys are mapped to the
-terms of the code. `document_key` is the `rename` of every struct that is read from a document.
+The keys are a stable interface: renaming a field does not change existing documents. All structs that are read from
+documents use `document_key` as their `rename` function.
 """
 
 from __future__ import annotations
 
-# The field of a struct -> the key of the document. A field that is not here has its own name as its key.
+# Field -> key. For other fields, the key is the name of the field.
 DOCUMENT_KEYS = {
     "answer_tokens": "answer_toks",
     "block_tokens": "block_toks",
@@ -48,5 +48,5 @@
 
 
 def document_key(field: str) -> str:
-    """The key that documents use for this field."""
+    """The key of this field in documents."""
     return DOCUMENT_KEYS.get(field, field)
--- a/ternlane/version.py
+++ b/ternlane/version.py
@@ -1,3 +1,3 @@
-"""The version, in a module that imports nothing: it is told to servers and on the command line."""
+"""The version, in a module without imports: it is part of the User-Agent and shown by `--version`."""
 
 VERSION = "0.2.0"
