--- a/ternlane/cli/__init__.py
+++ b/ternlane/cli/__init__.py
@@ -1,4 +1,4 @@
-"""ternlane's commands, a module for each group. Exit codes follow sysexits (`common.ExitCode`)."""
+"""The command line, with one module per command group. Exit codes follow sysexits (`common.ExitCode`)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 @click.group()
 @click.version_option(__version__)
 def main() -> None:
-    """A router for language-model servers that read and write in two stages."""
+    """A router for language-model servers with separate prefill and decode."""
 
 
 for command in (serve, config, day, rules, tenant, bill, lab, load):
--- a/ternlane/cli/bill.py
+++ b/ternlane/cli/bill.py
@@ -1,4 +1,4 @@
-"""`ternlane bill`: bills out of ledgers, and their reconciliation."""
+"""`ternlane bill`: computes bills from ledgers and reconciles ledgers with the servers' token counts."""
 
 from __future__ import annotations
 
@@ -22,14 +22,16 @@
     "ledgers",
     multiple=True,
     type=click.Path(exists=True, file_okay=False),
-    help="a gateway's ledger folder; name all of them",
+    help="ledger folder of a gateway; repeat for each gateway",
 )
-@click.option("--tenant", "who")
+@click.option("--tenant", "tenant_name")
 @click.option("--period")
-@click.option("--format", "form", type=click.Choice(["table", "csv", "json"]), default="table")
+@click.option("--format", "output_format", type=click.Choice(["table", "csv", "json"]), default="table")
 @click.pass_context
-def bill(ctx: click.Context, ledgers: tuple[str, ...], who: str | None, period: str | None, form: str) -> None:
-    """Bills by tenant, product and period, summed over gateways' ledgers."""
+def bill(
+    ctx: click.Context, ledgers: tuple[str, ...], tenant_name: str | None, period: str | None, output_format: str
+) -> None:
+    """Prints bills by tenant, product and period, summed over the ledgers of all gateways."""
     if ctx.invoked_subcommand is not None:
         ctx.obj = ledgers
         return
@@ -37,7 +39,7 @@
     from ternlane.ledger.billing_report import bill_rows, format_rows
 
     try:
-        click.echo(format_rows(bill_rows([Path(p) for p in ledgers], who, period), form))
+        click.echo(format_rows(bill_rows([Path(p) for p in ledgers], tenant_name, period), output_format))
     except CorruptLedgerError as error:
         fail(error, ExitCode.DATA)
 
@@ -49,22 +51,22 @@
     multiple=True,
     required=True,
     type=click.Path(exists=True, dir_okay=False),
-    help="JSON lines of the engines' counts: gen, prompt, kept, answer",
+    help="file with the token counts of the engines as JSON lines: gen, prompt, kept, answer",
 )
-@click.option("--within", type=float, default=0.01, help="part of the engines' tokens that may be off")
+@click.option("--within", type=float, default=0.01, help="tolerated difference, as a share of the engines' tokens")
 @click.pass_context
 def bill_reconcile(ctx: click.Context, files: tuple[str, ...], within: float) -> None:
-    """Holds ledgers against the engines' counts and names each generation that does not add up."""
+    """Compares the ledgers with the token counts of the engines and prints each request that differs."""
     from ternlane.ledger.billing_report import read_entries
     from ternlane.ledger.reconciliation import reconcile
 
-    found = reconcile(read_entries([Path(p) for p in ctx.obj]), read_counts(files))
-    print_reconciliation(found)
-    sys.exit(ExitCode.OK if found.unexplained_share <= within and not found.duplicates else ExitCode.BROKEN)
+    result = reconcile(read_entries([Path(p) for p in ctx.obj]), read_counts(files))
+    print_reconciliation(result)
+    sys.exit(ExitCode.OK if result.unexplained_share <= within and not result.duplicates else ExitCode.CHECK_FAILED)
 
 
 def read_counts(files: Iterable[str]) -> list[dict[str, Any]]:
-    """The lines with counts; such files hold other lines too, and the last one may be torn."""
+    """The lines with token counts. Other lines and an incomplete last line are skipped."""
     counts = []
     for file in files:
         for raw in Path(file).read_text().splitlines():
@@ -77,16 +79,17 @@
     return counts
 
 
-def print_reconciliation(found: Reconciliation) -> None:
-    """The sums, then each request that does not add up, then how far all of it is off."""
-    for what, usage in (("engines made", found.counted), ("billed", found.billed), ("house", found.unbilled)):
-        click.echo(f"{what:<16}{usage.prompt:>12} prompt{usage.answer:>12} answer")
-    for request, (made, told) in sorted(found.differing.items()):
+def print_reconciliation(result: Reconciliation) -> None:
+    """Prints the sums, each request that differs, and the unexplained share of the tokens."""
+    for label, usage in (("engines made", result.counted), ("billed", result.billed), ("house", result.unbilled)):
+        click.echo(f"{label:<16}{usage.prompt:>12} prompt{usage.answer:>12} answer")
+    for request, (counted, recorded) in sorted(result.differing.items()):
         click.echo(
-            f"differs    {request}  made {made.prompt} + {made.answer}, billed and house {told.prompt} + {told.answer}"
+            f"differs    {request}  made {counted.prompt} + {counted.answer}, "
+            f"billed and house {recorded.prompt} + {recorded.answer}"
         )
-    for request, made in sorted(found.unsettled.items()):
-        click.echo(f"unsettled  {request}  made {made.prompt} + {made.answer}")
-    for request in found.duplicates:
+    for request, counted in sorted(result.unsettled.items()):
+        click.echo(f"unsettled  {request}  made {counted.prompt} + {counted.answer}")
+    for request in result.duplicates:
         click.echo(f"doubled    {request}")
-    click.echo(f"off by {found.unexplained_share:.3%}")
+    click.echo(f"off by {result.unexplained_share:.3%}")
--- a/ternlane/cli/common.py
+++ b/ternlane/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, errors that end the program, reading documents."""
+"""Common parts of the commands: exit codes, fatal errors and reading of configuration documents."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended, as sysexits names it; click itself ends with 2 for wrong arguments."""
+    """Exit codes, as in sysexits where it has one. In addition, click exits with 2 for invalid arguments."""
 
     OK = 0
-    BROKEN = 1  # what was checked does not hold
-    DATA = 65  # a wrong document or file
-    UNAVAILABLE = 69  # it can't run here
-    TEMPORARY = 75  # not measured: the machine was too slow
-    TERMINATED = 143  # by SIGTERM
+    CHECK_FAILED = 1  # the check ran and found violations
+    DATA = 65  # an invalid document or file
+    UNAVAILABLE = 69  # the environment does not allow it, for example an address is in use
+    TEMPORARY = 75  # the machine was too slow for a valid measurement
+    TERMINATED = 143  # ended by SIGTERM
 
 
-def fail(why: object, code: ExitCode) -> NoReturn:
-    """Ends the program with one line on standard error."""
-    click.echo(f"ternlane: {why}", err=True)
+def fail(reason: object, code: ExitCode) -> NoReturn:
+    """Prints one line to standard error and exits."""
+    click.echo(f"ternlane: {reason}", err=True)
     sys.exit(code)
 
 
 def load_document(path: str, into: type[DocumentT]) -> DocumentT:
-    """Reads a document; a wrong one ends the program with the place and the field."""
+    """Reads a document. If it is invalid, prints the line and the field, and exits."""
     try:
         return read_config(path, into)
     except ConfigError as error:
--- a/ternlane/cli/config.py
+++ b/ternlane/cli/config.py
@@ -1,4 +1,4 @@
-"""`ternlane config`: checks of gateways' documents."""
+"""`ternlane config`: checks configuration documents of gateways."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @click.group()
 def config() -> None:
-    """Documents of gateways."""
+    """Configuration documents of gateways."""
 
 
 @config.command("check")
 @click.argument("files", nargs=-1, required=True)
 def config_check(files: tuple[str, ...]) -> None:
-    """Checks documents; says the line and the field of what is wrong."""
+    """Checks documents and prints the line and the field of an error."""
     for file in files:
         load_document(file, GatewayConfig)
-        click.echo(f"{file}: good")
+        click.echo(f"{file}: valid")
--- a/ternlane/cli/lab.py
+++ b/ternlane/cli/lab.py
@@ -1,4 +1,4 @@
-"""`ternlane lab`: emulated engines fitted to described latency curves."""
+"""`ternlane lab`: fits emulated engines to given latency curves."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @click.group()
 def lab() -> None:
-    """The laboratory: emulated engines."""
+    """Emulated engines."""
 
 
 @lab.command("fit")
@@ -27,10 +27,10 @@
     type=float,
     default=(0.05, 0.10),
     show_default=True,
-    help="parts by which medians and 99th percentiles may be off at points held out",
+    help="tolerated relative errors of medians and 99th percentiles at held-out points",
 )
 def lab_fit(files: tuple[str, ...], within: tuple[float, float]) -> None:
-    """Fits emulated engines to described latency curves and holds them against the points left out of the fit."""
+    """Fits emulated engines to latency curves, and prints the errors at the points held out of the fit."""
     from ternlane.emulator.engine_kind import EngineKind
 
     kinds = [load_document(file, EngineKind) for file in files]
@@ -41,37 +41,37 @@
     all_within = True
     for file, kind in zip(files, kinds, strict=True):
         try:
-            found = fit(kind)
+            fitted = fit(kind)
         except ValueError as error:
             fail(f"{file}: {error}", ExitCode.DATA)
-        print_fit(kind, found)
-        median, tail = print_worst(found)
+        print_fit(kind, fitted)
+        median, tail = print_worst(fitted)
         all_within = all_within and median <= within[0] and tail <= within[1]
-    sys.exit(ExitCode.OK if all_within else ExitCode.BROKEN)
+    sys.exit(ExitCode.OK if all_within else ExitCode.CHECK_FAILED)
 
 
-def print_fit(kind: EngineKind, found: FittedEngine) -> None:
-    """The fitted pace of an engine, and how far it is off at each point."""
-    cost = found.config.cost
+def print_fit(kind: EngineKind, fitted: FittedEngine) -> None:
+    """Prints the fitted costs of an engine and its errors at each point."""
+    cost = fitted.config.cost
     click.echo(
-        f"{kind.name}: a step {cost.step_ms:.3f} ms, {cost.decode_ms:.4f} a writer, {cost.prefill_ms:.4f} a "
-        f"token read beyond {cost.free_tokens}, {cost.context_ms:.4f} a thousand looked back at; spread "
-        f"{found.traits.jitter:.1%}"
+        f"{kind.name}: {cost.step_ms:.3f} ms per step, {cost.decode_ms:.4f} per decoding sequence, "
+        f"{cost.prefill_ms:.4f} per prefilled token beyond {cost.free_tokens}, {cost.context_ms:.4f} per thousand "
+        f"context tokens; jitter {fitted.traits.jitter:.1%}"
     )
     click.echo("  at once  prompt  answer       first token    between tokens   off: median, 99th percentile")
-    for point, off in found.errors:
+    for point, errors in fitted.errors:
         click.echo(
             f"{point.at_once:>9}{point.prompt:>8}{point.answer:>8}{point.first_ms[0]:>9.1f}"
             f"{point.first_ms[1]:>9.1f}{point.between_ms[0]:>9.2f}{point.between_ms[1]:>9.2f}   "
-            + " ".join(f"{part:>+7.1%}" for part in off)
+            + " ".join(f"{error:>+7.1%}" for error in errors)
             + ("  held out" if point.held_out else "")
         )
 
 
-def print_worst(found: FittedEngine) -> tuple[float, float]:
-    """Prints and returns the largest errors of medians and 99th percentiles, at points held out if there are any."""
-    held_out = any(point.held_out for point, _ in found.errors)
-    median, tail = found.worst(held_out)
-    where = "held out" if held_out else "of the fit"
-    click.echo(f"  worst {where}: {median:.1%} at medians, {tail:.1%} at 99th percentiles")
+def print_worst(fitted: FittedEngine) -> tuple[float, float]:
+    """Prints and returns the largest errors of medians and 99th percentiles, at held-out points if there are any."""
+    held_out = any(point.held_out for point, _ in fitted.errors)
+    median, tail = fitted.worst(held_out)
+    points = "held out" if held_out else "of the fit"
+    click.echo(f"  worst {points}: {median:.1%} at medians, {tail:.1%} at 99th percentiles")
     return median, tail
--- a/ternlane/cli/load.py
+++ b/ternlane/cli/load.py
@@ -1,4 +1,4 @@
-"""`ternlane load`: load on an address of this machine, with the times of its answers."""
+"""`ternlane load`: generates load on a loopback address and measures response times."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 if TYPE_CHECKING:
     from ternlane.load.generator import LoadGenerator
 
-PROGRESS_S = 1.0  # between two progress lines
+PROGRESS_INTERVAL_S = 1.0
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.argument("url")
-@click.option("--out", type=click.Path(dir_okay=False), help="JSON lines, one for each request as it ends")
+@click.option("--out", type=click.Path(dir_okay=False), help="file for JSON lines, one per finished request")
 @click.option("--quiet", is_flag=True, help="no progress line")
 def load(file: str, url: str, out: str | None, quiet: bool) -> None:
-    """Sends the load of FILE to an OpenAI-style address URL on loopback and prints its times as JSON.
+    """Sends the load described in FILE to URL, a loopback address with an OpenAI-compatible API, and prints the
+    response times as JSON.
 
-    Times count from when a request was due. Where the tool itself could not keep its schedule it says so, reports
-    nothing and ends with 75."""
+    Times are measured from the scheduled start of each request. If the tool could not keep its schedule, it prints no
+    times and exits with code 75."""
     from ternlane.load import LoadConfig
     from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError
 
@@ -50,7 +51,7 @@
 
 
 async def run_with_progress(run: LoadGenerator, quiet: bool) -> None:
-    """Runs the load, with a progress line on standard error unless it is quiet."""
+    """Runs the load, with a progress line on standard error unless `quiet`."""
     async with trio.open_nursery() as nursery:
         if not quiet:
             nursery.start_soon(show_progress, run)
@@ -63,7 +64,7 @@
 
 
 async def show_progress(run: LoadGenerator) -> None:
-    """Rewrites the progress line until it is cancelled."""
+    """Updates the progress line until cancelled."""
     while True:
-        await trio.sleep(PROGRESS_S)
+        await trio.sleep(PROGRESS_INTERVAL_S)
         click.echo(f"\r{run.now_s():6.0f} s  {run.open} open  {dict(run.tally.outcomes)}", nl=False, err=True)
--- a/ternlane/cli/serve.py
+++ b/ternlane/cli/serve.py
@@ -1,4 +1,4 @@
-"""`ternlane serve`: one gateway."""
+"""`ternlane serve`: runs a gateway."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 @click.command()
 @click.argument("file")
 @click.option("--log", "level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
-@click.option("--chooser", default="", hidden=True, help="module:name of a baseline to measure against")
-@click.option("--pid-file", help="file that holds the process id while it serves")
+@click.option("--chooser", default="", hidden=True, help="module:name of a baseline router to run instead")
+@click.option("--pid-file", help="file that contains the process id while the gateway runs")
 def serve(file: str, level: str, chooser: str, pid_file: str | None) -> None:
-    """Runs one gateway by the document FILE until SIGTERM, which drains it; SIGHUP reads FILE again."""
+    """Runs a gateway with the configuration FILE. SIGTERM drains and stops it; SIGHUP reloads FILE."""
     from ternlane.gateway.daemon import run_gateway
     from ternlane.ledger import CorruptLedgerError
 
     log_to_stderr(level)
-    choose = named_object(chooser) if chooser else None
+    router_type = import_object(chooser) if chooser else None
     try:
-        trio.run(partial(run_gateway, file, load_document(file, GatewayConfig), choose, pid_file))
+        trio.run(partial(run_gateway, file, load_document(file, GatewayConfig), router_type, pid_file))
     except* OSError as group:
         fail(group.exceptions[0], ExitCode.UNAVAILABLE)
     except* (CorruptLedgerError, ConfigError) as group:
         fail(group.exceptions[0], ExitCode.DATA)
 
 
-def named_object(path: str) -> Callable[..., Any]:
-    """What `module:name` means. Raises ImportError, AttributeError."""
+def import_object(path: str) -> Callable[..., Any]:
+    """Imports the object named by `module:name`. Raises ImportError, AttributeError."""
     module, _, name = path.partition(":")
-    found: Callable[..., Any] = getattr(importlib.import_module(module), name)
-    return found
+    imported: Callable[..., Any] = getattr(importlib.import_module(module), name)
+    return imported
 
 
 def log_to_stderr(level: str) -> None:
-    """Writes log lines of this level and above to standard error, as JSON."""
+    """Configures logging: JSON lines on standard error, from this level up."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
