--- a/ternlane/cli/day.py
+++ b/ternlane/cli/day.py
@@ -54,8 +54,8 @@
     """The scenario with another seed (None: unchanged) and without faults of these kinds, and its text."""
     import msgspec
 
-    troubles = [fault for fault in scenario.troubles if str(fault.__struct_config__.tag) not in without]
-    changed = msgspec.structs.replace(scenario, seed=scenario.seed if seed is None else seed, troubles=troubles)
+    faults = [fault for fault in scenario.troubles if str(fault.__struct_config__.tag) not in without]
+    changed = msgspec.structs.replace(scenario, seed=scenario.seed if seed is None else seed, troubles=faults)
     return changed, msgspec.json.encode(changed).decode()
 
 
@@ -82,7 +82,7 @@
 @click.option("--engines", type=click.IntRange(2), default=16, help="approximate number of engines to scale down to")
 @click.option("--gateways", type=click.IntRange(1), default=4)
 @click.option("--rate", type=click.FloatRange(min=1), default=40.0, help="requests per second")
-@click.option("--speed", type=click.FloatRange(min=0.1), default=2.0, help="speed-up over the original")
+@click.option("--speed", type=click.FloatRange(min=0.1), default=2.0, help="factor by which to speed up the bench day")
 def day_from_bench(file: str, engines: int, gateways: int, rate: float, speed: float) -> None:
     """Converts the description of a bench day (JSON) to a scenario for one machine."""
     from ternlane.scenarios.bench_import import scenario_from_bench
--- a/ternlane/config/gateway.py
+++ b/ternlane/config/gateway.py
@@ -91,9 +91,9 @@
     continues: bool = True  # servers support continue_final_message; otherwise, requests are replayed and compared
     alarms: Fraction = 1e-3  # tolerated share of streams wrongly treated as stalled; 0: only the idle time-out applies
     share: Fraction = 0.25  # limit on the part of the prefill work used for recovery
-    keep_tokens: Count = 32_768  # limit per answer cached for recovery
-    keep_bytes: Count = 2**18  # limit per answer cached for recovery
-    keep_all_bytes: Count = 2**27  # limit for all answers cached for recovery
+    keep_tokens: Count = 32_768  # limit on the tokens of an answer cached for recovery
+    keep_bytes: Count = 2**18  # limit on the size of an answer cached for recovery
+    keep_all_bytes: Count = 2**27  # limit on the size of all answers cached for recovery
 
 
 class NodeLine(ConfigDocument, frozen=True, kw_only=True):
--- a/ternlane/tenants/billing.py
+++ b/ternlane/tenants/billing.py
@@ -8,7 +8,7 @@
 
 
 class TokenUsage(msgspec.Struct, array_like=True, frozen=True):
-    """Prompt tokens, those of them that came from a server's prefix cache, and answer tokens."""
+    """Prompt tokens, those of them found in a server's prefix cache, and answer tokens."""
 
     prompt: int = 0
     cached: int = 0
