--- a/bench/gateway_processes.py
+++ b/bench/gateway_processes.py
@@ -18,7 +18,7 @@
 from bench.chat_client import ANSWER_TOKENS, ask_gateway
 from ternlane.http1 import ConnectionPool
 from ternlane.testing.engine import EngineProfile, FakeEngine
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 
 # Engines that answer at once: what is measured is the gateway.
 FAST_ENGINE = EngineProfile(
@@ -72,7 +72,7 @@
                 host="127.0.0.1",
                 port=first_port + number,
                 profile=FAST_ENGINE,
-                traffic=Traffic(Path(os.devnull)),
+                traffic=TrafficLog(Path(os.devnull)),
                 seed=1,
             )
             nursery.start_soon(engine.run, nursery)
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -13,7 +13,7 @@
 from ternlane.client import Client
 from ternlane.scenarios.ports import free_ports
 from ternlane.testing.engine import EngineProfile, FakeEngine
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 
 
 def engines(port: int) -> None:
@@ -21,7 +21,7 @@
         async with trio.open_nursery() as nursery:
             for i, role in enumerate(("read", "write")):
                 build = EngineProfile(answer_tokens=(5, 5))
-                engine = FakeEngine(role, role, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
+                engine = FakeEngine(role, role, "hall", 0, "127.0.0.1", port + i, build, TrafficLog(None), 1)
                 nursery.start_soon(engine.run, nursery)
 
     trio.run(serve)
--- a/ternlane/scenarios/clients_process.py
+++ b/ternlane/scenarios/clients_process.py
@@ -13,8 +13,8 @@
 from ternlane.scenarios.layout import KEYS_FILE, RunLayout
 from ternlane.scenarios.signals import run_until_signal
 from ternlane.testing.client_workload import Tenant, TrafficConditions
-from ternlane.testing.clients import Clients
-from ternlane.testing.traffic import Progress, Traffic
+from ternlane.testing.clients import FakeClients
+from ternlane.testing.traffic import ProgressLog, TrafficLog
 
 PROGRESS_EVERY_S = 0.5
 
@@ -23,8 +23,8 @@
     """Part `index` of `of`, until all its requests have ended."""
     layout = RunLayout.load(folder)
     scenario = layout.scenario
-    traffic = Traffic(folder / f"clients-{index}.jsonl")
-    progress = Progress(folder / f"clients-{index}.progress")
+    traffic = TrafficLog(folder / f"clients-{index}.jsonl")
+    progress = ProgressLog(folder / f"clients-{index}.progress")
     clients = _clients(layout, index, traffic)
 
     async def show_progress() -> None:
@@ -53,11 +53,11 @@
         progress.close()
 
 
-def _clients(layout: RunLayout, index: int, traffic: Traffic) -> Clients:
+def _clients(layout: RunLayout, index: int, traffic: TrafficLog) -> FakeClients:
     host, port = layout.front
     scenario = layout.scenario
     seed = scenario.seed * 1000 + index
-    clients = Clients(f"c{index}", f"{host}:{port}", workloads_of(scenario), behaviour_of(scenario), traffic, seed)
+    clients = FakeClients(f"c{index}", f"{host}:{port}", workloads_of(scenario), behaviour_of(scenario), traffic, seed)
     keys = layout.folder / KEYS_FILE
     if keys.exists():
         clients.set_tenants([Tenant(name, api_key) for name, api_key in json.loads(keys.read_text())])
--- a/ternlane/scenarios/fleet_process.py
+++ b/ternlane/scenarios/fleet_process.py
@@ -23,14 +23,14 @@
 from ternlane.scenarios.layout import RunLayout
 from ternlane.scenarios.signals import run_until_signal
 from ternlane.testing.engine import FakeEngine
-from ternlane.testing.traffic import Traffic, clock_ms
+from ternlane.testing.traffic import TrafficLog, clock_ms
 
 
 async def run_fleet(folder: Path, index: int, of: int) -> None:
     """Part `index` of `of`, until the process is asked to stop."""
     layout = RunLayout.load(folder)
     zones = zones_of(layout.scenario)
-    traffic = Traffic(folder / f"fleet-{index}.jsonl")
+    traffic = TrafficLog(folder / f"fleet-{index}.jsonl")
     engines = {
         planned.number: _engine(layout, planned, zones, traffic)
         for planned in engines_of(layout.scenario)
@@ -56,7 +56,7 @@
         traffic.close()
 
 
-def _engine(layout: RunLayout, planned: PlannedEngine, zones: list[str], traffic: Traffic) -> FakeEngine:
+def _engine(layout: RunLayout, planned: PlannedEngine, zones: list[str], traffic: TrafficLog) -> FakeEngine:
     return FakeEngine(
         ident=planned.ident,
         role=planned.role,
@@ -112,7 +112,7 @@
             _cut_zone(engine, action.args[0], zone, on)
         case CacheFlush():
             engine.prefix_cache.clear()
-    engine.speed_changed()
+    engine.notify_speed_changed()
 
 
 def _cut_zone(engine: FakeEngine, cut_zone: int, own_zone: int, on: bool) -> None:
--- a/ternlane/scenarios/front_process.py
+++ b/ternlane/scenarios/front_process.py
@@ -8,8 +8,8 @@
 
 from ternlane.scenarios.layout import RunLayout
 from ternlane.scenarios.signals import run_until_signal
-from ternlane.testing.front import Front
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.front import FakeFrontLayer
+from ternlane.testing.traffic import TrafficLog
 
 LISTEN_BACKLOG = 4096
 
@@ -17,8 +17,8 @@
 async def run_front(folder: Path, index: int, of: int) -> None:
     """Until the process is asked to stop; there is one front layer, whatever `of` says."""
     layout = RunLayout.load(folder)
-    traffic = Traffic(folder / "front.jsonl")
-    front = Front(layout.gateways, layout.scenario.front_notice_ms, traffic)
+    traffic = TrafficLog(folder / "front.jsonl")
+    front = FakeFrontLayer(layout.gateways, layout.scenario.front_notice_ms, traffic)
 
     async def run(nursery: trio.Nursery) -> None:
         host, port = layout.front
--- a/ternlane/scenarios/registry_faults.py
+++ b/ternlane/scenarios/registry_faults.py
@@ -9,7 +9,7 @@
 from ternlane.scenarios.fault_plan import ANNOUNCED, FaultAction
 from ternlane.scenarios.faults import RegistryFails
 from ternlane.scenarios.scenario import RegistryDelays
-from ternlane.testing.registry import RegisteredEndpoint, Registry
+from ternlane.testing.registry import FakeRegistry, RegisteredEndpoint
 from ternlane.testing.traffic import clock_ms
 
 # The state that the registry lists after each action.
@@ -24,7 +24,7 @@
 class RegistryFaults:
     """Plays the faults that concern the registry."""
 
-    def __init__(self, registry: Registry, delays: RegistryDelays, idents: dict[int, str]) -> None:
+    def __init__(self, registry: FakeRegistry, delays: RegistryDelays, idents: dict[int, str]) -> None:
         """`idents`: engines by number."""
         self.registry = registry
         self.delays = delays
--- a/ternlane/scenarios/runner.py
+++ b/ternlane/scenarios/runner.py
@@ -24,8 +24,8 @@
 from ternlane.scenarios.scenario import Scenario
 from ternlane.scenarios.setup import limits_of, prepare_run
 from ternlane.scenarios.supervisor import Supervisor
-from ternlane.testing.registry import RegisteredEndpoint, Registry
-from ternlane.testing.traffic import Traffic, clock_ms
+from ternlane.testing.registry import FakeRegistry, RegisteredEndpoint
+from ternlane.testing.traffic import TrafficLog, clock_ms
 
 LAST_REQUESTS_S = 20.0  # after the scenario's end, for the last requests to end
 WATCH_POLL_S = 0.2
@@ -72,8 +72,8 @@
     async def run(self) -> dict[str, Any]:
         """Gives the report, which is written to the folder too. Raises RunError."""
         self.layout = prepare_run(self.folder, self.scenario, self.text)
-        self.traffic = Traffic(self.folder / "day.jsonl")
-        self.registry = Registry(Traffic(self.folder / "registry.jsonl"))
+        self.traffic = TrafficLog(self.folder / "day.jsonl")
+        self.registry = FakeRegistry(TrafficLog(self.folder / "registry.jsonl"))
         self.supervisor = Supervisor(self.folder, self.traffic, self.chooser)
         engines = engines_of(self.scenario)
         idents = {engine.number: engine.ident for engine in engines}
--- a/ternlane/scenarios/supervisor.py
+++ b/ternlane/scenarios/supervisor.py
@@ -13,7 +13,7 @@
 
 from ternlane.scenarios.errors import RunError
 from ternlane.scenarios.layout import HostPort
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 
 LISTEN_BACKLOG = 4096
 READY_TIMEOUT_S = 24.0
@@ -31,7 +31,7 @@
 class Supervisor:
     """All processes by name. Those it starts are ended by `stop_all`, by their ids."""
 
-    def __init__(self, folder: Path, traffic: Traffic, chooser: str) -> None:
+    def __init__(self, folder: Path, traffic: TrafficLog, chooser: str) -> None:
         """`chooser`: `module:name` of a baseline that gateways decide by; empty: their own."""
         self.folder = folder
         self.traffic = traffic
--- a/ternlane/testing/client_attempt.py
+++ b/ternlane/testing/client_attempt.py
@@ -14,7 +14,7 @@
 from ternlane.testing.client_workload import ClientOutcome, ClientResult, Session
 from ternlane.testing.prefix_cache import TOKEN_BYTES
 from ternlane.testing.sockets import STREAM_CLOSED
-from ternlane.testing.traffic import Traffic, clock_ms
+from ternlane.testing.traffic import TrafficLog, clock_ms
 
 LISTENS_ON_MS = 300.0  # after the deadline, so that an answer that comes late is seen to be late
 MAX_REPLY_BYTES = 64 * 2**20
@@ -41,7 +41,7 @@
 class ClientAttempt:
     """Sends one attempt and writes the JSON lines of it."""
 
-    def __init__(self, pool: ConnectionPool, traffic: Traffic, session: Session, plan: AttemptPlan) -> None:
+    def __init__(self, pool: ConnectionPool, traffic: TrafficLog, session: Session, plan: AttemptPlan) -> None:
         """Nothing is sent before `run`."""
         self.pool = pool
         self.traffic = traffic
--- a/ternlane/testing/clients.py
+++ b/ternlane/testing/clients.py
@@ -19,9 +19,9 @@
     Tenant,
     TrafficConditions,
 )
-from ternlane.testing.traffic import Traffic, clock_ms
+from ternlane.testing.traffic import TrafficLog, clock_ms
 
-__all__ = ["ClientBehaviour", "ClientWorkload", "Clients", "Tenant", "TrafficConditions"]
+__all__ = ["ClientBehaviour", "ClientWorkload", "FakeClients", "Tenant", "TrafficConditions"]
 
 CONNECT_TIMEOUT_MS = 1000.0
 CONNECTION_IDLE_MS = 1000.0
@@ -31,7 +31,7 @@
 MAX_WHY_CHARACTERS = 60
 
 
-class Clients:
+class FakeClients:
     """Many clients of one gateway or front layer."""
 
     def __init__(
@@ -40,7 +40,7 @@
         address: str,
         workloads: list[ClientWorkload],
         behaviour: ClientBehaviour,
-        traffic: Traffic,
+        traffic: TrafficLog,
         seed: int,
         source: str | None = None,
     ) -> None:
--- a/ternlane/testing/engine_core.py
+++ b/ternlane/testing/engine_core.py
@@ -15,7 +15,7 @@
 from ternlane.http1 import ConnectionPool
 from ternlane.testing.engine_profile import PREFILL_ROLE, EngineFault, EngineProfile
 from ternlane.testing.prefix_cache import PrefixCache, PrefixLookup
-from ternlane.testing.traffic import Traffic, clock_ms
+from ternlane.testing.traffic import TrafficLog, clock_ms
 
 STATE_LEASE_MS = 30e3  # a state that no decode server takes is dropped after this time
 PREFIX_CACHE_SHARE = 0.5  # of the memory; the rest is left to running attempts
@@ -56,7 +56,7 @@
         host: str,
         port: int,
         profile: EngineProfile,
-        traffic: Traffic,
+        traffic: TrafficLog,
         seed: int,
         source: str | None = None,
     ) -> None:
@@ -109,7 +109,7 @@
             return 0.0
         return self.warmth() * (1 - fault.cpu_taken_share) / fault.slowdown
 
-    def speed_changed(self) -> None:
+    def notify_speed_changed(self) -> None:
         """Wakes the work that stands still."""
         self._speed_changed.set()
         self._speed_changed = trio.Event()
--- a/ternlane/testing/front.py
+++ b/ternlane/testing/front.py
@@ -8,7 +8,7 @@
 import trio
 
 from ternlane.testing.sockets import STREAM_CLOSED, send_without_delay
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 
 CHUNK_BYTES = 65536
 CHECK_TIMEOUT_S = 0.5
@@ -22,10 +22,10 @@
 CONNECTION_FAILED = (OSError, *STREAM_CLOSED)
 
 
-class Front:
+class FakeFrontLayer:
     """Forwards bytes; it reads no HTTP."""
 
-    def __init__(self, gateways: dict[str, tuple[str, int]], notice_ms: float, traffic: Traffic) -> None:
+    def __init__(self, gateways: dict[str, tuple[str, int]], notice_ms: float, traffic: TrafficLog) -> None:
         """`gateways`: host and port by name; `notice_ms`: how long a dead one may go unnoticed."""
         self.gateways = gateways
         self.notice_ms = notice_ms
--- a/ternlane/testing/proxy.py
+++ b/ternlane/testing/proxy.py
@@ -22,7 +22,7 @@
         self.nursery = nursery
         self.upstream = upstream
         self.address = ""
-        self.swallowed_bytes = 0  # taken from either side while stalled
+        self.withheld_bytes = 0  # taken from either side while stalled
         self._flowing = trio.Event()
         self._flowing.set()
         self._streams: set[trio.SocketStream] = set()
@@ -82,7 +82,7 @@
         try:
             while data := await source.receive_some(CHUNK_BYTES):
                 if self.stalled:
-                    self.swallowed_bytes += len(data)
+                    self.withheld_bytes += len(data)
                     await self._flowing.wait()
                 await sink.send_all(data)
             await self._flowing.wait()
--- a/ternlane/testing/registry.py
+++ b/ternlane/testing/registry.py
@@ -10,7 +10,7 @@
 import trio
 
 from ternlane.http1 import Exchange, serve_connection
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 
 Failure = Literal["errors", "silence", "garbage", "partial"]
 SILENCE_S = 60
@@ -61,10 +61,10 @@
         }
 
 
-class Registry:
+class FakeRegistry:
     """Holds the endpoints and answers gateways; each list that it gives out is a line of traffic."""
 
-    def __init__(self, traffic: Traffic) -> None:
+    def __init__(self, traffic: TrafficLog) -> None:
         """Empty, until endpoints are put into it."""
         self.traffic = traffic
         self.index = FIRST_INDEX
--- a/ternlane/testing/scripted.py
+++ b/ternlane/testing/scripted.py
@@ -12,14 +12,14 @@
 READ_BYTES = 65536
 
 
-class Scripted:
+class ScriptedServer:
     """Reads the head of a request, then plays its steps and closes the connection."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
         """The same steps for every connection."""
         self.steps = steps
-        self.asked = 0  # requests so far
-        self.heads: list[bytes] = []  # what came of each before its steps were played
+        self.request_count = 0  # requests so far
+        self.received_heads: list[bytes] = []  # what came of each before its steps were played
         self.listeners: list[trio.SocketListener] = []
         self.address = ""
 
@@ -36,8 +36,8 @@
             if not data:
                 return
             received += data
-        self.asked += 1
-        self.heads.append(received)
+        self.request_count += 1
+        self.received_heads.append(received)
         try:
             for step in self.steps:
                 await self._play(stream, step)
--- a/ternlane/testing/traffic.py
+++ b/ternlane/testing/traffic.py
@@ -16,7 +16,7 @@
     return time.monotonic() * 1000
 
 
-class Traffic:
+class TrafficLog:
     """Writes lines to a file, or keeps them where there is none."""
 
     def __init__(self, path: Path | None) -> None:
@@ -38,7 +38,7 @@
             self._file.close()
 
 
-class Progress:
+class ProgressLog:
     """How far a process is, a line at a time.
 
     Lines are only ever added: some file systems flush a file that is cut and written anew as it closes, which held up
--- a/tests/gateway_cluster.py
+++ b/tests/gateway_cluster.py
@@ -18,7 +18,7 @@
 from ternlane.http1 import ClientConnection, ConnectionPool, EventReader
 from ternlane.policy.router import Router
 from ternlane.testing.engine import EngineProfile, FakeEngine
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 
 REQUEST_CLASSES = [
     RequestClassConfig(
@@ -82,7 +82,7 @@
 class GatewayCluster:
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
-        self.traffic = Traffic(None)
+        self.traffic = TrafficLog(None)
         self.engines: dict[str, FakeEngine] = {}
         self.gateway: Gateway
         self.pool = ConnectionPool(1000, 1000)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,7 +14,7 @@
 import trio
 
 from ternlane.client import Client, Failed, Rejected, RequestError, Unconnected
-from ternlane.testing.scripted import Scripted
+from ternlane.testing.scripted import ScriptedServer
 from tests.gateway_cluster import ENGINE_PROFILE, GatewayCluster, gateway_cluster, replace
 
 JS = Path(__file__).parent.parent / "clients" / "js"
@@ -130,7 +130,7 @@
 
         await trio.to_thread.run_sync(lose_answers)
         assert len(cluster.traffic_events("effect")) == 1
-        broken = Scripted(
+        broken = ScriptedServer(
             [
                 b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
                 b'3a\r\ndata: {"choices":[{"index":0,"delta":{"content":"a"}}]}\n\n\r\n',
@@ -145,7 +145,7 @@
             assert interrupted.value.begun and interrupted.value.may_have_run
 
         await trio.to_thread.run_sync(break_stream)
-        assert broken.asked == 1
+        assert broken.request_count == 1
 
 
 @pytest.mark.parametrize("name", sorted(p.name for p in (ROOT / "examples").glob("*.py")))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -19,9 +19,9 @@
 from ternlane.engine.stream_attempt import stream_attempt
 from ternlane.http1 import ClientConnection, ConnectionPool
 from ternlane.policy.messages import AttemptOutcome
-from ternlane.testing.registry import RegisteredEndpoint, Registry
-from ternlane.testing.scripted import Scripted
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.registry import FakeRegistry, RegisteredEndpoint
+from ternlane.testing.scripted import ScriptedServer
+from ternlane.testing.traffic import TrafficLog
 from tests.gateway_cluster import (
     ENGINE_PROFILE,
     GatewayCluster,
@@ -359,7 +359,7 @@
     steps: list[Any], outcome: AttemptOutcome, begun: bool
 ) -> None:
     async with trio.open_nursery() as nursery:
-        peer, pool, got = Scripted(steps), ConnectionPool(200, 1000), []
+        peer, pool, got = ScriptedServer(steps), ConnectionPool(200, 1000), []
         await peer.run(nursery)
 
         async def pass_on(text: str, first: bool) -> None:
@@ -375,7 +375,7 @@
 @pytest.mark.parametrize("body", [b"{}", b"[1]", b"{", b'{"kv_transfer_params": 7}'])
 async def test_an_invalid_answer_of_a_prefill_server_is_an_error(body: bytes) -> None:
     async with trio.open_nursery() as nursery:
-        peer = Scripted([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
+        peer = ScriptedServer([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)])
         await peer.run(nursery)
         end = await prefill_attempt(ConnectionPool(200, 1000), AttemptPlan(peer.address, [], b"{}", 500, 100))
         assert end.outcome is AttemptOutcome.ERROR and end.state is None
@@ -474,7 +474,7 @@
 
 async def test_the_registry_is_watched_through_failures_restarts_and_invalid_answers() -> None:
     async with trio.open_nursery() as nursery:
-        registry = Registry(Traffic(None))
+        registry = FakeRegistry(TrafficLog(None))
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(registry.serve, listeners)
         address = "127.0.0.1:%d" % listeners[0].socket.getsockname()[1]
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -59,7 +59,7 @@
             await warm_up(p, proxies)
             proxies[0].stall()
             replies = await ask_all(p, "summary", "note", "summary", timeout_s=2.5)
-            assert proxies[0].swallowed_bytes and all(reply.status in (502, 503) for reply in replies)
+            assert proxies[0].withheld_bytes and all(reply.status in (502, 503) for reply in replies)
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
 
@@ -149,7 +149,7 @@
             for proxy in proxies:
                 proxy.stall()
             prefill.open()
-            await wait_until(lambda: any(proxy.swallowed_bytes for proxy in proxies))
+            await wait_until(lambda: any(proxy.withheld_bytes for proxy in proxies))
             await wait_until(lambda: not p.fleet.states)
             assert p.fleet.longest_held_ms() <= RELEASE_MS + SLACK_MS
 
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -693,7 +693,7 @@
                 await trio.sleep(0.001)
             await trio.sleep(0.04)  # the other server streams by now
             old.fault.hung = False
-            old.speed_changed()
+            old.notify_speed_changed()
 
         cluster.nursery.start_soon(stall_and_recover)
         reply = await cluster.ask()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,7 +21,7 @@
 from ternlane.policy.messages import AttemptOutcome, EndpointStatus, Server
 from ternlane.recovery import StreamJoin
 from ternlane.rules import RuleReport, check
-from ternlane.testing.clients import ClientBehaviour, Clients, ClientWorkload
+from ternlane.testing.clients import ClientBehaviour, ClientWorkload, FakeClients
 from ternlane.testing.traffic import clock_ms
 from tests.gateway_cluster import (
     ENGINE_PROFILE,
@@ -198,7 +198,7 @@
 
 
 async def send_requests(w: GatewayCluster, rate: float, length_ms: float, **behaviour: Any) -> None:
-    clients = Clients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**behaviour), w.traffic, 3)
+    clients = FakeClients("c", w.gateway.address, WORKLOADS, ClientBehaviour(**behaviour), w.traffic, 3)
     async with trio.open_nursery() as nursery:
         await clients.run(lambda _: rate, length_ms, nursery)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -29,7 +29,7 @@
 from ternlane.http1 import ConnectionPool
 from ternlane.policy import messages
 from ternlane.testing.engine import FakeEngine
-from ternlane.testing.traffic import Traffic
+from ternlane.testing.traffic import TrafficLog
 from tests.gateway_cluster import ENGINE_PROFILE, replace, scaled_request_classes, send_request
 from tests.gateway_cluster import FLEET_CONFIG as SHORT_TERMS
 
@@ -226,7 +226,7 @@
 
 
 async def by_daemon(model: str, ails: dict[str, str], folder: Path) -> Seen:
-    traffic, ports = Traffic(None), {}
+    traffic, ports = TrafficLog(None), {}
     async with trio.open_nursery() as nursery:
         for ident in IDENTS:
             engine = FakeEngine(
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -66,8 +66,8 @@
 from ternlane.tenants.billing import LedgerEntry as BillEntry
 from ternlane.tenants.tenant_registry import TenantRegistry as Tenants
 from ternlane.tenants.tenant_registry import TenantRegistryConfig as TenantsDocument
-from ternlane.testing.traffic import Progress as ProgressLines
-from ternlane.testing.traffic import Traffic as TrafficLines
+from ternlane.testing.traffic import ProgressLog as ProgressLines
+from ternlane.testing.traffic import TrafficLog as TrafficLines
 
 ROOT = Path(__file__).parent.parent
 STORED = Path(__file__).parent / "data" / "stored"
