--- a/ternlane/scenarios/__init__.py
+++ b/ternlane/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios: runs of gateways, fake engines and fake clients under faults, from a document, judged by the rules."""
+"""Scenarios: runs of gateways against fake engines and fake clients with injected faults, checked by the rules."""
--- a/ternlane/scenarios/account_report.py
+++ b/ternlane/scenarios/account_report.py
@@ -1,4 +1,4 @@
-"""What a run's gateways billed, against the engines' own counts, and what each tenant spent of its budget."""
+"""The report about billing: the tokens billed against those that the engines counted, and the tenants' budgets."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ternlane.scenarios.request_report import Revenue
 from ternlane.scenarios.scenario import Scenario
 
-SHOWN_DIFFERENCES = 20
+MAX_SHOWN_DIFFERENCES = 20
 
 
 def accounts_of(
     folder: Path, scenario: Scenario, lines: list[LogLine], span_s: float, revenues: dict[str, Revenue]
 ) -> dict[str, Any]:
-    """`span_s`: for how long requests came, as budgets grow with time; `revenues`: by tenant."""
+    """The report's part about billing. `span_s`: for how long requests arrived, as budgets grow with time; `revenues`:
+    by tenant."""
     ledgers = sorted((folder / "ledgers").iterdir())
     found = reconcile(read_entries(ledgers), [line for line in lines if line["k"] == "made"])
     spent: Counter[str] = Counter()
@@ -31,7 +32,7 @@
         "off": round(found.unexplained_share, 5),
         "doubled": found.duplicates,
         "differing": len(found.differing),
-        "differ": dict(list(found.differing.items())[:SHOWN_DIFFERENCES]),
+        "differ": dict(list(found.differing.items())[:MAX_SHOWN_DIFFERENCES]),
         "unsettled": len(found.unsettled),
         "unsettled_toks": sum(usage.prompt + usage.answer for usage in found.unsettled.values()),
         "others_in_time": round(_share_in_time(scenario, revenues), 4),
@@ -42,7 +43,7 @@
 
 
 def _allowed_tokens(scenario: Scenario, span_s: float) -> float | None:
-    """What a tenant may spend in this time; None where budgets have no bound."""
+    """The tokens that a tenant may spend in this time; None if budgets are unlimited."""
     budget = scenario.budget
     if budget.minute is None:
         return None
@@ -51,14 +52,15 @@
 
 
 def _share_in_time(scenario: Scenario, revenues: dict[str, Revenue]) -> float:
-    """Of the possible revenue of all tenants but the last, whose traffic a rush is."""
+    """The share of the possible revenue that was earned, over all tenants but the last: a tenant_rush fault sends the
+    last one's traffic."""
     last = f"t{scenario.tenants - 1:03}"
     others = [revenue for tenant, revenue in revenues.items() if tenant != last]
     return sum(revenue.earned for revenue in others) / max(1e-9, sum(revenue.possible for revenue in others))
 
 
 def _outcomes(lines: list[LogLine]) -> dict[str, Counter[str]]:
-    """By tenant."""
+    """Counts of final outcomes by tenant."""
     outcomes: defaultdict[str, Counter[str]] = defaultdict(Counter)
     for line in lines:
         if line["k"] == "task":
--- a/ternlane/scenarios/bench_faults.py
+++ b/ternlane/scenarios/bench_faults.py
@@ -1,4 +1,4 @@
-"""Turns the faults of a bench day into those of a scenario."""
+"""Converts the faults of a benchmark day into those of a scenario."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from dataclasses import dataclass
 from typing import Any
 
-# Faults that strike something else than a part of the servers.
-NOT_OF_SERVERS = {"balancer_crash", "balancer_roll", "burst", "hot_key", "heavy_tail", "origin_slow", "zone_cut"}
-MAX_PROMPT_TOKENS = 4000  # so that one machine can carry the day
+# Faults that affect something other than a fraction of the servers.
+NON_SERVER_FAULTS = {"balancer_crash", "balancer_roll", "burst", "hot_key", "heavy_tail", "origin_slow", "zone_cut"}
+MAX_PROMPT_TOKENS = 4000  # so that one machine can run all fake engines
 MAX_NAME_CHARACTERS = 64
-LEAST_FAULT_S = 0.3
+MIN_FAULT_S = 0.3
 
 Json = dict[str, Any]
 
 
 def scenario_name(text: str) -> str:
-    """A name that scenarios allow."""
+    """Replaces the characters that scenario names must not have."""
     return re.sub(r"[^A-Za-z0-9._-]", "-", text)[:MAX_NAME_CHARACTERS] or "day"
 
 
 def run_seconds(microseconds: float, speed: float) -> float:
-    """A time of the day in seconds of the run, which is `speed` times faster."""
+    """Converts a time of the day to seconds of the run, which is `speed` times faster."""
     return microseconds / 1e6 / speed
 
 
 @dataclass(frozen=True)
 class BenchFault:
-    """A fault of the day. What size, extra and which mean depends on the kind."""
+    """A fault of the day. The meaning of `size`, `extra` and `which` depends on the kind."""
 
     raw: Json
     kind: str
     size: float
     extra: float
     which: int
-    struck: int  # servers or balancers
+    affected: int  # number of servers or balancers
 
     @classmethod
     def of(cls, raw: Json) -> BenchFault:
-        """Raises KeyError for what is no fault."""
+        """Reads a fault. Raises KeyError if it lacks a field."""
         stopped = {number for step in raw.get("steps", []) for number in step["stop"]}
         return cls(
             raw=raw,
@@ -47,7 +47,7 @@
             size=raw.get("size", 0.0),
             extra=raw.get("extra", 0.0),
             which=int(raw.get("which", 0)),
-            struck=max(1, len(stopped or raw["on"])),
+            affected=max(1, len(stopped or raw["on"])),
         )
 
 
@@ -55,13 +55,13 @@
     """The faults of one day."""
 
     def __init__(self, raw: Json, speed: float, zones: list[str]) -> None:
-        """`speed`: times faster than the day was drawn; `zones`: of the scenario."""
+        """`speed`: how many times faster than the day the scenario runs; `zones`: of the scenario."""
         self.raw = raw
         self.speed = speed
         self.zones = zones
 
     def read(self) -> list[Json]:
-        """Those of a known kind that begin within the day; a cut needs a second zone."""
+        """The faults of known kinds that begin within the day, without zone cuts if there is only one zone."""
         length_s = run_seconds(self.raw["length"], self.speed)
         faults = [self._fault(BenchFault.of(raw)) for raw in self.raw["troubles"]]
         return [
@@ -79,17 +79,17 @@
         common: Json = {
             "kind": fault.kind,
             "at_s": round(run_seconds(fault.raw["at"], self.speed), 3),
-            "for_s": max(LEAST_FAULT_S, round(run_seconds(fault.raw["len"], self.speed), 3)),
+            "for_s": max(MIN_FAULT_S, round(run_seconds(fault.raw["len"], self.speed), 3)),
         }
-        if fault.kind not in NOT_OF_SERVERS:
+        if fault.kind not in NON_SERVER_FAULTS:
             common["part"] = self._part_of(fault, len(self.raw["servers"]))
         return common | read_fields(fault)
 
     def _part_of(self, fault: BenchFault, total: int) -> float:
-        return round(min(1.0, fault.struck / max(1, total)), 3)
+        return round(min(1.0, fault.affected / max(1, total)), 3)
 
     def _fault_fields(self) -> dict[str, Callable[[BenchFault], Json]]:
-        """By kind: what a fault has beside kind, times and part, or instead of them."""
+        """By kind: reads the fields that a fault has besides kind, times and part, or that override them."""
         speed = self.speed
         gateways = len(self.raw["balancers"])
         return {
--- a/ternlane/scenarios/bench_import.py
+++ b/ternlane/scenarios/bench_import.py
@@ -1,10 +1,10 @@
-"""Turns the description of a bench day into a scenario, scaled down to one machine.
+"""Converts the description of a benchmark day into a scenario, scaled down to one machine.
 
-Kept are the kinds of fault with their times, sizes and the part of the fleet that they strike, request classes with
-their objectives, cells and roles in proportion, how clients behave, how late the endpoint list is. Scaled are sizes and
-load, and all times by `speed`: a day of 45 s at speed 2 takes 22 s, and its latency objectives are half as long. Fake
-engines are given a speed by which the fleet is as busy as the day says. Exact speeds and noise of single servers are
-not kept.
+These properties are preserved: the kinds of fault with their times, sizes and the fraction of the fleet that they
+affect; request classes with their objectives; cells and roles in proportion; the behaviour of clients; the delay of the
+endpoint list. Fleet size and load are scaled down, and all times are divided by `speed`: a day of 45 s at speed 2 takes
+22 s, and its latency objectives are half as long. The speed of the fake engines is set so that the fleet's utilisation
+is that of the day. The exact speeds and the noise of single servers are not preserved.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from ternlane.scenarios.scenario import Scenario
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
-ROLES = {"read": "readers", "write": "writers", "both": "mixed"}  # as scenarios name the counts of a cell
-MAX_TOKENS = 400  # that a request may ask for,
-USED_MAX_TOKENS = 64  # and that clients ask for
+ROLES = {"read": "readers", "write": "writers", "both": "mixed"}  # the keys of the counts in a scenario's cell
+MAX_TOKENS = 400  # the limit of a request class
+CLIENT_MAX_TOKENS = 64  # what clients request
 MAX_THINK_MS = 4000.0
 MAX_PREFILL_QUEUE = 60
 PREFILL_HEADROOM = 1.3  # prefill servers are less of a bottleneck than decode servers
 DECODE_TOKEN_MS = 9
-DECODE_ANSWER_TOKENS = 22  # on the mean
-DECODE_GROWTH = 1.5  # by which a token takes longer with many streams
-LEAST_LOAD = 0.05  # the load divides
+DECODE_ANSWER_TOKENS = 22  # mean
+DECODE_GROWTH = 1.5  # factor on the time of a token when many streams run
+MIN_LOAD = 0.05  # avoids division by zero
 
 
 def scenario_from_bench(raw: Json, engines: int, gateways: int, rate: float, speed: float) -> str:
-    """JSON5 text of a scenario with about so many engines and `rate` requests a second.
+    """Returns the JSON5 text of a scenario with about `engines` engines and `rate` requests per second.
 
-    Raises KeyError, TypeError or ValueError for what is no two-stage day.
+    Raises KeyError, TypeError or ValueError if `raw` does not describe a two-stage day.
     """
     if raw.get("family") != "twostage":
-        raise ValueError(f"family {raw.get('family')!r} is not twostage")
-    return _Import(raw, engines, gateways, rate, speed).text()
+        raise ValueError(f"family is {raw.get('family')!r}, not twostage")
+    return _BenchImport(raw, engines, gateways, rate, speed).text()
 
 
-class _Import:
-    """One day, its scale and its speed."""
+class _BenchImport:
+    """The conversion of one day."""
 
     def __init__(self, raw: Json, engines: int, gateways: int, rate: float, speed: float) -> None:
         self.raw = raw
@@ -53,16 +53,16 @@
 
     def text(self) -> str:
         heading = (
-            f"// From a bench day, scaled to {self.scale:.2f} of its servers and played {self.speed:g} times as fast.\n"
+            f"// Converted from a benchmark day: {self.scale:.2f} of its servers, {self.speed:g} times its speed.\n"
         )
         text = heading + json.dumps(self._scenario(), indent=1)
-        read_text(text, Scenario, "the turned day")
+        read_text(text, Scenario, "the converted day")
         return text
 
     def _scenario(self) -> Json:
         raw = self.raw
         pairs = list(zip(raw["classes"], self.family["talks"], strict=True))
-        uses = [self._use(request_class, talk) for request_class, talk in pairs]
+        uses = [self._workload(request_class, conversation) for request_class, conversation in pairs]
         return {
             "name": scenario_name(f"{raw['site']}-{raw['kind']}"),
             "seed": int(raw["noise"]) % 100000,
@@ -73,7 +73,7 @@
             "cells": self.cells,
             "reader": self._prefill_server(uses),
             "writer": self._decode_server(),
-            "products": [self._request_class(request_class, talk) for request_class, talk in pairs],
+            "products": [self._request_class(request_class, conversation) for request_class, conversation in pairs],
             "uses": uses,
             "terms": self._terms(),
             "clients": self._clients(),
@@ -88,31 +88,31 @@
     # The fleet
 
     def _cells(self) -> list[Json]:
-        """Cells with as many of each role as the scale leaves, at least one of each role that the day has."""
+        """Cells with scaled counts of servers, but at least one server of each role that the day has."""
         roles = self.family["roles"]
         counts: dict[tuple[int, int], dict[str, int]] = {}  # by zone and cell
         for server in self.raw["servers"]:
             cell_counts = counts.setdefault((server["zone"], server["cell"]), {})
             role = ROLES[roles[server["kind"]]]
             cell_counts[role] = cell_counts.get(role, 0) + 1
-        kept = max(1, round(len(counts) * self.scale**0.5))
-        shrink = self.scale * len(counts) / kept
+        cell_count = max(1, round(len(counts) * self.scale**0.5))
+        scale_factor = self.scale * len(counts) / cell_count
         cells: list[Json] = []
-        for (zone, _), cell_counts in sorted(counts.items())[:kept]:
-            shrunk = {role: round(cell_counts.get(role, 0) * shrink) for role in ROLES.values()}
-            cells.append({"zone": scenario_name(self.raw["zones"][zone]), **shrunk})
+        for (zone, _), cell_counts in sorted(counts.items())[:cell_count]:
+            scaled = {role: round(cell_counts.get(role, 0) * scale_factor) for role in ROLES.values()}
+            cells.append({"zone": scenario_name(self.raw["zones"][zone]), **scaled})
         for role in {ROLES[role] for role in roles}:
             if not any(cell[role] for cell in cells):
                 cells[0][role] = 1
         return cells
 
     def _count(self, role: str) -> int:
-        """Servers that do the work of this role."""
+        """The number of servers that do the work of this role."""
         return max(1, sum(int(cell[role]) + int(cell["mixed"]) for cell in self.cells))
 
     def _load(self) -> float:
-        """How busy the fleet is, as a share."""
-        return max(float(self.raw["traffic"]["load"]), LEAST_LOAD)
+        """The utilisation of the fleet."""
+        return max(float(self.raw["traffic"]["load"]), MIN_LOAD)
 
     def _links(self) -> Json:
         return {
@@ -121,11 +121,13 @@
         }
 
     def _prefill_server(self, uses: list[Json]) -> Json:
-        shares = sum(use["share"] for use in uses)
+        shares = sum(workload["share"] for workload in uses)
         mean_tokens = (
             sum(
-                use["share"] * (use["adds"][0] + use["adds"][1] + use["opening_part"] * use["opening_toks"][0]) / 2
-                for use in uses
+                workload["share"]
+                * (workload["adds"][0] + workload["adds"][1] + workload["opening_part"] * workload["opening_toks"][0])
+                / 2
+                for workload in uses
             )
             / shares
         )
@@ -152,13 +154,13 @@
 
     # Request classes and clients
 
-    def _prompt_shrink(self, talk: Json) -> float:
-        """By how much prompts are made shorter."""
-        tokens = float(talk["prefix_tokens"]) + float(talk["new_tokens"])
-        turns = float(talk["turns"])
+    def _prompt_scale(self, conversation: Json) -> float:
+        """The factor by which prompts are made shorter."""
+        tokens = float(conversation["prefix_tokens"]) + float(conversation["new_tokens"])
+        turns = float(conversation["turns"])
         return min(1.0, MAX_PROMPT_TOKENS / max(tokens * max(1.0, turns / 2), 1.0))
 
-    def _request_class(self, request_class: Json, talk: Json) -> Json:
+    def _request_class(self, request_class: Json, conversation: Json) -> Json:
         speed = self.speed
         return {
             "name": scenario_name(request_class["name"]),
@@ -166,29 +168,32 @@
             "group": request_class["group"],
             "window_ms": request_class["window"] / 1000 / speed,
             "slo_ms": round(request_class["aim"] / 1000 / speed, 1),
-            "slo_per_ktok_ms": round(talk["aim_ms_per_k"] / speed / self._prompt_shrink(talk), 1),
-            "tok_slo_ms": talk["token_ms"] / speed,
+            "slo_per_ktok_ms": round(conversation["aim_ms_per_k"] / speed / self._prompt_scale(conversation), 1),
+            "tok_slo_ms": conversation["token_ms"] / speed,
             "limit_ms": round(request_class["deadline"] / 1000 / speed, 1),
             "revenue": request_class["worth"],
             "late_share": request_class["late_worth"],
             "max_toks": MAX_TOKENS,
         }
 
-    def _use(self, request_class: Json, talk: Json) -> Json:
-        shrink = self._prompt_shrink(talk)
+    def _workload(self, request_class: Json, conversation: Json) -> Json:
+        scale_factor = self._prompt_scale(conversation)
         return {
             "product": scenario_name(request_class["name"]),
             "share": round(request_class["share"], 4),
-            "turns": [1.0, max(1.0, 2 * talk["turns"] - 1)],
-            "adds": [round(talk["new_tokens"] * shrink * 0.5), round(talk["new_tokens"] * shrink * 1.5)],
-            "openings": int(talk["prefixes"]),
-            "opening_part": round(min(1.0, talk["prefix_share"]), 3),
+            "turns": [1.0, max(1.0, 2 * conversation["turns"] - 1)],
+            "adds": [
+                round(conversation["new_tokens"] * scale_factor * 0.5),
+                round(conversation["new_tokens"] * scale_factor * 1.5),
+            ],
+            "openings": int(conversation["prefixes"]),
+            "opening_part": round(min(1.0, conversation["prefix_share"]), 3),
             "opening_toks": [
-                round(talk["prefix_tokens"] * shrink * 0.7),
-                round(talk["prefix_tokens"] * shrink * 1.3),
+                round(conversation["prefix_tokens"] * scale_factor * 0.7),
+                round(conversation["prefix_tokens"] * scale_factor * 1.3),
             ],
-            "max_toks": USED_MAX_TOKENS,
-            "think_ms": round(min(MAX_THINK_MS, talk["think_s"] * 1000 / self.speed), 1),
+            "max_toks": CLIENT_MAX_TOKENS,
+            "think_ms": round(min(MAX_THINK_MS, conversation["think_s"] * 1000 / self.speed), 1),
         }
 
     def _terms(self) -> Json:
--- a/ternlane/scenarios/clients_process.py
+++ b/ternlane/scenarios/clients_process.py
@@ -1,4 +1,4 @@
-"""A process of a run that holds a part of its clients."""
+"""A process of a run that runs a share of the fake clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from ternlane.scenarios.fault_plan import FaultAction, fault_actions_of
-from ternlane.scenarios.faults import Burst, HeavyTail, HotKey, TenantRush
+from ternlane.scenarios.faults import Burst, HeavyTail, HotPrefix, TenantRush
 from ternlane.scenarios.fleet_plan import behaviour_of, workloads_of
 from ternlane.scenarios.layout import KEYS_FILE, RunLayout
 from ternlane.scenarios.signals import run_until_signal
@@ -20,7 +20,7 @@
 
 
 async def run_clients(folder: Path, index: int, of: int) -> None:
-    """Part `index` of `of`, until all its requests have ended."""
+    """Runs share `index` of `of` until all its requests have ended."""
     layout = RunLayout.load(folder)
     scenario = layout.scenario
     traffic = TrafficLog(folder / f"clients-{index}.jsonl")
@@ -32,16 +32,16 @@
             progress.add({"open": clients.open, **clients.outcomes})
             await trio.sleep(PROGRESS_EVERY_S)
 
-    async def play_faults() -> None:
+    async def inject_faults() -> None:
         for action in fault_actions_of(scenario):
             await layout.sleep_until(action.at_ms)
-            _strike(clients.conditions, action)
+            _apply_fault(clients.conditions, action)
 
     async def run(nursery: trio.Nursery) -> None:
         (folder / f"clients-{index}.ready").touch()
         nursery.start_soon(show_progress)
         await layout.sleep_until(0)
-        nursery.start_soon(play_faults)
+        nursery.start_soon(inject_faults)
         async with trio.open_nursery() as sessions:
             await clients.run(lambda ms: scenario.rate_at(ms) / of, scenario.length_s * 1000, sessions)
         progress.add({"open": 0, **clients.outcomes})
@@ -64,20 +64,20 @@
     return clients
 
 
-def _strike(conditions: TrafficConditions, action: FaultAction) -> None:
-    """Lets a fault of the traffic begin or end."""
+def _apply_fault(conditions: TrafficConditions, action: FaultAction) -> None:
+    """Starts or ends a traffic fault."""
     on = action.begins
     match action.fault:
         case Burst(times=times):
             conditions.rate = times if on else 1.0
         case HeavyTail(share=share, times=times, request_class=request_class):
-            conditions.long_part = share if on else 0.0
-            conditions.long_times = times if on else 1.0
-            conditions.long_request_class = request_class if on else ""
+            conditions.long_prompt_share = share if on else 0.0
+            conditions.long_prompt_factor = times if on else 1.0
+            conditions.long_prompt_class = request_class if on else ""
         case TenantRush(share=share):
-            conditions.rush_part = share if on else 0.0
-        case HotKey(share=share, keys=keys, tokens=tokens):
-            conditions.hot_part = share if on else 0.0
-            conditions.hot_keys = keys if on else 1
-            conditions.hot_tokens = tokens
-            conditions.hot_seed += on
+            conditions.rush_share = share if on else 0.0
+        case HotPrefix(share=share, keys=keys, tokens=tokens):
+            conditions.hot_prefix_share = share if on else 0.0
+            conditions.hot_prefix_count = keys if on else 1
+            conditions.hot_prefix_tokens = tokens
+            conditions.hot_prefix_seed += on
--- a/ternlane/scenarios/errors.py
+++ b/ternlane/scenarios/errors.py
@@ -1,7 +1,7 @@
-"""The error of the scenario package."""
+"""The exception of the scenario package."""
 
 from __future__ import annotations
 
 
 class RunError(RuntimeError):
-    """A run could not be played to its end; says nothing of the gateway."""
+    """A run could not be completed. This is no finding about the gateway."""
--- a/ternlane/scenarios/fault_plan.py
+++ b/ternlane/scenarios/fault_plan.py
@@ -1,4 +1,7 @@
-"""What a scenario's faults come to: who is struck, how and when. The same in every process, by the seed."""
+"""The actions that carry out a scenario's faults: when, on which targets and how.
+
+Every process of a run computes the same plan from the seed.
+"""
 
 from __future__ import annotations
 
@@ -18,26 +21,26 @@
     GatewayRestart,
     MassRestart,
     NoisyNeighbour,
-    OriginSlow,
     Pauses,
     Preemption,
-    Release,
+    RollingUpgrade,
+    SlowLinks,
     ZoneCut,
 )
 from ternlane.scenarios.fleet_plan import PlannedEngine, engines_of, zones_of
 from ternlane.scenarios.scenario import Scenario
 
-# The argument of a "die" that the registry learns of as soon as of a drain.
+# The argument of a "die" that the registry lists with the short delay of a drain.
 ANNOUNCED = "told"
 
-Targets = tuple[int, ...]  # numbers of engines or gateways
+Targets = tuple[int, ...]  # indices of engines or of gateways
 
 
 @dataclass(frozen=True)
 class FaultAction:
-    """One thing that is done at a time: `what` to the engines or gateways numbered.
+    """One action on some engines or gateways.
 
-    `what` is "begin KIND", "turn KIND" or "end KIND" of a fault; "drain", "die" or "live" of engines; "start gateway",
+    `what` is "begin KIND", "turn KIND" or "end KIND" of a fault; "drain", "die" or "live" for engines; "start gateway",
     "stop gateway", "kill gateway" or "relieve gateway".
     """
 
@@ -49,50 +52,50 @@
 
     @property
     def begins(self) -> bool:
-        """Whether the fault begins with it."""
+        """Whether this action starts the fault."""
         return self.what.startswith("begin")
 
     @property
     def concerns_gateways(self) -> bool:
-        """Whether `on` numbers gateways."""
+        """Whether the targets are gateways."""
         return self.what.endswith("gateway")
 
 
 def fault_actions_of(scenario: Scenario) -> list[FaultAction]:
-    """Every action of every fault, in the order of time."""
+    """The actions of all faults, ordered by time."""
     engines = engines_of(scenario)
     actions: list[FaultAction] = []
     for index, fault in enumerate(scenario.troubles):
         rng = random.Random(zlib.crc32(f"{scenario.seed} trouble {index}".encode()))
         if isinstance(fault, GatewayCrash):
-            actions += _gateway_crash(fault, _drawn(rng, range(scenario.gateways), fault.part))
+            actions += _gateway_crash(fault, _sample(rng, range(scenario.gateways), fault.part))
         elif isinstance(fault, GatewayRestart):
             batch = max(1, round(fault.batch * scenario.gateways))
-            actions += _gateway_restart(fault, _drawn(rng, range(scenario.gateways), fault.part), batch)
+            actions += _gateway_restart(fault, _sample(rng, range(scenario.gateways), fault.part), batch)
         elif isinstance(fault, EngineFaultConfig):
-            actions += _engine_fault(fault, _struck_engines(fault, rng, engines), rng)
+            actions += _engine_fault(fault, _affected_engines(fault, rng, engines), rng)
         else:
             actions += _other_fault(scenario, fault, engines)
     return sorted(actions, key=lambda action: action.at_ms)
 
 
-def _drawn(rng: random.Random, among: range | list[int], part: float) -> Targets:
-    """At least one, where there is any and the part is not nought."""
-    many = max(1, round(part * len(among))) if among and part > 0 else 0
-    return tuple(sorted(rng.sample(among, min(many, len(among)))))
+def _sample(rng: random.Random, among: range | list[int], part: float) -> Targets:
+    """A random sample; at least one target if there are any and `part` is above 0."""
+    sample_size = max(1, round(part * len(among))) if among and part > 0 else 0
+    return tuple(sorted(rng.sample(among, min(sample_size, len(among)))))
 
 
-def _struck_engines(fault: EngineFaultConfig, rng: random.Random, engines: list[PlannedEngine]) -> Targets:
+def _affected_engines(fault: EngineFaultConfig, rng: random.Random, engines: list[PlannedEngine]) -> Targets:
     if fault.on is not None:
         return tuple(fault.on)
     among = [engine for engine in engines if fault.role in ("any", engine.role)]
     part = fault.part
-    if isinstance(fault, MassRestart) and fault.role == "any":  # those struck are of one role
+    if isinstance(fault, MassRestart) and fault.role == "any":  # all targets have the same role
         role = rng.choice(sorted({engine.role for engine in among}))
         of_role = [engine for engine in among if engine.role == role]
         part = min(1.0, fault.part * len(among) / max(1, len(of_role)))
         among = of_role
-    return _drawn(rng, [engine.number for engine in among], part)
+    return _sample(rng, [engine.number for engine in among], part)
 
 
 def _batches(targets: Targets, size: int) -> list[Targets]:
@@ -105,7 +108,7 @@
 
 
 def _gateway_restart(fault: GatewayRestart, gateways: Targets, batch_size: int) -> Iterator[FaultAction]:
-    """The batches follow each other evenly over the fault's time."""
+    """Restarts the batches at equal intervals over the fault's duration."""
     batches = _batches(gateways, batch_size)
     for index, batch in enumerate(batches):
         at_ms = fault.at_ms + (fault.end_ms - fault.at_ms) * index / len(batches)
@@ -123,8 +126,8 @@
         yield from _restarts(fault, engines, fault.within_s, rng)
     elif isinstance(fault, Preemption):
         yield from _preemption(fault, engines)
-    elif isinstance(fault, Release):
-        yield from _release(fault, engines)
+    elif isinstance(fault, RollingUpgrade):
+        yield from _rolling_upgrade(fault, engines)
     else:
         yield from _lasting_fault(fault, engines)
 
@@ -139,7 +142,7 @@
 
 
 def _announced_restart(
-    fault: Preemption | Release, engines: Targets, at_ms: float, drain_s: float, down_s: float
+    fault: Preemption | RollingUpgrade, engines: Targets, at_ms: float, drain_s: float, down_s: float
 ) -> Iterator[FaultAction]:
     yield FaultAction(at_ms, "drain", engines, fault)
     yield FaultAction(at_ms + drain_s * 1000, "die", engines, fault, (ANNOUNCED,))
@@ -147,16 +150,16 @@
 
 
 def _preemption(fault: Preemption, engines: Targets) -> Iterator[FaultAction]:
-    """Each wave is drained when the one before it dies."""
+    """Each wave starts to drain when the previous one is terminated."""
     size = -(-len(engines) // fault.waves)
     for wave in range(fault.waves):
         at_ms = fault.at_ms + wave * fault.notice_s * 1000
-        struck = engines[wave * size : (wave + 1) * size]
-        yield from _announced_restart(fault, struck, at_ms, fault.notice_s, fault.for_s)
+        affected = engines[wave * size : (wave + 1) * size]
+        yield from _announced_restart(fault, affected, at_ms, fault.notice_s, fault.for_s)
 
 
-def _release(fault: Release, engines: Targets) -> Iterator[FaultAction]:
-    """The batches follow each other evenly over the fault's time."""
+def _rolling_upgrade(fault: RollingUpgrade, engines: Targets) -> Iterator[FaultAction]:
+    """Restarts the batches at equal intervals over the fault's duration."""
     batches = _batches(engines, max(1, round(fault.batch * len(engines))))
     for index, batch in enumerate(batches):
         at_ms = fault.at_ms + (fault.end_ms - fault.at_ms) * index / len(batches)
@@ -164,7 +167,7 @@
 
 
 def _lasting_fault(fault: EngineFaultConfig, engines: Targets) -> Iterator[FaultAction]:
-    """One that begins, may turn off and on, and ends. `args` of a turn: its number, from 1."""
+    """A fault with a begin and an end; some repeat or switch in between. `args` of a "turn": its number, from 1."""
     assert isinstance(fault, AnyFault)
     yield FaultAction(fault.at_ms, f"begin {fault.kind}", engines, fault)
     if not isinstance(fault, CacheFlush):
@@ -184,10 +187,10 @@
 
 
 def _other_fault(scenario: Scenario, fault: AnyFault, engines: list[PlannedEngine]) -> Iterator[FaultAction]:
-    """Faults of traffic, network or registry. `args`: the index of the zone that is cut off, or None."""
+    """Faults of the traffic, the network or the registry. `args`: the index of the zone that is cut off, or None."""
     cut_zone = zones_of(scenario).index(fault.zone) if isinstance(fault, ZoneCut) else None
-    struck: Targets = ()
-    if isinstance(fault, (ZoneCut, OriginSlow)):
-        struck = tuple(engine.number for engine in engines)
-    yield FaultAction(fault.at_ms, f"begin {fault.kind}", struck, fault, (cut_zone,))
-    yield FaultAction(fault.end_ms, f"end {fault.kind}", struck, fault, (cut_zone,))
+    affected: Targets = ()
+    if isinstance(fault, (ZoneCut, SlowLinks)):
+        affected = tuple(engine.number for engine in engines)
+    yield FaultAction(fault.at_ms, f"begin {fault.kind}", affected, fault, (cut_zone,))
+    yield FaultAction(fault.end_ms, f"end {fault.kind}", affected, fault, (cut_zone,))
--- a/ternlane/scenarios/faults.py
+++ b/ternlane/scenarios/faults.py
@@ -1,4 +1,8 @@
-"""The faults of a scenario document, by kind. Times are seconds where `_s` says so, from the run's begin."""
+"""The faults of a scenario document, by kind.
+
+Fields that end in `_s` are seconds, `at_s` from the start of the run. `times` is a factor, `share` and `part` are
+fractions.
+"""
 
 from __future__ import annotations
 
@@ -8,29 +12,29 @@
 
 
 class FaultConfig(ConfigDocument, frozen=True, kw_only=True):
-    """What every fault has: when it begins and how long it lasts."""
+    """The fields of every fault: its start and its duration."""
 
     at_s: NotNegative
     for_s: Positive = 10.0
 
     @property
     def kind(self) -> str:
-        """As documents name it."""
+        """The kind, as documents name it."""
         return str(self.__struct_config__.tag)
 
     @property
     def at_ms(self) -> float:
-        """When it begins."""
+        """Its start, in ms from the start of the run."""
         return self.at_s * 1000
 
     @property
     def end_ms(self) -> float:
-        """When it ends."""
+        """Its end, in ms from the start of the run."""
         return (self.at_s + self.for_s) * 1000
 
 
 class EngineFaultConfig(FaultConfig, frozen=True, kw_only=True):
-    """Strikes a part of the engines, or those named by number; `duty` narrows it."""
+    """Affects a random fraction `part` of the engines of `role`, or those numbered in `on`."""
 
     part: Part = 0.2
     on: list[int] | None = None
@@ -41,21 +45,21 @@
 
 
 class Burst(FaultConfig, frozen=True, kw_only=True, tag="burst", tag_field="kind"):
-    """Traffic jumps."""
+    """The request rate is multiplied."""
 
     times: Positive = 2.0
 
 
 class HeavyTail(FaultConfig, frozen=True, kw_only=True, tag="heavy_tail", tag_field="kind"):
-    """Some prompts are many times longer."""
+    """Some prompts are many times longer. `request_class` is empty for all classes."""
 
     share: Part = 0.02
     times: Positive = 10.0
     request_class: str = ""
 
 
-class HotKey(FaultConfig, frozen=True, kw_only=True, tag="hot_key", tag_field="kind"):
-    """Many new sessions begin with a long text not seen before."""
+class HotPrefix(FaultConfig, frozen=True, kw_only=True, tag="hot_key", tag_field="kind"):
+    """Many new sessions begin with the same new long prefixes."""
 
     share: Part = 0.2
     keys: Count = 1
@@ -63,7 +67,7 @@
 
 
 class TenantRush(FaultConfig, frozen=True, kw_only=True, tag="tenant_rush", tag_field="kind"):
-    """Many new sessions are one tenant's."""
+    """Many new sessions belong to the last tenant."""
 
     share: Part = 0.5
 
@@ -72,72 +76,72 @@
 
 
 class Crash(EngineFaultConfig, frozen=True, kw_only=True, tag="crash", tag_field="kind"):
-    """Processes die and come back cold after `for_s`."""
+    """Processes are terminated, and restarted cold after `for_s`."""
 
 
 class Hang(EngineFaultConfig, frozen=True, kw_only=True, tag="hang", tag_field="kind"):
-    """Takes work, answers nothing."""
+    """Accepts requests but does not answer."""
 
 
 class Slow(EngineFaultConfig, frozen=True, kw_only=True, tag="slow", tag_field="kind"):
-    """Works `times` slower."""
+    """Works slower by the factor `times`."""
 
     times: Positive = 4.0
 
 
 class Pauses(EngineFaultConfig, frozen=True, kw_only=True, tag="pauses", tag_field="kind"):
-    """Stands still for `pause_ms` every `every_s`."""
+    """Stops working for `pause_ms` every `every_s`."""
 
     pause_ms: Positive = 300.0
     every_s: Positive = 2.0
 
 
 class NoisyNeighbour(EngineFaultConfig, frozen=True, kw_only=True, tag="neighbour", tag_field="kind"):
-    """Another program takes a share of the machine, on and off every `turn_s`."""
+    """Another program takes a share of the CPU, alternately on and off for `turn_s` each."""
 
     share: Part = 0.5
     turn_s: Positive = 2.0
 
 
 class CacheFlush(EngineFaultConfig, frozen=True, kw_only=True, tag="flush", tag_field="kind"):
-    """Cached prefixes are forgotten at once."""
+    """The prefix cache is cleared."""
 
 
 class AnswerLost(EngineFaultConfig, frozen=True, kw_only=True, tag="answer_lost", tag_field="kind"):
-    """The work runs, its answer does not come back."""
+    """The work is done, but its answer is not sent."""
 
     share: Part = 0.2
     how: Literal["silence", "reset"] = "silence"
 
 
 class StreamBroken(EngineFaultConfig, frozen=True, kw_only=True, tag="stream_broken", tag_field="kind"):
-    """Answers break off after some event, the last included: the connection is reset, or nothing more comes."""
+    """Answers break off after a random event, possibly the last: the connection is reset, or nothing more is sent."""
 
     share: Part = 0.1
     how: Literal["reset", "stall"] = "reset"
 
 
 class HandshakeSlow(EngineFaultConfig, frozen=True, kw_only=True, tag="handshake_slow", tag_field="kind"):
-    """New connections are served late; open ones are not touched."""
+    """New connections are served late; open ones are not affected."""
 
     added_ms: Positive = 200.0
 
 
 class MassRestart(EngineFaultConfig, frozen=True, kw_only=True, tag="mass_restart", tag_field="kind"):
-    """Many engines of one role restart at once, unannounced."""
+    """Many engines of one role restart at about the same time without notice."""
 
     within_s: NotNegative = 0.3
 
 
 class Preemption(EngineFaultConfig, frozen=True, kw_only=True, tag="preempt", tag_field="kind"):
-    """Listed as draining, dead after `notice_s`; replacements start cold after `for_s`."""
+    """Engines are listed as draining and terminated after `notice_s`; replacements start cold after `for_s`."""
 
     notice_s: Positive = 2.0
     waves: Count = 2
 
 
-class Release(EngineFaultConfig, frozen=True, kw_only=True, tag="release", tag_field="kind"):
-    """A new version rolls out: engines are drained and restarted, `batch` of those struck at a time."""
+class RollingUpgrade(EngineFaultConfig, frozen=True, kw_only=True, tag="release", tag_field="kind"):
+    """A new version is rolled out: engines are drained and restarted, the fraction `batch` of them at a time."""
 
     batch: Part = 0.25
     drain_s: Positive = 1.0
@@ -147,14 +151,14 @@
 # Faults of the network
 
 
-class OriginSlow(FaultConfig, frozen=True, kw_only=True, tag="origin_slow", tag_field="kind"):
-    """The cells' links run `times` slower."""
+class SlowLinks(FaultConfig, frozen=True, kw_only=True, tag="origin_slow", tag_field="kind"):
+    """State transfer between cells is slower by the factor `times`."""
 
     times: Positive = 4.0
 
 
 class ZoneCut(FaultConfig, frozen=True, kw_only=True, tag="zone_cut", tag_field="kind"):
-    """One zone and the others can't reach each other."""
+    """One zone and all others can't reach each other."""
 
     zone: str
 
@@ -163,14 +167,14 @@
 
 
 class GatewayCrash(FaultConfig, frozen=True, kw_only=True, tag="balancer_crash", tag_field="kind"):
-    """Gateways are killed outright and come back with their cached endpoint list after `for_s`."""
+    """Gateways are killed (SIGKILL), and restarted with their cached endpoint list after `for_s`."""
 
     part: Part = 0.3
 
 
 class GatewayRestart(FaultConfig, frozen=True, kw_only=True, tag="balancer_roll", tag_field="kind"):
-    """Gateways are restarted in waves: SIGTERM, or killed. With `handover` the next process gets the listening socket,
-    serves first, and then the old one is asked to end."""
+    """Gateways are restarted in batches, with SIGTERM or, with `killed`, SIGKILL. With `handover`, the next process
+    inherits the listening socket, and the old one gets SIGTERM once the next one serves."""
 
     part: Part = 1.0
     batch: Part = 0.2
@@ -179,8 +183,8 @@
     handover: bool = False
 
 
-class RegistryFails(FaultConfig, frozen=True, kw_only=True, tag="registry_fails", tag_field="kind"):
-    """The registry answers wrongly or not at all."""
+class RegistryFailure(FaultConfig, frozen=True, kw_only=True, tag="registry_fails", tag_field="kind"):
+    """The registry gives wrong answers or none."""
 
     how: Literal["errors", "silence", "garbage", "partial", "restart", "empty"] = "errors"
 
@@ -189,7 +193,7 @@
     TenantRush
     | Burst
     | HeavyTail
-    | HotKey
+    | HotPrefix
     | Crash
     | Hang
     | Slow
@@ -199,12 +203,12 @@
     | AnswerLost
     | StreamBroken
     | HandshakeSlow
-    | OriginSlow
+    | SlowLinks
     | ZoneCut
     | MassRestart
     | Preemption
-    | Release
+    | RollingUpgrade
     | GatewayCrash
     | GatewayRestart
-    | RegistryFails
+    | RegistryFailure
 )
--- a/ternlane/scenarios/fleet_plan.py
+++ b/ternlane/scenarios/fleet_plan.py
@@ -1,4 +1,7 @@
-"""What a scenario's fleet comes to: every engine, and how clients behave. The same in every process, by the seed."""
+"""The engines of a scenario's fleet and the behaviour of its clients.
+
+Every process of a run computes the same plan from the seed.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,14 @@
 from ternlane.testing.client_workload import ClientBehaviour, ClientWorkload
 from ternlane.testing.engine_profile import EngineProfile
 
-# Loopback networks: zones are told apart by the third figure.
+# Loopback networks; the third number of an address is the zone's.
 ENGINE_NET = "127.0"
 GATEWAY_NET = "127.1"
 
 
 @dataclass(frozen=True)
 class PlannedEngine:
-    """One engine of the fleet."""
+    """An engine of the fleet, with its address and its performance."""
 
     number: int
     ident: str
@@ -29,17 +32,17 @@
 
 
 def zones_of(scenario: Scenario) -> list[str]:
-    """In the order of the document."""
+    """The names of the zones, in the order of the document."""
     return list(dict.fromkeys(cell.zone for cell in scenario.cells))
 
 
 def address_of(net: str, zone_index: int) -> str:
-    """The loopback address of this network's processes in a zone."""
+    """The loopback address of this network's processes in one zone."""
     return f"{net}.{zone_index + 1}.1"
 
 
 def engines_of(scenario: Scenario) -> list[PlannedEngine]:
-    """Every engine, in order of its number."""
+    """All engines, ordered by number."""
     rng = random.Random(f"{scenario.seed} engines")
     zones = zones_of(scenario)
     engines: list[PlannedEngine] = []
@@ -52,13 +55,13 @@
         ):
             for _ in range(count):
                 number = len(engines)
-                profile = _profile_of(kind, scenario.terms, _drawn_speed(kind, rng))
+                profile = _profile_of(kind, scenario.terms, _draw_speed(kind, rng))
                 ident = f"{role}-{number}"
                 engines.append(PlannedEngine(number, ident, role, cell.zone, cell_number, host, profile))
     return engines
 
 
-def _drawn_speed(kind: EngineKind, rng: random.Random) -> float:
+def _draw_speed(kind: EngineKind, rng: random.Random) -> float:
     least, most = kind.speeds
     return least + (most - least) * rng.random()
 
@@ -82,36 +85,36 @@
 
 
 def workloads_of(scenario: Scenario) -> list[ClientWorkload]:
-    """How clients use each request class."""
+    """The workload of each request class."""
     request_classes = {request_class.name: request_class for request_class in scenario.request_classes}
     return [
         ClientWorkload(
-            request_class=use.request_class,
-            effect=request_classes[use.request_class].effect,
-            share=use.share,
-            deadline_ms=request_classes[use.request_class].deadline_ms,
-            turns=use.turns,
-            adds=use.adds,
-            prefixes=use.prefixes,
-            prefix_tokens=use.prefix_tokens,
-            prefix_share=use.prefix_share,
-            max_tokens=use.max_tokens,
-            think_ms=use.think_ms,
-            key_part=use.key_part,
-            plain_part=use.plain_part,
+            request_class=workload.request_class,
+            effect=request_classes[workload.request_class].effect,
+            share=workload.share,
+            deadline_ms=request_classes[workload.request_class].deadline_ms,
+            turns=workload.turns,
+            adds=workload.adds,
+            prefixes=workload.prefixes,
+            prefix_tokens=workload.prefix_tokens,
+            prefix_share=workload.prefix_share,
+            max_tokens=workload.max_tokens,
+            think_ms=workload.think_ms,
+            session_key_share=workload.key_part,
+            unstreamed_share=workload.plain_part,
         )
-        for use in scenario.uses
+        for workload in scenario.uses
     ]
 
 
 def behaviour_of(scenario: Scenario) -> ClientBehaviour:
-    """How clients wait, retry and leave."""
+    """How clients wait, retry and disconnect."""
     clients = scenario.clients
     return ClientBehaviour(
         try_share=clients.try_share,
         retries=clients.retries,
         backoff_ms=clients.backoff_ms,
-        honour=clients.honour,
+        retry_after_share=clients.honour,
         leave_part=clients.leave_part,
         leave_ms=clients.leave_ms,
     )
--- a/ternlane/scenarios/fleet_process.py
+++ b/ternlane/scenarios/fleet_process.py
@@ -1,4 +1,4 @@
-"""A process of a run that holds a part of its engines, and strikes them as the scenario says."""
+"""A process of a run that runs a share of the fake engines and injects their faults."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     HandshakeSlow,
     Hang,
     NoisyNeighbour,
-    OriginSlow,
     Pauses,
     Slow,
+    SlowLinks,
     StreamBroken,
     ZoneCut,
 )
@@ -27,7 +27,7 @@
 
 
 async def run_fleet(folder: Path, index: int, of: int) -> None:
-    """Part `index` of `of`, until the process is asked to stop."""
+    """Runs share `index` of `of` until SIGTERM or SIGINT."""
     layout = RunLayout.load(folder)
     zones = zones_of(layout.scenario)
     traffic = TrafficLog(folder / f"fleet-{index}.jsonl")
@@ -78,14 +78,14 @@
         case "live":
             engine.started_ms = clock_ms()
             nursery.start_soon(engine.run, nursery)
-        case "drain":  # only the registry learns of it
+        case "drain":  # only the registry lists it
             pass
         case _:
-            _strike(engine, action, zones.index(engine.zone))
+            _apply_fault(engine, action, zones.index(engine.zone))
 
 
-def _strike(engine: FakeEngine, action: FaultAction, zone: int) -> None:
-    """Lets a fault begin, turn or end at one engine."""
+def _apply_fault(engine: FakeEngine, action: FaultAction, zone: int) -> None:
+    """Starts, switches or ends a fault at one engine."""
     on = not action.what.startswith("end")
     fault = engine.fault
     match action.fault:
@@ -106,7 +106,7 @@
             fault.broken_by = how
         case HandshakeSlow(added_ms=added_ms):
             fault.handshake_delay_ms = added_ms if on else 0.0
-        case OriginSlow(times=times):
+        case SlowLinks(times=times):
             fault.link_slowdown = times if on else 1.0
         case ZoneCut():
             _cut_zone(engine, action.args[0], zone, on)
@@ -116,7 +116,7 @@
 
 
 def _cut_zone(engine: FakeEngine, cut_zone: int, own_zone: int, on: bool) -> None:
-    """The cut zone and the others can't reach each other; zones are told apart by the address."""
+    """The zone that is cut off and all others can't reach each other. The address of a peer tells its zone."""
 
     def is_cut_off(peer: str) -> bool:
         peer_zone = int(peer.split(".")[2]) - 1
--- a/ternlane/scenarios/front_process.py
+++ b/ternlane/scenarios/front_process.py
@@ -1,4 +1,4 @@
-"""The process of a run that is its front layer."""
+"""The process of a run that runs the front layer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def run_front(folder: Path, index: int, of: int) -> None:
-    """Until the process is asked to stop; there is one front layer, whatever `of` says."""
+    """Runs the front layer until SIGTERM or SIGINT. There is only one, so `of` is not used."""
     layout = RunLayout.load(folder)
     traffic = TrafficLog(folder / "front.jsonl")
     front = FakeFrontLayer(layout.gateways, layout.scenario.front_notice_ms, traffic)
--- a/ternlane/scenarios/layout.py
+++ b/ternlane/scenarios/layout.py
@@ -1,4 +1,4 @@
-"""What all processes of a run share: the folder, the scenario, when it begins, and who listens where."""
+"""The data that all processes of a run share: the folder, the scenario, the start time and the addresses."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 SCENARIO_FILE = "day.json5"
 LAYOUT_FILE = "scene.json"
-KEYS_FILE = "keys.json"  # the tenants' names and API keys, for the clients alone
+KEYS_FILE = "keys.json"  # the tenants' names and API keys, which only the clients read
 
 HostPort = tuple[str, int]
 
 
 @dataclass(frozen=True)
 class RunLayout:
-    """The same in every process of a run."""
+    """The folder, scenario, start time and addresses of a run."""
 
     folder: Path
     scenario: Scenario
-    begin_ms: float  # of the machine's clock
+    begin_ms: float  # the start of the run by the machine's clock
     engine_port: int  # of engine number 0; the others follow
     gateways: dict[str, HostPort]  # by name
     front: HostPort
@@ -33,7 +33,7 @@
 
     @classmethod
     def load(cls, folder: Path) -> RunLayout:
-        """As the runner has saved it."""
+        """Reads what `save` has written."""
         raw = json.loads((folder / LAYOUT_FILE).read_text())
         return cls(
             folder=folder,
@@ -46,7 +46,7 @@
         )
 
     def save(self) -> None:
-        """Writes all but the scenario, which has a file of its own."""
+        """Writes everything but the scenario, which has its own file."""
         raw = {
             "begin_ms": self.begin_ms,
             "engine_port": self.engine_port,
@@ -57,5 +57,5 @@
         (self.folder / LAYOUT_FILE).write_text(json.dumps(raw))
 
     async def sleep_until(self, at_ms: float) -> None:
-        """Until so many milliseconds after the run's begin."""
+        """Sleeps until `at_ms` after the start of the run; returns at once if that has passed."""
         await trio.sleep(max(0.0, self.begin_ms + at_ms - clock_ms()) / 1000)
--- a/ternlane/scenarios/processes.py
+++ b/ternlane/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run beside its gateways, by the kind that `ternlane day part` is given."""
+"""The processes of a run besides its gateways, by the KIND argument of `ternlane day part`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ternlane.scenarios.fleet_process import run_fleet
 from ternlane.scenarios.front_process import run_front
 
-# Each is given the run's folder, its index and how many of its kind there are.
+# Arguments: the run's folder, the index of the process and the number of processes of its kind.
 PROCESSES: dict[str, Callable[[Path, int, int], Awaitable[None]]] = {
     "fleet": run_fleet,
     "clients": run_clients,
--- a/ternlane/scenarios/registry_faults.py
+++ b/ternlane/scenarios/registry_faults.py
@@ -1,4 +1,4 @@
-"""How a run's registry fails, and how late it learns of engines."""
+"""Faults of a run's registry, and the delay with which it lists changes of engines."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 import trio
 
 from ternlane.scenarios.fault_plan import ANNOUNCED, FaultAction
-from ternlane.scenarios.faults import RegistryFails
+from ternlane.scenarios.faults import RegistryFailure
 from ternlane.scenarios.scenario import RegistryDelays
 from ternlane.testing.registry import FakeRegistry, RegisteredEndpoint
 from ternlane.testing.traffic import clock_ms
 
-# The state that the registry lists after each action.
+# The state that the registry lists after an action on an engine.
 LISTED_STATES = {"drain": "draining", "die": "gone", "live": "up"}
 
 
 def wall_clock_s(at_ms: float) -> float:
-    """Seconds since 1970 of a moment on the machine's clock."""
+    """Converts a time of the machine's clock to seconds since 1970."""
     return time.time() - (clock_ms() - at_ms) / 1000
 
 
 class RegistryFaults:
-    """Plays the faults that concern the registry."""
+    """Applies the actions that concern the registry."""
 
     def __init__(self, registry: FakeRegistry, delays: RegistryDelays, idents: dict[int, str]) -> None:
-        """`idents`: engines by number."""
+        """`idents`: the ids of the engines, by number."""
         self.registry = registry
         self.delays = delays
         self.idents = idents
         self._emptied: dict[str, RegisteredEndpoint] = {}
 
-    def strike(self, action: FaultAction, fault: RegistryFails) -> None:
-        """Lets a fault begin or end."""
+    def apply_fault(self, action: FaultAction, fault: RegistryFailure) -> None:
+        """Starts or ends a fault."""
         if fault.how == "restart":
             if action.begins:
                 self.registry.restart()
@@ -53,7 +53,7 @@
         self.registry.notify()
 
     async def list_engines(self, action: FaultAction) -> None:
-        """Lists the state of engines late: soon what is announced, later what died silently."""
+        """Lists the new state of engines after a delay, which is longer for a crash than for an announced change."""
         started_s = wall_clock_s(clock_ms())
         silent = action.what == "die" and ANNOUNCED not in action.args
         await trio.sleep((self.delays.silent_ms if silent else self.delays.notice_ms) / 1000)
--- a/ternlane/scenarios/report.py
+++ b/ternlane/scenarios/report.py
@@ -1,4 +1,4 @@
-"""What a run came to: outcomes, revenue within the latency objective, waits, attempts, and the rules' findings."""
+"""The report of a run: outcomes, revenue within the latency objective, latencies, attempts and the rules' findings."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from ternlane.scenarios.scenario import Scenario
 from ternlane.scenarios.stream_report import streams_of
 
-SHOWN_FINDINGS = 200
+MAX_SHOWN_FINDINGS = 200
 
 
 def report_of(folder: Path, scenario: Scenario, findings: RuleReport) -> dict[str, Any]:
-    """The report in the form of `report.json`, from the lines in the folder."""
+    """The content of `report.json`, from the log files in the folder."""
     lines = read_lines(sorted(folder.glob("*.jsonl")))
     run = RequestLines.of(lines)
     request_classes, revenues = request_classes_of(run, scenario.request_classes)
@@ -27,7 +27,7 @@
         "seed": scenario.seed,
         "gateways": scenario.gateways,
         "generations": len(run.tasks),
-        "tries": sum(map(len, run.asks.values())),
+        "tries": sum(map(len, run.sent_requests.values())),
         "per_second": round(len(run.tasks) / max(span_s, 1e-9), 1),
         "revenue_in_time": round(earned / possible, 4) if possible else 0.0,
     }
@@ -44,6 +44,6 @@
         "rules_kept": findings.passed,
         "broken": [
             {"rule": finding.rule, "gen": finding.request, "why": finding.why, "lines": finding.lines}
-            for finding in findings.violations[:SHOWN_FINDINGS]
+            for finding in findings.violations[:MAX_SHOWN_FINDINGS]
         ],
     }
--- a/ternlane/scenarios/report_table.py
+++ b/ternlane/scenarios/report_table.py
@@ -1,4 +1,4 @@
-"""A run's report as text."""
+"""Formats the report of a run as text."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Any
 
 OUTCOMES = ("streamed", "throttled", "terminated", "left", "unreachable", "broken", "none")
-SHOWN_FINDINGS = 12
+MAX_SHOWN_FINDINGS = 12
 
 
 def table_of(report: dict[str, Any]) -> str:
-    """Several lines; `report` as `report_of` gives it."""
+    """Returns several lines of text. `report`: as `report_of` returns it."""
     return "\n".join(
         [
             *_request_lines(report),
@@ -25,8 +25,8 @@
     names = "".join(f"{outcome:>12}" for outcome in OUTCOMES)
     lines = [
         f"{report['day']}  seed {report['seed']}  {report['gateways']} gateways  {report['generations']} "
-        f"generations, {report['per_second']} a second  (stand-in servers)",
-        f"{'product':<16}{'asked':>7}{names}{'in time':>9}{'p50 ms':>9}{'p99 ms':>9}",
+        f"requests, {report['per_second']} per second  (fake engines)",
+        f"{'class':<16}{'total':>7}{names}{'in time':>9}{'p50 ms':>9}{'p99 ms':>9}",
     ]
     for name, figures in report["products"].items():
         waits_ms = figures["first_token_ms"]
@@ -37,8 +37,8 @@
         )
     judged = ", ".join(f"{count} {what}" for what, count in report["judged"].items())
     lines.append(
-        f"revenue within the SLO time: {report['revenue_in_time']:.3f}   "
-        f"legs a try: {report['legs_each']:.2f}   judged: {judged}"
+        f"revenue within the latency objective: {report['revenue_in_time']:.3f}   "
+        f"attempts per try: {report['legs_each']:.2f}   checked: {judged}"
     )
     return lines
 
@@ -50,7 +50,7 @@
         f"{effect} {counts.get('whole', 0)} / {counts.get('in part', 0)}" for effect, counts in streams["broke"].items()
     )
     medians = " / ".join(f"{streams['gap_ms'][kind]['0.5']:.0f}" for kind in ("unbroken", "joined"))
-    return [f"streams that broke, whole / in part: {outcomes}; longest pause, ms, unbroken / joined, median: {medians}"]
+    return [f"broken streams, completed / partial: {outcomes}; median longest gap, ms, unbroken / resumed: {medians}"]
 
 
 def _account_lines(accounts: dict[str, Any]) -> list[str]:
@@ -58,11 +58,12 @@
     billed = accounts["billed"]
     house = accounts["house"]
     return [
-        f"engines made {made.prompt} + {made.answer} tokens; billed {billed.prompt} + {billed.answer}, "
-        f"house {house.prompt} + {house.answer}; off by {accounts['off']:.3%}, {accounts['unsettled']} died unsettled "
-        f"({accounts['unsettled_toks']} tokens), {len(accounts['doubled'])} doubled",
-        f"most spent by a tenant {accounts['most_spent']}, allowed {accounts['allowed_each']}; revenue in time of all "
-        f"but the last tenant: {accounts['others_in_time']:.4f}",
+        f"engines counted {made.prompt} + {made.answer} tokens; billed {billed.prompt} + {billed.answer}, "
+        f"unbilled {house.prompt} + {house.answer}; unexplained {accounts['off']:.3%}, "
+        f"{accounts['unsettled']} not settled ({accounts['unsettled_toks']} tokens), "
+        f"{len(accounts['doubled'])} billed twice",
+        f"most tokens spent by a tenant: {accounts['most_spent']}, allowed: {accounts['allowed_each']}; "
+        f"revenue in time of all but the last tenant: {accounts['others_in_time']:.4f}",
     ]
 
 
@@ -70,4 +71,4 @@
     if report["rules_kept"]:
         return ["rules: all five kept"]
     counts = Counter(f"rule {finding['rule']}: {finding['why']}" for finding in report["broken"])
-    return ["RULES BROKEN", *(f"  {count} x {why}" for why, count in counts.most_common(SHOWN_FINDINGS))]
+    return ["RULES BROKEN", *(f"  {count} x {why}" for why, count in counts.most_common(MAX_SHOWN_FINDINGS))]
--- a/ternlane/scenarios/request_report.py
+++ b/ternlane/scenarios/request_report.py
@@ -1,4 +1,4 @@
-"""What became of a run's requests, by request class: outcomes, revenue within the latency objective, waits."""
+"""The report about requests, by request class: outcomes, revenue within the latency objective, time to first token."""
 
 from __future__ import annotations
 
@@ -13,9 +13,12 @@
 
 @dataclass
 class RequestLines:
-    """A run's lines about requests. A task is a client's request over all its retries."""
+    """A run's log lines about requests.
 
-    asks: defaultdict[str, list[LogLine]] = field(default_factory=lambda: defaultdict(list))  # by task
+    A task is a client's request with all its retries; each retry is a request to the gateway with its own id.
+    """
+
+    sent_requests: defaultdict[str, list[LogLine]] = field(default_factory=lambda: defaultdict(list))  # by task
     first_tokens_ms: dict[str, float] = field(default_factory=dict)  # by request
     finals: dict[str, LogLine] = field(default_factory=dict)  # by request
     tasks: dict[str, LogLine] = field(default_factory=dict)
@@ -24,12 +27,12 @@
 
     @classmethod
     def of(cls, lines: list[LogLine]) -> RequestLines:
-        """Sorts a run's lines."""
+        """Groups a run's log lines."""
         found = cls()
         for line in lines:
             match line["k"]:
                 case "ask":
-                    found.asks[line["task"]].append(line)
+                    found.sent_requests[line["task"]].append(line)
                 case "first":
                     found.first_tokens_ms[line["gen"]] = line["t"]
                 case "final":
@@ -43,18 +46,25 @@
         return found
 
     def span_s(self) -> float:
-        """From the first ask to the last."""
-        asked_ms = [ask["t"] for asks in self.asks.values() for ask in asks]
-        return (max(asked_ms, default=0) - min(asked_ms, default=0)) / 1000
-
-    def answered(self, task: str) -> LogLine | None:
-        """The ask of a task that was answered whole."""
-        return next((a for a in self.asks[task] if self.finals.get(a["gen"], {}).get("outcome") == "streamed"), None)
+        """The time from the first sent request to the last."""
+        sent_ms = [sent["t"] for sent_requests in self.sent_requests.values() for sent in sent_requests]
+        return (max(sent_ms, default=0) - min(sent_ms, default=0)) / 1000
+
+    def answered_request(self, task: str) -> LogLine | None:
+        """The sent request of a task whose answer was complete, if any."""
+        return next(
+            (
+                sent
+                for sent in self.sent_requests[task]
+                if self.finals.get(sent["gen"], {}).get("outcome") == "streamed"
+            ),
+            None,
+        )
 
 
 @dataclass
 class Revenue:
-    """In units of the request classes' priority weights."""
+    """Revenue, in units of the request classes' priority weights."""
 
     earned: float = 0.0
     possible: float = 0.0
@@ -78,12 +88,12 @@
     for task in tasks:
         revenue = revenues[task.get("tenant", "")]
         revenue.possible += weight
-        answered = run.answered(task["task"])
-        if answered is None or answered["gen"] not in run.first_tokens_ms:
+        answered_request = run.answered_request(task["task"])
+        if answered_request is None or answered_request["gen"] not in run.first_tokens_ms:
             continue
-        wait_ms = run.first_tokens_ms[answered["gen"]] - run.asks[task["task"]][0]["t"]
+        wait_ms = run.first_tokens_ms[answered_request["gen"]] - run.sent_requests[task["task"]][0]["t"]
         waits_ms.append(wait_ms)
-        slo_ms = request_class.slo_ms + request_class.slo_per_1000_tokens_ms * answered["toks"] / 1000
+        slo_ms = request_class.slo_ms + request_class.slo_per_1000_tokens_ms * answered_request["toks"] / 1000
         in_time += wait_ms <= slo_ms
         revenue.earned += weight if wait_ms <= slo_ms else weight * request_class.late_value_share
     late = len(waits_ms) - in_time
--- a/ternlane/scenarios/scenario.py
+++ b/ternlane/scenarios/scenario.py
@@ -22,11 +22,11 @@
 from ternlane.scenarios.faults import AnyFault, EngineFaultConfig, ZoneCut
 from ternlane.tenants.tenant_registry import Budget
 
-Span = tuple[float, float]  # least and most
+Range = tuple[float, float]  # minimum and maximum
 
 
 class EngineKind(ConfigDocument, frozen=True, kw_only=True):
-    """What the engines of one role can do."""
+    """The capacity and speed of the engines of one role."""
 
     slots: Count = 8
     queue: int = 40
@@ -37,11 +37,11 @@
     near_tokens_per_s: Positive = 300e3
     far_tokens_per_s: Positive = 100e3
     answer_tokens: tuple[int, int] = (8, 40)
-    speeds: Span = (0.9, 1.1)  # times the stated speeds; drawn for each engine
+    speeds: Range = (0.9, 1.1)  # factor on the speeds above, drawn for each engine
 
 
 class Cell(ConfigDocument, frozen=True, kw_only=True):
-    """Engines with fast links to each other: how many of each role."""
+    """Engines with fast links to each other: the number of each role."""
 
     zone: str = "hall"
     prefill_servers: int = 1
@@ -49,15 +49,15 @@
     mixed: int = 0
 
 
-class UseConfig(ConfigDocument, frozen=True, kw_only=True):
-    """How clients use one request class."""
+class WorkloadConfig(ConfigDocument, frozen=True, kw_only=True):
+    """The traffic of one request class; `ClientWorkload` describes the fields."""
 
     request_class: Name
     share: Positive = 1.0
-    turns: Span = (1.0, 2.0)
-    adds: Span = (100.0, 400.0)
+    turns: Range = (1.0, 2.0)
+    adds: Range = (100.0, 400.0)
     prefixes: Count = 8
-    prefix_tokens: Span = (500.0, 2000.0)
+    prefix_tokens: Range = (500.0, 2000.0)
     prefix_share: Part = 0.8
     max_tokens: Count = 400
     think_ms: Positive = 300.0
@@ -66,74 +66,76 @@
 
 
 class ClientsConfig(ConfigDocument, frozen=True, kw_only=True):
-    """How clients wait, retry and leave."""
+    """How clients wait, retry and disconnect; `ClientBehaviour` describes the fields."""
 
-    try_share: Span = (0.5, 1.0)
+    try_share: Range = (0.5, 1.0)
     retries: int = 2
-    backoff_ms: Span = (50.0, 300.0)
+    backoff_ms: Range = (50.0, 300.0)
     honour: Part = 0.7
     leave_part: Part = 0.0
-    leave_ms: Span = (20.0, 600.0)
+    leave_ms: Range = (20.0, 600.0)
 
 
 class RegistryDelays(ConfigDocument, frozen=True, kw_only=True):
-    """How late the registry learns of things."""
+    """The delays with which the registry lists changes."""
 
-    notice_ms: NotNegative = 300.0  # a drain, or a start
-    silent_ms: NotNegative = 1500.0  # a death that nobody announced
+    notice_ms: NotNegative = 300.0  # of a drain, a start or an announced end
+    silent_ms: NotNegative = 1500.0  # of a crash
 
 
 class Scenario(ConfigDocument, frozen=True, kw_only=True):
-    """The whole document."""
+    """A scenario document."""
 
     name: Name
     seed: int = 1
     length_s: Positive
-    rate: Positive  # requests a second over all gateways, without retries
-    load: Annotated[tuple[Span, ...], Meta(min_length=1)] = ((0.0, 1.0),)  # second, times the rate; straight lines
+    rate: Positive  # requests per second at all gateways together, without retries
+    load: Annotated[tuple[Range, ...], Meta(min_length=1)] = (
+        (0.0, 1.0),
+    )  # (second, factor on the rate), interpolated linearly
     gateways: Count = 2
     cells: Annotated[list[Cell], Meta(min_length=1)]
     prefill_server: EngineKind = EngineKind()
     decode_server: EngineKind = EngineKind()
     mixed: EngineKind = EngineKind()
     request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1)]
-    uses: Annotated[list[UseConfig], Meta(min_length=1)]
-    terms: FleetConfig = FleetConfig()
+    uses: Annotated[list[WorkloadConfig], Meta(min_length=1)]
+    terms: FleetConfig = FleetConfig()  # of the gateways, like `door` and `streams`
     door: ServerLimits = ServerLimits()
     streams: StreamConfig = StreamConfig()
     clients: ClientsConfig = ClientsConfig()
     lists: RegistryDelays = RegistryDelays()
     front_notice_ms: Positive = 1500.0
-    tenants: int = 0  # 0: everybody is served; else so many, with keys, budgets and bills
+    tenants: int = 0  # number of tenants with API keys, budgets and bills; 0: requests need no key
     budget: Budget = Budget()  # of each tenant
-    lent: bool = True  # gateways lend parts of budgets to each other
+    lent: bool = True  # gateways lease shares of the budgets from each other
     troubles: list[AnyFault] = []
 
     def __post_init__(self) -> None:
-        """Raises ValueError for what the types can't say."""
+        """Checks what the types do not express. Raises ValueError."""
         self._check_uses()
         for index, fault in enumerate(self.troubles):
             self._check_fault(f"troubles[{index}]", fault)
         if [at_s for at_s, _ in self.load] != sorted(at_s for at_s, _ in self.load):
-            raise ValueError("load must go forward in time")
+            raise ValueError("the times of load must not decrease")
 
     def _check_uses(self) -> None:
         names = {request_class.name for request_class in self.request_classes}
-        for index, use in enumerate(self.uses):
-            if use.request_class not in names:
-                raise ValueError(f"uses[{index}].product {use.request_class!r} is not among the products")
+        for index, workload in enumerate(self.uses):
+            if workload.request_class not in names:
+                raise ValueError(f"uses[{index}].product: {workload.request_class!r} is not in products")
 
     def _check_fault(self, where: str, fault: AnyFault) -> None:
         engines = sum(cell.prefill_servers + cell.decode_servers + cell.mixed for cell in self.cells)
         if isinstance(fault, ZoneCut) and fault.zone not in {cell.zone for cell in self.cells}:
-            raise ValueError(f"{where}.zone {fault.zone!r} has no cell")
+            raise ValueError(f"{where}.zone: {fault.zone!r} is not the zone of any cell")
         if isinstance(fault, EngineFaultConfig) and any(not 0 <= number < engines for number in fault.on or []):
-            raise ValueError(f"{where}.on names an engine that is not there (0 to {engines - 1})")
+            raise ValueError(f"{where}.on has an engine number out of range (0 to {engines - 1})")
         if fault.at_s >= self.length_s:
-            raise ValueError(f"{where}.at_s lies after the day's end")
+            raise ValueError(f"{where}.at_s must be less than length_s")
 
     def rate_at(self, ms: float) -> float:
-        """Requests a second at this time of the run, by the straight line between two points of `load`."""
+        """The requests per second at this time of the run, interpolated between the points of `load`."""
         at_s = ms / 1000
         first_s, first_times = self.load[0]
         if at_s <= first_s:
--- a/ternlane/scenarios/setup.py
+++ b/ternlane/scenarios/setup.py
@@ -1,4 +1,4 @@
-"""Prepares the folder of a run: the scenario, who listens where, gateway configurations, tenants and keys."""
+"""Prepares the folder of a run: the scenario, addresses, gateway configurations, tenants and API keys."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
 from ternlane.testing.traffic import clock_ms
 
-START_MS = 4000.0  # for all processes to listen before the run begins
-CONFIG_CHECK_MS = 500.0  # how often gateways look whether the tenants' file has changed
+START_MS = 4000.0  # until the run starts, so that all processes listen by then
+CONFIG_CHECK_MS = 500.0  # interval at which gateways check whether the tenants' file has changed
 OLD_RUN_SUFFIXES = (".jsonl", ".ready", ".progress", ".log", ".nodes")
 TENANTS_FILE = "tenants.json5"
 LENDER_FILE = "lender.json"
 LEDGERS_FOLDER = "ledgers"
-PRICES = {"*": Prices(prompt=3, cached=1, answer=12)}  # any will do: only tokens are compared
+PRICES = {"*": Prices(prompt=3, cached=1, answer=12)}  # arbitrary: only tokens are compared
 
 
 def limits_of(scenario: Scenario) -> RuleLimits:
-    """The figures by which the rules judge a run of this scenario."""
+    """The limits by which the rules check a run of this scenario."""
     fleet = scenario.terms
     return {
         "release_ms": fleet.release_ms,
@@ -53,7 +53,7 @@
 
 
 def prepare_run(folder: Path, scenario: Scenario, scenario_text: str) -> RunLayout:
-    """Writes all that the run's processes read. Raises RunError where no ports are free."""
+    """Writes all files that the run's processes read. Raises RunError if there are not enough free ports."""
     folder.mkdir(parents=True, exist_ok=True)
     for old in folder.iterdir():
         if old.suffix in OLD_RUN_SUFFIXES:
@@ -117,7 +117,7 @@
 
 
 def _write_tenants(folder: Path, scenario: Scenario) -> None:
-    """Tenants with a key each, and no ledger or loan of an earlier run."""
+    """Writes tenants with one API key each, and removes the ledgers and quota leases of an earlier run."""
     for old in (KEYS_FILE, LENDER_FILE, LEDGERS_FOLDER):
         path = folder / old
         if path.is_dir():
--- a/ternlane/scenarios/signals.py
+++ b/ternlane/scenarios/signals.py
@@ -1,4 +1,4 @@
-"""How the processes of a run end: in order, on SIGTERM or SIGINT."""
+"""Orderly termination of a run's processes on SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def run_until_signal(run: Callable[[trio.Nursery], Awaitable[None]]) -> None:
-    """Runs this until it ends, or until the process is asked to stop."""
+    """Runs `run` until it returns, or cancels it on SIGTERM or SIGINT."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_on_signal, nursery.cancel_scope)
         await run(nursery)
--- a/ternlane/scenarios/stream_report.py
+++ b/ternlane/scenarios/stream_report.py
@@ -1,7 +1,7 @@
-"""What became of begun answers whose attempt broke after its first event.
+"""The report about answers whose attempt broke after its first event.
 
-By effect; of idempotent requests also by cause and by how far they were, with the longest pause that their clients
-saw. Attempts of clients that left are not counted.
+Outcomes are counted by effect; those of idempotent requests also by cause and by the progress before the break, with
+the longest pause that their clients saw. Requests whose client disconnected are not counted.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from ternlane.rules.findings import LogLine
 from ternlane.scenarios.quantiles import shown_quantiles
 
-# Two processes don't write of the same moment at the same time.
+# Two processes log the same event at slightly different times.
 CLOCK_TOLERANCE_MS = 60.0
 
 
 class StreamLines:
-    """A run's lines about streams."""
+    """A run's log lines about streams."""
 
     def __init__(self, lines: list[LogLine]) -> None:
-        """`lines` in order of time."""
-        self.asks: dict[str, LogLine] = {}  # by request
+        """`lines`: ordered by time."""
+        self.sent_requests: dict[str, LogLine] = {}  # by request
         self.finals: dict[str, LogLine] = {}  # by request
         self.produced: defaultdict[str, list[LogLine]] = defaultdict(list)  # by request
         self._ends: dict[tuple[str, str, int], LogLine] = {}  # by server, request and attempt
@@ -44,7 +44,7 @@
             case "trouble" if line["trouble"] == "zone_cut":
                 self._zone_cuts_ms[-1] = self._zone_cuts_ms[-1][0], line["t"]
             case "ask":
-                self.asks[line["gen"]] = line
+                self.sent_requests[line["gen"]] = line
             case "final":
                 self.finals[line["gen"]] = line
 
@@ -52,7 +52,7 @@
         return self._ends.get((attempt["id"], attempt["gen"], attempt["n"]))
 
     def broken_attempts(self, request: str) -> list[LogLine]:
-        """Those that produced text and did not come to their end."""
+        """The attempts that sent text and did not complete."""
         broken = []
         for attempt in self.produced.get(request, []):
             end = self._end_of(attempt)
@@ -61,21 +61,21 @@
         return broken
 
     def cause_of(self, attempt: LogLine) -> str:
-        """By the server's own lines: its process ended, it broke off, or the gateway did."""
+        """The cause of a break, by the server's log lines. The gateway ended an attempt that stalled."""
         end = self._end_of(attempt)
         if end is None:
             return "process died"
         end_ms = end["t"]
         if any(abs(stop_ms - end_ms) < CLOCK_TOLERANCE_MS for stop_ms in self._stops_ms[attempt["id"]]):
             return "process died"
-        for cut_ms, mended_ms in self._zone_cuts_ms:
-            if cut_ms - CLOCK_TOLERANCE_MS <= end_ms <= mended_ms + CLOCK_TOLERANCE_MS:
+        for cut_ms, repaired_ms in self._zone_cuts_ms:
+            if cut_ms - CLOCK_TOLERANCE_MS <= end_ms <= repaired_ms + CLOCK_TOLERANCE_MS:
                 return "zone cut"
         return "reset" if end["how"] == "lost" else "stalled"
 
 
 class StreamReport:
-    """Counts by outcome: "whole", "in part" or "gateway lost"."""
+    """Counts by outcome: "whole" (completed by another attempt), "in part" or "gateway lost"."""
 
     def __init__(self) -> None:
         self.by_effect: defaultdict[str, Counter[str]] = defaultdict(Counter)
@@ -84,27 +84,27 @@
         self.pauses_ms: defaultdict[str, list[float]] = defaultdict(list)  # of answers that were completed, by cause
         self.gaps_ms: dict[str, list[float]] = {"unbroken": [], "joined": []}
 
-    def add(self, run: StreamLines, ask: LogLine, final: LogLine) -> None:
-        """Counts one request."""
-        broken = run.broken_attempts(ask["gen"])
+    def add(self, run: StreamLines, sent: LogLine, final: LogLine) -> None:
+        """Adds one request."""
+        broken = run.broken_attempts(sent["gen"])
         if broken:
-            self._add_broken(run, ask, final, broken[0])
-        if ask["stream"] and final["outcome"] == "streamed":
+            self._add_broken(run, sent, final, broken[0])
+        if sent["stream"] and final["outcome"] == "streamed":
             self.gaps_ms["joined" if broken else "unbroken"].append(final["gap"])
 
-    def _add_broken(self, run: StreamLines, ask: LogLine, final: LogLine, attempt: LogLine) -> None:
+    def _add_broken(self, run: StreamLines, sent: LogLine, final: LogLine, attempt: LogLine) -> None:
         outcome = {"streamed": "whole", "broken": "gateway lost"}.get(final["outcome"], "in part")
-        self.by_effect[ask["effect"]][outcome] += 1
-        if ask["effect"] != "idempotent":
+        self.by_effect[sent["effect"]][outcome] += 1
+        if sent["effect"] != "idempotent":
             return
         cause = run.cause_of(attempt)
         self.by_cause[cause][outcome] += 1
-        if ask["stream"] and outcome == "whole":
+        if sent["stream"] and outcome == "whole":
             self.pauses_ms[cause].append(final["gap"])
         self.by_progress[_progress(len(attempt["text"].split()))][outcome] += 1
 
     def as_report(self) -> dict[str, Any]:
-        """In the report's form."""
+        """The counts as they stand in `report.json`."""
         return {
             "broke": {effect: dict(outcomes) for effect, outcomes in self.by_effect.items()},
             "by cause": {
@@ -128,8 +128,8 @@
     """The report's part about streams."""
     run = StreamLines(lines)
     report = StreamReport()
-    for request, ask in run.asks.items():
+    for request, sent in run.sent_requests.items():
         final = run.finals.get(request)
         if final is not None and final["outcome"] != "left":
-            report.add(run, ask, final)
+            report.add(run, sent, final)
     return report.as_report()
--- a/ternlane/testing/__init__.py
+++ b/ternlane/testing/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes of what a gateway meets: engines, a registry, a front layer, clients. Written from public descriptions.
+"""Fakes of the systems around a gateway, written from public descriptions: engines, a registry, a front layer, clients.
 
-Each writes what crosses its sockets as JSON lines; ternlane.rules judges a run by those lines alone.
+Each logs the traffic at its sockets as JSON lines. ternlane.rules checks a run by these lines alone.
 """
--- a/ternlane/testing/client_attempt.py
+++ b/ternlane/testing/client_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a fake client: a chat request over HTTP, and what it hears."""
+"""One attempt of a fake client: sends a chat request over HTTP and records the answer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ternlane.testing.sockets import STREAM_CLOSED
 from ternlane.testing.traffic import TrafficLog, clock_ms
 
-LISTENS_ON_MS = 300.0  # after the deadline, so that an answer that comes late is seen to be late
+EXTRA_WAIT_MS = 300.0  # waited after the deadline, so that a late answer is recorded as late
 MAX_REPLY_BYTES = 64 * 2**20
 CHUNK_BYTES = 65536
 CONNECTION_BROKEN = (OSError, *STREAM_CLOSED, h11.RemoteProtocolError)
@@ -24,50 +24,50 @@
 
 @dataclass
 class AttemptPlan:
-    """What was drawn of an attempt before it is sent."""
+    """The random choices for an attempt, drawn before it is sent."""
 
-    task: str  # the request, over all its retries
-    number: int  # of the retry, from 0
+    task: str  # id of the request, common to all its retries
+    number: int  # index of the attempt: 0, then 1 for the first retry
     deadline_ms: float
     stream: bool
-    leave_after_ms: float | None = None  # its client leaves then; None: it stays
+    leave_after_ms: float | None = None  # when the client disconnects; None: it does not
 
     @property
     def name(self) -> str:
-        """The request's id for the gateway."""
+        """The value of the X-Request-Id header."""
         return f"{self.task}.{self.number}"
 
 
 class ClientAttempt:
-    """Sends one attempt and writes the JSON lines of it."""
+    """Sends one attempt and logs it as JSON lines."""
 
     def __init__(self, pool: ConnectionPool, traffic: TrafficLog, session: Session, plan: AttemptPlan) -> None:
-        """Nothing is sent before `run`."""
+        """Nothing is sent until `run`."""
         self.pool = pool
         self.traffic = traffic
         self.session = session
         self.plan = plan
-        self.request = session.owned(plan.name)
+        self.request = session.qualified(plan.name)
         self.result = ClientResult()
         self._connection: ClientConnection | None = None
         self._scope = trio.CancelScope()
 
     async def run(self, address: str) -> ClientResult:
-        """Never raises for what the gateway does; the result says it."""
+        """Runs the attempt. Failures of the gateway do not raise; they are in the result."""
         plan = self.plan
         result = self.result
-        stay_ms = plan.deadline_ms + LISTENS_ON_MS if plan.leave_after_ms is None else plan.leave_after_ms
+        stay_ms = plan.deadline_ms + EXTRA_WAIT_MS if plan.leave_after_ms is None else plan.leave_after_ms
         self._scope.deadline = trio.current_time() + stay_ms / 1000
         try:
             with self._scope:
                 self._connection = await self.pool.connect(address)
-                self._log_ask(self._connection)
-                await self._ask(self._connection)
+                self._log_request(self._connection)
+                await self._send_request(self._connection)
         except ConnectError:
             result.outcome = ClientOutcome.UNREACHABLE
         except CONNECTION_BROKEN as error:
             result.outcome = ClientOutcome.BROKEN
-            result.why = repr(error)
+            result.reason = repr(error)
         if self._scope.cancelled_caught and plan.leave_after_ms is not None:
             result.outcome = ClientOutcome.LEFT
         if self._connection is not None:
@@ -75,13 +75,13 @@
             self._log_final()
         return result
 
-    def _log_ask(self, connection: ClientConnection) -> None:
+    def _log_request(self, connection: ClientConnection) -> None:
         workload = self.session.workload
         prompt_bytes = sum(len(message["content"]) for message in self.session.messages)
         self.traffic.line(
             "ask",
             gen=self.request,
-            task=self.session.owned(self.plan.task),
+            task=self.session.qualified(self.plan.task),
             product=workload.request_class,
             effect=workload.effect,
             limit_ms=round(self.plan.deadline_ms, 1),
@@ -97,8 +97,8 @@
             gen=self.request,
             outcome=result.outcome,
             status=result.status,
-            why=result.why,
-            unread=result.unread_bytes,
+            why=result.reason,
+            unread=result.trailing_bytes,
             crc=zlib.crc32(result.text.encode()),
             usage=result.usage,
             pause=result.retry_after_ms,
@@ -133,10 +133,10 @@
         if session.tenant is not None:
             headers.append(("Authorization", f"Bearer {session.tenant.api_key}"))
         if session.workload.effect == "deduplicated":
-            headers.append(("Idempotency-Key", session.owned(self.plan.task)))
+            headers.append(("Idempotency-Key", session.qualified(self.plan.task)))
         return headers
 
-    async def _ask(self, connection: ClientConnection) -> None:
+    async def _send_request(self, connection: ClientConnection) -> None:
         response = await connection.ask("POST", "/v1/chat/completions", self._headers(), self._body())
         self.result.status = response.status_code
         headers = {name: value.decode("latin-1") for name, value in response.headers}
@@ -145,33 +145,33 @@
         else:
             reply = msgspec.json.decode(await connection.body(MAX_REPLY_BYTES))
             if response.status_code == 200:
-                self._take_reply(reply)
+                self._read_reply(reply)
             else:
-                self._take_error(reply, headers)
-        await self._count_unread(connection)
+                self._read_error(reply, headers)
+        await self._count_trailing_bytes(connection)
 
-    def _take_reply(self, reply: dict[str, Any]) -> None:
+    def _read_reply(self, reply: dict[str, Any]) -> None:
         self.result.outcome = ClientOutcome.STREAMED
         self.result.text = reply["choices"][0]["message"]["content"]
         self.result.usage = reply["usage"]
         self.traffic.line("first", gen=self.request)
 
-    def _take_error(self, reply: dict[str, Any], headers: dict[bytes, str]) -> None:
+    def _read_error(self, reply: dict[str, Any], headers: dict[bytes, str]) -> None:
         result = self.result
         result.outcome = ClientOutcome.FAILED
         if b"x-front" in headers:
             result.outcome = ClientOutcome.UNREACHABLE
         elif result.status == 429:
             result.outcome = ClientOutcome.REJECTED
-        result.why = reply["error"]["message"]
+        result.reason = reply["error"]["message"]
         if b"retry-after-ms" in headers:
             result.retry_after_ms = float(headers[b"retry-after-ms"])
 
-    async def _count_unread(self, connection: ClientConnection) -> None:
-        """The gateway was asked to close: anything that still comes is something after the final answer."""
+    async def _count_trailing_bytes(self, connection: ClientConnection) -> None:
+        """Counts the bytes after the final answer. There should be none, as the request has `Connection: close`."""
         try:
             while data := await connection.stream.receive_some(CHUNK_BYTES):
-                self.result.unread_bytes += len(data)
+                self.result.trailing_bytes += len(data)
         except CONNECTION_BROKEN:
             pass
 
@@ -183,7 +183,7 @@
             if last_ms is not None:
                 self.result.longest_gap_ms = max(self.result.longest_gap_ms, now_ms - last_ms)
             last_ms = now_ms
-            if self.plan.leave_after_ms is None:  # a begun stream has no deadline but the client's wait for each event
+            if self.plan.leave_after_ms is None:  # once a stream has begun, the timeout applies to each event
                 self._scope.deadline = trio.current_time() + self.plan.deadline_ms / 1000
             reader.feed(chunk)
         self.result.text = "".join(reader.pieces)
@@ -191,29 +191,29 @@
 
 
 class _StreamReader:
-    """Reads the events of an attempt's stream."""
+    """Parses the events of an attempt's stream."""
 
     def __init__(self, attempt: ClientAttempt) -> None:
         self.attempt = attempt
         self.pieces: list[str] = []
-        self.end: ClientOutcome | None = None  # by the first end mark or error
+        self.end: ClientOutcome | None = None  # by the first end marker or error
         self._events = EventReader()
 
     def feed(self, chunk: bytes) -> None:
         for data in self._events.feed(chunk):
             if self.end is not None:
-                self.attempt.result.unread_bytes += len(data)
+                self.attempt.result.trailing_bytes += len(data)
             if data == "[DONE]":
                 self.end = self.end or ClientOutcome.STREAMED
                 continue
             event = msgspec.json.decode(data)
             if "error" in event:
                 self.end = self.end or ClientOutcome.FAILED
-                self.attempt.result.why = event["error"]["message"]
+                self.attempt.result.reason = event["error"]["message"]
                 continue
-            self._take_event(event)
+            self._read_event(event)
 
-    def _take_event(self, event: dict[str, Any]) -> None:
+    def _read_event(self, event: dict[str, Any]) -> None:
         attempt = self.attempt
         for choice in event["choices"]:
             text = choice["delta"].get("content")
--- a/ternlane/testing/client_workload.py
+++ b/ternlane/testing/client_workload.py
@@ -1,4 +1,4 @@
-"""How fake clients use a gateway: what they ask, how they retry, and what changes about it during a run."""
+"""The workload of fake clients: their requests, their retries, and how faults change both during a run."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from enum import StrEnum
 from typing import Any
 
-Range = tuple[float, float]  # least and most; drawn evenly between them
+Range = tuple[float, float]  # minimum and maximum of a uniform distribution
 
 
 class ClientOutcome(StrEnum):
-    """How an attempt ended, as the client saw it; the values are those of the JSON lines."""
+    """How an attempt ended for the client. The values are those of the JSON lines."""
 
     STREAMED = "streamed"
     REJECTED = "throttled"
@@ -23,53 +23,53 @@
 
 @dataclass(frozen=True)
 class ClientWorkload:
-    """How one request class is used."""
+    """The traffic of one request class."""
 
     request_class: str
     effect: str  # "idempotent", "deduplicated" or "side-effecting"
-    share: float  # of all sessions, relative to the others' shares
+    share: float  # of all sessions, in proportion to the shares of the other classes
     deadline_ms: float
-    turns: Range = (1.0, 2.0)  # requests of a session
-    adds: Range = (100.0, 400.0)  # tokens that each turn adds to the prompt
-    prefixes: int = 8  # texts that sessions begin with
+    turns: Range = (1.0, 2.0)  # number of requests of a session
+    adds: Range = (100.0, 400.0)  # number of tokens that a turn adds to the prompt
+    prefixes: int = 8  # number of different shared prefixes
     prefix_tokens: Range = (500.0, 2000.0)
-    prefix_share: float = 0.8  # of sessions that begin with one of them
+    prefix_share: float = 0.8  # share of sessions that begin with a shared prefix
     max_tokens: int = 400  # of an answer
-    think_ms: float = 300.0  # on the mean, between an answer and the next turn
-    key_part: float = 0.5  # share of sessions that name themselves by prompt_cache_key
-    plain_part: float = 0.1  # share of requests that are not streamed
+    think_ms: float = 300.0  # mean time between an answer and the next turn
+    session_key_share: float = 0.5  # share of sessions that send a prompt_cache_key
+    unstreamed_share: float = 0.1  # share of requests that are not streamed
 
 
 @dataclass
 class ClientBehaviour:
-    """How clients wait, retry and leave."""
+    """How clients wait, retry and disconnect."""
 
-    try_share: Range = (0.5, 1.0)  # of the deadline that an attempt waits
+    try_share: Range = (0.5, 1.0)  # timeout of an attempt, as a share of the deadline
     retries: int = 2
     backoff_ms: Range = (50.0, 300.0)
-    honour: float = 0.7  # share of clients that heed a Retry-After
-    leave_part: float = 0.0  # share of attempts whose client leaves before the end
-    leave_ms: Range = (20.0, 600.0)  # after which it leaves
+    retry_after_share: float = 0.7  # share of rejections after which the client waits for Retry-After
+    leave_part: float = 0.0  # share of attempts whose client disconnects early
+    leave_ms: Range = (20.0, 600.0)  # time until it disconnects
 
 
 @dataclass
 class TrafficConditions:
-    """What faults change about the traffic; looked at when a session starts or a request is drawn."""
+    """Changes of the traffic by faults. They take effect when the next session or request is drawn."""
 
-    rate: float = 1.0  # times the usual rate
-    long_part: float = 0.0  # share of prompts that are longer,
-    long_times: float = 1.0  # by so many times,
-    long_request_class: str = ""  # of this class; empty: of all
-    hot_part: float = 0.0  # share of sessions that begin with a text not seen before,
-    hot_tokens: float = 3000.0  # of this length,
-    hot_keys: int = 1  # one of so many
-    hot_seed: int = 0  # another seed, other texts
-    rush_part: float = 0.0  # share of sessions that are the last tenant's
+    rate: float = 1.0  # factor on the usual rate
+    long_prompt_share: float = 0.0  # share of turns whose text is longer
+    long_prompt_factor: float = 1.0  # factor on its length
+    long_prompt_class: str = ""  # only in this class; empty: in all
+    hot_prefix_share: float = 0.0  # share of sessions that begin with a hot prefix
+    hot_prefix_tokens: float = 3000.0  # length of a hot prefix
+    hot_prefix_count: int = 1  # number of hot prefixes
+    hot_prefix_seed: int = 0  # a new seed gives new texts
+    rush_share: float = 0.0  # share of sessions that belong to the last tenant
 
 
 @dataclass(frozen=True)
 class Tenant:
-    """Whom a request is billed to."""
+    """The tenant to which requests are billed."""
 
     name: str
     api_key: str
@@ -77,7 +77,7 @@
 
 @dataclass(eq=False)
 class Session:
-    """A conversation, as far as it has come."""
+    """A conversation and its messages so far."""
 
     workload: ClientWorkload
     ident: str
@@ -88,20 +88,20 @@
     turns_left: int = 1
     turn: int = 0
 
-    def owned(self, name: str) -> str:
-        """The name as JSON lines have it: with the tenant, where there is one."""
+    def qualified(self, name: str) -> str:
+        """The name as it is logged: prefixed by the tenant, if there is one."""
         return name if self.tenant is None else f"{self.tenant.name}:{name}"
 
 
 @dataclass
 class ClientResult:
-    """How an attempt ended, as the client saw it."""
+    """The result of an attempt for the client."""
 
     outcome: ClientOutcome = ClientOutcome.NONE
     status: int = 0
     text: str = ""
     retry_after_ms: float | None = None
-    why: str = ""
+    reason: str = ""
     usage: dict[str, Any] | None = None
-    unread_bytes: int = 0  # that came after the end
-    longest_gap_ms: float = 0.0  # between two chunks of its stream
+    trailing_bytes: int = 0  # received after the end of the answer
+    longest_gap_ms: float = 0.0  # longest time between two chunks of its stream
--- a/ternlane/testing/clients.py
+++ b/ternlane/testing/clients.py
@@ -1,4 +1,4 @@
-"""Fake clients: conversations that come on their own schedule, retry as users' clients do, and note what they hear."""
+"""Fake clients: an open-loop load of conversations with retries. All requests and answers are logged."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ternlane.http1 import ConnectionPool
 from ternlane.testing.client_attempt import AttemptPlan, ClientAttempt
-from ternlane.testing.client_sessions import SessionSource, drawn, random_text
+from ternlane.testing.client_sessions import SessionSource, draw_uniform, random_text
 from ternlane.testing.client_workload import (
     ClientBehaviour,
     ClientOutcome,
@@ -25,14 +25,14 @@
 
 CONNECT_TIMEOUT_MS = 1000.0
 CONNECTION_IDLE_MS = 1000.0
-# A retry that would begin less than this before the deadline is not sent.
+# A retry is not sent if less than this is left until the deadline.
 LAST_RETRY_MS = 50.0
-LEAST_RATE = 1e-3  # sessions a second: the rate divides
-MAX_WHY_CHARACTERS = 60
+MIN_SESSIONS_PER_S = 1e-3  # avoids division by zero
+MAX_REASON_CHARACTERS = 60
 
 
 class FakeClients:
-    """Many clients of one gateway or front layer."""
+    """The clients of one gateway or front layer."""
 
     def __init__(
         self,
@@ -44,31 +44,31 @@
         seed: int,
         source: str | None = None,
     ) -> None:
-        """`name` begins the ids of all requests; `source`: the IP address that calls come from."""
+        """`name`: prefix of the ids of all requests; `source`: local IP address of the connections."""
         self.address = address
         self.workloads = workloads
         self.behaviour = behaviour
         self.traffic = traffic
         self.conditions = TrafficConditions()
-        self.open = 0  # requests without an answer, retries included
+        self.open = 0  # unfinished requests; one with retries counts once
         self.outcomes: dict[str, int] = {}  # requests by their final outcome
         self._rng = random.Random(seed)
         self._pool = ConnectionPool(CONNECT_TIMEOUT_MS, CONNECTION_IDLE_MS, source)
         self._sessions = SessionSource(name, workloads, self.conditions, self._rng)
 
     def set_tenants(self, tenants: list[Tenant]) -> None:
-        """Sessions are these tenants' from now on; the first are the largest."""
+        """Assigns all following sessions to these tenants, which are in descending order of their traffic."""
         self._sessions.tenants = tenants
 
     async def run(self, rate: Callable[[float], float], length_ms: float, nursery: trio.Nursery) -> None:
-        """Starts sessions so that requests come at `rate(ms since start)` a second; none waits for an answer."""
+        """Starts sessions so that `rate(ms since start)` requests arrive per second, however long answers take."""
         shares = sum(workload.share for workload in self.workloads)
         turns = sum(w.share * max(1.0, sum(w.turns) / 2) for w in self.workloads) / shares
         begin_s = trio.current_time()
         due_s = begin_s
         while (due_s - begin_s) * 1000 < length_ms:
             sessions_per_s = rate((due_s - begin_s) * 1000) * self.conditions.rate / turns
-            due_s += self._rng.expovariate(max(LEAST_RATE, sessions_per_s))
+            due_s += self._rng.expovariate(max(MIN_SESSIONS_PER_S, sessions_per_s))
             await trio.sleep_until(due_s)
             nursery.start_soon(self._converse, self._sessions.next())
 
@@ -83,7 +83,7 @@
             await trio.sleep(self._rng.expovariate(1 / session.workload.think_ms) / 1000)
 
     async def _request(self, session: Session) -> ClientResult:
-        """One request with the client's own retries."""
+        """Sends one request, with the client's retries."""
         session.messages.append({"role": "user", "content": random_text(self._rng, self._turn_tokens(session))})
         task = f"{session.ident}.{session.turn}"
         self.open += 1
@@ -93,25 +93,25 @@
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         self.traffic.line(
             "task",
-            task=session.owned(task),
+            task=session.qualified(task),
             product=session.workload.request_class,
             tenant=session.tenant.name if session.tenant is not None else "",
             outcome=outcome,
             tries=attempts,
-            why=result.why[:MAX_WHY_CHARACTERS],
+            why=result.reason[:MAX_REASON_CHARACTERS],
         )
         return result
 
     def _turn_tokens(self, session: Session) -> float:
         conditions = self.conditions
-        tokens = drawn(self._rng, session.workload.adds)
-        concerned = conditions.long_request_class in ("", session.workload.request_class)
-        if conditions.long_part and concerned and self._rng.random() < conditions.long_part:
-            tokens *= conditions.long_times
+        tokens = draw_uniform(self._rng, session.workload.adds)
+        is_affected = conditions.long_prompt_class in ("", session.workload.request_class)
+        if conditions.long_prompt_share and is_affected and self._rng.random() < conditions.long_prompt_share:
+            tokens *= conditions.long_prompt_factor
         return tokens
 
     async def _attempts(self, session: Session, task: str) -> tuple[ClientResult, int]:
-        """The last attempt's result, and how many there were."""
+        """Returns the last attempt's result and the number of attempts."""
         deadline_ms = session.workload.deadline_ms
         begin_ms = clock_ms()
         attempts = 0
@@ -126,24 +126,24 @@
             await trio.sleep(pause_ms / 1000)
 
     def _plan(self, session: Session, task: str, number: int, left_ms: float) -> AttemptPlan:
-        """Draws an attempt; `left_ms` is what is left of the request's deadline."""
+        """Draws an attempt. `left_ms`: time left until the request's deadline."""
         workload = session.workload
-        attempt_ms = workload.deadline_ms * drawn(self._rng, self.behaviour.try_share)
-        stream = self._rng.random() >= workload.plain_part
+        attempt_ms = workload.deadline_ms * draw_uniform(self._rng, self.behaviour.try_share)
+        stream = self._rng.random() >= workload.unstreamed_share
         plan = AttemptPlan(task, number, min(attempt_ms, left_ms), stream)
         if self._rng.random() < self.behaviour.leave_part:
-            plan.leave_after_ms = drawn(self._rng, self.behaviour.leave_ms)
+            plan.leave_after_ms = draw_uniform(self._rng, self.behaviour.leave_ms)
         return plan
 
     def _pause_ms(self, result: ClientResult) -> float:
-        """Before the next attempt."""
-        if result.retry_after_ms is not None and self._rng.random() < self.behaviour.honour:
+        """The time to wait before the next attempt."""
+        if result.retry_after_ms is not None and self._rng.random() < self.behaviour.retry_after_share:
             return result.retry_after_ms
-        return drawn(self._rng, self.behaviour.backoff_ms)
+        return draw_uniform(self._rng, self.behaviour.backoff_ms)
 
 
 def _may_retry(workload: ClientWorkload, result: ClientResult) -> bool:
-    """Clients repeat what does no harm: what is idempotent, and what surely did not run."""
+    """Clients repeat idempotent requests, and others that are known not to have run."""
     if result.outcome in (ClientOutcome.STREAMED, ClientOutcome.LEFT):
         return False
     if workload.effect == "idempotent":
--- a/ternlane/testing/engine.py
+++ b/ternlane/testing/engine.py
@@ -1,7 +1,8 @@
 """A fake engine: an HTTP server that behaves as a prefill, decode or mixed engine.
 
-Simple, but true to what a gateway meets: work takes its time at the engine's present speed, waits in a bounded queue
-and uses memory; a process that just started does only part of its work, and falls over when it is sent too much.
+The model is simple, but has the properties that matter to a gateway: work takes time at the engine's current speed,
+waits in a bounded queue and uses memory. A process that has just started is slower, and crashes when it is sent too
+much.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 import trio
 
 from ternlane.http1 import Exchange, serve_connection
-from ternlane.testing.engine_core import EngineCore, Refused
+from ternlane.testing.engine_core import AttemptRefusedError, EngineCore
 from ternlane.testing.engine_decode import DecodeRun
 from ternlane.testing.engine_prefill import run_prefill
 from ternlane.testing.engine_profile import AttemptOutcome, EngineFault, EngineProfile, Stage
@@ -22,7 +23,7 @@
 
 EXPIRY_CHECK_S = 1.0
 LISTEN_BACKLOG = 4096
-# Generous limits of its HTTP server: what is tested is the gateway's own limits.
+# Generous limits of its HTTP server, so that only the gateway's limits take effect.
 MAX_BODY_BYTES = 64 * 2**20
 HEAD_TIMEOUT_MS = 60e3
 BODY_TIMEOUT_MS = 60e3
@@ -31,12 +32,12 @@
 
 
 class FakeEngine(EngineCore):
-    """Serves the engine protocol on `host:port` until `die`, and again when it is run again."""
+    """Serves the engine protocol on `host:port` until `die`. `run` can be called again."""
 
     def reset(self) -> None:
-        """As a process that has just started."""
+        """Sets the state of a process that has just started."""
         super().reset()
-        self._open: dict[Exchange, trio.CancelScope] = {}  # attempts
+        self._open: dict[Exchange, trio.CancelScope] = {}  # by attempt
 
     async def run(self, nursery: trio.Nursery, started: trio.Event | None = None) -> None:
         """Serves until `die`. Sets `started` once it listens."""
@@ -48,9 +49,9 @@
             started.set()
         try:
             with self.process:
-                async with trio.open_nursery() as own:
-                    own.start_soon(self._expire_states)
-                    await trio.serve_listeners(self._connection, listeners, handler_nursery=own)
+                async with trio.open_nursery() as tasks:
+                    tasks.start_soon(self._expire_states)
+                    await trio.serve_listeners(self._connection, listeners, handler_nursery=tasks)
         finally:
             for listener in listeners:
                 listener.socket.close()
@@ -105,7 +106,7 @@
             raise
 
     def close_cut_off(self) -> None:
-        """Resets the connections of peers that are cut off from now on."""
+        """Resets the connections of peers that the fault has cut off."""
         for exchange, scope in list(self._open.items()):
             if self.fault.is_cut_off(exchange.peer[0]):
                 reset_when_closed(exchange.stream)
@@ -137,7 +138,7 @@
         await exchange.answer(status, [self.load_header()], b"{}")
 
     async def _reserve(self, exchange: Exchange) -> None:
-        """Reserves memory for a decode that comes after its prefill."""
+        """Reserves memory for a decode before its prefill has ended."""
         body = msgspec.json.decode(exchange.body)
         request = str(body["request_id"])
         tokens = float(body["tokens"])
@@ -174,8 +175,8 @@
                 self._open[exchange] = nursery.cancel_scope
                 try:
                     outcome = await self._run_attempt(exchange, request)
-                except Refused as refused:
-                    # Noted before it is sent: nothing ran, whether or not the gateway gets to know.
+                except AttemptRefusedError as refused:
+                    # Set before sending: nothing ran, even if the gateway does not receive the answer.
                     outcome = f"refused {refused.reason}"
                     headers = [("x-ternlane-not-run", refused.reason), self.load_header()]
                     await exchange.answer(refused.status, headers, b"{}")
--- a/ternlane/testing/engine_breakage.py
+++ b/ternlane/testing/engine_breakage.py
@@ -1,4 +1,4 @@
-"""The ways in which a fake engine's answers go wrong."""
+"""Faulty answers of a fake engine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import trio
 
 from ternlane.http1 import Exchange
-from ternlane.testing.engine_core import Refused
+from ternlane.testing.engine_core import AttemptRefusedError
 from ternlane.testing.engine_profile import AttemptOutcome, EngineFault
 from ternlane.testing.sockets import reset_when_closed
 
@@ -17,13 +17,13 @@
     raise AssertionError("sleep_forever does not return")
 
 
-async def play_script(fault: EngineFault, exchange: Exchange) -> AttemptOutcome:
-    """The scripted end of an attempt that comes before any text. Raises Refused for the scripted refusals."""
+async def apply_script(fault: EngineFault, exchange: Exchange) -> AttemptOutcome:
+    """Ends an attempt as scripted, before any text. Raises AttemptRefusedError if that is a refusal."""
     match fault.script:
         case "full":
-            raise Refused(429, "queue-full")
+            raise AttemptRefusedError(429, "queue-full")
         case "nostate":
-            raise Refused(409, "no-state")
+            raise AttemptRefusedError(409, "no-state")
         case "error":
             await exchange.answer(500, [], b'{"error":{"message":"out of memory"}}')
             return AttemptOutcome.ERROR
@@ -34,15 +34,15 @@
 
 
 async def lose_answer(fault: EngineFault, exchange: Exchange) -> AttemptOutcome:
-    """The work has run, and no answer comes."""
+    """Sends no answer to work that has been done."""
     if not fault.lost_by_reset:
         await _stay_silent()
     reset_when_closed(exchange.stream)
     return AttemptOutcome.LOST
 
 
-async def break_off(broken_by: str, exchange: Exchange) -> AttemptOutcome:
-    """A begun answer ends: `broken_by` "reset", or goes on without another byte: "stall"."""
+async def break_stream(broken_by: str, exchange: Exchange) -> AttemptOutcome:
+    """Breaks an answer off. `broken_by`: "reset" resets the connection, "stall" sends nothing more."""
     if broken_by == "stall":
         await _stay_silent()
     reset_when_closed(exchange.stream)
--- a/ternlane/testing/engine_core.py
+++ b/ternlane/testing/engine_core.py
@@ -1,4 +1,4 @@
-"""What a fake engine has to share out: speed, slots, memory, held states."""
+"""The resources of a fake engine: speed, slots, memory, and the states that it holds."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from ternlane.testing.prefix_cache import PrefixCache, PrefixLookup
 from ternlane.testing.traffic import TrafficLog, clock_ms
 
-STATE_LEASE_MS = 30e3  # a state that no decode server takes is dropped after this time
-PREFIX_CACHE_SHARE = 0.5  # of the memory; the rest is left to running attempts
-WORK_STEP_MS = 50.0  # the speed is looked at anew at least so often
-STANDSTILL_POLL_MS = 20.0  # while nothing is done at all
-REMEMBERED_KEYS = 10_000  # idempotency keys at most
+STATE_LEASE_MS = 30e3  # a state that no decode server has fetched is dropped after this time
+PREFIX_CACHE_SHARE = 0.5  # of the memory; the rest is for running attempts
+WORK_STEP_MS = 50.0  # interval at which running work takes up a changed speed
+STANDSTILL_POLL_MS = 20.0  # interval at which stopped work checks the speed
+REMEMBERED_KEYS = 10_000  # maximum number of idempotency keys
 CONNECT_TIMEOUT_MS = 500.0
 CONNECTION_IDLE_MS = 20e3
 
 
-class Refused(Exception):
-    """The engine does not run an attempt, and says so."""
+class AttemptRefusedError(Exception):
+    """The engine refuses an attempt: nothing has run."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """`status`: of the HTTP answer; `reason`: the value of its `x-ternlane-not-run` header."""
+        """`status`: of the HTTP answer. `reason`: the value of its `x-ternlane-not-run` header."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True)
 class HeldState:
-    """A prefilled state, or memory that is reserved for one."""
+    """A prefilled state, or memory reserved for one."""
 
     tokens: float
     since_ms: float
 
 
 class EngineCore:
-    """One engine process. All times are milliseconds of the machine's clock."""
+    """One engine process. All times are in milliseconds of the machine's clock."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         seed: int,
         source: str | None = None,
     ) -> None:
-        """`port` 0: a free one. `source`: the IP address that its own calls come from."""
+        """`port`: 0 for a free one. `source`: local IP address of its own connections."""
         self.ident = ident
         self.role = role
         self.zone = zone
@@ -73,49 +73,49 @@
         self.fault = EngineFault()
         self.pool = ConnectionPool(CONNECT_TIMEOUT_MS, CONNECTION_IDLE_MS, source)
         self.draining = False
-        self.started_ms = 0.0  # 0: so long ago that it is warm
+        self.started_ms = 0.0  # 0: long ago, so that it is warm
         self.process = trio.CancelScope()
         self._speed_changed = trio.Event()
         self.reset()
 
     def reset(self) -> None:
-        """As a process that has just started: nothing runs, nothing is held."""
+        """Sets the state of a process that has just started: nothing runs and nothing is held."""
         self.prefix_cache = PrefixCache()
         self.states: dict[str, HeldState] = {}  # by request
         self.busy = 0  # slots
         self.used_tokens = 0.0
-        self.fallen = False
+        self.overloaded = False
         self._queue: deque[trio.Event] = deque()
-        self._arrived_work: deque[tuple[float, float]] = deque()  # when, ms of work
-        self._effects_ms: OrderedDict[str, float] = OrderedDict()  # by idempotency key
+        self._arrived_work: deque[tuple[float, float]] = deque()  # (time of arrival, ms of work)
+        self._effects_ms: OrderedDict[str, float] = OrderedDict()  # time of the last effect by idempotency key
 
     def die(self) -> None:
-        """Ends the process, with all that it holds."""
+        """Terminates the process; its state is lost."""
         self.process.cancel()
 
     # Speed
 
     def warmth(self) -> float:
-        """The share of its full speed that a cold process has; 1 where it is warm."""
+        """The share of full speed that slow start allows; 1 for a warm process."""
         if not self.started_ms:
             return 1.0
         age = (clock_ms() - self.started_ms) / self.profile.slow_start_ms
         return min(1.0, self.profile.slow_start_share + (1 - self.profile.slow_start_share) * age)
 
     def speed(self) -> float:
-        """The share of its full speed at present."""
+        """The current share of full speed."""
         fault = self.fault
         if fault.hung or clock_ms() < fault.paused_until_ms:
             return 0.0
         return self.warmth() * (1 - fault.cpu_taken_share) / fault.slowdown
 
     def notify_speed_changed(self) -> None:
-        """Wakes the work that stands still."""
+        """Wakes work that has stopped."""
         self._speed_changed.set()
         self._speed_changed = trio.Event()
 
     async def work(self, work_ms: float) -> None:
-        """Sleeps for as long as the work takes at a speed that may change meanwhile."""
+        """Sleeps for the time that the work takes; the speed may change meanwhile."""
         left_ms = work_ms
         while left_ms > 1e-6:
             speed = self.speed()
@@ -130,7 +130,7 @@
         await trio.lowlevel.checkpoint()
 
     def record_arrival(self, work_ms: float) -> None:
-        """Counts what was sent against what a cold process can do; above that it falls over."""
+        """Records arrived work. A cold process crashes if more arrives within `fall_ms` than it can do."""
         profile = self.profile
         now_ms = clock_ms()
         self._arrived_work.append((now_ms, work_ms))
@@ -141,7 +141,7 @@
             return
         arrived_ms = sum(work for _, work in self._arrived_work)
         if arrived_ms > profile.fall_multiple * warmth * profile.slots * profile.fall_ms:
-            self.fallen = True
+            self.overloaded = True
             self.traffic.line("fell", id=self.ident)
             self.die()
 
@@ -149,59 +149,59 @@
 
     @asynccontextmanager
     async def slot(self) -> AsyncIterator[None]:
-        """Holds a slot, at once or after the queue. Raises Refused where the queue is full."""
-        await self._enter()
+        """Acquires a slot, at once or after queueing. Raises AttemptRefusedError if the queue is full."""
+        await self._acquire_slot()
         try:
             yield
         finally:
             self.free_slot()
 
-    async def _enter(self) -> None:
+    async def _acquire_slot(self) -> None:
         if self.busy < self.profile.slots and not self._queue:
             self.busy += 1
             return
         if len(self._queue) >= self.profile.queue:
-            raise Refused(429, "queue-full")
-        turn = trio.Event()
-        self._queue.append(turn)
+            raise AttemptRefusedError(429, "queue-full")
+        slot_granted = trio.Event()
+        self._queue.append(slot_granted)
         try:
-            await turn.wait()
+            await slot_granted.wait()
         except trio.Cancelled:
-            if turn in self._queue:
-                self._queue.remove(turn)
-            else:  # the slot was given to it already
+            if slot_granted in self._queue:
+                self._queue.remove(slot_granted)
+            else:  # the slot has been granted already
                 self.free_slot()
             raise
 
     def free_slot(self) -> None:
-        """Gives a slot back: the first that waits gets it."""
+        """Frees a slot and grants it to the first attempt in the queue."""
         self.busy -= 1
         if self._queue and self.busy < self.profile.slots:
             self.busy += 1
             self._queue.popleft().set()
 
     def load(self) -> LoadReport:
-        """What it reports of itself."""
+        """The load that it reports."""
         memory_share = min(1.0, self.used_tokens / self.profile.kv_capacity_tokens)
         return LoadReport(self.busy, len(self._queue), memory_share)
 
     def load_header(self) -> tuple[str, str]:
-        """The header that carries its load with an answer."""
+        """The response header that carries the load report."""
         return "endpoint-load-metrics", self.load().header()
 
     # Memory
 
     def require_memory(self, tokens: float) -> None:
-        """Raises Refused where so many tokens do not fit."""
+        """Raises AttemptRefusedError if so many tokens do not fit."""
         if self.used_tokens + tokens > self.profile.kv_capacity_tokens:
-            raise Refused(429, "memory-full")
+            raise AttemptRefusedError(429, "memory-full")
 
     def look_up_prefix(self, prompt: bytes) -> PrefixLookup:
-        """What is cached of a prompt; all of it is from now on."""
+        """Looks up how much of a prompt is cached, and caches all of it."""
         return self.prefix_cache.look_up(prompt, self.profile.kv_capacity_tokens * PREFIX_CACHE_SHARE)
 
     def can_reserve(self, request: str, tokens: float) -> bool:
-        """Whether a decode of this request would start at once."""
+        """Whether a decode of this request could start at once."""
         return (
             self.role != PREFILL_ROLE
             and not self._queue
@@ -211,12 +211,12 @@
         )
 
     def hold_state(self, request: str, tokens: float) -> None:
-        """Holds a state whose memory is counted as used already."""
+        """Holds a state whose memory is already counted as used."""
         self.states[request] = HeldState(tokens, clock_ms())
         self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
 
     def drop_state(self, request: str, how: str) -> bool:
-        """`how`: "taken", "released" or "lost". False where none was held."""
+        """Drops a state. `how`: "taken", "released" or "lost". Returns False if none was held."""
         held = self.states.pop(request, None)
         if held is None:
             return False
@@ -225,7 +225,7 @@
         return True
 
     def drop_expired_states(self) -> None:
-        """Drops the states that nobody has taken in time."""
+        """Drops the states whose lease has expired."""
         for request, held in list(self.states.items()):
             if clock_ms() - held.since_ms > STATE_LEASE_MS:
                 self.drop_state(request, "lost")
@@ -233,7 +233,7 @@
     # Effects
 
     def record_effect(self, request: str, number: int, idempotency_key: str) -> None:
-        """The request's effect happens, unless a repeat with the same key did so a short time ago."""
+        """Records the request's effect, unless one with the same key was recorded within `dedup_ms`."""
         last_ms = self._effects_ms.get(idempotency_key)
         if last_ms is not None and clock_ms() - last_ms <= self.profile.dedup_ms:
             return
--- a/ternlane/testing/engine_decode.py
+++ b/ternlane/testing/engine_decode.py
@@ -1,4 +1,4 @@
-"""How a fake engine runs a decode: it takes the state over, or reads the prompt itself, and streams the answer."""
+"""Decodes of a fake engine: it fetches the state or prefills the prompt itself, and streams the answer."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import trio
 
 from ternlane.http1 import ClientConnection, ConnectError, Exchange
-from ternlane.testing.engine_breakage import break_off, lose_answer, play_script
-from ternlane.testing.engine_core import EngineCore, Refused
+from ternlane.testing.engine_breakage import apply_script, break_stream, lose_answer
+from ternlane.testing.engine_core import AttemptRefusedError, EngineCore
 from ternlane.testing.engine_prefill import prefill_ms
 from ternlane.testing.engine_profile import DECODE_ROLE, PREFILL_ROLE, AttemptOutcome, Stage
 from ternlane.testing.engine_request import EngineRequest, answer_of, final_events, usage_of, word_event
@@ -29,31 +29,31 @@
 
 
 class DecodeRun:
-    """One attempt that streams an answer."""
+    """An attempt that streams an answer."""
 
     def __init__(self, engine: EngineCore, exchange: Exchange, request: EngineRequest) -> None:
-        """Nothing runs before `run`."""
+        """Nothing runs until `run`."""
         self.engine = engine
         self.exchange = exchange
         self.request = request
         self.answer = answer_of(request, engine.fault, engine.profile.answer_tokens)
-        self.prefilled_tokens = 0  # read by this engine itself
+        self.prefilled_tokens = 0  # prefilled by this engine itself
         self.cached_tokens = 0.0
         self.decoded_words = 0
         self.sent_words = 0
-        self.break_after: int | None = None  # words, where the answer breaks off
+        self.break_after: int | None = None  # number of words after which the answer breaks off
         self.broken_by = ""
 
     async def run(self) -> AttemptOutcome:
-        """Answers the attempt. Raises Refused."""
+        """Answers the attempt. Raises AttemptRefusedError."""
         engine = self.engine
         tokens = self.request.tokens
         if engine.role == (DECODE_ROLE if self.request.stage is Stage.BOTH else PREFILL_ROLE):
-            raise Refused(409, "no-state")
+            raise AttemptRefusedError(409, "no-state")
         if engine.draining:
-            raise Refused(503, "draining")
+            raise AttemptRefusedError(503, "draining")
         if engine.fault.script in ("full", "nostate"):
-            return await play_script(engine.fault, self.exchange)
+            return await apply_script(engine.fault, self.exchange)
         engine.require_memory(tokens)
         engine.drop_state(self.request.request, "taken")  # memory that was reserved for it
         answer_tokens = len(self.answer.words)
@@ -70,7 +70,7 @@
                 engine.used_tokens -= used_tokens
 
     def _draw_break(self, answer_tokens: int) -> None:
-        """Whether the answer breaks off, and after how many words."""
+        """Draws whether the answer breaks off, and after how many words."""
         fault = self.engine.fault
         if fault.script in ("midway", "stall"):
             self.break_after = fault.break_after_events
@@ -84,20 +84,20 @@
         await self._load_prompt()
         engine.record_effect(self.request.request, self.request.number, self.request.idempotency_key)
         if engine.fault.script in ("error", "reset", "silent"):
-            return await play_script(engine.fault, self.exchange)
+            return await apply_script(engine.fault, self.exchange)
         lost = engine.rng.random() < engine.fault.lost_answer_share
         words = self.answer.words
         for index, word in enumerate(words):
             await engine.work(self._word_ms())
             if index == self.break_after:
-                return await break_off(self.broken_by, self.exchange)
+                return await break_stream(self.broken_by, self.exchange)
             self.decoded_words += 1
             if not lost:
                 await self._send_word(index, word)
         if lost:
             return await lose_answer(engine.fault, self.exchange)
-        if words and self.break_after == len(words):  # after the last word, before the end mark
-            return await break_off(self.broken_by, self.exchange)
+        if words and self.break_after == len(words):  # after the last word, before the end marker
+            return await break_stream(self.broken_by, self.exchange)
         await self._send_end()
         return AttemptOutcome.STREAMED
 
@@ -116,16 +116,16 @@
         self.prefilled_tokens = int(self.request.tokens)
 
     async def _fetch_state(self, params: dict[str, Any]) -> None:
-        """Takes the state over from its prefill server, at the speed of the link between them."""
-        tokens = await self._ask_for_state(f"{params['remote_host']}:{params['remote_port']}")
+        """Fetches the state from its prefill server, at the speed of the link between them."""
+        tokens = await self._request_state(f"{params['remote_host']}:{params['remote_port']}")
         profile = self.engine.profile
         tokens_per_s = profile.far_tokens_per_s / self.engine.fault.link_slowdown
         if params.get("standin_cell") == self.engine.cell:
             tokens_per_s = profile.near_tokens_per_s
         await self.engine.work(tokens / tokens_per_s * 1000)
 
-    async def _ask_for_state(self, prefill_server: str) -> float:
-        """Its tokens. Raises Refused where the server has none, or does not answer."""
+    async def _request_state(self, prefill_server: str) -> float:
+        """Returns the state's tokens. Raises AttemptRefusedError if the server has no state or does not answer."""
         connection: ClientConnection | None = None
         try:
             with trio.fail_after(FETCH_TIMEOUT_S):
@@ -136,13 +136,13 @@
         except FETCH_FAILED:
             if connection is not None:
                 connection.close_now()
-            raise Refused(409, "no-state") from None
+            raise AttemptRefusedError(409, "no-state") from None
         except trio.Cancelled:
             if connection is not None:
                 connection.close_now()
             raise
         if head.status_code != 200:
-            raise Refused(409, "no-state")
+            raise AttemptRefusedError(409, "no-state")
         return float(state["toks"])
 
     async def _send_word(self, index: int, word: str) -> None:
@@ -162,11 +162,11 @@
         self.engine.traffic.line("wrote", id=self.engine.ident, gen=request.request, n=request.number, toks=words)
         if words:
             await self.exchange.end(end)
-        else:  # a continuation that missed nothing but the end
+        else:  # a continuation of an answer that lacked only its end
             await self.exchange.answer(200, [self.engine.load_header()], end, "text/event-stream")
 
     def _log_progress(self) -> None:
-        """What was sent and computed, however the attempt ended: the rules judge by it."""
+        """Logs what was sent and computed, however the attempt ended. The rules check these lines."""
         engine = self.engine
         request = self.request
         words = self.answer.words
--- a/ternlane/testing/engine_prefill.py
+++ b/ternlane/testing/engine_prefill.py
@@ -1,4 +1,4 @@
-"""How a fake engine runs a prefill: it reads the prompt and holds its state for a decode server."""
+"""Prefills of a fake engine: it processes the prompt and holds the state for a decode server."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 import msgspec
 
 from ternlane.http1 import Exchange
-from ternlane.testing.engine_breakage import lose_answer, play_script
-from ternlane.testing.engine_core import EngineCore, Refused
+from ternlane.testing.engine_breakage import apply_script, lose_answer
+from ternlane.testing.engine_core import AttemptRefusedError, EngineCore
 from ternlane.testing.engine_profile import DECODE_ROLE, AttemptOutcome
 from ternlane.testing.engine_request import EngineRequest, usage_of
 
-PREFILL_BASE_MS = 2.0  # however short the prompt
-# Scripts that change only what a decode answers.
+PREFILL_BASE_MS = 2.0  # added for every prompt
+# Scripts that affect only decodes.
 DECODE_SCRIPTS = ("", "deaf", "other")
 
 
 def prefill_ms(engine: EngineCore, uncached_tokens: float) -> float:
-    """What reading so many tokens takes at full speed."""
+    """The time to process so many tokens at full speed."""
     return PREFILL_BASE_MS + uncached_tokens / engine.profile.prefill_tokens_per_s * 1000
 
 
 async def run_prefill(engine: EngineCore, exchange: Exchange, request: EngineRequest) -> AttemptOutcome:
-    """Answers the attempt. Raises Refused."""
+    """Answers the attempt. Raises AttemptRefusedError."""
     if engine.role == DECODE_ROLE:
-        raise Refused(400, "not-a-reader")
+        raise AttemptRefusedError(400, "not-a-reader")
     if engine.draining:
-        raise Refused(503, "draining")
+        raise AttemptRefusedError(503, "draining")
     engine.require_memory(request.tokens)
     if engine.fault.script not in DECODE_SCRIPTS:
-        return await play_script(engine.fault, exchange)
+        return await apply_script(engine.fault, exchange)
     prefix = engine.look_up_prefix(request.prompt)
     work_ms = prefill_ms(engine, prefix.uncached_tokens)
     engine.record_arrival(work_ms)
@@ -52,7 +52,7 @@
 
 
 async def _read_prompt(engine: EngineCore, tokens: float, work_ms: float) -> None:
-    """Leaves the memory used where it ends well: the state stays."""
+    """Processes the prompt. Afterwards its memory stays in use for the state, unless it failed."""
     async with engine.slot():
         engine.used_tokens += tokens
         try:
--- a/ternlane/testing/engine_request.py
+++ b/ternlane/testing/engine_request.py
@@ -1,4 +1,4 @@
-"""A chat request as a fake engine reads it, and the text it answers with."""
+"""Parses chat requests for a fake engine, and generates their answers."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
 from ternlane.testing.prefix_cache import TOKEN_BYTES
 
 DEFAULT_MAX_TOKENS = 1024
-# A usage report of "absurd" counts is so many times the true one.
+# Factor on the true token counts in an "absurd" usage report.
 ABSURD_USAGE_FACTOR = -(10**6)
 
 
 @dataclass
 class EngineRequest:
-    """One attempt of a request."""
+    """An attempt of a request."""
 
     request: str
-    number: int  # of the attempt
+    number: int  # index of the attempt
     stage: Stage
-    gateway: str  # by the User-Agent header
-    source: str  # IP address
+    gateway: str  # name in the User-Agent header
+    source: str  # IP address of the gateway
     idempotency_key: str
     body: dict[str, Any]
-    prompt: bytes  # all messages' text
+    prompt: bytes  # the text of all messages
 
     @property
     def tokens(self) -> float:
-        """Of the prompt."""
+        """The number of tokens of the prompt."""
         return len(self.prompt) / TOKEN_BYTES
 
     @property
     def max_tokens(self) -> int:
-        """Of the answer."""
+        """The maximum number of tokens of the answer."""
         return int(self.body.get("max_tokens") or DEFAULT_MAX_TOKENS)
 
 
 def parse_request(exchange: Exchange, fault: EngineFault) -> EngineRequest:
-    """Raises msgspec.DecodeError for a body that is no JSON."""
+    """Parses an attempt. Raises msgspec.DecodeError if the body is not JSON."""
     request, _, number = (exchange.header(b"x-request-id") or "?").rpartition(".")
     body = msgspec.json.decode(exchange.body)
     prompt = "".join(m["content"] for m in body["messages"] if isinstance(m.get("content"), str)).encode()
-    if fault.script == "deaf" and body.get("continue_final_message"):  # it knows no such field
+    if fault.script == "deaf" and body.get("continue_final_message"):  # a server that does not know the field
         prompt = prompt[: len(prompt) - len(body["messages"].pop()["content"].encode())]
         del body["continue_final_message"]
     agent = exchange.header(b"user-agent") or ""
@@ -73,16 +73,16 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """The text of an answer: what the request's last message began, and the words that continue it."""
+    """The text of an answer: the beginning, if the request's last message contains one, and the remaining words."""
 
     continued: str
     words: list[str]
 
 
 def answer_of(request: EngineRequest, fault: EngineFault, answer_tokens: tuple[int, int]) -> Answer:
-    """The same for the same prompt at every engine.
+    """Generates the answer. All engines give the same answer to the same prompt.
 
-    A text that is not the beginning of its own answer is continued in the engine's own way.
+    A text to be continued that differs from that answer is continued with the words after the common beginning.
     """
     continued = ""
     prompt = request.prompt
@@ -99,7 +99,7 @@
 
 
 def _without_beginning(words: list[str], beginning: str) -> list[str]:
-    """The words that come after a beginning, which may end within a word."""
+    """Removes a beginning, which may end within a word, from the words."""
     rest = list(words)
     while beginning and rest and beginning.startswith(rest[0]):
         beginning = beginning[len(rest.pop(0)) :]
@@ -109,7 +109,7 @@
 
 
 def word_event(request: EngineRequest, index: int, word: str) -> bytes:
-    """The event that carries one word of the answer."""
+    """The event with one word of the answer."""
     choice = _tool_call_choice(request, index, word) if request.body.get("tools") else _text_choice(request, word)
     event = {"id": request.request, "object": "chat.completion.chunk", "choices": [choice]}
     return encode_event(msgspec.json.encode(event))
@@ -123,7 +123,7 @@
 
 
 def _tool_call_choice(request: EngineRequest, index: int, word: str) -> dict[str, Any]:
-    """The word as a part of the arguments of a call to the first tool."""
+    """A call of the first tool, with the word as a part of its arguments."""
     call: dict[str, Any] = {"index": 0, "function": {"arguments": word}}
     if index == 0:
         name = request.body["tools"][0]["function"]["name"]
@@ -132,7 +132,7 @@
 
 
 def final_events(request: EngineRequest, usage: dict[str, Any] | None) -> bytes:
-    """The finish reason, the usage and the end mark."""
+    """The events with the finish reason and the usage, and the end marker."""
     reason = "tool_calls" if request.body.get("tools") else "stop"
     finish = {"id": request.request, "choices": [{"index": 0, "delta": {}, "finish_reason": reason}]}
     usage_event: dict[str, Any] = {"id": request.request, "choices": [], "usage": usage}
@@ -141,7 +141,7 @@
 
 
 def usage_of(fault: EngineFault, tokens: float, cached_tokens: float, answer_tokens: int) -> dict[str, Any] | None:
-    """The usage report of an answer; None where the engine gives none."""
+    """The usage report of an answer; None if the engine reports none."""
     if fault.usage_reporting == "none":
         return None
     factor = ABSURD_USAGE_FACTOR if fault.usage_reporting == "absurd" else 1
--- a/ternlane/testing/front.py
+++ b/ternlane/testing/front.py
@@ -1,4 +1,4 @@
-"""A plain front layer: spreads connections over gateways, and goes on sending to a dead one until it has noticed."""
+"""A fake front layer: a TCP load balancer that detects the failure of a gateway only after some time."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 CHUNK_BYTES = 65536
 CHECK_TIMEOUT_S = 0.5
-REQUEST_TIMEOUT_S = 1.0  # for a request to come before it is told that no gateway was reached
-CLOSE_TIMEOUT_S = 0.2  # for the client to close after that
-UNREACHED = (
+REQUEST_TIMEOUT_S = 1.0  # to receive a request before it is answered that no gateway was reached
+CLOSE_TIMEOUT_S = 0.2  # for the client to close the connection after that
+UNREACHABLE_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nX-Front: unreached\r\nContent-Type: application/json\r\n"
     b"Content-Length: 51\r\nConnection: close\r\n\r\n"
     b'{"error":{"message":"no gateway could be reached"}}'
@@ -23,12 +23,12 @@
 
 
 class FakeFrontLayer:
-    """Forwards bytes; it reads no HTTP."""
+    """Forwards connections to the gateways in turn, without parsing HTTP."""
 
-    def __init__(self, gateways: dict[str, tuple[str, int]], notice_ms: float, traffic: TrafficLog) -> None:
-        """`gateways`: host and port by name; `notice_ms`: how long a dead one may go unnoticed."""
+    def __init__(self, gateways: dict[str, tuple[str, int]], detection_ms: float, traffic: TrafficLog) -> None:
+        """`gateways`: host and port by name; `detection_ms`: interval of the health checks."""
         self.gateways = gateways
-        self.notice_ms = notice_ms
+        self.detection_ms = detection_ms
         self.traffic = traffic
         self._alive = list(gateways)
         self._turn = count()
@@ -37,13 +37,13 @@
         """Serves until it is cancelled."""
         async with trio.open_nursery() as nursery:
             for name in self.gateways:
-                nursery.start_soon(self._watch, name)
+                nursery.start_soon(self._check_health, name)
             await trio.serve_listeners(self._connection, listeners, handler_nursery=nursery)
 
-    async def _watch(self, name: str) -> None:
-        """Connects to a gateway once in the time that it takes to notice."""
+    async def _check_health(self, name: str) -> None:
+        """Checks at each interval whether a gateway accepts connections."""
         while True:
-            await trio.sleep(self.notice_ms / 1000)
+            await trio.sleep(self.detection_ms / 1000)
             alive = await self._accepts_connections(name)
             if alive and name not in self._alive:
                 self._alive.append(name)
@@ -81,22 +81,22 @@
             server.socket.close()
 
 
-async def _forward(source: trio.SocketStream, sink: trio.SocketStream, both: trio.CancelScope) -> None:
-    """One direction, until its source ends; a broken connection cancels both."""
+async def _forward(source: trio.SocketStream, sink: trio.SocketStream, connection_scope: trio.CancelScope) -> None:
+    """Forwards one direction until its source ends. A broken connection cancels both directions."""
     try:
         while data := await source.receive_some(CHUNK_BYTES):
             await sink.send_all(data)
         await sink.send_eof()
     except CONNECTION_FAILED:
-        both.cancel()
+        connection_scope.cancel()
 
 
 async def _answer_unreached(client: trio.SocketStream) -> None:
-    """Answers that no gateway got the request: a retry does no harm."""
+    """Answers that no gateway received the request, so that the client can retry safely."""
     with suppress(*CONNECTION_FAILED):
         with trio.move_on_after(REQUEST_TIMEOUT_S):
             await client.receive_some(CHUNK_BYTES)
-        await client.send_all(UNREACHED)
+        await client.send_all(UNREACHABLE_RESPONSE)
         await client.send_eof()
         with trio.move_on_after(CLOSE_TIMEOUT_S):
             while await client.receive_some(CHUNK_BYTES):
--- a/ternlane/testing/prefix_cache.py
+++ b/ternlane/testing/prefix_cache.py
@@ -8,34 +8,34 @@
 from xxhash import xxh3_64_intdigest
 
 BLOCK_BYTES = 256
-TOKEN_BYTES = 4  # of text; engines count a prompt's tokens by its length
+TOKEN_BYTES = 4  # bytes of text per token
 
 
 @dataclass(frozen=True)
 class PrefixLookup:
-    """What the cache knew of a prompt."""
+    """How much of a prompt is cached."""
 
     uncached_tokens: float
     cached_tokens: float
 
 
 class PrefixCache:
-    """Evicts the least recently used blocks."""
+    """A cache of blocks with LRU eviction."""
 
     def __init__(self) -> None:
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
     def clear(self) -> None:
-        """Forgets every prefix."""
+        """Removes all prefixes."""
         self._blocks.clear()
 
     def look_up(self, prompt: bytes, capacity_tokens: float) -> PrefixLookup:
-        """Counts the tokens that are cached, and caches the whole prompt."""
+        """Counts the cached tokens of a prompt, and caches all of it."""
         digest = 0
         cached_blocks = 0
         all_cached = True
         for begin in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
-            # The digest of a block covers all before it: a block counts only within its prefix.
+            # The digest of a block covers all blocks before it, so that it matches only after the same prefix.
             digest = xxh3_64_intdigest(prompt[begin : begin + BLOCK_BYTES], digest)
             all_cached = all_cached and digest in self._blocks
             cached_blocks += all_cached
--- a/ternlane/testing/proxy.py
+++ b/ternlane/testing/proxy.py
@@ -1,8 +1,8 @@
-"""A TCP proxy that breaks in the ways networks do, to stand between a gateway and a model server in tests.
+"""A TCP proxy between a gateway and a model server that simulates network failures in tests.
 
-It forwards bytes in their order. Told to, it stalls: connections stay open, new ones still come up, and nothing that
-is sent in either direction arrives, with no error on either side. After a stall it either resets what was open or
-delivers what it kept back.
+It forwards bytes in order. While it is stalled, connections stay open and new ones are accepted, but nothing that is
+sent in either direction arrives, without an error on either side. After a stall it either resets the open connections
+or delivers the withheld bytes.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
     """Listens at `address` and forwards to `upstream` (host:port)."""
 
     def __init__(self, nursery: trio.Nursery, upstream: str) -> None:
-        """`upstream`: host:port."""
+        """`start` has to be called before it forwards."""
         self.nursery = nursery
         self.upstream = upstream
         self.address = ""
-        self.withheld_bytes = 0  # taken from either side while stalled
+        self.withheld_bytes = 0  # received from either side while stalled
         self._flowing = trio.Event()
         self._flowing.set()
         self._streams: set[trio.SocketStream] = set()
 
     async def start(self) -> None:
-        """Listens on a free port and forwards in the nursery."""
+        """Listens on a free port, and forwards in the nursery."""
         listener = await listen_on_loopback()
         self.address = address_of(listener)
         self.nursery.start_soon(self._accept, listener)
 
     @property
     def stalled(self) -> bool:
-        """Whether nothing arrives at present."""
+        """Whether nothing is forwarded at present."""
         return not self._flowing.is_set()
 
     def stall(self) -> None:
-        """Nothing arrives any more, on open connections and new ones."""
+        """Stops forwarding, on open connections and on new ones."""
         self._flowing = trio.Event()
 
     def deliver(self) -> None:
-        """Ends a stall: what was kept back arrives late."""
+        """Ends a stall, and delivers the withheld bytes."""
         self._flowing.set()
 
     def reset_all(self) -> None:
-        """Ends a stall as a network does that has forgotten its connections: they are reset, new ones work."""
+        """Ends a stall like a network that has lost its connection state: open connections are reset, new ones work."""
         streams = self._streams
-        self._streams = set()  # a second reset meets only newer ones
+        self._streams = set()  # a second reset affects only newer connections
         for stream in streams:
             reset_when_closed(stream)
             stream.socket.close()
@@ -77,8 +77,10 @@
                 self._streams.discard(stream)
                 stream.socket.close()
 
-    async def _forward(self, source: trio.SocketStream, sink: trio.SocketStream, both: trio.CancelScope) -> None:
-        """One direction, until its source ends or either side breaks; then the whole connection ends."""
+    async def _forward(
+        self, source: trio.SocketStream, sink: trio.SocketStream, connection_scope: trio.CancelScope
+    ) -> None:
+        """Forwards one direction until its source ends or either side breaks; then ends the whole connection."""
         try:
             while data := await source.receive_some(CHUNK_BYTES):
                 if self.stalled:
@@ -88,4 +90,4 @@
             await self._flowing.wait()
         except STREAM_CLOSED:
             pass
-        both.cancel()
+        connection_scope.cancel()
--- a/ternlane/testing/registry.py
+++ b/ternlane/testing/registry.py
@@ -1,4 +1,4 @@
-"""A fake registry that speaks Consul's health API with blocking queries, written from its published description."""
+"""A fake registry with Consul's health API and blocking queries, written from its public description."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class RegisteredEndpoint:
-    """One engine as the registry has it."""
+    """The registry's entry of an engine."""
 
     ident: str
     address: str
@@ -37,7 +37,7 @@
     state: str = "up"  # up, draining, gone
 
     def entry(self) -> dict[str, Any]:
-        """In the form of the API."""
+        """The entry as the API returns it."""
         checks = [{"CheckID": "service:engine", "Status": "critical" if self.state == "gone" else "passing"}]
         if self.state == "draining":
             checks.append({"CheckID": f"_service_maintenance:{self.ident}", "Status": "critical"})
@@ -62,10 +62,10 @@
 
 
 class FakeRegistry:
-    """Holds the endpoints and answers gateways; each list that it gives out is a line of traffic."""
+    """Holds the endpoints and answers gateways. Logs each list that it returns."""
 
     def __init__(self, traffic: TrafficLog) -> None:
-        """Empty, until endpoints are put into it."""
+        """Has no endpoints at first."""
         self.traffic = traffic
         self.index = FIRST_INDEX
         self.endpoints: dict[str, RegisteredEndpoint] = {}
@@ -73,7 +73,7 @@
         self._changed = trio.Event()
 
     def put(self, endpoint: RegisteredEndpoint) -> None:
-        """Adds or replaces an endpoint."""
+        """Adds an endpoint, or replaces the one with its id."""
         self.endpoints[endpoint.ident] = endpoint
         self.notify()
 
@@ -87,18 +87,18 @@
         self.notify()
 
     def notify(self) -> None:
-        """Answers the queries that wait for a change."""
+        """Increments the index, and answers the blocking queries."""
         self.index += 1
         self._changed.set()
         self._changed = trio.Event()
 
     def restart(self) -> None:
-        """Comes back with its index counted anew, as the API allows."""
+        """Simulates a restart: the index starts again from a low value, as the API allows."""
         self.index = 0
         self.notify()
 
     async def serve(self, listeners: list[trio.SocketListener]) -> None:
-        """Until it is cancelled."""
+        """Serves until it is cancelled."""
         await trio.serve_listeners(self._connection, listeners)
 
     async def _connection(self, stream: trio.SocketStream) -> None:
@@ -135,7 +135,7 @@
 
     async def _answer_list(self, exchange: Exchange, known_index: int) -> None:
         endpoints = list(self.endpoints.values())
-        if self.failing == "partial":  # half of the list only
+        if self.failing == "partial":  # only half of the list
             endpoints = endpoints[: len(endpoints) // 2]
         agent = exchange.header(b"user-agent") or ""
         gateway = agent[agent.find("(") + 1 : -1]
--- a/ternlane/testing/scripted.py
+++ b/ternlane/testing/scripted.py
@@ -1,4 +1,4 @@
-"""A peer that answers every request with the same bytes and pauses: for what no sound server would send."""
+"""A server that answers every request with the same bytes and pauses, to send what no correct server would."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class ScriptedServer:
-    """Reads the head of a request, then plays its steps and closes the connection."""
+    """Reads the head of a request, runs its steps and closes the connection."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
-        """The same steps for every connection."""
+        """`steps`: run for every connection."""
         self.steps = steps
-        self.request_count = 0  # requests so far
-        self.received_heads: list[bytes] = []  # what came of each before its steps were played
+        self.request_count = 0  # requests received
+        self.received_heads: list[bytes] = []  # of each request, as received before its steps
         self.listeners: list[trio.SocketListener] = []
         self.address = ""
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Listens, and serves in the nursery."""
+        """Listens on a free port, and serves in the nursery."""
         self.listeners = [await listen_on_loopback()]
         self.address = address_of(self.listeners[0])
         nursery.start_soon(trio.serve_listeners, self._connection, self.listeners)
@@ -40,13 +40,13 @@
         self.received_heads.append(received)
         try:
             for step in self.steps:
-                await self._play(stream, step)
+                await self._run_step(stream, step)
         except STREAM_CLOSED:
             pass
         finally:
             stream.socket.close()
 
-    async def _play(self, stream: trio.SocketStream, step: Step) -> None:
+    async def _run_step(self, stream: trio.SocketStream, step: Step) -> None:
         if isinstance(step, bytes):
             await stream.send_all(step)
         elif isinstance(step, float):
