--- a/ternlane/scenarios/account_report.py
+++ b/ternlane/scenarios/account_report.py
@@ -21,20 +21,20 @@
     """The report's part about billing. `span_s`: for how long requests arrived, as budgets grow with time; `revenues`:
     by tenant."""
     ledgers = sorted((folder / "ledgers").iterdir())
-    found = reconcile(read_entries(ledgers), [line for line in lines if line["k"] == "made"])
+    reconciled = reconcile(read_entries(ledgers), [line for line in lines if line["k"] == "made"])
     spent: Counter[str] = Counter()
     for row in bill_rows(ledgers, None, None):
         spent[row["tenant"]] += row["prompt"] + row["answer"]
     return {
-        "made": found.counted,
-        "billed": found.billed,
-        "house": found.unbilled,
-        "off": round(found.unexplained_share, 5),
-        "doubled": found.duplicates,
-        "differing": len(found.differing),
-        "differ": dict(list(found.differing.items())[:MAX_SHOWN_DIFFERENCES]),
-        "unsettled": len(found.unsettled),
-        "unsettled_toks": sum(usage.prompt + usage.answer for usage in found.unsettled.values()),
+        "made": reconciled.counted,
+        "billed": reconciled.billed,
+        "house": reconciled.unbilled,
+        "off": round(reconciled.unexplained_share, 5),
+        "doubled": reconciled.duplicates,
+        "differing": len(reconciled.differing),
+        "differ": dict(list(reconciled.differing.items())[:MAX_SHOWN_DIFFERENCES]),
+        "unsettled": len(reconciled.unsettled),
+        "unsettled_toks": sum(usage.prompt + usage.answer for usage in reconciled.unsettled.values()),
         "others_in_time": round(_share_in_time(scenario, revenues), 4),
         "allowed_each": _allowed_tokens(scenario, span_s),
         "most_spent": max(spent.values(), default=0),
@@ -52,8 +52,8 @@
 
 
 def _share_in_time(scenario: Scenario, revenues: dict[str, Revenue]) -> float:
-    """The share of the possible revenue that was earned, over all tenants but the last: a tenant_rush fault sends the
-    last one's traffic."""
+    """The share of the possible revenue that was earned, over all tenants but the last, whose traffic is increased by
+    tenant_rush faults."""
     last = f"t{scenario.tenants - 1:03}"
     others = [revenue for tenant, revenue in revenues.items() if tenant != last]
     return sum(revenue.earned for revenue in others) / max(1e-9, sum(revenue.possible for revenue in others))
--- a/ternlane/scenarios/bench_faults.py
+++ b/ternlane/scenarios/bench_faults.py
@@ -21,7 +21,7 @@
     return re.sub(r"[^A-Za-z0-9._-]", "-", text)[:MAX_NAME_CHARACTERS] or "day"
 
 
-def run_seconds(microseconds: float, speed: float) -> float:
+def to_run_seconds(microseconds: float, speed: float) -> float:
     """Converts a time of the day to seconds of the run, which is `speed` times faster."""
     return microseconds / 1e6 / speed
 
@@ -62,7 +62,7 @@
 
     def read(self) -> list[Json]:
         """The faults of known kinds that begin within the day, without zone cuts if there is only one zone."""
-        length_s = run_seconds(self.raw["length"], self.speed)
+        length_s = to_run_seconds(self.raw["length"], self.speed)
         faults = [self._fault(BenchFault.of(raw)) for raw in self.raw["troubles"]]
         return [
             fault
@@ -78,8 +78,8 @@
             return None
         common: Json = {
             "kind": fault.kind,
-            "at_s": round(run_seconds(fault.raw["at"], self.speed), 3),
-            "for_s": max(MIN_FAULT_S, round(run_seconds(fault.raw["len"], self.speed), 3)),
+            "at_s": round(to_run_seconds(fault.raw["at"], self.speed), 3),
+            "for_s": max(MIN_FAULT_S, round(to_run_seconds(fault.raw["len"], self.speed), 3)),
         }
         if fault.kind not in NON_SERVER_FAULTS:
             common["part"] = self._part_of(fault, len(self.raw["servers"]))
--- a/ternlane/scenarios/bench_import.py
+++ b/ternlane/scenarios/bench_import.py
@@ -12,7 +12,7 @@
 import json
 
 from ternlane.config import read_text
-from ternlane.scenarios.bench_faults import MAX_PROMPT_TOKENS, BenchFaults, Json, run_seconds, scenario_name
+from ternlane.scenarios.bench_faults import MAX_PROMPT_TOKENS, BenchFaults, Json, scenario_name, to_run_seconds
 from ternlane.scenarios.scenario import Scenario
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "side-effecting"}
@@ -62,19 +62,19 @@
     def _scenario(self) -> Json:
         raw = self.raw
         pairs = list(zip(raw["classes"], self.family["talks"], strict=True))
-        uses = [self._workload(request_class, conversation) for request_class, conversation in pairs]
+        workloads = [self._workload(request_class, conversation) for request_class, conversation in pairs]
         return {
             "name": scenario_name(f"{raw['site']}-{raw['kind']}"),
             "seed": int(raw["noise"]) % 100000,
-            "length_s": round(run_seconds(raw["length"], self.speed), 1),
+            "length_s": round(to_run_seconds(raw["length"], self.speed), 1),
             "rate": self.rate,
             "load": [[round(at / self.speed, 2), round(times, 3)] for at, times in raw["traffic"]["shape"]],
             "gateways": self.gateways,
             "cells": self.cells,
-            "reader": self._prefill_server(uses),
+            "reader": self._prefill_server(workloads),
             "writer": self._decode_server(),
             "products": [self._request_class(request_class, conversation) for request_class, conversation in pairs],
-            "uses": uses,
+            "uses": workloads,
             "terms": self._terms(),
             "clients": self._clients(),
             "lists": {
@@ -106,50 +106,50 @@
                 cells[0][role] = 1
         return cells
 
-    def _count(self, role: str) -> int:
+    def _server_count(self, role: str) -> int:
         """The number of servers that do the work of this role."""
         return max(1, sum(int(cell[role]) + int(cell["mixed"]) for cell in self.cells))
 
-    def _load(self) -> float:
+    def _utilisation(self) -> float:
         """The utilisation of the fleet."""
         return max(float(self.raw["traffic"]["load"]), MIN_LOAD)
 
-    def _links(self) -> Json:
+    def _link_speeds(self) -> Json:
         return {
             "near_tok_s": round(self.family["near"] * self.speed),
             "far_tok_s": round(self.family["far"] * self.speed),
         }
 
-    def _prefill_server(self, uses: list[Json]) -> Json:
-        shares = sum(workload["share"] for workload in uses)
+    def _prefill_server(self, workloads: list[Json]) -> Json:
+        shares = sum(workload["share"] for workload in workloads)
         mean_tokens = (
             sum(
                 workload["share"]
                 * (workload["adds"][0] + workload["adds"][1] + workload["opening_part"] * workload["opening_toks"][0])
                 / 2
-                for workload in uses
+                for workload in workloads
             )
             / shares
         )
-        tokens_per_s = self.rate * mean_tokens / self._count("readers") / self._load()
+        tokens_per_s = self.rate * mean_tokens / self._server_count("readers") / self._utilisation()
         return {
             "slots": 4,
             "queue": min(MAX_PREFILL_QUEUE, self.family["engines"][0]["queue"]),
             "read_tok_s": round(tokens_per_s * PREFILL_HEADROOM, 1),
             "mem_toks": 80000,
-            **self._links(),
+            **self._link_speeds(),
         }
 
     def _decode_server(self) -> Json:
-        busy_slots = self.rate * DECODE_ANSWER_TOKENS * DECODE_TOKEN_MS / 1000 * DECODE_GROWTH / self._load()
-        slots = max(2, round(busy_slots / self._count("writers")))
+        busy_slots = self.rate * DECODE_ANSWER_TOKENS * DECODE_TOKEN_MS / 1000 * DECODE_GROWTH / self._utilisation()
+        slots = max(2, round(busy_slots / self._server_count("writers")))
         return {
             "slots": slots,
             "queue": max(4, slots // 2),
             "mem_toks": 60000,
             "tok_ms": DECODE_TOKEN_MS,
             "tok_grow": 0.5,
-            **self._links(),
+            **self._link_speeds(),
         }
 
     # Request classes and clients
--- a/ternlane/scenarios/clients_process.py
+++ b/ternlane/scenarios/clients_process.py
@@ -1,4 +1,4 @@
-"""A process of a run that runs a share of the fake clients."""
+"""A process of a run, with a share of the fake clients."""
 
 from __future__ import annotations
 
--- a/ternlane/scenarios/fault_plan.py
+++ b/ternlane/scenarios/fault_plan.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class FaultAction:
-    """One action on some engines or gateways.
+    """An action on some engines or gateways at a given time.
 
     `what` is "begin KIND", "turn KIND" or "end KIND" of a fault; "drain", "die" or "live" for engines; "start gateway",
     "stop gateway", "kill gateway" or "relieve gateway".
@@ -79,23 +79,23 @@
     return sorted(actions, key=lambda action: action.at_ms)
 
 
-def _sample(rng: random.Random, among: range | list[int], part: float) -> Targets:
+def _sample(rng: random.Random, candidates: range | list[int], part: float) -> Targets:
     """A random sample; at least one target if there are any and `part` is above 0."""
-    sample_size = max(1, round(part * len(among))) if among and part > 0 else 0
-    return tuple(sorted(rng.sample(among, min(sample_size, len(among)))))
+    sample_size = max(1, round(part * len(candidates))) if candidates and part > 0 else 0
+    return tuple(sorted(rng.sample(candidates, min(sample_size, len(candidates)))))
 
 
 def _affected_engines(fault: EngineFaultConfig, rng: random.Random, engines: list[PlannedEngine]) -> Targets:
     if fault.on is not None:
         return tuple(fault.on)
-    among = [engine for engine in engines if fault.role in ("any", engine.role)]
+    candidates = [engine for engine in engines if fault.role in ("any", engine.role)]
     part = fault.part
     if isinstance(fault, MassRestart) and fault.role == "any":  # all targets have the same role
-        role = rng.choice(sorted({engine.role for engine in among}))
-        of_role = [engine for engine in among if engine.role == role]
-        part = min(1.0, fault.part * len(among) / max(1, len(of_role)))
-        among = of_role
-    return _sample(rng, [engine.number for engine in among], part)
+        role = rng.choice(sorted({engine.role for engine in candidates}))
+        same_role = [engine for engine in candidates if engine.role == role]
+        part = min(1.0, fault.part * len(candidates) / max(1, len(same_role)))
+        candidates = same_role
+    return _sample(rng, [engine.number for engine in candidates], part)
 
 
 def _batches(targets: Targets, size: int) -> list[Targets]:
@@ -173,12 +173,12 @@
     if not isinstance(fault, CacheFlush):
         yield FaultAction(fault.end_ms, f"end {fault.kind}", engines, fault)
     if isinstance(fault, Pauses):
-        yield from _turns(fault, engines, fault.every_s)
+        yield from _repeated_actions(fault, engines, fault.every_s)
     elif isinstance(fault, NoisyNeighbour):
-        yield from _turns(fault, engines, fault.turn_s)
+        yield from _repeated_actions(fault, engines, fault.turn_s)
 
 
-def _turns(fault: Pauses | NoisyNeighbour, engines: Targets, every_s: float) -> Iterator[FaultAction]:
+def _repeated_actions(fault: Pauses | NoisyNeighbour, engines: Targets, every_s: float) -> Iterator[FaultAction]:
     for turn in count(1):
         at_ms = fault.at_ms + turn * every_s * 1000
         if at_ms >= fault.end_ms:
--- a/ternlane/scenarios/faults.py
+++ b/ternlane/scenarios/faults.py
@@ -24,12 +24,12 @@
 
     @property
     def at_ms(self) -> float:
-        """Its start, in ms from the start of the run."""
+        """Start of the fault, in ms from the start of the run."""
         return self.at_s * 1000
 
     @property
     def end_ms(self) -> float:
-        """Its end, in ms from the start of the run."""
+        """End of the fault, in ms from the start of the run."""
         return (self.at_s + self.for_s) * 1000
 
 
@@ -83,7 +83,7 @@
     """Accepts requests but does not answer."""
 
 
-class Slow(EngineFaultConfig, frozen=True, kw_only=True, tag="slow", tag_field="kind"):
+class Slowdown(EngineFaultConfig, frozen=True, kw_only=True, tag="slow", tag_field="kind"):
     """Works slower by the factor `times`."""
 
     times: Positive = 4.0
@@ -107,21 +107,21 @@
     """The prefix cache is cleared."""
 
 
-class AnswerLost(EngineFaultConfig, frozen=True, kw_only=True, tag="answer_lost", tag_field="kind"):
+class LostAnswer(EngineFaultConfig, frozen=True, kw_only=True, tag="answer_lost", tag_field="kind"):
     """The work is done, but its answer is not sent."""
 
     share: Part = 0.2
     how: Literal["silence", "reset"] = "silence"
 
 
-class StreamBroken(EngineFaultConfig, frozen=True, kw_only=True, tag="stream_broken", tag_field="kind"):
+class BrokenStream(EngineFaultConfig, frozen=True, kw_only=True, tag="stream_broken", tag_field="kind"):
     """Answers break off after a random event, possibly the last: the connection is reset, or nothing more is sent."""
 
     share: Part = 0.1
     how: Literal["reset", "stall"] = "reset"
 
 
-class HandshakeSlow(EngineFaultConfig, frozen=True, kw_only=True, tag="handshake_slow", tag_field="kind"):
+class SlowHandshake(EngineFaultConfig, frozen=True, kw_only=True, tag="handshake_slow", tag_field="kind"):
     """New connections are served late; open ones are not affected."""
 
     added_ms: Positive = 200.0
@@ -158,7 +158,7 @@
 
 
 class ZoneCut(FaultConfig, frozen=True, kw_only=True, tag="zone_cut", tag_field="kind"):
-    """One zone and all others can't reach each other."""
+    """No connection between one zone and all others works."""
 
     zone: str
 
@@ -196,13 +196,13 @@
     | HotPrefix
     | Crash
     | Hang
-    | Slow
+    | Slowdown
     | Pauses
     | NoisyNeighbour
     | CacheFlush
-    | AnswerLost
-    | StreamBroken
-    | HandshakeSlow
+    | LostAnswer
+    | BrokenStream
+    | SlowHandshake
     | SlowLinks
     | ZoneCut
     | MassRestart
--- a/ternlane/scenarios/fleet_process.py
+++ b/ternlane/scenarios/fleet_process.py
@@ -1,4 +1,4 @@
-"""A process of a run that runs a share of the fake engines and injects their faults."""
+"""A process of a run, with a share of the fake engines, whose faults it injects."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from ternlane.scenarios.fault_plan import FaultAction, fault_actions_of
 from ternlane.scenarios.faults import (
-    AnswerLost,
+    BrokenStream,
     CacheFlush,
-    HandshakeSlow,
     Hang,
+    LostAnswer,
     NoisyNeighbour,
     Pauses,
-    Slow,
+    Slowdown,
+    SlowHandshake,
     SlowLinks,
-    StreamBroken,
     ZoneCut,
 )
 from ternlane.scenarios.fleet_plan import ENGINE_NET, PlannedEngine, address_of, engines_of, zones_of
@@ -47,7 +47,7 @@
                 continue
             for number in action.on:
                 if number in engines:
-                    _act(engines[number], action, zones, nursery)
+                    _apply_action(engines[number], action, zones, nursery)
         await trio.sleep_forever()
 
     try:
@@ -71,7 +71,7 @@
     )
 
 
-def _act(engine: FakeEngine, action: FaultAction, zones: list[str], nursery: trio.Nursery) -> None:
+def _apply_action(engine: FakeEngine, action: FaultAction, zones: list[str], nursery: trio.Nursery) -> None:
     match action.what:
         case "die":
             engine.die()
@@ -91,20 +91,20 @@
     match action.fault:
         case Hang():
             fault.hung = on
-        case Slow(times=times):
+        case Slowdown(times=times):
             fault.slowdown = times if on else 1.0
         case Pauses(pause_ms=pause_ms):
             fault.paused_until_ms = clock_ms() + pause_ms if on else 0.0
         case NoisyNeighbour(share=share):
             odd_turn = bool(action.args) and action.args[0] % 2 == 1
             fault.cpu_taken_share = share if on and not odd_turn else 0.0
-        case AnswerLost(share=share, how=how):
+        case LostAnswer(share=share, how=how):
             fault.lost_answer_share = share if on else 0.0
             fault.lost_by_reset = on and how == "reset"
-        case StreamBroken(share=share, how=how):
+        case BrokenStream(share=share, how=how):
             fault.broken_stream_share = share if on else 0.0
             fault.broken_by = how
-        case HandshakeSlow(added_ms=added_ms):
+        case SlowHandshake(added_ms=added_ms):
             fault.handshake_delay_ms = added_ms if on else 0.0
         case SlowLinks(times=times):
             fault.link_slowdown = times if on else 1.0
@@ -116,7 +116,7 @@
 
 
 def _cut_zone(engine: FakeEngine, cut_zone: int, own_zone: int, on: bool) -> None:
-    """The zone that is cut off and all others can't reach each other. The address of a peer tells its zone."""
+    """Cuts off one zone from all others. The zone of a peer is known from its address."""
 
     def is_cut_off(peer: str) -> bool:
         peer_zone = int(peer.split(".")[2]) - 1
--- a/ternlane/scenarios/front_process.py
+++ b/ternlane/scenarios/front_process.py
@@ -1,4 +1,4 @@
-"""The process of a run that runs the front layer."""
+"""The process of a run with the fake front layer."""
 
 from __future__ import annotations
 
--- a/ternlane/scenarios/registry_faults.py
+++ b/ternlane/scenarios/registry_faults.py
@@ -29,7 +29,7 @@
         self.registry = registry
         self.delays = delays
         self.idents = idents
-        self._emptied: dict[str, RegisteredEndpoint] = {}
+        self._removed_endpoints: dict[str, RegisteredEndpoint] = {}
 
     def apply_fault(self, action: FaultAction, fault: RegistryFailure) -> None:
         """Starts or ends a fault."""
@@ -37,18 +37,18 @@
             if action.begins:
                 self.registry.restart()
         elif fault.how == "empty":
-            self._empty_or_refill(action.begins)
+            self._empty_or_restore(action.begins)
         else:
             self.registry.failing = fault.how if action.begins else None
             self.registry.notify()
 
-    def _empty_or_refill(self, empty: bool) -> None:
+    def _empty_or_restore(self, empty: bool) -> None:
         endpoints = self.registry.endpoints
         if empty:
-            self._emptied = dict(endpoints)
+            self._removed_endpoints = dict(endpoints)
             endpoints.clear()
         else:
-            missing = {ident: endpoint for ident, endpoint in self._emptied.items() if ident not in endpoints}
+            missing = {ident: endpoint for ident, endpoint in self._removed_endpoints.items() if ident not in endpoints}
             endpoints.update(missing)
         self.registry.notify()
 
--- a/ternlane/scenarios/report_table.py
+++ b/ternlane/scenarios/report_table.py
@@ -22,18 +22,18 @@
 
 
 def _request_lines(report: dict[str, Any]) -> list[str]:
-    names = "".join(f"{outcome:>12}" for outcome in OUTCOMES)
+    header = "".join(f"{outcome:>12}" for outcome in OUTCOMES)
     lines = [
         f"{report['day']}  seed {report['seed']}  {report['gateways']} gateways  {report['generations']} "
         f"requests, {report['per_second']} per second  (fake engines)",
-        f"{'class':<16}{'total':>7}{names}{'in time':>9}{'p50 ms':>9}{'p99 ms':>9}",
+        f"{'class':<16}{'total':>7}{header}{'in time':>9}{'p50 ms':>9}{'p99 ms':>9}",
     ]
     for name, figures in report["products"].items():
-        waits_ms = figures["first_token_ms"]
+        latencies_ms = figures["first_token_ms"]
         counts = "".join(f"{figures['outcomes'].get(outcome, 0):>12}" for outcome in OUTCOMES)
         lines.append(
             f"{name:<16}{figures['asked']:>7}{counts}"
-            f"{figures['in_time']:>9}{waits_ms['0.5']:>9.0f}{waits_ms['0.99']:>9.0f}"
+            f"{figures['in_time']:>9}{latencies_ms['0.5']:>9.0f}{latencies_ms['0.99']:>9.0f}"
         )
     judged = ", ".join(f"{count} {what}" for what, count in report["judged"].items())
     lines.append(
@@ -56,10 +56,10 @@
 def _account_lines(accounts: dict[str, Any]) -> list[str]:
     made = accounts["made"]
     billed = accounts["billed"]
-    house = accounts["house"]
+    unbilled = accounts["house"]
     return [
         f"engines counted {made.prompt} + {made.answer} tokens; billed {billed.prompt} + {billed.answer}, "
-        f"unbilled {house.prompt} + {house.answer}; unexplained {accounts['off']:.3%}, "
+        f"unbilled {unbilled.prompt} + {unbilled.answer}; unexplained {accounts['off']:.3%}, "
         f"{accounts['unsettled']} not settled ({accounts['unsettled_toks']} tokens), "
         f"{len(accounts['doubled'])} billed twice",
         f"most tokens spent by a tenant: {accounts['most_spent']}, allowed: {accounts['allowed_each']}; "
--- a/ternlane/scenarios/request_report.py
+++ b/ternlane/scenarios/request_report.py
@@ -28,22 +28,22 @@
     @classmethod
     def of(cls, lines: list[LogLine]) -> RequestLines:
         """Groups a run's log lines."""
-        found = cls()
+        request_lines = cls()
         for line in lines:
             match line["k"]:
                 case "ask":
-                    found.sent_requests[line["task"]].append(line)
+                    request_lines.sent_requests[line["task"]].append(line)
                 case "first":
-                    found.first_tokens_ms[line["gen"]] = line["t"]
+                    request_lines.first_tokens_ms[line["gen"]] = line["t"]
                 case "final":
-                    found.finals[line["gen"]] = line
+                    request_lines.finals[line["gen"]] = line
                 case "task":
-                    found.tasks[line["task"]] = line
+                    request_lines.tasks[line["task"]] = line
                 case "leg":
-                    found.attempts += 1
+                    request_lines.attempts += 1
                 case "leg_end":
-                    found.attempt_outcomes[line["how"].split(" ")[0]] += 1
-        return found
+                    request_lines.attempt_outcomes[line["how"].split(" ")[0]] += 1
+        return request_lines
 
     def span_s(self) -> float:
         """The time from the first sent request to the last."""
@@ -76,14 +76,16 @@
     """The figures of each request class, and the revenue of each tenant."""
     revenues: dict[str, Revenue] = defaultdict(Revenue)
     by_name = {request_class.name: request_class for request_class in request_classes}
-    figures = {name: _figures(run, request_class, revenues) for name, request_class in by_name.items()}
+    figures = {name: _request_class_report(run, request_class, revenues) for name, request_class in by_name.items()}
     return figures, revenues
 
 
-def _figures(run: RequestLines, request_class: RequestClassConfig, revenues: dict[str, Revenue]) -> dict[str, Any]:
+def _request_class_report(
+    run: RequestLines, request_class: RequestClassConfig, revenues: dict[str, Revenue]
+) -> dict[str, Any]:
     weight = request_class.priority_weight
     tasks = [task for task in run.tasks.values() if task["product"] == request_class.name]
-    waits_ms: list[float] = []
+    latencies_ms: list[float] = []
     in_time = 0
     for task in tasks:
         revenue = revenues[task.get("tenant", "")]
@@ -91,12 +93,12 @@
         answered_request = run.answered_request(task["task"])
         if answered_request is None or answered_request["gen"] not in run.first_tokens_ms:
             continue
-        wait_ms = run.first_tokens_ms[answered_request["gen"]] - run.sent_requests[task["task"]][0]["t"]
-        waits_ms.append(wait_ms)
+        latency_ms = run.first_tokens_ms[answered_request["gen"]] - run.sent_requests[task["task"]][0]["t"]
+        latencies_ms.append(latency_ms)
         slo_ms = request_class.slo_ms + request_class.slo_per_1000_tokens_ms * answered_request["toks"] / 1000
-        in_time += wait_ms <= slo_ms
-        revenue.earned += weight if wait_ms <= slo_ms else weight * request_class.late_value_share
-    late = len(waits_ms) - in_time
+        in_time += latency_ms <= slo_ms
+        revenue.earned += weight if latency_ms <= slo_ms else weight * request_class.late_value_share
+    late = len(latencies_ms) - in_time
     return {
         "asked": len(tasks),
         "outcomes": dict(Counter(task["outcome"] for task in tasks)),
@@ -104,5 +106,5 @@
         "late": late,
         "earned": round(weight * (in_time + request_class.late_value_share * late), 1),
         "could_earn": round(weight * len(tasks), 1),
-        "first_token_ms": shown_quantiles(waits_ms),
+        "first_token_ms": shown_quantiles(latencies_ms),
     }
--- a/ternlane/scenarios/scenario.py
+++ b/ternlane/scenarios/scenario.py
@@ -90,9 +90,7 @@
     seed: int = 1
     length_s: Positive
     rate: Positive  # requests per second at all gateways together, without retries
-    load: Annotated[tuple[Range, ...], Meta(min_length=1)] = (
-        (0.0, 1.0),
-    )  # (second, factor on the rate), interpolated linearly
+    load: Annotated[tuple[Range, ...], Meta(min_length=1)] = ((0.0, 1.0),)  # (second, factor on `rate`), interpolated
     gateways: Count = 2
     cells: Annotated[list[Cell], Meta(min_length=1)]
     prefill_server: EngineKind = EngineKind()
--- a/ternlane/scenarios/stream_report.py
+++ b/ternlane/scenarios/stream_report.py
@@ -101,7 +101,7 @@
         self.by_cause[cause][outcome] += 1
         if sent["stream"] and outcome == "whole":
             self.pauses_ms[cause].append(final["gap"])
-        self.by_progress[_progress(len(attempt["text"].split()))][outcome] += 1
+        self.by_progress[_progress_bucket(len(attempt["text"].split()))][outcome] += 1
 
     def as_report(self) -> dict[str, Any]:
         """The counts as they stand in `report.json`."""
@@ -116,7 +116,7 @@
         }
 
 
-def _progress(words: int) -> str:
+def _progress_bucket(words: int) -> str:
     if words == 1:
         return "1"
     if words < 8:
--- a/ternlane/testing/client_attempt.py
+++ b/ternlane/testing/client_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a fake client: sends a chat request over HTTP and records the answer."""
+"""An attempt of a fake client: sends a chat request over HTTP and records the answer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     number: int  # index of the attempt: 0, then 1 for the first retry
     deadline_ms: float
     stream: bool
-    leave_after_ms: float | None = None  # when the client disconnects; None: it does not
+    disconnect_after_ms: float | None = None  # when the client disconnects; None: it does not
 
     @property
     def name(self) -> str:
@@ -56,8 +56,8 @@
         """Runs the attempt. Failures of the gateway do not raise; they are in the result."""
         plan = self.plan
         result = self.result
-        stay_ms = plan.deadline_ms + EXTRA_WAIT_MS if plan.leave_after_ms is None else plan.leave_after_ms
-        self._scope.deadline = trio.current_time() + stay_ms / 1000
+        timeout_ms = plan.deadline_ms + EXTRA_WAIT_MS if plan.disconnect_after_ms is None else plan.disconnect_after_ms
+        self._scope.deadline = trio.current_time() + timeout_ms / 1000
         try:
             with self._scope:
                 self._connection = await self.pool.connect(address)
@@ -68,7 +68,7 @@
         except CONNECTION_BROKEN as error:
             result.outcome = ClientOutcome.BROKEN
             result.reason = repr(error)
-        if self._scope.cancelled_caught and plan.leave_after_ms is not None:
+        if self._scope.cancelled_caught and plan.disconnect_after_ms is not None:
             result.outcome = ClientOutcome.LEFT
         if self._connection is not None:
             self._connection.close_now()
@@ -183,7 +183,7 @@
             if last_ms is not None:
                 self.result.longest_gap_ms = max(self.result.longest_gap_ms, now_ms - last_ms)
             last_ms = now_ms
-            if self.plan.leave_after_ms is None:  # once a stream has begun, the timeout applies to each event
+            if self.plan.disconnect_after_ms is None:  # once a stream has begun, the timeout applies to each event
                 self._scope.deadline = trio.current_time() + self.plan.deadline_ms / 1000
             reader.feed(chunk)
         self.result.text = "".join(reader.pieces)
--- a/ternlane/testing/client_sessions.py
+++ b/ternlane/testing/client_sessions.py
@@ -7,7 +7,7 @@
 
 from ternlane.testing.client_workload import ClientWorkload, Range, Session, Tenant, TrafficConditions
 
-USERS = 200
+USER_COUNT = 200
 # Tenant n gets traffic in proportion to 1 / (n + 3): the first ones get more, but none dominates.
 TENANT_RANK_OFFSET = 3
 
@@ -51,7 +51,7 @@
         turns = draw_uniform(rng, workload.turns)
         turns_left = int(turns) + (rng.random() < turns % 1)
         cache_key = ident if rng.random() < workload.session_key_share else None
-        user = f"user-{rng.randrange(USERS)}"
+        user = f"user-{rng.randrange(USER_COUNT)}"
         return Session(workload, ident, messages, cache_key, user, self._tenant(), max(1, turns_left))
 
     def _prefix(self, workload: ClientWorkload) -> str:
--- a/ternlane/testing/clients.py
+++ b/ternlane/testing/clients.py
@@ -26,7 +26,7 @@
 CONNECT_TIMEOUT_MS = 1000.0
 CONNECTION_IDLE_MS = 1000.0
 # A retry is not sent if less than this is left until the deadline.
-LAST_RETRY_MS = 50.0
+MIN_TIME_FOR_RETRY_MS = 50.0
 MIN_SESSIONS_PER_S = 1e-3  # avoids division by zero
 MAX_REASON_CHARACTERS = 60
 
@@ -70,9 +70,9 @@
             sessions_per_s = rate((due_s - begin_s) * 1000) * self.conditions.rate / turns
             due_s += self._rng.expovariate(max(MIN_SESSIONS_PER_S, sessions_per_s))
             await trio.sleep_until(due_s)
-            nursery.start_soon(self._converse, self._sessions.next())
+            nursery.start_soon(self._run_session, self._sessions.next())
 
-    async def _converse(self, session: Session) -> None:
+    async def _run_session(self, session: Session) -> None:
         while session.turns_left > 0:
             session.turns_left -= 1
             session.turn += 1
@@ -120,7 +120,7 @@
             result = await ClientAttempt(self._pool, self.traffic, session, plan).run(self.address)
             attempts += 1
             pause_ms = self._pause_ms(result)
-            too_late = clock_ms() + pause_ms > begin_ms + deadline_ms - LAST_RETRY_MS
+            too_late = clock_ms() + pause_ms > begin_ms + deadline_ms - MIN_TIME_FOR_RETRY_MS
             if attempts > self.behaviour.retries or too_late or not _may_retry(session.workload, result):
                 return result, attempts
             await trio.sleep(pause_ms / 1000)
@@ -132,7 +132,7 @@
         stream = self._rng.random() >= workload.unstreamed_share
         plan = AttemptPlan(task, number, min(attempt_ms, left_ms), stream)
         if self._rng.random() < self.behaviour.leave_part:
-            plan.leave_after_ms = draw_uniform(self._rng, self.behaviour.leave_ms)
+            plan.disconnect_after_ms = draw_uniform(self._rng, self.behaviour.leave_ms)
         return plan
 
     def _pause_ms(self, result: ClientResult) -> float:
--- a/ternlane/testing/engine_core.py
+++ b/ternlane/testing/engine_core.py
@@ -20,8 +20,8 @@
 STATE_LEASE_MS = 30e3  # a state that no decode server has fetched is dropped after this time
 PREFIX_CACHE_SHARE = 0.5  # of the memory; the rest is for running attempts
 WORK_STEP_MS = 50.0  # interval at which running work takes up a changed speed
-STANDSTILL_POLL_MS = 20.0  # interval at which stopped work checks the speed
-REMEMBERED_KEYS = 10_000  # maximum number of idempotency keys
+STOPPED_POLL_MS = 20.0  # interval at which stopped work checks the speed
+MAX_IDEMPOTENCY_KEYS = 10_000  # maximum number of idempotency keys
 CONNECT_TIMEOUT_MS = 500.0
 CONNECTION_IDLE_MS = 20e3
 
@@ -45,7 +45,7 @@
 
 
 class EngineCore:
-    """One engine process. All times are in milliseconds of the machine's clock."""
+    """An engine process. All times are in milliseconds of the machine's clock."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
         while left_ms > 1e-6:
             speed = self.speed()
             if speed <= 0:
-                with trio.move_on_after(STANDSTILL_POLL_MS / 1000):
+                with trio.move_on_after(STOPPED_POLL_MS / 1000):
                     await self._speed_changed.wait()
                 continue
             step_ms = min(left_ms / speed, WORK_STEP_MS)
@@ -130,7 +130,7 @@
         await trio.lowlevel.checkpoint()
 
     def record_arrival(self, work_ms: float) -> None:
-        """Records arrived work. A cold process crashes if more arrives within `fall_ms` than it can do."""
+        """Records arrived work. A cold process crashes on more than `fall_multiple` times its capacity in `fall_ms`."""
         profile = self.profile
         now_ms = clock_ms()
         self._arrived_work.append((now_ms, work_ms))
@@ -241,5 +241,5 @@
             "effect", id=self.ident, gen=request, n=number, key=idempotency_key, cell=self.cell, zone=self.zone
         )
         self._effects_ms[idempotency_key] = clock_ms()
-        while len(self._effects_ms) > REMEMBERED_KEYS:
+        while len(self._effects_ms) > MAX_IDEMPOTENCY_KEYS:
             self._effects_ms.popitem(last=False)
--- a/ternlane/testing/engine_decode.py
+++ b/ternlane/testing/engine_decode.py
@@ -85,16 +85,16 @@
         engine.record_effect(self.request.request, self.request.number, self.request.idempotency_key)
         if engine.fault.script in ("error", "reset", "silent"):
             return await apply_script(engine.fault, self.exchange)
-        lost = engine.rng.random() < engine.fault.lost_answer_share
+        is_lost = engine.rng.random() < engine.fault.lost_answer_share
         words = self.answer.words
         for index, word in enumerate(words):
             await engine.work(self._word_ms())
             if index == self.break_after:
                 return await break_stream(self.broken_by, self.exchange)
             self.decoded_words += 1
-            if not lost:
+            if not is_lost:
                 await self._send_word(index, word)
-        if lost:
+        if is_lost:
             return await lose_answer(engine.fault, self.exchange)
         if words and self.break_after == len(words):  # after the last word, before the end marker
             return await break_stream(self.broken_by, self.exchange)
--- a/ternlane/testing/engine_profile.py
+++ b/ternlane/testing/engine_profile.py
@@ -25,7 +25,7 @@
     PREFILLED = "read"
     STREAMED = "streamed"
     ERROR = "error"
-    LOST = "lost"  # the connection was reset without an answer
+    LOST = "lost"  # the connection was reset before the end of the answer
     DROPPED = "dropped"  # the gateway disconnected, or the process ended
 
 
@@ -49,7 +49,7 @@
     dedup_ms: float = 5000.0  # time for which repeats of an idempotency key have no effect
 
 
-def _nobody(_address: str) -> bool:
+def _no_peer(_address: str) -> bool:
     return False
 
 
@@ -73,4 +73,4 @@
     script: str = ""
     break_after_events: int = 2
     usage_reporting: str = "true"  # "none": usage is missing; "absurd": token counts are wrong
-    is_cut_off: Callable[[str], bool] = field(default=_nobody)  # by the IP address of the peer
+    is_cut_off: Callable[[str], bool] = field(default=_no_peer)  # by the IP address of the peer
--- a/ternlane/testing/registry.py
+++ b/ternlane/testing/registry.py
@@ -13,7 +13,7 @@
 from ternlane.testing.traffic import TrafficLog
 
 Failure = Literal["errors", "silence", "garbage", "partial"]
-SILENCE_S = 60
+NO_ANSWER_S = 60
 DEFAULT_WAIT = "10000ms"
 FIRST_INDEX = 10
 MAX_BODY_BYTES = 1024
@@ -114,7 +114,7 @@
 
     async def _handle(self, exchange: Exchange) -> None:
         if self.failing == "silence":
-            await trio.sleep(SILENCE_S)
+            await trio.sleep(NO_ANSWER_S)
         if self.failing == "errors":
             await exchange.answer(500, [], b"no cluster leader", "text/plain")
             return
