--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -55,8 +55,8 @@
 def test_the_short_scenario_breaks_no_rule(tmp_path: Path) -> None:
     """Engines crash and lose answers, a zone is cut off, a gateway is killed, and engines are upgraded. Each request
     must still get one answer and have its effect once, and no state may stay held."""
-    done = run("day", "play", str(DAYS / "short.json5"), "--quiet", "--out", str(tmp_path / "run"))
-    assert done.returncode == 0, done.stdout[-3000:] + done.stderr[-2000:]
+    completed = run("day", "play", str(DAYS / "short.json5"), "--quiet", "--out", str(tmp_path / "run"))
+    assert completed.returncode == 0, completed.stdout[-3000:] + completed.stderr[-2000:]
     report = json.loads((tmp_path / "run" / "report.json").read_text())
     assert report["rules_kept"] and report["judged"]["asked"] > 200
     assert report["judged"]["states"] > 100 and report["judged"]["drains told"] > 0
@@ -75,8 +75,8 @@
 def test_an_invalid_scenario_is_refused_with_line_and_field(tmp_path: Path) -> None:
     text = (DAYS / "short.json5").read_text().replace('kind: "crash"', 'kind: "crahs"')
     (tmp_path / "d.json5").write_text(text)
-    done = run("day", "play", str(tmp_path / "d.json5"))
-    assert done.returncode == 65 and "d.json5:" in done.stderr and "troubles[1]" in done.stderr
+    completed = run("day", "play", str(tmp_path / "d.json5"))
+    assert completed.returncode == 65 and "d.json5:" in completed.stderr and "troubles[1]" in completed.stderr
 
 
 def gateway_config(tmp_path: Path, **more: Any) -> tuple[Path, int]:
@@ -139,8 +139,8 @@
     with socket.socket() as s:
         s.bind(("127.0.0.1", port))
         s.listen()
-        done = run("serve", str(path))
-    assert done.returncode == 69 and "in use" in done.stderr
+        completed = run("serve", str(path))
+    assert completed.returncode == 69 and "in use" in completed.stderr
 
 
 async def test_the_openai_client_is_served() -> None:
@@ -159,7 +159,7 @@
                 chunks = list(streamed)
                 text = "".join(c.choices[0].delta.content or "" for c in chunks if c.choices)
                 with pytest.raises(openai.NotFoundError) as not_found:
-                    client.chat.completions.create(model="nobody", messages=messages)
+                    client.chat.completions.create(model="unknown", messages=messages)
                 broken = client.chat.completions.create(model="summary", messages=messages, stream=True)
                 next(iter(broken))
                 broken.close()  # cancelled during the stream
@@ -247,16 +247,16 @@
             {"kind": "preempt", "at": 7e6, "len": 5e6, "on": []}
             | no_details
             | {"size": 2.0, "extra": 6.0, "steps": [{"stop": [3], "start": [8]}, {"stop": [5], "start": [9]}]},
-            {"kind": "unheard-of", "at": 8e6, "len": 1e6, "on": [1]} | no_details,
+            {"kind": "unknown-kind", "at": 8e6, "len": 1e6, "on": [1]} | no_details,
         ],
     }
 
 
 def test_a_benchmark_day_is_converted_to_a_scenario(tmp_path: Path) -> None:
     (tmp_path / "day.json").write_text(json.dumps(bench_day()))
-    done = run("day", "from-bench", str(tmp_path / "day.json"), "--speed", "2", "--engines", "8")
-    assert done.returncode == 0, done.stderr
-    (tmp_path / "d.json5").write_text(done.stdout)
+    completed = run("day", "from-bench", str(tmp_path / "day.json"), "--speed", "2", "--engines", "8")
+    assert completed.returncode == 0, completed.stderr
+    (tmp_path / "d.json5").write_text(completed.stdout)
     scenario = read_config(tmp_path / "d.json5", Scenario)
     assert [(fault.kind, fault.at_s) for fault in scenario.troubles] == [
         ("crash", 2.0),
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -88,7 +88,7 @@
 class Result:
     outcome: str
     effects: int
-    text: str
+    pieces: str  # number of pieces of text
 
 
 PORTS = iter(range(31100, 32700))  # below the ephemeral ports, which the system assigns to the engines
@@ -268,14 +268,14 @@
             with trio.fail_after(20):
                 while True:
                     try:
-                        caller = await pool.connect(f"127.0.0.1:{port}")
+                        connection = await pool.connect(f"127.0.0.1:{port}")
                         break
                     except Exception:
                         await trio.sleep(0.03)
             reply = await send_request(
-                caller, chat_request(model), {"X-Ternlane-Time-Limit-Ms": f"{TIMEOUT_MS}"}, "/v1/chat/completions"
+                connection, chat_request(model), {"X-Ternlane-Time-Limit-Ms": f"{TIMEOUT_MS}"}, "/v1/chat/completions"
             )
-            caller.close_now()
+            connection.close_now()
         finally:
             process.send_signal(signal.SIGTERM)
             with trio.CancelScope(shield=True), trio.move_on_after(5):
@@ -294,7 +294,7 @@
     """How often an idempotent request ran before it failed depends on real time over sockets. So only whether it ran at
     all is compared."""
     idempotent = next(p for p in REQUEST_CLASSES if p.name == scenario[0]).effect == "idempotent"
-    return Result(result.outcome, min(result.effects, 1) if idempotent else result.effects, result.text)
+    return Result(result.outcome, min(result.effects, 1) if idempotent else result.effects, result.pieces)
 
 
 def run_all_in_library() -> tuple[dict[tuple[str, str], Result], dict[tuple[str, str], list[str]]]:
@@ -342,7 +342,7 @@
 
 @pytest.mark.parametrize("request_class", REQUEST_CLASSES)
 def test_results_in_the_library(request_class: Any) -> None:
-    def of(fault: str) -> Result:
+    def run(fault: str) -> Result:
         return trio.run(
             run_in_library, request_class.name, FAULTS[fault], clock=trio.testing.MockClock(autojump_threshold=0)
         )
@@ -356,7 +356,7 @@
         "one decode server full",
         "one prefill server drains",
     ):
-        assert of(fault) == Result("streamed", 1, "6"), fault
+        assert run(fault) == Result("streamed", 1, "6"), fault
     for fault in (
         "no servers listed",
         "all prefill servers gone",
@@ -364,11 +364,11 @@
         "all prefill servers unreachable",
         "all decode servers full",
     ):
-        assert of(fault) == Result("throttled", 0, "0"), fault
+        assert run(fault) == Result("throttled", 0, "0"), fault
     for fault in ("all decode servers break midway", "all decode servers stall"):
         # A resumed stream breaks off again at each server, until no attempts are left.
         is_resumed = request_class.effect == "idempotent"
-        assert of(fault) == (Result("broken off", 2, "4") if is_resumed else Result("broken off", 1, "2")), fault
-    broken = of("all decode servers break off")
+        assert run(fault) == (Result("broken off", 2, "4") if is_resumed else Result("broken off", 1, "2")), fault
+    broken = run("all decode servers break off")
     assert broken.effects == 1 if request_class.effect == "side-effecting" else broken.effects >= 1
     assert broken.outcome == ("throttled" if request_class.effect == "idempotent" else "terminated")
