--- a/ternlane/scenarios/fleet_process.py
+++ b/ternlane/scenarios/fleet_process.py
@@ -1,4 +1,4 @@
-"""A process of a run that holds a part of its engines, and strikes them as the scenario says."""
+"""A process of a run, with a share of the fake engines, whose faults it injects."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 from ternlane.scenarios.fault_plan import FaultAction, fault_actions_of
 from ternlane.scenarios.faults import (
-    AnswerLost,
+    BrokenStream,
     CacheFlush,
-    HandshakeSlow,
     Hang,
+    LostAnswer,
     NoisyNeighbour,
-    OriginSlow,
     Pauses,
-    Slow,
-    StreamBroken,
+    Slowdown,
+    SlowHandshake,
+    SlowLinks,
     ZoneCut,
 )
 from ternlane.scenarios.fleet_plan import ENGINE_NET, PlannedEngine, address_of, engines_of, zones_of
 from ternlane.scenarios.layout import RunLayout
 from ternlane.scenarios.signals import run_until_signal
 from ternlane.testing.engine import FakeEngine
-from ternlane.testing.traffic import Traffic, clock_ms
+from ternlane.testing.traffic import TrafficLog, clock_ms
 
 
 async def run_fleet(folder: Path, index: int, of: int) -> None:
-    """Part `index` of `of`, until the process is asked to stop."""
+    """Runs share `index` of `of` until SIGTERM or SIGINT."""
     layout = RunLayout.load(folder)
     zones = zones_of(layout.scenario)
-    traffic = Traffic(folder / f"fleet-{index}.jsonl")
+    traffic = TrafficLog(folder / f"fleet-{index}.jsonl")
     engines = {
         planned.number: _engine(layout, planned, zones, traffic)
         for planned in engines_of(layout.scenario)
@@ -47,7 +47,7 @@
                 continue
             for number in action.on:
                 if number in engines:
-                    _act(engines[number], action, zones, nursery)
+                    _apply_action(engines[number], action, zones, nursery)
         await trio.sleep_forever()
 
     try:
@@ -56,7 +56,7 @@
         traffic.close()
 
 
-def _engine(layout: RunLayout, planned: PlannedEngine, zones: list[str], traffic: Traffic) -> FakeEngine:
+def _engine(layout: RunLayout, planned: PlannedEngine, zones: list[str], traffic: TrafficLog) -> FakeEngine:
     return FakeEngine(
         ident=planned.ident,
         role=planned.role,
@@ -71,52 +71,52 @@
     )
 
 
-def _act(engine: FakeEngine, action: FaultAction, zones: list[str], nursery: trio.Nursery) -> None:
+def _apply_action(engine: FakeEngine, action: FaultAction, zones: list[str], nursery: trio.Nursery) -> None:
     match action.what:
         case "die":
             engine.die()
         case "live":
             engine.started_ms = clock_ms()
             nursery.start_soon(engine.run, nursery)
-        case "drain":  # only the registry learns of it
+        case "drain":  # only the registry lists it
             pass
         case _:
-            _strike(engine, action, zones.index(engine.zone))
+            _apply_fault(engine, action, zones.index(engine.zone))
 
 
-def _strike(engine: FakeEngine, action: FaultAction, zone: int) -> None:
-    """Lets a fault begin, turn or end at one engine."""
+def _apply_fault(engine: FakeEngine, action: FaultAction, zone: int) -> None:
+    """Starts, switches or ends a fault at one engine."""
     on = not action.what.startswith("end")
     fault = engine.fault
     match action.fault:
         case Hang():
             fault.hung = on
-        case Slow(times=times):
+        case Slowdown(times=times):
             fault.slowdown = times if on else 1.0
         case Pauses(pause_ms=pause_ms):
             fault.paused_until_ms = clock_ms() + pause_ms if on else 0.0
         case NoisyNeighbour(share=share):
             odd_turn = bool(action.args) and action.args[0] % 2 == 1
             fault.cpu_taken_share = share if on and not odd_turn else 0.0
-        case AnswerLost(share=share, how=how):
+        case LostAnswer(share=share, how=how):
             fault.lost_answer_share = share if on else 0.0
             fault.lost_by_reset = on and how == "reset"
-        case StreamBroken(share=share, how=how):
+        case BrokenStream(share=share, how=how):
             fault.broken_stream_share = share if on else 0.0
             fault.broken_by = how
-        case HandshakeSlow(added_ms=added_ms):
+        case SlowHandshake(added_ms=added_ms):
             fault.handshake_delay_ms = added_ms if on else 0.0
-        case OriginSlow(times=times):
+        case SlowLinks(times=times):
             fault.link_slowdown = times if on else 1.0
         case ZoneCut():
             _cut_zone(engine, action.args[0], zone, on)
         case CacheFlush():
             engine.prefix_cache.clear()
-    engine.speed_changed()
+    engine.notify_speed_changed()
 
 
 def _cut_zone(engine: FakeEngine, cut_zone: int, own_zone: int, on: bool) -> None:
-    """The cut zone and the others can't reach each other; zones are told apart by the address."""
+    """Cuts off one zone from all others. The zone of a peer is known from its address."""
 
     def is_cut_off(peer: str) -> bool:
         peer_zone = int(peer.split(".")[2]) - 1
--- a/ternlane/scenarios/request_report.py
+++ b/ternlane/scenarios/request_report.py
@@ -1,4 +1,4 @@
-"""What became of a run's requests, by request class: outcomes, revenue within the latency objective, waits."""
+"""The report about requests, by request class: outcomes, revenue within the latency objective, time to first token."""
 
 from __future__ import annotations
 
@@ -13,9 +13,12 @@
 
 @dataclass
 class RequestLines:
-    """A run's lines about requests. A task is a client's request over all its retries."""
+    """A run's log lines about requests.
 
-    asks: defaultdict[str, list[LogLine]] = field(default_factory=lambda: defaultdict(list))  # by task
+    A task is a client's request with all its retries; each retry is a request to the gateway with its own id.
+    """
+
+    sent_requests: defaultdict[str, list[LogLine]] = field(default_factory=lambda: defaultdict(list))  # by task
     first_tokens_ms: dict[str, float] = field(default_factory=dict)  # by request
     finals: dict[str, LogLine] = field(default_factory=dict)  # by request
     tasks: dict[str, LogLine] = field(default_factory=dict)
@@ -24,37 +27,44 @@
 
     @classmethod
     def of(cls, lines: list[LogLine]) -> RequestLines:
-        """Sorts a run's lines."""
-        found = cls()
+        """Groups a run's log lines."""
+        request_lines = cls()
         for line in lines:
             match line["k"]:
                 case "ask":
-                    found.asks[line["task"]].append(line)
+                    request_lines.sent_requests[line["task"]].append(line)
                 case "first":
-                    found.first_tokens_ms[line["gen"]] = line["t"]
+                    request_lines.first_tokens_ms[line["gen"]] = line["t"]
                 case "final":
-                    found.finals[line["gen"]] = line
+                    request_lines.finals[line["gen"]] = line
                 case "task":
-                    found.tasks[line["task"]] = line
+                    request_lines.tasks[line["task"]] = line
                 case "leg":
-                    found.attempts += 1
+                    request_lines.attempts += 1
                 case "leg_end":
-                    found.attempt_outcomes[line["how"].split(" ")[0]] += 1
-        return found
+                    request_lines.attempt_outcomes[line["how"].split(" ")[0]] += 1
+        return request_lines
 
     def span_s(self) -> float:
-        """From the first ask to the last."""
-        asked_ms = [ask["t"] for asks in self.asks.values() for ask in asks]
-        return (max(asked_ms, default=0) - min(asked_ms, default=0)) / 1000
-
-    def answered(self, task: str) -> LogLine | None:
-        """The ask of a task that was answered whole."""
-        return next((a for a in self.asks[task] if self.finals.get(a["gen"], {}).get("outcome") == "streamed"), None)
+        """The time from the first sent request to the last."""
+        sent_ms = [sent["t"] for sent_requests in self.sent_requests.values() for sent in sent_requests]
+        return (max(sent_ms, default=0) - min(sent_ms, default=0)) / 1000
+
+    def answered_request(self, task: str) -> LogLine | None:
+        """The sent request of a task whose answer was complete, if any."""
+        return next(
+            (
+                sent
+                for sent in self.sent_requests[task]
+                if self.finals.get(sent["gen"], {}).get("outcome") == "streamed"
+            ),
+            None,
+        )
 
 
 @dataclass
 class Revenue:
-    """In units of the request classes' priority weights."""
+    """Revenue, in units of the request classes' priority weights."""
 
     earned: float = 0.0
     possible: float = 0.0
@@ -66,27 +76,29 @@
     """The figures of each request class, and the revenue of each tenant."""
     revenues: dict[str, Revenue] = defaultdict(Revenue)
     by_name = {request_class.name: request_class for request_class in request_classes}
-    figures = {name: _figures(run, request_class, revenues) for name, request_class in by_name.items()}
+    figures = {name: _request_class_report(run, request_class, revenues) for name, request_class in by_name.items()}
     return figures, revenues
 
 
-def _figures(run: RequestLines, request_class: RequestClassConfig, revenues: dict[str, Revenue]) -> dict[str, Any]:
+def _request_class_report(
+    run: RequestLines, request_class: RequestClassConfig, revenues: dict[str, Revenue]
+) -> dict[str, Any]:
     weight = request_class.priority_weight
     tasks = [task for task in run.tasks.values() if task["product"] == request_class.name]
-    waits_ms: list[float] = []
+    latencies_ms: list[float] = []
     in_time = 0
     for task in tasks:
         revenue = revenues[task.get("tenant", "")]
         revenue.possible += weight
-        answered = run.answered(task["task"])
-        if answered is None or answered["gen"] not in run.first_tokens_ms:
+        answered_request = run.answered_request(task["task"])
+        if answered_request is None or answered_request["gen"] not in run.first_tokens_ms:
             continue
-        wait_ms = run.first_tokens_ms[answered["gen"]] - run.asks[task["task"]][0]["t"]
-        waits_ms.append(wait_ms)
-        slo_ms = request_class.slo_ms + request_class.slo_per_1000_tokens_ms * answered["toks"] / 1000
-        in_time += wait_ms <= slo_ms
-        revenue.earned += weight if wait_ms <= slo_ms else weight * request_class.late_value_share
-    late = len(waits_ms) - in_time
+        latency_ms = run.first_tokens_ms[answered_request["gen"]] - run.sent_requests[task["task"]][0]["t"]
+        latencies_ms.append(latency_ms)
+        slo_ms = request_class.slo_ms + request_class.slo_per_1000_tokens_ms * answered_request["toks"] / 1000
+        in_time += latency_ms <= slo_ms
+        revenue.earned += weight if latency_ms <= slo_ms else weight * request_class.late_value_share
+    late = len(latencies_ms) - in_time
     return {
         "asked": len(tasks),
         "outcomes": dict(Counter(task["outcome"] for task in tasks)),
@@ -94,5 +106,5 @@
         "late": late,
         "earned": round(weight * (in_time + request_class.late_value_share * late), 1),
         "could_earn": round(weight * len(tasks), 1),
-        "first_token_ms": shown_quantiles(waits_ms),
+        "first_token_ms": shown_quantiles(latencies_ms),
     }
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -61,8 +61,8 @@
 from ternlane.tenants.billing import LedgerEntry
 from ternlane.tenants.tenant_registry import TenantRegistry
 from ternlane.tenants.tenant_registry import TenantRegistryConfig as TenantsDocument
-from ternlane.testing.traffic import Progress as ProgressFile
-from ternlane.testing.traffic import Traffic as TrafficFile
+from ternlane.testing.traffic import ProgressLog as ProgressFile
+from ternlane.testing.traffic import TrafficLog as TrafficFile
 
 ROOT = Path(__file__).parent.parent
 STORED = Path(__file__).parent / "data" / "stored"
