--- a/bench/load.py
+++ b/bench/load.py
@@ -13,7 +13,7 @@
 
 from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, planned_requests
 
-PARTS = (0.5, 0.9, 0.99, 0.999)
+FRACTIONS = (0.5, 0.9, 0.99, 0.999)
 
 
 class Times(Protocol):
@@ -22,7 +22,7 @@
     def add(self, value: float) -> None:
         """One more."""
 
-    def quantile(self, part: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """The value below which this part of the times lie."""
         ...
 
@@ -34,9 +34,9 @@
         self._values: list[float] = []
         self.add = self._values.append
 
-    def quantile(self, part: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Exact."""
-        return sorted(self._values)[int(part * (len(self._values) - 1))]
+        return sorted(self._values)[int(fraction * (len(self._values) - 1))]
 
 
 def held_bytes(times: Times, values: list[float]) -> int:
@@ -54,7 +54,7 @@
     rng = random.Random(1)
     values = [rng.lognormvariate(4.0, 1.2) for _ in range(count)]
     ordered = sorted(values)
-    exact = [ordered[int(part * (count - 1))] for part in PARTS]
+    exact = [ordered[int(fraction * (count - 1))] for fraction in FRACTIONS]
     for name, make in (("sketch", QuantileSketch), ("list", TimeList)):
         held = held_bytes(make(), values)
         times: Times = make()
@@ -64,8 +64,8 @@
             add(value)
         add_s = (time.perf_counter() - begin_s) / count
         begin_s = time.perf_counter()
-        quantiles = [times.quantile(part) for part in PARTS]
-        quantile_s = (time.perf_counter() - begin_s) / len(PARTS)
+        quantiles = [times.quantile(fraction) for fraction in FRACTIONS]
+        quantile_s = (time.perf_counter() - begin_s) / len(FRACTIONS)
         error = max(abs(found / true - 1) for found, true in zip(quantiles, exact, strict=True))
         print(
             f"{name:<7}{add_s * 1e6:>7.2f} us a time{held:>12} bytes{quantile_s * 1e3:>10.2f} ms a quantile, "
--- a/ternlane/load/__init__.py
+++ b/ternlane/load/__init__.py
@@ -1,4 +1,4 @@
-"""The load tool: what is asked and when, sent in time whatever the answers do, and honest figures of it."""
+"""Load generator: seeded request plans, open- and closed-loop sending, and latency quantiles."""
 
 from ternlane.load.arrivals import Bursty, Diurnal, poisson, recorded, thinned
 from ternlane.load.load_config import ArrivalsConfig, LoadConfig, RequestMix
--- a/ternlane/load/generator.py
+++ b/ternlane/load/generator.py
@@ -1,8 +1,9 @@
-"""Sends a load to an OpenAI-style address on loopback and keeps its times.
+"""Sends a load to an OpenAI-compatible endpoint on loopback and records latencies.
 
-Open loop: a request goes out when it was due, and its times count from then, not from when the tool got round to it:
-else a server that stalls would be asked less while it stalls, and look well. A tool that can't keep its own schedule
-says so and reports nothing. Closed loop: `at_once` clients, whose times count from their own sending.
+Open loop: each request is sent at its scheduled time, and its latencies are measured from that time rather than from
+the actual send. Otherwise a stalled server would receive fewer requests during the stall and its latencies would look
+better than they are (coordinated omission). If the generator cannot keep its own schedule, it fails and reports no
+figures. Closed loop: `at_once` clients, whose latencies are measured from the actual send.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 CONNECTION_IDLE_MS = 30e3
 MAX_REPLY_BYTES = 1 << 24
 MAX_ERROR_BYTES = 1 << 20
-# The tool may be late for this part of the requests; see LoadConfig.late_ms.
+# Quantile of the generator's own send delay that is compared with LoadConfig.late_ms.
 LATE_QUANTILE = 0.99
-CONNECTION_BROKEN = (
+CONNECTION_ERRORS = (
     trio.BrokenResourceError,
     trio.ClosedResourceError,
     h11.RemoteProtocolError,
@@ -37,19 +38,19 @@
 
 
 class NotLoopbackError(ValueError):
-    """Loads are sent to loopback addresses only."""
+    """The target is not a loopback address; load is sent to loopback only."""
 
 
 class ScheduleMissedError(Exception):
-    """The tool was later than its own schedule allows: its figures would be its own, not the server's."""
+    """The generator sent requests too late: the latencies would include its own delay."""
 
 
 def address_of(url: str) -> tuple[str, str]:
-    """`host:port`, and the path of the chat API. Raises NotLoopbackError."""
+    """Returns `host:port` and the path of the chat API. Raises NotLoopbackError."""
     parts = urlsplit(url if "//" in url else f"http://{url}")
     host = parts.hostname or ""
     if parts.scheme != "http" or not _is_loopback(host):
-        raise NotLoopbackError(f"{url}: an http address on this machine's loopback is needed")
+        raise NotLoopbackError(f"{url}: not an http URL of a loopback address")
     path = parts.path.rstrip("/").removesuffix("/v1").removesuffix("/v1/chat/completions")
     return f"{host}:{parts.port or 80}", f"{path}/v1/chat/completions"
 
@@ -66,31 +67,31 @@
 
 
 class LoadGenerator:
-    """One load, sent once."""
+    """Sends one configured load. An instance runs once."""
 
     def __init__(self, config: LoadConfig, url: str, report: Callable[[dict[str, Any]], None] = _ignore) -> None:
-        """`report` is given a JSON-ready line for each request as it ends. Raises NotLoopbackError."""
+        """`report` receives a JSON-serializable record of each request when it ends. Raises NotLoopbackError."""
         self.config = config
         self.report = report
         self.address, self.path = address_of(url)
         self.pool = ConnectionPool(CONNECT_TIMEOUT_MS, CONNECTION_IDLE_MS)
         self.tally = LoadTally()
-        self.open = 0  # requests without an answer
-        self._begin_s = 0.0  # by trio's clock
+        self.open = 0  # requests in flight
+        self._begin_s = 0.0  # on trio's clock
 
     def now_s(self) -> float:
-        """Seconds since the load began."""
+        """Returns seconds since the load began."""
         return trio.current_time() - self._begin_s
 
     async def run(self) -> LoadTally:
-        """Raises ScheduleMissedError where the tool itself was too late too often (open loop)."""
+        """Raises ScheduleMissedError if an open loop's requests were sent too late (see LoadConfig.late_ms)."""
         self._begin_s = trio.current_time()
         try:
             async with trio.open_nursery() as nursery:
                 if self.config.at_once:
-                    self._start_clients(nursery)
+                    self._start_closed_loop(nursery)
                 else:
-                    await self._send_in_time(nursery)
+                    await self._run_open_loop(nursery)
         finally:
             self.pool.close()
         if not self.config.at_once:
@@ -101,22 +102,22 @@
         late_ms = self.tally.tool_late_ms
         if late_ms.count and late_ms.quantile(LATE_QUANTILE) > self.config.late_ms:
             raise ScheduleMissedError(
-                f"the tool was {late_ms.quantile(LATE_QUANTILE):.1f} ms late for one request in a hundred, over "
-                f"{self.config.late_ms:.1f}: a lower rate, or more machines, are needed"
+                f"1% of requests were sent at least {late_ms.quantile(LATE_QUANTILE):.1f} ms late; late_ms allows "
+                f"{self.config.late_ms:.1f}: lower the rate or use more machines"
             )
 
-    async def _send_in_time(self, nursery: trio.Nursery) -> None:
+    async def _run_open_loop(self, nursery: trio.Nursery) -> None:
         for request in planned_requests(self.config):
             await trio.sleep_until(self._begin_s + request.at_s)
             nursery.start_soon(self._session, request)
 
-    def _start_clients(self, nursery: trio.Nursery) -> None:
+    def _start_closed_loop(self, nursery: trio.Nursery) -> None:
         for number in range(self.config.at_once):
             source = SessionSource(self.config, random.Random(f"{self.config.seed} {number}"))
             nursery.start_soon(self._client, source)
 
     async def _client(self, source: SessionSource) -> None:
-        """Sends, waits for the answer, and sends again until the time is up."""
+        """Runs one session after another until the configured duration has passed."""
         while self.now_s() < self.config.seconds:
             await self._session(source.next(self.now_s()))
 
@@ -130,7 +131,7 @@
             request = request.next_turn(answer, due_s)
 
     async def _request(self, request: PlannedRequest) -> str | None:
-        """The answer's text, or None where there was none."""
+        """Returns the response text, or None if the request did not complete."""
         begin_s = self.now_s()
         late_ms = (begin_s - request.at_s) * 1000
         self.tally.tool_late_ms.add(max(0.0, late_ms))
@@ -159,43 +160,43 @@
 
 
 class _ChatExchange:
-    """One chat request over HTTP."""
+    """A chat request sent over HTTP, and the response read so far."""
 
     def __init__(self, load: LoadGenerator, request: PlannedRequest) -> None:
         self.load = load
         self.request = request
-        self.pieces: list[str] = []  # of the answer's text
-        self.first_token_ms = 0.0  # 0: none came
+        self.pieces: list[str] = []  # of the response text
+        self.first_token_ms = 0.0  # 0: no token received
         self._last_token_ms = 0.0
 
     async def run(self) -> str:
-        """The outcome, as lines and summary say it."""
+        """Returns the outcome used in the request records and the summary."""
         connection: ClientConnection | None = None
         outcome = "unconnected"
         try:
             with trio.move_on_after(self.load.config.wait_s) as wait:
                 connection = await self.load.pool.take(self.load.address)
                 outcome = "broken"
-                outcome = await self._ask(connection)
+                outcome = await self._send(connection)
             if wait.cancelled_caught:
                 outcome = "no answer"
         except ConnectError:
             pass
-        except CONNECTION_BROKEN:
+        except CONNECTION_ERRORS:
             outcome = "broken"
         finally:
             if connection is not None:
-                self._give_back(connection, outcome)
+                self._return_connection(connection, outcome)
         return outcome
 
-    def _give_back(self, connection: ClientConnection, outcome: str) -> None:
+    def _return_connection(self, connection: ClientConnection, outcome: str) -> None:
         if outcome in ("no answer", "broken"):
             connection.close_now()
-            self.first_token_ms = 0.0  # lines give it only for answers that came to an end
+            self.first_token_ms = 0.0  # reported only for complete responses
         else:
             self.load.pool.give_back(connection)
 
-    async def _ask(self, connection: ClientConnection) -> str:
+    async def _send(self, connection: ClientConnection) -> str:
         headers = [("Content-Type", "application/json")]
         if self.request.api_key:
             headers.append(("Authorization", f"Bearer {self.request.api_key}"))
@@ -222,10 +223,10 @@
                 event = msgspec.json.decode(data)
                 text = "".join(choice["delta"].get("content") or "" for choice in event.get("choices", ()))
                 if text:
-                    self._take_text(text)
+                    self._record_text(text)
         return "streamed" if complete else "terminated"
 
-    def _take_text(self, text: str) -> None:
+    def _record_text(self, text: str) -> None:
         now_ms = (self.load.now_s() - self.request.at_s) * 1000
         tally = self.load.tally
         self.pieces.append(text)
--- a/ternlane/load/load_config.py
+++ b/ternlane/load/load_config.py
@@ -1,4 +1,4 @@
-"""The document of a load (JSON5): request classes, sessions with turns, shared prefixes, lengths, tenants."""
+"""Load configuration (JSON5): request classes, multi-turn sessions, shared prefixes, lengths, tenants."""
 
 from __future__ import annotations
 
@@ -11,11 +11,15 @@
 
 Positive = Annotated[float, Meta(gt=0)]
 Part = Annotated[float, Meta(ge=0, le=1)]
-Spread = tuple[Positive, float]  # median, and the spread as a part of it
+Spread = tuple[Positive, float]  # median, and the spread relative to it
 
 
 class ArrivalsConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """`rate` a second on the mean. Bursty: `times` of it for the first `part` of each `period_s`; diurnal: `swing`."""
+    """Arrival process with a mean of `rate` sessions per second.
+
+    Bursty: `times` the rate during the first `part` of each `period_s`. Diurnal: a sine of relative amplitude `swing`.
+    Recorded: `recorded_s` replayed `faster` times as fast.
+    """
 
     kind: Literal["poisson", "bursty", "diurnal", "recorded"] = "poisson"
     rate: Positive = 1.0
@@ -28,7 +32,7 @@
 
 
 class RequestMix(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """The requests of one request class. Lengths are words of the prompt and tokens of the answer."""
+    """Requests of one request class. Prompt lengths are in words, response lengths in tokens."""
 
     model: str
     share: Positive = 1.0
@@ -38,16 +42,16 @@
     answer_tokens: Spread = (80.0, 0.5)
     prefixes: Annotated[int, Meta(ge=0)] = 0
     prefix_words: Annotated[int, Meta(ge=1)] = 200
-    zipf: Annotated[float, Meta(ge=0)] = 1.0  # prefix number n is asked for 1 / n ** zipf as often as the first
+    zipf: Annotated[float, Meta(ge=0)] = 1.0  # the n-th prefix is used 1 / n ** zipf times as often as the first
     stream: bool = True
 
 
 class LoadConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """The whole document.
+    """A complete load.
 
-    `at_once`: that many clients, each sending its next request when it is answered (closed loop); 0: requests come by
-    `arrivals`, whatever the answers do. `late_ms`: by how much the tool itself may be late for one request in a
-    hundred. `wait_s`: for an answer. `tenants`: API keys, and the weight of each.
+    `at_once`: number of closed-loop clients, each of which sends its next request after the previous response; 0
+    selects an open loop with the times of `arrivals`. `late_ms`: limit on the 99th percentile of the generator's own
+    send delay. `wait_s`: response timeout. `tenants`: API keys with their weights.
     """
 
     request_classes: Annotated[list[RequestMix], Meta(min_length=1)]
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -1,4 +1,4 @@
-"""Draws what is asked and when. The same seed gives the same requests, whatever the answers do. Free of I/O."""
+"""Draws requests and their times. The same seed gives the same requests, independent of responses. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class PlannedRequest:
-    """A request that is due `at_s` after the start."""
+    """A request scheduled `at_s` seconds after the start."""
 
     at_s: float
     mix: RequestMix
@@ -26,10 +26,10 @@
     max_tokens: int
     api_key: str = ""
     turns_left: int = 0
-    later_turns: list[str] = field(default_factory=list)  # what the client will say in them
+    later_turns: list[str] = field(default_factory=list)  # user messages of the following turns
 
     def body(self) -> dict[str, Any]:
-        """Of the chat request."""
+        """Returns the body of the chat request."""
         return {
             "model": self.mix.model,
             "messages": self.messages,
@@ -38,12 +38,12 @@
         }
 
     def next_turn(self, answer: str, at_s: float) -> PlannedRequest:
-        """The session's next request, after this answer."""
-        said = {"role": "user", "content": self.later_turns[0]}
+        """Returns the session's next request, with `answer` in its history."""
+        user_messages = {"role": "user", "content": self.later_turns[0]}
         return PlannedRequest(
             at_s=at_s,
             mix=self.mix,
-            messages=[*self.messages, {"role": "assistant", "content": answer}, said],
+            messages=[*self.messages, {"role": "assistant", "content": answer}, user_messages],
             max_tokens=self.max_tokens,
             api_key=self.api_key,
             turns_left=self.turns_left - 1,
@@ -52,7 +52,7 @@
 
 
 def arrival_times(config: LoadConfig, rng: random.Random) -> Iterator[float]:
-    """When sessions begin, seconds from the start, up to the end of the load."""
+    """Yields the start times of sessions, in seconds since the start, up to the configured duration."""
     for at_s in _endless_times(config, rng):
         if at_s >= config.seconds:
             return
@@ -75,7 +75,7 @@
 
 
 def planned_requests(config: LoadConfig) -> Iterator[PlannedRequest]:
-    """The first requests of an open loop's sessions, in order of time."""
+    """Yields the first request of each open-loop session in order of time."""
     times_rng = random.Random(f"{config.seed} when")
     source = SessionSource(config, random.Random(f"{config.seed} what"))
     for at_s in arrival_times(config, times_rng):
@@ -83,9 +83,9 @@
 
 
 def _drawn_length(rng: random.Random, spread: Spread) -> int:
-    """Log-normal about the median."""
-    median, part = spread
-    sigma = sqrt(log(1 + part**2))
+    """Draws a log-normal length with the given median, at least 1."""
+    median, relative_spread = spread
+    sigma = sqrt(log(1 + relative_spread**2))
     if not sigma:
         return max(1, round(median))
     return max(1, round(median * rng.lognormvariate(0.0, sigma)))
@@ -96,15 +96,15 @@
 
 
 def _drawn_index(rng: random.Random, sums: list[float]) -> int:
-    """By weights, of which these are the running sums."""
+    """Draws an index by weight; `sums` are the cumulative weights."""
     return bisect(sums, rng.random() * sums[-1])
 
 
 class SessionSource:
-    """New sessions, one after the other."""
+    """Draws new sessions."""
 
     def __init__(self, config: LoadConfig, rng: random.Random) -> None:
-        """All but the texts of prefixes is drawn from `rng`."""
+        """`rng` draws everything except prefix texts, which depend only on the seed, model and prefix number."""
         self.config = config
         self.rng = rng
         self._class_sums = list(accumulate(mix.share for mix in config.request_classes))
@@ -115,7 +115,7 @@
         self._tenant_sums = list(accumulate(config.tenants.values()))
 
     def next(self, at_s: float) -> PlannedRequest:
-        """Draws a session, whose first request is due then."""
+        """Draws a session and returns its first request, due at `at_s`."""
         rng = self.rng
         class_index = min(_drawn_index(rng, self._class_sums), len(self._class_sums) - 1)
         mix = self.config.request_classes[class_index]
@@ -123,20 +123,20 @@
         turns = 1
         while rng.random() < 1 - 1 / mix.turns:
             turns += 1
-        said = [_random_words(rng, _drawn_length(rng, mix.prompt_words)) for _ in range(turns)]
+        user_messages = [_random_words(rng, _drawn_length(rng, mix.prompt_words)) for _ in range(turns)]
         api_key = self._api_key()
         return PlannedRequest(
             at_s=at_s,
             mix=mix,
-            messages=[*messages, {"role": "user", "content": said[0]}],
+            messages=[*messages, {"role": "user", "content": user_messages[0]}],
             max_tokens=_drawn_length(rng, mix.answer_tokens),
             api_key=api_key,
             turns_left=turns - 1,
-            later_turns=said[1:],
+            later_turns=user_messages[1:],
         )
 
     def _prefix(self, mix: RequestMix) -> list[dict[str, str]]:
-        """A message that sessions share, where the request class has such."""
+        """Returns a shared system message, or none if the request class has no prefixes."""
         if not mix.prefixes:
             return []
         sums = self._prefix_sums[self.config.request_classes.index(mix)]
--- a/ternlane/load/sketch.py
+++ b/ternlane/load/sketch.py
@@ -1,29 +1,29 @@
-"""Quantiles of a stream of times within a stated relative error and bounded memory (DDSketch: equal ratios)."""
+"""Streaming quantiles with bounded relative error and memory (DDSketch: logarithmic buckets)."""
 
 from __future__ import annotations
 
 from collections import Counter
 from math import ceil, inf, log
 
-# Times below are counted as nought: no clock tells them apart.
-LEAST_TIME = 1e-9
+# Shorter times count as zero: they are below clock resolution.
+MIN_TIME = 1e-9
 
 
 class QuantileSketch:
-    """Each quantile is off by `error` of itself at the most.
+    """Quantile sketch with a relative error of at most `error`.
 
-    Over `buckets`, the lowest are put together, so that the upper quantiles stay true. Two with the same error can be
-    merged, in any order, with the same result.
+    Beyond `buckets` buckets the lowest are collapsed, so that upper quantiles stay accurate. Sketches with the same
+    error can be merged, in any order, with the same result.
     """
 
     def __init__(self, error: float = 0.01, buckets: int = 2048) -> None:
-        """Raises ValueError for an error that is not between 0 and 1."""
+        """Raises ValueError if `error` is not between 0 and 1."""
         if not 0 < error < 1:
-            raise ValueError("the error lies between 0 and 1")
+            raise ValueError("error must be between 0 and 1")
         self.error = error
         self.max_buckets = buckets
-        self.gamma = (1 + error) / (1 - error)  # ratio of a bucket's bounds
-        self.counts: Counter[int] = Counter()  # by the logarithm of the bucket's upper bound
+        self.gamma = (1 + error) / (1 - error)  # ratio of a bucket's upper to lower bound
+        self.counts: Counter[int] = Counter()  # by the logarithm of the bucket's upper bound to base gamma
         self.zeros = 0
         self.count = 0
         self.minimum = inf
@@ -32,14 +32,14 @@
         self._scale = 1 / log(self.gamma)
 
     def add(self, value: float, times: int = 1) -> None:
-        """Raises ValueError for what is no time: below nought, infinite or not a number."""
+        """Adds `value` `times` times. Raises ValueError if it is negative, infinite or NaN."""
         if not 0 <= value < inf:
-            raise ValueError(f"not a time: {value}")
+            raise ValueError(f"not a finite non-negative time: {value}")
         self.count += times
         self.minimum = min(self.minimum, value)
         self.maximum = max(self.maximum, value)
         self.sum += value * times
-        if value < LEAST_TIME:
+        if value < MIN_TIME:
             self.zeros += times
             return
         self.counts[ceil(log(value) * self._scale)] += times
@@ -51,9 +51,9 @@
             self.counts[second] += self.counts.pop(lowest)
 
     def merge(self, other: QuantileSketch) -> None:
-        """Adds all that was added to the other. Raises ValueError where the errors differ."""
+        """Adds the other sketch's values. Raises ValueError if the relative errors differ."""
         if other.gamma != self.gamma:
-            raise ValueError("sketches of different errors can't be merged")
+            raise ValueError("sketches with different errors can't be merged")
         self.counts.update(other.counts)
         self.zeros += other.zeros
         self.count += other.count
@@ -62,11 +62,11 @@
         self.sum += other.sum
         self._collapse()
 
-    def quantile(self, part: float) -> float:
-        """The value below which this part of the values lie. Not a number where nothing was added."""
+    def quantile(self, fraction: float) -> float:
+        """Returns the value below which this fraction of the values lies, or NaN if the sketch is empty."""
         if not self.count:
             return float("nan")
-        rank = part * (self.count - 1)
+        rank = fraction * (self.count - 1)
         seen = self.zeros
         if rank < seen:
             return 0.0
--- a/ternlane/load/tally.py
+++ b/ternlane/load/tally.py
@@ -1,4 +1,4 @@
-"""The figures of a load."""
+"""Results of a load."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from ternlane.load.sketch import QuantileSketch
 
-SHOWN_QUANTILES = (0.5, 0.9, 0.99)
+REPORTED_QUANTILES = (0.5, 0.9, 0.99)
 
 
 @dataclass
 class LoadTally:
-    """Times are milliseconds from when a request was due."""
+    """Counts and latency sketches. Latencies are in milliseconds from the time at which a request was due."""
 
     first_token_ms: QuantileSketch = field(default_factory=QuantileSketch)
     between_tokens_ms: QuantileSketch = field(default_factory=QuantileSketch)
     complete_ms: QuantileSketch = field(default_factory=QuantileSketch)
-    tool_late_ms: QuantileSketch = field(default_factory=QuantileSketch)  # by how much the tool itself was late
+    tool_late_ms: QuantileSketch = field(default_factory=QuantileSketch)  # the generator's own send delay
     outcomes: Counter[str] = field(default_factory=Counter)
     tokens: int = 0
 
     def summary(self) -> dict[str, Any]:
-        """In the form in which the command prints it."""
+        """Returns the summary that `ternlane load` prints."""
         return {
             "outcomes": dict(self.outcomes),
             "tokens": self.tokens,
@@ -37,5 +37,5 @@
 def _quantiles(sketch: QuantileSketch) -> dict[str, float]:
     if not sketch.count:
         return {}
-    quantiles = {f"p{round(part * 100)}": round(sketch.quantile(part), 3) for part in SHOWN_QUANTILES}
+    quantiles = {f"p{round(fraction * 100)}": round(sketch.quantile(fraction), 3) for fraction in REPORTED_QUANTILES}
     return {**quantiles, "max": round(sketch.maximum, 3)}
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -41,7 +41,7 @@
     assert len(it.counts) == 100
     assert it.quantile(0.99) == pytest.approx(sorted(values)[int(0.99 * 4999)], rel=0.011)
     for wrong in (-1.0, float("nan"), float("inf")):
-        with pytest.raises(ValueError, match="not a time"):
+        with pytest.raises(ValueError, match="not a finite non-negative time"):
             it.add(wrong)
     with pytest.raises(ValueError, match="different errors"):
         it.merge(QuantileSketch(0.02))
@@ -147,7 +147,7 @@
                 await trio.lowlevel.checkpoint()
 
         w.nursery.start_soon(hog)
-        with pytest.raises(ScheduleMissedError, match="late for one request in a hundred"):
+        with pytest.raises(ScheduleMissedError, match="1% of requests were sent at least"):
             await LoadGenerator(
                 config(seconds=0.5, arrivals=ArrivalsConfig(rate=100.0), late_ms=5.0), w.gateway.address
             ).run()
