--- a/bench/lab.py
+++ b/bench/lab.py
@@ -159,35 +159,35 @@
         )
 
 
-def use_pool(keys: list[BlockKey]) -> Callable[[], None]:
+def pool_benchmark(keys: list[BlockKey]) -> Callable[[], None]:
     """Allocates, registers and gives back every block, and finds them again."""
     pool = BlockPool(len(keys))
 
     def run() -> None:
         for begin in range(0, len(keys), KEYS_A_SEQUENCE):
-            some = keys[begin : begin + KEYS_A_SEQUENCE]
-            allocation = pool.allocate(some, len(some))
+            group_keys = keys[begin : begin + KEYS_A_SEQUENCE]
+            allocation = pool.allocate(group_keys, len(group_keys))
             assert allocation is not None
-            for index, key in enumerate(some):
+            for index, key in enumerate(group_keys):
                 pool.register(allocation, index, key)
-            pool.give_back(allocation)
-            assert pool.count_cached(some) == len(some)
+            pool.release(allocation)
+            assert pool.count_cached(group_keys) == len(group_keys)
 
     return run
 
 
-def use_dict(keys: list[BlockKey]) -> Callable[[], None]:
+def dict_benchmark(keys: list[BlockKey]) -> Callable[[], None]:
     """The same in a dict of counts, which neither evicts nor shares."""
     counts: dict[BlockKey, int] = {}
 
     def run() -> None:
         for begin in range(0, len(keys), KEYS_A_SEQUENCE):
-            some = keys[begin : begin + KEYS_A_SEQUENCE]
-            for key in some:
+            group_keys = keys[begin : begin + KEYS_A_SEQUENCE]
+            for key in group_keys:
                 counts[key] = counts.get(key, 0) + 1
-            for key in some:
+            for key in group_keys:
                 counts[key] -= 1
-            assert all(key in counts for key in some)
+            assert all(key in counts for key in group_keys)
 
     return run
 
@@ -195,7 +195,7 @@
 def print_blocks_against_dict(blocks: int) -> None:
     """Time and memory of each."""
     keys = [(i * 2654435761 % 2**64, i % 2**32) for i in range(blocks)]
-    for name, make in (("blocks", use_pool), ("dict", use_dict)):
+    for name, make in (("blocks", pool_benchmark), ("dict", dict_benchmark)):
         tracemalloc.start()
         before_bytes = tracemalloc.get_traced_memory()[0]
         run = make(keys)
--- a/ternlane/emulator/__init__.py
+++ b/ternlane/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""An emulated engine and fleet in figures: continuous batching, memory in blocks, links. Free of I/O and clock."""
+"""Discrete-event model of engines and fleets: continuous batching, paged memory, links. Uses no I/O and no clock."""
 
 from ternlane.emulator.batch import Batch, BatchConfig, BatchSequence, BatchStep, StepCost
 from ternlane.emulator.blocks import BlockAllocation, BlockPool, block_keys
--- a/ternlane/emulator/batch.py
+++ b/ternlane/emulator/batch.py
@@ -1,6 +1,9 @@
-"""Continuous batching: at each step every running sequence decodes a token, and what is left of the step's tokens goes
-to prefilling prompts, in chunks. Whoever comes joins at the next step; where memory runs out, the youngest is preempted
-and recomputed later. Free of I/O; a step says how long it takes, and whoever drives it has the clock."""
+"""Continuous batching with chunked prefill.
+
+In each step every running sequence decodes a token, and the rest of the step's token budget goes to prefilling prompts
+in chunks. New sequences join at the next step. When memory runs out, the most recently admitted sequence is preempted
+and recomputed later. Performs no I/O: a step returns its duration, and the caller keeps the clock.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 
 @dataclass(frozen=True)
 class StepCost:
-    """What a step takes, in milliseconds."""
+    """Duration of a step as a linear model, in milliseconds."""
 
-    step_ms: float = 6.0  # every step
-    decode_ms: float = 0.15  # each sequence that decodes a token
-    prefill_ms: float = 0.02  # each token that is prefilled
-    context_ms: float = 0.01  # each thousand tokens of context that are attended to
-    free_tokens: int = 0  # the first of a step cost no prefill time: weights are fetched anyway
+    step_ms: float = 6.0  # per step
+    decode_ms: float = 0.15  # per sequence that decodes a token
+    prefill_ms: float = 0.02  # per prefilled token
+    context_ms: float = 0.01  # per thousand tokens of attended context
+    free_tokens: int = 0  # first tokens of a step without prefill cost: the weights are fetched anyway
 
     def ms(self, decoded: int, prefilled: int, context_tokens: int) -> float:
-        """Of a step that decodes, prefills and attends to so many tokens."""
+        """Returns the duration of a step with these token counts."""
         charged = max(0, decoded + prefilled - self.free_tokens) if self.free_tokens else prefilled
         return (
             self.step_ms
@@ -34,35 +37,35 @@
 
 @dataclass(frozen=True)
 class BatchConfig:
-    """The size of an engine."""
+    """Capacity and step costs of an engine."""
 
     blocks: int
     block_tokens: int = 16
-    slots: int = 64  # sequences that run at once
-    step_tokens: int = 512  # tokens that a step may decode and prefill
-    queue: int = 1000  # sequences that may wait
+    slots: int = 64  # maximum number of running sequences
+    step_tokens: int = 512  # maximum number of tokens decoded and prefilled in a step
+    queue: int = 1000  # maximum number of waiting sequences
     cost: StepCost = StepCost()
 
 
 @dataclass(slots=True, eq=False)
 class BatchSequence:
-    """A prompt and the answer to it, as far as it has come."""
+    """A prompt and the progress of its answer."""
 
     prompt_tokens: int
     answer_tokens: int  # 0: prefill only
     keys: Sequence[BlockKey] = ()  # of the prompt's full blocks
-    computed_tokens: int = 0  # of the prompt, and of the answer before a preemption, that are in memory
+    computed_tokens: int = 0  # tokens in memory: of the prompt and of the answer so far
     output_tokens: int = 0
     allocation: BlockAllocation | None = None
-    cached_tokens: int = 0  # found cached when it was first admitted
+    cached_tokens: int = 0  # cached prompt tokens at the first admission
     preemptions: int = 0
     ended: bool = False
-    keeps_state: bool = False  # its memory stays used once it is prefilled, until it is released
-    awaits_state: bool = False  # its prompt comes from elsewhere: it has slot and memory until it has arrived
+    keeps_state: bool = False  # keeps its blocks after prefill until `release`
+    awaits_state: bool = False  # waits in its slot, with memory, for state prefilled at another engine
 
     @property
     def needed_tokens(self) -> int:
-        """What has to be in memory before the next token can be decoded."""
+        """Tokens that must be in memory before the next token can be decoded."""
         return self.prompt_tokens + self.output_tokens
 
     @property
@@ -73,10 +76,10 @@
 
 @dataclass(slots=True)
 class BatchStep:
-    """What one step did."""
+    """Result of a step."""
 
     ms: float = 0.0
-    decoded: list[BatchSequence] = field(default_factory=list)  # a token each
+    decoded: list[BatchSequence] = field(default_factory=list)  # each decoded one token
     finished: list[BatchSequence] = field(default_factory=list)
     preempted: list[BatchSequence] = field(default_factory=list)
     prefilled_tokens: int = 0
@@ -84,21 +87,21 @@
 
 
 class Batch:
-    """The sequences of an engine."""
+    """Running and waiting sequences of an engine."""
 
     def __init__(self, config: BatchConfig, memory: BlockPool | None = None) -> None:
-        """Empty; `memory` is one of its own where none is given."""
+        """`memory` defaults to a new pool of `config.blocks`."""
         self.config = config
         self.memory = memory or BlockPool(config.blocks)
         self.queue: deque[BatchSequence] = deque()
-        self.running: list[BatchSequence] = []  # the oldest first
-        self.awaiting: list[BatchSequence] = []  # admitted since the driver last looked, and waiting for their state
+        self.running: list[BatchSequence] = []  # in order of admission
+        self.awaiting: list[BatchSequence] = []  # admitted and waiting for state; the caller empties the list
 
     def _blocks_for(self, tokens: int) -> int:
         return -(-tokens // self.config.block_tokens)
 
     def add(self, sequence: BatchSequence) -> bool:
-        """False where the queue is full, or where it could never fit."""
+        """Queues a sequence; False if the queue is full or the sequence exceeds the total memory."""
         blocks = self._blocks_for(sequence.prompt_tokens + sequence.answer_tokens)
         if len(self.queue) >= self.config.queue or blocks > self.memory.total:
             return False
@@ -106,7 +109,7 @@
         return True
 
     def cancel(self, sequence: BatchSequence) -> None:
-        """Its client has left, at whatever step."""
+        """Removes a sequence whose request was cancelled and frees its memory."""
         if sequence in self.running:
             self.running.remove(sequence)
         elif sequence in self.queue:
@@ -114,20 +117,20 @@
         self.release(sequence)
 
     def release(self, sequence: BatchSequence) -> None:
-        """Gives its memory back."""
+        """Frees the memory of an ended sequence."""
         sequence.ended = True
         if sequence.allocation is not None:
-            self.memory.give_back(sequence.allocation)
+            self.memory.release(sequence.allocation)
             sequence.allocation = None
 
     def state_arrived(self, sequence: BatchSequence) -> None:
-        """What it waited for is there: it decodes from the next step on."""
+        """Marks the awaited state as received, so that the sequence decodes from the next step on."""
         if sequence.awaits_state and sequence.allocation is not None:
             sequence.awaits_state = False
             sequence.computed_tokens = sequence.needed_tokens
 
     def step(self) -> BatchStep | None:
-        """One step; None where there is nothing to do."""
+        """Runs one step; None if there is no work."""
         self._admit()
         if all(sequence.awaits_state for sequence in self.running):
             return None
@@ -139,7 +142,7 @@
         return step
 
     def _admit(self) -> None:
-        """From the queue in order, while there are slots, and memory for what has to be prefilled."""
+        """Admits queued sequences in FIFO order while a slot and memory for their prompts are available."""
         while self.queue and len(self.running) < self.config.slots:
             sequence = self.queue[0]
             allocation = self.memory.allocate(sequence.keys, self._blocks_for(sequence.needed_tokens))
@@ -150,21 +153,21 @@
             if sequence.awaits_state:
                 self.awaiting.append(sequence)
             sequence.allocation = allocation
-            # At least one token is prefilled: the next one comes out of it.
+            # At least one token is prefilled, since its output is the next token.
             sequence.computed_tokens = min(cached_tokens, sequence.needed_tokens - 1)
             if not sequence.preemptions:
                 sequence.cached_tokens = cached_tokens
             self.running.append(sequence)
 
     def _decode(self, step: BatchStep, budget_tokens: int) -> int:
-        """A token for each sequence that is prefilled; gives what is left of the budget."""
+        """Decodes a token of each prefilled sequence; returns the remaining budget."""
         ready = [
             sequence
             for sequence in self.running
             if sequence.is_prefilled and sequence.output_tokens < sequence.answer_tokens and not sequence.awaits_state
         ]
         for sequence in ready:
-            preempted = sequence not in self.running  # by one before it
+            preempted = sequence not in self.running  # by a sequence earlier in this step
             if budget_tokens <= 0 or preempted or not self._ensure_block(sequence, step):
                 continue
             self._decode_token(sequence, step)
@@ -178,11 +181,11 @@
         step.decoded.append(sequence)
 
     def _prefill(self, step: BatchStep, budget_tokens: int) -> None:
-        """Chunks of prompts, the oldest first."""
-        unready = [sequence for sequence in self.running if not sequence.is_prefilled and not sequence.awaits_state]
-        for sequence in unready:
+        """Prefills chunks of prompts in order of admission."""
+        waiting = [sequence for sequence in self.running if not sequence.is_prefilled and not sequence.awaits_state]
+        for sequence in waiting:
             chunk = min(budget_tokens, sequence.needed_tokens - sequence.computed_tokens)
-            if sequence.allocation is None:  # preempted by one before it
+            if sequence.allocation is None:  # preempted earlier in this step
                 continue
             if chunk <= 0:
                 break
@@ -192,7 +195,7 @@
             self._register_blocks(sequence)
             complete = sequence.computed_tokens == sequence.needed_tokens
             if complete and sequence.output_tokens < sequence.answer_tokens and self._ensure_block(sequence, step):
-                self._decode_token(sequence, step)  # the prompt's last token gives the first of the answer
+                self._decode_token(sequence, step)  # the prompt's last token yields the first answer token
 
     def _finish(self, step: BatchStep) -> None:
         done = [
@@ -209,9 +212,9 @@
             step.finished.append(sequence)
 
     def _ensure_block(self, sequence: BatchSequence, step: BatchStep) -> bool:
-        """A block for the token that is decoded next, at the cost of the youngest others if need be.
+        """Allocates a block for the next token, preempting the most recently admitted sequences if memory is short.
 
-        False where the sequence itself was the youngest, and was preempted.
+        Returns False if the sequence itself was preempted.
         """
         assert sequence.allocation is not None
         while len(sequence.allocation.blocks) < self._blocks_for(sequence.computed_tokens + 1):
@@ -224,10 +227,10 @@
         return True
 
     def _preempt(self, sequence: BatchSequence, step: BatchStep) -> None:
-        """Its memory goes, and is recomputed later; what it has decoded stays."""
+        """Frees a sequence's memory and requeues it first; decoded tokens are kept, and their state is recomputed."""
         assert sequence.allocation is not None
         self.running.remove(sequence)
-        self.memory.give_back(sequence.allocation)
+        self.memory.release(sequence.allocation)
         sequence.allocation = None
         sequence.computed_tokens = 0
         sequence.preemptions += 1
@@ -235,7 +238,7 @@
         step.preempted.append(sequence)
 
     def _register_blocks(self, sequence: BatchSequence) -> None:
-        """Full blocks of the prompt that have been prefilled are cached from now on."""
+        """Adds the prefilled full blocks of the prompt to the cache."""
         allocation = sequence.allocation
         assert allocation is not None
         full_blocks = min(sequence.computed_tokens // self.config.block_tokens, len(sequence.keys))
--- a/ternlane/emulator/blocks.py
+++ b/ternlane/emulator/blocks.py
@@ -1,8 +1,8 @@
-"""An engine's memory in blocks: counted references, prefixes cached by the hash of their chain, eviction.
+"""Paged memory of an engine: reference-counted blocks, a prefix cache keyed by chained hashes, and eviction.
 
-A block is free, idle (nobody uses it, its text is cached), or used by one or more sequences. A full block's text is
-known by the hash of all the text before it and its own, so that equal prefixes share blocks. Where two texts have one
-hash, a second and shorter digest tells them apart: the later one is not cached, and nobody reads another's text.
+A block is free, idle (unreferenced, with cached text) or used by one or more sequences. A full block is keyed by the
+hash of its own text and all preceding text, so equal prefixes share blocks. A second, shorter digest detects hash
+collisions: the later text is not cached, and no sequence reads another text's block.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from xxhash import xxh3_64_intdigest, xxh32_intdigest
 
-BlockKey = tuple[int, int]  # hash of the chain, and the shorter digest of the same
+BlockKey = tuple[int, int]  # chained hash, and a shorter digest of the same text
 EvictionPolicy = Literal["lru", "clock"]
 
 
 def block_keys(text: bytes, block_bytes: int) -> list[BlockKey]:
-    """Keys of the full blocks that a text begins with."""
+    """Returns the keys of the full blocks of a text."""
     keys: list[BlockKey] = []
     chain_hash = 0
     for begin in range(0, len(text) - block_bytes + 1, block_bytes):
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class BlockAllocation:
-    """The blocks of one sequence, in order; the first `cached` of them were found in the cache."""
+    """Blocks of a sequence in order; the first `cached` were found in the cache."""
 
     blocks: list[int] = field(default_factory=list)
     cached: int = 0
@@ -42,39 +42,39 @@
 class BlockPool:
     """All blocks of an engine.
 
-    `policy`: which idle block is evicted first. "lru": the one idle for longest, of a sequence its end before its
-    beginning. "clock": likewise, but one that was shared since it was last looked at is passed over once.
+    `policy`: eviction order of idle blocks. "lru": the longest idle first, and within a sequence the last block first.
+    "clock": the same, but a block reused since the last scan gets a second chance.
     """
 
     def __init__(self, total: int, policy: EvictionPolicy = "lru") -> None:
-        """All blocks are free."""
+        """All blocks start free."""
         self.total = total
         self.policy = policy
         self.free = list(range(total - 1, -1, -1))
         self.references = array("i", bytes(4 * total))
         self.keys: list[BlockKey | None] = [None] * total
-        self.cached: dict[int, int] = {}  # hash of a chain -> its block
-        self.idle: OrderedDict[int, None] = OrderedDict()  # the next to evict is first
+        self.cached: dict[int, int] = {}  # chained hash -> block
+        self.idle: OrderedDict[int, None] = OrderedDict()  # in eviction order
         self.used = 0
-        self.taken = 0  # that another program takes of the memory
-        self.owed = 0  # of them in use still
-        self.lost: list[int] = []  # blocks that the other program has
+        self.external_blocks = 0  # blocks reserved for another program
+        self.pending_reclaim = 0  # of these, blocks that sequences still use
+        self.reclaimed: list[int] = []  # blocks handed to the other program
         self.evictions = 0
         self.collisions = 0
-        self._shared = bytearray(total)  # used again since it was last looked at
+        self._shared = bytearray(total)  # by block: reused since the last clock scan
 
     @property
     def available(self) -> int:
-        """Blocks that can be had now: free or idle."""
+        """Number of free and idle blocks."""
         return len(self.free) + len(self.idle)
 
     @property
     def overcommitted(self) -> int:
-        """Blocks in use beyond what is left after memory was taken."""
-        return max(0, self.used + self.taken - self.total)
+        """Number of used blocks beyond the memory left by the external reservation."""
+        return max(0, self.used + self.external_blocks - self.total)
 
     def count_cached(self, keys: Sequence[BlockKey]) -> int:
-        """How many blocks of this beginning are cached."""
+        """Returns the number of leading keys that are cached."""
         count = 0
         for chain_hash, digest in keys:
             block = self.cached.get(chain_hash)
@@ -84,7 +84,7 @@
         return count
 
     def allocate(self, keys: Sequence[BlockKey], blocks: int) -> BlockAllocation | None:
-        """So many blocks for a sequence that begins with `keys`; None, and nothing changed, where there are too few."""
+        """Allocates blocks for a sequence that begins with `keys`; None, and no change, if too few are available."""
         cached = min(self.count_cached(keys), blocks)
         idle = sum(self.cached[chain_hash] in self.idle for chain_hash, _ in keys[:cached])
         if blocks - cached > self.available - idle:
@@ -102,7 +102,7 @@
         return allocation
 
     def grow(self, allocation: BlockAllocation, more: int) -> bool:
-        """So many blocks more; False, and nothing changed, where there are too few."""
+        """Adds blocks to an allocation; False, without any change, if too few are available."""
         if more > self.available:
             return False
         for _ in range(more):
@@ -113,8 +113,7 @@
         return True
 
     def register(self, allocation: BlockAllocation, index: int, key: BlockKey) -> None:
-        """The block at this place of the sequence is full, and cached from now on, unless its text is already, or its
-        hash is another text's."""
+        """Caches the full block at `index`, unless its text is cached already or its hash collides with another."""
         block = allocation.blocks[index]
         other = self.cached.get(key[0])
         if other is None:
@@ -123,58 +122,58 @@
         elif self.keys[other] != key:
             self.collisions += 1
 
-    def give_back(self, allocation: BlockAllocation) -> None:
-        """The sequence has ended. What is cached stays, idle, its end to be evicted before its beginning."""
+    def release(self, allocation: BlockAllocation) -> None:
+        """Releases the blocks of an ended sequence. Cached blocks become idle, the last to be evicted first."""
         for block in reversed(allocation.blocks):
             self.references[block] -= 1
             if self.references[block]:
                 continue
             self.used -= 1
-            if self.keys[block] is not None and not self.owed:
+            if self.keys[block] is not None and not self.pending_reclaim:
                 self.idle[block] = None
             else:
-                self._forget(block)
-                self._put(block)
+                self._uncache(block)
+                self._add_free(block)
         allocation.blocks = []
         allocation.cached = 0
 
     def _evict(self) -> int:
-        """The next idle block, its text forgotten."""
+        """Evicts the next idle block and returns it."""
         while True:
             block, _ = self.idle.popitem(last=False)
             if self.policy == "clock" and self._shared[block]:
                 self._shared[block] = 0
                 self.idle[block] = None
                 continue
-            self._forget(block)
+            self._uncache(block)
             self.evictions += 1
             return block
 
-    def _forget(self, block: int) -> None:
+    def _uncache(self, block: int) -> None:
         key = self.keys[block]
         if key is not None:
             del self.cached[key[0]]
             self.keys[block] = None
         self._shared[block] = 0
 
-    def _put(self, block: int) -> None:
-        """A block nobody uses: free, unless another program waits for it."""
-        if self.owed:
-            self.owed -= 1
-            self.lost.append(block)
+    def _add_free(self, block: int) -> None:
+        """Frees an unused block, or hands it over if an external reservation is pending."""
+        if self.pending_reclaim:
+            self.pending_reclaim -= 1
+            self.reclaimed.append(block)
         else:
             self.free.append(block)
 
-    def take_memory(self, blocks: int) -> None:
-        """Another program has so many blocks from now on.
+    def reserve_external(self, blocks: int) -> None:
+        """Sets the number of blocks that another program occupies.
 
-        Free ones go first, then idle ones; what is in use stays, and is owed until it is given back.
+        Free blocks are handed over first, then idle ones. Used blocks follow when their sequences release them.
         """
         blocks = min(max(blocks, 0), self.total)
-        self.taken = blocks
-        while len(self.lost) > blocks:
-            self.free.append(self.lost.pop())
-        self.owed = 0
-        while len(self.lost) < blocks and self.available:
-            self.lost.append(self.free.pop() if self.free else self._evict())
-        self.owed = blocks - len(self.lost)
+        self.external_blocks = blocks
+        while len(self.reclaimed) > blocks:
+            self.free.append(self.reclaimed.pop())
+        self.pending_reclaim = 0
+        while len(self.reclaimed) < blocks and self.available:
+            self.reclaimed.append(self.free.pop() if self.free else self._evict())
+        self.pending_reclaim = blocks - len(self.reclaimed)
--- a/ternlane/emulator/curve.py
+++ b/ternlane/emulator/curve.py
@@ -1,4 +1,4 @@
-"""The latencies of an emulated engine at a point of a curve: played, and as a linear model of the step costs."""
+"""Latencies of an emulated engine at a point of a curve: simulated, and as a linear model of the step costs."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from ternlane.emulator.engine import EmulatedEngine, EngineTraits, Job, JobEvent, JobEventKind
 from ternlane.emulator.engine_kind import CurvePoint, EngineKind
 
-PLAYED_ANSWERS = 120  # for a point: enough for a 99th percentile of tokens
-# Shares of a decode's steps that also prefill another prompt, from which a percentile sees such a step.
-SEEN_BY_MEDIAN = 0.5
-SEEN_BY_TAIL = 0.01
+SIMULATED_ANSWERS = 120  # per point: enough tokens for a 99th percentile
+# Above this share of decode steps that also prefill a prompt, the percentile is that of such a step.
+MEDIAN_PREFILL_SHARE = 0.5
+TAIL_PREFILL_SHARE = 0.01
 
 
 class Latencies(NamedTuple):
-    """Milliseconds to the first token, and between tokens, each at the median and the 99th percentile."""
+    """Time to first token and between tokens in milliseconds, each as median and 99th percentile."""
 
     first_median: float
     first_tail: float
@@ -26,8 +26,8 @@
     between_tail: float
 
 
-class _PointPlay:
-    """An engine under a steady number of sequences: whoever ends is followed by another at once."""
+class _PointSimulation:
+    """Simulates an engine with a constant number of sequences: each ended one is replaced immediately."""
 
     def __init__(self, engine: EmulatedEngine, point: CurvePoint) -> None:
         self.engine = engine
@@ -35,7 +35,7 @@
         self.ended = 0
         self.first_ms: list[float] = []
         self.between_ms: list[float] = []
-        self._last_ms: dict[Job, float] = {}  # -inf: it was there from the beginning, and does not count
+        self._last_ms: dict[Job, float] = {}  # -inf: a sequence of the initial batch, not measured
 
     def _submit(self, at_ms: float, answer_tokens: int, last_ms: float) -> None:
         job = Job(BatchSequence(self.point.prompt, answer_tokens))
@@ -44,26 +44,26 @@
 
     def run(self, answers: int) -> Latencies:
         point = self.point
-        for number in range(point.at_once):  # spread over an answer's length, lest all be at the same token
+        for number in range(point.at_once):  # staggered lengths, so that they do not end in the same step
             self._submit(0.0, max(1, round(point.answer * (number + 1) / point.at_once)), -inf)
         while self.ended < answers + point.at_once and self.engine.next_at() < inf:
             for event in self.engine.advance(self.engine.next_at()):
-                self._take(event)
+                self._handle_event(event)
         if not self.first_ms or not self.between_ms:
             return Latencies(inf, inf, inf, inf)
         first = np.percentile(self.first_ms, (50, 99)).tolist()
         between = np.percentile(self.between_ms, (50, 99)).tolist()
         return Latencies(*first, *between)
 
-    def _take(self, event: JobEvent) -> None:
+    def _handle_event(self, event: JobEvent) -> None:
         if event.kind is JobEventKind.TOKEN:
-            self._take_token(event)
+            self._handle_token(event)
         elif event.kind is JobEventKind.DONE:
             self.ended += 1
             del self._last_ms[event.job]
             self._submit(event.at_ms, self.point.answer, event.at_ms)
 
-    def _take_token(self, event: JobEvent) -> None:
+    def _handle_token(self, event: JobEvent) -> None:
         job = event.job
         last_ms = self._last_ms[job]
         if last_ms == -inf:
@@ -74,29 +74,31 @@
         self._last_ms[job] = event.at_ms
 
 
-def played_latencies(
-    config: BatchConfig, traits: EngineTraits, point: CurvePoint, seed: int = 1, answers: int = PLAYED_ANSWERS
+def simulated_latencies(
+    config: BatchConfig, traits: EngineTraits, point: CurvePoint, seed: int = 1, answers: int = SIMULATED_ANSWERS
 ) -> Latencies:
-    """As the emulator has them; infinite where the engine is too small for the point."""
-    return _PointPlay(EmulatedEngine(config, traits, seed), point).run(answers)
+    """Returns the simulated latencies; infinite if the engine is too small for the point."""
+    return _PointSimulation(EmulatedEngine(config, traits, seed), point).run(answers)
 
 
 def linear_latencies(kind: EngineKind, point: CurvePoint, free_tokens: int) -> list[list[float]]:
-    """Each of the four latencies as factors of step_ms, decode_ms, prefill_ms and context_ms, without queueing and
-    chance."""
+    """Returns the four latencies as coefficients of step_ms, decode_ms, prefill_ms and context_ms.
+
+    Queueing and random variation are left out.
+    """
     decoding = min(point.at_once, kind.slots) - 1
     context = decoding * (point.prompt + point.answer / 2) / 1000
     chunk_tokens = max(1, kind.step_tokens - decoding)
     chunks = [min(chunk_tokens, point.prompt - begin) for begin in range(0, point.prompt, chunk_tokens)]
     charged = [max(0, chunk + decoding - free_tokens) if free_tokens else chunk for chunk in chunks]
-    idle = float(max(0, decoding + 1 - free_tokens) if free_tokens else 0)  # charged without a prompt
+    idle = float(max(0, decoding + 1 - free_tokens) if free_tokens else 0)  # tokens charged in a step without prefill
     steps = len(chunks)
-    # A prompt arrives within a step: half of one more at the median, all of it at the tail.
+    # A prompt arrives during a step and waits for its end: half a step at the median, a whole step at the tail.
     first_median = [steps + 0.5, (steps + 0.5) * decoding, sum(charged) + 0.5 * idle, (steps + 0.5) * context]
     first_tail = [steps + 1.0, (steps + 1.0) * decoding, sum(charged) + charged[0] / 2, (steps + 1.0) * context]
-    plain = [1.0, decoding + 1.0, idle, context]
-    busy = [1.0, decoding + 1.0, float(charged[0]), context]
+    decode_only = [1.0, decoding + 1.0, idle, context]
+    with_prefill = [1.0, decoding + 1.0, float(charged[0]), context]
     prefill_share = decoding * steps / point.answer
-    between_median = busy if prefill_share > SEEN_BY_MEDIAN else plain
-    between_tail = busy if prefill_share > SEEN_BY_TAIL else plain
+    between_median = with_prefill if prefill_share > MEDIAN_PREFILL_SHARE else decode_only
+    between_tail = with_prefill if prefill_share > TAIL_PREFILL_SHARE else decode_only
     return [first_median, first_tail, between_median, between_tail]
--- a/ternlane/emulator/engine.py
+++ b/ternlane/emulator/engine.py
@@ -1,8 +1,8 @@
-"""One emulated engine: a batch with a slow start, faults, a clock that is handed in, and reports as real engines make.
+"""An emulated engine: a batch with slow start, injected faults and delayed, noisy load reports.
 
-Whoever drives it says when it is, in virtual or real time: `advance(now)` gives what has happened until then, `next_at`
-when to come again. Free of I/O; all times are milliseconds. What a step takes is settled when it begins; a change of
-speed counts from the next.
+The caller passes the time, virtual or real: `advance(now)` returns the events up to then, and `next_at` is the time of
+the next one. Performs no I/O; all times are in milliseconds. A step's duration is fixed when it starts; a change of
+speed affects the following step.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 
 
 class JobEventKind(Enum):
-    """What happens to a job at an engine."""
+    """Kinds of job events."""
 
-    FETCHING = auto()  # it has slot and memory, its state may come
-    PREFILLED = auto()  # its state waits here
+    FETCHING = auto()  # has slot and memory; the state transfer may start
+    PREFILLED = auto()  # its state is held for a transfer or a release
     TOKEN = auto()
-    PREEMPTED = auto()  # out of memory, recomputed later
+    PREEMPTED = auto()  # evicted from memory, to be recomputed
     DONE = auto()
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request's stay at an engine."""
+    """A request at an engine."""
 
     sequence: BatchSequence
     since_ms: float = 0.0
 
 
 class JobEvent(NamedTuple):
-    """Something that has happened to a job."""
+    """An event of a job and its time."""
 
     at_ms: float
     kind: JobEventKind
@@ -48,27 +48,27 @@
 
 @dataclass(frozen=True)
 class EngineTraits:
-    """What an engine is like beside its batch."""
+    """Variation, slow start and reporting of an engine."""
 
-    jitter: float = 0.0  # spread of steps (log-normal)
-    slow_start_ms: float = 10e3  # for how long a started process is cold
-    slow_start_share: float = 0.3  # of its speed, at the start
-    report_ms: float = 200.0  # between two reports
-    lag_ms: float = 50.0  # by which a report is late
-    noise: float = 0.05  # by which a report is off, as a part (standard deviation)
+    jitter: float = 0.0  # sigma of the log-normal factor of step durations
+    slow_start_ms: float = 10e3  # duration of the ramp-up after a start
+    slow_start_share: float = 0.3  # share of full speed at the start
+    report_ms: float = 200.0  # report interval
+    lag_ms: float = 50.0  # report delay
+    noise: float = 0.05  # relative standard deviation of reported values
 
 
 @dataclass(slots=True)
 class EmulatedFault:
-    """What is wrong with an engine at present."""
+    """Faults that are active at an engine."""
 
-    slowdown: float = 1.0  # times slower
+    slowdown: float = 1.0  # factor
     hung: bool = False
-    memory_taken_share: float = 0.0  # by another program
+    external_memory_share: float = 0.0  # used by another program
 
 
 class EmulatedEngine:
-    """One process, which may die and start again."""
+    """An engine process, which can crash and restart."""
 
     def __init__(
         self,
@@ -78,19 +78,19 @@
         policy: EvictionPolicy = "lru",
         started_ms: float = -inf,
     ) -> None:
-        """`started_ms` below 0: it has been warm for ever."""
+        """The default `started_ms` is so long ago that the engine is warm."""
         self.config = config
         self.traits = traits
         self.policy: EvictionPolicy = policy
         self.rng = random.Random(zlib.crc32(b"%d" % seed))
         self.fault = EmulatedFault()
         self.jobs: dict[BatchSequence, Job] = {}
-        self.states: dict[Job, None] = {}  # prefilled, and waiting to be fetched or released
-        self._events: list[JobEvent] = []  # not yet given to the driver
+        self.states: dict[Job, None] = {}  # prefilled, held for a transfer or a release
+        self._events: list[JobEvent] = []  # not yet returned by `advance`
         self.start(started_ms)
 
     def start(self, now_ms: float) -> None:
-        """A process that has just started: empty, and cold unless `now_ms` is long ago."""
+        """Starts a process without any jobs, cold unless `now_ms` is at least `slow_start_ms` ago."""
         self.started_ms = now_ms
         self.now_ms = max(now_ms, 0.0)
         self.memory = BlockPool(self.config.blocks, self.policy)
@@ -99,11 +99,11 @@
         self._step_ends_ms = inf
         self._reports: deque[tuple[float, LoadReport]] = deque([(-inf, LoadReport())])
         self._reported_ms = self.now_ms
-        if self.fault.memory_taken_share:
-            self.take_memory(self.fault.memory_taken_share)
+        if self.fault.external_memory_share:
+            self.reserve_external(self.fault.external_memory_share)
 
-    def die(self, now_ms: float) -> list[Job]:
-        """The process is gone with all it held; gives the jobs that were lost with it."""
+    def crash(self, now_ms: float) -> list[Job]:
+        """Ends the process and returns the jobs lost with it."""
         self.advance(now_ms)
         lost = [*self.jobs.values(), *self.states]
         for job in lost:
@@ -114,10 +114,10 @@
         self._step_ends_ms = inf
         return lost
 
-    # What is asked of it
+    # Requests
 
     def submit(self, now_ms: float, job: Job) -> bool:
-        """A job for the next step; False where the queue is full, or it could never fit."""
+        """Queues a job for the next step; False if the queue is full or the job exceeds the total memory."""
         if not self.batch.add(job.sequence):
             return False
         job.since_ms = now_ms
@@ -126,19 +126,19 @@
         return True
 
     def cancel(self, now_ms: float, job: Job) -> None:
-        """Nobody waits for it any more, at whatever moment of a step."""
+        """Cancels a job, also in the middle of a step."""
         if self.jobs.pop(job.sequence, None) is not None:
             self.batch.cancel(job.sequence)
             self._start_step(now_ms)
 
     def state_arrived(self, now_ms: float, job: Job) -> None:
-        """What the job fetched is here."""
+        """Marks the state that a job fetched as received."""
         if job.sequence in self.jobs:
             self.batch.state_arrived(job.sequence)
             self._start_step(now_ms)
 
     def release(self, now_ms: float, job: Job) -> bool:
-        """Frees the state that waits here; False where there is none."""
+        """Frees the held state of a prefilled job; False if there is none."""
         if job not in self.states:
             return False
         del self.states[job]
@@ -146,26 +146,26 @@
         self._start_step(now_ms)
         return True
 
-    def take_memory(self, share: float) -> None:
-        """Another program has this share of the memory from now on; what is in use is owed."""
-        self.fault.memory_taken_share = share
-        self.memory.take_memory(round(share * self.memory.total))
+    def reserve_external(self, share: float) -> None:
+        """Sets the share of the memory that another program occupies; used blocks follow when they are released."""
+        self.fault.external_memory_share = share
+        self.memory.reserve_external(round(share * self.memory.total))
 
     def fault_changed(self, now_ms: float) -> None:
-        """What stood still may go on."""
+        """Resumes work after a change of `fault`."""
         self._start_step(now_ms)
 
     # Reports
 
     def current_load(self) -> LoadReport:
-        """As it is, not as it is reported."""
+        """Returns the actual load, without report delay and noise."""
         memory_share = self.memory.used / max(1, self.memory.total)
         return LoadReport(len(self.batch.running), len(self.batch.queue), memory_share)
 
     def reported_load(self, now_ms: float) -> LoadReport:
-        """The report that can be had now: late and a little off."""
+        """Returns the report visible at `now_ms`, with delay and noise."""
         self.now_ms = max(self.now_ms, now_ms)
-        self._report()
+        self._record_report()
         latest = LoadReport()
         for at_ms, report in self._reports:
             if at_ms <= now_ms - self.traits.lag_ms:
@@ -175,8 +175,8 @@
             round(latest.running * factor), round(latest.waiting * factor), min(1.0, latest.memory * factor)
         )
 
-    def _report(self) -> None:
-        """Makes the report that is due, of what is now, and drops those that nobody can be given any more."""
+    def _record_report(self) -> None:
+        """Records a report if one is due, and drops those superseded by a newer visible report."""
         if self.now_ms - self._reported_ms < self.traits.report_ms:
             return
         self._reported_ms = self.now_ms
@@ -187,28 +187,28 @@
     # Time
 
     def speed(self, now_ms: float) -> float:
-        """As a share of its full speed."""
+        """Returns the speed as a share of full speed."""
         age = (now_ms - self.started_ms) / max(self.traits.slow_start_ms, 1e-9)
-        warmth = min(1.0, self.traits.slow_start_share + (1 - self.traits.slow_start_share) * age)
-        return 0.0 if self.fault.hung else warmth / self.fault.slowdown
+        warm_share = min(1.0, self.traits.slow_start_share + (1 - self.traits.slow_start_share) * age)
+        return 0.0 if self.fault.hung else warm_share / self.fault.slowdown
 
     def next_at(self) -> float:
-        """When something happens next if nothing is asked of it."""
+        """Returns the time of the next event, provided that no calls intervene."""
         return self.now_ms if self._events else self._step_ends_ms
 
     def advance(self, now_ms: float) -> list[JobEvent]:
-        """What has happened until now, in order. A time before the last one changes nothing."""
+        """Returns the events up to `now_ms` in order. A time before the last one changes nothing."""
         while (due_ms := self._step_ends_ms) <= now_ms:
             self._events += self._end_step()
             self._start_step(due_ms)
         self.now_ms = max(self.now_ms, now_ms)
-        self._report()
+        self._record_report()
         events = self._events
         self._events = []
         return events
 
     def _start_step(self, now_ms: float) -> None:
-        """If none is under way and there is something to do."""
+        """Starts a step if none is running and there is work."""
         self.now_ms = max(self.now_ms, now_ms)
         if self._step is not None:
             return
@@ -238,13 +238,13 @@
             for sequence in sequences:
                 job = self.jobs.get(sequence)
                 if job is not None:
-                    events.append(JobEvent(at_ms, self._settle(job, kind), job))
-                elif sequence.keeps_state:  # cancelled while the step ran
+                    events.append(JobEvent(at_ms, self._finish_job(job, kind), job))
+                elif sequence.keeps_state:  # cancelled during the step
                     self.batch.release(sequence)
         return events
 
-    def _settle(self, job: Job, kind: JobEventKind) -> JobEventKind:
-        """A job that is done leaves the engine; its state stays where it is kept."""
+    def _finish_job(self, job: Job, kind: JobEventKind) -> JobEventKind:
+        """Removes a finished job, keeping its state if required, and returns the kind of event to emit."""
         if kind is not JobEventKind.DONE:
             return kind
         del self.jobs[job.sequence]
--- a/ternlane/emulator/engine_kind.py
+++ b/ternlane/emulator/engine_kind.py
@@ -1,4 +1,4 @@
-"""Short descriptions of a kind of engine: its size, and points of its latency curve as it was measured (JSON5)."""
+"""Descriptions of kinds of engines: capacity and points of the latency curve (JSON5)."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class CurvePoint(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """Latencies while `at_once` sequences run at every moment, each of `prompt` tokens and an answer of `answer`.
+    """Latencies with `at_once` concurrent sequences, each with `prompt` prompt tokens and `answer` answer tokens.
 
-    Milliseconds to the first token, and between tokens, each at the median and the 99th percentile. `held_out`: not for
-    the fit.
+    Time to first token and between tokens in milliseconds, each as median and 99th percentile. `held_out`: the point is
+    not used by the fit, but to validate it.
     """
 
     at_once: Count
@@ -29,7 +29,7 @@
 
 
 class EngineKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
-    """A kind of engine. `memory_tokens`: of prefilled state; `step_tokens`: that a step may prefill and decode."""
+    """A kind of engine. `memory_tokens`: capacity for state; `step_tokens`: token limit of a step."""
 
     name: str
     memory_tokens: Count
--- a/ternlane/emulator/fleet.py
+++ b/ternlane/emulator/fleet.py
@@ -1,8 +1,8 @@
-"""Engines and the links between them on one clock that is handed in: states move, and what happens comes in order.
+"""Emulated engines connected by links, with state transfers and events in order of time.
 
-A prefill server's state goes over its own port to a decode server of its cell, else over the one link of its cell; to
-another zone a token takes `zone_slowdown` times as long. Free of I/O: who drives it in virtual time jumps to `next_at`,
-in real time sleeps until it. All times are milliseconds.
+State moves over the prefill server's own port to a decode server of the same cell, and over the cell's shared link to
+other cells; to another zone a token takes `zone_slowdown` times as long. Performs no I/O: in virtual time the caller
+jumps to `next_at`, in real time it sleeps until then. All times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, eq=False)
 class PlacedEngine:
-    """An engine and where it stands."""
+    """An engine with its location and its port."""
 
     engine: EmulatedEngine
     zone: str
@@ -25,16 +25,16 @@
     port: Link
 
     def next_at(self) -> float:
-        """When something happens next at the engine."""
+        """Returns the time of the engine's next event."""
         return self.engine.next_at()
 
 
 @dataclass(slots=True, eq=False)
-class StateMove:
-    """A state on its way, or about to be: from a prefill server's job to a decode server's."""
+class StateTransfer:
+    """A pending or running transfer of state from a prefill server's job to a decode server's job."""
 
     source: PlacedEngine
-    held: Job
+    source_job: Job
     target: PlacedEngine
     job: Job
     link: Link | None = None
@@ -45,17 +45,17 @@
     """All engines and links."""
 
     def __init__(self, port_rate: float, link_rate: float, zone_slowdown: float = 2.0) -> None:
-        """Rates are tokens a millisecond, of a prefill server's port and of a cell's link."""
+        """`port_rate` and `link_rate`: of a prefill server's port and of a cell's link, in tokens per millisecond."""
         self.port_rate = port_rate
         self.link_rate = link_rate
         self.zone_slowdown = zone_slowdown
         self.engines: list[PlacedEngine] = []
         self.cell_links: dict[int, Link] = {}
-        self.moves: dict[Job, StateMove] = {}  # by the decode server's job
-        self.claimed: set[Job] = set()  # states that a decode server waits for
+        self.state_transfers: dict[Job, StateTransfer] = {}  # by decode job
+        self.claimed: set[Job] = set()  # prefill jobs whose state a decode server awaits
         self.now_ms = 0.0
-        self._due: list[tuple[float, int, PlacedEngine | Link]] = []  # a heap
-        self._order = 0  # of entries with the same time
+        self._schedule_heap: list[tuple[float, int, PlacedEngine | Link]] = []  # heap of (time, order, source)
+        self._order = 0  # tie-breaker of entries with the same time
 
     def add(self, engine: EmulatedEngine, zone: str, cell: int) -> PlacedEngine:
         """Places an engine in a cell."""
@@ -65,16 +65,16 @@
         return placed
 
     def _schedule(self, source: PlacedEngine | Link) -> None:
-        """Its next time may have changed. Old entries stay, and are found to be old when they come up."""
+        """Pushes the source's next time. Outdated entries stay in the heap, and `next_at` drops them."""
         at_ms = source.next_at()
         if at_ms < inf:
             self._order += 1
-            heapq.heappush(self._due, (at_ms, self._order, source))
+            heapq.heappush(self._schedule_heap, (at_ms, self._order, source))
 
-    # What is asked
+    # Requests
 
     def prefill(self, now_ms: float, placed: PlacedEngine, job: Job) -> bool:
-        """Has a prompt prefilled and its state kept; False where the engine is full."""
+        """Prefills a prompt and holds its state; False if the engine rejects the job."""
         job.sequence.keeps_state = True
         return self._submit(now_ms, placed, job)
 
@@ -84,20 +84,20 @@
         placed: PlacedEngine,
         job: Job,
         source: PlacedEngine | None = None,
-        held: Job | None = None,
+        source_job: Job | None = None,
     ) -> bool:
-        """Has an answer decoded, from a state at `source` if it is still there, else from a prompt prefilled in place.
+        """Decodes an answer from the state of `source_job` at `source`, or without these from a local prefill.
 
-        False where the engine is full, or the state is gone.
+        Returns False if the engine rejects the job, or if the state is released or claimed already.
         """
-        if source is not None and held is not None:
-            if held not in source.engine.states or held in self.claimed:
+        if source is not None and source_job is not None:
+            if source_job not in source.engine.states or source_job in self.claimed:
                 return False
             job.sequence.awaits_state = True
-            self.moves[job] = StateMove(source, held, placed, job)
-            self.claimed.add(held)
+            self.state_transfers[job] = StateTransfer(source, source_job, placed, job)
+            self.claimed.add(source_job)
         if not self._submit(now_ms, placed, job):
-            self._stop_move(now_ms, job)
+            self._cancel_transfer(now_ms, job)
             return False
         return True
 
@@ -107,60 +107,60 @@
         return accepted
 
     def cancel(self, now_ms: float, placed: PlacedEngine, job: Job) -> None:
-        """Nobody waits for it any more."""
-        self._stop_move(now_ms, job)
+        """Cancels a job and its state transfer."""
+        self._cancel_transfer(now_ms, job)
         placed.engine.cancel(now_ms, job)
         self._schedule(placed)
 
-    def release(self, now_ms: float, placed: PlacedEngine, held: Job) -> bool:
-        """Frees a state that no decode server waits for; False where there is none such."""
-        freed = held not in self.claimed and placed.engine.release(now_ms, held)
+    def release(self, now_ms: float, placed: PlacedEngine, source_job: Job) -> bool:
+        """Frees held state; False if there is none or a decode server awaits it."""
+        freed = source_job not in self.claimed and placed.engine.release(now_ms, source_job)
         self._schedule(placed)
         return freed
 
     def fault_changed(self, now_ms: float, placed: PlacedEngine) -> None:
-        """What is wrong with an engine has changed."""
+        """Resumes work after a change of an engine's `fault`."""
         placed.engine.fault_changed(now_ms)
         self._schedule(placed)
 
-    def _stop_move(self, now_ms: float, job: Job) -> None:
-        move = self.moves.pop(job, None)
-        if move is None:
+    def _cancel_transfer(self, now_ms: float, job: Job) -> None:
+        state_transfer = self.state_transfers.pop(job, None)
+        if state_transfer is None:
             return
-        self.claimed.discard(move.held)
-        if move.link is not None and move.transfer is not None:
-            move.link.cancel(now_ms, move.transfer)
-            self._schedule(move.link)
-
-    def die(self, now_ms: float, placed: PlacedEngine) -> list[Job]:
-        """The process is gone: gives the jobs lost with it, and those elsewhere that waited for a state of its."""
-        lost = placed.engine.die(now_ms)
-        for job, move in list(self.moves.items()):
-            if job not in lost and move.source is not placed:
+        self.claimed.discard(state_transfer.source_job)
+        if state_transfer.link is not None and state_transfer.transfer is not None:
+            state_transfer.link.cancel(now_ms, state_transfer.transfer)
+            self._schedule(state_transfer.link)
+
+    def crash(self, now_ms: float, placed: PlacedEngine) -> list[Job]:
+        """Ends an engine's process; returns its lost jobs and the jobs elsewhere that awaited its state."""
+        lost = placed.engine.crash(now_ms)
+        for job, state_transfer in list(self.state_transfers.items()):
+            if job not in lost and state_transfer.source is not placed:
                 continue
-            self._stop_move(now_ms, job)
+            self._cancel_transfer(now_ms, job)
             if job not in lost:
-                move.target.engine.cancel(now_ms, job)
-                self._schedule(move.target)
+                state_transfer.target.engine.cancel(now_ms, job)
+                self._schedule(state_transfer.target)
                 lost.append(job)
         return lost
 
     # Time
 
     def next_at(self) -> float:
-        """When something happens next if nothing is asked."""
-        while self._due:
-            at_ms, _, source = self._due[0]
+        """Returns the time of the next event, provided that no calls intervene."""
+        while self._schedule_heap:
+            at_ms, _, source = self._schedule_heap[0]
             if at_ms == source.next_at():
                 return at_ms
-            heapq.heappop(self._due)
+            heapq.heappop(self._schedule_heap)
         return inf
 
     def advance(self, now_ms: float) -> list[tuple[PlacedEngine, JobEvent]]:
-        """What has happened until now, in order."""
+        """Returns the events up to `now_ms` in order."""
         events: list[tuple[PlacedEngine, JobEvent]] = []
         while (at_ms := self.next_at()) <= now_ms:
-            source = heapq.heappop(self._due)[2]
+            source = heapq.heappop(self._schedule_heap)[2]
             if isinstance(source, Link):
                 for ended_ms, transfer in source.take_ended(at_ms):
                     self._end_transfer(ended_ms, transfer)
@@ -175,23 +175,23 @@
         return events
 
     def _begin_transfer(self, event: JobEvent) -> None:
-        """A decode server has slot and memory for it: its state begins to move."""
-        move = self.moves.get(event.job)
-        if move is None:
+        """Starts a state transfer once the decode server has allocated slot and memory."""
+        state_transfer = self.state_transfers.get(event.job)
+        if state_transfer is None:
             return
-        same_cell = move.source.cell == move.target.cell
-        link = move.source.port if same_cell else self.cell_links[move.source.cell]
-        slowdown = 1.0 if move.source.zone == move.target.zone else self.zone_slowdown
-        move.link = link
-        move.transfer = link.begin(event.at_ms, event.job.sequence.prompt_tokens * slowdown, move)
+        same_cell = state_transfer.source.cell == state_transfer.target.cell
+        link = state_transfer.source.port if same_cell else self.cell_links[state_transfer.source.cell]
+        slowdown = 1.0 if state_transfer.source.zone == state_transfer.target.zone else self.zone_slowdown
+        state_transfer.link = link
+        state_transfer.transfer = link.begin(event.at_ms, event.job.sequence.prompt_tokens * slowdown, state_transfer)
         self._schedule(link)
 
     def _end_transfer(self, at_ms: float, transfer: LinkTransfer) -> None:
-        move = transfer.job
-        assert isinstance(move, StateMove)
-        self.moves.pop(move.job, None)
-        self.claimed.discard(move.held)
-        move.source.engine.release(at_ms, move.held)
-        self._schedule(move.source)
-        move.target.engine.state_arrived(at_ms, move.job)
-        self._schedule(move.target)
+        state_transfer = transfer.job
+        assert isinstance(state_transfer, StateTransfer)
+        self.state_transfers.pop(state_transfer.job, None)
+        self.claimed.discard(state_transfer.source_job)
+        state_transfer.source.engine.release(at_ms, state_transfer.source_job)
+        self._schedule(state_transfer.source)
+        state_transfer.target.engine.state_arrived(at_ms, state_transfer.job)
+        self._schedule(state_transfer.target)
--- a/ternlane/emulator/links.py
+++ b/ternlane/emulator/links.py
@@ -1,7 +1,7 @@
-"""Ports and cell links: what moves over one shares its bandwidth evenly, at every moment. Free of I/O and clock.
+"""Ports and cell links whose active transfers share the bandwidth equally. Performs no I/O and reads no clock.
 
-Kept in virtual time: all transfers make the same progress, so each ends where the common progress reaches a mark that
-is known when it begins. Joining, leaving and ending cost the logarithm of the transfers' number, not the number.
+Uses the virtual time of fair queueing: all transfers progress equally, so each ends when the common progress reaches a
+value known at its start. Starting and ending a transfer takes logarithmic time in the number of transfers.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 @dataclass(slots=True, eq=False)
 class LinkTransfer:
-    """So many tokens of prefilled state on their way; `job` is the caller's."""
+    """A transfer of `tokens` tokens of prefilled state; `job` is opaque to the link."""
 
     tokens: float
     job: object
-    mark: float = 0.0  # the link's progress at which it ends
-    over: bool = False  # cancelled or ended
+    end_progress: float = 0.0  # link progress at which it ends
+    ended: bool = False  # cancelled or ended
 
 
 class Link:
-    """Carries `rate` tokens a millisecond, shared evenly. Times are milliseconds, and never go back."""
+    """A link with a bandwidth of `rate` tokens per millisecond. Times are in milliseconds and do not decrease."""
 
     def __init__(self, rate: float) -> None:
-        """Nothing moves."""
+        """No transfer is active."""
         self.rate = rate
-        self.active = 0  # transfers
+        self.active = 0  # number of transfers
         self.carried_tokens = 0.0
-        self._progress = 0.0  # tokens that a transfer from the beginning on would have moved
+        self._progress = 0.0  # tokens moved by a transfer active since the start
         self._now_ms = 0.0
-        self._marks: list[tuple[float, int, LinkTransfer]] = []  # a heap
-        self._order = 0  # of transfers with the same mark
+        self._transfers: list[tuple[float, int, LinkTransfer]] = []  # heap of (end_progress, order, transfer)
+        self._order = 0  # tie-breaker of transfers with the same end_progress
 
-    def move_to(self, now_ms: float) -> None:
-        """Lets time pass. A clock that jumps back moves nothing."""
+    def advance(self, now_ms: float) -> None:
+        """Advances all transfers to `now_ms`. A time before the last one changes nothing."""
         now_ms = max(now_ms, self._now_ms)
         if self.active:
             self._progress += (now_ms - self._now_ms) * self.rate / self.active
@@ -43,46 +43,46 @@
         self._now_ms = now_ms
 
     def begin(self, now_ms: float, tokens: float, job: object) -> LinkTransfer:
-        """Puts a transfer on the link. What has ended by now must have been taken off by `take_ended` before."""
-        self.move_to(now_ms)
+        """Starts a transfer. Requires that `take_ended` has removed the transfers that ended by `now_ms`."""
+        self.advance(now_ms)
         transfer = LinkTransfer(tokens, job, self._progress + tokens)
         self._order += 1
         self.active += 1
-        heapq.heappush(self._marks, (transfer.mark, self._order, transfer))
+        heapq.heappush(self._transfers, (transfer.end_progress, self._order, transfer))
         return transfer
 
     def cancel(self, now_ms: float, transfer: LinkTransfer) -> None:
-        """Nobody waits for it any more; the others have its share from now on."""
-        if not transfer.over:
-            self.move_to(now_ms)
-            self._leave(transfer)
+        """Cancels a transfer; the others get its share of the bandwidth."""
+        if not transfer.ended:
+            self.advance(now_ms)
+            self._remove(transfer)
 
-    def _leave(self, transfer: LinkTransfer) -> None:
-        transfer.over = True
+    def _remove(self, transfer: LinkTransfer) -> None:
+        transfer.ended = True
         self.active -= 1
 
     def set_rate(self, now_ms: float, rate: float) -> None:
-        """Another bandwidth from now on; what has moved has moved."""
-        self.move_to(now_ms)
+        """Sets the bandwidth from `now_ms` on."""
+        self.advance(now_ms)
         self.rate = rate
 
     def next_at(self) -> float:
-        """When the next transfer ends if nothing joins; infinite where nothing moves."""
-        while self._marks and self._marks[0][2].over:
-            heapq.heappop(self._marks)
-        if not self._marks or self.rate <= 0:
+        """Returns when the next transfer ends, provided that none joins; infinite if nothing moves."""
+        while self._transfers and self._transfers[0][2].ended:
+            heapq.heappop(self._transfers)
+        if not self._transfers or self.rate <= 0:
             return inf
-        return self._now_ms + max(0.0, self._marks[0][0] - self._progress) * self.active / self.rate
+        return self._now_ms + max(0.0, self._transfers[0][0] - self._progress) * self.active / self.rate
 
     def take_ended(self, now_ms: float) -> list[tuple[float, LinkTransfer]]:
-        """What has ended by now, each with its time, in order."""
+        """Removes and returns the transfers that ended by `now_ms`, with their times, in order."""
         ended: list[tuple[float, LinkTransfer]] = []
         while (due_ms := self.next_at()) <= now_ms:
-            transfer = self._marks[0][2]
-            self.move_to(due_ms)
-            self._progress = transfer.mark  # exactly, whatever rounding made of it
-            heapq.heappop(self._marks)
-            self._leave(transfer)
+            transfer = self._transfers[0][2]
+            self.advance(due_ms)
+            self._progress = transfer.end_progress  # removes the rounding error
+            heapq.heappop(self._transfers)
+            self._remove(transfer)
             ended.append((due_ms, transfer))
-        self.move_to(now_ms)
+        self.advance(now_ms)
         return ended
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,9 +19,9 @@
 def whole(it: BlockPool, open_: list[BlockAllocation]) -> None:
     """Every block is in exactly one place, and is counted as often as it is held."""
     held = [b for h in open_ for b in h.blocks]
-    assert sorted([*it.free, *it.idle, *it.lost, *set(held)]) == list(range(it.total))
+    assert sorted([*it.free, *it.idle, *it.reclaimed, *set(held)]) == list(range(it.total))
     assert all(it.references[b] == held.count(b) for b in range(it.total))
-    assert it.used == len(set(held)) and len(it.lost) + it.owed == it.taken
+    assert it.used == len(set(held)) and len(it.reclaimed) + it.pending_reclaim == it.external_blocks
     assert all(it.keys[b] is not None and it.cached[it.keys[b][0]] == b for b in it.idle)  # type: ignore[index]
     assert all(it.keys[b] is None for b in it.free)
 
@@ -41,7 +41,7 @@
                 assert len(got.blocks) == a % 5 + b % 3
                 open_.append(got)
         elif what == "cut":
-            it.take_memory(a)
+            it.reserve_external(a)
         elif open_:
             held = open_[a % len(open_)]
             if what == "grow":
@@ -51,12 +51,12 @@
                 if at >= held.cached and it.keys[held.blocks[at]] is None:
                     it.register(held, at, keys[at])
             else:
-                it.give_back(held)
+                it.release(held)
                 open_.remove(held)
         whole(it, open_)
     for held in open_:
-        it.give_back(held)
-    it.take_memory(0)
+        it.release(held)
+    it.reserve_external(0)
     whole(it, [])
     assert it.available == it.total
 
@@ -69,8 +69,8 @@
         it.register(first, i, key)
     second = it.allocate(keys, 5)
     assert second is not None and second.cached == 4 and it.used == 5
-    it.give_back(first)
-    it.give_back(second)
+    it.release(first)
+    it.release(second)
     assert it.count_cached(keys) == 4 and it.used == 0
     other = it.allocate(block_keys(b"z" * 32, 8), 4)  # two are free; two of the kept ones must go: the ends
     assert other is not None and it.count_cached(keys) == 2 and it.evictions == 2
@@ -96,11 +96,11 @@
     it = BlockPool(10)
     held = it.allocate([], 8)
     assert held is not None
-    it.take_memory(5)
-    assert it.overcommitted == 3 and it.available == 0 and it.owed == 3
-    it.give_back(held)
+    it.reserve_external(5)
+    assert it.overcommitted == 3 and it.available == 0 and it.pending_reclaim == 3
+    it.release(held)
     assert it.overcommitted == 0 and it.available == 5
-    it.take_memory(0)
+    it.reserve_external(0)
     assert it.available == 10
 
 
@@ -116,7 +116,7 @@
             found, asked = found + held.cached * (n % 2), asked + len(keys) * (n % 2)
             for i in range(held.cached, len(keys)):
                 it.register(held, i, keys[i])
-            it.give_back(held)
+            it.release(held)
         hits[policy] = found / asked
     assert hits["clock"] > hits["lru"] > 0.2
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -76,7 +76,7 @@
     gone, stays = link.begin(0.0, 1000.0, "a"), link.begin(0.0, 1000.0, "b")
     link.cancel(100.0, gone)  # each has 500 by now
     link.cancel(100.0, gone)
-    link.move_to(20.0)
+    link.advance(20.0)
     assert link.take_ended(149.0) == [] and link.take_ended(150.0) == [(150.0, stays)]
     link.begin(200.0, 100.0, "c")
     link.set_rate(205.0, 0.0)
@@ -183,16 +183,16 @@
             held = data.draw(st.sampled_from(list(helds)))
             fleet.release(now, helds[held], held)
         elif what == "die":
-            stopped |= set(fleet.die(now, seat))
+            stopped |= set(fleet.crash(now, seat))
             seat.engine.start(now)
         elif what == "cut":
-            seat.engine.take_memory(data.draw(st.sampled_from([0.0, 0.3, 0.5])))
+            seat.engine.reserve_external(data.draw(st.sampled_from([0.0, 0.3, 0.5])))
         elif what == "hang":
             seat.engine.fault.hung = not seat.engine.fault.hung
             fleet.fault_changed(now, seat)
     for seat in prefill_servers + decode_servers:
         seat.engine.fault.hung = False
-        seat.engine.take_memory(0.0)
+        seat.engine.reserve_external(0.0)
         fleet.fault_changed(fleet.now_ms, seat)
     told += run(fleet)
     wrote, done = counted(told, JobEventKind.TOKEN), counted(told, JobEventKind.DONE)
@@ -212,7 +212,7 @@
             and not seat.engine.jobs
             and not seat.engine.batch.queue
         )
-    assert not fleet.moves and not fleet.claimed
+    assert not fleet.state_transfers and not fleet.claimed
 
 
 def test_an_answer_longer_than_memory_is_rejected_and_an_empty_one_ends() -> None:
@@ -232,7 +232,7 @@
     times: list[float] = []
     for at in (0.0, 5000.0, 10_000.0, 15_000.0):
         if at == 10_000.0:
-            fleet.die(at, seat)
+            fleet.crash(at, seat)
             seat.engine.start(at)
         job = Job(BatchSequence(960, 0, keys))
         assert fleet.decode(at, seat, job)
