--- a/bench/budget.py
+++ b/bench/budget.py
@@ -1,4 +1,4 @@
-"""Budgets, answer lengths, quotas and the ledger beside plain ways, in one run.
+"""Compares budget admission, answer-length estimates, quotas and the ledger with simple alternatives.
 
 python -m bench.budget [decisions|lengths|parts|ledger] [--entries 1000000]
 """
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Reads the command line and prints what it names; all without a name."""
+    """Runs the comparisons named on the command line, by default all."""
     parser = argparse.ArgumentParser()
     parser.add_argument("what", nargs="*", default=["decisions", "lengths", "parts", "ledger"])
     parser.add_argument("--entries", type=int, default=1_000_000)
--- a/bench/budget_decisions.py
+++ b/bench/budget_decisions.py
@@ -1,4 +1,4 @@
-"""What admitting a request against a tenant's budget costs, beside a dict of fixed windows behind a lock."""
+"""Compares the cost of budget admission with a locked dict of fixed one-minute windows."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from ternlane.tenants.tenant_registry import Budget, Tenant
 from ternlane.tenants.usage_accounting import UsageAccounting
 
-WALL_S = 1_796_000_000.0  # seconds since 1970
+WALL_S = 1_796_000_000.0  # Unix time
 TENANT_COUNTS = (10, 10_000, 1_000_000)
-LEAST_ROUNDS = 50_000
-MOST_DRAWN = 10_000  # with more tenants, each is asked for once
+MIN_ROUNDS = 50_000
+MAX_DRAWN = 10_000  # with more tenants, each sends one request
 MINUTE_TOKENS = 10**9
 PERIOD_TOKENS = 10**12
 PROMPT_TOKENS = 100
@@ -26,41 +26,41 @@
 
 
 class Admission(Protocol):
-    """Reserves tokens, and settles what was used of them."""
+    """Reserves tokens of a budget and settles their use."""
 
     def reserve(self, tenant: Tenant) -> object:
-        """What `settle` needs."""
+        """Returns the reservation that `settle` takes."""
         ...
 
     def settle(self, tenant: Tenant, reservation: object) -> None:
-        """The request has ended."""
+        """Settles the reservation of an ended request."""
 
 
 class ByUsageAccounting:
-    """What the gateway does."""
+    """The admission used by the gateway."""
 
     def __init__(self) -> None:
         self._accounting = UsageAccounting()
 
     def reserve(self, tenant: Tenant) -> object:
-        """A hold."""
+        """Returns a budget reservation."""
         return self._accounting.reserve(tenant, "s", PROMPT_TOKENS, ANSWER_TOKENS, 0.0, WALL_S)
 
     def settle(self, tenant: Tenant, reservation: object) -> None:
-        """With a bill."""
+        """Settles with a bill of the used tokens."""
         assert isinstance(reservation, BudgetReservation)
         self._accounting.settle(reservation, "g", "streamed", USED, 2, 0.0, WALL_S)
 
 
 class ByFixedWindows:
-    """A dict behind a lock: tokens of the present minute."""
+    """Counts tokens per tenant and fixed one-minute window, under a lock."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._windows: dict[str, tuple[int, int]] = {}  # minute and tokens, by tenant
 
     def reserve(self, tenant: Tenant) -> object:
-        """Whether it was admitted."""
+        """Returns whether the request was admitted."""
         minute = int(WALL_S // 60)
         tokens = PROMPT_TOKENS + ANSWER_TOKENS
         with self._lock:
@@ -72,7 +72,7 @@
             return True
 
     def settle(self, tenant: Tenant, reservation: object) -> None:
-        """Gives back what was not used."""
+        """Returns the unused tokens to the window."""
         unused = PROMPT_TOKENS + ANSWER_TOKENS - 150
         with self._lock:
             minute, spent = self._windows[tenant.name]
@@ -80,34 +80,34 @@
 
 
 def print_decisions() -> None:
-    """A line for each number of tenants and each way."""
+    """Prints a line for each number of tenants and each admission."""
     print(f"{'tenants':>9}{'':<14}{'us a reserve':>13}{'us a settle':>13}{'bytes a tenant':>16}")
     for count in TENANT_COUNTS:
         budget = Budget(minute=MINUTE_TOKENS, period=PERIOD_TOKENS)
         tenants = [Tenant(name=f"t{number}", budget=budget) for number in range(count)]
         rng = random.Random(1)
-        asked = tenants
-        if count <= MOST_DRAWN:
-            asked = [tenants[rng.randrange(count)] for _ in range(max(count, LEAST_ROUNDS))]
-        _print_way("usage accounting", ByUsageAccounting, tenants, asked)
-        _print_way("fixed windows", ByFixedWindows, tenants, asked)
+        drawn = tenants
+        if count <= MAX_DRAWN:
+            drawn = [tenants[rng.randrange(count)] for _ in range(max(count, MIN_ROUNDS))]
+        _print_admission("usage accounting", ByUsageAccounting, tenants, drawn)
+        _print_admission("fixed windows", ByFixedWindows, tenants, drawn)
 
 
-def _print_way(name: str, make: Callable[[], Admission], tenants: list[Tenant], asked: list[Tenant]) -> None:
+def _print_admission(name: str, make: Callable[[], Admission], tenants: list[Tenant], drawn: list[Tenant]) -> None:
     held_bytes = _held_bytes(make, tenants) / len(tenants)
     admission = make()
     begin_s = time.perf_counter()
-    reservations = [admission.reserve(tenant) for tenant in asked]
-    reserve_us = (time.perf_counter() - begin_s) / len(asked) * 1e6
+    reservations = [admission.reserve(tenant) for tenant in drawn]
+    reserve_us = (time.perf_counter() - begin_s) / len(drawn) * 1e6
     begin_s = time.perf_counter()
-    for tenant, reservation in zip(asked, reservations, strict=True):
+    for tenant, reservation in zip(drawn, reservations, strict=True):
         admission.settle(tenant, reservation)
-    settle_us = (time.perf_counter() - begin_s) / len(asked) * 1e6
+    settle_us = (time.perf_counter() - begin_s) / len(drawn) * 1e6
     print(f"{len(tenants):>9}  {name:<18}{reserve_us:>7.2f}{settle_us:>13.2f}{held_bytes:>16.0f}")
 
 
 def _held_bytes(make: Callable[[], Admission], tenants: list[Tenant]) -> int:
-    """What is held after a request of each tenant."""
+    """Returns the memory in use after one request of each tenant."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     admission = make()
--- a/bench/budget_ledger.py
+++ b/bench/budget_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger beside SQLite (WAL, every commit synced): writing in groups, and recovery."""
+"""Compares the ledger with SQLite (WAL, synced commits): group commits and recovery."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from ternlane.ledger.disk import Disk
 from ternlane.tenants.billing import LedgerEntry, TokenUsage
 
-GROUPS = (1, 16, 256)  # entries a commit
+GROUPS = (1, 16, 256)  # entries per commit
 COMMITS = 400
 RECOVERY_GROUP = 4096
-LEAST_RECOVERED = 100_000
+MIN_RECOVERED = 100_000
 COLUMNS = (
     "gen text primary key, tenant text, product text, period text, wall real, outcome text, prompt int, kept int, "
     "answer int, hp int, hk int, ha int, micros int, legs int, key text, note text"
@@ -24,7 +24,7 @@
 
 
 def drawn_entry(number: int) -> LedgerEntry:
-    """Entries differ in request, tenant and time."""
+    """Returns an entry that differs by number in request, tenant and time."""
     return LedgerEntry(
         f"g{number}-{number * 7919}",
         f"t{number % 1000}",
@@ -41,10 +41,10 @@
 
 
 class SqliteLedger:
-    """The same entries in a table."""
+    """Stores the same entries in an SQLite table."""
 
     def __init__(self, path: Path) -> None:
-        """A new file."""
+        """Creates the table in a new file."""
         self.path = path
         self._database = sqlite3.connect(path, isolation_level=None)
         self._database.execute("pragma journal_mode=wal")
@@ -52,14 +52,14 @@
         self._database.execute(f"create table bills ({COLUMNS}) without rowid")
 
     def commit(self, entries: list[LedgerEntry]) -> None:
-        """A group in one transaction."""
+        """Commits a group of entries in one transaction."""
         self._database.execute("begin")
-        places = ",".join("?" * (COLUMNS.count(",") + 1))
-        self._database.executemany(f"insert into bills values ({places})", [_row(entry) for entry in entries])
+        placeholders = ",".join("?" * (COLUMNS.count(",") + 1))
+        self._database.executemany(f"insert into bills values ({placeholders})", [_row(entry) for entry in entries])
         self._database.execute("commit")
 
     def recover(self) -> int:
-        """Sums by tenant, class and period; gives the number of entries."""
+        """Computes the totals by tenant, request class and period; returns the number of entries."""
         fresh = sqlite3.connect(self.path)
         rows = fresh.execute(
             "select tenant, product, period, count(*), sum(prompt), sum(answer), sum(micros) "
@@ -70,8 +70,8 @@
 
 
 def _row(entry: LedgerEntry) -> tuple[object, ...]:
-    bill = entry.billed
-    house = entry.unbilled
+    billed = entry.billed
+    unbilled = entry.unbilled
     return (
         entry.request,
         entry.tenant,
@@ -79,8 +79,8 @@
         entry.period,
         entry.wall,
         entry.outcome,
-        *(bill.prompt, bill.cached, bill.answer),
-        *(house.prompt, house.cached, house.answer),
+        *(billed.prompt, billed.cached, billed.answer),
+        *(unbilled.prompt, unbilled.cached, unbilled.answer),
         entry.micros,
         entry.attempts,
         entry.key,
@@ -89,14 +89,14 @@
 
 
 def print_ledger(entries: int) -> None:
-    """Writing and recovery; `entries`: at most."""
+    """Prints writing and recovery times. `entries`: the largest number of entries."""
     with tempfile.TemporaryDirectory(dir=".") as name:
         folder = Path(name)
         print(f"{'':<10}{'group':>6}{'entries a s':>14}{'us an entry':>13}")
         for group in GROUPS:
             _print_writing(folder, group, [drawn_entry(number) for number in range(min(entries, COMMITS * group))])
         print(f"\n{'recovery':<10}{'entries':>10}{'MB':>8}{'s':>8}{'with sums, s':>14}")
-        for count in sorted({LEAST_RECOVERED, entries}):
+        for count in sorted({MIN_RECOVERED, entries}):
             _print_store_recovery(folder / f"r{count}", count)
             _print_sqlite_recovery(folder / f"r{count}.db", count)
 
@@ -104,8 +104,8 @@
 def _print_writing(folder: Path, group: int, entries: list[LedgerEntry]) -> None:
     store = BillingLedger(Disk(folder / f"own-{group}"))
 
-    def commit_to_store(part: list[LedgerEntry]) -> None:
-        for entry in part:
+    def commit_to_store(group_entries: list[LedgerEntry]) -> None:
+        for entry in group_entries:
             store.append(entry)
         store.commit()
 
--- a/bench/chat_client.py
+++ b/bench/chat_client.py
@@ -1,4 +1,4 @@
-"""Sends the same short chat request straight to engines or through a gateway, and notes when its tokens come."""
+"""Sends a short chat request directly to engines or through a gateway and records token arrival times."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def chat_body(number: int) -> dict[str, Any]:
-    """A prompt with a shared prefix and a text of its own."""
+    """Returns a streamed request whose prompt has a shared prefix and a distinct text."""
     messages = [
         {"role": "system", "content": "the shared rules of the bonus " * 40},
         {"role": "user", "content": f"folder {number} " * 20},
@@ -24,8 +24,10 @@
     return {"model": "summary", "stream": True, "messages": messages, "max_tokens": ANSWER_TOKENS}
 
 
-async def ask_engines(pool: ConnectionPool, prefill_server: str, decode_server: str, number: int) -> list[float]:
-    """Prefills and decodes straight at the engines (host:port); times of the token events, ms since the ask."""
+async def request_from_engines(
+    pool: ConnectionPool, prefill_server: str, decode_server: str, number: int
+) -> list[float]:
+    """Prefills and decodes directly at the engines (host:port); returns token times in ms since the start."""
     begin_s = time.perf_counter()
     body = chat_body(number)
     headers = [*JSON_HEADERS, ("X-Request-Id", f"d{number}.0")]
@@ -38,8 +40,8 @@
     return await token_times_ms(pool, connection, begin_s)
 
 
-async def ask_gateway(pool: ConnectionPool, address: str, number: int) -> list[float]:
-    """Through the gateway at host:port; times of the token events, ms since the ask."""
+async def request_from_gateway(pool: ConnectionPool, address: str, number: int) -> list[float]:
+    """Sends the request to the gateway at host:port; returns token times in ms since the start."""
     begin_s = time.perf_counter()
     connection = await pool.take(address)
     await connection.ask("POST", CHAT_PATH, JSON_HEADERS, msgspec.json.encode(chat_body(number)))
@@ -47,7 +49,7 @@
 
 
 async def token_times_ms(pool: ConnectionPool, connection: ClientConnection, begin_s: float) -> list[float]:
-    """Reads the answer to its end, and gives the connection back."""
+    """Reads the whole response and returns the connection to the pool."""
     events = EventReader()
     times_ms: list[float] = []
     async for chunk in connection.chunks():
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,9 +1,9 @@
-"""What the gateway costs: latency against asking engines straight, and requests a core, in one run.
+"""Measures the gateway's overhead: latency added to direct engine requests, and requests per CPU core.
 
     python -m bench.gateway [--seconds 5] [--rounds 600] [--turns 3] [--profile]
 
-Engines answer at once with eight tokens. Variants of the gateway run side by side and are asked in turns, so that what
-the machine does beside strikes all alike.
+Engines answer immediately with eight tokens. Variants of the gateway run at the same time and are measured in turns, so
+that other load on the machine affects all of them alike.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 import structlog
 import trio
 
-from bench.chat_client import ANSWER_TOKENS, ask_engines, ask_gateway
+from bench.chat_client import ANSWER_TOKENS, request_from_engines, request_from_gateway
 from bench.gateway_processes import (
     CONNECT_TIMEOUT_MS,
     CONNECTION_IDLE_MS,
@@ -47,22 +47,22 @@
 from ternlane.http1 import ConnectionPool
 from ternlane.scenarios.ports import free_ports
 
-STRAIGHT = "straight"
-WARM_UP_SHARE = 1 / 10  # of the rounds, which do not count
+DIRECT = "direct"
+WARM_UP_SHARE = 1 / 10  # share of rounds left out of the results
 ENGINE_START_S = 1.0
 PROFILE_LINES = 28
 
-Ask = Callable[[ConnectionPool, int], Awaitable[list[float]]]
+SendRequest = Callable[[ConnectionPool, int], Awaitable[list[float]]]
 TokenTimes = list[list[float]]  # ms, by round and token
 
 
-async def ask_in_turns(asks: dict[str, Ask], rounds: int) -> dict[str, TokenTimes]:
-    """One request at a time, by name."""
+async def measure_alternating(senders: dict[str, SendRequest], rounds: int) -> dict[str, TokenTimes]:
+    """Sends one request at a time, alternating between `senders`; returns token times by name."""
     pool = ConnectionPool(CONNECT_TIMEOUT_MS, CONNECTION_IDLE_MS)
-    times: dict[str, TokenTimes] = {name: [] for name in asks}
+    times: dict[str, TokenTimes] = {name: [] for name in senders}
     for number in range(rounds):
-        for name, ask in asks.items():
-            token_times_ms = await ask(pool, number)
+        for name, send in senders.items():
+            token_times_ms = await send(pool, number)
             if number >= int(rounds * WARM_UP_SHARE):
                 times[name].append(token_times_ms)
     pool.close()
@@ -70,47 +70,47 @@
 
 
 async def measure_latency(first_port: int, addresses: dict[str, str], rounds: int) -> dict[str, TokenTimes]:
-    """Of asking engines straight, and through each variant."""
+    """Measures requests sent directly to the engines and through each variant."""
     prefill_server = f"127.0.0.1:{first_port}"
     decode_server = f"127.0.0.1:{first_port + 1}"
     for address in (prefill_server, f"127.0.0.1:{first_port + ENGINES - 1}", *addresses.values()):
         await wait_until_listening(address)
 
-    async def straight(pool: ConnectionPool, number: int) -> list[float]:
-        return await ask_engines(pool, prefill_server, decode_server, number)
+    async def direct(pool: ConnectionPool, number: int) -> list[float]:
+        return await request_from_engines(pool, prefill_server, decode_server, number)
 
     async def through(address: str, pool: ConnectionPool, number: int) -> list[float]:
-        return await ask_gateway(pool, address, number)
+        return await request_from_gateway(pool, address, number)
 
-    asks: dict[str, Ask] = {STRAIGHT: straight}
+    senders: dict[str, SendRequest] = {DIRECT: direct}
     for name, address in addresses.items():
-        asks[name] = partial(through, address)
-    return await ask_in_turns(asks, rounds)
+        senders[name] = partial(through, address)
+    return await measure_alternating(senders, rounds)
 
 
 def percentile(values: list[float], number: int = 50) -> float:
-    """The median, or another."""
+    """Returns a percentile, by default the median."""
     return statistics.quantiles(values, n=100)[number - 1]
 
 
 def print_latency(times: dict[str, TokenTimes]) -> None:
-    """First and last token, and what each variant adds."""
+    """Prints first and last token times and the latency each variant adds."""
     print(f"{'one at a time, ms':<20}{'first token':>12}{'added':>8}{'p99':>8}{'last token':>12}{'added':>8}")
-    straight_first = percentile([token_times[0] for token_times in times[STRAIGHT]])
-    straight_last = percentile([token_times[-1] for token_times in times[STRAIGHT]])
+    direct_first = percentile([token_times[0] for token_times in times[DIRECT]])
+    direct_last = percentile([token_times[-1] for token_times in times[DIRECT]])
     for name, rounds in times.items():
         first = [token_times[0] for token_times in rounds]
         last = [token_times[-1] for token_times in rounds]
         print(
-            f"{name:<20}{percentile(first):>12.2f}{percentile(first) - straight_first:>8.2f}"
-            f"{percentile(first, 99):>8.2f}{percentile(last):>12.2f}{percentile(last) - straight_last:>8.2f}"
+            f"{name:<20}{percentile(first):>12.2f}{percentile(first) - direct_first:>8.2f}"
+            f"{percentile(first, 99):>8.2f}{percentile(last):>12.2f}{percentile(last) - direct_last:>8.2f}"
         )
 
 
 def measure_full_load(
     addresses: dict[str, str], pids: dict[str, int], turns: int, seconds: float, width: int
 ) -> dict[str, list[LoadResult]]:
-    """By variant."""
+    """Measures each variant in turns; returns results by variant."""
     results: dict[str, list[LoadResult]] = {name: [] for name in pids}
     for _ in range(turns):
         for name, pid in pids.items():
@@ -119,20 +119,20 @@
 
 
 def print_full_load(results: dict[str, list[LoadResult]], width: int) -> None:
-    """Medians over the turns."""
+    """Prints medians over the turns."""
     print(
-        f"\n{'at full load':<20}{'a second':>12}{'of a core':>12}{'a core-second':>15}   "
+        f"\n{'at full load':<20}{'requests/s':>12}{'cores':>12}{'requests/core-s':>17}   "
         f"({ANSWER_TOKENS} tokens each, two load processes x {width})"
     )
     for name, turns in results.items():
         answered = statistics.median(turn.answered_per_s for turn in turns)
         cores = statistics.median(turn.cores for turn in turns)
         per_core_s = statistics.median(turn.answered_per_core_s for turn in turns)
-        print(f"{name:<20}{answered:>12.0f}{cores:>12.2f}{per_core_s:>15.0f}")
+        print(f"{name:<20}{answered:>12.0f}{cores:>12.2f}{per_core_s:>17.0f}")
 
 
 def compare_variants(options: argparse.Namespace) -> None:
-    """Runs engines and all variants, and prints latency and full load."""
+    """Starts engines and all variants, and prints latency and full-load results."""
     first_port = free_ports(PORTS)
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
         folder = Path(name)
@@ -151,7 +151,7 @@
 
 
 def profile(seconds: float, width: int) -> None:
-    """A gateway in this process under cProfile, engines and load outside."""
+    """Profiles a gateway in this process; engines and load run in other processes."""
     first_port = free_ports(PORTS)
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING))
     with tempfile.TemporaryDirectory() as name:
@@ -162,7 +162,7 @@
             async with open_gateway(read_config(config_path(folder, "gateway"), GatewayConfig)):
                 command = load_command(address, seconds, width)
                 load = await trio.to_thread.run_sync(lambda: subprocess.run(command, capture_output=True, check=True))
-                print(f"\nprofiled: {int(load.stdout.split()[-1]) / seconds:.0f} generations a second")
+                print(f"\nprofiled: {int(load.stdout.split()[-1]) / seconds:.0f} requests per second")
 
         with engines_process(first_port, ENGINES, 0, folder):
             time.sleep(ENGINE_START_S)
@@ -172,7 +172,7 @@
 
 
 def main() -> None:
-    """Reads the command line; the hidden options are those of the processes that it starts itself."""
+    """Parses the command line; the hidden options are for the processes that this program starts."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--rounds", type=int, default=600)
@@ -180,7 +180,7 @@
     parser.add_argument("--width", type=int, default=24)
     parser.add_argument("--engines", type=int, nargs=3, help=argparse.SUPPRESS)
     parser.add_argument("--load", help=argparse.SUPPRESS)
-    parser.add_argument("--profile", action="store_true", help="where the gateway's time goes")
+    parser.add_argument("--profile", action="store_true", help="also profile a gateway under full load")
     options = parser.parse_args()
     if options.engines:
         trio.run(run_engines, *options.engines)
--- a/bench/gateway_processes.py
+++ b/bench/gateway_processes.py
@@ -1,4 +1,4 @@
-"""The processes that `bench.gateway` measures with: engines, gateways and load."""
+"""Processes used by `bench.gateway`: engines, gateways and load clients."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 import trio
 
-from bench.chat_client import ANSWER_TOKENS, ask_gateway
+from bench.chat_client import ANSWER_TOKENS, request_from_gateway
 from ternlane.http1 import ConnectionPool
 from ternlane.testing.engine import EngineProfile, FakeEngine
 from ternlane.testing.traffic import Traffic
 
-# Engines that answer at once: what is measured is the gateway.
+# Engines answer immediately, so that the measured time is the gateway's.
 FAST_ENGINE = EngineProfile(
     slots=4000,
     queue=4000,
@@ -34,7 +34,7 @@
 )
 REQUEST_CLASSES = [{"name": "summary", "effect": "idempotent", "slo_ms": 2000, "limit_ms": 10000, "revenue": 3}]
 ENGINES = 8
-FIRST_GATEWAY_PORT = 16  # above the first port of the run
+FIRST_GATEWAY_PORT = 16  # offset from the first port of the run
 PORTS = 24
 LOAD_PROCESSES = 2
 CONNECT_TIMEOUT_MS = 2000.0
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A way to run the gateway."""
+    """A configuration of the gateway."""
 
-    config: dict[str, Any]  # beside what all have
+    config: dict[str, Any]  # additions to the common configuration
     arguments: tuple[str, ...] = ()
 
 
@@ -61,7 +61,7 @@
 
 
 async def run_engines(first_port: int, count: int, index: int) -> None:
-    """Prefill and decode servers in turn, until the process is ended. `index`: of the process."""
+    """Runs alternating prefill and decode servers until the process ends. `index`: number of the process."""
     async with trio.open_nursery() as nursery:
         for number in range(count):
             engine = FakeEngine(
@@ -79,7 +79,7 @@
 
 
 async def run_load(address: str, seconds: float, width: int) -> None:
-    """`width` clients that ask again when they are answered; prints how many requests were answered."""
+    """Runs `width` closed-loop clients and prints the number of completed requests."""
     pool = ConnectionPool(CONNECT_TIMEOUT_MS, CONNECTION_IDLE_MS)
     end_s = trio.current_time() + seconds
     answered = 0
@@ -87,7 +87,7 @@
     async def client(number: int) -> None:
         nonlocal answered
         while trio.current_time() < end_s:
-            assert len(await ask_gateway(pool, address, number)) == ANSWER_TOKENS
+            assert len(await request_from_gateway(pool, address, number)) == ANSWER_TOKENS
             answered += 1
             number += width
 
@@ -99,7 +99,7 @@
 
 @contextmanager
 def python_process(*arguments: str, log: Path) -> Iterator[subprocess.Popen[bytes]]:
-    """Runs Python with these arguments, and ends it in the end."""
+    """Runs a Python process and terminates it on exit from the context."""
     with open(log, "wb") as output:
         process = subprocess.Popen([sys.executable, *arguments], stdout=output, stderr=output)
     try:
@@ -110,13 +110,13 @@
 
 
 def engines_process(first_port: int, count: int, index: int, folder: Path) -> Any:
-    """A process with engines, as a context."""
+    """Returns a context that runs a process with engines."""
     arguments = ("-m", "bench.gateway", "--engines", str(first_port), str(count), str(index))
     return python_process(*arguments, log=folder / f"engines-{index}.log")
 
 
 def cpu_s(pid: int) -> float:
-    """CPU time that the process has used."""
+    """Returns the CPU time used by the process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user_ticks = int(fields[11])
     system_ticks = int(fields[12])
@@ -125,25 +125,25 @@
 
 @dataclass(frozen=True)
 class LoadResult:
-    """What a gateway did at full load."""
+    """Throughput and CPU use of a gateway at full load."""
 
     answered_per_s: float
-    cores: float  # CPU seconds a second
+    cores: float  # CPU seconds per second
 
     @property
     def answered_per_core_s(self) -> float:
-        """Requests for a second of CPU."""
+        """Completed requests per CPU second."""
         return self.answered_per_s / self.cores
 
 
 def load_command(address: str, seconds: float, width: int) -> list[str]:
-    """Of a load process."""
+    """Returns the command line of a load process."""
     options = ["--load", address, "--seconds", str(seconds), "--width", str(width)]
     return [sys.executable, "-m", "bench.gateway", *options]
 
 
 def measure_load(address: str, seconds: float, width: int, gateway_pid: int) -> LoadResult:
-    """Two load processes against one gateway."""
+    """Loads one gateway from LOAD_PROCESSES processes."""
     used_s = cpu_s(gateway_pid)
     begin_s = time.perf_counter()
     command = load_command(address, seconds, width)
@@ -154,7 +154,7 @@
 
 
 async def wait_until_listening(address: str) -> None:
-    """Ends the run where nobody listens in time."""
+    """Exits the program if the address does not accept connections in time."""
     host, _, port = address.rpartition(":")
     for _ in range(READY_POLLS):
         try:
@@ -164,16 +164,16 @@
             continue
         await stream.aclose()
         return
-    raise SystemExit(f"{address} does not listen")
+    raise SystemExit(f"{address} did not accept connections in time")
 
 
 def config_path(folder: Path, variant: str) -> Path:
-    """Of a variant's configuration."""
+    """Returns the path of a variant's configuration."""
     return folder / f"{list(VARIANTS).index(variant)}.json"
 
 
 def write_configs(folder: Path, first_port: int) -> dict[str, str]:
-    """Writes a configuration for each variant; gives their addresses."""
+    """Writes a configuration for each variant and returns their addresses."""
     servers = [
         {
             "id": f"e{number}",
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -1,6 +1,6 @@
-"""What emulated engines cost, and how near those fitted to the described curves come, in one run.
+"""Measures the emulator's speed, its block pool against a plain dict, and the errors of fitted engines.
 
-Simulated seconds a real second; time and bytes a block, against a plain dict.
+Speeds are simulated seconds per real second; the block pool is measured in time and bytes per block.
 
     python -m bench.lab [--seconds 20] [--blocks 1000000] [--no-fit]
 """
@@ -38,7 +38,7 @@
 PREFIX_TOKENS = 600
 TOKEN_BYTES = 4
 BLOCK_BYTES = 64
-PORT_RATE = 300.0  # tokens a ms
+PORT_RATE = 300.0  # tokens per ms
 LINK_RATE = 600.0
 ENGINES_A_CELL = 5
 PREFILL_SERVERS_A_CELL = 2
@@ -47,26 +47,26 @@
 
 
 def prefix_keys(rng: random.Random) -> list[list[BlockKey]]:
-    """Block keys of the texts that prompts begin with."""
+    """Returns the block keys of random prefix texts."""
     return [block_keys(rng.randbytes(TOKEN_BYTES * PREFIX_TOKENS), BLOCK_BYTES) for _ in range(PREFIXES)]
 
 
 def drawn_prefix(rng: random.Random, prefixes: list[list[BlockKey]], alpha: float) -> list[BlockKey]:
-    """The first are the most popular (Pareto)."""
+    """Draws a prefix with Pareto-distributed popularity, the first being the most popular."""
     return prefixes[min(PREFIXES - 1, int(rng.paretovariate(alpha)) - 1)]
 
 
 @dataclass(frozen=True)
 class EngineRun:
-    """An engine under Poisson arrivals."""
+    """Results of an engine under Poisson arrivals."""
 
-    speed: float  # simulated seconds a real one
+    speed: float  # simulated seconds per real second
     steps: int
-    ended_per_s: float  # sequences a simulated second
+    ended_per_s: float  # sequences per simulated second
 
 
 def run_engine(seconds: float, rate: float, seed: int) -> EngineRun:
-    """`rate`: sequences a simulated second."""
+    """Simulates one engine. `rate`: sequences per simulated second."""
     rng = random.Random(seed)
     batch = Batch(CONFIG)
     prefixes = prefix_keys(rng)
@@ -89,9 +89,9 @@
 
 
 class FleetRun:
-    """Engines in cells of five, two prefill for three decode servers, a request a second for each engine.
+    """Cells of two prefill and three decode servers with one request per second and engine.
 
-    Pairs are drawn by chance, half of them within a cell.
+    Decode servers are drawn at random: from the same cell with probability 1/2, otherwise from all.
     """
 
     def __init__(self, engines: int, seed: int) -> None:
@@ -113,7 +113,7 @@
         return self.fleet.add(engine, "a", number // ENGINES_A_CELL)
 
     def run(self, seconds: float) -> float:
-        """Simulated seconds a real one."""
+        """Returns the speed in simulated seconds per real second."""
         due_ms = 0.0
         begin_s = time.perf_counter()
         while True:
@@ -145,7 +145,7 @@
 
 
 def print_fits() -> None:
-    """How near the fits of the described kinds come."""
+    """Prints the errors of the fits to the example kinds of engines."""
     from ternlane.emulator.fit import fit
 
     for path in sorted(KINDS.glob("*.json5")):
@@ -160,7 +160,7 @@
 
 
 def pool_benchmark(keys: list[BlockKey]) -> Callable[[], None]:
-    """Allocates, registers and gives back every block, and finds them again."""
+    """Returns a run that allocates, registers, releases and looks up every block."""
     pool = BlockPool(len(keys))
 
     def run() -> None:
@@ -177,7 +177,7 @@
 
 
 def dict_benchmark(keys: list[BlockKey]) -> Callable[[], None]:
-    """The same in a dict of counts, which neither evicts nor shares."""
+    """Returns the same run on a dict of reference counts, without eviction."""
     counts: dict[BlockKey, int] = {}
 
     def run() -> None:
@@ -193,7 +193,7 @@
 
 
 def print_blocks_against_dict(blocks: int) -> None:
-    """Time and memory of each."""
+    """Prints time and memory of each."""
     keys = [(i * 2654435761 % 2**64, i % 2**32) for i in range(blocks)]
     for name, make in (("blocks", pool_benchmark), ("dict", dict_benchmark)):
         tracemalloc.start()
@@ -205,13 +205,13 @@
         held_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
         tracemalloc.stop()
         print(
-            f"{name:<8}{took_s / blocks * 1e6:>8.2f} us a block taken, known, given back and found"
+            f"{name:<8}{took_s / blocks * 1e6:>8.2f} us a block allocated, registered, released and looked up"
             f"{held_bytes / blocks:>8.0f} bytes a block"
         )
 
 
 def main() -> None:
-    """Reads the command line and prints all figures."""
+    """Runs all measurements."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--blocks", type=int, default=1_000_000)
@@ -220,15 +220,15 @@
     for rate in (2.0, 10.0, 40.0):
         engine = run_engine(options.seconds, rate, 1)
         print(
-            f"one engine, {rate:>4.0f} a second: {engine.speed:>7.1f} simulated seconds a real one, {engine.steps} "
-            f"steps, {engine.ended_per_s:.1f} ended a second"
+            f"one engine, {rate:>4.0f} requests/s: {engine.speed:>7.1f} simulated seconds per real second, "
+            f"{engine.steps} steps, {engine.ended_per_s:.1f} ended per simulated second"
         )
     for engines in (20, 75, 300):
         fleet = FleetRun(engines, 1)
         speed = fleet.run(min(options.seconds, MAX_FLEET_SECONDS))
         print(
-            f"{engines:>3} engines: {speed:>6.2f} simulated seconds a real one, {fleet.tokens} tokens, "
-            f"{fleet.engine_bytes} bytes an engine at rest"
+            f"{engines:>3} engines: {speed:>6.2f} simulated seconds per real second, {fleet.tokens} tokens, "
+            f"{fleet.engine_bytes} bytes per idle engine"
         )
     print_blocks_against_dict(options.blocks)
     if not options.no_fit:
--- a/bench/library.py
+++ b/bench/library.py
@@ -1,8 +1,8 @@
-"""What a routed request costs by each way in, and what importing costs, in one run.
+"""Measures the latency of a routed request by access path, import times, and resources kept by discarded routers.
 
     python -m bench.library [--rounds 400] [--routers 10000]
 
-Engines answer at once with 8 pieces: in this process for the library, behind loopback sockets for the gateway.
+Servers run in this process and answer immediately with 8 chunks; the gateway is reached over a loopback socket.
 """
 
 from __future__ import annotations
@@ -38,31 +38,31 @@
 PIECE = "word "
 PIECES = 8
 SERVERS = ("r0", "r1", "w0", "w1")
-WARM_UP_SHARE = 1 / 10  # of the rounds, which do not count
-SETTLING_ROUTERS = 500  # until allocators and caches have settled
-SAMPLES = 50  # of what is left behind
-IMPORTS = 7  # of which the median counts
-CONFIDENCE_95 = 1.96  # standard errors
+WARM_UP_SHARE = 1 / 10  # share of rounds left out of the results
+WARM_UP_ROUTERS = 500  # run first, so that allocators and caches reach a steady state
+SAMPLES = 50  # of process usage
+IMPORTS = 7  # the median is reported
+CONFIDENCE_95 = 1.96  # standard errors in half of a 95% interval
 
 
 class InstantServer:
-    """Answers at once."""
+    """A model server that answers immediately."""
 
     async def read(self, ask: AttemptRequest) -> PrefillResult:
-        """A prefill."""
+        """Prefills."""
         return PrefillResult({}, 100)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
-        """A decode."""
+        """Decodes."""
         for _ in range(PIECES):
             yield PIECE
 
     async def release(self, ident: str) -> None:
-        """Nothing is held."""
+        """Does nothing, as no state is held."""
 
 
 def config() -> ternlane.GatewayConfig:
-    """Two prefill and two decode servers, one request class."""
+    """Returns a configuration with two prefill and two decode servers and one request class."""
     servers = [
         ternlane.NodeLine(
             id=name, address="127.0.0.1:9", role="read" if name[0] == "r" else "write", kv_capacity_tokens=1e9
@@ -76,7 +76,7 @@
 
 
 def transport() -> LocalTransport:
-    """To the servers in this process."""
+    """Returns a transport to servers in this process."""
     return LocalTransport({name: InstantServer() for name in SERVERS})
 
 
@@ -92,12 +92,12 @@
 
 
 def in_process(rounds: int) -> list[float]:
-    """The library, in its own event loop; milliseconds of each request, here and below."""
+    """Measures the library in its own event loop; returns the latency of each request in milliseconds."""
     return trio.run(_in_process, rounds)
 
 
 def from_a_thread(rounds: int) -> list[float]:
-    """The library, blocking."""
+    """Measures the library's blocking interface; returns latencies in milliseconds."""
     took_ms: list[float] = []
     with ternlane.Blocking(config(), transport) as routing:
         for _ in range(rounds):
@@ -122,12 +122,12 @@
 
 
 def over_loopback(rounds: int) -> list[float]:
-    """A gateway's HTTP server in this process, with the same engines behind it: a client's hop, and no other."""
+    """Measures a gateway in this process over loopback HTTP; returns latencies in milliseconds."""
     return trio.run(_over_loopback, rounds)
 
 
 class RouterAlone:
-    """A router that is fed events by hand."""
+    """A router that receives events directly, without an event loop."""
 
     def __init__(self) -> None:
         gateway_config = config()
@@ -140,8 +140,8 @@
     def _take(self, now_ms: float, event: messages.Event) -> list[messages.Action]:
         return self.router.take(now_ms, [event])
 
-    def play(self, number: int, now_ms: float) -> None:
-        """The four events of a request."""
+    def run_request(self, number: int, now_ms: float) -> None:
+        """Delivers the four events of a request."""
         request = messages.Request(self.request_class, f"s{number}", None, 0.0, 100.0, 8.0, 5000.0)
         prefill_server = _started(self._take(now_ms, messages.RequestArrived(request)))
         prefilled = messages.AttemptOutcome.PREFILLED
@@ -158,26 +158,26 @@
 
 
 def decisions_alone(rounds: int) -> list[float]:
-    """The same events fed by hand: what choosing costs without any event loop."""
+    """Measures the routing decisions alone, without an event loop; returns latencies in milliseconds."""
     router = RouterAlone()
     took_ms: list[float] = []
     for number in range(rounds):
         begin_s = time.perf_counter()
-        router.play(number, 1.0 + number * 3)
+        router.run_request(number, 1.0 + number * 3)
         took_ms.append((time.perf_counter() - begin_s) * 1000)
     return took_ms
 
 
 @dataclass(frozen=True)
 class Slope:
-    """What one more router adds, and half the width of the 95% interval."""
+    """Growth per router, and half the width of its 95% confidence interval."""
 
     value: float
     half_width: float
 
 
 def slope_of(xs: list[float], ys: list[float]) -> Slope:
-    """Least squares."""
+    """Fits a line by least squares."""
     line = statistics.linear_regression(xs, ys)
     residual = sum((y - line.intercept - line.slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
     mean = statistics.fmean(xs)
@@ -185,8 +185,8 @@
     return Slope(line.slope, CONFIDENCE_95 * error)
 
 
-def used_by_process() -> dict[str, float]:
-    """What a router might leave behind."""
+def process_usage() -> dict[str, float]:
+    """Returns the resources in use by this process."""
     gc.collect()
     resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
     return {
@@ -198,31 +198,31 @@
     }
 
 
-async def use_a_router() -> None:
-    """Makes one, sends a request and discards it."""
+async def run_one_router() -> None:
+    """Opens a router, sends a request and closes the router."""
     async with ternlane.open_routing(config(), transport()) as routing, routing.request(REQUEST) as stream:
         await stream.text()
 
 
-async def use_routers(count: int) -> tuple[float, dict[str, Slope]]:
-    """Milliseconds of each, and what each leaves behind, by the slope over all of them."""
-    for _ in range(SETTLING_ROUTERS):
-        await use_a_router()
-    used_after = [0.0]  # routers
-    used = [used_by_process()]
+async def run_routers(count: int) -> tuple[float, dict[str, Slope]]:
+    """Returns the milliseconds per router and the growth of resources per router."""
+    for _ in range(WARM_UP_ROUTERS):
+        await run_one_router()
+    used_after = [0.0]  # number of routers at each sample
+    used = [process_usage()]
     every = max(1, count // SAMPLES)
     begin_s = time.perf_counter()
     for number in range(1, count + 1):
-        await use_a_router()
+        await run_one_router()
         if number % every == 0:
             used_after.append(float(number))
-            used.append(used_by_process())
+            used.append(process_usage())
     took_ms = (time.perf_counter() - begin_s) / count * 1000
     return took_ms, {name: slope_of(used_after, [sample[name] for sample in used]) for name in used[0]}
 
 
 def import_ms(code: str) -> float:
-    """Of this code in a new process."""
+    """Returns the median time that the code takes in a new process."""
     program = f"import time; t = time.perf_counter(); {code}; print((time.perf_counter() - t) * 1000)"
     command = [sys.executable, "-c", program]
     runs = [subprocess.run(command, capture_output=True, text=True, check=True) for _ in range(IMPORTS)]
@@ -230,21 +230,21 @@
 
 
 def print_requests(rounds: int) -> None:
-    """A request by each way in."""
-    ways: dict[str, Callable[[int], list[float]]] = {
+    """Prints latencies by access path."""
+    paths: dict[str, Callable[[int], list[float]]] = {
         "decisions alone": decisions_alone,
         "library, in process": in_process,
         "library, from a thread": from_a_thread,
-        "door, over loopback": over_loopback,
+        "gateway, over loopback": over_loopback,
     }
     print(f"{'a request, ms':<26}{'median':>8}{'p99':>8}")
-    for name, way in ways.items():
-        took_ms = way(rounds)[int(rounds * WARM_UP_SHARE) :]
+    for name, measure in paths.items():
+        took_ms = measure(rounds)[int(rounds * WARM_UP_SHARE) :]
         print(f"{name:<26}{statistics.median(took_ms):>8.3f}{statistics.quantiles(took_ms, n=100)[98]:>8.3f}")
 
 
 def print_imports() -> None:
-    """What importing costs."""
+    """Prints import times."""
     print(f"\n{'import, ms (median of 7)':<26}")
     for name, code in (
         ("decisions", "import ternlane; ternlane.Router"),
@@ -255,15 +255,15 @@
 
 
 def print_routers(count: int) -> None:
-    """What routers leave behind."""
-    took_ms, left_behind = trio.run(partial(use_routers, count))
-    print(f"\n{count} routers made, used and discarded, {took_ms:.2f} ms each; one leaves behind:")
-    for name, slope in left_behind.items():
+    """Prints the resources that discarded routers keep."""
+    took_ms, retained = trio.run(partial(run_routers, count))
+    print(f"\n{count} routers opened, used and closed, {took_ms:.2f} ms each; growth per router:")
+    for name, slope in retained.items():
         print(f"{name:<26}{slope.value:>12.5f} +- {slope.half_width:.5f}")
 
 
 def main() -> None:
-    """Reads the command line and prints all figures."""
+    """Runs all measurements."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--rounds", type=int, default=400)
     parser.add_argument("--routers", type=int, default=10_000)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""What the load tool costs: its sketch against all times kept in a list, and how many sessions a second it draws.
+"""Measures the load generator: its quantile sketch against a sorted list, and the rate of drawing sessions.
 
 python -m bench.load [--times 1000000]
 """
@@ -17,40 +17,40 @@
 
 
 class Times(Protocol):
-    """What keeps times and gives their quantiles."""
+    """Collects times and returns their quantiles."""
 
     def add(self, value: float) -> None:
-        """One more."""
+        """Adds a time."""
 
     def quantile(self, fraction: float) -> float:
-        """The value below which this part of the times lie."""
+        """Returns the value below which this fraction of the times lies."""
         ...
 
 
 class TimeList:
-    """Keeps all times, and sorts them anew for each quantile."""
+    """Keeps all times and sorts them for each quantile."""
 
     def __init__(self) -> None:
         self._values: list[float] = []
         self.add = self._values.append
 
     def quantile(self, fraction: float) -> float:
-        """Exact."""
+        """Returns the exact quantile."""
         return sorted(self._values)[int(fraction * (len(self._values) - 1))]
 
 
 def held_bytes(times: Times, values: list[float]) -> int:
-    """What is held after all values have been added."""
+    """Returns the memory in use after adding all values."""
     tracemalloc.start()
     for value in values:
-        times.add(value * 1.0)  # a float of its own
+        times.add(value * 1.0)  # a new float object, so that its memory is counted
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return held
 
 
 def print_sketch_against_list(count: int) -> None:
-    """Time, memory and error of each."""
+    """Prints time, memory and error of the sketch and of the list."""
     rng = random.Random(1)
     values = [rng.lognormvariate(4.0, 1.2) for _ in range(count)]
     ordered = sorted(values)
@@ -74,7 +74,7 @@
 
 
 def print_drawing_rate() -> None:
-    """Sessions that are drawn a second."""
+    """Prints the number of sessions drawn per second."""
     config = LoadConfig(
         request_classes=[RequestMix("summary", turns=2.0, prefixes=50)],
         seconds=20.0,
@@ -82,11 +82,11 @@
     )
     begin_s = time.perf_counter()
     sessions = sum(1 for _ in planned_requests(config))
-    print(f"{sessions / (time.perf_counter() - begin_s):.0f} sessions drawn a second")
+    print(f"{sessions / (time.perf_counter() - begin_s):.0f} sessions drawn per second")
 
 
 def main() -> None:
-    """Reads the command line and prints all figures."""
+    """Runs all measurements."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--times", type=int, default=1_000_000)
     print_sketch_against_list(parser.parse_args().times)
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,10 +1,11 @@
-"""Losses by the thousand, in one process over direct calls and in virtual time: effects, mass losses, recomputing.
+"""Simulates server failures in one process and in virtual time, and counts duplicate effects and resumed streams.
 
     python -m bench.losses [--effects 100000] [--streams 1000]
 
-First, many open streams of which a third, or half, of the decode servers go at once: how many come through, and how
-much is prefilled again at which rate, against what was prefilled before. Then side-effecting and deduplicated requests
-over decode servers that fail before, at and after the effect; every effect is counted at the servers.
+The first part crashes a third or half of the decode servers at once while many streams are open. It prints how many
+streams complete, how many tokens are prefilled before and after the crash, and the rate of resumes. The second part
+sends side-effecting and deduplicated requests to decode servers that fail before, during and after the effect, and
+counts the effects at the servers.
 """
 
 from __future__ import annotations
@@ -28,52 +29,54 @@
 CELLS = 3
 SERVERS_A_CELL = 4
 PROMPT_TOKENS = 100
-EFFECT_WORDS = 8  # of an answer
-EFFECT_FAULT_SHARE = 0.25  # of decode attempts that fail
-EFFECTS_AT_ONCE = 50
+EFFECT_WORDS = 8  # per answer
+EFFECT_FAULT_SHARE = 0.25  # share of decode attempts that fail
+CONCURRENT_EFFECTS = 50
 MASS_WORDS = 240
 MASS_WORD_S = 0.05
 MASS_PREFILL_TOKENS_PER_S = 20_000.0
 MASS_SLOTS = 4
-MASS_START_S = 8.0  # over which the streams begin
-MASS_LOSS_AFTER_S = 0.5  # after the last has begun
+MASS_START_S = 8.0  # period in which the streams start
+MASS_LOSS_AFTER_S = 0.5  # after the start of the last stream
 RATE_WINDOWS_PER_S = 4
 
 
 @dataclass
 class Prefill:
-    """One that a server did."""
+    """A prefill executed by a server."""
 
     at_s: float
     tokens: int
-    again: bool  # for a stream that is continued
+    for_resume: bool  # of a resumed stream
 
 
 @dataclass
 class FleetLog:
-    """What the servers of a fleet did."""
+    """Effects and prefills executed by the servers."""
 
     rng: random.Random
-    effects: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))  # by key: cells
-    seen: set[tuple[str, str]] = field(default_factory=set)  # cell and key: there, repeats are dropped
+    effects: dict[str, list[str]] = field(
+        default_factory=lambda: defaultdict(list)
+    )  # key -> cells in which it took effect
+    seen: set[tuple[str, str]] = field(default_factory=set)  # (cell, key): a cell drops repeated keys
     prefills: list[Prefill] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class ServerSpeed:
-    """Without times, a server answers at once."""
+    """Speed of a server; by default it answers immediately."""
 
-    words: int = EFFECT_WORDS  # of an answer
+    words: int = EFFECT_WORDS  # per answer
     word_s: float = 0.0
     prefill_tokens_per_s: float = 0.0
     slots: int = 10_000
 
 
 class Server:
-    """A server of a fleet whose decode servers fail by chance, or all at once."""
+    """A model server whose decode attempts may fail at random and whose process may crash."""
 
     def __init__(self, log: FleetLog, ident: str, fault_share: float, speed: ServerSpeed) -> None:
-        """`fault_share`: of decode attempts that fail."""
+        """`fault_share`: share of decode attempts that fail."""
         self.log = log
         self.ident = ident
         self.fault_share = fault_share
@@ -82,8 +85,8 @@
         self._slots = trio.CapacityLimiter(speed.slots)
 
     async def read(self, ask: AttemptRequest) -> PrefillResult:
-        """A prefill."""
-        tokens = PROMPT_TOKENS + words_done(ask)
+        """Prefills."""
+        tokens = PROMPT_TOKENS + words_already_sent(ask)
         async with self._slots:
             if self.speed.prefill_tokens_per_s:
                 await trio.sleep(tokens / self.speed.prefill_tokens_per_s)
@@ -91,7 +94,7 @@
         return PrefillResult({}, tokens)
 
     async def write(self, ask: AttemptRequest) -> AsyncIterator[str]:
-        """A decode; fails at a point that is drawn."""
+        """Decodes; may fail at a random point before, during or after the effect."""
         draw = self.log.rng.random() / max(self.fault_share, 1e-9)  # above 1: no fault
         if self.process.cancel_called or draw < 0.2:
             raise EngineUnreachableError("refused")
@@ -102,7 +105,7 @@
         self._take_effect(ask.key)
         if draw < 0.6:
             raise RuntimeError("after its effect")
-        begin = words_done(ask)
+        begin = words_already_sent(ask)
         for index in range(begin, self.speed.words):
             if draw < 1 and index == begin + int(draw * 10) % 5:
                 raise RuntimeError("midway")
@@ -120,29 +123,29 @@
         with trio.move_on_after(self.speed.word_s):
             while not self.process.cancel_called:
                 await trio.sleep(self.speed.word_s / 4)
-            raise RuntimeError("the decode server died")
+            raise RuntimeError("the decode server crashed")
 
     async def release(self, ident: str) -> None:
-        """Nothing is held."""
+        """Does nothing, as no state is held."""
 
 
-def words_done(ask: AttemptRequest) -> int:
-    """Of the answer that is continued."""
+def words_already_sent(ask: AttemptRequest) -> int:
+    """Returns the number of words that a resumed stream has already delivered."""
     return len(ask.raw["messages"][-1]["content"].split()) if ask.goes_on else 0
 
 
 def answer_text(words: int) -> str:
-    """What every server answers."""
+    """Returns the answer that every server gives."""
     return "".join(f"w{index} " for index in range(words))
 
 
 def server_names() -> list[str]:
-    """Role, cell and number."""
+    """Returns server names made of role, cell and number."""
     return [f"{role}{cell}{number}" for role in "rw" for cell in range(CELLS) for number in range(SERVERS_A_CELL)]
 
 
 def config(resume: bool = True) -> ternlane.GatewayConfig:
-    """`resume`: whether broken streams are continued."""
+    """Returns the gateway configuration. `resume`: whether broken streams are resumed."""
     servers = [
         ternlane.NodeLine(
             id=name,
@@ -181,12 +184,12 @@
 
 
 def chat_request(model: str, number: int) -> dict[str, object]:
-    """A chat request that no other is like."""
+    """Returns a chat request with a unique text."""
     return {"model": model, "messages": [{"role": "user", "content": f"case {number}"}], "stream": True}
 
 
 async def count_effects(requests: int) -> None:
-    """Prints what became of so many requests with effects; fails where one happened twice."""
+    """Sends requests with effects and prints the outcomes; fails if an effect occurred twice."""
     log = FleetLog(random.Random(1))
     outcomes: Counter[str] = Counter()
     servers = {
@@ -204,43 +207,43 @@
                 assert text == answer_text(EFFECT_WORDS), text
             except ternlane.RejectedError:
                 outcomes[f"{model} throttled"] += 1
-                assert not log.effects.get(key), "rejected although it ran"
+                assert not log.effects.get(key), "request was rejected although it took effect"
             except ternlane.FailedError:
                 outcomes[f"{model} terminated"] += 1
 
-        for begin in range(0, requests, EFFECTS_AT_ONCE):
+        for begin in range(0, requests, CONCURRENT_EFFECTS):
             async with trio.open_nursery() as nursery:
-                for number in range(begin, min(requests, begin + EFFECTS_AT_ONCE)):
+                for number in range(begin, min(requests, begin + CONCURRENT_EFFECTS)):
                     nursery.start_soon(send, number, "note" if number % 5 else "form")
-    happened = {
+    effect_counts = {
         model: sum(bool(cells) for key, cells in log.effects.items() if key.startswith(model))
         for model in ("note", "form")
     }
-    twice = sum(len(cells) > 1 for cells in log.effects.values())
+    duplicates = sum(len(cells) > 1 for cells in log.effects.values())
     print(
-        f"{requests} generations with effects, a quarter of writers' legs failing, "
-        f"{time.perf_counter() - begin_s:.0f} s: {dict(sorted(outcomes.items()))}; took effect {happened}; "
-        f"twice {twice}"
+        f"{requests} requests with effects, a quarter of decode attempts failing, "
+        f"{time.perf_counter() - begin_s:.0f} s: {dict(sorted(outcomes.items()))}; took effect {effect_counts}; "
+        f"twice {duplicates}"
     )
-    assert twice == 0
+    assert duplicates == 0
 
 
 class MassLoss:
-    """Many open streams of which a part of the decode servers go at once."""
+    """Crashes a share of the decode servers at once while many streams are open."""
 
     def __init__(self, streams: int, part: float, resume: bool) -> None:
-        """`part`: of the decode servers; `resume`: whether broken streams are continued."""
+        """`part`: share of decode servers that crash; `resume`: whether broken streams are resumed."""
         self.streams = streams
         self.resume = resume
-        self.struck = [f"w{cell}{number}" for number in range(SERVERS_A_CELL) for cell in range(CELLS)]
-        self.struck = self.struck[: round(len(self.struck) * part)]
+        self.failing_servers = [f"w{cell}{number}" for number in range(SERVERS_A_CELL) for cell in range(CELLS)]
+        self.failing_servers = self.failing_servers[: round(len(self.failing_servers) * part)]
         self.log = FleetLog(random.Random(2))
         self.outcomes: Counter[str] = Counter()
-        self.pauses_ms: list[float] = []  # the longest of each stream
+        self.pauses_ms: list[float] = []  # longest pause of each stream
         self._lost_at_s = 0.0
 
     async def run(self) -> None:
-        """Plays it and prints what came of it."""
+        """Runs the simulation and prints its results."""
         speed = ServerSpeed(MASS_WORDS, MASS_WORD_S, MASS_PREFILL_TOKENS_PER_S, MASS_SLOTS)
         servers = {name: Server(self.log, name, 0.0, speed) for name in server_names()}
         transport = LocalTransport(dict(servers))
@@ -249,7 +252,7 @@
                 nursery.start_soon(self._stream, routing, number)
                 await trio.sleep(MASS_START_S / self.streams)
             await trio.sleep(MASS_LOSS_AFTER_S)
-            for name in self.struck:
+            for name in self.failing_servers:
                 servers[name].process.cancel()
             self._lost_at_s = trio.current_time()
         self._print()
@@ -265,29 +268,29 @@
                     longest_s = max(longest_s, now_s - (now_s if last_s is None else last_s))
                     last_s = now_s
                     text += piece
-            self.outcomes["whole" if text == answer_text(MASS_WORDS) else "WRONG"] += 1
+            self.outcomes["complete" if text == answer_text(MASS_WORDS) else "WRONG"] += 1
             self.pauses_ms.append(longest_s * 1000)
         except ternlane.RejectedError:
-            self.outcomes["not begun"] += 1
+            self.outcomes["not started"] += 1
         except ternlane.FailedError as error:
-            self.outcomes["in part" if error.begun else "not begun"] += 1
+            self.outcomes["partial" if error.begun else "not started"] += 1
 
     def _print(self) -> None:
-        again = [prefill for prefill in self.log.prefills if prefill.again]
-        first_tokens = sum(prefill.tokens for prefill in self.log.prefills if not prefill.again)
-        rates = Counter(int((prefill.at_s - self._lost_at_s) * RATE_WINDOWS_PER_S) for prefill in again)
+        for_resume = [prefill for prefill in self.log.prefills if prefill.for_resume]
+        first_tokens = sum(prefill.tokens for prefill in self.log.prefills if not prefill.for_resume)
+        rates = Counter(int((prefill.at_s - self._lost_at_s) * RATE_WINDOWS_PER_S) for prefill in for_resume)
         highest_rate = max(rates.values(), default=0) * RATE_WINDOWS_PER_S
         print(
-            f"{self.streams} streams, {len(self.struck)} of 12 writers go at once, resume {self.resume}: "
-            f"{dict(self.outcomes)}; read first {first_tokens} tokens, anew "
-            f"{sum(prefill.tokens for prefill in again)}, at most {highest_rate} "
+            f"{self.streams} streams, {len(self.failing_servers)} of 12 decode servers crash, resume {self.resume}: "
+            f"{dict(self.outcomes)}; tokens prefilled first {first_tokens}, for resumes "
+            f"{sum(prefill.tokens for prefill in for_resume)}, at most {highest_rate} "
             f"resumes a second; longest pause of a stream, ms: median {statistics.median(self.pauses_ms):.0f}, "
             f"most {max(self.pauses_ms):.0f}"
         )
 
 
 def main() -> None:
-    """Reads the command line and prints all figures."""
+    """Runs all simulations."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--effects", type=int, default=100_000)
     parser.add_argument("--streams", type=int, default=1000)
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,10 +1,10 @@
-"""Rules for seeing that a stream has stalled, side by side: false alarms against the delay of seeing a true one.
+"""Compares rules for the detection of stalled streams by false alarms and detection delay.
 
     python -m bench.recovery [--streams 8000]
 
-Waits between events are drawn for decode servers of three kinds, each server with a pace of its own that drifts; every
-rule hears the same streams. One stream in fifty stalls at a random event. A rule is judged by streams given up that
-were sound, a thousand, and by the silence before it gave up those that had stalled. A resume takes 150 ms.
+Intervals between events are drawn for decode servers of three kinds, each server with a drifting mean interval; every
+rule gets the same streams. One stream in fifty stalls at a random event. The results of a rule are its false alarms per
+thousand healthy streams and the silence before it detects a stall. A resume takes 150 ms.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 from ternlane.recovery import StallDetector
 
 SERVERS = 24
-EVENTS = 48  # of a stream
+EVENTS = 48  # per stream
 RESUME_MS = 150.0
 STALLED_SHARE = 0.02
-PATIENCE_MS = 1000.0  # where a rule says nothing
-LEARNING_SHARE = 1 / 5  # of the streams: they teach, and are not judged
+DEFAULT_TIMEOUT_MS = 1000.0  # where a rule gives no timeout
+WARM_UP_SHARE = 1 / 5  # share of streams that only train the rules
 SEED = 11
-REMEMBERED_WAITS = 30
-LEAST_WAITS = 4  # before accrual judges
+MAX_INTERVALS = 30
+MIN_INTERVALS = 4  # before phi-accrual gives a timeout
 BISECTIONS = 14
 
 
 class ServerKind(NamedTuple):
-    """How waits of a server spread, and which part of them is so many times longer."""
+    """Log-normal spread of a server's intervals, and the share of intervals that are `long_factor` times longer."""
 
     spread: float
     long_share: float
-    long_times: float
+    long_factor: float
 
 
 SERVER_KINDS = {
@@ -50,195 +50,197 @@
 
 @dataclass(frozen=True)
 class DrawnStream:
-    """One stream."""
+    """A simulated stream."""
 
     server: int
-    waits_ms: list[float]
-    stalls_at: int | None  # after which of them it stalls
+    intervals_ms: list[float]
+    stall_index: int | None  # index of the interval in which it stalls
 
 
 class Rule(Protocol):
-    """Says how long a silence may last."""
+    """Determines how long a stream may be silent."""
 
-    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
-        """`waits_ms`: the last of this stream."""
+    def idle_timeout_ms(self, server: int, intervals_ms: deque[float]) -> float:
+        """Returns the timeout. `intervals_ms`: the latest intervals of this stream."""
         ...
 
     def explores(self) -> bool:
-        """Whether the next stream is left alone, to learn from it."""
+        """Returns whether the next stream is exploratory and keeps the default timeout."""
         ...
 
-    def heard(self, server: int, wait_ms: float, explored: bool) -> None:
-        """Learns from a wait."""
+    def record_interval(self, server: int, interval_ms: float, exploratory: bool) -> None:
+        """Records an interval between two events."""
 
 
-class Unlearning:
-    """A rule that does not learn."""
+class StaticRule:
+    """A rule without training."""
 
     def explores(self) -> bool:
-        """Never."""
+        """Returns false: there are no exploratory streams."""
         return False
 
-    def heard(self, server: int, wait_ms: float, explored: bool) -> None:
-        """Learns nothing."""
+    def record_interval(self, server: int, interval_ms: float, exploratory: bool) -> None:
+        """Does nothing."""
 
 
-class Fixed(Unlearning):
-    """The same time for every stream."""
+class FixedTimeout(StaticRule):
+    """The same timeout for every stream."""
 
     def __init__(self, timeout_ms: float) -> None:
-        """`timeout_ms`: that time."""
+        """`timeout_ms`: the timeout of all streams."""
         self.timeout_ms = timeout_ms
 
-    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
-        """The fixed time."""
+    def idle_timeout_ms(self, server: int, intervals_ms: deque[float]) -> float:
+        """Returns the fixed timeout."""
         return self.timeout_ms
 
 
-class Accrual(Unlearning):
-    """Phi-accrual over the stream's own last waits, taken as normal (Hayashibara and others, 2004)."""
+class PhiAccrual(StaticRule):
+    """Phi-accrual detection on the stream's own latest intervals, assumed normal (Hayashibara et al., 2004)."""
 
     def __init__(self, phi: float) -> None:
-        """A silence has lasted too long where the chance of a longer wait is below `10 ** -phi`."""
+        """A stream counts as stalled when the probability of a longer interval is below `10 ** -phi`."""
         self.phi = phi
 
-    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
-        """By the mean and the deviation of the waits."""
-        if len(waits_ms) < LEAST_WAITS:
-            return PATIENCE_MS
-        deviation_ms = max(statistics.pstdev(waits_ms), 0.1)
-        return statistics.fmean(waits_ms) + self._deviations() * deviation_ms
+    def idle_timeout_ms(self, server: int, intervals_ms: deque[float]) -> float:
+        """Returns a timeout from the mean and standard deviation of the intervals."""
+        if len(intervals_ms) < MIN_INTERVALS:
+            return DEFAULT_TIMEOUT_MS
+        deviation_ms = max(statistics.pstdev(intervals_ms), 0.1)
+        return statistics.fmean(intervals_ms) + self._deviations() * deviation_ms
 
     def _deviations(self) -> float:
-        """At which -log10 of the chance of a longer wait is phi, by bisection."""
-        low = 0.0
-        high = 60.0
+        """Returns by bisection the number of deviations at which -log10 of the tail probability is phi."""
+        lower = 0.0
+        upper = 60.0
         for _ in range(BISECTIONS):
-            middle = (low + high) / 2
-            chance = 0.5 * erfc(middle / sqrt(2))
-            if chance > 0 and -log10(chance) < self.phi:
-                low = middle
+            middle = (lower + upper) / 2
+            probability = 0.5 * erfc(middle / sqrt(2))
+            if probability > 0 and -log10(probability) < self.phi:
+                lower = middle
             else:
-                high = middle
-        return high
+                upper = middle
+        return upper
 
 
-class Peers:
-    """What the gateway does: by the waits of all streams of the server."""
+class ServerStallDetector:
+    """The gateway's rule: uses the intervals of all streams of the fleet."""
 
     def __init__(self, alarms: float, resume_ms: float = RESUME_MS) -> None:
-        """`alarms`: false ones that a stream may have; `resume_ms`: what a resume costs."""
-        self.pacing = StallDetector(alarms)
-        self.pacing.tokens = EVENTS
-        self.pacing.resumed(RESUME_MS)
+        """`alarms`: accepted false alarms per stream; `resume_ms`: lower bound of timeouts."""
+        self.detector = StallDetector(alarms)
+        self.detector.tokens = EVENTS
+        self.detector.resumed(RESUME_MS)
         if resume_ms != RESUME_MS:
-            self.pacing.resume_ms = resume_ms
+            self.detector.resume_ms = resume_ms
 
-    def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
-        """By the server's distribution, once it is known."""
-        return self.pacing.idle_timeout_ms(server) or PATIENCE_MS
+    def idle_timeout_ms(self, server: int, intervals_ms: deque[float]) -> float:
+        """Returns the detector's timeout for the server, or the default if it has too few samples."""
+        return self.detector.idle_timeout_ms(server) or DEFAULT_TIMEOUT_MS
 
     def explores(self) -> bool:
-        """Now and then."""
-        return self.pacing.explores()
+        """Returns whether the detector explores."""
+        return self.detector.explores()
 
-    def heard(self, server: int, wait_ms: float, explored: bool) -> None:
-        """Learns from every wait."""
-        self.pacing.record_piece_interval(server, wait_ms, explored)
+    def record_interval(self, server: int, interval_ms: float, exploratory: bool) -> None:
+        """Records every interval."""
+        self.detector.record_piece_interval(server, interval_ms, exploratory)
 
 
 def drawn_streams(kind: ServerKind, count: int, seed: int) -> Iterator[DrawnStream]:
-    """The same for the same seed."""
+    """Draws streams; the same seed gives the same streams."""
     rng = random.Random(seed)
-    paces_ms = [8.0 * 2 ** rng.uniform(-1, 1) for _ in range(SERVERS)]
+    mean_intervals_ms = [8.0 * 2 ** rng.uniform(-1, 1) for _ in range(SERVERS)]
     for _ in range(count):
         server = rng.randrange(SERVERS)
-        paces_ms[server] = min(40.0, max(4.0, paces_ms[server] * rng.lognormvariate(0, 0.03)))
-        waits_ms = [
-            paces_ms[server]
+        mean_intervals_ms[server] = min(40.0, max(4.0, mean_intervals_ms[server] * rng.lognormvariate(0, 0.03)))
+        intervals_ms = [
+            mean_intervals_ms[server]
             * rng.lognormvariate(0, kind.spread)
-            * (rng.uniform(0.5, 1.5) * kind.long_times if rng.random() < kind.long_share else 1.0)
+            * (rng.uniform(0.5, 1.5) * kind.long_factor if rng.random() < kind.long_share else 1.0)
             for _ in range(EVENTS)
         ]
-        yield DrawnStream(server, waits_ms, rng.randrange(1, EVENTS) if rng.random() < STALLED_SHARE else None)
+        yield DrawnStream(server, intervals_ms, rng.randrange(1, EVENTS) if rng.random() < STALLED_SHARE else None)
 
 
 @dataclass(frozen=True)
-class Judgement:
-    """Of one rule on the streams of one kind."""
+class RuleResult:
+    """Results of a rule with one kind of server."""
 
-    false_alarms: float  # a thousand sound streams
-    median_ms: float  # silence before a stall was seen
+    false_alarms: float  # per thousand healthy streams
+    median_ms: float  # silence before a stall is detected
     tail_ms: float  # at the 99th percentile
 
 
-class RulePlay:
-    """One rule on the streams of one kind."""
+class RuleEvaluation:
+    """Evaluation of a rule with one kind of server."""
 
     def __init__(self, rule: Rule) -> None:
-        """`rule`: a new one, if it learns."""
+        """`rule`: an instance without training."""
         self.rule = rule
-        self._sound = 0
-        self._given_up = 0
+        self._healthy_streams = 0
+        self._false_alarms = 0
         self._delays_ms: list[float] = []
 
-    def run(self, kind: ServerKind, count: int) -> Judgement:
-        """Plays so many streams."""
+    def run(self, kind: ServerKind, count: int) -> RuleResult:
+        """Evaluates the rule on `count` streams."""
         for number, stream in enumerate(drawn_streams(kind, count, SEED)):
-            self._play(stream, judged=number > count * LEARNING_SHARE)
-        return Judgement(
-            1000 * self._given_up / self._sound,
+            self._evaluate(stream, counted=number > count * WARM_UP_SHARE)
+        return RuleResult(
+            1000 * self._false_alarms / self._healthy_streams,
             statistics.median(self._delays_ms),
             statistics.quantiles(self._delays_ms, n=100)[98],
         )
 
-    def _play(self, stream: DrawnStream, judged: bool) -> None:
-        waits_ms: deque[float] = deque(maxlen=REMEMBERED_WAITS)
-        explored = self.rule.explores()
-        given_up = False
-        for number, wait_ms in enumerate(stream.waits_ms):
-            timeout_ms = PATIENCE_MS if explored else self.rule.idle_timeout_ms(stream.server, waits_ms)
-            if number == stream.stalls_at:
-                if judged:
+    def _evaluate(self, stream: DrawnStream, counted: bool) -> None:
+        intervals_ms: deque[float] = deque(maxlen=MAX_INTERVALS)
+        exploratory = self.rule.explores()
+        false_alarm = False
+        for number, interval_ms in enumerate(stream.intervals_ms):
+            timeout_ms = DEFAULT_TIMEOUT_MS if exploratory else self.rule.idle_timeout_ms(stream.server, intervals_ms)
+            if number == stream.stall_index:
+                if counted:
                     self._delays_ms.append(timeout_ms)
                 break
-            if wait_ms > timeout_ms:
-                given_up = True
+            if interval_ms > timeout_ms:
+                false_alarm = True
                 break
-            waits_ms.append(wait_ms)
-            self.rule.heard(stream.server, wait_ms, explored)
-        if stream.stalls_at is None and judged:
-            self._sound += 1
-            self._given_up += given_up
+            intervals_ms.append(interval_ms)
+            self.rule.record_interval(stream.server, interval_ms, exploratory)
+        if stream.stall_index is None and counted:
+            self._healthy_streams += 1
+            self._false_alarms += false_alarm
 
 
 def rules() -> dict[str, Callable[[], Rule]]:
-    """By name; each is made anew for each kind of server."""
-    found: dict[str, Callable[[], Rule]] = {}
+    """Returns factories of rules by name; each kind of server gets a new instance."""
+    factories: dict[str, Callable[[], Rule]] = {}
     for timeout_ms in (50, 100, 200, 500):
-        found[f"fixed {timeout_ms} ms"] = partial(Fixed, timeout_ms)
-    found["module's: half the patience of 2 s"] = partial(Fixed, PATIENCE_MS)
+        factories[f"fixed {timeout_ms} ms"] = partial(FixedTimeout, timeout_ms)
+    factories["fixed, half of 2 s idle timeout"] = partial(FixedTimeout, DEFAULT_TIMEOUT_MS)
     for phi in (3, 8, 16):
-        found[f"accrual, own stream, phi {phi}"] = partial(Accrual, phi)
+        factories[f"accrual, own stream, phi {phi}"] = partial(PhiAccrual, phi)
     for alarms in (1e-2, 1e-3, 1e-4):
-        found[f"peers, {alarms:g} a stream"] = partial(Peers, alarms, resume_ms=1e-6)  # by likelihood alone
+        factories[f"fleet, {alarms:g} a stream"] = partial(
+            ServerStallDetector, alarms, resume_ms=1e-6
+        )  # without the lower bound
     for alarms in (1e-2, 1e-3):
-        found[f"peers, {alarms:g}, never under a resume"] = partial(Peers, alarms)
-    return found
+        factories[f"fleet, {alarms:g}, at least a resume"] = partial(ServerStallDetector, alarms)
+    return factories
 
 
 def main() -> None:
-    """Reads the command line and prints all figures."""
+    """Prints the results of all rules."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--streams", type=int, default=8000)
     count = parser.parse_args().streams
-    print(f"{'false alarms a 1000 streams | silence before a stall is seen, ms: median, p99':<30}")
+    print(f"{'false alarms per 1000 streams | silence before a stall is detected, ms: median, p99':<30}")
     print(f"{'rule':<34}" + "".join(f"{name:>30}" for name in SERVER_KINDS))
     for name, make in rules().items():
         columns = []
         for kind in SERVER_KINDS.values():
-            judgement = RulePlay(make()).run(kind, count)
-            columns.append(f"{judgement.false_alarms:>10.2f} | {judgement.median_ms:>6.0f} {judgement.tail_ms:>6.0f}")
+            result = RuleEvaluation(make()).run(kind, count)
+            columns.append(f"{result.false_alarms:>10.2f} | {result.median_ms:>6.0f} {result.tail_ms:>6.0f}")
         print(f"{name:<34}" + "".join(f"{column:>30}" for column in columns))
 
 
--- a/examples/decisions_alone.py
+++ b/examples/decisions_alone.py
@@ -1,4 +1,4 @@
-"""Routes by hand: feeds events to the decisions and prints what they ask for. No loop, no sockets."""
+"""Calls the router directly: passes events and prints the attempts it starts. Uses no event loop and no sockets."""
 
 import ternlane
 from ternlane.policy import messages
@@ -43,21 +43,21 @@
 request = ternlane.Request(request_class, "session-1", None, 0.0, 900.0, 200.0, 5000.0)
 
 
-def attempt(actions: list) -> ternlane.Server:
-    sent = next(a for a in actions if isinstance(a, messages.StartAttempt))
-    print(f"send to {names[sent.server]}, give up after {sent.timeout_ms:.0f} ms")
-    return sent.server
+def started_attempt(actions: list) -> ternlane.Server:
+    action = next(a for a in actions if isinstance(a, messages.StartAttempt))
+    print(f"send to {names[action.server]} with a timeout of {action.timeout_ms:.0f} ms")
+    return action.server
 
 
-prefill_server = attempt(router.take(1.0, [messages.RequestArrived(request)]))
-decode_server = attempt(
+prefill_server = started_attempt(router.take(1.0, [messages.RequestArrived(request)]))
+decode_server = started_attempt(
     router.take(60.0, [messages.AttemptEnded(request, prefill_server, ternlane.AttemptOutcome.PREFILLED, 59.0, False)])
 )
-other = attempt(
+retry_server = started_attempt(
     router.take(
         61.0, [messages.AttemptEnded(request, decode_server, ternlane.AttemptOutcome.CONNECT_FAILED, 1.0, False)]
     )
 )
-router.take(90.0, [messages.FirstToken(request, other, 29.0)])
-router.take(400.0, [messages.AttemptEnded(request, other, ternlane.AttemptOutcome.STREAMED, 339.0, True)])
-print(f"read by {names[prefill_server]}, written by {names[other]}")
+router.take(90.0, [messages.FirstToken(request, retry_server, 29.0)])
+router.take(400.0, [messages.AttemptEnded(request, retry_server, ternlane.AttemptOutcome.STREAMED, 339.0, True)])
+print(f"prefilled by {names[prefill_server]}, decoded by {names[retry_server]}")
--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -1,4 +1,4 @@
-"""A plain script that routes over two engines in its own process, from two threads."""
+"""Routes requests from two threads to two engines in the same process."""
 
 import threading
 from collections.abc import AsyncIterator
@@ -8,7 +8,7 @@
 
 
 class Engine:
-    """Reads and writes by calling whatever model this process holds; here it counts words."""
+    """Prefills and decodes with a model in this process; this one counts words."""
 
     async def read(self, ask: ternlane.AttemptRequest) -> ternlane.PrefillResult:
         text = ask.raw["messages"][-1]["content"]
--- a/examples/three_gateways.py
+++ b/examples/three_gateways.py
@@ -1,4 +1,4 @@
-"""Three daemons on one host, each a process of its own, over stand-in engines; asks each with the Python client."""
+"""Runs three gateway processes on one host with fake engines and sends a request to each with the Python client."""
 
 import json
 import signal
@@ -20,8 +20,8 @@
     async def serve() -> None:
         async with trio.open_nursery() as nursery:
             for i, role in enumerate(("read", "write")):
-                build = EngineProfile(answer_tokens=(5, 5))
-                engine = FakeEngine(role, role, "hall", 0, "127.0.0.1", port + i, build, Traffic(None), 1)
+                profile = EngineProfile(answer_tokens=(5, 5))
+                engine = FakeEngine(role, role, "hall", 0, "127.0.0.1", port + i, profile, Traffic(None), 1)
                 nursery.start_soon(engine.run, nursery)
 
     trio.run(serve)
@@ -58,4 +58,4 @@
     finally:
         for daemon in daemons:
             daemon.send_signal(signal.SIGTERM)
-        print("ended with", [daemon.wait(10) for daemon in daemons])
+        print("exit codes", [daemon.wait(10) for daemon in daemons])
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -1,5 +1,7 @@
-"""A transport of one's own: legs go to a folder of files instead of sockets. Whatever carries them, a transport says
-how each leg ended by a verdict, and the decisions do the rest."""
+"""A custom transport that runs attempts on files in a folder instead of sockets.
+
+A transport reports the outcome of each attempt; retries and routing follow from the outcome.
+"""
 
 import tempfile
 from pathlib import Path
@@ -12,19 +14,19 @@
 
 
 class FolderTransport:
-    """Readers keep the prompt in a file; writers answer with its words, upside down. One writer is broken."""
+    """Prefill stores the prompt in a file; decode reverses its words. One decode server is unreachable."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.asked = folder, list[str]()
+        self.folder, self.servers_called = folder, list[str]()
 
     async def read(self, ask: ternlane.AttemptRequest) -> AttemptResult:
-        self.asked.append(ask.server)
+        self.servers_called.append(ask.server)
         path = self.folder / ask.ident
         path.write_text(ask.raw["messages"][-1]["content"])
         return AttemptResult(ternlane.AttemptOutcome.PREFILLED, state={"path": str(path)})
 
     async def stream(self, ask: ternlane.AttemptRequest, pass_on) -> AttemptResult:
-        self.asked.append(ask.server)
+        self.servers_called.append(ask.server)
         if ask.server == "broken":
             return AttemptResult(ternlane.AttemptOutcome.CONNECT_FAILED, why="no such folder")
         for i, word in enumerate(Path(ask.state["path"]).read_text().split()):
@@ -65,7 +67,7 @@
                 request = {"model": "mirror", "messages": [{"role": "user", "content": text}]}
                 async with routing.request(request) as stream:
                     print(await stream.text())
-        print("legs went to", ", ".join(transport.asked))
+        print("attempts went to", ", ".join(transport.servers_called))
 
 
 trio.run(main)
