--- a/clients/js/examples/stream.mjs
+++ b/clients/js/examples/stream.mjs
@@ -1,4 +1,4 @@
-// node examples/stream.mjs BASE_URL MODEL: streams one answer, then asks for it whole.
+// node examples/stream.mjs BASE_URL MODEL: streams a response, then requests the same without streaming.
 import { Ternlane } from "../src/index.js";
 
 const [baseURL, model] = process.argv.slice(2);
--- a/clients/js/src/index.d.ts
+++ b/clients/js/src/index.d.ts
@@ -4,9 +4,9 @@
 export interface Answer { text: string; finish: string; usage: Usage }
 export interface AskOptions {
   signal?: AbortSignal;
-  /** The same key on a client's own repeats: the gateway answers again without a second run. */
+  /** Sent as Idempotency-Key. The gateway answers a repeated key with the stored response, without a second run. */
   idempotencyKey?: string;
-  /** True only where a second run does no harm. */
+  /** Set to true only if a second run is harmless: permits retries of requests that may have run. */
   idempotent?: boolean;
   timeLimitMs?: number | null;
   onUsage?: (usage: Usage) => void;
--- a/clients/js/src/index.js
+++ b/clients/js/src/index.js
@@ -1,15 +1,15 @@
 /**
- * Client of ternlane's chat API for Node. No needs at run time.
+ * Client of ternlane's chat API for Node, without dependencies.
  *
  *   const client = new Ternlane({ baseURL: "http://127.0.0.1:8080", apiKey });
  *   for await (const text of client.stream({ model: "summary", messages })) process.stdout.write(text);
  *
- * Repeats: a throttle (429) promises that a new try does no harm, so it is tried again when the gateway said.
- * A connection that was refused sent nothing and is tried again. Anything else may have run, and is tried again
- * only for requests that are said to be idempotent. A stream that has begun is never repeated.
+ * Retries: a rejected request (429 or 503) did not run and is retried after Retry-After. A refused connection sent
+ * nothing, so the request is retried with backoff. After other failures the request may have run, and it is retried
+ * only if the caller declares it idempotent. A stream that has begun is never retried.
  */
 
-/** Base of all errors; `mayHaveRun` tells whether an effect may have happened. */
+/** Base class of errors. `mayHaveRun`: the request may have had its effect. `begun`: a part of the stream was received. */
 export class TernlaneError extends Error {
   constructor(message, { status = 0, code = null, param = null, mayHaveRun = false, begun = false, cause } = {}) {
     super(message, { cause });
@@ -17,20 +17,20 @@
     Object.assign(this, { status, code, param, mayHaveRun, begun });
   }
 }
-/** The request is wrong as it stands: 400, 404, 409, 413, 422. */
+/** The request is invalid and must not be repeated unchanged: status 400, 404, 409, 413, 422. */
 export class RequestError extends TernlaneError {}
-/** No live key: 401. */
+/** The API key is missing or invalid: status 401. */
 export class KeyError extends TernlaneError {}
-/** Throttled, or over budget: nothing ran. `retryAfterMs` is when to come back. */
+/** The request was rejected (rate limit, budget or overload) and did not run. `retryAfterMs`: delay before a retry. */
 export class ThrottledError extends TernlaneError {
   constructor(message, options) {
     super(message, options);
     this.retryAfterMs = options.retryAfterMs;
   }
 }
-/** The gateway gave up, or the stream broke off: it may have run. */
+/** The gateway terminated the request, or its stream broke; it may have run. */
 export class TerminatedError extends TernlaneError {}
-/** No gateway could be reached, or the connection broke. */
+/** The gateway could not be reached, or the connection broke. */
 export class ConnectionError extends TernlaneError {}
 
 const NOT_SENT = new Set(["ECONNREFUSED", "ENOTFOUND", "EAI_AGAIN", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
@@ -41,8 +41,8 @@
 }
 
 function retryAfter(headers) {
-  const exact = Number(headers.get("retry-after-ms"));
-  if (headers.has("retry-after-ms") && Number.isFinite(exact) && exact >= 0) return exact;
+  const retryAfterMs = Number(headers.get("retry-after-ms"));
+  if (headers.has("retry-after-ms") && Number.isFinite(retryAfterMs) && retryAfterMs >= 0) return retryAfterMs;
   const seconds = Number(headers.get("retry-after"));
   return headers.has("retry-after") && Number.isFinite(seconds) && seconds >= 0 ? seconds * 1000 : 500;
 }
@@ -52,7 +52,7 @@
   try {
     info = (await response.json()).error ?? {};
   } catch {
-    // not ours, or cut off: the status alone must do
+    // no complete JSON error: the status has to suffice
   }
   const options = { status: response.status, code: info.code ?? null, param: info.param ?? null };
   const message = info.message ?? `HTTP ${response.status}`;
@@ -66,13 +66,13 @@
 function sleep(ms, signal) {
   return new Promise((resolve, reject) => {
     if (signal?.aborted) return reject(signal.reason);
-    const stop = () => { clearTimeout(timer); reject(signal.reason); };
-    const timer = setTimeout(() => { signal?.removeEventListener("abort", stop); resolve(); }, ms);
-    signal?.addEventListener("abort", stop, { once: true });
+    const onAbort = () => { clearTimeout(timer); reject(signal.reason); };
+    const timer = setTimeout(() => { signal?.removeEventListener("abort", onAbort); resolve(); }, ms);
+    signal?.addEventListener("abort", onAbort, { once: true });
   });
 }
 
-/** Server-sent events out of a body, however its bytes are cut. */
+/** Parses the server-sent events of a body and yields their data; events may span chunks. */
 export async function* events(body) {
   const decoder = new TextDecoder("utf-8", { fatal: true });
   let rest = "", data = [];
@@ -93,10 +93,10 @@
 }
 
 export class Ternlane {
-  /** `retries`: further tries at the most; `longestPauseMs`: a longer return time is not waited for. */
-  constructor({ baseURL, apiKey = null, retries = 2, longestPauseMs = 30_000, timeLimitMs = null, fetch: via = globalThis.fetch }) {
+  /** `retries`: maximum number of retries. `longestPauseMs`: longest delay before a retry; a longer one fails the request. */
+  constructor({ baseURL, apiKey = null, retries = 2, longestPauseMs = 30_000, timeLimitMs = null, fetch: fetchFunction = globalThis.fetch }) {
     this.baseURL = baseURL.replace(/\/+$/, "");
-    Object.assign(this, { apiKey, retries, longestPauseMs, timeLimitMs, via });
+    Object.assign(this, { apiKey, retries, longestPauseMs, timeLimitMs, fetchFunction });
   }
 
   async open(request, stream, { signal, idempotencyKey, idempotent = false, timeLimitMs = this.timeLimitMs } = {}) {
@@ -105,48 +105,48 @@
     if (idempotencyKey) headers["idempotency-key"] = idempotencyKey;
     if (timeLimitMs) headers["x-ternlane-time-limit-ms"] = String(timeLimitMs);
     const body = JSON.stringify({ ...request, stream, ...(stream ? { stream_options: { include_usage: true } } : {}) });
-    for (let left = this.retries; ; left -= 1) {
+    for (let retriesLeft = this.retries; ; retriesLeft -= 1) {
       let error;
       try {
-        const response = await this.via(`${this.baseURL}/v1/chat/completions`, { method: "POST", headers, body, signal });
+        const response = await this.fetchFunction(`${this.baseURL}/v1/chat/completions`, { method: "POST", headers, body, signal });
         if (response.status === 200) return response;
         error = await failure(response);
       } catch (cause) {
         if (signal?.aborted) throw signal.reason;
-        const sent = !NOT_SENT.has(codeOf(cause));
-        error = new ConnectionError(`no answer from ${this.baseURL}: ${codeOf(cause) || cause.message}`, { mayHaveRun: sent, cause });
+        const mayHaveBeenSent = !NOT_SENT.has(codeOf(cause));
+        error = new ConnectionError(`request to ${this.baseURL} failed: ${codeOf(cause) || cause.message}`, { mayHaveRun: mayHaveBeenSent, cause });
       }
-      const harmless = error instanceof ThrottledError || (error instanceof ConnectionError && !error.mayHaveRun)
+      const retryable = error instanceof ThrottledError || (error instanceof ConnectionError && !error.mayHaveRun)
         || (idempotent && error.mayHaveRun);
-      const pause = error instanceof ThrottledError ? error.retryAfterMs : 100 * 2 ** (this.retries - left);
-      if (!harmless || left <= 0 || pause > this.longestPauseMs) throw error;
+      const pause = error instanceof ThrottledError ? error.retryAfterMs : 100 * 2 ** (this.retries - retriesLeft);
+      if (!retryable || retriesLeft <= 0 || pause > this.longestPauseMs) throw error;
       await sleep(pause * (1 + 0.1 * Math.random()), signal);
     }
   }
 
-  /** The text, piece by piece. Breaking off the loop, or aborting, ends the generation at the gateway.
-   *  `onUsage` hears the token counts at the end. */
+  /** Yields the response text in pieces. Leaving the loop or aborting cancels the request at the gateway.
+   *  `onUsage` receives the token counts at the end. */
   async *stream(request, options = {}) {
     const response = await this.open(request, true, options);
     let begun = false, done = false;
     try {
       for await (const data of events(response.body)) {
         if (data === "[DONE]") { done = true; continue; }
-        const said = JSON.parse(data);
-        if (said.error) throw new TerminatedError(said.error.message, { code: said.error.code, mayHaveRun: true, begun });
-        if (said.usage) options.onUsage?.(said.usage);
-        const text = said.choices?.[0]?.delta?.content;
+        const event = JSON.parse(data);
+        if (event.error) throw new TerminatedError(event.error.message, { code: event.error.code, mayHaveRun: true, begun });
+        if (event.usage) options.onUsage?.(event.usage);
+        const text = event.choices?.[0]?.delta?.content;
         if (text) { begun = true; yield text; }
       }
     } catch (cause) {
       if (cause instanceof TernlaneError) throw cause;
       if (options.signal?.aborted) throw options.signal.reason;
-      throw new ConnectionError(`the stream broke off: ${cause.message}`, { mayHaveRun: true, begun, cause });
+      throw new ConnectionError(`stream broke: ${cause.message}`, { mayHaveRun: true, begun, cause });
     }
-    if (!done) throw new ConnectionError("the stream ended before its end", { mayHaveRun: true, begun });
+    if (!done) throw new ConnectionError("stream ended without [DONE]", { mayHaveRun: true, begun });
   }
 
-  /** The whole answer: `{ text, finish, usage }`. */
+  /** Returns the complete response: `{ text, finish, usage }`. */
   async complete(request, options = {}) {
     const response = await this.open(request, false, options);
     const answer = await response.json();
@@ -154,10 +154,10 @@
     return { text: choice.message.content, finish: choice.finish_reason, usage: answer.usage };
   }
 
-  /** Names of the models that are offered. */
+  /** Returns the names of the available models. */
   async models() {
     const headers = this.apiKey ? { authorization: `Bearer ${this.apiKey}` } : {};
-    const response = await this.via(`${this.baseURL}/v1/models`, { headers });
+    const response = await this.fetchFunction(`${this.baseURL}/v1/models`, { headers });
     if (response.status !== 200) throw await failure(response);
     return (await response.json()).data.map((model) => model.id);
   }
--- a/clients/js/test/against.mjs
+++ b/clients/js/test/against.mjs
@@ -1,4 +1,5 @@
-// Run by the project's tests against a gateway: node against.mjs BASE_URL. Prints what it saw as JSON.
+// Client checks against a running gateway, started by tests/test_clients.py: node against.mjs BASE_URL SCENE.
+// Prints the scene as JSON if it passed.
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import { ConnectionError, events, RequestError, TerminatedError, Ternlane, ThrottledError } from "../src/index.js";
@@ -11,24 +12,24 @@
     const pieces = [];
     let usage = null;
     for await (const text of client.stream({ model: "summary", messages }, { onUsage: (u) => { usage = u; } })) pieces.push(text);
-    const whole = await client.complete({ model: "summary", messages });
-    assert.equal(pieces.join(""), whole.text);
+    const complete = await client.complete({ model: "summary", messages });
+    assert.equal(pieces.join(""), complete.text);
     assert.equal(usage.completion_tokens, pieces.length);
     assert.deepEqual(await client.models(), ["summary", "note", "form"]);
     await assert.rejects(client.complete({ model: "nobody", messages }), (e) => e instanceof RequestError && e.param === "model");
   },
   async aborted() {
-    const stop = new AbortController();
+    const controller = new AbortController();
     await assert.rejects(async () => {
-      for await (const _ of client.stream({ model: "summary", messages }, { signal: stop.signal })) stop.abort();
+      for await (const _ of client.stream({ model: "summary", messages }, { signal: controller.signal })) controller.abort();
     }, (e) => e.name === "AbortError");
   },
-  async throttled() {    // the list is empty at first: told when to come back, it comes back
+  async throttled() {    // the gateway has no endpoints at first: the client retries after Retry-After
     assert.ok((await client.complete({ model: "note", messages })).text.length > 0);
     const once = new Ternlane({ baseURL, retries: 0, longestPauseMs: 0 });
     assert.ok(once.retries === 0 && ThrottledError.prototype instanceof Error);
   },
-  async lost() {    // a side-effecting one whose answer is lost is not repeated, whatever the retries
+  async lost() {    // a side-effecting request whose response is lost is not retried
     await assert.rejects(client.complete({ model: "note", messages }), (e) => e instanceof TerminatedError && e.mayHaveRun);
   },
   async keyed() {
@@ -37,24 +38,24 @@
     assert.equal((await client.complete({ model: "note", messages }, options)).text, first.text);
   },
   async unreached() {
-    let asked = 0;
-    const server = createServer((request) => { asked += 1; request.socket.destroy(); });
+    let requests = 0;
+    const server = createServer((request) => { requests += 1; request.socket.destroy(); });
     await new Promise((resolve) => server.listen(0, "127.0.0.1", resolve));
-    const near = `http://127.0.0.1:${server.address().port}`;
-    await assert.rejects(new Ternlane({ baseURL: near }).complete({ model: "note", messages }),
+    const localURL = `http://127.0.0.1:${server.address().port}`;
+    await assert.rejects(new Ternlane({ baseURL: localURL }).complete({ model: "note", messages }),
       (e) => e instanceof ConnectionError && e.mayHaveRun);
-    assert.equal(asked, 1);
-    await assert.rejects(new Ternlane({ baseURL: near }).complete({ model: "note", messages }, { idempotent: true }), ConnectionError);
-    assert.equal(asked, 4);
+    assert.equal(requests, 1);
+    await assert.rejects(new Ternlane({ baseURL: localURL }).complete({ model: "note", messages }, { idempotent: true }), ConnectionError);
+    assert.equal(requests, 4);
     await new Promise((resolve) => server.close(resolve));
-    await assert.rejects(new Ternlane({ baseURL: near, retries: 1 }).complete({ model: "note", messages }),
+    await assert.rejects(new Ternlane({ baseURL: localURL, retries: 1 }).complete({ model: "note", messages }),
       (e) => e instanceof ConnectionError && !e.mayHaveRun);
     const raw = new TextEncoder().encode("data: a\r\ndata: é\r\n\r\ndata: b\n\n: note\n\n");
     for (const size of [1, 2, 5, 99]) {
-      const parts = (async function* cut() { for (let i = 0; i < raw.length; i += size) yield raw.slice(i, i + size); })();
-      const got = [];
-      for await (const data of events(parts)) got.push(data);
-      assert.deepEqual(got, ["a\né", "b"]);
+      const chunks = (async function* cut() { for (let i = 0; i < raw.length; i += size) yield raw.slice(i, i + size); })();
+      const received = [];
+      for await (const data of events(chunks)) received.push(data);
+      assert.deepEqual(received, ["a\né", "b"]);
     }
   },
 };
