--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: its quantiles, what it sends and when, and that it is honest about stalls, its own included."""
+"""The load generator: quantile sketch, arrivals, planned requests, latencies during stalls and its own delays."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
 
 @given(st.lists(st.floats(1e-6, 1e9), min_size=1, max_size=300), st.floats(0, 1), st.integers(0, 300))
 @settings(max_examples=200, deadline=None)
-def test_a_quantile_is_within_the_stated_error_merged_or_not(values: list[float], part: float, cut: int) -> None:
-    one, two, whole = QuantileSketch(0.01), QuantileSketch(0.01), QuantileSketch(0.01)
+def test_quantile_error_is_bounded_with_and_without_merging(values: list[float], part: float, cut: int) -> None:
+    one, two, merged_directly = QuantileSketch(0.01), QuantileSketch(0.01), QuantileSketch(0.01)
     for i, value in enumerate(values):
         (one if i < cut else two).add(value)
-        whole.add(value)
+        merged_directly.add(value)
     one.merge(two)
     true = sorted(values)[int(part * (len(values) - 1))]
-    for it in (one, whole):
-        assert abs(it.quantile(part) - true) <= 0.0101 * true
-    assert one.counts == whole.counts and one.count == whole.count == len(values)
+    for sketch in (one, merged_directly):
+        assert abs(sketch.quantile(part) - true) <= 0.0101 * true
+    assert one.counts == merged_directly.counts and one.count == merged_directly.count == len(values)
 
 
-def test_a_sketch_keeps_its_bounds_and_the_upper_quantiles_and_refuses_what_is_no_time() -> None:
-    it, rng = QuantileSketch(0.01, buckets=100), random.Random(1)
+def test_sketch_collapses_low_buckets_and_rejects_invalid_times() -> None:
+    sketch, rng = QuantileSketch(0.01, buckets=100), random.Random(1)
     values = [10 ** rng.uniform(-3, 6) for _ in range(5000)]
     for value in values:
-        it.add(value)
-    assert len(it.counts) == 100
-    assert it.quantile(0.99) == pytest.approx(sorted(values)[int(0.99 * 4999)], rel=0.011)
-    for wrong in (-1.0, float("nan"), float("inf")):
+        sketch.add(value)
+    assert len(sketch.counts) == 100
+    assert sketch.quantile(0.99) == pytest.approx(sorted(values)[int(0.99 * 4999)], rel=0.011)
+    for invalid in (-1.0, float("nan"), float("inf")):
         with pytest.raises(ValueError, match="not a finite non-negative time"):
-            it.add(wrong)
+            sketch.add(invalid)
     with pytest.raises(ValueError, match="different errors"):
-        it.merge(QuantileSketch(0.02))
+        sketch.merge(QuantileSketch(0.02))
 
 
 def config(**changes: object) -> LoadConfig:
@@ -59,9 +59,9 @@
         ArrivalsConfig("diurnal", 50.0, swing=0.8, period_s=20.0),
     ],
 )
-def test_arrivals_have_the_rate_that_was_asked_for_and_their_shape(arrivals: ArrivalsConfig) -> None:
-    told = LoadConfig(request_classes=[RequestMix("summary")], seconds=200.0, arrivals=arrivals)
-    times = list(arrival_times(told, random.Random(3)))
+def test_arrivals_have_the_configured_rate_and_shape(arrivals: ArrivalsConfig) -> None:
+    load_config = LoadConfig(request_classes=[RequestMix("summary")], seconds=200.0, arrivals=arrivals)
+    times = list(arrival_times(load_config, random.Random(3)))
     assert times == sorted(times) and len(times) == pytest.approx(10_000, rel=0.06)
     peak = {"poisson": 0.1, "bursty": 0.5, "diurnal": 0.18}[arrivals.kind]
     period = arrivals.period_s if arrivals.kind != "poisson" else 10.0
@@ -75,28 +75,28 @@
     assert list(arrival_times(recorded, random.Random(1))) == [0.0, 1.0, 1.5]
 
 
-def test_what_is_asked_does_not_depend_on_answers_and_popular_prefixes_come_by_zipf() -> None:
+def test_planned_requests_are_reproducible_and_prefixes_follow_zipf() -> None:
     mix = RequestMix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
-    told = LoadConfig(
+    load_config = LoadConfig(
         request_classes=[mix, RequestMix("note", share=0.25)],
         seconds=100.0,
         arrivals=ArrivalsConfig(rate=40.0),
         tenants={"a": 3.0, "b": 1.0},
     )
-    first, again = list(planned_requests(told)), list(planned_requests(told))
+    first, again = list(planned_requests(load_config)), list(planned_requests(load_config))
     assert [(a.at_s, a.messages, a.api_key) for a in first] == [(a.at_s, a.messages, a.api_key) for a in again]
-    seen = [a.messages[0]["content"] for a in first if a.mix is mix]
-    often = sorted((seen.count(text) for text in set(seen)), reverse=True)
-    assert len(often) == 20 and often[0] / often[9] == pytest.approx(10, rel=0.5)
-    assert len(seen) / len(first) == pytest.approx(0.8, abs=0.03)
+    prefix_texts = [a.messages[0]["content"] for a in first if a.mix is mix]
+    prefix_counts = sorted((prefix_texts.count(text) for text in set(prefix_texts)), reverse=True)
+    assert len(prefix_counts) == 20 and prefix_counts[0] / prefix_counts[9] == pytest.approx(10, rel=0.5)
+    assert len(prefix_texts) / len(first) == pytest.approx(0.8, abs=0.03)
     assert sum(a.api_key == "a" for a in first) / len(first) == pytest.approx(0.75, abs=0.03)
-    assert sum(a.turns_left for a in first if a.mix is mix) / len(seen) == pytest.approx(1.0, rel=0.15)
+    assert sum(a.turns_left for a in first if a.mix is mix) / len(prefix_texts) == pytest.approx(1.0, rel=0.15)
 
 
-async def test_a_load_is_answered_and_counted_as_the_engines_saw_it() -> None:
-    async with gateway_cluster() as w:
+async def test_load_results_match_the_engine_traffic() -> None:
+    async with gateway_cluster() as cluster:
         lines: list[dict[str, object]] = []
-        told = LoadConfig(
+        load_config = LoadConfig(
             request_classes=[
                 RequestMix("summary", turns=2.0, think_s=0.05, prefixes=2),
                 RequestMix("note", stream=False),
@@ -105,76 +105,76 @@
             arrivals=ArrivalsConfig(rate=30.0),
             late_ms=1000.0,
         )
-        tally = await LoadGenerator(told, f"http://{w.gateway.address}/v1", lines.append).run()
+        tally = await LoadGenerator(load_config, f"http://{cluster.gateway.address}/v1", lines.append).run()
         assert tally.outcomes["streamed"] == len(lines) > 20 and set(tally.outcomes) == {"streamed"}
-        assert tally.tokens == 6 * len(lines) and len(w.traffic_events("effect")) >= len(lines)
+        assert tally.tokens == 6 * len(lines) and len(cluster.traffic_events("effect")) >= len(lines)
         assert tally.first_token_ms.count and 0 < tally.first_token_ms.quantile(0.5) < tally.complete_ms.quantile(0.9)
-        await w.wait_until_idle()
+        await cluster.wait_until_idle()
 
 
-async def test_a_stall_is_seen_by_all_that_were_due_in_it() -> None:
-    """All engines hang for most of a second. A closed loop would ask less meanwhile, and its median would hide the
-    stall; an open one must not."""
-    async with gateway_cluster(profile=replace(ENGINE_PROFILE, slots=2)) as w:
+async def test_open_loop_latencies_include_a_stall() -> None:
+    """All engines hang for 0.9 s. Closed-loop clients would send fewer requests meanwhile, and their median would hide
+    the stall; open-loop latencies have to show it."""
+    async with gateway_cluster(profile=replace(ENGINE_PROFILE, slots=2)) as cluster:
 
         async def stall() -> None:
             await trio.sleep(0.4)
-            for engine in w.engines.values():
+            for engine in cluster.engines.values():
                 engine.fault.hung = True
             await trio.sleep(0.9)
-            for engine in w.engines.values():
+            for engine in cluster.engines.values():
                 engine.fault.hung = False
 
-        w.nursery.start_soon(stall)
+        cluster.nursery.start_soon(stall)
         tally = await LoadGenerator(
-            config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0), late_ms=1000.0), w.gateway.address
+            config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0), late_ms=1000.0), cluster.gateway.address
         ).run()
         due = sum(tally.outcomes.values())
         planned = list(planned_requests(config(seconds=1.2, arrivals=ArrivalsConfig(rate=20.0))))
-        assert due == len(planned)  # none was left out
-        assert tally.first_token_ms.count >= tally.outcomes["streamed"] > 0  # each that was answered has its time
+        assert due == len(planned)  # no planned request was skipped
+        assert tally.first_token_ms.count >= tally.outcomes["streamed"] > 0  # each complete response has a latency
         slow = sum(n for at, n in tally.first_token_ms.counts.items() if tally.first_token_ms.gamma**at > 300.0)
         assert slow + due - tally.outcomes["streamed"] > due / 4
 
 
-async def test_a_tool_slower_than_its_schedule_says_so_and_reports_nothing() -> None:
-    """Another task keeps the tool's process busy, so that requests go out late. Their times would be the tool's own."""
-    async with gateway_cluster() as w:
+async def test_missed_schedule_raises_an_error() -> None:
+    """Another task blocks the event loop, so requests are sent late and latencies would include the delay."""
+    async with gateway_cluster() as cluster:
 
-        async def hog() -> None:
+        async def block_event_loop() -> None:
             for _ in range(40):
                 time.sleep(0.03)  # noqa: ASYNC251
                 await trio.lowlevel.checkpoint()
 
-        w.nursery.start_soon(hog)
+        cluster.nursery.start_soon(block_event_loop)
         with pytest.raises(ScheduleMissedError, match="1% of requests were sent at least"):
             await LoadGenerator(
-                config(seconds=0.5, arrivals=ArrivalsConfig(rate=100.0), late_ms=5.0), w.gateway.address
+                config(seconds=0.5, arrivals=ArrivalsConfig(rate=100.0), late_ms=5.0), cluster.gateway.address
             ).run()
 
 
-async def test_clients_of_a_closed_loop_ask_one_at_a_time() -> None:
-    async with gateway_cluster() as w:
-        load = LoadGenerator(config(seconds=0.4, at_once=3), w.gateway.address)
-        most = 0
+async def test_closed_loop_clients_send_one_request_at_a_time() -> None:
+    async with gateway_cluster() as cluster:
+        load = LoadGenerator(config(seconds=0.4, at_once=3), cluster.gateway.address)
+        max_open = 0
 
         async def watch() -> None:
-            nonlocal most
+            nonlocal max_open
             while True:
-                most = max(most, load.open)
+                max_open = max(max_open, load.open)
                 await trio.sleep(0.001)
 
-        w.nursery.start_soon(watch)
+        cluster.nursery.start_soon(watch)
         tally = await load.run()
-        assert most == 3 and tally.outcomes["streamed"] >= 6
+        assert max_open == 3 and tally.outcomes["streamed"] >= 6
 
 
-def test_only_loopback_is_asked_and_wrong_documents_are_named(tmp_path: Path) -> None:
+def test_only_loopback_is_allowed_and_errors_name_invalid_fields(tmp_path: Path) -> None:
     assert address_of("http://127.0.0.1:8080/v1") == ("127.0.0.1:8080", "/v1/chat/completions")
     assert address_of("localhost:81") == ("localhost:81", "/v1/chat/completions")
-    for wrong in ("http://192.0.2.1/v1", "https://127.0.0.1", "http://example.com", "http://[2001:db8::1]:80"):
+    for invalid in ("http://192.0.2.1/v1", "https://127.0.0.1", "http://example.com", "http://[2001:db8::1]:80"):
         with pytest.raises(NotLoopbackError):
-            address_of(wrong)
+            address_of(invalid)
     path = tmp_path / "load.json5"
     for text, word in (
         ("{products: []}", "products"),
@@ -182,11 +182,11 @@
         ("{products: [{model: 'a'}], arrivals: {kind: 'sudden'}}", "kind"),
     ):
         path.write_text(text)
-        told = CliRunner().invoke(main, ["load", str(path), "127.0.0.1:1", "--quiet"])
-        assert told.exit_code == 65 and word in told.output
+        result = CliRunner().invoke(main, ["load", str(path), "127.0.0.1:1", "--quiet"])
+        assert result.exit_code == 65 and word in result.output
     path.write_text("{products: [{model: 'a'}], seconds: 0.3, arrivals: {rate: 20}, late_ms: 1000}")
-    told = CliRunner().invoke(main, ["load", str(path), "http://192.0.2.1", "--quiet"])
-    assert told.exit_code == 2 and "loopback" in told.output
-    told = CliRunner().invoke(main, ["load", str(path), "127.0.0.1:1", "--quiet", "--out", str(tmp_path / "out")])
-    assert told.exit_code == 0 and set(json.loads(told.output)["outcomes"]) == {"unconnected"}
+    result = CliRunner().invoke(main, ["load", str(path), "http://192.0.2.1", "--quiet"])
+    assert result.exit_code == 2 and "loopback" in result.output
+    result = CliRunner().invoke(main, ["load", str(path), "127.0.0.1:1", "--quiet", "--out", str(tmp_path / "out")])
+    assert result.exit_code == 0 and set(json.loads(result.output)["outcomes"]) == {"unconnected"}
     assert all(json.loads(line)["outcome"] == "unconnected" for line in (tmp_path / "out").read_text().splitlines())
