--- a/bench/budget_quotas.py
+++ b/bench/budget_quotas.py
@@ -78,10 +78,10 @@
         self._offered_tokens[number] += tokens
         wall_s = WALL_S + now_ms / 1000
         accounting = self.accounting[number]
-        hold = accounting.reserve(self.tenant, "s", tokens - 1, 1, now_ms, wall_s)
-        if not isinstance(hold, BudgetReservation):
+        reservation = accounting.reserve(self.tenant, "s", tokens - 1, 1, now_ms, wall_s)
+        if not isinstance(reservation, BudgetReservation):
             return False
-        accounting.settle(hold, "g", "left", Bill(TokenUsage(tokens - 1, 0, 1), TokenUsage()), 2, now_ms, wall_s)
+        accounting.settle(reservation, "g", "left", Bill(TokenUsage(tokens - 1, 0, 1), TokenUsage()), 2, now_ms, wall_s)
         return True
 
 
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -82,7 +82,7 @@
         if step is None:
             now_ms = due_ms
             continue
-        now_ms += step.ms
+        now_ms += step.duration_ms
         steps += 1
         ended += len(step.finished)
     return EngineRun(now_ms / 1000 / (time.perf_counter() - begin_s), steps, ended / (now_ms / 1000))
--- a/ternlane/emulator/batch.py
+++ b/ternlane/emulator/batch.py
@@ -24,7 +24,7 @@
     context_ms: float = 0.01  # per thousand tokens of attended context
     free_tokens: int = 0  # first tokens of a step without prefill cost: the weights are fetched anyway
 
-    def ms(self, decoded: int, prefilled: int, context_tokens: int) -> float:
+    def duration_ms(self, decoded: int, prefilled: int, context_tokens: int) -> float:
         """Returns the duration of a step with these token counts."""
         charged = max(0, decoded + prefilled - self.free_tokens) if self.free_tokens else prefilled
         return (
@@ -78,7 +78,7 @@
 class BatchStep:
     """Result of a step."""
 
-    ms: float = 0.0
+    duration_ms: float = 0.0
     decoded: list[BatchSequence] = field(default_factory=list)  # each decoded one token
     finished: list[BatchSequence] = field(default_factory=list)
     preempted: list[BatchSequence] = field(default_factory=list)
@@ -138,7 +138,7 @@
         left_tokens = self._decode(step, self.config.step_tokens)
         self._prefill(step, left_tokens)
         self._finish(step)
-        step.ms = self.config.cost.ms(len(step.decoded), step.prefilled_tokens, step.context_tokens)
+        step.duration_ms = self.config.cost.duration_ms(len(step.decoded), step.prefilled_tokens, step.context_tokens)
         return step
 
     def _admit(self) -> None:
--- a/ternlane/emulator/engine.py
+++ b/ternlane/emulator/engine.py
@@ -53,9 +53,9 @@
     jitter: float = 0.0  # sigma of the log-normal factor of step durations
     slow_start_ms: float = 10e3  # duration of the ramp-up after a start
     slow_start_share: float = 0.3  # share of full speed at the start
-    report_ms: float = 200.0  # report interval
-    lag_ms: float = 50.0  # report delay
-    noise: float = 0.05  # relative standard deviation of reported values
+    report_interval_ms: float = 200.0
+    report_delay_ms: float = 50.0
+    report_noise: float = 0.05  # relative standard deviation of reported values
 
 
 @dataclass(slots=True)
@@ -168,20 +168,20 @@
         self._record_report()
         latest = LoadReport()
         for at_ms, report in self._reports:
-            if at_ms <= now_ms - self.traits.lag_ms:
+            if at_ms <= now_ms - self.traits.report_delay_ms:
                 latest = report
-        factor = max(0.0, 1.0 + self.rng.gauss(0.0, self.traits.noise))
+        factor = max(0.0, 1.0 + self.rng.gauss(0.0, self.traits.report_noise))
         return LoadReport(
             round(latest.running * factor), round(latest.waiting * factor), min(1.0, latest.memory * factor)
         )
 
     def _record_report(self) -> None:
         """Records a report if one is due, and drops those superseded by a newer visible report."""
-        if self.now_ms - self._reported_ms < self.traits.report_ms:
+        if self.now_ms - self._reported_ms < self.traits.report_interval_ms:
             return
         self._reported_ms = self.now_ms
         self._reports.append((self.now_ms, self.current_load()))
-        while len(self._reports) > 2 and self._reports[1][0] <= self.now_ms - self.traits.lag_ms:
+        while len(self._reports) > 2 and self._reports[1][0] <= self.now_ms - self.traits.report_delay_ms:
             self._reports.popleft()
 
     # Time
@@ -221,7 +221,7 @@
         if step is not None:
             spread = exp(self.rng.gauss(0.0, self.traits.jitter)) if self.traits.jitter else 1.0
             self._step = step
-            self._step_ends_ms = now_ms + step.ms * spread / speed
+            self._step_ends_ms = now_ms + step.duration_ms * spread / speed
 
     def _end_step(self) -> list[JobEvent]:
         step = self._step
--- a/ternlane/emulator/fleet.py
+++ b/ternlane/emulator/fleet.py
@@ -42,7 +42,7 @@
 
 
 class EmulatedFleet:
-    """All engines and links."""
+    """Engines with their ports and cell links, advanced on one clock."""
 
     def __init__(self, port_rate: float, link_rate: float, zone_slowdown: float = 2.0) -> None:
         """`port_rate` and `link_rate`: of a prefill server's port and of a cell's link, in tokens per millisecond."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -154,7 +154,7 @@
         assert (
             len(batch.running) <= slots
             and step.prefilled_tokens + len(step.decoded) <= step_tokens + slots
-            and step.ms > 0
+            and step.duration_ms > 0
         )
         for sequence in step.decoded:
             token_counts[sequence] += 1
@@ -180,7 +180,7 @@
     assert all(
         s is not None and len(s.decoded) >= 8 and s.prefilled_tokens <= 120 for s in steps
     )  # all sequences decode during the prefill
-    assert all(s is not None and s.ms > alone.ms for s in steps[:8])
+    assert all(s is not None and s.duration_ms > alone.duration_ms for s in steps[:8])
 
 
 def test_preempted_sequence_keeps_its_output() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -257,7 +257,7 @@
 
 def test_load_reports_are_delayed_and_formatted_for_orca_and_prometheus() -> None:
     fleet = EmulatedFleet(100.0, 100.0)
-    placed = add_engine(fleet, traits=EngineTraits(report_ms=100.0, lag_ms=40.0, noise=0.0))
+    placed = add_engine(fleet, traits=EngineTraits(report_interval_ms=100.0, report_delay_ms=40.0, report_noise=0.0))
     for _ in range(4):
         assert fleet.decode(0.0, placed, Job(BatchSequence(300, 60)))
     assert placed.engine.reported_load(10.0).running == 0
