--- a/ternlane/event_loop.py
+++ b/ternlane/event_loop.py
@@ -23,7 +23,7 @@
 # Time constant of the expected lateness of timers after a late one.
 LATENESS_DECAY_MS = 1000.0
 # The router ends each request by its deadline. If a bug prevents that, the event loop fails the request this long after
-# the deadline: for users, a request without an answer half a second after its deadline is lost.
+# the deadline. Clients count a request as lost about 500 ms after its deadline, so the answer still arrives in time.
 OVERDUE_GRACE_MS = 250.0
 # Interval of the checks for overdue requests.
 OVERDUE_CHECK_MS = 100.0
@@ -45,7 +45,8 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """The final answer of a rejected request: a new request does no harm, as nothing has run or a repeat has no effect.
+    """The final answer of a rejected request: the client may safely send the request again, as nothing has run or a
+    repeat has no further effect.
     `pause_ms` is the Retry-After; 0 for none."""
 
     recorded_as: ClassVar[str] = "throttled"  # value on the wire, in the ledger and in the journal
@@ -135,7 +136,7 @@
 
     streaming: bool  # the client has got the first bytes of the current attempt, which can no longer be cancelled
     why: str  # the failure of the latest attempt
-    attempt_log: list[str]  # one line for each ended attempt
+    attempt_log: list[str]  # one line for each ended attempt, with the name of its outcome
 
     @property
     def attempt(self) -> Cancellable | None:
@@ -179,7 +180,7 @@
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.timers_set = 0
         self.timer_changed = trio.Event()
-        self.max_lateness_ms = 0.0  # of any timer since the last reset by a reader
+        self.max_lateness_ms = 0.0  # of any timer; whoever reports it resets it
         self.answer_all_by_ms = inf  # in a shutdown, requests without an answer are failed at this time
         self.recent_lateness = Lateness(0.0, 0.0)
 
@@ -257,8 +258,8 @@
         active_request = self.active_requests.get(request)
         if active_request is None:
             return
-        log = active_request.attempt_log
-        timed_out = bool(log) and "TIMED_OUT" in log[-1].split()
+        attempt_log = active_request.attempt_log
+        timed_out = bool(attempt_log) and "TIMED_OUT" in attempt_log[-1].split()
         self.finish_request(active_request, Failed(active_request.why, timed_out, reject_reason))
 
     @abstractmethod
@@ -298,8 +299,8 @@
             self.call_at(now_ms() + OVERDUE_CHECK_MS, self.fail_overdue_requests)
 
     def abort_request(self, active_request: RequestT, why: str) -> None:
-        """Fails a request, which may have run, without a decision of the router. The router gets
-        ClientDisconnected."""
+        """Fails a request, which may have run, without a decision of the router. Dispatches
+        ClientDisconnected, so that the router drops the request and releases what is held for it."""
         if active_request.attempt is not None:
             active_request.attempt.cancel()
         self.finish_request(active_request, Failed(why))
--- a/ternlane/policy/admission_queue.py
+++ b/ternlane/policy/admission_queue.py
@@ -37,7 +37,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def room_may_have_changed(self) -> None:
+    def capacity_may_have_changed(self) -> None:
         """Marks all requests to be tried again, including long prompts. Latest starts are not recomputed."""
         self._no_room_from = inf
 
@@ -54,7 +54,7 @@
         heapq.heappush(self._entries, QueueEntry(-weight, latest_start, number, state))
         self._next_due = min(self._next_due, latest_start)
         # A request that was not tried yet counts as the shortest prompt, so that it is tried.
-        shortest = state.request.prompt_tokens if state.found_no_room else 0.0
+        shortest = state.request.prompt_tokens if state.found_no_capacity else 0.0
         self._shortest_prompt = min(self._shortest_prompt, shortest)
 
     def drain(self, place: Callable[[RequestState], None], expire: Callable[[RequestState], None]) -> bool:
@@ -85,7 +85,7 @@
             return
         if entry.latest_start <= self._context.now:
             expire(state)
-        elif state.found_no_room and state.request.prompt_tokens >= self._no_room_from:
+        elif state.found_no_capacity and state.request.prompt_tokens >= self._no_room_from:
             heapq.heappush(self._entries, entry)
         else:
             place(state)
--- a/ternlane/policy/endpoint_state.py
+++ b/ternlane/policy/endpoint_state.py
@@ -25,8 +25,8 @@
 from ternlane.policy.messages import EndpointStatus, Request, Role, Server
 from ternlane.policy.outlier_detection import MIN_PROGRESS, OutlierDetector
 
-# Time constant of the count of sent requests, in multiples of `Limits.memory_ms`. It is longer than that of other
-# counts, as each of many gateways sends only few requests to a server.
+# Time constant of the count of sent requests, in multiples of `Limits.memory_ms`, the time constant of the router's
+# statistics. It is longer than that of other counts, as each of many gateways sends only few requests to a server.
 SENT_MEMORY_SPANS = 4
 
 
@@ -46,8 +46,8 @@
 
     endpoint: EndpointState
     ready: bool  # in the endpoint list, and neither draining nor removed
-    free: float  # see LoadEstimate
-    known_free: float
+    free: float  # free share of its memory or its prefill time, whichever is smaller; see LoadEstimate
+    known_free: float  # the same, without the estimated load of other gateways
     queue_ms: float  # unfinished prefill work from this gateway
     open_requests: int  # of this gateway
     progress: float  # relative to its peers; see OutlierDetector
@@ -96,7 +96,8 @@
         self.sent = 0.0
 
     def handle(self, message: EndpointMessage) -> None:
-        """Updates the state, and posts the new snapshot to the scheduler."""
+        """Updates the state, and posts the new snapshot to the scheduler. A Reselect is forwarded behind it, so that
+        the scheduler selects by this snapshot."""
         match message:
             case FleetStats():
                 self._fleet_stats_received(message)
@@ -128,12 +129,12 @@
     def _stage_ended(self, message: StageEnded) -> None:
         now = self.context.now
         attempt = message.attempt
-        success = message.success
+        success = message.success  # None: the outcome says nothing about the server's health
         self.outliers.expect(attempt, now)
         if success is not False:
             self.connected_until = now + self.context.limits.connection_idle_ms
         self.outliers.record(success)
-        if message.next_usual_ms is None:
+        if message.next_usual_ms is None:  # the attempt has ended
             self.attempts.pop(attempt, None)
             if success and not attempt.decodes:
                 self.prefilled_up_to = max(self.prefilled_up_to, attempt.started_at)
--- a/ternlane/policy/latency.py
+++ b/ternlane/policy/latency.py
@@ -21,7 +21,8 @@
 INITIAL_STREAM_TOKENS = 50
 # Before the first sample, this many tokens are assumed to be prefilled within the latency objective.
 INITIAL_TOKENS_PER_SLO = 10e3
-# Only prefills with more uncached tokens update the pace: the time of shorter ones is mostly queueing and batch steps.
+# Only prefills with more uncached tokens update the pace (`prefill_ms_per_token`): the time of shorter ones is mostly
+# queueing and batch steps.
 MIN_PACE_SAMPLE_TOKENS = 1000.0
 # Faster samples have more weight in the pace than slower ones, as queueing makes prefills look slower, and nothing
 # makes them look faster.
@@ -45,7 +46,7 @@
         self._mean_measured_ms = self._mean_expected_ms
 
     def usual_ms(self, request_class: RequestClass, stage: Stage) -> float:
-        """The usual time of the stage for this class."""
+        """The average time of the stage for this class; before the first sample, an assumed one."""
         mean_ms = self.usual_stage_ms.get((request_class, stage))
         if mean_ms is not None:
             return mean_ms
@@ -80,10 +81,10 @@
         request = ended.request
         uncached = request.prompt_tokens - ended.kept_tokens
         mean_prompt = self.mean_prompt_tokens.get(request.request_class, request.prompt_tokens)
-        usual_ms = ended.took_ms / max(1.0, request.prompt_tokens / mean_prompt)
+        scaled_ms = ended.took_ms / max(1.0, request.prompt_tokens / mean_prompt)  # as for a prompt of mean length
         completed = ended.outcome is AttemptOutcome.PREFILLED
-        if completed or usual_ms > self.usual_ms(request.request_class, Stage.PREFILL):
-            self.record_stage(request.request_class, Stage.PREFILL, usual_ms, now)
+        if completed or scaled_ms > self.usual_ms(request.request_class, Stage.PREFILL):
+            self.record_stage(request.request_class, Stage.PREFILL, scaled_ms, now)
         self._record_queue(attempt.expected_ms, ended.took_ms)
         self.mean_prefill_ms += SAMPLE_WEIGHT * (self.prefill_ms_per_token * uncached - self.mean_prefill_ms)
         if completed and uncached > MIN_PACE_SAMPLE_TOKENS:
@@ -94,9 +95,9 @@
         self._mean_measured_ms += SAMPLE_WEIGHT * (measured_ms - self._mean_measured_ms)
         self.queue_correction = min(MAX_QUEUE_CORRECTION, self._mean_measured_ms / self._mean_expected_ms)
 
-    def _record_pace(self, pace: float) -> None:
-        weight = FASTER_PACE_WEIGHT if pace < self.prefill_ms_per_token else SLOWER_PACE_WEIGHT
-        self.prefill_ms_per_token += (pace - self.prefill_ms_per_token) * weight
+    def _record_pace(self, ms_per_token: float) -> None:
+        weight = FASTER_PACE_WEIGHT if ms_per_token < self.prefill_ms_per_token else SLOWER_PACE_WEIGHT
+        self.prefill_ms_per_token += (ms_per_token - self.prefill_ms_per_token) * weight
 
     def keep_only(self, request_classes: set[RequestClass]) -> None:
         """Drops the classes that a new configuration no longer has; otherwise they would accumulate with each
--- a/ternlane/policy/messages.py
+++ b/ternlane/policy/messages.py
@@ -76,7 +76,7 @@
     """Why a request got its final answer without having been served; for logs and metrics. It does not determine
     whether the request is rejected or failed; see `RetryPolicy.final_answer`."""
 
-    # The deadline has passed, all attempts are used up, or one is left where a prefill and a decode need two.
+    # The deadline has passed, all attempts are used up, or one is left although a prefill and a decode need two.
     ATTEMPTS_SPENT = auto()
     # The client timeout is shorter than the latency objective, and less than twice the usual time to first token is
     # left. Check the client timeouts, or why prefills are slow.
--- a/ternlane/policy/outcome_recorder.py
+++ b/ternlane/policy/outcome_recorder.py
@@ -41,10 +41,11 @@
     ) -> None:
         """Handles the end of an attempt, with any outcome."""
         outcome = ended.outcome
-        conclusive = health_sign(outcome) is not None
-        if not ended.state_lost:
-            # The cause of cancelling an overtaken prefill is its missing answer, so it is recorded as timed out.
+        conclusive = health_sign(outcome) is not None  # whether it shows if the server is healthy
+        if not ended.state_lost:  # a lost state says nothing about the load and failures of this server
+            # An overtaken prefill was cancelled because its answer was missing, so it is recorded as timed out.
             recorded = AttemptOutcome.TIMED_OUT if attempt.overtaken and not conclusive else outcome
+            # Without the expected prefill work, what remains is the time that the attempt waited at the server.
             self._record(endpoint, state.request, recorded, ended.took_ms - attempt.prefill_work_ms)
         if attempt.needs_connection and conclusive:
             self._failures.record_connection(outcome is AttemptOutcome.CONNECT_FAILED)
--- a/ternlane/policy/request_flow.py
+++ b/ternlane/policy/request_flow.py
@@ -93,7 +93,7 @@
             return
         pair = self._rules.placement.choose(state)
         if pair is None:
-            state.found_no_room = True
+            state.found_no_capacity = True
             if self._rules.admission.has_servers_for(state):
                 self._enqueue(state)
             else:
@@ -105,7 +105,7 @@
         self._start_attempt(state, pair.prefill_server)
 
     def _reserve(self, state: RequestState, pair: ServerPair) -> None:
-        self._rules.placement.set_home(state, pair)
+        self._rules.placement.set_home(state, pair)  # home: the pair of servers that the session prefers
         state.prefill_server = pair.prefill_server
         state.decode_server = pair.decode_server
         for endpoint in dict.fromkeys(pair):
@@ -216,7 +216,8 @@
     # -- between attempts
 
     def reselect(self, state: RequestState) -> None:
-        """Starts the next attempt if the effect permits one: a decode if a state is held, else a new pair."""
+        """Starts the next attempt if the request's effect (idempotent, deduplicated or side-effecting) permits one: a
+        decode if a state is held, else a prefill at a new pair. Otherwise gives the final answer."""
         if self._context.now >= self._rules.shutdown.answers_by:
             self._finish(state, RejectReason.SHUTDOWN)
         elif self._rules.retries.is_spent(state):
@@ -231,7 +232,8 @@
             self._place_or_enqueue(state)
 
     def _may_hand_over(self, state: RequestState) -> bool:
-        """Whether a state is held that would outlast one more failed connection."""
+        """Whether a state is held that will not expire before a decode attempt can take it, even after one more failed
+        connection."""
         lease = state.lease
         if lease.held_at is None:
             return False
@@ -273,8 +275,9 @@
     # -- end of a request
 
     def answer_before_shutdown(self) -> None:
-        """Gives the final answer to all requests without a first token shortly before the process may be killed. An
-        attempt in flight is cancelled first, as only its outcome shows whether its request may be rejected."""
+        """Shortly before the process may be killed, gives the final answer to each request without a first token. If an
+        attempt is in flight, cancels that instead: its outcome shows whether the request may be rejected, and
+        `reselect` then gives the answer."""
         if self._context.now < self._rules.shutdown.answers_by:
             return
         for state in list(self.unanswered):
@@ -282,12 +285,12 @@
             if attempt is not None and self._rules.config.may_cancel:
                 self._context.actions.append(messages.CancelAttempt(state.request))
                 continue
-            if attempt is not None and state.may_have_run is None:
+            if attempt is not None and state.may_have_run is None:  # it cannot be cancelled, and may run
                 state.may_have_run = MayHaveRun(attempt.started_at, attempt.server)
             self._finish(state, RejectReason.SHUTDOWN)
 
     def _finish(self, state: RequestState, reason: RejectReason) -> None:
-        """Gives the final answer: Reject if a new request does no harm, else Fail."""
+        """Gives the final answer: Reject if the client may safely retry, else Fail."""
         self._context.actions.append(self._rules.retries.final_answer(state, reason))
         self.close(state)
 
--- a/ternlane/policy/request_state.py
+++ b/ternlane/policy/request_state.py
@@ -80,7 +80,7 @@
     attempts: int = 0  # number of attempts sent
     lease: Lease[EndpointState] = field(default_factory=Lease)  # the state that servers may hold for it
     may_have_run: MayHaveRun | None = None
-    found_no_room: bool = False  # no pair of servers with capacity was found so far
+    found_no_capacity: bool = False  # no pair of servers with capacity was found so far
     probed: set[EndpointState] = field(default_factory=set)  # servers whose load reports it waits for
     preferred: list[EndpointState] = field(
         default_factory=list
--- a/ternlane/policy/retry_policy.py
+++ b/ternlane/policy/retry_policy.py
@@ -72,7 +72,7 @@
                 return first.cell == other.cell
 
     def repeat_window_ms(self, state: RequestState) -> float:
-        """For how long servers of the same group drop a repeat (ms): infinite if a repeat does no harm, 0 or less if it
+        """For how long servers of the same group drop a repeat (ms): infinite if repeating is safe, 0 or less if it
         would have a second effect."""
         request_class = state.request.request_class
         if state.may_have_run is None or request_class.effect is Effect.IDEMPOTENT:
@@ -82,8 +82,7 @@
         return -inf
 
     def final_answer(self, state: RequestState, reason: RejectReason) -> Reject | Fail:
-        """Reject, which states that a new request does no harm, if that is still true when the client may retry; else
-        Fail."""
+        """Reject, which states that the client may safely retry, if that is still true when it does; else Fail."""
         request_class = state.request.request_class
         window_ms = self.repeat_window_ms(state)
         pause_ms = min(self._context.limits.max_retry_after_ms, request_class.slo_ms * RETRY_AFTER_SLO_SHARE)
--- a/ternlane/policy/scheduler.py
+++ b/ternlane/policy/scheduler.py
@@ -55,6 +55,7 @@
                 self._handle_request_event(message)
 
     def _handle_request_event(self, event: messages.Event) -> None:
+        """Handles an event of one request; other events need no reaction."""
         match event:
             case messages.RequestArrived(request):
                 self.request_flow.request_arrived(request)
@@ -63,7 +64,7 @@
                 if state.attempt is not None:
                     self.request_flow.first_token(state, state.attempt, took_ms)
             case messages.AttemptEnded():
-                self.rules.queue.room_may_have_changed()
+                self.rules.queue.capacity_may_have_changed()
                 self.request_flow.attempt_ended(event)
             case messages.ClientDisconnected(request):
                 state_or_none = request.router_state
@@ -105,12 +106,12 @@
             if endpoint is None:
                 endpoint = EndpointState(self.context, self, server)
                 server.router_state = endpoint
-            self.rules.slow_start.forget(endpoint)
+            self.rules.slow_start.forget(endpoint)  # the server may have restarted
             endpoint.post(EndpointChanged())
 
     def _config_changed(self, config: RouterConfig) -> None:
         self.context.limits = limits_from(config)
-        self.rules.queue.room_may_have_changed()
+        self.rules.queue.capacity_may_have_changed()
         self.rules.config = config
         request_classes = set(config.request_classes)
         self.rules.latency.keep_only(request_classes)
@@ -127,8 +128,8 @@
         self.rules.placement.forget_idle_homes()
         for state in self.rules.probes.stop_waiting():
             self.request_flow.reselect(state)
-        if self.rules.fleet.tick():
-            self.rules.queue.room_may_have_changed()
+        if self.rules.fleet.tick():  # it has compared the servers, which may change which of them are eligible
+            self.rules.queue.capacity_may_have_changed()
 
     def _probe_answered(self, endpoint: EndpointState, report: messages.Report | None) -> None:
         forward_report(endpoint, report)
--- a/ternlane/policy/shutdown.py
+++ b/ternlane/policy/shutdown.py
@@ -25,11 +25,13 @@
 def shutdown_times(
     longest_deadline_ms: float, grace_ms: float, release_ms: float, since_signal_ms: float
 ) -> ShutdownTimes:
-    """The limits for a process that received its signal `since_signal_ms` ago and may be killed `longest_deadline_ms`
-    plus `grace_ms` after it. The last answers leave time for a stall before and after them, and for releasing the state
-    that their attempts held."""
+    """The limits, in milliseconds from now, for a process that received its signal `since_signal_ms` ago and may be
+    killed `longest_deadline_ms` plus `grace_ms` after it; a limit that has passed is negative. The last answers leave
+    time for a stall before and after them, and for releasing the state that their attempts held."""
     ends_ms = longest_deadline_ms + grace_ms - since_signal_ms
+    # at most half of the time between signal and kill
     reserve_ms = min(2 * STALL_MS + RELEASE_RESERVE * release_ms, (longest_deadline_ms + grace_ms) / 2)
+    # admits_ms, answers_ms, ends_ms
     return ShutdownTimes(max(0.0, grace_ms - STALL_MS) - since_signal_ms, ends_ms - reserve_ms, ends_ms)
 
 
--- a/ternlane/reference.py
+++ b/ternlane/reference.py
@@ -80,8 +80,8 @@
     annotation = next(
         (k.__annotations__[attribute] for k in kind.__mro__ if attribute in k.__dict__.get("__annotations__", {})), ""
     )
-    plain = isinstance(default, str | int | float | bool | None | tuple)
-    default_text = "" if required else f" = {default!r}" if plain else " = ..."
+    has_literal = isinstance(default, str | int | float | bool | None | tuple)
+    default_text = "" if required else f" = {default!r}" if has_literal else " = ..."
     return f"{name}: {type_name(annotation)}{default_text}"
 
 
@@ -92,11 +92,15 @@
         if not base.__module__.startswith("ternlane"):
             continue
         for name, value in vars(base).items():
-            plain = value.__func__ if isinstance(value, classmethod | staticmethod) else value
-            if name.startswith("_") or name in seen or not (inspect.isfunction(plain) or isinstance(plain, property)):
+            function = value.__func__ if isinstance(value, classmethod | staticmethod) else value
+            if (
+                name.startswith("_")
+                or name in seen
+                or not (inspect.isfunction(function) or isinstance(function, property))
+            ):
                 continue
             seen.add(name)
-            yield name, plain
+            yield name, function
 
 
 def lines_of(name: str, item: Any) -> Iterator[str]:
@@ -111,14 +115,14 @@
         yield own_docstring(item) + "\n"
         yield "Members: " + ", ".join(f"`{m.name}`" for m in item) + "\n"
         return
-    plain = (
+    without_signature = (
         dataclasses.is_dataclass(item)
         or fields
         or issubclass(item, BaseException)
         or "__init__" not in vars(item)
         or getattr(item, "_is_protocol", False)
     )
-    yield f"### `{name}`\n" if plain else f"### `{signature(name, item)}`\n"
+    yield f"### `{name}`\n" if without_signature else f"### `{signature(name, item)}`\n"
     yield own_docstring(item) + "\n"
     if fields:
         yield "```python\n" + "\n".join(fields) + "\n```\n"
@@ -139,7 +143,7 @@
 def undocumented_names() -> list[str]:
     """Public names, methods and properties without a docstring."""
     undocumented = []
-    for name in ternlane.__all__[1:]:
+    for name in ternlane.__all__[1:]:  # without `__version__`
         item = getattr(ternlane, name)
         undocumented += [] if own_docstring(item) else [name]
         if isinstance(item, type) and not issubclass(item, Enum):
@@ -150,7 +154,7 @@
     return undocumented
 
 
-def page() -> Iterator[str]:
+def reference_lines() -> Iterator[str]:
     """The lines of the reference."""
     yield f"# API of ternlane {ternlane.__version__}\n"
     yield (
@@ -158,7 +162,7 @@
         "milliseconds and memory is in tokens. Names that are not listed here are private.\n"
     )
     module = ""
-    for name in ternlane.__all__[1:]:
+    for name in ternlane.__all__[1:]:  # without `__version__`
         module_of_name = ternlane._MODULES[name]
         if module_of_name != module:
             module = module_of_name
@@ -174,4 +178,4 @@
 
 
 if __name__ == "__main__":
-    print("\n".join(page()).rstrip())
+    print("\n".join(reference_lines()).rstrip())
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -42,10 +42,10 @@
 
 
 def test_all_public_names_have_doc_comments() -> None:
-    from ternlane.reference import page, undocumented_names
+    from ternlane.reference import reference_lines, undocumented_names
 
     assert undocumented_names() == []
-    text = "\n".join(page())
+    text = "\n".join(reference_lines())
     assert all(f"### `{name}" in text for name in ternlane.__all__[1:]) and "`.take(now: float," in text
 
 
