--- a/ternlane/discovery/endpoint_registry.py
+++ b/ternlane/discovery/endpoint_registry.py
@@ -23,16 +23,16 @@
 
 
 class EndpointRegistry:
-    """The listed servers by id, and their endpoints.
+    """All servers that were ever listed, by id, and their endpoints; removed ones have the status REMOVED.
 
-    `wall` (seconds since 1970) and `now` (the router's clock, in ms) denote the same moment.
+    `wall_s` (since 1970) and `now_ms` (the router's clock), parameters of `update` and `apply`, denote the same moment.
     """
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
         self.endpoints: dict[Server, Endpoint] = {}
 
-    def update(self, lines: Iterable[NodeLine], wall: float, now: float) -> EndpointsUpdated:
+    def update(self, lines: Iterable[NodeLine], wall_s: float, now_ms: float) -> EndpointsUpdated:
         """Applies a complete list, removing servers that it omits. Returns only the servers that changed."""
         changed: list[Server] = []
         listed: set[str] = set()
@@ -46,26 +46,27 @@
                     server.status = EndpointStatus.REMOVED
                     changed.append(server)
                 server = self.add(line)
-            self.apply(server, line, wall, now)
+            self.apply(server, line, wall_s, now_ms)
             changed.append(server)
         changed.extend(self.remove_unlisted(listed))
         return EndpointsUpdated(tuple(changed))
 
     def add(self, line: NodeLine) -> Server:
-        """Adds a server that was not listed before, or not in this role."""
+        """Adds a server that was not listed before, or not in this role. `apply` must follow, which sets its
+        endpoint."""
         server = Server(
             line.zone, line.cell, ROLES[line.role], line.kv_capacity_tokens, hash_key=crc32(line.id.encode())
         )
         self.servers[line.id] = server
         return server
 
-    def apply(self, server: Server, line: NodeLine, wall: float, now: float) -> None:
+    def apply(self, server: Server, line: NodeLine, wall_s: float, now_ms: float) -> None:
         """Copies the fields of a node line to its server."""
         server.zone = line.zone
         server.cell = line.cell
         server.kv_capacity_tokens = line.kv_capacity_tokens
         server.size = line.size
-        server.started_ms = max(0.0, now - (wall - line.started) * 1000) if line.started else 0.0
+        server.started_ms = max(0.0, now_ms - (wall_s - line.started) * 1000) if line.started else 0.0
         server.status = STATUSES[line.state]
         self.endpoints[server] = Endpoint(line.id, line.address, line)
 
--- a/ternlane/http1/client_connection.py
+++ b/ternlane/http1/client_connection.py
@@ -46,7 +46,7 @@
         self.has_completed_request = False  # has completed a request before
         self.on_close: Callable[[ClientConnection], None] = lambda _: None
         self._read_deadline_s = inf  # see `set_read_deadline`
-        self._drained_after_deadline = False
+        self._read_after_deadline = False
 
     @property
     def written(self) -> bool:
@@ -55,7 +55,8 @@
 
     @property
     def broke(self) -> bool:
-        """Whether the connection broke before the response, as one does that the peer dropped while it was idle."""
+        """Whether the connection broke before the response, for example because the peer had closed it while it was
+        idle."""
         return self.state in (CallState.BROKE_SENDING, CallState.BROKE_UNANSWERED)
 
     @property
@@ -78,7 +79,7 @@
         return await self.read_head()
 
     async def send_request(self, method: str, target: str, headers: Headers, body: bytes = b"") -> None:
-        """Raises ConnectError if the connection breaks before the request's last byte is written."""
+        """Writes a request. Raises ConnectError if the connection breaks before the last byte is written."""
         self.state = CallState.NOT_SENT
         head = [("Host", self.peer), *headers]
         if body or method != "GET":
@@ -122,7 +123,7 @@
         Data that is already in the kernel's buffer at that time is still returned by one more read.
         """
         self._read_deadline_s = when_s
-        self._drained_after_deadline = False
+        self._read_after_deadline = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body. Raises as `read_head` does, also if the body is shorter than its stated length."""
@@ -167,8 +168,8 @@
             with trio.CancelScope(deadline=self._read_deadline_s):
                 return await self.stream.receive_some(CHUNK_BYTES)
         # The deadline has passed, but data that arrived before it may still be unread in the kernel's buffer.
-        data = None if self._drained_after_deadline else receive_now(self.stream, CHUNK_BYTES)
-        self._drained_after_deadline = True  # only once: a peer that never stops sending must time out too
+        data = None if self._read_after_deadline else receive_now(self.stream, CHUNK_BYTES)
+        self._read_after_deadline = True  # only once: a peer that never stops sending must time out too
         if data is None:
             raise ReadTimeout(f"{self.peer}: nothing came in time")
         return data
--- a/ternlane/http1/exchange.py
+++ b/ternlane/http1/exchange.py
@@ -28,7 +28,8 @@
         closing: Callable[[], bool] = lambda: False,
     ) -> None:
         """`send_ms` is the send time-out and `arrived` when the request's first byte was received (s, trio's clock).
-        `closing`, called when the response head is written, returns whether the connection closes after it."""
+        `closing`, called when the response head is written, returns whether the connection closes after this
+        response."""
         self.stream = stream
         self.conn = conn
         self.request = request
@@ -68,14 +69,15 @@
         return next((value.decode("latin-1") for key, value in self.request.headers if key == name), None)
 
     async def send(self, data: bytes) -> None:
-        """Raises trio.BrokenResourceError if the client has disconnected or does not read within `send_ms`."""
+        """Sends bytes to the client. Raises trio.BrokenResourceError if it has disconnected or does not read within
+        `send_ms`."""
         sent = send_now(self.stream, data)
         if sent == len(data):
             return
         with trio.move_on_after(self.send_ms / 1000) as scope:
             await self.stream.send_all(memoryview(data)[sent:])
         if scope.cancelled_caught:
-            raise trio.BrokenResourceError("the client takes nothing")
+            raise trio.BrokenResourceError("the client did not read in time")
 
     async def answer(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes, content: str = "application/json"
@@ -113,12 +115,13 @@
         await self.send(out)
 
     def _finish(self) -> None:
-        """Marks the point after which bytes from the client belong to its next request, as it may have the response."""
+        """Marks the point after which bytes from the client belong to its next request, as the client may have received
+        the response by then."""
         self.finishing = True
         self.pipelined = bool(self.conn.trailing_data[0])
 
     def reset(self) -> None:
-        """Closes the socket abruptly, as a faulty peer does. Only for fake servers."""
+        """Closes the socket abruptly, as a faulty peer does. Only for the fake servers of tests."""
         self.stream.socket.close()
 
     async def wait_until_disconnected(self) -> None:
--- a/ternlane/http1/server_connection.py
+++ b/ternlane/http1/server_connection.py
@@ -75,9 +75,9 @@
         self.state = ConnectionState.READING
         self.has_received_request = False
         self.close_reason = CloseReason.CANCELLED
-        self._last_request = False  # the request being handled is the last one, as the server is draining
+        self._handling_last_request = False  # the request being handled is the last one, as the server is draining
         self._reading_stopped = False
-        self._reading: trio.CancelScope | None = None  # set while a request is read, from its first byte on
+        self._reading_scope: trio.CancelScope | None = None  # set while a request is read, from its first byte on
 
     @property
     def idle(self) -> bool:
@@ -92,7 +92,10 @@
         try:
             await self._serve_requests()
         except (*BROKEN, h11.LocalProtocolError):
-            if self.close_reason not in (CloseReason.MADE_ROOM, CloseReason.DRAINING):  # else closed by this side
+            if self.close_reason not in (
+                CloseReason.MADE_ROOM,
+                CloseReason.DRAINING,
+            ):  # with these, this side has closed it
                 self.close_reason = CloseReason.BROKEN
         finally:
             self._set_state(ConnectionState.CLOSED)
@@ -130,7 +133,7 @@
             raise
 
     def _check_early_bytes(self, exchange: Exchange) -> None:
-        """Raises BadRequest if the client sent more during the previous request than is accepted."""
+        """Checks what the client sent during the previous request. Raises BadRequest if it is more than is accepted."""
         if exchange.early_overflow:
             raise BadRequest(413, f"more than {MAX_EARLY_BYTES} bytes came ahead of their turn", "sent_ahead")
         if exchange.pipelined and not self.allow_pipelining:
@@ -151,8 +154,8 @@
         affected.
         """
         self._reading_stopped = True
-        if self._reading is not None:
-            self._reading.cancel()
+        if self._reading_scope is not None:
+            self._reading_scope.cancel()
 
     def _set_state(self, state: ConnectionState) -> None:
         was_idle = self.idle
@@ -166,8 +169,8 @@
         if complete and not self.draining():
             return True
         # A request that arrived together with the end of the response is still served.
-        if complete and not self._last_request and not exchange.pipelined:
-            self._last_request = True
+        if complete and not self._handling_last_request and not exchange.pipelined:
+            self._handling_last_request = True
             unread = receive_now(self.stream, RECEIVE_BYTES)
             if unread:
                 self.conn.receive_data(unread)
@@ -236,6 +239,8 @@
         return data
 
     async def _read_head(self, deadline: float) -> h11.Request | None:
+        """Returns the request's head, or None if the client has closed the connection. Raises BadRequest if it is
+        incomplete at the deadline."""
         event = self.conn.next_event()
         with self._reading_until(deadline) as limit:
             while event is h11.NEED_DATA:
@@ -247,13 +252,13 @@
 
     @contextmanager
     def _reading_until(self, deadline: float) -> Iterator[trio.CancelScope]:
-        with trio.CancelScope(deadline=deadline) as self._reading:
+        with trio.CancelScope(deadline=deadline) as self._reading_scope:
             if self._reading_stopped:
-                self._reading.cancel()
+                self._reading_scope.cancel()
             try:
-                yield self._reading
+                yield self._reading_scope
             finally:
-                self._reading = None
+                self._reading_scope = None
 
     def _incomplete(self, part: str) -> BadRequest:
         if self._reading_stopped:
--- a/ternlane/platform/acceptor.py
+++ b/ternlane/platform/acceptor.py
@@ -48,7 +48,7 @@
     async def accept_queued(self, listener: trio.SocketListener, nursery: trio.Nursery, within_ms: float) -> None:
         """Accepts the connections that wait in the listener's queue. Never raises.
 
-        Returns once the queue is empty, or after `within_ms` where descriptors stay short or connections keep coming.
+        Returns once the queue is empty, or after `within_ms` if descriptors stay short or connections keep coming.
         """
         by_s = trio.current_time() + within_ms / 1000
         while True:
--- a/ternlane/platform/active_request.py
+++ b/ternlane/platform/active_request.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Streamed:
-    """The answer was streamed. Where it is not complete, the client's connection is closed without the last chunk."""
+    """The answer was streamed. If it is not complete, the client's connection is closed without the last chunk."""
 
     recorded_as: ClassVar[str] = "streamed"  # the outcome's name on the wire, in the ledger and in the journal
 
@@ -44,7 +44,7 @@
     streaming: bool = False  # the first event of the current attempt has been sent to the client
     attempt: ModelServerAttempt | None = None  # in flight
     server_name: str = ""  # of the latest attempt
-    attempts: int = 0
+    attempt_count: int = 0
     why: str = ""  # why the latest attempt failed
     attempt_log: list[str] = field(default_factory=list)  # one line for each attempt that has ended
     released: trio.Event | None = None  # set once the state of earlier attempts is released
--- a/ternlane/platform/answer_order.py
+++ b/ternlane/platform/answer_order.py
@@ -10,7 +10,8 @@
 class AnswerOrder:
     """Server addresses with the time of their last answer (s, monotonic clock), the latest at the end.
 
-    Servers that have not answered a pending release are moved to the front, so that later releases call them last.
+    Servers that have not answered a pending release are moved to the beginning. Releases go through the order from
+    its end, so later ones call them last.
     """
 
     def __init__(self) -> None:
@@ -26,17 +27,18 @@
         return self.answered_at_s.get(address, 0.0) > since_s
 
     def demote_silent(self, called: Iterable[str], since_s: float) -> None:
-        """Makes the servers that have not answered since they were called the last ones for all later releases."""
+        """Moves the `called` servers that last answered before `since_s` behind all others for later releases."""
         for address in called:
             if self.answered_at_s.get(address, since_s) < since_s:
                 self.answered_at_s.move_to_end(address, last=False)
 
-    def latest_first(self, addresses: Iterable[str], most: int) -> list[str]:
-        """Returns at most `most` addresses: servers that have answered, the latest first, then the others."""
-        order = list(islice(reversed(self.answered_at_s), most))
-        if len(order) < most:
+    def latest_first(self, addresses: Iterable[str], limit: int) -> list[str]:
+        """Returns at most `limit` addresses: servers that have answered, the latest first, then others from
+        `addresses`, which are all listed servers."""
+        order = list(islice(reversed(self.answered_at_s), limit))
+        if len(order) < limit:
             others = (address for address in addresses if address not in self.answered_at_s)
-            order += islice(others, most - len(order))
+            order += islice(others, limit - len(order))
         return order
 
     def forget(self, address: str) -> None:
--- a/ternlane/platform/chat_server.py
+++ b/ternlane/platform/chat_server.py
@@ -18,9 +18,9 @@
 
 # Size limit of a request's head.
 MAX_HEAD_BYTES = 16384
-# For a request's head, for its body, and from a connection's start to its first request. The platform protocol requires
-# that a client without a request is disconnected within 3 s of connecting; the difference is for the network. A slow
-# client has this time on each connection and for each request.
+# Time limit for a request's head, for its body, and from the start of a connection to its first request. The platform
+# protocol requires that a client without a request is disconnected within 3 s of connecting; the remaining 300 ms are
+# for the network.
 REQUEST_TIMEOUT_MS = 2700.0
 # The platform protocol allows closing a connection without an open request after 2 s.
 IDLE_TIMEOUT_MS = 2300.0
@@ -31,7 +31,7 @@
 class ChatServer:
     """Serves clients' connections. The gateway sets the three limits at the start and on each reload.
 
-    With `connection_limit` connections open a new one replaces the longest idle connection. Beyond
+    When `connection_limit` connections are open, a new one replaces the one that has been idle for longest. Beyond
     `request_limit` active requests, or `body_bytes_limit` bytes of their bodies, requests are rejected at once.
     """
 
--- a/ternlane/platform/event_stream.py
+++ b/ternlane/platform/event_stream.py
@@ -73,7 +73,7 @@
         self._rest = comments + self._rest
 
     def _check_rest(self) -> None:
-        """Raises ValueError if the incomplete rest cannot become an event: its end may never arrive."""
+        """Checks the incomplete rest. Raises ValueError if it cannot become an event: its end may never arrive."""
         may_be_data = DATA_FIELD.startswith(self._rest[: len(DATA_FIELD)])
         may_be_comment = self._rest.startswith((b":", b"\n"))
         if self._rest and not may_be_data and not may_be_comment:
--- a/ternlane/platform/gateway.py
+++ b/ternlane/platform/gateway.py
@@ -1,4 +1,7 @@
-"""The platform gateway: start, reload, graceful shutdown and the regular report in the log."""
+"""The platform gateway: start, reload, graceful shutdown and the regular report in the log.
+
+The platform is the environment that starts and stops gateways, and whose protocol they serve.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +33,8 @@
 REQUESTS_SHARE = 0.4
 # Share of the memory for the bodies of active requests.
 BODIES_MEMORY_SHARE = 0.2
-# Share of the model servers' idle timeout after which connections are closed from here, so that no request is written
-# to a connection that its server is closing.
+# Share of the model servers' idle timeout after which this gateway closes an idle connection, so that no request is
+# written to a connection that its server is closing.
 IDLE_TIMEOUT_SHARE = 0.9
 # In the platform new connections still arrive for this long after SIGTERM.
 LATE_CONNECTIONS_MS = 450.0
@@ -99,8 +102,8 @@
         listeners = await trio.open_tcp_listeners(port, host=host, backlog=LISTEN_BACKLOG)
         self.listener = listeners[0]
         trio.lowlevel.add_instrument(self.poll_times)
-        self.runtime.endpoint_registry.index = self.configuration.known.index
-        self.runtime.update_endpoints(self.configuration.known)
+        self.runtime.endpoint_registry.index = self.configuration.known_endpoints.index
+        self.runtime.update_endpoints(self.configuration.known_endpoints)
         self.nursery.start_soon(self.runtime.run_timers)
         self.watch.start()
         with trio.move_on_after(FIRST_LIST_MS / 1000):  # the first request must already be routed by discovery's list
@@ -116,11 +119,13 @@
             await self.acceptor.accept(self.listener, self.nursery)
 
     def reload(self) -> None:
-        """Reads the configuration file again; an invalid one changes nothing.
+        """Reads the configuration file again; an invalid one changes nothing. A changed listen address applies only
+        after a restart.
 
         Request classes whose settings stay the same keep their statistics.
         """
         try:
+            # The discovery address of the file takes precedence over that of the environment.
             configuration = read_configuration(previous=self.configuration.deployment, file_first=True)
         except ConfigurationError as error:
             self.log.error("reload refused", why=str(error))
@@ -175,6 +180,7 @@
         self.accept_scope.cancel()
         await self.acceptor.accept_queued(self.listener, self.nursery, LATE_CONNECTIONS_MS)
         self.listener.socket.close()
+        # A quarter of LATE_CONNECTIONS_MS, in seconds: connections accepted last can still send a request.
         await trio.sleep(LATE_CONNECTIONS_MS / 4000)
         while self.runtime.active_requests or self.runtime.releases_in_flight or self.chat_server.connections:
             self.chat_server.close_idle()  # also those that had unread bytes at the last check
--- a/ternlane/platform/process.py
+++ b/ternlane/platform/process.py
@@ -20,7 +20,8 @@
 from ternlane.platform.gateway import Gateway
 from ternlane.platform.settings import GatewayConfiguration, read_configuration
 
-# Exit statuses of sysexits.h: EX_DATAERR for an invalid configuration, EX_UNAVAILABLE for an address that is in use.
+# Exit statuses of sysexits.h: EX_DATAERR for an invalid configuration, EX_UNAVAILABLE if serving fails with an
+# OSError, mostly because the address is in use.
 EXIT_BAD_CONFIGURATION = 65
 EXIT_ADDRESS_UNAVAILABLE = 69
 
@@ -51,7 +52,8 @@
 
 
 def configure_logging() -> None:
-    """Logs JSON lines to standard error; TERNLANE_LOG=debug adds one for each attempt, release and finished request."""
+    """Logs JSON lines to standard error; TERNLANE_LOG=debug adds a line for each attempt, release and
+    finished request."""
     level = logging.DEBUG if os.environ.get("TERNLANE_LOG") == "debug" else logging.INFO
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(level),
--- a/ternlane/platform/request_reporter.py
+++ b/ternlane/platform/request_reporter.py
@@ -54,7 +54,8 @@
         self.closed(active_request, outcome)
 
     def closed(self, active_request: ActiveRequest, outcome: str) -> None:
-        """A request has ended. `outcome`: streamed, broken, rejected, failed or client_gone."""
+        """A request has ended, with a final answer or because its client disconnected. `outcome`: streamed, broken,
+        rejected, failed or client_gone."""
         self.counts[outcome] += 1
         # During a shutdown each finished request is logged, as its history is lost when the process exits.
         log = self.log.debug if self.sigterm_ms is None else self.log.info
@@ -82,7 +83,7 @@
             phase=active_request.phase,
             age_ms=round(now - active_request.received_ms, 1),
             left_ms=round(active_request.deadline_ms - now, 1),
-            attempts=active_request.attempts,
+            attempts=active_request.attempt_count,
             server=active_request.server_name if active_request.attempt is not None else "",
             after_sigterm_ms=self.after_sigterm_ms(active_request),
         )
@@ -95,7 +96,8 @@
         if last_outcome and last_outcome != AttemptOutcome.PREFILLED.name:
             self.counts[f"retry after {last_outcome}"] += 1
         active_request.record(
-            f"attempt {active_request.attempts} to {active_request.server_name} decided, timeout {timeout_ms:.0f} ms"
+            f"attempt {active_request.attempt_count} to {active_request.server_name} decided, "
+            f"timeout {timeout_ms:.0f} ms"
         )
 
     def attempt_ended(
@@ -107,7 +109,7 @@
         server = active_request.server_name
         active_request.attempt_log.append(f"{server} {role_name} {outcome} {took_ms:.0f} ms {result.why}".rstrip())
         written_text = "written" if written else "not written"
-        ended = f"attempt {active_request.attempts} ended: {role_name} {outcome}, {written_text}: {result.why}"
+        ended = f"attempt {active_request.attempt_count} ended: {role_name} {outcome}, {written_text}: {result.why}"
         active_request.record(ended.rstrip(": "))
         if result.outcome is AttemptOutcome.PREFILLED:
             self.held_states.add(active_request.request_id, server, now_ms())
--- a/ternlane/platform/runtime.py
+++ b/ternlane/platform/runtime.py
@@ -170,7 +170,7 @@
         )
         active_request.attempt = attempt
         active_request.server_name = self._server_name(server)
-        active_request.attempts += 1
+        active_request.attempt_count += 1
         self.reporter.attempt_decided(active_request, times.timeout_ms)
         self.nursery.start_soon(self._run_attempt, active_request, server, attempt)
 
--- a/ternlane/platform/settings.py
+++ b/ternlane/platform/settings.py
@@ -50,7 +50,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     limits: ProcessLimits
-    known: EndpointList  # used until discovery has sent a list
+    known_endpoints: EndpointList  # used until discovery has sent a list
     deployment: Deployment
 
 
@@ -69,7 +69,7 @@
     try:
         seed = int(file.seed, 16) if isinstance(file.seed, str) else file.seed
         deployment = Deployment(seed, file.settings, previous)
-        known = parse_endpoint_list(file.known)
+        known_endpoints = parse_endpoint_list(file.known)
     except ValueError as error:
         raise ConfigurationError(f"{path}: {error}") from None
     if not deployment.request_classes:
@@ -84,7 +84,7 @@
         listen=parse_address(env.get("NODE_LISTEN") or file.listen, "listen"),
         discovery=parse_address(discovery[0] or discovery[1], "discovery"),
         limits=file.limits,
-        known=known,
+        known_endpoints=known_endpoints,
         deployment=deployment,
     )
 
--- a/ternlane/platform/wall_clock.py
+++ b/ternlane/platform/wall_clock.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-MIN_STEP_MS = 250.0  # a smaller change of the offset is drift, which is followed
+MIN_STEP_MS = 250.0  # a smaller change is taken as drift, and updates the newest offset
 MAX_OFFSETS = 8  # offsets remembered, the newest last
 
 
@@ -21,7 +21,8 @@
         self.steps = 0
 
     def observe(self, wall_ms: float, now_ms: float) -> None:
-        """Records both clocks at one moment. Call it often enough that at most one step lies between two calls."""
+        """Records both clocks at one moment. Call it often enough that at most one step lies between two calls. A step
+        back to an older offset that is still remembered changes nothing."""
         offset_ms = wall_ms - now_ms
         if not self._offsets_ms:
             self._offsets_ms.append(offset_ms)
@@ -34,7 +35,7 @@
             self._offsets_ms[-1] = offset_ms
 
     def to_monotonic_ms(self, wall_ms: float, now_ms: float) -> float:
-        """The latest possible time by the monotonic clock of a wall-clock time; never in the future."""
+        """Converts a wall-clock time to the latest monotonic time that it can denote, at most `now_ms`."""
         times = [wall_ms - offset_ms for offset_ms in self._offsets_ms]
         possible = [time for time in times if time <= now_ms]
         return max(possible, default=now_ms)
--- a/ternlane/rules/draining.py
+++ b/ternlane/rules/draining.py
@@ -50,7 +50,7 @@
             server_changes = changes.get((attempt.gateway, attempt.server), [])
             index = bisect_right([change.at_ms for change in server_changes], attempt.begin_ms)
             if not index or server_changes[index - 1].ready:
-                continue
+                continue  # the gateway had learned of no change, or last that the server is ready
             since_ms = attempt.begin_ms - server_changes[index - 1].at_ms
             if attempt.begin_ms > server_changes[index - 1].at_ms + grace_ms:
                 why = f"sent {since_ms:.0f} ms after the gateway was notified that {attempt.server} is draining or gone"
@@ -87,7 +87,7 @@
                 if key[0] == gateway:
                     changes[key].append(Change(notice.at_ms, True))
             continue
-        for server in known - set(notice.states):
+        for server in known - set(notice.states):  # a server that the list omits is gone
             record(server, notice.at_ms, False)
         for server, (state, _) in notice.states.items():
             record(server, notice.at_ms, state == READY)
--- a/ternlane/rules/effects.py
+++ b/ternlane/rules/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect happens twice, across all retries of a client.
+"""Rule 2 of the platform's rules: no effect happens twice, across all retries of a client.
 
 After an attempt that may have run, a gateway may only do what the request's effect allows. A refusal by a decode server
 proves that nothing ran. A request never has two attempts at once.
@@ -21,6 +21,7 @@
     """Checks each request that is not idempotent."""
     effects: defaultdict[str, list[LogLine]] = defaultdict(list)  # by the client's task, across its retries
     for line in run.by_kind["effect"]:
+        # "gen" is the task's id, a dot and the number of the retry.
         effects[line["gen"].rpartition(".")[0]].append(line)
     servers = {line["id"]: line for line in run.by_kind["up"]}
     finals = {line["gen"]: line for line in run.by_kind["final"]}
@@ -85,7 +86,7 @@
 
 def check_single_attempt(run: RunLog, limits: RuleLimits, counts: Counter[str]) -> Iterator[Violation]:
     """Checks that no request has two attempts at once."""
-    for request, attempts in run.attempts.items():
+    for request, attempts in run.attempts.items():  # attempts are in the order of their start
         counts["legs"] += len(attempts)
         for earlier, later in pairwise(attempts):
             # The end of an unfinished attempt is only an estimate: when its server's process ended.
--- a/ternlane/testing/clients.py
+++ b/ternlane/testing/clients.py
@@ -143,7 +143,7 @@
 
 
 def _may_retry(workload: ClientWorkload, result: ClientResult) -> bool:
-    """Clients repeat what does no harm: what is idempotent, and what surely did not run."""
+    """Clients repeat what is safe to repeat: what is idempotent, and what surely did not run."""
     if result.outcome in (ClientOutcome.STREAMED, ClientOutcome.LEFT):
         return False
     if workload.effect == "idempotent":
--- a/ternlane/testing/front.py
+++ b/ternlane/testing/front.py
@@ -92,7 +92,7 @@
 
 
 async def _answer_unreached(client: trio.SocketStream) -> None:
-    """Answers that no gateway got the request: a retry does no harm."""
+    """Answers that no gateway got the request: the client may safely retry."""
     with suppress(*CONNECTION_FAILED):
         with trio.move_on_after(REQUEST_TIMEOUT_S):
             await client.receive_some(CHUNK_BYTES)
--- a/ternlane/testing/platform/__init__.py
+++ b/ternlane/testing/platform/__init__.py
@@ -1,6 +1,6 @@
 """Fake model servers and a fake discovery agent of the platform, written from the protocol (docs/platform.md).
 
-`FakeModelServer.script` is called for each attempt and returns the name of a fault, or "" for a good answer. What the
+`FakeModelServer.fault_of` is called for each attempt and returns the name of a fault, or "" for a good answer. What the
 servers receive and hold is recorded in `FakeFleet`.
 """
 
--- a/ternlane/testing/platform/model_server.py
+++ b/ternlane/testing/platform/model_server.py
@@ -34,7 +34,9 @@
     name: str
     role: str  # "read" (prefill) or "write" (decode)
     fleet: FakeFleet
-    script: Callable[[str], str] = lambda _: ""  # by request id: the fault of this attempt
+    # The fault of an attempt, by request id: "" for none, "silent", "late_state", "pieces", "interim", "odd_load",
+    # "second_answer", or a name in FAULTY_ANSWERS.
+    fault_of: Callable[[str], str] = lambda _: ""
     prefill_ms: float = 1.0
     event_ms: float = 1.0
     events: int = 2
@@ -89,14 +91,14 @@
 
     async def _handle(self, exchange: Exchange) -> None:
         if exchange.path.startswith(LEASES_PATH):
-            await self._lease(exchange, exchange.path.removeprefix(LEASES_PATH))
+            await self._serve_lease_call(exchange, exchange.path.removeprefix(LEASES_PATH))
         elif exchange.path == "/stats":
             self.fleet.seen.append((self.name, "probe", ""))
             await exchange.answer(200, [], b"inflight=1,x0=0.1", "text/plain")
         else:
-            await self._request(exchange, exchange.header(b"request-id") or "")
+            await self._serve_request(exchange, exchange.header(b"request-id") or "")
 
-    async def _lease(self, exchange: Exchange, ident: str) -> None:
+    async def _serve_lease_call(self, exchange: Exchange, ident: str) -> None:
         self.fleet.seen.append((self.name, exchange.method, ident))
         await self._pass_gate("lease")
         if self.lease_call_fault:
@@ -107,7 +109,7 @@
             self.fleet.end_hold(ident)
         await exchange.answer(204, [], b"")
 
-    async def _request(self, exchange: Exchange, ident: str) -> None:
+    async def _serve_request(self, exchange: Exchange, ident: str) -> None:
         self.fleet.seen.append((self.name, self.role, ident))
         if self.role == DECODE_ROLE and self.fleet.run_counts[ident]:
             self.fleet.repeated_after_run.add(ident)
@@ -115,11 +117,12 @@
         self.fleet.open[self.name] += 1
         try:
             await self._pass_gate("request")
-            await self._attempt(exchange, ident, self.script(ident))
+            await self._serve_attempt(exchange, ident, self.fault_of(ident))
         finally:
             self.fleet.open[self.name] -= 1
 
-    async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
+    async def _serve_attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
+        """Serves an attempt according to the server's role and the fault."""
         if fault == "silent":
             await exchange.wait_until_disconnected()
         elif fault == "late_state":  # the prefill continues for a while after its client has disconnected
@@ -149,7 +152,8 @@
         await self._answer(exchange, ident, fault)
 
     async def _take_state(self, ident: str) -> bool:
-        """Waits in the queue and takes the state. Meanwhile no DELETE releases that state, by the protocol."""
+        """Waits in the queue and takes the state; returns whether it was still held. Meanwhile no DELETE releases that
+        state, by the protocol."""
         self.fleet.queued.add(ident)
         try:
             await self._pass_gate("queue")
@@ -199,7 +203,7 @@
         """Sends a faulty answer. `fault` is "silent" or a name in FAULTY_ANSWERS."""
         if fault != "silent":
             await exchange.stream.send_all(FAULTY_ANSWERS[fault])
-        if not fault.endswith("cut"):
+        if not fault.endswith("cut"):  # names that end in "cut": the server disconnects right after the answer
             with trio.move_on_after(FAULTY_ANSWER_TIMEOUT_S):
                 await exchange.wait_until_disconnected()
         exchange.reset()
--- a/ternlane/wirehost/instance.py
+++ b/ternlane/wirehost/instance.py
@@ -44,10 +44,11 @@
         self.server_ids: dict[Server, str] = {}
         self.requests: dict[int, Request] = {}
         self.request_numbers: dict[Request, int] = {}
-        self.attempts: dict[Request, int] = {}
-        self.attempts_ended: dict[Request, int] = {}
-        self.closed: set[Request] = set()
-        # In the simulator any outcome restarts the release time, also that of a failed connect.
+        self.attempts_started: dict[Request, int] = {}  # number of attempts
+        self.attempts_ended: dict[Request, int] = {}  # number of attempts
+        self.closed: set[Request] = set()  # finished requests, whose ids are dropped once all attempts have ended
+        # In the simulator every ended attempt, even one that failed to connect, restarts the time after which a held
+        # state expires.
         self.router = Router(replace(self.deployment.router_config, holds_expire_unless_arrived=False))
 
     # -- lines in
@@ -137,6 +138,8 @@
         return messages.ProbeResult(server, parse_outcome(parts[4]), report)
 
     def _request_event(self, request: Request, parts: list[str]) -> Event | None:
+        """Decodes a line about a known request; None if its server is unknown or no event corresponds to it. Part 0 is
+        the kind of line, 2 the request's number, 4 the server's id and 5 a value that depends on the kind."""
         if parts[0] == "EXPIRED":
             self.closed.add(request)
             return messages.ClientDisconnected(request)
@@ -147,7 +150,7 @@
             case "FLOWING":
                 return messages.FirstToken(request, server, parse_number(parts[5]))
             case "NOTE":
-                return messages.ReservationResult(request, parts[5] == "1")
+                return messages.ReservationResult(request, parts[5] == "1")  # 1: the capacity is reserved
             case "REPORT_BACK":
                 return self._attempt_ended(request, server, parts)
         return None
@@ -169,7 +172,8 @@
         )
 
     def decode_report(self, text: str) -> Report | None:
-        """Decodes a load report: its values in the order of the settings' columns."""
+        """Decodes a load report, whose values are in the order of the settings' columns; None for "-" or an empty text.
+        Surplus values are ignored."""
         if text in ("-", ""):
             return None
         values = [parse_number(value) for value in text.split(",")]
@@ -190,10 +194,10 @@
         numbers = self.request_numbers
         match action:
             case messages.StartAttempt(request, server, timeout_ms):
-                self.attempts[request] = self.attempts.get(request, 0) + 1
+                self.attempts_started[request] = self.attempts_started.get(request, 0) + 1
                 return f"FORWARD {gateway} {numbers[request]} {format_ms(timeout_ms)} {self.server_ids[server]}"
             case messages.CancelAttempt(request):
-                return f"CALL_OFF {gateway} {numbers[request]} {self.attempts[request] - 1}"
+                return f"CALL_OFF {gateway} {numbers[request]} {self.attempts_started[request] - 1}"
             case messages.Reject(request, pause_ms):
                 self.closed.add(request)
                 return f"BUSY {gateway} {numbers[request]} {format_ms(pause_ms)}"
@@ -216,9 +220,9 @@
 
     def _forget(self, request: Request) -> None:
         """Drops the ids of a finished request once all its attempts have ended."""
-        if self.attempts_ended.get(request, 0) < self.attempts.get(request, 0):
+        if self.attempts_ended.get(request, 0) < self.attempts_started.get(request, 0):
             return
         self.requests.pop(self.request_numbers.pop(request, -1), None)
         self.closed.discard(request)
-        self.attempts.pop(request, None)
+        self.attempts_started.pop(request, None)
         self.attempts_ended.pop(request, None)
--- a/tests/platform_gateway.py
+++ b/tests/platform_gateway.py
@@ -79,9 +79,9 @@
         self.reserved_sockets: list[socket.socket] = []
         self.gateway: Gateway
 
-    async def add(self, name: str, script: Callable[[str], str] = lambda _: "", **more: Any) -> FakeModelServer:
+    async def add(self, name: str, fault_of: Callable[[str], str] = lambda _: "", **more: Any) -> FakeModelServer:
         server = self.servers[name] = FakeModelServer(
-            name, "read" if name[0] == "r" else "write", self.fleet, script, **more
+            name, "read" if name[0] == "r" else "write", self.fleet, fault_of, **more
         )
         await server.start()
         self.list(server, server.address)
@@ -210,14 +210,14 @@
     *names: str,
     platform_settings: dict[str, Any] = PLATFORM_SETTINGS,
     limits: ProcessLimits | None = None,
-    **scripts: Callable[[str], str],
+    **faults_of: Callable[[str], str],
 ) -> AsyncIterator[Platform]:
-    """A running gateway with these servers, by default two of each role. `scripts`: the faults of servers by name."""
+    """A running gateway with these servers, by default two of each role. `faults_of`: the faults of servers by name."""
     async with trio.open_nursery() as nursery:
         test_bed = Platform(nursery, platform_settings, limits or ProcessLimits())
         await test_bed.discovery.start()
         for name in names or ("r0", "w0", "r1", "w1"):
-            await test_bed.add(name, scripts.get(name, lambda _: ""))
+            await test_bed.add(name, faults_of.get(name, lambda _: ""))
         await test_bed.open()
         try:
             yield test_bed
@@ -228,13 +228,13 @@
 
 
 def fault_once(fault: str) -> Callable[[str], str]:
-    """A model server's script: this fault for the first request, none afterwards."""
+    """A model server's `fault_of`: this fault for the first request, none afterwards."""
     faults = [fault]
     return lambda _: faults.pop() if faults else ""
 
 
 def fault_always(fault: str) -> Callable[[str], str]:
-    """A model server's script: this fault for each request; "" for none."""
+    """A model server's `fault_of`: this fault for each request; "" for none."""
     return lambda _: fault
 
 
--- a/tests/shutdown_scenario.py
+++ b/tests/shutdown_scenario.py
@@ -142,7 +142,7 @@
         self.idle: list[RawClient] = []
         self.exit_status: int | None = None
 
-    def script(self, name: str) -> Callable[[str], str]:
+    def fault_of(self, name: str) -> Callable[[str], str]:
         def server_fault(ident: str) -> str:
             stated_timeout_s = self.p.fleet.stated_timeouts_s[-1]  # of this attempt: no other task runs in between
             self.attempts.append(Attempt(name, ident, trio.current_time(), self.server_faults[name], stated_timeout_s))
@@ -433,6 +433,6 @@
             shutdown_run = ShutdownRun(p, plan, process)
             shutdown_run.proxies = proxies
             for name, server in p.servers.items():
-                server.script = shutdown_run.script(name)
+                server.fault_of = shutdown_run.fault_of(name)
             await shutdown_run.run()
             return shutdown_run, shutdown_run.violations(log.read_text())
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -170,7 +170,7 @@
     async with platform(*SERVERS, platform_settings=LONG_TIMEOUTS) as p:
         for server in p.servers.values():
             server.gates["request"] = cast(Any, StepGate())
-            server.script = lambda _, remaining=faults[server.role]: remaining.pop() if remaining else ""  # type: ignore[misc]
+            server.fault_of = lambda _, remaining=faults[server.role]: remaining.pop() if remaining else ""  # type: ignore[misc]
         script_run = ScriptRun(p)
         for step in steps:
             await script_run.step(step)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -131,8 +131,8 @@
 async def test_corrupt_answer_before_the_first_event_is_retried_if_harmless(fault: str) -> None:
     """A decode server's answer is corrupt before its first event. As the client has received nothing, idempotent
     requests are retried; others fail, or are retried if the attempt has not run."""
-    script = fault_once(fault)
-    async with platform("r0", "w0", "w1", w0=script, w1=script) as p:
+    fault_of = fault_once(fault)
+    async with platform("r0", "w0", "w1", w0=fault_of, w1=fault_of) as p:
         reply = await p.ask()
         assert reply.status == 200 and reply.done == 1 and reply.body.startswith(EVENT)
         await p.wait_until_idle()
--- a/tests/test_platform_bounds.py
+++ b/tests/test_platform_bounds.py
@@ -206,7 +206,7 @@
         )
         assert (await p.ask(Request_Class="summary")).status == 400
         assert (await p.ask(Request_Class="brief")).status == 200
-        p.servers["r0"].script = fault_always("silent")
+        p.servers["r0"].fault_of = fault_always("silent")
         since = trio.current_time()
         reply = await p.ask(Request_Class="brief", Request_Timeout="-")  # the new deadline of its class applies
         assert reply.status == 503 and trio.current_time() - since < 0.35 and "retry-after" not in reply.headers
@@ -290,7 +290,7 @@
             assert runtime.reporter.counts["refused room"] == 2 and runtime.reporter.counts["received"] == 2
             nursery.cancel_scope.cancel()
         await p.wait_until_idle()
-        p.servers["w0"].script = fault_always("")
+        p.servers["w0"].fault_of = fault_always("")
         assert (await p.ask()).status == 200
 
 
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -135,7 +135,7 @@
 async def test_bytes_from_a_client_at_the_end_of_a_broken_stream_do_not_lose_its_events() -> None:
     """Unread bytes at the close would cause a reset, which can discard events that the client has not read yet."""
     async with platform("r0", "w0") as p:
-        p.servers["w0"].script = lambda _: "later_cut"
+        p.servers["w0"].fault_of = lambda _: "later_cut"
         runtime, client = p.gateway.runtime, RawClient(p.address)
         finish_request = runtime.finish_request
 
@@ -155,7 +155,7 @@
     """A model server's stream breaks. The client reads all events and then the end of the connection, without a reset
     that would discard them."""
     async with platform("r0", "w0") as p:
-        p.servers["w0"].script = lambda _: way
+        p.servers["w0"].fault_of = lambda _: way
         client = RawClient(p.address)
         client.send(client_request(p))
         out = await client.rest()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -288,7 +288,7 @@
             for nth in range(CLIENT_COUNT):
                 nursery.start_soon(ask_again)
                 await wait_until(lambda nth=nth: p.fleet.open["w0"] == nth + 1)
-            p.servers["w0"].script = fault_always("silent")
+            p.servers["w0"].fault_of = fault_always("silent")
             gateway.send_sigterm()
             await gateway.wait_until(LATE_S)
             # All streams end at once, so a busy event loop may read further requests before it closes connections.
--- a/tests/test_shutdown_policy.py
+++ b/tests/test_shutdown_policy.py
@@ -161,7 +161,9 @@
         client = RawClient(p.address)
         client.send(client_request(p, Request_Timeout="9"))
         await wait_until(
-            lambda: any(active_request.attempts == 3 for active_request in p.gateway.runtime.active_requests.values())
+            lambda: any(
+                active_request.attempt_count == 3 for active_request in p.gateway.runtime.active_requests.values()
+            )
         )
         p.nursery.start_soon(p.gateway.drain)
         answer = await client.rest()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -619,11 +619,11 @@
     return {
         "place": [post.name, post.listen, post.discovery],
         "limits": msgspec.to_builtins(post.limits),
-        "known": msgspec.to_builtins(post.known),
+        "known": msgspec.to_builtins(post.known_endpoints),
         "facts": plain(deployment.router_config),
         "products": {k: plain(v) for k, v in deployment.request_classes.items()},
         "tenants": list(deployment.tenants),
-        "servers": [plain(deployment.server(e.name, e.zone, e.type, e.group)) for e in post.known.endpoints],
+        "servers": [plain(deployment.server(e.name, e.zone, e.type, e.group)) for e in post.known_endpoints.endpoints],
         "report": plain(deployment.report({"outstanding": 3.0, "x0": 0.25})),
     }
 
