--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -64,7 +64,7 @@
         """`waits_ms`: the last of this stream."""
         ...
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Whether the next stream is left alone, to learn from it."""
         ...
 
@@ -75,7 +75,7 @@
 class Unlearning:
     """A rule that does not learn."""
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Never."""
         return False
 
@@ -129,18 +129,18 @@
     def __init__(self, alarms: float, resume_ms: float = RESUME_MS) -> None:
         """`alarms`: false ones that a stream may have; `resume_ms`: what a resume costs."""
         self.pacing = StallDetector(alarms)
-        self.pacing.tokens = EVENTS
+        self.pacing.mean_pieces = EVENTS
         self.pacing.resumed(RESUME_MS)
         if resume_ms != RESUME_MS:
-            self.pacing.resume_ms = resume_ms
+            self.pacing.mean_resume_ms = resume_ms
 
     def idle_timeout_ms(self, server: int, waits_ms: deque[float]) -> float:
         """By the server's distribution, once it is known."""
         return self.pacing.idle_timeout_ms(server) or PATIENCE_MS
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Now and then."""
-        return self.pacing.explores()
+        return self.pacing.start_stream()
 
     def heard(self, server: int, wait_ms: float, explored: bool) -> None:
         """Learns from every wait."""
@@ -194,7 +194,7 @@
 
     def _play(self, stream: DrawnStream, judged: bool) -> None:
         waits_ms: deque[float] = deque(maxlen=REMEMBERED_WAITS)
-        explored = self.rule.explores()
+        explored = self.rule.start_stream()
         given_up = False
         for number, wait_ms in enumerate(stream.waits_ms):
             timeout_ms = PATIENCE_MS if explored else self.rule.idle_timeout_ms(stream.server, waits_ms)
--- a/ternlane/chat/idempotency_cache.py
+++ b/ternlane/chat/idempotency_cache.py
@@ -54,8 +54,8 @@
     """Decides how repeats of a request are answered. `outcome`: streamed, throttled, terminated or left, as in the
     journal.
 
-    After a rejection nothing ran, and an idempotent request does no harm twice, so that only a complete answer is
-    stored. Where the client left before any attempt was sent, nothing ran either.
+    After a rejection nothing ran, and an idempotent request may safely run twice, so that only a complete answer is
+    stored. If the client left before any attempt was sent, nothing ran either.
     """
     if outcome == "streamed":
         return RepeatPolicy.ANSWER
--- a/ternlane/chat/message_extras.py
+++ b/ternlane/chat/message_extras.py
@@ -10,7 +10,7 @@
 
 
 class MessageExtras:
-    """Assembles the pieces. False as a bool while there are none."""
+    """Assembles the extras of one answer from their pieces. False in a condition while there are none."""
 
     def __init__(self) -> None:
         self.texts: dict[str, str] = {}
@@ -45,7 +45,7 @@
         call["function"]["arguments"] = call["function"].get("arguments", "") + (function.get("arguments") or "")
 
     def message(self, text: str) -> dict[str, Any]:
-        """The assistant message; `content` is null where there are tool calls and no text."""
+        """The assistant message; `content` is null if there are tool calls and no text."""
         out: dict[str, Any] = {
             "role": "assistant",
             "content": text or (None if self.tool_calls else ""),
--- a/ternlane/chat/prefixes.py
+++ b/ternlane/chat/prefixes.py
@@ -13,7 +13,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-BLOCK = 256  # bytes of canonical text
+BLOCK = 256  # bytes of a prompt's canonical text
 SHARED = -1
 
 
@@ -121,7 +121,7 @@
         return upper
 
     def link(self, node: Node) -> None:
-        """Appends a node to the LRU list as the most recently used."""
+        """Appends a node, which must not be in the LRU list, to it as the most recently used."""
         node.older = self.newest
         node.newer = None
         if self.newest is not None:
@@ -142,7 +142,7 @@
 
     def drop_oldest(self) -> bool:
         """Evicts the least recently used leaf: the oldest node, as parents are more recently used than their children.
-        Returns False where there is none."""
+        Returns False if there is none."""
         node = self.oldest
         while node is not None and node.children:
             node = node.newer
--- a/ternlane/chat/request.py
+++ b/ternlane/chat/request.py
@@ -50,7 +50,7 @@
 
 
 def check_message(message: Any, at: str) -> None:
-    """Raises InvalidRequestError for an invalid message. `at`: its path in the body."""
+    """Checks a message. Raises InvalidRequestError if it is invalid. `at`: its path in the body."""
     if not isinstance(message, dict):
         raise InvalidRequestError(at, f"{at} must be an object", "invalid_type")
     role = message.get("role")
@@ -68,7 +68,7 @@
 
 
 def check_part(part: Any, at: str) -> None:
-    """Raises InvalidRequestError for an invalid content part."""
+    """Checks a content part. Raises InvalidRequestError if it is invalid."""
     if not isinstance(part, dict) or not isinstance(part.get("type"), str):
         raise InvalidRequestError(at, f"{at} must be an object with a type", "invalid_type")
     if part["type"] == "text" and not isinstance(part.get("text"), str):
@@ -76,7 +76,7 @@
 
 
 def optional_field(raw: dict[str, Any], name: str, kind: type, what: str) -> Any:
-    """The value of a field, or None where it is missing. Raises InvalidRequestError for another type."""
+    """The value of a field, or None if it is missing. Raises InvalidRequestError for another type."""
     value = raw.get(name)
     if value is None:
         return None
@@ -138,7 +138,7 @@
 
 
 def parse_max_tokens(raw: dict[str, Any]) -> int | None:
-    """The lower of `max_completion_tokens` and `max_tokens`; None where neither is given. Raises
+    """The lower of `max_completion_tokens` and `max_tokens`; None if neither is given. Raises
     InvalidRequestError."""
     limits = []
     for name in ("max_completion_tokens", "max_tokens"):
--- a/ternlane/chat/session_index.py
+++ b/ternlane/chat/session_index.py
@@ -18,7 +18,7 @@
 
 
 class SessionIndex:
-    """Maps hashes of recent conversations to their sessions. Holds at most `limit`; the oldest are evicted first.
+    """Maps hashes of recent conversations to their sessions. Holds at most `limit` hashes; evicts the oldest first.
 
     A conversation is stored under the hash of its last prompt, and of that prompt with the answer. The next turn
     repeats both and adds messages, so that its longest known prefix gives the session. A client that changes the
@@ -38,9 +38,9 @@
         self.add(hashes[-1], session)
         return session
 
-    def add(self, end: bytes, session: str) -> None:
-        """Stores the hash of a conversation's end as this session's."""
-        self.session_by_hash[end] = session
-        self.session_by_hash.move_to_end(end)
+    def add(self, conversation_hash: bytes, session: str) -> None:
+        """Maps the hash of a conversation to its session."""
+        self.session_by_hash[conversation_hash] = session
+        self.session_by_hash.move_to_end(conversation_hash)
         if len(self.session_by_hash) > self.limit:
             self.session_by_hash.popitem(last=False)
--- a/ternlane/embed/blocking.py
+++ b/ternlane/embed/blocking.py
@@ -1,4 +1,4 @@
-"""The router for threads and for asyncio; its event loop runs in its own thread, which ends with the block."""
+"""The router for threads and for asyncio; its event loop runs in its own thread, which ends with the `with` block."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ternlane.engine import Transport
 
 END_OF_PIECES = object()  # marks the end in a queue of pieces
-MAX_QUEUED_PIECES = 64  # for a slow caller; if they are reached, the decode server waits
+MAX_QUEUED_PIECES = 64  # limit for a slow caller; when it is reached, the decode server waits
 FULL_QUEUE_POLL_S = 0.002
 ROUTER_POLL_S = 0.5  # between checks that the router's thread still runs
 
@@ -70,14 +70,14 @@
     the iterator counts as a client's disconnect. Exceptions of the router's thread are raised from the `with` block.
     """
 
-    _RENAMED_METHODS = {"generation": "request"}
+    _RENAMED_METHODS = {"generation": "request"}  # old name: new name
 
     def __init__(self, config: GatewayConfig, make_transport: Callable[[], Transport], log: Any = None) -> None:
         self.config = config
         self.make_transport = make_transport
         self.log = log
         self.ready = threading.Event()
-        self.token: trio.lowlevel.TrioToken | None = None
+        self.token: trio.lowlevel.TrioToken | None = None  # None unless the router's thread runs
         self.routing: Routing | None = None
         self.scope: trio.CancelScope | None = None
         self.failure: BaseException | None = None
@@ -101,6 +101,7 @@
             self.ready.set()
 
     async def _main(self) -> None:
+        """Keeps the routing open, in the router's thread, until `__exit__` cancels the scope."""
         self.token = trio.lowlevel.current_trio_token()
         with trio.CancelScope() as self.scope:
             async with open_routing(self.config, self.make_transport(), log=self.log) as self.routing:
@@ -150,7 +151,7 @@
 
 
 class Bridged(Blocking):
-    """The same for asyncio callers: `async for text in routing.agenerate({...})`. Each wait occupies a thread of the
+    """`Blocking` for asyncio callers: `async for text in routing.agenerate({...})`. Each wait occupies a thread of the
     event loop's pool, so the size of the pool limits the number of concurrent requests."""
 
     async def agenerate(self, request: dict[str, Any], request_timeout_ms: float | None = None) -> AsyncIterator[str]:
--- a/ternlane/engine/local_transport.py
+++ b/ternlane/engine/local_transport.py
@@ -16,7 +16,8 @@
 
 
 class LocalTransport(Transport):
-    """Direct calls to engines by their ids, for users of the library and for tests."""
+    """Direct calls to engines by their ids, for users of the library and for tests. As in the public `Transport` and
+    `LocalEngine`, `read` is the prefill, `write` the decode, `hold` the reservation and `ask` the request."""
 
     def __init__(self, engines: dict[str, LocalEngine]) -> None:
         self.engines = engines
@@ -47,7 +48,7 @@
                 piece_count = await self._forward(pieces, ask, result, pass_on, deadline_s)
             finally:
                 await close_iterator(pieces)
-            if not result.begun:  # an empty answer begins when it ends
+            if not result.begun:  # for an empty answer, the first piece is an empty one at its end
                 result.begun = True
                 await pass_on("", True)
             result.outcome = AttemptOutcome.STREAMED
@@ -108,7 +109,8 @@
     async def release(
         self, server: str, address: str, ident: str, within_ms: float, protocol: str = "disaggregated"
     ) -> bool:
-        """Calls the engine's `release`; true if it returned within the time limit."""
+        """Calls the engine's `release`; true if it returned within the time limit, false also if there is no such
+        engine or it raised."""
         engine = self.engines.get(server)
         if engine is None:
             return False
--- a/ternlane/engine/protocols/plain_chat.py
+++ b/ternlane/engine/protocols/plain_chat.py
@@ -17,7 +17,7 @@
     goes_on = False
 
     def request(self, ask: AttemptRequest, agent: str) -> tuple[Headers, bytes]:
-        """Raises ValueError for any stage but WHOLE."""
+        """The headers and body of an attempt. Raises ValueError for any stage but WHOLE."""
         if ask.stage is not Stage.WHOLE:
             raise ValueError("a plain chat server reads and writes in one leg")
         body = combined_body(ask.raw, ask.max_tokens)
--- a/ternlane/engine/socket_transport.py
+++ b/ternlane/engine/socket_transport.py
@@ -25,7 +25,7 @@
     def _fill_plan(self, ask: AttemptRequest) -> AttemptPlan:
         """The plan with headers and body. Raises UnsupportedAttemptError if the protocol does not support it."""
         protocol = PROTOCOLS[ask.protocol]
-        if ask.goes_on and not protocol.goes_on:
+        if ask.goes_on and not protocol.goes_on:  # the attempt continues a text; the protocol supports that
             raise UnsupportedAttemptError("it can't go on with a text")
         headers, body = protocol.request(ask, self.agent)
         ask.plan.headers = headers
@@ -65,7 +65,8 @@
     async def load(
         self, server: str, address: str, within_ms: float, protocol: str = "disaggregated"
     ) -> tuple[AttemptOutcome, Report | None]:
-        """Reads the load from the server's /metrics."""
+        """Reads the load from the server's /metrics. Returns the outcome of the call, STREAMED if it was answered, and
+        the load then."""
         outcome, text = await control_calls.load(self.pool, address, self._headers, within_ms)
         return outcome, load_from_metrics(text) if outcome is AttemptOutcome.STREAMED else None
 
--- a/ternlane/engine/stream_attempt.py
+++ b/ternlane/engine/stream_attempt.py
@@ -57,7 +57,7 @@
             self.result.outcome = AttemptOutcome.RESET
             self.result.why = "the stream ended before [DONE]"
             return
-        if not self.result.begun:  # an empty answer begins when it ends
+        if not self.result.begun:  # for an empty answer, the first piece is an empty one at its end
             self.result.begun = True
             await self.pass_on("", True)
         self.result.outcome = AttemptOutcome.STREAMED
@@ -89,7 +89,8 @@
         return True
 
     async def handle_choice(self, choice: StreamChoice) -> None:
-        """Forwards the part of the answer that the event adds."""
+        """Forwards the part of the answer that the event adds, and records the finish reason. Raises ClientGone if
+        `pass_on` does."""
         self.result.finish = choice.finish_reason or self.result.finish
         text = choice.delta.content if choice.delta is not None else None
         extras = choice.extras()
--- a/ternlane/gateway/active_request.py
+++ b/ternlane/gateway/active_request.py
@@ -58,7 +58,7 @@
     key: str  # idempotency key sent to engines
     join: StreamJoin  # the text of all attempts
     repeat_key: str = ""  # the client's Idempotency-Key with its owner; "": none
-    body_digest: bytes = b""  # digest of the body, where there is an Idempotency-Key
+    body_digest: bytes = b""  # digest of the body, if there is an Idempotency-Key
     journal_id: str = ""  # id in the journal; "": not in the journal
     budget_reservation: Any = None  # tenants.BudgetReservation, settled when the request is done
     usage_by_attempt: list[TokenUsage] = field(default_factory=list)  # known token usage of each attempt
@@ -106,7 +106,7 @@
         return self.join.pieces
 
     def answer_for_repeats(self) -> FinalAnswer | None:
-        """The answer for later requests with the same Idempotency-Key; None where such a request may run again."""
+        """The answer for later requests with the same Idempotency-Key; None if such a request may run again."""
         outcome = "left" if self.final is None else self.final.recorded_as
         match repeat_policy(self.request.request_class.effect, outcome, self.attempts):
             case RepeatPolicy.RUN_AGAIN:
@@ -116,7 +116,7 @@
         return self.final
 
     def settle(self, final: FinalAnswer) -> bool:
-        """Sets the final answer; returns False where there is one already or the client has disconnected."""
+        """Sets the final answer; returns False if there is one already or the client has disconnected."""
         if self.is_finished:
             return False
         self.final = final
--- a/ternlane/gateway/api_errors.py
+++ b/ternlane/gateway/api_errors.py
@@ -5,7 +5,7 @@
 from ternlane.tenants import BudgetRejection
 from ternlane.tenants.reservation import retry_after_s
 
-DEFAULT_BUDGET_WAIT_MS = 1000.0  # where the budget gives no time at which it has room again
+DEFAULT_BUDGET_WAIT_MS = 1000.0  # if the budget gives no time at which it has room again
 MAX_BUDGET_WAIT_MS = 1e9  # upper bound of the retry-after-ms header
 
 BUDGETS = {
--- a/ternlane/gateway/attempt_recorder.py
+++ b/ternlane/gateway/attempt_recorder.py
@@ -6,7 +6,7 @@
 from ternlane.engine import AttemptResult, Stage
 from ternlane.event_loop import now_ms
 from ternlane.gateway.active_request import ActiveRequest
-from ternlane.gateway.attempts import tokens_made
+from ternlane.gateway.attempts import count_tokens
 from ternlane.gateway.metrics import OUTCOME_LABELS, STAGE_LABELS
 from ternlane.gateway.runtime_port import RuntimePort
 from ternlane.policy.messages import AttemptOutcome, Server
@@ -54,7 +54,7 @@
 
     @staticmethod
     def check_prefill(active_request: ActiveRequest, result: AttemptResult) -> None:
-        """Turns a prefill for a resumed stream into an error where the server read only the prompt, without the text
+        """Turns a prefill for a resumed stream into an error if the server read only the prompt, without the text
         sent so far: the decode server would start the answer over, and the client would get its beginning twice."""
         if result.outcome is not AttemptOutcome.PREFILLED or result.usage is None:
             return
@@ -65,13 +65,16 @@
             result.why = "it read no more than the prompt, and can't go on with the text"
 
     def learn_usage(self, active_request: ActiveRequest, stage: Stage, result: AttemptResult, took_ms: float) -> None:
-        """Records the attempt's token usage, and learns the prompt's length while no stream has been resumed."""
-        usage = tokens_made(stage, result, active_request.join.attempt_pieces)
-        active_request.usage_by_attempt.append(usage)
+        """Records the attempt's token usage. Learns the prompt's length from it, unless the stream has been resumed:
+        the prompt may then include text of the answer."""
+        attempt_tokens = count_tokens(stage, result, active_request.join.attempt_pieces)
+        active_request.usage_by_attempt.append(attempt_tokens)
         if result.usage is None or active_request.join.resumed:
             return
         self.intake.learn_prompt(active_request.intake_record, result.usage.prompt_tokens)
-        if stage is not Stage.DECODE:
+        if stage is not Stage.DECODE:  # a decode server that fetched a state does not know them
             active_request.reported_prompt_tokens = result.usage.prompt_tokens
-            active_request.reported_cached_tokens = usage.cached
-            self.runtime.stream_recovery.record_prefill(now_ms(), usage.prompt - usage.cached, took_ms)
+            active_request.reported_cached_tokens = attempt_tokens.cached
+            self.runtime.stream_recovery.record_prefill(
+                now_ms(), attempt_tokens.prompt - attempt_tokens.cached, took_ms
+            )
--- a/ternlane/gateway/attempts.py
+++ b/ternlane/gateway/attempts.py
@@ -41,7 +41,7 @@
     """The request to the server. An attempt that continues a text sends another request than the first attempt, so it
     gets an idempotency key of its own: engines would otherwise drop it as a repeat."""
     join = active_request.join
-    key = f"{active_request.key}.{join.attempts}" if join.continues else active_request.key
+    key = f"{active_request.key}.{join.failed_attempts}" if join.continues else active_request.key
     return AttemptRequest(
         endpoint.ident,
         endpoint.address,
@@ -49,7 +49,7 @@
         active_request.ident,
         number,
         key,
-        join.request(active_request.chat_request.raw),
+        join.request_body(active_request.chat_request.raw),
         active_request.state,
         join.remaining_tokens(),
         plan,
@@ -58,7 +58,7 @@
     )
 
 
-def tokens_made(stage: Stage, result: AttemptResult, pieces: int) -> TokenUsage:
+def count_tokens(stage: Stage, result: AttemptResult, pieces: int) -> TokenUsage:
     """Token usage of an attempt as the engine reported it; without a report, the number of pieces received counts."""
     usage = result.usage
     if stage is Stage.PREFILL:
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -125,7 +125,7 @@
                 meter.draw(tokens, quota_request.target_level)
 
     def take_period_chunks(self, periods: list[PeriodShortage], chunks: list[float]) -> None:
-        """Adds the granted parts of period budgets, except where another billing period has begun meanwhile."""
+        """Adds the granted parts of period budgets, unless another billing period has begun meanwhile."""
         for (name, request_class, period, _), chunk in zip(periods, chunks, strict=True):
             meter = self.usage_accounting.meters.get((name, request_class))
             if meter is not None and meter.period is not None and meter.period.name == period:
@@ -167,7 +167,7 @@
         return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def within_budget(self, active_request: ActiveRequest) -> bool:
-        """False where the stream has used up the overdraft and the tenant's budget is set to cut such streams."""
+        """False if the stream has used up the overdraft and the tenant's budget is set to cut such streams."""
         return active_request.budget_reservation is None or not self.usage_accounting.overrun(
             active_request.budget_reservation, len(active_request.pieces)
         )
@@ -215,7 +215,7 @@
         ]
 
     async def close(self) -> None:
-        """Writes pending bills and closes the ledger. Where the disk fails until the time limit, the ledger stays
+        """Writes pending bills and closes the ledger. If the disk fails until the time limit, the ledger stays
         locked."""
         if self.closed:
             return
--- a/ternlane/gateway/chat_api.py
+++ b/ternlane/gateway/chat_api.py
@@ -101,7 +101,7 @@
             await self.reject(exchange, status, f"Unknown request: {method} {path}", "unknown_url")
 
     async def show_model(self, exchange: Exchange, name: str) -> None:
-        """Answers with one model, 404 where there is none of the name."""
+        """Answers with one model, 404 if there is none of the name."""
         if name in self.admission.models:
             await exchange.answer(200, [], msgspec.json.encode(self.model(name)))
         else:
--- a/ternlane/gateway/client_connections.py
+++ b/ternlane/gateway/client_connections.py
@@ -34,7 +34,7 @@
         self.open = 0
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serves one client connection; closes it at once where the limit is reached."""
+        """Serves one client connection; closes it at once if the limit is reached."""
         if self.open >= self.limits.conn_limit:
             stream.socket.close()
             self.metrics.refused.labels("conn_limit").inc()
--- a/ternlane/gateway/daemon.py
+++ b/ternlane/gateway/daemon.py
@@ -63,8 +63,8 @@
 async def run_gateway(
     path: str, config: GatewayConfig, chooser: Callable[..., Any] | None = None, pid_file: str | None = None
 ) -> None:
-    """Serves until SIGTERM or SIGINT, then drains; a second signal stops it at once. SIGHUP reloads the configuration
-    and applies what can change without a restart."""
+    """Serves until SIGTERM or SIGINT, then drains; another SIGTERM or SIGINT ends the drain at once. SIGHUP reloads the
+    configuration and applies what can change without a restart. `chooser` creates the router."""
     log = structlog.get_logger(gateway=config.name)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with open_gateway(config, chooser or Router, log, listeners=inherited_listeners()) as gateway:
@@ -87,8 +87,8 @@
             return
         notify("RELOADING=1")
         try:
-            changed, waiting = gateway.reload(read_config(path, GatewayConfig))
-            log.info("reloaded", changed=changed, needs_restart=waiting)
+            changed, needs_restart = gateway.reload(read_config(path, GatewayConfig))
+            log.info("reloaded", changed=changed, needs_restart=needs_restart)
         except ConfigError as error:
             log.error("reload refused", why=str(error))
         notify("READY=1")
--- a/ternlane/gateway/final_responses.py
+++ b/ternlane/gateway/final_responses.py
@@ -47,7 +47,7 @@
     exchange: Exchange, final: FinalAnswer, chat_request: ChatRequest, ident: str, after: int, event_ids: bool
 ) -> None:
     """Answers a repeat with the first request's answer, in the form that the repeat asks for; nothing runs. A stream
-    starts `after` this many characters; its events carry ids where `event_ids` is set."""
+    starts `after` this many characters; its events carry ids if `event_ids` is set."""
     if not isinstance(final, Streamed):
         why = final.why if isinstance(final, Failed) else ""
         await exchange.answer(502, [REPLAYED, NO_RETRY], error_body(502, f"Terminated: {why}", "terminated"))
--- a/ternlane/gateway/gateway.py
+++ b/ternlane/gateway/gateway.py
@@ -185,8 +185,8 @@
     listeners: list[trio.SocketListener] | None = None,
     transport: Transport | None = None,
 ) -> AsyncIterator[Gateway]:
-    """Runs a gateway in a nursery that this block owns. Raises ConfigError for invalid settings, OSError where the
-    address is in use, CorruptLedgerError where the ledger is damaged."""
+    """Runs a gateway in a nursery that this block owns. Raises ConfigError for invalid settings, OSError if the
+    address is in use, CorruptLedgerError if the ledger is damaged."""
     config = checked(config)
     async with trio.open_nursery() as nursery:
         gateway = Gateway(config, chooser, nursery, log or library_log(), host_type, transport)
--- a/ternlane/gateway/journal_writer.py
+++ b/ternlane/gateway/journal_writer.py
@@ -34,7 +34,7 @@
 class JournalWriter:
     """Journals requests with an Idempotency-Key, and prefills, which leave state at servers.
 
-    Where an effect must not happen twice, the caller waits with `writer.wait_durable` until the attempt's record is on
+    If an effect must not happen twice, the caller waits with `writer.wait_durable` until the attempt's record is on
     disk before it sends the attempt."""
 
     def __init__(self, folder: Path, log: Any) -> None:
@@ -61,7 +61,7 @@
     # -- records of requests and attempts
 
     def record_request(self, active_request: ActiveRequest) -> None:
-        """Records that a request was admitted, where it has an Idempotency-Key."""
+        """Records that a request was admitted, if it has an Idempotency-Key."""
         request_class = active_request.request.request_class
         now_wall_ms = time.time() * 1000
         if not active_request.repeat_key:  # can't be repeated: only its prefills are recorded
@@ -83,7 +83,7 @@
     def record_attempt(
         self, active_request: ActiveRequest, server: str, address: str, protocol: str, prefills: bool, decodes: bool
     ) -> int | None:
-        """Records an attempt. Returns the record's number where the attempt must wait until the record is on disk."""
+        """Records an attempt. Returns the record's number if the attempt must wait until the record is on disk."""
         if not active_request.repeat_key and not prefills:
             return None
         active_request.journal_id = active_request.journal_id or f"{self.id_prefix}.{next(self.id_counter)}"
@@ -150,7 +150,7 @@
                 self.log.warning("release unheard", gen=ident, server=server)
 
     async def close(self, within_s: float = 2.0) -> None:
-        """Writes pending records and closes the journal. Where the disk fails until the time limit, the folder stays
+        """Writes pending records and closes the journal. If the disk fails until the time limit, the folder stays
         locked."""
         if self.writer.owns_log and not await self.writer.flush(within_s):
             self.log.error("journal not written at shutdown", waiting=self.writer.waiting)
--- a/ternlane/gateway/listeners.py
+++ b/ternlane/gateway/listeners.py
@@ -22,23 +22,24 @@
 
 
 class Listeners:
-    """`handed_over`: the sockets are shared with another process, which serves the connections left in their queues.
-    Each connection runs as a task of `nursery`."""
+    """Accepts connections on the listening sockets, and runs each as a task of `nursery`.
+
+    `is_shared`: the sockets are shared with another process, which serves the connections left in their queues."""
 
     def __init__(self, serve: Serve, nursery: trio.Nursery, log: Any) -> None:
         self.serve = serve
         self.nursery = nursery
         self.log = log
         self.listeners: list[trio.SocketListener] = []
-        self.handed_over = False
+        self.is_shared = False
         self.accept_scope = trio.CancelScope()
 
-    async def open(self, address: str, handed_over: list[trio.SocketListener] | None) -> str:
-        """Listens at `address`, or on the inherited sockets; returns host:port. Raises OSError where the address is in
+    async def open(self, address: str, inherited: list[trio.SocketListener] | None) -> str:
+        """Listens at `address`, or on the inherited sockets; returns host:port. Raises OSError if the address is in
         use."""
-        if handed_over is not None:
-            self.listeners = handed_over
-            self.handed_over = True
+        if inherited is not None:
+            self.listeners = inherited
+            self.is_shared = True
         else:
             host, port = split_address(address)
             self.listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
@@ -71,11 +72,11 @@
         """Stops listening. Connections already in the queue are served, later ones are refused."""
         self.accept_scope.cancel()
         for listener in self.listeners:
-            if not self.handed_over:  # another process with the same socket serves its queue
-                await self._accept_the_rest(listener)
+            if not self.is_shared:  # another process with the same socket serves its queue
+                await self._accept_queued(listener)
             listener.socket.close()
 
-    async def _accept_the_rest(self, listener: trio.SocketListener) -> None:
+    async def _accept_queued(self, listener: trio.SocketListener) -> None:
         """Accepts the connections left in the listener's queue, until it is empty or MAX_ACCEPT_FAILURES is reached."""
         failures = 0
         while failures < MAX_ACCEPT_FAILURES:
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -75,7 +75,7 @@
     # -- tenant and headers
 
     def tenant(self, exchange: Exchange) -> Tenant | None:
-        """The tenant of the request's API key; None where the gateway has no tenants. Raises
+        """The tenant of the request's API key; None if the gateway has no tenants. Raises
         RequestNotAdmittedError."""
         if self.draining:
             raise RequestNotAdmittedError(503, "This gateway is going down", "draining", RETRY_AFTER_S)
@@ -90,7 +90,7 @@
         return tenant
 
     def check_open_limit(self) -> None:
-        """Raises RequestNotAdmittedError where the limit of open requests is reached."""
+        """Checks the number of open requests. Raises RequestNotAdmittedError if its limit is reached."""
         if len(self.runtime.active_requests) >= self.config.door.open_limit:
             raise RequestNotAdmittedError(
                 503, "This gateway holds as many generations as it may", "open_limit", RETRY_AFTER_S
@@ -98,7 +98,8 @@
 
     def client_timeout_ms(self, exchange: Exchange, model: str) -> float:
         """The shorter of the request class's deadline and the client's time limit, less the time since arrival and the
-        time that the answer's way back may take. Raises InvalidRequestError."""
+        time that the answer may take to reach the client; 0 for an unknown model, which is rejected later. Raises
+        InvalidRequestError."""
         request_class = self.models.get(model)
         limit_ms = request_class.deadline_ms if request_class is not None else 0.0
         header = exchange.header(TIME_LIMIT_HEADER)
@@ -145,7 +146,7 @@
 
     def stored_answer(self, key: str, body: bytes, now: float) -> FinalAnswer | None:
         """The stored answer for a repeat; None for the first request of a key, which the caller must end with
-        `remember` or `forget`. Raises RequestNotAdmittedError."""
+        `complete_key` or `release_key`. Raises RequestNotAdmittedError."""
         match self.idempotency_cache.begin(key, xxh3_128_digest(body), now):
             case RequestInProgress():
                 raise RequestNotAdmittedError(
@@ -180,15 +181,16 @@
         self.idempotency_cache.end(key, None, 0, 0.0)
 
     def restore(self, recovered_answers: list[RecoveredAnswer]) -> None:
-        """Stores the answers that the journal holds of the previous process, also for what it had in flight."""
-        since_wall_ms = now_ms() - time.time() * 1000
-        for known in recovered_answers:
+        """Stores the answers of the previous process that its journal contains, also those of requests that were in
+        flight."""
+        clock_offset_ms = now_ms() - time.time() * 1000
+        for recovered in recovered_answers:
             self.idempotency_cache.restore(
-                known.taken.key,
-                known.taken.body_digest,
-                final_of(known),
-                len(known.ended.text),
-                known.taken.expires_ms + since_wall_ms,
+                recovered.taken.key,
+                recovered.taken.body_digest,
+                final_of(recovered),
+                len(recovered.ended.text),
+                recovered.taken.expires_ms + clock_offset_ms,
             )
 
     # -- building the request
@@ -204,7 +206,7 @@
         after: int,
     ) -> ActiveRequest:
         """Builds the request and reserves its budget. `after`: characters of the answer that the client has already.
-        Raises InvalidRequestError, and RequestNotAdmittedError where the rest of a stream can't be reproduced or the
+        Raises InvalidRequestError, and RequestNotAdmittedError if the rest of a stream can't be reproduced or the
         budget has no room."""
         owner = tenant.name if tenant is not None else ""
         intake_record = self.intake.take(chat_request, client_timeout_ms, owner)
@@ -277,7 +279,7 @@
         return xxh3_64_hexdigest(key.encode())
 
     def request_id(self, exchange: Exchange, tenant: str) -> str:
-        """The client's X-Request-Id where it is valid and not in use, else a new id. A tenant's ids are prefixed with
+        """The client's X-Request-Id if it is valid and not in use, else a new id. A tenant's ids are prefixed with
         the tenant: another tenant that guessed an id could otherwise have its state released."""
         header = exchange.header(b"x-request-id") or ""
         ident = f"{tenant}:{header}" if tenant else header  # tenant names contain no colon
--- a/ternlane/gateway/response_writers.py
+++ b/ternlane/gateway/response_writers.py
@@ -42,7 +42,7 @@
             await self.exchange.chunk(data)
 
     async def end(self, final: FinalAnswer) -> None:
-        """Ends the stream. Where the answer is incomplete, an error event replaces [DONE]."""
+        """Ends the stream. If the answer is incomplete, an error event replaces [DONE]."""
         if not isinstance(final, Streamed):
             why = final.why if isinstance(final, Failed) else "throttled"
             await self.exchange.end(encode_event(error_body(502, f"The answer broke off: {why}", "stream_broken")))
--- a/ternlane/gateway/router_config.py
+++ b/ternlane/gateway/router_config.py
@@ -39,7 +39,7 @@
 
 
 def build_request_class(line: RequestClassConfig, previous: RequestClass | None) -> RequestClass:
-    """The request class of one configuration entry; `previous` itself where the two are equal."""
+    """The request class of one configuration entry; `previous` itself if the two are equal."""
     new = RequestClass(
         EFFECTS[line.effect],
         GROUPS[line.group],
--- a/ternlane/gateway/runtime.py
+++ b/ternlane/gateway/runtime.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        chooser: RouterProtocol,
+        router: RouterProtocol,
         router_config: RouterConfig,
         transport: Transport,
         registry: EndpointRegistry,
@@ -59,7 +59,7 @@
         log: Any,
         streams: StreamConfig | None = None,
     ) -> None:
-        super().__init__(chooser)
+        super().__init__(router)
         self.router_config = router_config
         self.transport = transport
         self.registry = registry
@@ -87,7 +87,8 @@
         self.dispatch(change)
 
     def alter(self, configured: ConfiguredModels) -> None:
-        """Applies a changed configuration. Running attempts keep theirs; home pairs and learned statistics are kept."""
+        """Applies a changed configuration. Attempts in flight keep the old one; home pairs and learned statistics
+        are kept."""
         self.router_config = configured.router_config
         self.server_calls.servers_without_load.clear()
         self.intake.configure(configured.models, configured.max_tokens)
@@ -121,7 +122,7 @@
     # -- requests
 
     def join_for(self, raw: dict[str, Any], request: messages.Request) -> StreamJoin:
-        """Creates the join of a new request's text over all its attempts."""
+        """Creates the StreamJoin of a new request, which joins the text of all its attempts."""
         return self.stream_recovery.join(raw, request)
 
     def arrived(self, active_request: ActiveRequest) -> None:
@@ -134,12 +135,13 @@
         self.metrics.open.set(len(self.active_requests))
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
-        """Ends a request whose client has disconnected, and releases everything held for it."""
+        """Ends a request whose client has disconnected. The router then releases what servers hold for it."""
         if active_request.is_finished:
             return
         active_request.client_gone = True
         if active_request.attempt is not None and active_request.streaming:
-            active_request.attempt.cancel()  # the rest of the stream has no reader
+            # The rest of the stream has no reader. An attempt that does not stream is left to the router.
+            active_request.attempt.cancel()
         self.dispatch(messages.ClientDisconnected(active_request.request))
         self.close(active_request, "left")
 
@@ -165,7 +167,8 @@
         )
 
     def close(self, active_request: ActiveRequest, outcome: str) -> None:
-        """Records the request's outcome in the journal, the metrics and the log."""
+        """Records the request's outcome in the journal, the metrics and the log, and drops the request if nothing
+        is held for it."""
         if self.journal_writer is not None:
             self.journal_writer.record_end(active_request, outcome)
         self.metrics.outcomes.labels(active_request.chat_request.model, outcome).inc()
@@ -246,7 +249,7 @@
         """Sends the attempt over the transport; any exception there becomes a result."""
         try:
             if attempt_request.stage is Stage.PREFILL:
-                return await self.transport.read(attempt_request)
+                return await self.transport.read(attempt_request)  # has the prompt prefilled
             return await self.transport.stream(attempt_request, forwarder.forward)
         except ClientGone:
             self.client_disconnected(active_request)
@@ -256,7 +259,7 @@
             return AttemptResult(AttemptOutcome.ERROR, begun=active_request.streaming, why=repr(fault))
 
     async def wait_for_journal(self, number: int, plan: AttemptPlan) -> bool:
-        """Waits until the record of this attempt is on disk; returns False where it is not in time, or the attempt was
+        """Waits until the record of this attempt is on disk; returns False if it is not in time, or the attempt was
         cancelled.
 
         Without the wait, a gateway that is killed could have sent an attempt with an effect and not know of it after
@@ -280,7 +283,8 @@
         took_ms: float,
         plan: AttemptPlan,
     ) -> None:
-        """Records an attempt's result, settles the request where it ends with it, and dispatches it to the router."""
+        """Records an attempt's result, gives the final answer if the request ends with it, and dispatches the result to
+        the router."""
         active_request.attempt = None
         active_request.streaming = False
         self.attempt_recorder.record(active_request, server, stage, result, took_ms)
@@ -306,15 +310,16 @@
             self.resume_streams()
 
     def settle_attempt(self, active_request: ActiveRequest, result: AttemptResult, plan: AttemptPlan) -> bool:
-        """Settles the request where it ends with this attempt; returns True where its stream waits to be resumed."""
+        """Gives the final answer if the request ends with this attempt. Returns True if its stream now waits to be
+        resumed. If nothing has been sent to the client, the router decides what comes next."""
         join = active_request.join
-        if result.outcome is AttemptOutcome.STREAMED and not join.attempt_completed():
+        if result.outcome is AttemptOutcome.STREAMED and not join.complete_attempt():  # the text does not match
             self.finish_request(active_request, Failed(join.why))
-        elif result.outcome is AttemptOutcome.STREAMED or join.stopped:
+        elif result.outcome is AttemptOutcome.STREAMED or join.stopped:  # by a stop string that spans two attempts
             self.settle_streamed(active_request, "stop" if join.stopped else result.finish, result.usage)
         elif result.begun:
             may_resume = not plan.cancelled and not active_request.client_gone
-            if may_resume and self.stream_resumer.attempt_failed(active_request, result):
+            if may_resume and self.stream_resumer.try_resume(active_request, result):
                 return True
             # The client has received part of the answer, so the stream ends with an error event.
             why = active_request.why if plan.cancelled else result.why or "the stream broke"
--- a/ternlane/gateway/stream_forwarder.py
+++ b/ternlane/gateway/stream_forwarder.py
@@ -29,23 +29,23 @@
         self.started_ms = now_ms()
         self.last_piece_ms = 0.0
         self.longest_silence_ms = plan.idle_timeout_ms
-        self.explores = runtime.stream_recovery.stall_detector.explores()
+        self.exploratory = runtime.stream_recovery.stall_detector.start_stream()
 
     async def forward(self, text: str, first: bool, more: Extras | None = None) -> None:
-        """Forwards one piece of the engine's stream. Raises ClientGone where the client has disconnected."""
+        """Forwards one piece of the engine's stream. Raises ClientGone if the client has disconnected."""
         recovery = self.runtime.stream_recovery
         if not first:
-            recovery.record_piece_interval(self.server, now_ms() - self.last_piece_ms, self.explores)
+            recovery.record_piece_interval(self.server, now_ms() - self.last_piece_ms, self.exploratory)
         try:
             await self.take_piece(text, first, more)
         finally:
             self.last_piece_ms = now_ms()  # time spent on a slow client is not the engine's silence
         self.plan.idle_timeout_ms = recovery.idle_timeout_ms(
-            self.active_request.join, self.server, self.longest_silence_ms, self.explores
+            self.active_request.join, self.server, self.longest_silence_ms, self.exploratory
         )
 
     async def take_piece(self, text: str, first: bool, more: Extras | None) -> None:
-        """Joins the piece to the text and writes its new part. Raises ClientGone where the client has disconnected."""
+        """Joins the piece to the text and writes its new part. Raises ClientGone if the client has disconnected."""
         if self.active_request.is_finished:
             raise ClientGone
         if first:
@@ -72,7 +72,7 @@
         runtime.dispatch(messages.FirstToken(active_request.request, self.server, now_ms() - self.started_ms))
 
     def join(self, text: str) -> str | None:
-        """The part of the piece that is new to the client; None where the attempt ends here."""
+        """The part of the piece that is new to the client; None if the attempt ends here."""
         join = self.active_request.join
         try:
             new = join.take(text)
@@ -86,7 +86,7 @@
         return new
 
     async def write(self, new: str, more: Extras | None) -> None:
-        """Writes to the client. Raises ClientGone where the connection is broken."""
+        """Writes to the client. Raises ClientGone if the connection is broken."""
         active_request = self.active_request
         if not self.runtime.within_budget(active_request):  # the tenant has such streams cut
             active_request.why = "over budget: the overdraft is used up"
--- a/ternlane/gateway/stream_resumer.py
+++ b/ternlane/gateway/stream_resumer.py
@@ -21,8 +21,9 @@
         self.runtime = runtime
         self.due_ms = inf
 
-    def attempt_failed(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
-        """True where another attempt may continue the stream, which then waits for its turn."""
+    def try_resume(self, active_request: ActiveRequest, result: AttemptResult) -> bool:
+        """Records the failed attempt. Returns True if another attempt may continue the stream, which then waits for its
+        turn; if the client has all of its text, the request gets its final answer."""
         if active_request.attempts_before_break is None:
             active_request.attempts_before_break = len(active_request.usage_by_attempt)
         outcome = self.runtime.stream_recovery.attempt_failed(
--- a/ternlane/ledger/billing_report.py
+++ b/ternlane/ledger/billing_report.py
@@ -18,17 +18,18 @@
 
 
 class BillRow(TypedDict):
-    """A line of a bill. The keys are those of the JSON and CSV output; all counts but `generations` are tokens."""
+    """A line of a bill. The keys are those of the JSON and CSV output; `micros` is money in millionths, all
+    other counts but `generations` are tokens."""
 
     tenant: str
     product: str
     period: str
     generations: int
     prompt: int
-    kept: int
+    kept: int  # cached prompt tokens
     answer: int
     micros: int
-    house_prompt: int
+    house_prompt: int  # tokens of abandoned attempts, which are not billed
     house_answer: int
 
 
--- a/ternlane/ledger/snapshot.py
+++ b/ternlane/ledger/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: the dumped aggregate of a log in a separate file, so that recovery need not read all segments.
+"""Snapshots: the totals of a log's entries, dumped to a separate file, so that recovery need not read all segments.
 
 A snapshot only saves time. An incomplete one is skipped, as an older one and the segments give the same result, and one
 that cannot be written is left out.
@@ -52,6 +52,6 @@
 
 
 def remove_old_snapshots(disk: Disk, names: list[str]) -> None:
-    """Removes all but the newest of the snapshots among these file names. Raises OSError."""
+    """Removes all but the newest KEPT_SNAPSHOTS of the snapshots among these file names. Raises OSError."""
     for name in snapshot_names(names)[:-KEPT_SNAPSHOTS]:
         disk.remove(name)
--- a/ternlane/recovery/stall_detector.py
+++ b/ternlane/recovery/stall_detector.py
@@ -4,7 +4,8 @@
 for all servers together, in a decaying histogram of ratios. Pauses that healthy decode servers make (a large prompt
 joins the batch, a garbage collection, a preemption) are part of it and raise no alarm. Beyond the largest ratios seen,
 the tail is extrapolated as a power law with Hill's estimator. Abandoning a stream costs a resume, so none is abandoned
-before it has been silent for as long as a resume takes; the total is then at most twice the optimum.
+before it has been silent for as long as a resume takes; the total delay is then at most twice that of an ideal
+decision.
 
 An abandoned stream does not show how long its silence would have lasted, so the histogram would lose the pauses that
 the timeout cuts off. One stream in `EXPLORATION_PERIOD` therefore keeps the router's idle timeout, and its long
@@ -38,19 +39,19 @@
         self.bucket_weights = [0.0] * BUCKETS
         self.total_weight = 0.0
         self.median_intervals_ms: dict[Hashable, float] = {}
-        self.tokens = 32.0  # mean number of pieces per stream
-        self.first_ms = 0.0  # mean time to the first piece: the assumed cost of a resume until one was seen
-        self.resume_ms = 0.0  # mean duration of a resume; 0 if unknown
-        self.max_ratio = 0.0  # exceeded by the share `false_alarms_per_stream / tokens` of all intervals
+        self.mean_pieces = 32.0  # mean number of pieces per stream
+        self.mean_first_piece_ms = 0.0  # mean time to the first piece: the assumed cost of a resume until one was seen
+        self.mean_resume_ms = 0.0  # mean duration of a resume; 0 if unknown
+        self.max_ratio = 0.0  # exceeded by the share `false_alarms_per_stream / mean_pieces` of all intervals
         self.intervals_since_update = 0
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Counts a new stream; true if it is an exploratory one, which keeps the router's idle timeout."""
         self.stream_count += 1
         return zlib.crc32(b"%d %d" % (self.seed, self.stream_count)) % EXPLORATION_PERIOD == 0
 
     def record_piece_interval(self, server: Hashable, interval_ms: float, exploratory: bool = False) -> None:
-        """Records the interval between two pieces; `exploratory`: of a stream for which `explores` returned true."""
+        """Records the interval between two pieces; `exploratory`: of a stream for which `start_stream` was true."""
         median_ms = self.median_intervals_ms.get(server)
         if median_ms is None:
             self.median_intervals_ms[server] = max(interval_ms, 0.01)
@@ -58,6 +59,7 @@
         ratio = max(interval_ms, 1e-3) / median_ms
         self.median_intervals_ms[server] = median_ms * (1 + MEDIAN_STEP) if ratio > 1 else median_ms / (1 + MEDIAN_STEP)
         bucket = min(BUCKETS - 1, max(0, ceil(BUCKETS_PER_OCTAVE * log2(ratio)) - LOWEST_BUCKET))
+        # Other streams would have been abandoned by now, so a long interval of an exploratory one counts for them too.
         weight = EXPLORATION_PERIOD if exploratory and self.max_ratio and ratio > self.max_ratio else 1
         self.bucket_weights[bucket] += weight
         self.total_weight += weight
@@ -68,15 +70,17 @@
 
     def ended(self, pieces: int) -> None:
         """Records a completed stream."""
-        self.tokens += (pieces - self.tokens) / 64
+        self.mean_pieces += (pieces - self.mean_pieces) / 64
 
     def first_piece(self, took_ms: float) -> None:
         """Records the time from a request's arrival to its first piece."""
-        self.first_ms += (took_ms - self.first_ms) / (64 if self.first_ms else 1)
+        self.mean_first_piece_ms += (took_ms - self.mean_first_piece_ms) / (64 if self.mean_first_piece_ms else 1)
 
     def resumed(self, took_ms: float) -> None:
         """Records the time from a break to the next piece."""
-        self.resume_ms = took_ms if not self.resume_ms else self.resume_ms + (took_ms - self.resume_ms) / 16
+        self.mean_resume_ms = (
+            took_ms if not self.mean_resume_ms else self.mean_resume_ms + (took_ms - self.mean_resume_ms) / 16
+        )
 
     def remove_server(self, server: Hashable) -> None:
         """Drops a server that is no longer listed."""
@@ -85,14 +89,14 @@
     def idle_timeout_ms(self, server: Hashable) -> float | None:
         """How long a stream of this server may be silent; None until there are enough samples."""
         median_ms = self.median_intervals_ms.get(server)
-        resume_cost_ms = self.resume_ms or self.first_ms
+        resume_cost_ms = self.mean_resume_ms or self.mean_first_piece_ms
         if median_ms is None or self.total_weight < MIN_SAMPLES or not resume_cost_ms:
             return None
         if self.intervals_since_update >= MIN_SAMPLES:
             self.intervals_since_update = 0
-            self.max_ratio = self.ratio_exceeded_by(self.false_alarms_per_stream / max(self.tokens, 1.0))
+            self.max_ratio = self.ratio_exceeded_by(self.false_alarms_per_stream / max(self.mean_pieces, 1.0))
         elif not self.max_ratio:
-            self.max_ratio = self.ratio_exceeded_by(self.false_alarms_per_stream / max(self.tokens, 1.0))
+            self.max_ratio = self.ratio_exceeded_by(self.false_alarms_per_stream / max(self.mean_pieces, 1.0))
         return max(median_ms * self.max_ratio, resume_cost_ms)
 
     def ratio_exceeded_by(self, share: float) -> float:
--- a/ternlane/recovery/stream_join.py
+++ b/ternlane/recovery/stream_join.py
@@ -27,9 +27,9 @@
         self.max_tokens = max_tokens
         self.pieces: list[str] = []
         self.buffered_bytes = 0
-        self.tokens = 0  # that the client has from attempts that are over
+        self.delivered_tokens = 0  # that the client has from attempts that are over
         self.attempt_pieces = 0  # of the present attempt
-        self.attempts = 0  # that failed after their first piece
+        self.failed_attempts = 0  # that failed after their first piece
         self.replay_remaining = ""  # text that a replay has to repeat before anything new
         self.characters_to_skip = 0  # that the client has from a run that this gateway does not know
         self.stopped = False
@@ -45,7 +45,7 @@
     @property
     def resumed(self) -> bool:
         """Whether an attempt has failed after its first piece."""
-        return self.attempts > 0
+        return self.failed_attempts > 0
 
     @property
     def continues(self) -> bool:
@@ -54,7 +54,7 @@
 
     def remaining_tokens(self) -> int:
         """How many more tokens the answer may have."""
-        return self.max_tokens - self.tokens if self.strategy is ResumeStrategy.CONTINUE else self.max_tokens
+        return self.max_tokens - self.delivered_tokens if self.strategy is ResumeStrategy.CONTINUE else self.max_tokens
 
     def take(self, piece: str) -> str:
         """Takes a piece of the present attempt; returns what is new to the client. Raises ReplayMismatchError."""
@@ -88,7 +88,8 @@
         return piece[delivered:]
 
     def drop_after_stop(self, piece: str) -> str:
-        """Ends the text at a stop string that began in an earlier attempt, which the engine cannot recognize."""
+        """Ends the text if this piece completes a stop string that began in earlier text; the engine cannot recognize
+        one that began in an earlier attempt. The piece is dropped."""
         overlap = max(map(len, self.stop_strings)) - 1
         tail = ""
         for earlier_piece in reversed(self.pieces):
@@ -97,8 +98,8 @@
             tail = earlier_piece + tail
         tail = tail[-overlap:] if overlap else ""
         joined = tail + piece
-        ends = [at for s in self.stop_strings if 0 <= (at := joined.find(s)) < len(tail) < at + len(s)]
-        if not ends:
+        starts = [at for s in self.stop_strings if 0 <= (at := joined.find(s)) < len(tail) < at + len(s)]
+        if not starts:
             return piece
         self.stopped = True
         return ""
@@ -111,7 +112,7 @@
         self.replay_buffer.add(size)
         if self.strategy is ResumeStrategy.END:
             return
-        if self.replay_buffer.is_exceeded_by(self.buffered_bytes, self.tokens + self.attempt_pieces):
+        if self.replay_buffer.is_exceeded_by(self.buffered_bytes, self.delivered_tokens + self.attempt_pieces):
             self.replay_buffer.overflowed_streams += 1
             self.disable("it outgrew what is kept for a loss")
 
@@ -130,7 +131,7 @@
         if self.strategy is not ResumeStrategy.END:
             self.disable("it had more than text")
 
-    def attempt_completed(self) -> bool:
+    def complete_attempt(self) -> bool:
         """Ends the present attempt as completed; false if it was a replay shorter than the client's text."""
         if self.replay_remaining or self.characters_to_skip:
             self.record_mismatch()
@@ -142,31 +143,31 @@
         server would start the answer again."""
         if not self.continues or not prompt_tokens or not first_prompt_tokens:
             return True
-        return prompt_tokens >= first_prompt_tokens + self.tokens / 2
+        return prompt_tokens >= first_prompt_tokens + self.delivered_tokens / 2
 
-    def attempt_failed(self, completion_tokens: int | None) -> int | None:
+    def fail_attempt(self, completion_tokens: int | None) -> int | None:
         """Ends the present attempt as failed after its first piece; `completion_tokens`: as its engine counted them.
         Returns how many tokens a resume prefills besides the prompt; None if the stream cannot be resumed."""
         if self.strategy is ResumeStrategy.END:
             return None
-        self.attempts += 1
+        self.failed_attempts += 1
         if self.strategy is ResumeStrategy.REPLAY:
             self.replay_remaining = self.text
             self.attempt_pieces = 0
             return 0
-        self.tokens += self.attempt_pieces if completion_tokens is None else max(completion_tokens, 0)
+        self.delivered_tokens += self.attempt_pieces if completion_tokens is None else max(completion_tokens, 0)
         self.attempt_pieces = 0
         if self.pieces and self.pieces[-1].endswith(INCOMPLETE_CHARACTER):
             self.disable("it broke within a character")
             return None
-        return self.tokens
+        return self.delivered_tokens
 
     def release_buffer(self) -> None:
         """Releases the request's share of the replay buffer once it has ended."""
         self.replay_buffer.free(self.buffered_bytes)
         self.buffered_bytes = 0
 
-    def request(self, raw: dict[str, Any]) -> dict[str, Any]:
+    def request_body(self, raw: dict[str, Any]) -> dict[str, Any]:
         """The request body of the next attempt, extended by the client's text if the attempt continues it."""
         if not self.continues:
             return raw
@@ -182,7 +183,9 @@
         """The usage of the complete request, from that `reported` for the last attempt. `prompt_tokens` and the
         `cached` ones among them are those of the first prefill, as a decode server that fetched a state does not know
         them; the tokens of the answer are those of all attempts."""
-        answer_tokens = reported["completion_tokens"] + (self.tokens if self.strategy is ResumeStrategy.CONTINUE else 0)
+        answer_tokens = reported["completion_tokens"] + (
+            self.delivered_tokens if self.strategy is ResumeStrategy.CONTINUE else 0
+        )
         if not prompt_tokens:
             return {
                 **reported,
--- a/ternlane/recovery/stream_recovery.py
+++ b/ternlane/recovery/stream_recovery.py
@@ -39,7 +39,9 @@
 
 
 class StreamRecovery(Generic[T]):
-    """`T`: the runtime's handle of a request. All times in ms."""
+    """Tracks broken streams, and decides which are resumed and when.
+
+    `T`: the runtime's handle of a request. All times are milliseconds."""
 
     def __init__(self, config: StreamConfig, router_config: RouterConfig) -> None:
         self.config = config
@@ -51,7 +53,7 @@
         self.broken_since_ms: dict[T, float] = {}
 
     def alter(self, router_config: RouterConfig) -> None:
-        """Takes over a changed configuration; queued streams keep their places."""
+        """Applies a changed router configuration; queued streams keep their places."""
         self.resume_limiter.window_ms = limiter_window_ms(router_config)
         self.resume_limiter.gateways = router_config.gateways
 
@@ -66,13 +68,13 @@
 
     # -- an attempt streams
 
-    def first_piece(self, item: T, now: float, since: float) -> float | None:
-        """Records an attempt's first piece, of a request that arrived at `since`; returns how long its client had
+    def first_piece(self, handle: T, now: float, arrived_ms: float) -> float | None:
+        """Records an attempt's first piece, of a request that arrived at `arrived_ms`; returns how long its client had
         waited since the break (ms), None if there was none."""
-        self.resume_limiter.resumed(item)
-        broken_since = self.broken_since_ms.pop(item, None)
+        self.resume_limiter.resumed(handle)
+        broken_since = self.broken_since_ms.pop(handle, None)
         if broken_since is None:
-            self.stall_detector.first_piece(now - since)
+            self.stall_detector.first_piece(now - arrived_ms)
             return None
         self.stall_detector.resumed(now - broken_since)
         return now - broken_since
@@ -100,7 +102,7 @@
 
     def attempt_failed(
         self,
-        item: T,
+        handle: T,
         join: StreamJoin,
         request: Request,
         completion_tokens: int | None,
@@ -111,18 +113,22 @@
         """Queues the stream to be resumed, if that is possible. Its request then also covers the text that is already
         there. `completion_tokens`: of the attempt, as its engine counted them; `deadline_ms`: of the client;
         `prefill_servers`: how many accept prompts."""
-        tokens_before = join.tokens
-        tokens_to_prefill = join.attempt_failed(completion_tokens)
+        tokens_before = join.delivered_tokens
+        tokens_to_prefill = join.fail_attempt(completion_tokens)
         if tokens_to_prefill is None:
             return RecoveryOutcome.ENDS
         if join.remaining_tokens() <= 0:  # failed between its last token and its end
             return RecoveryOutcome.COMPLETE
-        self.broken_since_ms[item] = now
+        self.broken_since_ms[handle] = now
         request.prompt_tokens += tokens_to_prefill - tokens_before
         request.max_tokens = float(join.remaining_tokens())
         self.resume_limiter.prefill_servers = prefill_servers
         self.resume_limiter.enqueue(
-            item, request.prompt_tokens, request.request_class.priority_weight, float(join.tokens), deadline_ms
+            handle,
+            request.prompt_tokens,
+            request.request_class.priority_weight,
+            float(join.delivered_tokens),
+            deadline_ms,
         )
         return RecoveryOutcome.RESUMES
 
@@ -135,10 +141,10 @@
         due = self.resume_limiter.due(now)
         return inf if due is None else due
 
-    def ended(self, item: T, join: StreamJoin, complete: bool) -> None:
+    def ended(self, handle: T, join: StreamJoin, complete: bool) -> None:
         """Drops a request that has its final answer or whose client has left."""
         if complete:
             self.stall_detector.ended(len(join.pieces))
         join.release_buffer()
-        self.broken_since_ms.pop(item, None)
-        self.resume_limiter.remove(item)
+        self.broken_since_ms.pop(handle, None)
+        self.resume_limiter.remove(handle)
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -330,36 +330,36 @@
     strategy = data.draw(st.sampled_from([ResumeStrategy.CONTINUE, ResumeStrategy.REPLAY]))
     stream_join, seen = join(strategy=strategy), ""
     for _ in range(4):
-        attempt_words = words[stream_join.tokens :] if strategy is ResumeStrategy.CONTINUE else words
+        attempt_words = words[stream_join.delivered_tokens :] if strategy is ResumeStrategy.CONTINUE else words
         break_at = data.draw(st.integers(1, max(1, len(attempt_words))))
         for piece in attempt_words[:break_at]:
             seen += stream_join.take(piece)
         assert "".join(words).startswith(seen) and stream_join.text == seen
         if break_at >= len(attempt_words):
             break
-        assert stream_join.attempt_failed(None) is not None
+        assert stream_join.fail_attempt(None) is not None
     else:
-        for piece in words[stream_join.tokens :] if strategy is ResumeStrategy.CONTINUE else words:
+        for piece in words[stream_join.delivered_tokens :] if strategy is ResumeStrategy.CONTINUE else words:
             seen += stream_join.take(piece)
-    assert seen == "".join(words) and stream_join.attempt_completed()
+    assert seen == "".join(words) and stream_join.complete_attempt()
 
 
 def test_a_replay_may_split_pieces_differently_but_not_differ_in_text() -> None:
     stream_join = join("ab|cd", ResumeStrategy.REPLAY)
-    stream_join.attempt_failed(None)
+    stream_join.fail_attempt(None)
     assert [stream_join.take(p) for p in ("a", "bc", "def", "g")] == [
         "",
         "",
         "ef",
         "g",
-    ] and stream_join.attempt_completed()
+    ] and stream_join.complete_attempt()
     stream_join = join("ab|cd", ResumeStrategy.REPLAY)
-    stream_join.attempt_failed(None)
+    stream_join.fail_attempt(None)
     stream_join.take("ab")
     # The replay is shorter than the client's text.
-    assert not stream_join.attempt_completed() and stream_join.strategy is ResumeStrategy.END
+    assert not stream_join.complete_attempt() and stream_join.strategy is ResumeStrategy.END
     stream_join = join("ab|cd", ResumeStrategy.REPLAY)
-    stream_join.attempt_failed(None)
+    stream_join.fail_attempt(None)
     with pytest.raises(ReplayMismatchError):
         stream_join.take("aX")
     with pytest.raises(ReplayMismatchError):
@@ -368,7 +368,7 @@
 
 def test_a_stop_string_across_the_join_ends_the_text() -> None:
     stream_join = join("one |EN", stop=["END", "never"])
-    stream_join.attempt_failed(None)
+    stream_join.fail_attempt(None)
     assert (
         stream_join.take("D two") == ""
         and stream_join.stopped
@@ -376,18 +376,18 @@
         and stream_join.text == "one EN"
     )
     stream_join = join("one |E", stop="END")
-    stream_join.attempt_failed(None)
+    stream_join.fail_attempt(None)
     assert stream_join.take("asy") == "asy" and not stream_join.stopped
 
 
 def test_a_text_is_not_continued_within_a_character_nor_past_its_last_token() -> None:
     stream_join = join("a|\ufffd")
-    assert stream_join.attempt_failed(None) is None and stream_join.strategy is ResumeStrategy.END
+    assert stream_join.fail_attempt(None) is None and stream_join.strategy is ResumeStrategy.END
     stream_join = join("a|b|c", max_tokens=3)
-    assert stream_join.attempt_failed(None) == 3 and stream_join.remaining_tokens() == 0
+    assert stream_join.fail_attempt(None) == 3 and stream_join.remaining_tokens() == 0
     stream_join = join("a|b|c", max_tokens=9)
     # The engine reports two tokens for two of the pieces.
-    assert stream_join.attempt_failed(5) == 5 and stream_join.remaining_tokens() == 4
+    assert stream_join.fail_attempt(5) == 5 and stream_join.remaining_tokens() == 4
 
 
 @pytest.mark.parametrize(
@@ -420,16 +420,16 @@
 def test_the_next_attempt_ends_with_the_text_that_the_client_has() -> None:
     raw = {"messages": [{"role": "user", "content": "q"}], "stream": True}
     stream_join = join("a |b")
-    assert stream_join.request(raw) is raw
-    stream_join.attempt_failed(None)
-    body = stream_join.request(raw)
+    assert stream_join.request_body(raw) is raw
+    stream_join.fail_attempt(None)
+    body = stream_join.request_body(raw)
     assert body["messages"] == [*raw["messages"], {"role": "assistant", "content": "a b"}]
     assert body["continue_final_message"] and not body["add_generation_prompt"] and len(raw["messages"]) == 1
     begun = {
         "messages": [{"role": "assistant", "content": [{"type": "text", "text": "z "}]}],
         "continue_final_message": True,
     }
-    assert stream_join.request(begun)["messages"] == [{"role": "assistant", "content": "z a b"}]
+    assert stream_join.request_body(begun)["messages"] == [{"role": "assistant", "content": "z a b"}]
 
 
 @given(
@@ -502,7 +502,7 @@
     timeout_ms = {}
     for pauses in (0.0, 0.01):
         rng, detector = random.Random(5), StallDetector(1e-3)
-        detector.tokens = 30
+        detector.mean_pieces = 30
         detector.resumed(20.0)
         assert detector.idle_timeout_ms("w0") is None  # no samples yet
         median_intervals_ms = {f"w{i}": 5.0 * (i + 1) for i in range(6)}
@@ -530,10 +530,10 @@
     for _ in range(5000):
         detector.record_piece_interval("w0", draw_interval_ms(rng, 10.0, 0.0))
     assert detector.idle_timeout_ms("w0") == 400.0
-    detector.resume_ms = 0.0
+    detector.mean_resume_ms = 0.0
     detector.first_piece(300.0)  # the assumed cost of a resume until one was seen
     assert detector.idle_timeout_ms("w0") == 300.0
-    detector.resume_ms = 1.0
+    detector.mean_resume_ms = 1.0
     before = detector.idle_timeout_ms("w0") or 0.0
     for _ in range(60):  # all decode servers become four times slower
         detector.record_piece_interval("w0", draw_interval_ms(rng, 40.0, 0.0))
@@ -555,7 +555,7 @@
             for server in cluster.gateway.runtime.registry.servers.values():
                 stall_detector.record_piece_interval(server, draw_interval_ms(rng, 4.0, 0.0))
         stall_detector.resumed(30.0)
-        stall_detector.explores = lambda: False  # type: ignore[method-assign]
+        stall_detector.start_stream = lambda: False  # type: ignore[method-assign]
         break_decode_servers(cluster, 12, "stall")
         cluster.nursery.start_soon(set_script_of_others, cluster)
         since = trio.current_time()
@@ -681,7 +681,7 @@
             for server in cluster.gateway.runtime.registry.servers.values():
                 stall_detector.record_piece_interval(server, draw_interval_ms(rng, 9.0, 0.0))
         stall_detector.resumed(30.0)
-        stall_detector.explores = lambda: False  # type: ignore[method-assign]
+        stall_detector.start_stream = lambda: False  # type: ignore[method-assign]
 
         async def stall_and_recover() -> None:
             while not cluster.traffic_events("effect"):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -166,8 +166,8 @@
             return new
         return new + new if self.fault == "twice" else "" if self.fault == "skips" else new
 
-    def request(self, raw: dict[str, Any]) -> dict[str, Any]:
-        return raw if self.fault == "restarts" else super().request(raw)
+    def request_body(self, raw: dict[str, Any]) -> dict[str, Any]:
+        return raw if self.fault == "restarts" else super().request_body(raw)
 
     def prefill_covers_text(self, prompt_tokens: int, first_prompt_tokens: int) -> bool:
         return True
