--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -64,7 +64,7 @@
         """Returns the timeout. `intervals_ms`: the latest intervals of this stream."""
         ...
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Returns whether the next stream is exploratory and keeps the default timeout."""
         ...
 
@@ -75,7 +75,7 @@
 class StaticRule:
     """A rule without training."""
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Returns false: there are no exploratory streams."""
         return False
 
@@ -129,18 +129,18 @@
     def __init__(self, alarms: float, resume_ms: float = RESUME_MS) -> None:
         """`alarms`: accepted false alarms per stream; `resume_ms`: lower bound of timeouts."""
         self.detector = StallDetector(alarms)
-        self.detector.tokens = EVENTS
+        self.detector.mean_pieces = EVENTS
         self.detector.resumed(RESUME_MS)
         if resume_ms != RESUME_MS:
-            self.detector.resume_ms = resume_ms
+            self.detector.mean_resume_ms = resume_ms
 
     def idle_timeout_ms(self, server: int, intervals_ms: deque[float]) -> float:
         """Returns the detector's timeout for the server, or the default if it has too few samples."""
         return self.detector.idle_timeout_ms(server) or DEFAULT_TIMEOUT_MS
 
-    def explores(self) -> bool:
+    def start_stream(self) -> bool:
         """Returns whether the detector explores."""
-        return self.detector.explores()
+        return self.detector.start_stream()
 
     def record_interval(self, server: int, interval_ms: float, exploratory: bool) -> None:
         """Records every interval."""
@@ -194,7 +194,7 @@
 
     def _evaluate(self, stream: DrawnStream, counted: bool) -> None:
         intervals_ms: deque[float] = deque(maxlen=MAX_INTERVALS)
-        exploratory = self.rule.explores()
+        exploratory = self.rule.start_stream()
         false_alarm = False
         for number, interval_ms in enumerate(stream.intervals_ms):
             timeout_ms = DEFAULT_TIMEOUT_MS if exploratory else self.rule.idle_timeout_ms(stream.server, intervals_ms)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -620,11 +620,13 @@
     return {
         "place": [configuration.name, configuration.listen, configuration.discovery],
         "limits": msgspec.to_builtins(configuration.limits),
-        "known": msgspec.to_builtins(configuration.known),
+        "known": msgspec.to_builtins(configuration.known_endpoints),
         "facts": plain(deployment.router_config),
         "products": {k: plain(v) for k, v in deployment.request_classes.items()},
         "tenants": list(deployment.tenants),
-        "servers": [plain(deployment.server(e.name, e.zone, e.type, e.group)) for e in configuration.known.endpoints],
+        "servers": [
+            plain(deployment.server(e.name, e.zone, e.type, e.group)) for e in configuration.known_endpoints.endpoints
+        ],
         "report": plain(deployment.report({"outstanding": 3.0, "x0": 0.25})),
     }
 
