--- a/examples/embed_in_a_script.py
+++ b/examples/embed_in_a_script.py
@@ -28,8 +28,8 @@
     request_classes=[ternlane.RequestClassConfig(name="count", effect="idempotent", slo_ms=500, deadline_ms=2000)],
     nodes=InlineSource(
         nodes=[
-            ternlane.NodeLine(id="prefill-1", address="here:1", role="read", kv_capacity_tokens=1e5),
-            ternlane.NodeLine(id="decode-1", address="here:2", role="write", kv_capacity_tokens=1e5),
+            ternlane.NodeLine(id="reader", address="here:1", role="read", kv_capacity_tokens=1e5),
+            ternlane.NodeLine(id="writer", address="here:2", role="write", kv_capacity_tokens=1e5),
         ]
     ),
 )
@@ -39,9 +39,7 @@
     print("".join(routing.request({"model": "count", "messages": [{"role": "user", "content": text}]})))
 
 
-with ternlane.Blocking(
-    config, lambda: ternlane.LocalTransport({"prefill-1": Engine(), "decode-1": Engine()})
-) as routing:
+with ternlane.Blocking(config, lambda: ternlane.LocalTransport({"reader": Engine(), "writer": Engine()})) as routing:
     threads = [threading.Thread(target=count, args=(routing, "one two three " * n)) for n in (1, 2)]
     for thread in threads:
         thread.start()
--- a/examples/write_a_transport.py
+++ b/examples/write_a_transport.py
@@ -27,7 +27,7 @@
 
     async def stream(self, ask: ternlane.AttemptRequest, pass_on) -> AttemptResult:
         self.servers_called.append(ask.server)
-        if ask.server == "unreachable":
+        if ask.server == "broken":
             return AttemptResult(ternlane.AttemptOutcome.CONNECT_FAILED, why="no such folder")
         for i, word in enumerate(Path(ask.state["path"]).read_text().split()):
             await pass_on(word[::-1] + " ", i == 0)
@@ -50,7 +50,7 @@
 async def main() -> None:
     nodes = [
         ternlane.NodeLine(id=name, address="folder:1", role=role, kv_capacity_tokens=1e5)
-        for name, role in (("prefill-1", "read"), ("unreachable", "write"), ("decode-1", "write"))
+        for name, role in (("reader", "read"), ("broken", "write"), ("whole", "write"))
     ]
     config = ternlane.GatewayConfig(
         name="folder",
