--- a/ternlane/cli/common.py
+++ b/ternlane/cli/common.py
@@ -14,12 +14,15 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes, as in sysexits where it has one. In addition, click exits with 2 for invalid arguments."""
+    """Exit codes, with the values of sysexits.h if it has a matching one.
+
+    In addition, click exits with 2 for invalid arguments.
+    """
 
     OK = 0
     CHECK_FAILED = 1  # the check ran and found violations
     DATA = 65  # an invalid document or file
-    UNAVAILABLE = 69  # the environment does not allow it, for example an address is in use
+    UNAVAILABLE = 69  # a required resource is unavailable, for example an address is in use
     TEMPORARY = 75  # the machine was too slow for a valid measurement
     TERMINATED = 143  # ended by SIGTERM
 
--- a/ternlane/cli/day.py
+++ b/ternlane/cli/day.py
@@ -26,11 +26,12 @@
 @click.argument("file")
 @click.option("--out", help="folder for all files of the run (default: found/days/NAME)")
 @click.option("--seed", type=int, help="seed, instead of the scenario's")
-@click.option("--chooser", default="", help="module:name of a baseline router to run instead")
+@click.option("--chooser", default="", help="module:name of a baseline policy for the gateways, instead of their own")
 @click.option("--without", multiple=True, help="omit faults of this kind")
 @click.option("--quiet", is_flag=True)
 def day_play(file: str, out: str | None, seed: int | None, chooser: str, without: tuple[str, ...], quiet: bool) -> None:
-    """Runs the scenario FILE and checks the rules. The exit code is 1 if a rule was broken."""
+    """Runs the scenario FILE and checks the recorded traffic against the rules of ternlane.rules. The exit code is 1
+    if a rule was broken."""
     from ternlane.scenarios.errors import RunError
     from ternlane.scenarios.runner import ScenarioRunner
     from ternlane.scenarios.scenario import Scenario
@@ -51,7 +52,8 @@
 
 
 def modified_scenario(scenario: Scenario, seed: int | None, without: tuple[str, ...]) -> tuple[Scenario, str]:
-    """The scenario with another seed (None: unchanged) and without faults of these kinds, and its text."""
+    """The scenario with this seed (None: unchanged) and without faults of these kinds, and the same as JSON text. Kinds
+    that the scenario does not contain are ignored."""
     import msgspec
 
     faults = [fault for fault in scenario.troubles if str(fault.__struct_config__.tag) not in without]
@@ -82,9 +84,12 @@
 @click.option("--engines", type=click.IntRange(2), default=16, help="approximate number of engines to scale down to")
 @click.option("--gateways", type=click.IntRange(1), default=4)
 @click.option("--rate", type=click.FloatRange(min=1), default=40.0, help="requests per second")
-@click.option("--speed", type=click.FloatRange(min=0.1), default=2.0, help="factor by which to speed up the bench day")
+@click.option(
+    "--speed", type=click.FloatRange(min=0.1), default=2.0, help="how many times faster than the day the scenario runs"
+)
 def day_from_bench(file: str, engines: int, gateways: int, rate: float, speed: float) -> None:
-    """Converts the description of a bench day (JSON) to a scenario for one machine."""
+    """Converts the JSON description of a benchmark day (a simulated workload with faults) to a scenario that fits one
+    machine, and prints the scenario."""
     from ternlane.scenarios.bench_import import scenario_from_bench
 
     try:
@@ -100,7 +105,7 @@
 @click.argument("index", type=int)
 @click.argument("of", type=int)
 def day_part(kind: str, folder: str, index: int, of: int) -> None:
-    """A process that `day play` starts."""
+    """Runs process `index` of the `of` processes of a kind; started by `day play`."""
     from ternlane.scenarios.processes import PROCESSES
 
     trio.run(PROCESSES[kind], Path(folder), index, of)
--- a/ternlane/cli/lab.py
+++ b/ternlane/cli/lab.py
@@ -51,14 +51,17 @@
 
 
 def print_fit(kind: EngineKind, fitted: FittedEngine) -> None:
-    """Prints the fitted costs of an engine and its errors at each point."""
+    """Prints the fitted costs of an engine and the relative errors of its latencies at each point of the curve."""
     cost = fitted.config.cost
     click.echo(
-        f"{kind.name}: {cost.step_ms:.3f} ms per step, {cost.decode_ms:.4f} per decoding sequence, "
+        f"{kind.name}: costs in ms: {cost.step_ms:.3f} per step, {cost.decode_ms:.4f} per decoding sequence, "
         f"{cost.prefill_ms:.4f} per prefilled token beyond {cost.free_tokens}, {cost.context_ms:.4f} per thousand "
         f"context tokens; jitter {fitted.traits.jitter:.1%}"
     )
-    click.echo("  at once  prompt  answer       first token    between tokens   off: median, 99th percentile")
+    click.echo(
+        "  latencies in ms               first token    between tokens    relative errors of these\n"
+        "  at once  prompt  answer      p50      p99      p50      p99       p50     p99     p50     p99"
+    )
     for point, errors in fitted.errors:
         click.echo(
             f"{point.at_once:>9}{point.prompt:>8}{point.answer:>8}{point.first_ms[0]:>9.1f}"
@@ -72,6 +75,6 @@
     """Prints and returns the largest errors of medians and 99th percentiles, at held-out points if there are any."""
     held_out = any(point.held_out for point, _ in fitted.errors)
     median, tail = fitted.worst(held_out)
-    points = "held out" if held_out else "of the fit"
-    click.echo(f"  worst {points}: {median:.1%} at medians, {tail:.1%} at 99th percentiles")
+    points = "held-out points" if held_out else "fitted points"
+    click.echo(f"  largest errors at {points}: {median:.1%} at medians, {tail:.1%} at 99th percentiles")
     return median, tail
--- a/ternlane/config/reading.py
+++ b/ternlane/config/reading.py
@@ -21,8 +21,8 @@
 
 
 class ConfigError(ValueError):
-    """A document is invalid. `where` is "file:line"; `field` is the path of the field, as `$.a.b[0]`, or empty if the
-    text is not valid JSON5."""
+    """A document is invalid. `where` is "file:line", or only the file, or the name of the type if there is no file.
+    `field` is the path of the field, as `$.a.b[0]`, or empty if the file can't be read or is not valid JSON5."""
 
     def __init__(self, where: str, field: str, why: str) -> None:
         super().__init__(f"{where}: {field}: {why}" if field else f"{where}: {why}")
@@ -81,7 +81,8 @@
 
 
 def _line_of(field: str, text: str) -> int:
-    """The line of the field, or of the innermost field that contains it: a missing field has no line."""
+    """The line of the field. If the document does not contain the field, the line of the innermost enclosing field that
+    it contains; 1 if there is none."""
     lines = field_lines(text)
     while field not in lines and field != ROOT_FIELD:
         field = LAST_PART.sub("", field) or ROOT_FIELD
--- a/ternlane/gateway/budget_enforcer.py
+++ b/ternlane/gateway/budget_enforcer.py
@@ -157,7 +157,7 @@
         return granted, chunks
 
     def authenticate(self, authorization: str | None) -> Tenant:
-        """The tenant of an API key. Raises tenants.UnknownKeyError."""
+        """The tenant of an API key. Raises tenants.InvalidKeyError."""
         return self.tenants.authenticate(authorization, time.time())
 
     def reserve(
@@ -167,8 +167,8 @@
         return self.usage_accounting.reserve(tenant, request_class, int(prompt), most, now_ms(), time.time())
 
     def within_budget(self, active_request: ActiveRequest) -> bool:
-        """False where the stream has used up the overdraft and the tenant's budget is set to cut such streams."""
-        return active_request.budget_reservation is None or not self.usage_accounting.exceeds_overdraft(
+        """False if the stream has used up the overdraft and the tenant's budget is set to cut such streams."""
+        return active_request.budget_reservation is None or not self.usage_accounting.must_end_for_overdraft(
             active_request.budget_reservation, len(active_request.pieces)
         )
 
--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -34,7 +34,7 @@
 from ternlane.policy.messages import RequestClass
 from ternlane.recovery import is_reproducible
 from ternlane.recovery.inflight import RecoveredAnswer
-from ternlane.tenants import BudgetRejection, BudgetReservation, Tenant, UnknownKeyError
+from ternlane.tenants import BudgetRejection, BudgetReservation, InvalidKeyError, Tenant
 
 REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,80}")  # a client's X-Request-Id in a form that engines accept
 TIME_LIMIT_HEADER = b"x-ternlane-time-limit-ms"
@@ -83,7 +83,7 @@
             return None
         try:
             tenant = self.budget_enforcer.authenticate(exchange.header(b"authorization"))
-        except UnknownKeyError:
+        except InvalidKeyError:
             raise RequestNotAdmittedError(401, "Incorrect API key provided", "invalid_api_key") from None
         if not self.budget_enforcer.writer.has_capacity:
             raise RequestNotAdmittedError(503, "Bills can't be kept now", "ledger_full", LEDGER_RETRY_AFTER_S)
--- a/ternlane/tenants/__init__.py
+++ b/ternlane/tenants/__init__.py
@@ -7,7 +7,7 @@
 from ternlane.tenants.budget_meter import BudgetLimit, BudgetMeter, Shortfall
 from ternlane.tenants.quota_leases import QuotaLeases
 from ternlane.tenants.reservation import BudgetRejection, BudgetReservation, RejectionCode
-from ternlane.tenants.tenant_registry import ApiKey, Budget, Prices, Tenant, TenantRegistry, UnknownKeyError
+from ternlane.tenants.tenant_registry import ApiKey, Budget, InvalidKeyError, Prices, Tenant, TenantRegistry
 from ternlane.tenants.usage_accounting import UsageAccounting
 
 __all__ = [
@@ -28,7 +28,7 @@
     "Tenant",
     "TenantRegistry",
     "TokenUsage",
-    "UnknownKeyError",
+    "InvalidKeyError",
     "UsageAccounting",
     "bill_for",
     "new_key",
--- a/ternlane/tenants/budget_meter.py
+++ b/ternlane/tenants/budget_meter.py
@@ -2,7 +2,12 @@
 
 `reserve` takes the estimated tokens of a request before anything is sent to a server; `settle` replaces the estimate by
 the tokens used. A request that uses more than it reserved can make the level of the bucket negative: refills repay this
-overdraft, and new requests are rejected until then. `now_ms` is the time of a monotonic clock, `wall_s` is in seconds
+overdraft, and new requests are rejected until then.
+
+A gateway can lease further tokens of a quota shared by all gateways. They raise the level and the capacity of the
+bucket, or the allowance of the period.
+
+`now_ms` is the time of a monotonic clock, `wall_s` is in seconds
 since 1970. Amounts are prompt and answer tokens together.
 """
 
@@ -48,20 +53,20 @@
         "period",
         "spent",
         "open_requests",
-        "zone",
+        "time_zone",
         "period_kind",
         "period_allowance",
         "lease_capacity",
     )
 
-    def __init__(self, budget: Budget, zone: str, period_kind: str, share: float, now_ms: float) -> None:
+    def __init__(self, budget: Budget, time_zone: str, period_kind: str, share: float, now_ms: float) -> None:
         self.budget = budget
-        self.zone = zone
+        self.time_zone = time_zone
         self.period_kind = period_kind
         self.share = share
         self.refilled_at_ms = now_ms
-        self.lease_capacity = 0.0  # for leased tokens, in addition to the burst
-        self.level = self.capacity
+        self.lease_capacity = 0.0  # tokens by which leases may raise the level above the burst
+        self.level = self.capacity  # tokens in the bucket; negative: overdraft
         self.period: BillingPeriod | None = None
         self.spent = 0  # tokens reserved or used in the period at this gateway
         self.open_requests = 0
@@ -94,7 +99,7 @@
         if self.budget.period is None:
             return
         if self.period is None or wall_s >= self.period.end:
-            self.period = period_at(wall_s, self.zone, self.period_kind)
+            self.period = period_at(wall_s, self.time_zone, self.period_kind)
             self.spent = 0
             self.period_allowance = self.budget.period * self.share
 
@@ -136,8 +141,8 @@
             self.spent += used - reserved
 
     def surplus(self, target: float) -> float:
-        """Tokens above `target` that can be returned: at most the leased ones that remain. Negative if the level is
-        below `target`: the tokens that are missing."""
+        """Leased tokens that the gateway can return to the shared quota and still keep a level of `target`. If the
+        level is below `target`, the missing tokens as a negative number."""
         spare = self.level - max(target, 0.0)
         if spare <= 0:
             return spare
@@ -149,13 +154,13 @@
         self.level += tokens
         self.lease_capacity = max(0.0, target, self.level - self.budget.burst_tokens * self.share)
 
-    def change_budget(self, budget: Budget, zone: str, period_kind: str) -> None:
+    def change_budget(self, budget: Budget, time_zone: str, period_kind: str) -> None:
         """Applies a changed budget. Open requests and the leased part of the period's allowance are kept."""
         leased_of_period = 0.0
         if self.budget.period is not None:
             leased_of_period = self.period_allowance - self.budget.period * self.share
         self.budget = budget
-        self.zone = zone
+        self.time_zone = time_zone
         self.period_kind = period_kind
         self.level = self.capacity if self.level == inf else min(self.level, self.capacity)
         self.period_allowance = inf if budget.period is None else budget.period * self.share + leased_of_period
--- a/ternlane/tenants/tenant_registry.py
+++ b/ternlane/tenants/tenant_registry.py
@@ -53,7 +53,7 @@
     salt: str
     hash: str
     state: Literal["live", "retiring", "revoked"] = "live"
-    until: NonNegative = 0.0  # end of a retiring key, in seconds since 1970
+    until: NonNegative = 0.0  # when a retiring key expires, in seconds since 1970
 
 
 class Tenant(ConfigDocument, frozen=True, kw_only=True):
@@ -92,30 +92,30 @@
                 seen.add(name)
 
 
-class UnknownKeyError(Exception):
+class InvalidKeyError(Exception):
     """The API key is not valid. The error does not tell why: callers must not learn which part of a key is wrong."""
 
 
 class TenantRegistry:
-    """Authenticates requests by API key. Requests in flight are not affected when their key ends."""
+    """Authenticates requests by API key. Requests in flight are not affected when their key expires or is revoked."""
 
     def __init__(self, config: TenantRegistryConfig) -> None:
         self.tenants = {tenant.name: tenant for tenant in config.tenants}
         self._keys = {key.name: (key, tenant) for tenant in config.tenants for key in tenant.keys}
 
     def authenticate(self, header: str | None, now_s: float) -> Tenant:
-        """The tenant of the key in an Authorization header; `now_s` is in seconds since 1970. Raises UnknownKeyError.
+        """The tenant of the key in an Authorization header; `now_s` is in seconds since 1970. Raises InvalidKeyError.
         Always computes exactly one hash, so that timing does not reveal what is wrong."""
         scheme, _, full_key = (header or "").partition(" ")
         name, secret = split_key(full_key.strip())
         found = self._keys.get(name)
         if found is None:
             secret_matches(secret, UNKNOWN_KEY_SALT, UNKNOWN_KEY_HASH)
-            raise UnknownKeyError
+            raise InvalidKeyError
         key, tenant = found
         secret_valid = secret_matches(secret, key.salt, key.hash)
         if not secret_valid or scheme.lower() != "bearer" or not _is_live(key, now_s):
-            raise UnknownKeyError
+            raise InvalidKeyError
         return tenant
 
 
--- a/ternlane/tenants/usage_accounting.py
+++ b/ternlane/tenants/usage_accounting.py
@@ -1,8 +1,12 @@
-"""Usage accounting: reserves tokens when a request arrives, and settles it into a ledger entry when it ends.
+"""Usage accounting: reserves tokens when a request arrives, and replaces the reservation by a ledger entry when
+the request ends.
 
 It takes no part in routing, which does not depend on tenants. It does no I/O: the gateway passes the time and stores
 the entry that `settle` returns, before or after it has sent the answer. `now_ms` is the time of a monotonic clock,
 `wall_s` is in seconds since 1970.
+
+With quota leases (see quota_leases), each gateway has a fixed share of a budget and leases further tokens from the
+shared quota of the tenant. Of the billing period's tokens, the shared part is leased in chunks of a fixed size.
 """
 
 from __future__ import annotations
@@ -19,7 +23,8 @@
 from ternlane.tenants.tenant_registry import Tenant
 from ternlane.tenants.usage_check import plausible_usage
 
-# Spent part of a period's allowance above which another chunk is leased; the rest admits requests in the meantime.
+# Fraction of the period's allowance that may be spent before another chunk is leased; requests use the remainder until
+# the lease is granted.
 CHUNK_LEASE_SHARE = 0.75
 SWEEP_METERS = 256  # per sweep: blocks the event loop for well under a millisecond
 # Stands for all request classes of a tenant in the keys of meters.
@@ -31,7 +36,7 @@
 
 
 class LeaseDemand(NamedTuple):
-    """Tokens to lease from the shared bucket (negative: to return), and the meter's new capacity for leased tokens."""
+    """Tokens to lease from the shared quota (negative: to return), and the meter's new capacity for leased tokens."""
 
     tokens: float
     target: float
@@ -48,8 +53,8 @@
 
 @dataclass
 class UsageAccounting:
-    """The budgets of all tenants at one of `gateways` gateways. With `leases_quota`, the gateway can lease more than
-    its own part from a shared table."""
+    """The budgets of all tenants at one of `gateways` gateways. With `leases_quota`, the gateway can lease tokens of
+    the shared quota in addition to its own share."""
 
     gateways: int = 1
     gateway: str = "g"
@@ -63,7 +68,7 @@
 
     @property
     def own_share(self) -> float:
-        """The part of each budget that this gateway has without leases."""
+        """The share of each budget that this gateway has without leases."""
         return (GUARANTEED_SHARE if self.leases_quota else 1.0) / self.gateways
 
     def advance_wall_clock(self, wall_s: float) -> float:
@@ -74,7 +79,7 @@
 
     def add_past_usage(self, tenant: str, request_class: str, period: str, tokens: int) -> None:
         """Adds tokens that this gateway's ledger shows as settled before a restart. May be called while requests are
-        served, as the previous process may end later."""
+        served, as the previous process may still settle requests after this one has started."""
         for name in (ALL_CLASSES, request_class):
             meter = self.meters.get((tenant, name))
             if meter is not None and meter.period is not None and meter.period.name == period:
@@ -99,7 +104,7 @@
             meter = BudgetMeter(budget, tenant.zone, tenant.period, self.own_share, now_ms)
             self.meters[key] = meter
             self._charge_past_usage(key, meter, now_ms)
-        elif (meter.budget, meter.zone, meter.period_kind) != (budget, tenant.zone, tenant.period):
+        elif (meter.budget, meter.time_zone, meter.period_kind) != (budget, tenant.zone, tenant.period):
             meter.change_budget(budget, tenant.zone, tenant.period)
         return meter
 
@@ -142,7 +147,7 @@
                 for reserved in meters[:index]:
                     reserved.settle(tokens, 0, reserved.period, now_ms, wall_s)
                 return self._reject(tenant, tokens, shortfall)
-        if self.leases_quota and tenant.budget.minute is not None:  # demand beyond the own part is leased
+        if self.leases_quota and tenant.budget.minute is not None:  # demand beyond the gateway's own share is leased
             self._demand_estimator(tenant).record(tokens, admitted=True)
         periods = [meter.period for meter in meters]
         return BudgetReservation(tenant, request_class, prompt, answer, max_answer, meters, periods, wall_s)
@@ -191,8 +196,9 @@
             note="; ".join(filter(None, (bill.note, usage_note))),
         )
 
-    def exceeds_overdraft(self, reservation: BudgetReservation, answer: int) -> bool:
-        """Whether a stream with this many answer tokens exceeds its tenant's overdraft and is to be ended for it."""
+    def must_end_for_overdraft(self, reservation: BudgetReservation, answer: int) -> bool:
+        """Whether a stream with this many answer tokens must be ended because it exceeds the overdraft of one of its
+        budgets. Always False if the tenant's budget does not set `cut`."""
         excess = answer - reservation.answer
         if excess <= 0 or not reservation.tenant.budget.cut:
             return False
@@ -232,7 +238,8 @@
         return estimator.missing_for_one_request(meter.level)
 
     def period_shortages(self) -> list[PeriodShortage]:
-        """Meters that need another chunk of their period's shared tokens."""
+        """Meters that need another chunk of the shared quota for their period, by their state when they were last
+        advanced."""
         if not self.leases_quota:
             return []
         return [
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ternlane.tenants import ApiKey, Tenant, TenantRegistry, UnknownKeyError, new_key
+from ternlane.tenants import ApiKey, InvalidKeyError, Tenant, TenantRegistry, new_key
 from ternlane.tenants.tenant_registry import TenantRegistryConfig
 
 NEW_KEY = new_key()
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("state, until, now_s", [("retiring", 10, 10), ("revoked", 0, 5)])
 def test_a_key_that_has_ended_is_rejected(state: str, until: float, now_s: float) -> None:
-    with pytest.raises(UnknownKeyError):
+    with pytest.raises(InvalidKeyError):
         registry(state, until).authenticate(f"Bearer {NEW_KEY.key}", now_s)
 
 
@@ -44,7 +44,7 @@
 )
 def test_all_invalid_keys_get_the_same_error(header: str | None, state: str) -> None:
     """An attacker must not learn whether the name, the secret or the format is wrong."""
-    with pytest.raises(UnknownKeyError) as error_info:
+    with pytest.raises(InvalidKeyError) as error_info:
         registry(state).authenticate(header, 0)
     assert str(error_info.value) == ""
 
