--- a/bench/load.py
+++ b/bench/load.py
@@ -11,7 +11,7 @@
 import tracemalloc
 from typing import Protocol
 
-from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, planned_requests
+from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestClassLoad, planned_requests
 
 FRACTIONS = (0.5, 0.9, 0.99, 0.999)
 
@@ -76,7 +76,7 @@
 def print_drawing_rate() -> None:
     """Prints the number of sessions drawn per second."""
     config = LoadConfig(
-        request_classes=[RequestMix("summary", turns=2.0, prefixes=50)],
+        request_classes=[RequestClassLoad("summary", turns=2.0, prefixes=50)],
         seconds=20.0,
         arrivals=ArrivalsConfig(rate=200.0),
     )
--- a/ternlane/emulator/batch.py
+++ b/ternlane/emulator/batch.py
@@ -22,7 +22,7 @@
     decode_ms: float = 0.15  # per sequence that decodes a token
     prefill_ms: float = 0.02  # per prefilled token
     context_ms: float = 0.01  # per thousand tokens of attended context
-    free_tokens: int = 0  # first tokens of a step without prefill cost: the weights are fetched anyway
+    free_tokens: int = 0  # tokens of a step that cost no prefill time: reading the weights takes as long
 
     def duration_ms(self, decoded: int, prefilled: int, context_tokens: int) -> float:
         """Returns the duration of a step with these token counts."""
@@ -130,7 +130,7 @@
             sequence.computed_tokens = sequence.needed_tokens
 
     def step(self) -> BatchStep | None:
-        """Runs one step; None if there is no work."""
+        """Applies one step to the sequences; None if there is no work. The caller waits for `duration_ms`."""
         self._admit()
         if all(sequence.awaits_state for sequence in self.running):
             return None
@@ -149,7 +149,7 @@
             if allocation is None:
                 return
             self.queue.popleft()
-            cached_tokens = allocation.cached * self.config.block_tokens
+            cached_tokens = allocation.cached_blocks * self.config.block_tokens
             if sequence.awaits_state:
                 self.awaiting.append(sequence)
             sequence.allocation = allocation
@@ -227,7 +227,10 @@
         return True
 
     def _preempt(self, sequence: BatchSequence, step: BatchStep) -> None:
-        """Frees a sequence's memory and requeues it first; decoded tokens are kept, and their state is recomputed."""
+        """Frees a sequence's memory and puts it at the front of the queue.
+
+        Its output tokens are kept; the state of prompt and output is recomputed.
+        """
         assert sequence.allocation is not None
         self.running.remove(sequence)
         self.memory.release(sequence.allocation)
@@ -238,10 +241,10 @@
         step.preempted.append(sequence)
 
     def _register_blocks(self, sequence: BatchSequence) -> None:
-        """Adds the prefilled full blocks of the prompt to the cache."""
+        """Adds the prefilled full blocks of the prompt to the prefix cache, unless they are in it."""
         allocation = sequence.allocation
         assert allocation is not None
         full_blocks = min(sequence.computed_tokens // self.config.block_tokens, len(sequence.keys))
-        for index in range(allocation.cached, full_blocks):
-            if self.memory.keys[allocation.blocks[index]] is None:
+        for index in range(allocation.cached_blocks, full_blocks):
+            if self.memory.keys[allocation.blocks[index]] is None:  # not added by an earlier chunk
                 self.memory.register(allocation, index, sequence.keys[index])
--- a/ternlane/emulator/blocks.py
+++ b/ternlane/emulator/blocks.py
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True, eq=False)
 class BlockAllocation:
-    """Blocks of a sequence in order; the first `cached` were found in the cache."""
+    """Blocks of a sequence in order; the first `cached_blocks` were found in the cache."""
 
     blocks: list[int] = field(default_factory=list)
-    cached: int = 0
+    cached_blocks: int = 0
 
 
 class BlockPool:
@@ -53,15 +53,15 @@
         self.free = list(range(total - 1, -1, -1))
         self.references = array("i", bytes(4 * total))
         self.keys: list[BlockKey | None] = [None] * total
-        self.cached: dict[int, int] = {}  # chained hash -> block
+        self.block_by_hash: dict[int, int] = {}  # the cached blocks, by chained hash
         self.idle: OrderedDict[int, None] = OrderedDict()  # in eviction order
         self.used = 0
-        self.external_blocks = 0  # blocks reserved for another program
-        self.pending_reclaim = 0  # of these, blocks that sequences still use
-        self.reclaimed: list[int] = []  # blocks handed to the other program
+        self.external_blocks = 0  # blocks reserved for a simulated other program on the device
+        self.pending_handover = 0  # of these, blocks still to be handed over, when sequences release them
+        self.handed_over: list[int] = []  # of these, blocks that the other program has
         self.evictions = 0
         self.collisions = 0
-        self._shared = bytearray(total)  # by block: reused since the last clock scan
+        self._reused = bytearray(total)  # by block: reused since the last clock scan
 
     @property
     def available(self) -> int:
@@ -77,7 +77,7 @@
         """Returns the number of leading keys that are cached."""
         count = 0
         for chain_hash, digest in keys:
-            block = self.cached.get(chain_hash)
+            block = self.block_by_hash.get(chain_hash)
             if block is None or self.keys[block] != (chain_hash, digest):
                 break
             count += 1
@@ -86,17 +86,17 @@
     def allocate(self, keys: Sequence[BlockKey], blocks: int) -> BlockAllocation | None:
         """Allocates blocks for a sequence that begins with `keys`; None, and no change, if too few are available."""
         cached = min(self.count_cached(keys), blocks)
-        idle = sum(self.cached[chain_hash] in self.idle for chain_hash, _ in keys[:cached])
+        idle = sum(self.block_by_hash[chain_hash] in self.idle for chain_hash, _ in keys[:cached])
         if blocks - cached > self.available - idle:
             return None
-        allocation = BlockAllocation(cached=cached)
+        allocation = BlockAllocation(cached_blocks=cached)
         for chain_hash, _ in keys[:cached]:
-            block = self.cached[chain_hash]
+            block = self.block_by_hash[chain_hash]
             if self.references[block] == 0:
                 del self.idle[block]
                 self.used += 1
             self.references[block] += 1
-            self._shared[block] = 1
+            self._reused[block] = 1
             allocation.blocks.append(block)
         self.grow(allocation, blocks - cached)
         return allocation
@@ -115,34 +115,38 @@
     def register(self, allocation: BlockAllocation, index: int, key: BlockKey) -> None:
         """Caches the full block at `index`, unless its text is cached already or its hash collides with another."""
         block = allocation.blocks[index]
-        other = self.cached.get(key[0])
+        other = self.block_by_hash.get(key[0])
         if other is None:
             self.keys[block] = key
-            self.cached[key[0]] = block
+            self.block_by_hash[key[0]] = block
         elif self.keys[other] != key:
             self.collisions += 1
 
     def release(self, allocation: BlockAllocation) -> None:
-        """Releases the blocks of an ended sequence. Cached blocks become idle, the last to be evicted first."""
+        """Releases the blocks of an ended sequence.
+
+        Cached blocks become idle, or are handed over if an external reservation is pending. Of a sequence's idle blocks
+        the last one is evicted first.
+        """
         for block in reversed(allocation.blocks):
             self.references[block] -= 1
             if self.references[block]:
                 continue
             self.used -= 1
-            if self.keys[block] is not None and not self.pending_reclaim:
+            if self.keys[block] is not None and not self.pending_handover:
                 self.idle[block] = None
             else:
                 self._uncache(block)
                 self._add_free(block)
         allocation.blocks = []
-        allocation.cached = 0
+        allocation.cached_blocks = 0
 
     def _evict(self) -> int:
         """Evicts the next idle block and returns it."""
         while True:
             block, _ = self.idle.popitem(last=False)
-            if self.policy == "clock" and self._shared[block]:
-                self._shared[block] = 0
+            if self.policy == "clock" and self._reused[block]:
+                self._reused[block] = 0
                 self.idle[block] = None
                 continue
             self._uncache(block)
@@ -152,15 +156,15 @@
     def _uncache(self, block: int) -> None:
         key = self.keys[block]
         if key is not None:
-            del self.cached[key[0]]
+            del self.block_by_hash[key[0]]
             self.keys[block] = None
-        self._shared[block] = 0
+        self._reused[block] = 0
 
     def _add_free(self, block: int) -> None:
         """Frees an unused block, or hands it over if an external reservation is pending."""
-        if self.pending_reclaim:
-            self.pending_reclaim -= 1
-            self.reclaimed.append(block)
+        if self.pending_handover:
+            self.pending_handover -= 1
+            self.handed_over.append(block)
         else:
             self.free.append(block)
 
@@ -171,9 +175,9 @@
         """
         blocks = min(max(blocks, 0), self.total)
         self.external_blocks = blocks
-        while len(self.reclaimed) > blocks:
-            self.free.append(self.reclaimed.pop())
-        self.pending_reclaim = 0
-        while len(self.reclaimed) < blocks and self.available:
-            self.reclaimed.append(self.free.pop() if self.free else self._evict())
-        self.pending_reclaim = blocks - len(self.reclaimed)
+        while len(self.handed_over) > blocks:
+            self.free.append(self.handed_over.pop())
+        self.pending_handover = 0
+        while len(self.handed_over) < blocks and self.available:
+            self.handed_over.append(self.free.pop() if self.free else self._evict())
+        self.pending_handover = blocks - len(self.handed_over)
--- a/ternlane/emulator/curve.py
+++ b/ternlane/emulator/curve.py
@@ -69,7 +69,7 @@
         if last_ms == -inf:
             return
         if self.ended >= self.point.at_once:
-            is_first = job.sequence.output_tokens == 1 or job.since_ms == last_ms
+            is_first = job.sequence.output_tokens == 1 or job.submitted_ms == last_ms
             (self.first_ms if is_first else self.between_ms).append(event.at_ms - last_ms)
         self._last_ms[job] = event.at_ms
 
--- a/ternlane/emulator/engine.py
+++ b/ternlane/emulator/engine.py
@@ -35,7 +35,7 @@
     """A request at an engine."""
 
     sequence: BatchSequence
-    since_ms: float = 0.0
+    submitted_ms: float = 0.0  # when the engine accepted it
 
 
 class JobEvent(NamedTuple):
@@ -64,7 +64,7 @@
 
     slowdown: float = 1.0  # factor
     hung: bool = False
-    external_memory_share: float = 0.0  # used by another program
+    external_memory_share: float = 0.0  # share of the memory taken by a simulated other program
 
 
 class EmulatedEngine:
@@ -89,10 +89,13 @@
         self._events: list[JobEvent] = []  # not yet returned by `advance`
         self.start(started_ms)
 
-    def start(self, now_ms: float) -> None:
-        """Starts a process without any jobs, cold unless `now_ms` is at least `slow_start_ms` ago."""
-        self.started_ms = now_ms
-        self.now_ms = max(now_ms, 0.0)
+    def start(self, started_ms: float) -> None:
+        """Starts a process at `started_ms`; its slow start lasts until `started_ms + slow_start_ms`.
+
+        Requires that there are no jobs: `crash` removes them. Active faults remain.
+        """
+        self.started_ms = started_ms
+        self.now_ms = max(started_ms, 0.0)
         self.memory = BlockPool(self.config.blocks, self.policy)
         self.batch = Batch(self.config, self.memory)
         self._step: BatchStep | None = None
@@ -120,7 +123,7 @@
         """Queues a job for the next step; False if the queue is full or the job exceeds the total memory."""
         if not self.batch.add(job.sequence):
             return False
-        job.since_ms = now_ms
+        job.submitted_ms = now_ms
         self.jobs[job.sequence] = job
         self._start_step(now_ms)
         return True
@@ -238,13 +241,13 @@
             for sequence in sequences:
                 job = self.jobs.get(sequence)
                 if job is not None:
-                    events.append(JobEvent(at_ms, self._finish_job(job, kind), job))
+                    events.append(JobEvent(at_ms, self._handle_sequence_event(job, kind), job))
                 elif sequence.keeps_state:  # cancelled during the step
                     self.batch.release(sequence)
         return events
 
-    def _finish_job(self, job: Job, kind: JobEventKind) -> JobEventKind:
-        """Removes a finished job, keeping its state if required, and returns the kind of event to emit."""
+    def _handle_sequence_event(self, job: Job, kind: JobEventKind) -> JobEventKind:
+        """Returns the kind of event to emit. For DONE, removes the job, and keeps its state if required."""
         if kind is not JobEventKind.DONE:
             return kind
         del self.jobs[job.sequence]
--- a/ternlane/emulator/fleet.py
+++ b/ternlane/emulator/fleet.py
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True, eq=False)
 class PlacedEngine:
-    """An engine with its location and its port."""
+    """An engine with its location and its network port."""
 
     engine: EmulatedEngine
     zone: str
     cell: int
-    port: Link
+    network_port: Link
 
     def next_at(self) -> float:
         """Returns the time of the engine's next event."""
@@ -36,13 +36,13 @@
     source: PlacedEngine
     source_job: Job
     target: PlacedEngine
-    job: Job
+    target_job: Job
     link: Link | None = None
     transfer: LinkTransfer | None = None
 
 
 class EmulatedFleet:
-    """Engines with their ports and cell links, advanced on one clock."""
+    """Engines with their network ports and cell links, advanced on one clock."""
 
     def __init__(self, port_rate: float, link_rate: float, zone_slowdown: float = 2.0) -> None:
         """`port_rate` and `link_rate`: of a prefill server's port and of a cell's link, in tokens per millisecond."""
@@ -74,7 +74,7 @@
     # Requests
 
     def prefill(self, now_ms: float, placed: PlacedEngine, job: Job) -> bool:
-        """Prefills a prompt and holds its state; False if the engine rejects the job."""
+        """Submits a prefill job whose state is held when it is done; False if the engine rejects the job."""
         job.sequence.keeps_state = True
         return self._submit(now_ms, placed, job)
 
@@ -86,7 +86,9 @@
         source: PlacedEngine | None = None,
         source_job: Job | None = None,
     ) -> bool:
-        """Decodes an answer from the state of `source_job` at `source`, or without these from a local prefill.
+        """Submits a decode job that uses the state of `source_job` at `source`.
+
+        If `source` and `source_job` are omitted, the engine prefills the prompt itself.
 
         Returns False if the engine rejects the job, or if the state is released or claimed already.
         """
@@ -157,7 +159,10 @@
         return inf
 
     def advance(self, now_ms: float) -> list[tuple[PlacedEngine, JobEvent]]:
-        """Returns the events up to `now_ms` in order."""
+        """Advances engines and links to `now_ms` and returns the engines' events in order of time.
+
+        FETCHING is not among them: it starts a state transfer here.
+        """
         events: list[tuple[PlacedEngine, JobEvent]] = []
         while (at_ms := self.next_at()) <= now_ms:
             source = heapq.heappop(self._schedule_heap)[2]
@@ -180,18 +185,18 @@
         if state_transfer is None:
             return
         same_cell = state_transfer.source.cell == state_transfer.target.cell
-        link = state_transfer.source.port if same_cell else self.cell_links[state_transfer.source.cell]
+        link = state_transfer.source.network_port if same_cell else self.cell_links[state_transfer.source.cell]
         slowdown = 1.0 if state_transfer.source.zone == state_transfer.target.zone else self.zone_slowdown
         state_transfer.link = link
         state_transfer.transfer = link.begin(event.at_ms, event.job.sequence.prompt_tokens * slowdown, state_transfer)
         self._schedule(link)
 
     def _end_transfer(self, at_ms: float, transfer: LinkTransfer) -> None:
-        state_transfer = transfer.job
+        state_transfer = transfer.owner
         assert isinstance(state_transfer, StateTransfer)
-        self.state_transfers.pop(state_transfer.job, None)
+        self.state_transfers.pop(state_transfer.target_job, None)
         self.claimed.discard(state_transfer.source_job)
         state_transfer.source.engine.release(at_ms, state_transfer.source_job)
         self._schedule(state_transfer.source)
-        state_transfer.target.engine.state_arrived(at_ms, state_transfer.job)
+        state_transfer.target.engine.state_arrived(at_ms, state_transfer.target_job)
         self._schedule(state_transfer.target)
--- a/ternlane/emulator/links.py
+++ b/ternlane/emulator/links.py
@@ -1,4 +1,6 @@
-"""Ports and cell links whose active transfers share the bandwidth equally. Performs no I/O and reads no clock.
+"""Network ports of servers and links between cells, whose active transfers share the bandwidth equally.
+
+Performs no I/O and reads no clock.
 
 Uses the virtual time of fair queueing: all transfers progress equally, so each ends when the common progress reaches a
 value known at its start. Starting and ending a transfer takes logarithmic time in the number of transfers.
@@ -13,12 +15,12 @@
 
 @dataclass(slots=True, eq=False)
 class LinkTransfer:
-    """A transfer of `tokens` tokens of prefilled state; `job` is opaque to the link."""
+    """A transfer of `tokens` tokens of prefilled state; `owner` is opaque to the link."""
 
     tokens: float
-    job: object
+    owner: object
     end_progress: float = 0.0  # link progress at which it ends
-    ended: bool = False  # cancelled or ended
+    ended: bool = False  # completed or cancelled
 
 
 class Link:
@@ -29,7 +31,7 @@
         self.rate = rate
         self.active = 0  # number of transfers
         self.carried_tokens = 0.0
-        self._progress = 0.0  # tokens moved by a transfer active since the start
+        self._progress = 0.0  # tokens that a transfer active since the creation of the link would have moved
         self._now_ms = 0.0
         self._transfers: list[tuple[float, int, LinkTransfer]] = []  # heap of (end_progress, order, transfer)
         self._order = 0  # tie-breaker of transfers with the same end_progress
@@ -42,10 +44,10 @@
             self.carried_tokens += (now_ms - self._now_ms) * self.rate
         self._now_ms = now_ms
 
-    def begin(self, now_ms: float, tokens: float, job: object) -> LinkTransfer:
+    def begin(self, now_ms: float, tokens: float, owner: object) -> LinkTransfer:
         """Starts a transfer. Requires that `take_ended` has removed the transfers that ended by `now_ms`."""
         self.advance(now_ms)
-        transfer = LinkTransfer(tokens, job, self._progress + tokens)
+        transfer = LinkTransfer(tokens, owner, self._progress + tokens)
         self._order += 1
         self.active += 1
         heapq.heappush(self._transfers, (transfer.end_progress, self._order, transfer))
--- a/ternlane/load/generator.py
+++ b/ternlane/load/generator.py
@@ -84,7 +84,10 @@
         return trio.current_time() - self._begin_s
 
     async def run(self) -> LoadTally:
-        """Raises ScheduleMissedError if an open loop's requests were sent too late (see LoadConfig.late_ms)."""
+        """Sends the load and returns its results.
+
+        Raises ScheduleMissedError if an open loop's requests were sent too late (see LoadConfig.late_ms).
+        """
         self._begin_s = trio.current_time()
         try:
             async with trio.open_nursery() as nursery:
@@ -99,7 +102,7 @@
         return self.tally
 
     def _check_schedule(self) -> None:
-        late_ms = self.tally.tool_late_ms
+        late_ms = self.tally.send_delay_ms
         if late_ms.count and late_ms.quantile(LATE_QUANTILE) > self.config.late_ms:
             raise ScheduleMissedError(
                 f"1% of requests were sent at least {late_ms.quantile(LATE_QUANTILE):.1f} ms late; late_ms allows "
@@ -109,7 +112,7 @@
     async def _run_open_loop(self, nursery: trio.Nursery) -> None:
         for request in planned_requests(self.config):
             await trio.sleep_until(self._begin_s + request.at_s)
-            nursery.start_soon(self._session, request)
+            nursery.start_soon(self._run_session, request)
 
     def _start_closed_loop(self, nursery: trio.Nursery) -> None:
         for number in range(self.config.at_once):
@@ -119,22 +122,24 @@
     async def _client(self, source: SessionSource) -> None:
         """Runs one session after another until the configured duration has passed."""
         while self.now_s() < self.config.seconds:
-            await self._session(source.next(self.now_s()))
+            await self._run_session(source.next(self.now_s()))
 
-    async def _session(self, request: PlannedRequest) -> None:
+    async def _run_session(self, request: PlannedRequest) -> None:
+        """Sends the session's requests one after another until one fails, none is left or the configured duration has
+        passed."""
         while True:
             answer = await self._request(request)
             if answer is None or not request.turns_left or self.now_s() >= self.config.seconds:
                 return
-            due_s = self.now_s() + request.mix.think_s
-            await trio.sleep(request.mix.think_s)
+            due_s = self.now_s() + request.request_class.think_s
+            await trio.sleep(request.request_class.think_s)
             request = request.next_turn(answer, due_s)
 
     async def _request(self, request: PlannedRequest) -> str | None:
         """Returns the response text, or None if the request did not complete."""
         begin_s = self.now_s()
         late_ms = (begin_s - request.at_s) * 1000
-        self.tally.tool_late_ms.add(max(0.0, late_ms))
+        self.tally.send_delay_ms.add(max(0.0, late_ms))
         exchange = _ChatExchange(self, request)
         self.open += 1
         try:
@@ -148,7 +153,7 @@
         self.report(
             {
                 "due_s": round(request.at_s, 6),
-                "model": request.mix.model,
+                "model": request.request_class.model,
                 "outcome": outcome,
                 "pieces": len(exchange.pieces),
                 "first_ms": round(exchange.first_token_ms, 3),
@@ -192,7 +197,7 @@
     def _return_connection(self, connection: ClientConnection, outcome: str) -> None:
         if outcome in ("no answer", "broken"):
             connection.close_now()
-            self.first_token_ms = 0.0  # reported only for complete responses
+            self.first_token_ms = 0.0  # not reported for responses that broke off or timed out
         else:
             self.load.pool.give_back(connection)
 
@@ -205,7 +210,7 @@
         if head.status_code != 200:
             await connection.body(MAX_ERROR_BYTES)
             return _outcome_of(head.status_code)
-        if self.request.mix.stream:
+        if self.request.request_class.stream:
             return await self._read_stream(connection)
         reply = msgspec.json.decode(await connection.body(MAX_REPLY_BYTES))
         self.pieces.append(reply["choices"][0]["message"]["content"] or "")
@@ -227,6 +232,7 @@
         return "streamed" if complete else "terminated"
 
     def _record_text(self, text: str) -> None:
+        """Records the text of a stream event and its latency. Each event with text counts as one token."""
         now_ms = (self.load.now_s() - self.request.at_s) * 1000
         tally = self.load.tally
         self.pieces.append(text)
--- a/ternlane/load/load_config.py
+++ b/ternlane/load/load_config.py
@@ -31,7 +31,7 @@
     faster: Positive = 1.0
 
 
-class RequestMix(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
+class RequestClassLoad(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=document_key):
     """Requests of one request class. Prompt lengths are in words, response lengths in tokens."""
 
     model: str
@@ -54,7 +54,7 @@
     send delay. `wait_s`: response timeout. `tenants`: API keys with their weights.
     """
 
-    request_classes: Annotated[list[RequestMix], Meta(min_length=1)]
+    request_classes: Annotated[list[RequestClassLoad], Meta(min_length=1)]
     seconds: Positive = 10.0
     arrivals: ArrivalsConfig = ArrivalsConfig()
     at_once: Annotated[int, Meta(ge=0)] = 0
--- a/ternlane/load/plan.py
+++ b/ternlane/load/plan.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ternlane.load.arrivals import Bursty, Diurnal, poisson, recorded, thinned
-from ternlane.load.load_config import LoadConfig, RequestMix, Spread
+from ternlane.load.load_config import LoadConfig, RequestClassLoad, Spread
 
 WORDS = ("folder", "plan", "wall", "stair", "deed", "permit", "north", "cubic", "survey", "line")
 
@@ -21,7 +21,7 @@
     """A request scheduled `at_s` seconds after the start."""
 
     at_s: float
-    mix: RequestMix
+    request_class: RequestClassLoad
     messages: list[dict[str, str]]
     max_tokens: int
     api_key: str = ""
@@ -31,19 +31,19 @@
     def body(self) -> dict[str, Any]:
         """Returns the body of the chat request."""
         return {
-            "model": self.mix.model,
+            "model": self.request_class.model,
             "messages": self.messages,
-            "stream": self.mix.stream,
+            "stream": self.request_class.stream,
             "max_tokens": self.max_tokens,
         }
 
     def next_turn(self, answer: str, at_s: float) -> PlannedRequest:
-        """Returns the session's next request, with `answer` in its history."""
-        user_messages = {"role": "user", "content": self.later_turns[0]}
+        """Returns the session's next request, with `answer` in its history. Requires `turns_left` above 0."""
+        user_message = {"role": "user", "content": self.later_turns[0]}
         return PlannedRequest(
             at_s=at_s,
-            mix=self.mix,
-            messages=[*self.messages, {"role": "assistant", "content": answer}, user_messages],
+            request_class=self.request_class,
+            messages=[*self.messages, {"role": "assistant", "content": answer}, user_message],
             max_tokens=self.max_tokens,
             api_key=self.api_key,
             turns_left=self.turns_left - 1,
@@ -107,10 +107,10 @@
         """`rng` draws everything except prefix texts, which depend only on the seed, model and prefix number."""
         self.config = config
         self.rng = rng
-        self._class_sums = list(accumulate(mix.share for mix in config.request_classes))
+        self._class_sums = list(accumulate(request_class.share for request_class in config.request_classes))
         self._prefix_sums = [
-            list(accumulate(1 / (rank + 1) ** mix.zipf for rank in range(mix.prefixes)))
-            for mix in config.request_classes
+            list(accumulate(1 / (rank + 1) ** request_class.zipf for rank in range(request_class.prefixes)))
+            for request_class in config.request_classes
         ]
         self._tenant_sums = list(accumulate(config.tenants.values()))
 
@@ -118,31 +118,31 @@
         """Draws a session and returns its first request, due at `at_s`."""
         rng = self.rng
         class_index = min(_drawn_index(rng, self._class_sums), len(self._class_sums) - 1)
-        mix = self.config.request_classes[class_index]
-        messages = self._prefix(mix)
+        request_class = self.config.request_classes[class_index]
+        messages = self._prefix(request_class)
         turns = 1
-        while rng.random() < 1 - 1 / mix.turns:
+        while rng.random() < 1 - 1 / request_class.turns:
             turns += 1
-        user_messages = [_random_words(rng, _drawn_length(rng, mix.prompt_words)) for _ in range(turns)]
+        user_messages = [_random_words(rng, _drawn_length(rng, request_class.prompt_words)) for _ in range(turns)]
         api_key = self._api_key()
         return PlannedRequest(
             at_s=at_s,
-            mix=mix,
+            request_class=request_class,
             messages=[*messages, {"role": "user", "content": user_messages[0]}],
-            max_tokens=_drawn_length(rng, mix.answer_tokens),
+            max_tokens=_drawn_length(rng, request_class.answer_tokens),
             api_key=api_key,
             turns_left=turns - 1,
             later_turns=user_messages[1:],
         )
 
-    def _prefix(self, mix: RequestMix) -> list[dict[str, str]]:
+    def _prefix(self, request_class: RequestClassLoad) -> list[dict[str, str]]:
         """Returns a shared system message, or none if the request class has no prefixes."""
-        if not mix.prefixes:
+        if not request_class.prefixes:
             return []
-        sums = self._prefix_sums[self.config.request_classes.index(mix)]
+        sums = self._prefix_sums[self.config.request_classes.index(request_class)]
         number = _drawn_index(self.rng, sums)
-        text_rng = random.Random(f"{self.config.seed} {mix.model} {number}")
-        return [{"role": "system", "content": _random_words(text_rng, mix.prefix_words)}]
+        text_rng = random.Random(f"{self.config.seed} {request_class.model} {number}")
+        return [{"role": "system", "content": _random_words(text_rng, request_class.prefix_words)}]
 
     def _api_key(self) -> str:
         if not self._tenant_sums:
--- a/ternlane/load/tally.py
+++ b/ternlane/load/tally.py
@@ -18,7 +18,7 @@
     first_token_ms: QuantileSketch = field(default_factory=QuantileSketch)
     between_tokens_ms: QuantileSketch = field(default_factory=QuantileSketch)
     complete_ms: QuantileSketch = field(default_factory=QuantileSketch)
-    tool_late_ms: QuantileSketch = field(default_factory=QuantileSketch)  # the generator's own send delay
+    send_delay_ms: QuantileSketch = field(default_factory=QuantileSketch)  # the generator's own send delay
     outcomes: Counter[str] = field(default_factory=Counter)
     tokens: int = 0
 
@@ -30,7 +30,7 @@
             "first_ms": _quantiles(self.first_token_ms),
             "between_ms": _quantiles(self.between_tokens_ms),
             "whole_ms": _quantiles(self.complete_ms),
-            "tool_late_ms": _quantiles(self.tool_late_ms),
+            "tool_late_ms": _quantiles(self.send_delay_ms),
         }
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -23,10 +23,10 @@
 def check_blocks(pool: BlockPool, allocations: list[BlockAllocation]) -> None:
     """Checks that each block is in exactly one state and has the correct reference count."""
     used = [b for allocation in allocations for b in allocation.blocks]
-    assert sorted([*pool.free, *pool.idle, *pool.reclaimed, *set(used)]) == list(range(pool.total))
+    assert sorted([*pool.free, *pool.idle, *pool.handed_over, *set(used)]) == list(range(pool.total))
     assert all(pool.references[b] == used.count(b) for b in range(pool.total))
-    assert pool.used == len(set(used)) and len(pool.reclaimed) + pool.pending_reclaim == pool.external_blocks
-    assert all(pool.keys[b] is not None and pool.cached[pool.keys[b][0]] == b for b in pool.idle)  # type: ignore[index]
+    assert pool.used == len(set(used)) and len(pool.handed_over) + pool.pending_handover == pool.external_blocks
+    assert all(pool.keys[b] is not None and pool.block_by_hash[pool.keys[b][0]] == b for b in pool.idle)  # type: ignore[index]
     assert all(pool.keys[b] is None for b in pool.free)
 
 
@@ -52,7 +52,7 @@
                 pool.grow(allocation, b % 3)
             elif operation == "register" and allocation.blocks:
                 at = b % len(allocation.blocks)
-                if at >= allocation.cached and pool.keys[allocation.blocks[at]] is None:
+                if at >= allocation.cached_blocks and pool.keys[allocation.blocks[at]] is None:
                     pool.register(allocation, at, keys[at])
             else:
                 pool.release(allocation)
@@ -68,11 +68,11 @@
 def test_equal_prefixes_share_blocks_and_last_blocks_are_evicted_first() -> None:
     pool, keys = BlockPool(6), block_keys(b"abcdefgh" * 4, 8)
     first = pool.allocate(keys, 4)
-    assert first is not None and first.cached == 0
+    assert first is not None and first.cached_blocks == 0
     for i, key in enumerate(keys):
         pool.register(first, i, key)
     second = pool.allocate(keys, 5)
-    assert second is not None and second.cached == 4 and pool.used == 5
+    assert second is not None and second.cached_blocks == 4 and pool.used == 5
     pool.release(first)
     pool.release(second)
     assert pool.count_cached(keys) == 4 and pool.used == 0
@@ -89,7 +89,7 @@
     pool.register(allocation, 0, (7, 1))
     assert pool.count_cached([(7, 1)]) == 1 and pool.count_cached([(7, 2)]) == 0
     again = pool.allocate([(7, 2)], 1)
-    assert again is not None and again.cached == 0
+    assert again is not None and again.cached_blocks == 0
     pool.register(again, 0, (7, 2))
     assert pool.collisions == 1 and pool.count_cached([(7, 2)]) == 0 and pool.count_cached([(7, 1)]) == 1
 
@@ -101,7 +101,7 @@
     allocation = pool.allocate([], 8)
     assert allocation is not None
     pool.reserve_external(5)
-    assert pool.overcommitted == 3 and pool.available == 0 and pool.pending_reclaim == 3
+    assert pool.overcommitted == 3 and pool.available == 0 and pool.pending_handover == 3
     pool.release(allocation)
     assert pool.overcommitted == 0 and pool.available == 5
     pool.reserve_external(0)
@@ -117,8 +117,8 @@
             keys = texts[min(39, int(rng.paretovariate(0.8)) - 1)] if n % 2 else block_keys(b"%032d" % n * 2, 16)
             allocation = pool.allocate(keys, len(keys))
             assert allocation is not None
-            found, requested = found + allocation.cached * (n % 2), requested + len(keys) * (n % 2)
-            for i in range(allocation.cached, len(keys)):
+            found, requested = found + allocation.cached_blocks * (n % 2), requested + len(keys) * (n % 2)
+            for i in range(allocation.cached_blocks, len(keys)):
                 pool.register(allocation, i, keys[i])
             pool.release(allocation)
         hits[policy] = found / requested
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -59,10 +59,10 @@
     link, ends, started = Link(float(rate)), dict[int, float](), list[LinkTransfer]()
     for i, (at, tokens) in enumerate(transfers):
         for when, transfer in link.take_ended(at):
-            ends[transfer.job] = when  # type: ignore[index]
+            ends[transfer.owner] = when  # type: ignore[index]
         started.append(link.begin(at, tokens, i))
     for when, transfer in link.take_ended(1e9):
-        ends[transfer.job] = when  # type: ignore[index]
+        ends[transfer.owner] = when  # type: ignore[index]
     assert [ends[i] for i in range(len(transfers))] == pytest.approx(
         expected_end_times(transfers, float(rate)), abs=1e-6
     )
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from ternlane.cli import main
-from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestMix, arrival_times, planned_requests
+from ternlane.load import ArrivalsConfig, LoadConfig, QuantileSketch, RequestClassLoad, arrival_times, planned_requests
 from ternlane.load.generator import LoadGenerator, NotLoopbackError, ScheduleMissedError, address_of
 from tests.gateway_cluster import ENGINE_PROFILE, gateway_cluster, replace
 
@@ -48,7 +48,7 @@
 
 
 def config(**changes: object) -> LoadConfig:
-    return LoadConfig(request_classes=[RequestMix("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
+    return LoadConfig(request_classes=[RequestClassLoad("summary", answer_tokens=(6.0, 0.0))], **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -60,7 +60,7 @@
     ],
 )
 def test_arrivals_have_the_configured_rate_and_shape(arrivals: ArrivalsConfig) -> None:
-    load_config = LoadConfig(request_classes=[RequestMix("summary")], seconds=200.0, arrivals=arrivals)
+    load_config = LoadConfig(request_classes=[RequestClassLoad("summary")], seconds=200.0, arrivals=arrivals)
     times = list(arrival_times(load_config, random.Random(3)))
     assert times == sorted(times) and len(times) == pytest.approx(10_000, rel=0.06)
     peak = {"poisson": 0.1, "bursty": 0.5, "diurnal": 0.18}[arrivals.kind]
@@ -76,21 +76,23 @@
 
 
 def test_planned_requests_are_reproducible_and_prefixes_follow_zipf() -> None:
-    mix = RequestMix("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
+    request_class = RequestClassLoad("summary", turns=2.0, prefixes=20, prefix_words=5, zipf=1.0)
     load_config = LoadConfig(
-        request_classes=[mix, RequestMix("note", share=0.25)],
+        request_classes=[request_class, RequestClassLoad("note", share=0.25)],
         seconds=100.0,
         arrivals=ArrivalsConfig(rate=40.0),
         tenants={"a": 3.0, "b": 1.0},
     )
     first, again = list(planned_requests(load_config)), list(planned_requests(load_config))
     assert [(a.at_s, a.messages, a.api_key) for a in first] == [(a.at_s, a.messages, a.api_key) for a in again]
-    prefix_texts = [a.messages[0]["content"] for a in first if a.mix is mix]
+    prefix_texts = [a.messages[0]["content"] for a in first if a.request_class is request_class]
     prefix_counts = sorted((prefix_texts.count(text) for text in set(prefix_texts)), reverse=True)
     assert len(prefix_counts) == 20 and prefix_counts[0] / prefix_counts[9] == pytest.approx(10, rel=0.5)
     assert len(prefix_texts) / len(first) == pytest.approx(0.8, abs=0.03)
     assert sum(a.api_key == "a" for a in first) / len(first) == pytest.approx(0.75, abs=0.03)
-    assert sum(a.turns_left for a in first if a.mix is mix) / len(prefix_texts) == pytest.approx(1.0, rel=0.15)
+    assert sum(a.turns_left for a in first if a.request_class is request_class) / len(prefix_texts) == pytest.approx(
+        1.0, rel=0.15
+    )
 
 
 async def test_load_results_match_the_engine_traffic() -> None:
@@ -98,8 +100,8 @@
         lines: list[dict[str, object]] = []
         load_config = LoadConfig(
             request_classes=[
-                RequestMix("summary", turns=2.0, think_s=0.05, prefixes=2),
-                RequestMix("note", stream=False),
+                RequestClassLoad("summary", turns=2.0, think_s=0.05, prefixes=2),
+                RequestClassLoad("note", stream=False),
             ],
             seconds=1.0,
             arrivals=ArrivalsConfig(rate=30.0),
