--- a/ternlane/scenarios/bench_faults.py
+++ b/ternlane/scenarios/bench_faults.py
@@ -1,4 +1,4 @@
-"""Converts the faults of a benchmark day into those of a scenario."""
+"""Converts the faults of a benchmark day (a simulated workload with faults) into those of a scenario."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def to_run_seconds(microseconds: float, speed: float) -> float:
-    """Converts a time of the day to seconds of the run, which is `speed` times faster."""
+    """Converts microseconds since the start of the day to seconds of the run, which is `speed` times faster."""
     return microseconds / 1e6 / speed
 
 
@@ -35,7 +35,7 @@
     size: float
     extra: float
     which: int
-    affected: int  # number of servers or balancers
+    affected: int  # number of servers or of balancers (gateways)
 
     @classmethod
     def of(cls, raw: Json) -> BenchFault:
@@ -54,16 +54,17 @@
 class BenchFaults:
     """The faults of one day."""
 
-    def __init__(self, raw: Json, speed: float, zones: list[str]) -> None:
-        """`speed`: how many times faster than the day the scenario runs; `zones`: of the scenario."""
-        self.raw = raw
+    def __init__(self, raw_day: Json, speed: float, zones: list[str]) -> None:
+        """`speed`: how many times faster than the day the scenario runs; `zones`: names of the scenario's zones."""
+        self.raw_day = raw_day
         self.speed = speed
         self.zones = zones
 
-    def read(self) -> list[Json]:
-        """The faults of known kinds that begin within the day, without zone cuts if there is only one zone."""
-        length_s = to_run_seconds(self.raw["length"], self.speed)
-        faults = [self._fault(BenchFault.of(raw)) for raw in self.raw["troubles"]]
+    def scenario_faults(self) -> list[Json]:
+        """The faults of known kinds that begin within the day, without zone cuts if there is only one zone, as the JSON
+        of scenario faults. Raises KeyError if a field is missing."""
+        length_s = to_run_seconds(self.raw_day["length"], self.speed)
+        faults = [self._fault(BenchFault.of(raw)) for raw in self.raw_day["troubles"]]
         return [
             fault
             for fault in faults
@@ -73,8 +74,8 @@
         ]
 
     def _fault(self, fault: BenchFault) -> Json | None:
-        read_fields = self._fault_fields().get(fault.kind)
-        if read_fields is None:
+        convert_fields = self._field_converters().get(fault.kind)
+        if convert_fields is None:
             return None
         common: Json = {
             "kind": fault.kind,
@@ -82,16 +83,17 @@
             "for_s": max(MIN_FAULT_S, round(to_run_seconds(fault.raw["len"], self.speed), 3)),
         }
         if fault.kind not in NON_SERVER_FAULTS:
-            common["part"] = self._part_of(fault, len(self.raw["servers"]))
-        return common | read_fields(fault)
+            common["part"] = self._part_of(fault, len(self.raw_day["servers"]))
+        return common | convert_fields(fault)
 
     def _part_of(self, fault: BenchFault, total: int) -> float:
         return round(min(1.0, fault.affected / max(1, total)), 3)
 
-    def _fault_fields(self) -> dict[str, Callable[[BenchFault], Json]]:
-        """By kind: reads the fields that a fault has besides kind, times and part, or that override them."""
+    def _field_converters(self) -> dict[str, Callable[[BenchFault], Json]]:
+        """By fault kind: a function that returns the fields of the scenario fault that are specific to the kind. They
+        may override `part` and `for_s`."""
         speed = self.speed
-        gateways = len(self.raw["balancers"])
+        gateways = len(self.raw_day["balancers"])
         return {
             "crash": lambda fault: {},
             "hang": lambda fault: {},
@@ -108,6 +110,7 @@
                 "turn_s": round(max(0.3, fault.extra) / speed, 2),
             },
             "answer_lost": lambda fault: {"share": round(fault.size, 3), "how": fault.raw.get("how", "silence")},
+            # 50 ms if the fault states no delay.
             "handshake_slow": lambda fault: {"added_ms": round(fault.size / speed, 1) or 50.0},
             "heavy_tail": self._heavy_tail,
             "hot_key": self._hot_key,
@@ -124,11 +127,11 @@
         }
 
     def _flush(self, fault: BenchFault) -> Json:
-        part = self._part_of(fault, len(self.raw["servers"]))
+        part = self._part_of(fault, len(self.raw_day["servers"]))
         return {"part": round(min(1.0, fault.size or part), 3), "for_s": 1.0}
 
     def _heavy_tail(self, fault: BenchFault) -> Json:
-        classes = self.raw["classes"]
+        classes = self.raw_day["classes"]
         return {
             "share": round(min(1.0, fault.extra), 4),
             "times": round(max(fault.size, 1.0), 1),
@@ -139,7 +142,7 @@
         return {
             "share": round(min(1.0, fault.size), 3),
             "keys": max(1, int(fault.extra)),
-            "toks": min(MAX_PROMPT_TOKENS, float(self.raw["fam"].get("hot_tokens", 3000))),
+            "toks": min(MAX_PROMPT_TOKENS, float(self.raw_day["fam"].get("hot_tokens", 3000))),
         }
 
     def _preemption(self, fault: BenchFault) -> Json:
--- a/ternlane/scenarios/bench_import.py
+++ b/ternlane/scenarios/bench_import.py
@@ -82,7 +82,7 @@
                 "silent_ms": round(raw["discovery"]["silent_notice"] / 1000 / self.speed, 1),
             },
             "front_notice_ms": max(200.0, round(raw["front_notice"] / 1000 / self.speed, 1)),
-            "troubles": BenchFaults(raw, self.speed, self.zones).read(),
+            "troubles": BenchFaults(raw, self.speed, self.zones).scenario_faults(),
         }
 
     # The fleet
--- a/ternlane/scenarios/clients_process.py
+++ b/ternlane/scenarios/clients_process.py
@@ -19,8 +19,8 @@
 PROGRESS_EVERY_S = 0.5
 
 
-async def run_clients(folder: Path, index: int, of: int) -> None:
-    """Runs share `index` of `of` until all its requests have ended."""
+async def run_clients(folder: Path, index: int, count: int) -> None:
+    """Runs share `index` of `count` until all its requests have ended."""
     layout = RunLayout.load(folder)
     scenario = layout.scenario
     traffic = TrafficLog(folder / f"clients-{index}.jsonl")
@@ -43,7 +43,7 @@
         await layout.sleep_until(0)
         nursery.start_soon(inject_faults)
         async with trio.open_nursery() as sessions:
-            await clients.run(lambda ms: scenario.rate_at(ms) / of, scenario.length_s * 1000, sessions)
+            await clients.run(lambda ms: scenario.rate_at(ms) / count, scenario.length_s * 1000, sessions)
         progress.add({"open": 0, **clients.outcomes})
 
     try:
--- a/ternlane/scenarios/fault_plan.py
+++ b/ternlane/scenarios/fault_plan.py
@@ -30,7 +30,7 @@
 from ternlane.scenarios.fleet_plan import PlannedEngine, engines_of, zones_of
 from ternlane.scenarios.scenario import Scenario
 
-# The argument of a "die" that the registry lists with the short delay of a drain.
+# Argument of a "die" that a drain has announced: the registry publishes it with the short delay of drains.
 ANNOUNCED = "told"
 
 Targets = tuple[int, ...]  # indices of engines or of gateways
@@ -41,7 +41,8 @@
     """An action on some engines or gateways at a given time.
 
     `what` is "begin KIND", "turn KIND" or "end KIND" of a fault; "drain", "die" or "live" for engines; "start gateway",
-    "stop gateway", "kill gateway" or "relieve gateway".
+    "stop gateway", "kill gateway" or "relieve gateway" (handover to a new process). "turn KIND" pauses the engines
+    again, or switches a noisy neighbour off or on.
     """
 
     at_ms: float
@@ -167,7 +168,8 @@
 
 
 def _lasting_fault(fault: EngineFaultConfig, engines: Targets) -> Iterator[FaultAction]:
-    """A fault with a begin and an end; some repeat or switch in between. `args` of a "turn": its number, from 1."""
+    """A fault with a begin and, except for a cache flush, an end. Some repeat or switch on and off in between: `args`
+    of such a "turn" is its number, from 1."""
     assert isinstance(fault, AnyFault)
     yield FaultAction(fault.at_ms, f"begin {fault.kind}", engines, fault)
     if not isinstance(fault, CacheFlush):
--- a/ternlane/scenarios/fleet_plan.py
+++ b/ternlane/scenarios/fleet_plan.py
@@ -13,7 +13,7 @@
 from ternlane.testing.client_workload import ClientBehaviour, ClientWorkload
 from ternlane.testing.engine_profile import EngineProfile
 
-# Loopback networks; the third number of an address is the zone's.
+# Loopback networks; the third octet of an address is the zone's index plus 1.
 ENGINE_NET = "127.0"
 GATEWAY_NET = "127.1"
 
@@ -37,7 +37,7 @@
 
 
 def address_of(net: str, zone_index: int) -> str:
-    """The loopback address of this network's processes in one zone."""
+    """The loopback address that all processes of the network share in a zone."""
     return f"{net}.{zone_index + 1}.1"
 
 
@@ -111,10 +111,10 @@
     """How clients wait, retry and disconnect."""
     clients = scenario.clients
     return ClientBehaviour(
-        try_share=clients.try_share,
+        try_timeout_share=clients.try_share,
         retries=clients.retries,
         backoff_ms=clients.backoff_ms,
         retry_after_share=clients.honour,
-        leave_part=clients.leave_part,
+        leave_share=clients.leave_part,
         leave_ms=clients.leave_ms,
     )
--- a/ternlane/scenarios/fleet_process.py
+++ b/ternlane/scenarios/fleet_process.py
@@ -26,15 +26,15 @@
 from ternlane.testing.traffic import TrafficLog, clock_ms
 
 
-async def run_fleet(folder: Path, index: int, of: int) -> None:
-    """Runs share `index` of `of` until SIGTERM or SIGINT."""
+async def run_fleet(folder: Path, index: int, count: int) -> None:
+    """Runs share `index` of `count` until SIGTERM or SIGINT."""
     layout = RunLayout.load(folder)
     zones = zones_of(layout.scenario)
     traffic = TrafficLog(folder / f"fleet-{index}.jsonl")
     engines = {
         planned.number: _engine(layout, planned, zones, traffic)
         for planned in engines_of(layout.scenario)
-        if planned.number % of == index
+        if planned.number % count == index
     }
 
     async def run(nursery: trio.Nursery) -> None:
@@ -123,4 +123,4 @@
         return (peer_zone == cut_zone) != (own_zone == cut_zone)
 
     engine.fault.is_cut_off = is_cut_off if on else (lambda _: False)
-    engine.close_cut_off()
+    engine.reset_cut_off_connections()
--- a/ternlane/scenarios/front_process.py
+++ b/ternlane/scenarios/front_process.py
@@ -14,8 +14,8 @@
 LISTEN_BACKLOG = 4096
 
 
-async def run_front(folder: Path, index: int, of: int) -> None:
-    """Runs the front layer until SIGTERM or SIGINT. There is only one, so `of` is not used."""
+async def run_front(folder: Path, index: int, count: int) -> None:
+    """Runs the front layer until SIGTERM or SIGINT. There is only one, so `count` is not used."""
     layout = RunLayout.load(folder)
     traffic = TrafficLog(folder / "front.jsonl")
     front = FakeFrontLayer(layout.gateways, layout.scenario.front_notice_ms, traffic)
--- a/ternlane/scenarios/runner.py
+++ b/ternlane/scenarios/runner.py
@@ -40,7 +40,7 @@
 
     fleet: int
     clients: int
-    front: int = 1
+    front: int = 1  # the load balancer in front of the gateways
 
     @classmethod
     def for_machine(cls, engines: int) -> ProcessCounts:
@@ -67,7 +67,8 @@
         chooser: str = "",
         write_output: Callable[[str], None] = print,
     ) -> None:
-        """`text`: of the scenario's document; `chooser`: `module:name` of a baseline policy; empty: the default."""
+        """`text`: the text of the scenario document. `chooser`: `module:name` of a baseline policy for the gateways;
+        empty: their own."""
         self.scenario = scenario
         self.text = text
         self.folder = folder
@@ -75,7 +76,7 @@
         self.write_output = write_output
 
     async def run(self) -> dict[str, Any]:
-        """Returns the report, which is also written to the folder. Raises RunError."""
+        """Runs the scenario and returns the report, which is also written to the folder. Raises RunError."""
         self.layout = prepare_run(self.folder, self.scenario, self.text)
         self.traffic = TrafficLog(self.folder / "day.jsonl")
         self.registry = FakeRegistry(TrafficLog(self.folder / "registry.jsonl"))
@@ -134,7 +135,7 @@
         for number in action.on:
             match action.what:
                 case "start gateway":
-                    await self.supervisor.restart_gateway(names[number])
+                    await self.supervisor.start_gateway_after_exit(names[number])
                 case "relieve gateway":
                     await self.supervisor.hand_over_gateway(names[number])
                 case "kill gateway":
@@ -142,11 +143,11 @@
                 case _:
                     self.supervisor.stop_gateway(names[number])
 
-    async def _wait_for_clients(self, clients: list[str]) -> None:
+    async def _wait_for_clients(self, client_processes: list[str]) -> None:
         """Shows progress until all client processes have ended. Raises RunError on failure or time-out."""
         deadline_ms = self.layout.begin_ms + (self.scenario.length_s + FINISH_TIMEOUT_S) * 1000
         shown_ms = 0.0
-        while any(self.supervisor.is_running(name) for name in clients):
+        while any(self.supervisor.is_running(name) for name in client_processes):
             await trio.sleep(PROCESS_POLL_S)
             for name in self.supervisor.processes:
                 if name not in self.layout.gateways and self.supervisor.has_failed(name):
@@ -155,16 +156,16 @@
                 raise RunError("the clients did not end in time")
             if clock_ms() - shown_ms > PROGRESS_EVERY_MS:
                 shown_ms = clock_ms()
-                self.write_output(self._progress(clients))
+                self.write_output(self._progress(client_processes))
 
-    def _progress(self, clients: list[str]) -> str:
+    def _progress(self, client_processes: list[str]) -> str:
         total: dict[str, int] = {}
-        for name in clients:
+        for name in client_processes:
             try:
                 last_line = (self.folder / f"{name}.progress").read_text().splitlines()[-1]
                 counts = json.loads(last_line)
             except (OSError, ValueError, IndexError):
-                continue  # no complete line has been written yet
+                continue  # there is no file yet, or its last line is incomplete
             for outcome, count in counts.items():
                 total[outcome] = total.get(outcome, 0) + count
         at_s = (clock_ms() - self.layout.begin_ms) / 1000
--- a/ternlane/scenarios/supervisor.py
+++ b/ternlane/scenarios/supervisor.py
@@ -29,7 +29,7 @@
 
 
 class Supervisor:
-    """Holds all processes by name. `stop_all` ends the processes that it has started, by their process ids."""
+    """Holds all processes by name. `stop_all` ends those that the supervisor has started, by their process ids."""
 
     def __init__(self, folder: Path, traffic: TrafficLog, chooser: str) -> None:
         """`chooser`: `module:name` of a baseline policy for the gateways; empty: their own."""
@@ -37,7 +37,7 @@
         self.traffic = traffic
         self.chooser = chooser
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self._replaced_gateways: list[subprocess.Popen[bytes]] = []  # processes that have got SIGTERM after a handover
+        self._replaced_gateways: list[subprocess.Popen[bytes]] = []  # were sent SIGTERM after a handover
         self._listeners: dict[str, socket.socket] = {}  # of gateways that hand over their socket
 
     def keep_listeners(self, gateways: dict[str, HostPort]) -> None:
@@ -78,15 +78,17 @@
     def _notify_path(self) -> Path:
         return self.folder / "notify"
 
-    async def restart_gateway(self, name: str) -> None:
-        """Waits for the old process to end, for at most EXIT_TIMEOUT_S, and starts the next one."""
+    async def start_gateway_after_exit(self, name: str) -> None:
+        """Waits for the old process to end, for at most EXIT_TIMEOUT_S, and starts the next one, even if the old one is
+        still running."""
         with trio.move_on_after(EXIT_TIMEOUT_S):
             while self.is_running(name):
                 await trio.sleep(EXIT_POLL_S)
         self.start_gateway(name)
 
     async def hand_over_gateway(self, name: str) -> None:
-        """Starts the next process on the same socket, waits for its READY=1, and sends SIGTERM to the old one."""
+        """Starts the next process on the same socket, waits for its READY=1, and sends SIGTERM to the old one.
+        Raises trio.TooSlowError after HAND_OVER_TIMEOUT_S."""
         old = self.processes[name]
         with trio.socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as notifications:
             self._notify_path.unlink(missing_ok=True)
--- a/ternlane/testing/client_attempt.py
+++ b/ternlane/testing/client_attempt.py
@@ -53,7 +53,8 @@
         self._scope = trio.CancelScope()
 
     async def run(self, address: str) -> ClientResult:
-        """Runs the attempt. Failures of the gateway do not raise; they are in the result."""
+        """Runs the attempt. Connection failures and error answers do not raise; they are in the result.
+        A malformed answer raises."""
         plan = self.plan
         result = self.result
         timeout_ms = plan.deadline_ms + EXTRA_WAIT_MS if plan.disconnect_after_ms is None else plan.disconnect_after_ms
@@ -151,7 +152,7 @@
         await self._count_trailing_bytes(connection)
 
     def _read_reply(self, reply: dict[str, Any]) -> None:
-        self.result.outcome = ClientOutcome.STREAMED
+        self.result.outcome = ClientOutcome.STREAMED  # a complete answer, streamed or not
         self.result.text = reply["choices"][0]["message"]["content"]
         self.result.usage = reply["usage"]
         self.traffic.line("first", gen=self.request)
@@ -159,7 +160,7 @@
     def _read_error(self, reply: dict[str, Any], headers: dict[bytes, str]) -> None:
         result = self.result
         result.outcome = ClientOutcome.FAILED
-        if b"x-front" in headers:
+        if b"x-front" in headers:  # set by the load balancer if it reached no gateway
             result.outcome = ClientOutcome.UNREACHABLE
         elif result.status == 429:
             result.outcome = ClientOutcome.REJECTED
@@ -196,7 +197,7 @@
     def __init__(self, attempt: ClientAttempt) -> None:
         self.attempt = attempt
         self.pieces: list[str] = []
-        self.end: ClientOutcome | None = None  # by the first end marker or error
+        self.end: ClientOutcome | None = None  # outcome set by the first end marker or error
         self._events = EventReader()
 
     def feed(self, chunk: bytes) -> None:
--- a/ternlane/testing/client_workload.py
+++ b/ternlane/testing/client_workload.py
@@ -44,11 +44,11 @@
 class ClientBehaviour:
     """How clients wait, retry and disconnect."""
 
-    try_share: Range = (0.5, 1.0)  # timeout of an attempt, as a share of the deadline
+    try_timeout_share: Range = (0.5, 1.0)  # timeout of an attempt, as a share of the deadline
     retries: int = 2
     backoff_ms: Range = (50.0, 300.0)
     retry_after_share: float = 0.7  # share of rejections after which the client waits for Retry-After
-    leave_part: float = 0.0  # share of attempts whose client disconnects early
+    leave_share: float = 0.0  # share of attempts whose client disconnects early
     leave_ms: Range = (20.0, 600.0)  # time until it disconnects
 
 
--- a/ternlane/testing/clients.py
+++ b/ternlane/testing/clients.py
@@ -128,10 +128,10 @@
     def _plan(self, session: Session, task: str, number: int, left_ms: float) -> AttemptPlan:
         """Draws an attempt. `left_ms`: time left until the request's deadline."""
         workload = session.workload
-        attempt_ms = workload.deadline_ms * draw_uniform(self._rng, self.behaviour.try_share)
+        attempt_ms = workload.deadline_ms * draw_uniform(self._rng, self.behaviour.try_timeout_share)
         stream = self._rng.random() >= workload.unstreamed_share
         plan = AttemptPlan(task, number, min(attempt_ms, left_ms), stream)
-        if self._rng.random() < self.behaviour.leave_part:
+        if self._rng.random() < self.behaviour.leave_share:
             plan.disconnect_after_ms = draw_uniform(self._rng, self.behaviour.leave_ms)
         return plan
 
--- a/ternlane/testing/engine.py
+++ b/ternlane/testing/engine.py
@@ -37,7 +37,7 @@
     def reset(self) -> None:
         """Sets the state of a process that has just started."""
         super().reset()
-        self._open: dict[Exchange, trio.CancelScope] = {}  # by attempt
+        self._attempt_scopes: dict[Exchange, trio.CancelScope] = {}  # of the running attempts
 
     async def run(self, nursery: trio.Nursery, started: trio.Event | None = None) -> None:
         """Serves until `die`. Sets `started` once it listens."""
@@ -55,8 +55,8 @@
         finally:
             for listener in listeners:
                 listener.socket.close()
-            for request in self.states:
-                self.traffic.line("lost", id=self.ident, gen=request)
+            for request_id in self.states:
+                self.traffic.line("lost", id=self.ident, gen=request_id)
             self.traffic.line("down", id=self.ident)
             self.pool.close()
             self.reset()
@@ -105,9 +105,9 @@
                 reset_when_closed(stream)
             raise
 
-    def close_cut_off(self) -> None:
-        """Resets the connections of peers that the fault has cut off."""
-        for exchange, scope in list(self._open.items()):
+    def reset_cut_off_connections(self) -> None:
+        """Resets the connections of running attempts whose peers the fault has cut off."""
+        for exchange, scope in list(self._attempt_scopes.items()):
             if self.fault.is_cut_off(exchange.peer[0]):
                 reset_when_closed(exchange.stream)
                 scope.cancel()
@@ -133,28 +133,28 @@
                 await exchange.answer(404, [], b"{}")
 
     async def _release(self, exchange: Exchange) -> None:
-        request = str(msgspec.json.decode(exchange.body)["request_id"])
-        status = 200 if self.drop_state(request, "released") else 404
+        request_id = str(msgspec.json.decode(exchange.body)["request_id"])
+        status = 200 if self.drop_state(request_id, "released") else 404
         await exchange.answer(status, [self.load_header()], b"{}")
 
     async def _reserve(self, exchange: Exchange) -> None:
-        """Reserves memory for a decode before its prefill has ended."""
+        """Reserves memory for the decode of a request that is still in prefill; answers 409 if that is not possible."""
         body = msgspec.json.decode(exchange.body)
-        request = str(body["request_id"])
+        request_id = str(body["request_id"])
         tokens = float(body["tokens"])
-        fits = self.can_reserve(request, tokens)
+        fits = self.can_reserve(request_id, tokens)
         if fits:
             self.used_tokens += tokens
-            self.hold_state(request, tokens)
+            self.record_held(request_id, tokens)
         await exchange.answer(200 if fits else 409, [self.load_header()], b"{}")
 
     async def _hand_over_state(self, exchange: Exchange) -> None:
-        request = exchange.query.removeprefix("gen=")
-        held = self.states.get(request)
+        request_id = exchange.query.removeprefix("gen=")
+        held = self.states.get(request_id)
         if held is None:
             await exchange.answer(404, [], b"{}")
             return
-        self.drop_state(request, "taken")
+        self.drop_state(request_id, "taken")
         await exchange.answer(200, [], msgspec.json.encode({"toks": held.tokens}))
 
     async def _attempt(self, exchange: Exchange) -> None:
@@ -172,7 +172,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_cancel_when_client_leaves, exchange, nursery.cancel_scope)
-                self._open[exchange] = nursery.cancel_scope
+                self._attempt_scopes[exchange] = nursery.cancel_scope
                 try:
                     outcome = await self._run_attempt(exchange, request)
                 except AttemptRefusedError as refused:
@@ -184,7 +184,7 @@
         except* (*STREAM_CLOSED, h11.LocalProtocolError):
             pass
         finally:
-            self._open.pop(exchange, None)
+            self._attempt_scopes.pop(exchange, None)
             self.traffic.line("leg_end", id=self.ident, gen=request.request, n=request.number, how=outcome)
         if outcome in (AttemptOutcome.DROPPED, AttemptOutcome.LOST):
             exchange.reset()
--- a/ternlane/testing/engine_core.py
+++ b/ternlane/testing/engine_core.py
@@ -19,9 +19,9 @@
 
 STATE_LEASE_MS = 30e3  # a state that no decode server has fetched is dropped after this time
 PREFIX_CACHE_SHARE = 0.5  # of the memory; the rest is for running attempts
-WORK_STEP_MS = 50.0  # interval at which running work takes up a changed speed
+WORK_STEP_MS = 50.0  # interval at which running work applies a changed speed
 STOPPED_POLL_MS = 20.0  # interval at which stopped work checks the speed
-MAX_IDEMPOTENCY_KEYS = 10_000  # maximum number of idempotency keys
+MAX_IDEMPOTENCY_KEYS = 10_000  # remembered for deduplication; the oldest are dropped
 CONNECT_TIMEOUT_MS = 500.0
 CONNECTION_IDLE_MS = 20e3
 
@@ -81,8 +81,8 @@
     def reset(self) -> None:
         """Sets the state of a process that has just started: nothing runs and nothing is held."""
         self.prefix_cache = PrefixCache()
-        self.states: dict[str, HeldState] = {}  # by request
-        self.busy = 0  # slots
+        self.states: dict[str, HeldState] = {}  # held states and reservations, by request id
+        self.busy = 0  # number of slots in use
         self.used_tokens = 0.0
         self.overloaded = False
         self._queue: deque[trio.Event] = deque()
@@ -192,7 +192,7 @@
     # Memory
 
     def require_memory(self, tokens: float) -> None:
-        """Raises AttemptRefusedError if so many tokens do not fit."""
+        """Checks that the free memory has room for `tokens` tokens. Raises AttemptRefusedError if not."""
         if self.used_tokens + tokens > self.profile.kv_capacity_tokens:
             raise AttemptRefusedError(429, "memory-full")
 
@@ -200,45 +200,46 @@
         """Looks up how much of a prompt is cached, and caches all of it."""
         return self.prefix_cache.look_up(prompt, self.profile.kv_capacity_tokens * PREFIX_CACHE_SHARE)
 
-    def can_reserve(self, request: str, tokens: float) -> bool:
-        """Whether a decode of this request could start at once."""
+    def can_reserve(self, request_id: str, tokens: float) -> bool:
+        """Whether memory can be reserved for a decode of this request: the decode could start immediately, and nothing
+        is held for the request yet."""
         return (
             self.role != PREFILL_ROLE
             and not self._queue
             and self.busy < self.profile.slots
             and self.used_tokens + tokens <= self.profile.kv_capacity_tokens
-            and request not in self.states
+            and request_id not in self.states
         )
 
-    def hold_state(self, request: str, tokens: float) -> None:
-        """Holds a state whose memory is already counted as used."""
-        self.states[request] = HeldState(tokens, clock_ms())
-        self.traffic.line("state", id=self.ident, gen=request, toks=tokens)
+    def record_held(self, request_id: str, tokens: float) -> None:
+        """Records a held state or a reservation. The caller has counted its memory as used."""
+        self.states[request_id] = HeldState(tokens, clock_ms())
+        self.traffic.line("state", id=self.ident, gen=request_id, toks=tokens)
 
-    def drop_state(self, request: str, how: str) -> bool:
-        """Drops a state. `how`: "taken", "released" or "lost". Returns False if none was held."""
-        held = self.states.pop(request, None)
+    def drop_state(self, request_id: str, how: str) -> bool:
+        """Drops a held state or a reservation. `how`: "taken", "released" or "lost". Returns False if none was held."""
+        held = self.states.pop(request_id, None)
         if held is None:
             return False
         self.used_tokens -= held.tokens
-        self.traffic.line(how, id=self.ident, gen=request)
+        self.traffic.line(how, id=self.ident, gen=request_id)
         return True
 
     def drop_expired_states(self) -> None:
         """Drops the states whose lease has expired."""
-        for request, held in list(self.states.items()):
+        for request_id, held in list(self.states.items()):
             if clock_ms() - held.since_ms > STATE_LEASE_MS:
-                self.drop_state(request, "lost")
+                self.drop_state(request_id, "lost")
 
     # Effects
 
-    def record_effect(self, request: str, number: int, idempotency_key: str) -> None:
+    def record_effect(self, request_id: str, number: int, idempotency_key: str) -> None:
         """Records the request's effect, unless one with the same key was recorded within `dedup_ms`."""
         last_ms = self._effects_ms.get(idempotency_key)
         if last_ms is not None and clock_ms() - last_ms <= self.profile.dedup_ms:
             return
         self.traffic.line(
-            "effect", id=self.ident, gen=request, n=number, key=idempotency_key, cell=self.cell, zone=self.zone
+            "effect", id=self.ident, gen=request_id, n=number, key=idempotency_key, cell=self.cell, zone=self.zone
         )
         self._effects_ms[idempotency_key] = clock_ms()
         while len(self._effects_ms) > MAX_IDEMPOTENCY_KEYS:
--- a/ternlane/testing/engine_prefill.py
+++ b/ternlane/testing/engine_prefill.py
@@ -43,7 +43,7 @@
         kept=int(prefix.cached_tokens),
         answer=0,
     )
-    engine.hold_state(request.request, request.tokens)
+    engine.record_held(request.request, request.tokens)
     if engine.rng.random() < engine.fault.lost_answer_share:
         return await lose_answer(engine.fault, exchange)
     answer = _answer(engine, request, prefix.cached_tokens)
--- a/ternlane/testing/engine_profile.py
+++ b/ternlane/testing/engine_profile.py
@@ -33,7 +33,7 @@
 class EngineProfile:
     """The capacity and speed of an engine."""
 
-    slots: int = 8  # attempts that run at once
+    slots: int = 8  # attempts that run concurrently
     queue: int = 40  # attempts that can wait for a slot
     kv_capacity_tokens: float = 200e3
     prefill_tokens_per_s: float = 20e3
--- a/ternlane/testing/platform/model_server.py
+++ b/ternlane/testing/platform/model_server.py
@@ -21,7 +21,7 @@
 MAX_BODY_BYTES = 2**18
 REQUEST_TIMEOUT_MS = 5e3  # to receive a request head or body, or for the client to read a response
 IDLE_TIMEOUT_MS = 30e3
-LATE_STATE_S = 0.05  # how long a prefill continues after its client has disconnected
+PREFILL_AFTER_DISCONNECT_S = 0.05  # how long a prefill continues after its client has disconnected
 FAULTY_ANSWER_TIMEOUT_S = 5  # for the gateway to disconnect after a faulty answer
 PIECES = 13  # number of pieces of an answer that is split at random places
 PIECE_PAUSE_S = 0.001
@@ -40,9 +40,10 @@
     events: int = 2
     never_reads: bool = False  # accepts connections, but reads and sends nothing
     lease_call_fault: str = ""  # fault of lease calls: "silent", or a name in FAULTY_ANSWERS
-    # Points at which the server can be held: "request" (received, nothing done yet), "queue" (a decode waits for its
+    # Points at which the server can be paused: "request" (received, nothing done yet), "queue" (a decode waits for its
     # state), "event" (one event has been sent), "end" (all but the last chunk has been sent), "lease" (a lease call has
-    # been received), "second" (before a second answer).
+    # been received), "second" (before the surplus answer of the fault
+    # "second_answer").
     gates: dict[str, Gate] = field(default_factory=dict)
     address: str = ""
     listener: trio.SocketListener | None = None
@@ -96,71 +97,71 @@
         else:
             await self._request(exchange, exchange.header(b"request-id") or "")
 
-    async def _lease(self, exchange: Exchange, ident: str) -> None:
-        self.fleet.seen.append((self.name, exchange.method, ident))
+    async def _lease(self, exchange: Exchange, request_id: str) -> None:
+        self.fleet.seen.append((self.name, exchange.method, request_id))
         await self._pass_gate("lease")
         if self.lease_call_fault:
             await self._send_faulty(exchange, self.lease_call_fault)
             return
         await trio.sleep(self.fleet.release_delay_ms / 1000)
-        if exchange.method == "DELETE" and ident not in self.fleet.queued:
-            self.fleet.end_hold(ident)
+        if exchange.method == "DELETE" and request_id not in self.fleet.queued:
+            self.fleet.end_hold(request_id)
         await exchange.answer(204, [], b"")
 
-    async def _request(self, exchange: Exchange, ident: str) -> None:
-        self.fleet.seen.append((self.name, self.role, ident))
-        if self.role == DECODE_ROLE and self.fleet.run_counts[ident]:
-            self.fleet.repeated_after_run.add(ident)
+    async def _request(self, exchange: Exchange, request_id: str) -> None:
+        self.fleet.seen.append((self.name, self.role, request_id))
+        if self.role == DECODE_ROLE and self.fleet.run_counts[request_id]:
+            self.fleet.repeated_after_run.add(request_id)
         self.fleet.stated_timeouts_s.append(float(exchange.header(b"request-timeout") or "nan"))
         self.fleet.open[self.name] += 1
         try:
             await self._pass_gate("request")
-            await self._attempt(exchange, ident, self.script(ident))
+            await self._attempt(exchange, request_id, self.script(request_id))
         finally:
             self.fleet.open[self.name] -= 1
 
-    async def _attempt(self, exchange: Exchange, ident: str, fault: str) -> None:
+    async def _attempt(self, exchange: Exchange, request_id: str, fault: str) -> None:
         if fault == "silent":
             await exchange.wait_until_disconnected()
         elif fault == "late_state":  # the prefill continues for a while after its client has disconnected
             await exchange.wait_until_disconnected()
-            await trio.sleep(LATE_STATE_S)
-            self.fleet.hold(ident, self.name)
+            await trio.sleep(PREFILL_AFTER_DISCONNECT_S)
+            self.fleet.hold(request_id, self.name)
         elif self.role == PREFILL_ROLE and not fault:
-            await self._prefill(exchange, ident)
+            await self._prefill(exchange, request_id)
         elif self.role == DECODE_ROLE:
-            await self._decode(exchange, ident, fault)
+            await self._decode(exchange, request_id, fault)
         else:
-            await self._answer(exchange, ident, fault)
+            await self._answer(exchange, request_id, fault)
 
-    async def _prefill(self, exchange: Exchange, ident: str) -> None:
+    async def _prefill(self, exchange: Exchange, request_id: str) -> None:
         with trio.move_on_after(self.prefill_ms / 1000):
             await exchange.wait_until_disconnected()
-            return  # it was cancelled
-        self.fleet.hold(ident, self.name)
+            return  # the client has disconnected, which cancels the prefill
+        self.fleet.hold(request_id, self.name)
         await exchange.answer(202, [("Server-Load", "inflight=1,x0=0.1")], b'{"cached_tokens":4}')
 
-    async def _decode(self, exchange: Exchange, ident: str, fault: str) -> None:
+    async def _decode(self, exchange: Exchange, request_id: str, fault: str) -> None:
         if not fault.startswith(("status_", "full_", "gone_")):  # a refusal comes before the state is taken
-            if await self._take_state(ident):
-                self.fleet.run_counts[ident] += 1
+            if await self._take_state(request_id):
+                self.fleet.run_counts[request_id] += 1
             else:
                 fault = "gone_410"
-        await self._answer(exchange, ident, fault)
+        await self._answer(exchange, request_id, fault)
 
-    async def _take_state(self, ident: str) -> bool:
+    async def _take_state(self, request_id: str) -> bool:
         """Waits in the queue and takes the state. Meanwhile no DELETE releases that state, by the protocol."""
-        self.fleet.queued.add(ident)
+        self.fleet.queued.add(request_id)
         try:
             await self._pass_gate("queue")
-            return self.fleet.end_hold(ident)
+            return self.fleet.end_hold(request_id)
         finally:
-            self.fleet.queued.discard(ident)
+            self.fleet.queued.discard(request_id)
 
-    async def _answer(self, exchange: Exchange, ident: str, fault: str) -> None:
+    async def _answer(self, exchange: Exchange, request_id: str, fault: str) -> None:
         match fault:
             case "pieces":
-                await self._send_in_pieces(exchange, ident)
+                await self._send_in_pieces(exchange, request_id)
             case "interim":
                 await exchange.stream.send_all(b"HTTP/1.1 102 Processing\r\n\r\n" * 3)
                 await self._stream(exchange, [])
@@ -186,10 +187,10 @@
         await self._pass_gate("end")
         await exchange.end(DONE + b": Server-Load: inflight=2,x0=0.2\n\n")
 
-    async def _send_in_pieces(self, exchange: Exchange, ident: str) -> None:
+    async def _send_in_pieces(self, exchange: Exchange, request_id: str) -> None:
         """Sends a good answer in pieces split at random places, which depend only on the request id."""
         whole = GOOD_ANSWER.replace(b"transfer", b"connection: close\r\ntransfer", 1)
-        cuts = sorted(random.Random(ident).sample(range(1, len(whole)), PIECES - 1))
+        cuts = sorted(random.Random(request_id).sample(range(1, len(whole)), PIECES - 1))
         for begin, end in pairwise([0, *cuts, len(whole)]):
             await exchange.stream.send_all(whole[begin:end])
             await trio.sleep(PIECE_PAUSE_S)
--- a/ternlane/testing/traffic.py
+++ b/ternlane/testing/traffic.py
@@ -50,7 +50,7 @@
         self._file = open(path, "ab", buffering=0)
 
     def add(self, line: dict[str, Any]) -> None:
-        """Writes a line at once."""
+        """Writes a line immediately, without buffering."""
         self._file.write(msgspec.json.encode(line) + b"\n")
 
     def close(self) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -237,7 +237,7 @@
             w.engines["r0b"].die()
 
         w.nursery.start_soon(inject_faults)
-        await send_requests(w, 40, 1200, retries=1, leave_part=0.2, leave_ms=(5.0, 60.0))
+        await send_requests(w, 40, 1200, retries=1, leave_share=0.2, leave_ms=(5.0, 60.0))
         await trio.sleep(0.9)
         return check(w.traffic.lines, RULES)
 
