--- a/ternlane/gateway/request_admission.py
+++ b/ternlane/gateway/request_admission.py
@@ -205,12 +205,11 @@
         received_ms: float,
         after: int,
     ) -> ActiveRequest:
-        """Builds the request and reserves its budget. `after`: characters of the answer that the client has already.
-        Raises InvalidRequestError, and RequestNotAdmittedError if the rest of a stream can't be reproduced or the
-        budget has no room."""
+        """Builds the request and reserves its budget. `after`: characters of the answer that the client has. Raises
+        InvalidRequestError; RequestNotAdmittedError if a stream's rest isn't reproducible or the budget has no room."""
         owner = tenant.name if tenant is not None else ""
-        intake_record = self.intake.take(chat_request, client_timeout_ms, owner)
-        if after and not is_reproducible(chat_request.raw, intake_record.request.request_class.effect):
+        record = self.intake.take(chat_request, client_timeout_ms, owner)
+        if after and not is_reproducible(chat_request.raw, record.request.request_class.effect):
             raise RequestNotAdmittedError(
                 409,
                 "The rest of this answer can't be had: it is not kept, and another run must not be, or "
@@ -218,26 +217,23 @@
                 "resume_not_possible",
                 param="Last-Event-ID",
             )
-        budget_reservation = self.reserve_budget(
-            tenant,
-            intake_record.request.request_class,
-            intake_record.request.prompt_tokens,
-            int(intake_record.request.max_tokens),
+        reservation = self.reserve_budget(
+            tenant, record.request.request_class, record.request.prompt_tokens, int(record.request.max_tokens)
         )
         ident = self.request_id(exchange, owner)
-        join = self.runtime.join_for(chat_request.raw, intake_record.request)
+        join = self.runtime.join_for(chat_request.raw, record.request)
         join.characters_to_skip = after
         return ActiveRequest(
             ident,
             chat_request,
-            intake_record,
-            self.response_writer(exchange, chat_request, ident, after, budget_reservation),
+            record,
+            self.response_writer(exchange, chat_request, ident, after, reservation),
             received_ms,
             self.engine_key(ident, key),
             join,
             key or "",
             xxh3_128_digest(exchange.body) if key is not None else b"",
-            budget_reservation=budget_reservation,
+            budget_reservation=reservation,
         )
 
     def reserve_budget(
