--- a/tests/test_transports.py
+++ b/tests/test_transports.py
@@ -307,7 +307,7 @@
 
 
 def test_a_plain_chat_server_cannot_be_a_prefill_server() -> None:
-    with pytest.raises(ConfigError, match="duty both"):
+    with pytest.raises(ConfigError, match='a server with protocol "chat" must have duty "both"'):
         read_text('{id: "a", address: "h:1", duty: "read", mem_toks: 1, protocol: "chat"}', NodeLine)
 
 
