--- a/ternlane/cli/lab.py
+++ b/ternlane/cli/lab.py
@@ -75,6 +75,6 @@
     """Prints and returns the largest errors of medians and 99th percentiles, at held-out points if there are any."""
     held_out = any(point.held_out for point, _ in fitted.errors)
     median, tail = fitted.worst(held_out)
-    points = "held-out points" if held_out else "fitted points"
+    points = "points held out of the fit" if held_out else "points of the fit"
     click.echo(f"  largest errors at {points}: {median:.1%} at medians, {tail:.1%} at 99th percentiles")
     return median, tail
